--- a/crates/node/src/disk/database.rs
+++ b/crates/node/src/disk/database.rs
@@ -88,6 +88,29 @@
 }
 
 /// A new database, in the mode in which it stays.
+///
+/// The names of tables and columns stay for ever, since folders of earlier releases have them. The
+/// comments are beside the SQL and not in it, because SQLite keeps the text of each `CREATE TABLE`.
+/// In standard terms:
+///
+/// - `meta`: one row about this core. `one`: always 1, so that there is no second row. `form`: the
+///   version of the file format. `nid`: the node id, as 8 bytes big-endian. `life`: the incarnation
+///   number, which counts the starts of this core. `ready`: the configuration of voters whose
+///   predecessor's quota grants this core has taken over, named by the log index that began it; null
+///   before the first.
+/// - `decree`: the newest log entries, each a whole version of the configuration. `ver`: the log index.
+///   `body`: the encoded `Decree` and its checksum.
+/// - `vote`: the durable state of this core as a voter (acceptor). `what`: `pledge`, the set of cores
+///   that this core voted for at bootstrap; `promise`, the highest ballot that it promised and for which
+///   log index; `accept`, the last proposal that it accepted and by which ballot. `body`: the encoded
+///   value and its checksum.
+/// - `epoch`: the highest epoch (fencing token) of each lease that this core voted for. `duty`: the
+///   number of the lease, a shard of the tenants. `epoch`: its epoch.
+/// - `quota`: how much of the newest quota window of each tenant was granted to each node. `tenant`: the
+///   tenant. `nid`: the node id, as above. `win`: the number of the window. `cum`: the cumulative units
+///   granted to that node in it.
+///
+/// Two more tables are made in [`Database::open`].
 fn make(file: &Path, node_id: NodeId) -> Result<(), Damaged> {
     let mut db = Connection::open(file)?;
     db.execute_batch("PRAGMA journal_mode=WAL; PRAGMA synchronous=FULL;")?;
@@ -142,7 +165,13 @@
         let mut b = Database { db, at, sizes: BTreeMap::new() };
         b.lock()?;
         b.judge()?;
-        // Folders of releases before them have none.
+        // Folders of releases before them have none. In standard terms, as for `make`:
+        // - `life`: the registered incarnations of nodes that may hold shares of rate limits. `nid`: the
+        //   node id. `inc`: the incarnation number, as a signed integer of the same bits. `addr`: the
+        //   address at which it is reached.
+        // - `digest`: hashes of log entries, also of those whose bodies are no longer kept, by which a
+        //   repeated request is recognised. `ver`: the log index. `body`: the encoded `Digest` and its
+        //   checksum.
         b.db.execute_batch(
             "CREATE TABLE IF NOT EXISTS life (nid BLOB NOT NULL, inc INTEGER NOT NULL, addr TEXT NOT NULL, PRIMARY KEY (nid, inc));
              CREATE TABLE IF NOT EXISTS digest (ver INTEGER PRIMARY KEY, body BLOB NOT NULL);",
