--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -245,7 +245,10 @@
             }
             println!("    ends: {:?} serving again after {:?} ms", s.ends, s.serving.map(|t| t / 1_000));
             if trace {
-                for (k, (n, b)) in &s.far {
+                // By size, so that the order does not hang on what the kinds of messages are called.
+                let mut kinds: Vec<_> = s.far.iter().collect();
+                kinds.sort_by_key(|(_, (n, b))| std::cmp::Reverse((*b, *n)));
+                for (k, (n, b)) in kinds {
                     println!("    between zones: {k:10} {n:7} frames {b:9} bytes");
                 }
             }
