--- a/crates/core/src/base/hash.rs
+++ b/crates/core/src/base/hash.rs
@@ -9,12 +9,12 @@
 }
 
 /// The weight of `id` for `key`: the highest weight is nominated.
-pub fn rdv(id: u64, key: &[u8]) -> u64 {
+pub fn rendezvous_weight(id: u64, key: &[u8]) -> u64 {
     xxh3_64_with_seed(key, id)
 }
 
 /// The only form in which a token or a tenant key is kept.
-pub fn sha_hex(s: &[u8]) -> String {
+pub fn sha256_hex(s: &[u8]) -> String {
     let d = Sha256::digest(s);
     let mut o = String::with_capacity(64);
     for b in d {
--- a/crates/core/src/base/mod.rs
+++ b/crates/core/src/base/mod.rs
@@ -6,7 +6,7 @@
 pub mod shards;
 pub mod time;
 
-pub use hash::{hash64, rdv, sha_hex};
+pub use hash::{hash64, rendezvous_weight, sha256_hex};
 pub use ids::{ChangeId, Incarnation, NodeId, Version};
 pub use rng::Rng;
 pub use shards::Shards;
--- a/crates/core/src/base/rng.rs
+++ b/crates/core/src/base/rng.rs
@@ -11,7 +11,7 @@
     }
 
     /// The next number.
-    pub fn draw(&mut self) -> u64 {
+    pub fn next_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut z = self.0;
         z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -21,7 +21,7 @@
 
     /// A number below `n`; nought when `n` is nought.
     pub fn below(&mut self, n: u64) -> u64 {
-        if n == 0 { 0 } else { self.draw() % n }
+        if n == 0 { 0 } else { self.next_u64() % n }
     }
 
     /// True in so many of 100 cases.
--- a/crates/core/src/base/shards.rs
+++ b/crates/core/src/base/shards.rs
@@ -25,18 +25,18 @@
 
 impl<V> Shards<V> {
     /// The shard that `k` belongs to, locked.
-    pub fn at(&self, k: &str) -> MutexGuard<'_, BTreeMap<String, V>> {
+    pub fn lock_shard(&self, k: &str) -> MutexGuard<'_, BTreeMap<String, V>> {
         lock(&self.0[usize::try_from(hash64(k.as_bytes()) % SHARDS as u64).unwrap_or(0)])
     }
 
     /// Every shard in turn, each locked while it is looked at.
-    pub fn each(&self) -> impl Iterator<Item = MutexGuard<'_, BTreeMap<String, V>>> {
+    pub fn lock_each(&self) -> impl Iterator<Item = MutexGuard<'_, BTreeMap<String, V>>> {
         self.0.iter().map(lock)
     }
 
     /// All names, shard by shard.
     pub fn names(&self) -> Vec<String> {
-        self.each().flat_map(|g| g.keys().cloned().collect::<Vec<_>>()).collect()
+        self.lock_each().flat_map(|g| g.keys().cloned().collect::<Vec<_>>()).collect()
     }
 }
 
--- a/crates/core/src/cache/found.rs
+++ b/crates/core/src/cache/found.rs
@@ -5,7 +5,7 @@
 /// A value, or the knowledge that there is none, and which layer had it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Found<V> {
-    pub val: Option<V>,
+    pub value: Option<V>,
     /// 1, 2 and 3 by the layer that had it; 4 for a stale value.
     pub level: u8,
 }
--- a/crates/core/src/cache/l1.rs
+++ b/crates/core/src/cache/l1.rs
@@ -1,7 +1,7 @@
 //! The first layer: what one thread holds, an LRU of a hundred items.
 
 use super::events::{Change, Log};
-use super::opts::{Ctx, Opts};
+use super::opts::{CacheOptions, LookupContext};
 use crate::base::{Micros, Version};
 use lru::LruCache;
 use std::num::NonZeroUsize;
@@ -23,8 +23,8 @@
 
 impl<V: Clone> L1<V> {
     /// An empty layer of `lru` items.
-    pub fn new(o: &Opts) -> Self {
-        let n = NonZeroUsize::new(o.lru).unwrap_or(NonZeroUsize::MIN);
+    pub fn new(o: &CacheOptions) -> Self {
+        let n = NonZeroUsize::new(o.l1_entries).unwrap_or(NonZeroUsize::MIN);
         L1 { lru: LruCache::new(n), seen: 0, update: o.update }
     }
 
@@ -61,7 +61,7 @@
     }
 
     /// The value, or the knowledge that there is none; nothing of another version.
-    pub fn get(&mut self, k: &str, c: Ctx) -> Option<Option<V>> {
+    pub fn get(&mut self, k: &str, c: LookupContext) -> Option<Option<V>> {
         let i = self.lru.get(k)?;
         if i.end <= c.now || i.version != c.version {
             self.lru.pop(k);
--- a/crates/core/src/cache/l2.rs
+++ b/crates/core/src/cache/l2.rs
@@ -3,7 +3,7 @@
 use super::events::{Change, Log, shard};
 use super::found::{Found, Lock, Look, Peek};
 use super::l1::L1;
-use super::opts::{Ctx, Fetched, Opts, Soft, Ttl, end};
+use super::opts::{CacheOptions, Fetched, LookupContext, Soft, Ttl, end};
 use crate::base::{Micros, Version};
 use lru::LruCache;
 use std::collections::HashMap;
@@ -75,18 +75,18 @@
 #[derive(Debug)]
 pub struct L2<V> {
     sh: Vec<Mutex<Shard<V>>>,
-    pub opts: Opts,
+    pub opts: CacheOptions,
     pub log: Log,
 }
 
 impl<V: Clone> L2<V> {
     /// Empty shards.
-    pub fn new(opts: Opts) -> Self {
+    pub fn new(opts: CacheOptions) -> Self {
         let sh = (0..opts.shards.max(1))
             .map(|_| {
                 Mutex::new(Shard {
-                    hits: Zone::new(opts.room),
-                    miss: Zone::new(opts.miss_room),
+                    hits: Zone::new(opts.shard_capacity),
+                    miss: Zone::new(opts.negative_capacity),
                     locks: HashMap::new(),
                     n: 0,
                 })
@@ -103,7 +103,7 @@
     }
 
     /// The value, or with `fetch` the right to fetch it, unless another caller has that.
-    pub fn look(&self, k: &str, c: Ctx, fetch: bool) -> Look<V> {
+    pub fn look(&self, k: &str, c: LookupContext, fetch: bool) -> Look<V> {
         let mut s = self.at(k);
         let s = &mut *s;
         for z in [&mut s.hits, &mut s.miss] {
@@ -136,7 +136,7 @@
         l: &Lock,
         r: Fetched<V>,
         weight: usize,
-        c: Ctx,
+        c: LookupContext,
     ) -> Result<Found<V>, Soft> {
         let mut s = self.at(k);
         let mine = s.locks.get(k).is_some_and(|x| x.0 == l.n);
@@ -146,21 +146,21 @@
         match r {
             Ok((val, ttl)) => {
                 let t = match (ttl, &val) {
-                    (Ttl::Never, _) => return Ok(Found { val, level: 3 }),
+                    (Ttl::Never, _) => return Ok(Found { value: val, level: 3 }),
                     (Ttl::For(t), _) => t,
                     (Ttl::Usual, Some(_)) => self.opts.ttl,
-                    (Ttl::Usual, None) => self.opts.neg_ttl,
+                    (Ttl::Usual, None) => self.opts.negative_ttl,
                 };
                 let e = end(c.now, t);
                 if mine {
                     self.store(&mut s, k, Item { val: val.clone(), end: e, version: c.version, weight, risen: false });
                     l1.put(k, val.clone(), e, c.version);
                 }
-                Ok(Found { val, level: 3 })
+                Ok(Found { value: val, level: 3 })
             }
             Err(Soft::Broke(w)) => Err(Soft::Broke(w)),
             Err(w) => {
-                let Some(t) = self.opts.resurrect else { return Err(w) };
+                let Some(t) = self.opts.stale_ttl else { return Err(w) };
                 let Some(i) = s.hits.lru.peek(k).filter(|i| i.version == c.version).cloned() else { return Err(w) };
                 let e = c.now.saturating_add(t);
                 let val = i.val.clone();
@@ -168,13 +168,13 @@
                     self.store(&mut s, k, Item { end: e, risen: true, ..i });
                     l1.put(k, val.clone(), e, c.version);
                 }
-                Ok(Found { val, level: 4 })
+                Ok(Found { value: val, level: 4 })
             }
         }
     }
 
     fn store(&self, s: &mut Shard<V>, k: &str, i: Item<V>) -> bool {
-        let (o, t) = (self.opts.evict, self.opts.set_tries);
+        let (o, t) = (self.opts.evict, self.opts.max_set_attempts);
         if i.val.is_some() {
             s.miss.pop(k);
             s.hits.set(k, i, o, t).0
@@ -185,13 +185,13 @@
     }
 
     /// For a waiter whose patience ended: the stale value, not raised.
-    pub fn stale(&self, k: &str, c: Ctx) -> Result<Found<V>, Soft> {
-        if self.opts.resurrect.is_none() {
+    pub fn stale(&self, k: &str, c: LookupContext) -> Result<Found<V>, Soft> {
+        if self.opts.stale_ttl.is_none() {
             return Err(Soft::LockWait);
         }
         let s = self.at(k);
         match s.hits.lru.peek(k).filter(|i| i.version == c.version) {
-            Some(i) => Ok(Found { val: i.val.clone(), level: 4 }),
+            Some(i) => Ok(Found { value: i.val.clone(), level: 4 }),
             None => Err(Soft::LockWait),
         }
     }
@@ -202,7 +202,7 @@
     }
 
     /// Looks without counting as a use and without promotion.
-    pub fn peek(&self, k: &str, stale: bool, c: Ctx) -> Option<Peek<V>> {
+    pub fn peek(&self, k: &str, stale: bool, c: LookupContext) -> Option<Peek<V>> {
         let s = self.at(k);
         let i = s.hits.lru.peek(k).or_else(|| s.miss.lru.peek(k)).filter(|i| i.version == c.version)?;
         let left = i128::from(i.end) - i128::from(c.now);
@@ -213,12 +213,12 @@
     }
 
     /// Sets a value; false if there was no room for it.
-    pub fn set(&self, k: &str, val: Option<V>, ttl: Ttl, weight: usize, c: Ctx) -> bool {
+    pub fn set(&self, k: &str, val: Option<V>, ttl: Ttl, weight: usize, c: LookupContext) -> bool {
         let t = match (ttl, &val) {
             (Ttl::Never, _) => return true,
             (Ttl::For(t), _) => t,
             (Ttl::Usual, Some(_)) => self.opts.ttl,
-            (Ttl::Usual, None) => self.opts.neg_ttl,
+            (Ttl::Usual, None) => self.opts.negative_ttl,
         };
         let i = Item { val, end: end(c.now, t), version: c.version, weight, risen: false };
         let ok = {
@@ -248,8 +248,8 @@
                 Ok(g) => g,
                 Err(e) => e.into_inner(),
             };
-            s.hits = Zone::new(self.opts.room);
-            s.miss = Zone::new(self.opts.miss_room);
+            s.hits = Zone::new(self.opts.shard_capacity);
+            s.miss = Zone::new(self.opts.negative_capacity);
             s.locks.clear();
         }
         self.log.publish(Change::Purge);
--- a/crates/core/src/cache/mod.rs
+++ b/crates/core/src/cache/mod.rs
@@ -13,4 +13,4 @@
 pub use get::{Step, get};
 pub use l1::L1;
 pub use l2::L2;
-pub use opts::{Ctx, Fetched, Opts, Soft, Ttl};
+pub use opts::{CacheOptions, Fetched, LookupContext, Soft, Ttl};
--- a/crates/core/src/cache/opts.rs
+++ b/crates/core/src/cache/opts.rs
@@ -5,37 +5,37 @@
 
 /// How long entries are kept, and how many.
 #[derive(Clone, Debug)]
-pub struct Opts {
-    pub lru: usize,
+pub struct CacheOptions {
+    pub l1_entries: usize,
     /// Nought: a value never ends by time.
     pub ttl: Micros,
-    pub neg_ttl: Micros,
+    pub negative_ttl: Micros,
     /// None: a stale value is never given in place of a trouble.
-    pub resurrect: Option<Micros>,
-    pub set_tries: u32,
+    pub stale_ttl: Option<Micros>,
+    pub max_set_attempts: u32,
     pub evict: usize,
     pub shards: usize,
     /// How much one shard holds, in weights.
-    pub room: usize,
-    pub miss_room: usize,
+    pub shard_capacity: usize,
+    pub negative_capacity: usize,
     pub lock_wait: Micros,
     /// A fetch that takes longer has lost its lock.
     pub lock_ttl: Micros,
     pub update: Micros,
 }
 
-impl Default for Opts {
+impl Default for CacheOptions {
     fn default() -> Self {
-        Opts {
-            lru: 100,
+        CacheOptions {
+            l1_entries: 100,
             ttl: 30 * SEC,
-            neg_ttl: 5 * SEC,
-            resurrect: Some(5 * SEC),
-            set_tries: 3,
+            negative_ttl: 5 * SEC,
+            stale_ttl: Some(5 * SEC),
+            max_set_attempts: 3,
             evict: 30,
             shards: 16,
-            room: 1 << 20,
-            miss_room: 1 << 18,
+            shard_capacity: 1 << 20,
+            negative_capacity: 1 << 18,
             lock_wait: 500 * MS,
             lock_ttl: 5 * SEC,
             update: 300 * MS,
@@ -45,7 +45,7 @@
 
 /// The moment of a lookup: no entry of another version is given, stale or not.
 #[derive(Clone, Copy, Debug)]
-pub struct Ctx {
+pub struct LookupContext {
     pub now: Micros,
     pub version: Version,
 }
--- a/crates/core/src/call/body_budget.rs
+++ b/crates/core/src/call/body_budget.rs
@@ -18,19 +18,19 @@
     }
 
     /// Holds nothing yet.
-    pub fn hold(&self) -> Held {
-        Held { budget: self.clone(), n: 0 }
+    pub fn reserve(&self) -> BodyReservation {
+        BodyReservation { budget: self.clone(), n: 0 }
     }
 }
 
 /// The part of the budget that one call holds, free again when this goes.
 #[derive(Debug)]
-pub struct Held {
+pub struct BodyReservation {
     budget: BodyBudget,
     n: usize,
 }
 
-impl Held {
+impl BodyReservation {
     /// Takes so much more, or nothing at all where there is no budget.
     pub fn grow(&mut self, n: usize) -> bool {
         let r = &self.budget;
@@ -45,7 +45,7 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for BodyReservation {
     fn drop(&mut self) {
         self.budget.used.fetch_sub(self.n, Ordering::AcqRel);
     }
--- a/crates/core/src/call/caches.rs
+++ b/crates/core/src/call/caches.rs
@@ -1,8 +1,8 @@
 //! The caches in front of a call's lookups: one layer of each thread, one of the process.
 
-use crate::cache::{L1, L2, Opts};
+use crate::cache::{CacheOptions, L1, L2};
 use crate::config::{Limit, Tenant};
-use crate::place::Table;
+use crate::placement::PlacementTable;
 use std::sync::Arc;
 
 /// The caches in front of the lookups that each call makes, shared by all threads.
@@ -10,34 +10,34 @@
 pub struct Caches {
     pub keys: L2<Arc<Tenant>>,
     pub quotas: L2<Limit>,
-    pub routes: L2<Arc<Table>>,
+    pub routes: L2<Arc<PlacementTable>>,
 }
 
 impl Default for Caches {
     fn default() -> Self {
-        let o = Opts::default();
+        let o = CacheOptions::default();
         Caches { keys: L2::new(o.clone()), quotas: L2::new(o.clone()), routes: L2::new(o) }
     }
 }
 
 /// One thread's own layers.
 #[derive(Debug)]
-pub struct Own {
+pub struct ThreadCaches {
     keys: L1<Arc<Tenant>>,
     quotas: L1<Limit>,
-    routes: L1<Arc<Table>>,
+    routes: L1<Arc<PlacementTable>>,
 }
 
-impl Default for Own {
+impl Default for ThreadCaches {
     fn default() -> Self {
-        let o = Opts::default();
-        Own { keys: L1::new(&o), quotas: L1::new(&o), routes: L1::new(&o) }
+        let o = CacheOptions::default();
+        ThreadCaches { keys: L1::new(&o), quotas: L1::new(&o), routes: L1::new(&o) }
     }
 }
 
 /// Which layers belong to a kind of value.
 pub(super) trait Layered: Clone {
-    fn l1(o: &mut Own) -> &mut L1<Self>;
+    fn l1(o: &mut ThreadCaches) -> &mut L1<Self>;
     fn l2(c: &Caches) -> &L2<Self>;
     fn weight(&self) -> usize;
 }
@@ -45,7 +45,7 @@
 macro_rules! layered {
     ($t:ty, $f:ident, $w:expr) => {
         impl Layered for $t {
-            fn l1(o: &mut Own) -> &mut L1<Self> {
+            fn l1(o: &mut ThreadCaches) -> &mut L1<Self> {
                 &mut o.$f
             }
             fn l2(c: &Caches) -> &L2<Self> {
@@ -60,4 +60,4 @@
 
 layered!(Arc<Tenant>, keys, |_: &Arc<Tenant>| 256);
 layered!(Limit, quotas, |_: &Limit| 64);
-layered!(Arc<Table>, routes, |t: &Arc<Table>| 64 + t.places.len() * 1_200);
+layered!(Arc<PlacementTable>, routes, |t: &Arc<PlacementTable>| 64 + t.endpoints.len() * 1_200);
--- a/crates/core/src/call/counts.rs
+++ b/crates/core/src/call/counters.rs
@@ -2,14 +2,14 @@
 
 /// A counter that only grows.
 #[derive(Debug, Default)]
-pub struct Count(AtomicU64);
+pub struct Counter(AtomicU64);
 
-impl Count {
-    pub fn add(&self) {
-        self.more(1);
+impl Counter {
+    pub fn increment(&self) {
+        self.add(1);
     }
 
-    pub fn more(&self, n: u64) {
+    pub fn add(&self, n: u64) {
         self.0.fetch_add(n, Ordering::Relaxed);
     }
 
@@ -22,9 +22,9 @@
     ($($(#[doc = $d:literal])* $n:ident,)*) => {
         /// Counters of the data plane; they only grow.
         #[derive(Debug, Default)]
-        pub struct Counts { $($(#[doc = $d])* pub $n: Count,)* }
+        pub struct Counts { $($(#[doc = $d])* pub $n: Counter,)* }
 
-        pub const HELP: &[(&str, &str)] = &[$((stringify!($n), concat!($($d),*)),)*];
+        pub const HELP_TEXTS: &[(&str, &str)] = &[$((stringify!($n), concat!($($d),*)),)*];
 
         impl Counts {
             pub fn list(&self) -> Vec<(&'static str, u64)> {
--- a/crates/core/src/call/holdings.rs
+++ b/crates/core/src/call/holdings.rs
@@ -1,20 +1,20 @@
 //! What a call holds until it ends: plain data, which every other part of a call may name.
 
 use crate::base::Micros;
-use crate::place::Place;
+use crate::placement::Endpoint;
 
 /// A place taken at a worker.
 #[derive(Clone, Debug)]
-pub struct Seat {
+pub struct ReservedSlot {
     pub pool: String,
-    pub at: Place,
+    pub endpoint: Endpoint,
     /// By which the engines know the call.
     pub ticket: u64,
 }
 
 /// One unit of a tenant's quota, good until its slice ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Unit {
+pub struct QuotaUnit {
     pub window: u64,
-    pub until: Micros,
+    pub expires_at: Micros,
 }
--- a/crates/core/src/call/lookup.rs
+++ b/crates/core/src/call/lookup.rs
@@ -1,32 +1,32 @@
 //! One lookup of a call: this thread's layer, the shared one, then one fetch from the view.
 
 use super::caches::Layered;
-use super::floor::Cx;
+use super::context::StepContext;
 use crate::base::Micros;
-use crate::cache::{Ctx, Fetched, Soft, Step, get};
+use crate::cache::{Fetched, LookupContext, Soft, Step, get};
 use crate::node::View;
 
 /// What a lookup came to.
-pub(super) enum Found<V> {
-    Val(Option<V>),
+pub(super) enum LookupOutcome<V> {
+    Found(Option<V>),
     /// Another call fetches this key: look again soon.
-    Soon,
-    No(Soft),
+    InProgress,
+    Failed(Soft),
 }
 
 /// L1, L2, then one fetch from the view. Nothing of another version is given.
 /// `since` is when this lookup began to wait for another's fetch.
 pub(super) fn lookup<V: Layered>(
-    cx: &mut Cx,
+    cx: &mut StepContext,
     v: &View,
     key: &str,
     since: Option<Micros>,
     fetch: impl FnOnce() -> Fetched<V>,
-) -> Found<V> {
-    let c = Ctx { now: cx.now, version: v.version.unwrap_or(0) };
-    let l1 = V::l1(cx.own);
-    let l2 = V::l2(&cx.floor.caches);
-    let n = &cx.floor.counts;
+) -> LookupOutcome<V> {
+    let c = LookupContext { now: cx.now, version: v.version.unwrap_or(0) };
+    let l1 = V::l1(cx.thread_caches);
+    let l2 = V::l2(&cx.shared.caches);
+    let n = &cx.shared.counters;
     l1.update(&l2.log, cx.clock);
     let r = match get(l1, l2, key, c) {
         Step::Found(f) => Ok(f),
@@ -37,9 +37,9 @@
         }
         Step::Wait if since.is_none_or(|t| cx.now < t + l2.opts.lock_wait) => {
             if since.is_none() {
-                n.cache_wait.add();
+                n.cache_wait.increment();
             }
-            return Found::Soon;
+            return LookupOutcome::InProgress;
         }
         Step::Wait => l2.stale(key, c),
     };
@@ -51,9 +51,9 @@
                 3 => &n.cache_l3,
                 _ => &n.cache_stale,
             }
-            .add();
-            Found::Val(f.val)
+            .increment();
+            LookupOutcome::Found(f.value)
         }
-        Err(e) => Found::No(e),
+        Err(e) => LookupOutcome::Failed(e),
     }
 }
--- a/crates/core/src/call/mod.rs
+++ b/crates/core/src/call/mod.rs
@@ -1,31 +1,31 @@
 //! The life of one call, from its head to its end, as a machine without I/O. The
 //! types tell how far it has come; whoever carries it out opens, sends and passes.
 
-mod answer;
+mod admission_queues;
 mod body_budget;
 mod caches;
-mod counts;
-mod floor;
+mod context;
+mod counters;
 mod holdings;
 mod io;
-mod life;
+mod latency;
+mod local_response;
 mod lookup;
+mod machine;
 mod progress;
-mod refusals;
+mod queue_entries;
+mod rejections;
 mod release;
 mod state;
 mod steps;
-mod times;
-mod waiters;
-mod waits;
 
-pub use answer::{Answer, back_after};
-pub use body_budget::{BodyBudget, Held};
-pub use caches::{Caches, Own};
-pub use counts::{Counts, HELP as COUNT_HELP};
-pub use floor::{Cx, Floor};
-pub use holdings::{Seat, Unit};
-pub use io::{Bad, Effect, Event, Head, Out, Reply, Ring};
-pub use life::Life;
-pub use refusals::{Reason, RefusalLog, Refusals};
-pub use times::{ENDS, Shown, Times};
+pub use body_budget::{BodyBudget, BodyReservation};
+pub use caches::{Caches, ThreadCaches};
+pub use context::{SharedCallState, StepContext};
+pub use counters::{Counts, HELP_TEXTS as COUNT_HELP};
+pub use holdings::{QuotaUnit, ReservedSlot};
+pub use io::{BodyError, Effect, Effects, Event, RequestHead, ResponseHead, Wakeup};
+pub use latency::{BUCKET_BOUNDS, HistogramSnapshot, LatencyHistogram};
+pub use local_response::{LocalResponse, spread_retry_after};
+pub use machine::CallMachine;
+pub use rejections::{RejectionCounters, RejectionLog, RejectionReason};
--- a/crates/core/src/call/waiters.rs
+++ b/crates/core/src/call/queue_entries.rs
@@ -1,16 +1,16 @@
 //! The entries of the waitlists of places and of units.
 
 use crate::base::Micros;
-use crate::place::Ask;
-use crate::wait::Waitlist;
+use crate::placement::PromptRequest;
+use crate::queue::FairQueue;
 use std::sync::Arc;
 
 /// A call that waits for a place.
 #[derive(Clone, Debug)]
-pub(super) struct Waiter {
+pub(super) struct SlotWaiter {
     pub(super) call: u64,
     pub(super) hash: u64,
-    pub(super) ask: Option<Arc<Ask>>,
+    pub(super) ask: Option<Arc<PromptRequest>>,
     pub(super) skip: Vec<String>,
 }
 
@@ -25,8 +25,8 @@
 
 /// The calls of one tenant that wait for units.
 #[derive(Clone, Debug)]
-pub(super) struct Units {
-    pub(super) list: Waitlist<UnitWaiter>,
+pub(super) struct TenantQueue {
+    pub(super) list: FairQueue<UnitWaiter>,
     /// Since when calls wait here without a word of the holder, and when last one came.
     pub(super) mute: Option<Micros>,
     pub(super) last: Micros,
--- a/crates/core/src/call/refusals.rs
+++ b/crates/core/src/call/rejections.rs
@@ -1,7 +1,7 @@
 //! Why calls end with an answer of this node's own: a typed reason, a counter for each, and a
 //! line for the log while calls are refused.
 
-use super::counts::Count;
+use super::counters::Counter;
 use crate::base::{Micros, SEC};
 use std::fmt::Write;
 
@@ -12,25 +12,25 @@
     ($($(#[doc = $doc:literal])* $reason:ident = $name:literal, $status:literal, $code:literal;)*) => {
         /// Why a call got an answer of this node's own in place of a worker's.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-        pub enum Reason { $($(#[doc = $doc])* $reason,)* }
+        pub enum RejectionReason { $($(#[doc = $doc])* $reason,)* }
 
-        impl Reason {
+        impl RejectionReason {
             /// All reasons, in the order in which they are counted.
-            pub const ALL: &'static [Reason] = &[$(Reason::$reason,)*];
+            pub const ALL: &'static [RejectionReason] = &[$(RejectionReason::$reason,)*];
 
             /// Its name among the counters and in the log.
             pub fn name(self) -> &'static str {
-                match self { $(Reason::$reason => $name,)* }
+                match self { $(RejectionReason::$reason => $name,)* }
             }
 
             /// The status of the answer.
             pub fn status(self) -> u16 {
-                match self { $(Reason::$reason => $status,)* }
+                match self { $(RejectionReason::$reason => $status,)* }
             }
 
             /// The code that callers read in the answer.
             pub fn code(self) -> &'static str {
-                match self { $(Reason::$reason => $code,)* }
+                match self { $(RejectionReason::$reason => $code,)* }
             }
         }
     };
@@ -79,44 +79,44 @@
 
 /// How many calls were refused, by reason.
 #[derive(Debug)]
-pub struct Refusals(Vec<Count>);
+pub struct RejectionCounters(Vec<Counter>);
 
-impl Default for Refusals {
+impl Default for RejectionCounters {
     fn default() -> Self {
-        Refusals(Reason::ALL.iter().map(|_| Count::default()).collect())
+        RejectionCounters(RejectionReason::ALL.iter().map(|_| Counter::default()).collect())
     }
 }
 
-impl Refusals {
+impl RejectionCounters {
     /// Counts one call.
-    pub fn add(&self, reason: Reason) {
-        self.0[reason as usize].add();
+    pub fn add(&self, reason: RejectionReason) {
+        self.0[reason as usize].increment();
     }
 
     /// How many calls were refused for this reason.
-    pub fn get(&self, reason: Reason) -> u64 {
+    pub fn get(&self, reason: RejectionReason) -> u64 {
         self.0[reason as usize].get()
     }
 }
 
 /// Says once a second what was refused in that second, as long as something was.
 #[derive(Debug, Default)]
-pub struct RefusalLog {
+pub struct RejectionLog {
     due: Micros,
     told: Vec<u64>,
 }
 
-impl RefusalLog {
+impl RejectionLog {
     /// The counts by reason since the last line, such as `full=3 quota=12`; none between lines,
     /// and none where nothing was refused.
-    pub fn line(&mut self, refusals: &Refusals, now: Micros) -> Option<String> {
+    pub fn line(&mut self, refusals: &RejectionCounters, now: Micros) -> Option<String> {
         if now < self.due {
             return None;
         }
         self.due = now + REPORT_EVERY;
-        self.told.resize(Reason::ALL.len(), 0);
+        self.told.resize(RejectionReason::ALL.len(), 0);
         let mut line = String::new();
-        for (reason, told) in Reason::ALL.iter().zip(&mut self.told) {
+        for (reason, told) in RejectionReason::ALL.iter().zip(&mut self.told) {
             let count = refusals.get(*reason);
             let new = count - std::mem::replace(told, count);
             if new > 0 {
--- a/crates/core/src/call/release.rs
+++ b/crates/core/src/call/release.rs
@@ -1,56 +1,56 @@
 //! Letting go of what a call holds, and whether its key is still in force.
 
-use super::floor::{Cx, Floor};
-use super::holdings::Seat;
-use super::io::{Effect, Out, Ring};
-use super::state::{At, Granted, Who};
+use super::context::{SharedCallState, StepContext};
+use super::holdings::ReservedSlot;
+use super::io::{Effect, Effects, Wakeup};
+use super::state::{CallRoute, CallState, QuotaGranted};
 use crate::config::OnRevoke;
 
-impl Who {
+impl CallRoute {
     /// Streams of this call are cut when its key is withdrawn.
-    pub fn cut(&self) -> bool {
-        self.tenant.on_revoke.unwrap_or(self.m.on_revoke) == OnRevoke::Cut
+    pub fn cuts_on_revoke(&self) -> bool {
+        self.tenant.on_revoke.unwrap_or(self.matched.on_revoke) == OnRevoke::Cut
     }
 
     /// It is cut now.
-    pub fn revoked(&self, cx: &Cx) -> bool {
-        self.cut() && cx.view.plan.key(&self.key).is_none()
+    pub fn is_revoked(&self, cx: &StepContext) -> bool {
+        self.cuts_on_revoke() && cx.view.config.tenant_of_key(&self.key_hash).is_none()
     }
 }
 
 /// News for other calls.
-pub(super) fn ring(v: Vec<Ring>, out: &mut Out) {
-    out.extend(v.into_iter().map(Effect::Ring));
+pub(super) fn wake(v: Vec<Wakeup>, out: &mut Effects) {
+    out.extend(v.into_iter().map(Effect::Wake));
 }
 
 /// A place is free again, for whoever waits for it.
-pub(super) fn release(s: &Seat, cx: &mut Cx, out: &mut Out) {
-    ring(Floor::free(s, cx), out);
+pub(super) fn release(s: &ReservedSlot, cx: &mut StepContext, out: &mut Effects) {
+    wake(SharedCallState::release_slot(s, cx), out);
 }
 
 /// The call ends here: all that it holds or waits for is let go.
-pub(super) fn quit(at: At, cx: &mut Cx, out: &mut Out) {
+pub(super) fn abandon(at: CallState, cx: &mut StepContext, out: &mut Effects) {
     let granted = match at {
-        At::Heard(_) | At::Matched(_) | At::Over => return,
-        At::Read(c) => {
-            cx.floor.ununit(&c.state.who.tenant.name, c.n);
+        CallState::Received(_) | CallState::Routed(_) | CallState::Finished => return,
+        CallState::BodyRead(c) => {
+            cx.shared.leave_quota_queue(&c.state.route.tenant.name, c.id);
             return;
         }
-        At::Granted(c) => {
-            cx.floor.unseat(&c.state.read.who.pool, c.n);
+        CallState::QuotaGranted(c) => {
+            cx.shared.leave_slot_queue(&c.state.request.route.pool, c.id);
             c.state
         }
-        At::Placed(c) => {
-            release(&c.state.seat, cx, out);
+        CallState::Connecting(c) => {
+            release(&c.state.slot, cx, out);
             c.state.granted
         }
         // Whoever leaves now leaves a call behind that may have run.
-        At::Sent(c) => {
-            release(&c.state.seat, cx, out);
+        CallState::AwaitingHead(c) => {
+            release(&c.state.slot, cx, out);
             return;
         }
-        At::Flowing(c) => {
-            release(&c.state.seat, cx, out);
+        CallState::Streaming(c) => {
+            release(&c.state.slot, cx, out);
             return;
         }
     };
@@ -58,11 +58,11 @@
 }
 
 /// A unit that no worker can have run a call for goes back.
-pub(super) fn drop_unit(granted: &Granted, cx: &mut Cx, out: &mut Out) {
-    let tenant = &granted.read.who.tenant.name;
+pub(super) fn drop_unit(granted: &QuotaGranted, cx: &mut StepContext, out: &mut Effects) {
+    let tenant = &granted.request.route.tenant.name;
     // A parked unit that was recalled is the holder's again.
-    let recalled = granted.parked && !cx.floor.slices.unpark(tenant, granted.unit.window);
-    if !granted.read.tries.used && !recalled {
-        ring(cx.floor.refund(tenant, granted.unit, cx.now), out);
+    let recalled = granted.unit_is_parked && !cx.shared.slices.unpark(tenant, granted.unit.window);
+    if !granted.request.attempts.unit_used && !recalled {
+        wake(cx.shared.refund(tenant, granted.unit, cx.now), out);
     }
 }
--- a/crates/core/src/call/steps/mod.rs
+++ b/crates/core/src/call/steps/mod.rs
@@ -1,9 +1,9 @@
 mod admit;
-pub mod flow;
-pub mod place;
-mod read;
-pub mod tries;
-pub mod unit;
+pub mod attempt;
+mod body;
+pub mod placement;
+pub mod quota;
+pub mod streaming;
 
 pub use admit::{admit, still};
-pub use read::read;
+pub use body::read;
--- a/crates/core/src/config/check/mod.rs
+++ b/crates/core/src/config/check/mod.rs
@@ -1,17 +1,17 @@
 //! Checks of a document: its shape first, then each value, with a remedy for each trouble.
 
-mod judge;
 mod read;
 mod shape;
+mod validate;
 
-pub use judge::{judge, revoke_name};
 pub use shape::{shape, shape_max};
+pub use validate::{revoke_name, validate};
 
 use displaydoc::Display;
 
 /// What is wrong with a tree, where, and what to do about it.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
-pub enum Trouble {
+pub enum ConfigError {
     /// the body is not JSON: {0}; send one JSON object
     NotJson(String),
     /// {at}: the body has {is} bytes; keep it below {most}
@@ -32,34 +32,34 @@
     Taken { at: String, by: String },
 }
 
-impl Trouble {
+impl ConfigError {
     /// The place in the document, as a JSON pointer.
     pub fn at(&self) -> &str {
         match self {
-            Trouble::NotJson(_) => "",
-            Trouble::TooLarge { at, .. }
-            | Trouble::TooDeep { at, .. }
-            | Trouble::Twice { at }
-            | Trouble::Unknown { at, .. }
-            | Trouble::Wrong { at, .. }
-            | Trouble::Missing { at, .. }
-            | Trouble::Dangling { at, .. }
-            | Trouble::Taken { at, .. } => at,
+            ConfigError::NotJson(_) => "",
+            ConfigError::TooLarge { at, .. }
+            | ConfigError::TooDeep { at, .. }
+            | ConfigError::Twice { at }
+            | ConfigError::Unknown { at, .. }
+            | ConfigError::Wrong { at, .. }
+            | ConfigError::Missing { at, .. }
+            | ConfigError::Dangling { at, .. }
+            | ConfigError::Taken { at, .. } => at,
         }
     }
 
     /// The kind of trouble, for programs.
     pub fn code(&self) -> &'static str {
         match self {
-            Trouble::NotJson(_) => "not_json",
-            Trouble::TooLarge { .. } => "too_large",
-            Trouble::TooDeep { .. } => "too_deep",
-            Trouble::Twice { .. } => "duplicate",
-            Trouble::Unknown { .. } => "unknown_name",
-            Trouble::Wrong { .. } => "wrong_value",
-            Trouble::Missing { .. } => "missing",
-            Trouble::Dangling { .. } => "dangling",
-            Trouble::Taken { .. } => "taken",
+            ConfigError::NotJson(_) => "not_json",
+            ConfigError::TooLarge { .. } => "too_large",
+            ConfigError::TooDeep { .. } => "too_deep",
+            ConfigError::Twice { .. } => "duplicate",
+            ConfigError::Unknown { .. } => "unknown_name",
+            ConfigError::Wrong { .. } => "wrong_value",
+            ConfigError::Missing { .. } => "missing",
+            ConfigError::Dangling { .. } => "dangling",
+            ConfigError::Taken { .. } => "taken",
         }
     }
 }
--- a/crates/core/src/config/check/read.rs
+++ b/crates/core/src/config/check/read.rs
@@ -1,6 +1,6 @@
 //! Typed reading of a document, which notes each trouble and goes on.
 
-use super::Trouble;
+use super::ConfigError;
 use super::shape::esc;
 use sonic_rs::{JsonContainerTrait, JsonType, JsonValueTrait, Object, Value};
 
@@ -12,11 +12,11 @@
 
 impl<'a> Read<'a> {
     /// Begins at the top of a document.
-    pub fn root(v: &'a Value, out: &mut Vec<Trouble>) -> Self {
+    pub fn root(v: &'a Value, out: &mut Vec<ConfigError>) -> Self {
         Read { at: String::new(), v: Some(v) }.typed(out)
     }
 
-    fn typed(mut self, out: &mut Vec<Trouble>) -> Self {
+    fn typed(mut self, out: &mut Vec<ConfigError>) -> Self {
         if let Some(v) = self.v
             && !v.is_object()
         {
@@ -42,28 +42,28 @@
     }
 
     /// A member that must be an object.
-    pub fn sub(&self, k: &str, out: &mut Vec<Trouble>) -> Read<'a> {
+    pub fn sub(&self, k: &str, out: &mut Vec<ConfigError>) -> Read<'a> {
         Read { at: self.path(k), v: self.raw(k) }.typed(out)
     }
 
     /// All members, each of which must be an object.
-    pub fn each(&self, out: &mut Vec<Trouble>) -> Vec<(String, Read<'a>)> {
+    pub fn each(&self, out: &mut Vec<ConfigError>) -> Vec<(String, Read<'a>)> {
         let Some(o) = self.v.and_then(|v| v.as_object()) else { return Vec::new() };
         o.iter().map(|(k, v)| (k.to_owned(), Read { at: self.path(k), v: Some(v) }.typed(out))).collect()
     }
 
     /// Notes each member that is not among the known ones.
-    pub fn only(&self, known: &[&str], out: &mut Vec<Trouble>) {
+    pub fn only(&self, known: &[&str], out: &mut Vec<ConfigError>) {
         let Some(o) = self.v.and_then(|v| v.as_object()) else { return };
         for k in names(o) {
             if !known.contains(&k.as_str()) {
-                out.push(Trouble::Unknown { at: self.path(&k), known: known.join(", ") });
+                out.push(ConfigError::Unknown { at: self.path(&k), known: known.join(", ") });
             }
         }
     }
 
     /// A whole number within these bounds.
-    pub fn num(&self, k: &str, lo: u64, hi: u64, out: &mut Vec<Trouble>) -> Option<u64> {
+    pub fn num(&self, k: &str, lo: u64, hi: u64, out: &mut Vec<ConfigError>) -> Option<u64> {
         let v = self.raw(k)?;
         match v.as_u64() {
             Some(n) if (lo..=hi).contains(&n) => Some(n),
@@ -75,7 +75,7 @@
     }
 
     /// A number in thousandths, within bounds that are thousandths too.
-    pub fn milli(&self, k: &str, lo: u64, hi: u64, out: &mut Vec<Trouble>) -> Option<u64> {
+    pub fn milli(&self, k: &str, lo: u64, hi: u64, out: &mut Vec<ConfigError>) -> Option<u64> {
         let v = self.raw(k)?;
         match v.as_f64().map(|n| (n * 1000.0).round()) {
             // Nothing within the bounds loses a digit.
@@ -90,7 +90,7 @@
     }
 
     /// True or false.
-    pub fn flag(&self, k: &str, out: &mut Vec<Trouble>) -> Option<bool> {
+    pub fn flag(&self, k: &str, out: &mut Vec<ConfigError>) -> Option<bool> {
         let v = self.raw(k)?;
         if v.as_bool().is_none() {
             out.push(wrong(&self.path(k), v, "true or false"));
@@ -99,7 +99,7 @@
     }
 
     /// A string.
-    pub fn text(&self, k: &str, out: &mut Vec<Trouble>) -> Option<&'a str> {
+    pub fn text(&self, k: &str, out: &mut Vec<ConfigError>) -> Option<&'a str> {
         let v = self.raw(k)?;
         let s = v.as_str().filter(|s| !s.is_empty() && s.len() <= 512);
         if s.is_none() {
@@ -109,7 +109,7 @@
     }
 
     /// Whole numbers by name.
-    pub fn weights(&self, hi: u32, out: &mut Vec<Trouble>) -> Vec<(String, u32)> {
+    pub fn weights(&self, hi: u32, out: &mut Vec<ConfigError>) -> Vec<(String, u32)> {
         let Some(o) = self.v.and_then(|v| v.as_object()) else { return Vec::new() };
         let ks = names(o);
         ks.into_iter()
@@ -121,7 +121,7 @@
     }
 
     /// A list of strings.
-    pub fn texts(&self, k: &str, out: &mut Vec<Trouble>) -> Option<Vec<&'a str>> {
+    pub fn texts(&self, k: &str, out: &mut Vec<ConfigError>) -> Option<Vec<&'a str>> {
         let v = self.raw(k)?;
         let Some(a) = v.as_array() else {
             out.push(wrong(&self.path(k), v, "a list of texts"));
@@ -143,7 +143,7 @@
 }
 
 /// The trouble that a value is of another type than is wanted.
-pub fn wrong(at: &str, v: &Value, want: &str) -> Trouble {
+pub fn wrong(at: &str, v: &Value, want: &str) -> ConfigError {
     let is = match v.get_type() {
         JsonType::Null => "null".to_owned(),
         JsonType::Object => "an object".to_owned(),
@@ -156,5 +156,5 @@
             s
         }
     };
-    Trouble::Wrong { at: at.to_owned(), is, want: want.to_owned() }
+    ConfigError::Wrong { at: at.to_owned(), is, want: want.to_owned() }
 }
--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -4,6 +4,9 @@
 mod patch;
 pub mod tree;
 
-pub use check::{Trouble, judge};
+pub use check::{ConfigError, validate};
 pub use patch::{Item, ListPatch, Patch};
-pub use tree::{Kind, Limit, Match, Measure, OnRevoke, Placement, Plan, Pool, Quota, Rate, Reader, Tenant, effective};
+pub use tree::{
+    CompiledConfig, Kind, Limit, Match, Measure, OnRevoke, PlacementWeights, Pool, Rate, Reader, Tenant, WindowQuota,
+    effective,
+};
--- a/crates/core/src/config/patch.rs
+++ b/crates/core/src/config/patch.rs
@@ -4,7 +4,7 @@
 //! change costs what it changes. Applying it is deterministic: every node that holds the document
 //! it was built on makes the same bytes.
 
-use super::Trouble;
+use super::ConfigError;
 use musli::{Decode, Encode};
 use sha2::{Digest as _, Sha256};
 use sonic_rs::{JsonValueTrait, LazyValue};
@@ -76,22 +76,22 @@
     }
 
     /// What is wrong with it, whatever document it is applied to.
-    pub fn troubles(&self) -> Vec<Trouble> {
+    pub fn troubles(&self) -> Vec<ConfigError> {
         let empty = self.lists.iter().all(|l| l.put.is_empty() && l.remove.is_empty());
         if empty {
-            return vec![Trouble::Missing { at: String::new(), want: "an item to put or a name to remove".into() }];
+            return vec![ConfigError::Missing { at: String::new(), want: "an item to put or a name to remove".into() }];
         }
         let mut out = Vec::new();
         let mut lists = BTreeSet::new();
         for list in &self.lists {
             let at = format!("/{}", list.list);
             if !lists.insert(&list.list) {
-                out.push(Trouble::Twice { at: at.clone() });
+                out.push(ConfigError::Twice { at: at.clone() });
             }
             let mut names = BTreeSet::new();
             for name in list.put.iter().map(|i| &i.name).chain(&list.remove) {
                 if !names.insert(name) {
-                    out.push(Trouble::Twice { at: format!("{at}/{name}") });
+                    out.push(ConfigError::Twice { at: format!("{at}/{name}") });
                 }
             }
         }
@@ -104,7 +104,7 @@
     ///
     /// Where the document is no object of lists of named items, where a name to remove is not
     /// there, or where the patch itself is wrong; then nothing of it applies.
-    pub fn apply(&self, document: &str) -> Result<String, Vec<Trouble>> {
+    pub fn apply(&self, document: &str) -> Result<String, Vec<ConfigError>> {
         if *self == Patch::unchanged() {
             return Ok(document.to_owned());
         }
@@ -115,7 +115,7 @@
         let mut lists: BTreeMap<&str, &ListPatch> = self.lists.iter().map(|l| (l.list.as_str(), l)).collect();
         let mut out = Members::new(document.len() + self.size());
         for member in sonic_rs::to_object_iter(document) {
-            let (key, value) = member.map_err(|e| vec![Trouble::NotJson(e.to_string())])?;
+            let (key, value) = member.map_err(|e| vec![ConfigError::NotJson(e.to_string())])?;
             if key.as_ref() as &str == self.number_at {
                 out.add(&key, &self.number.to_string());
             } else if let Some(list) = lists.remove(key.as_ref() as &str) {
@@ -132,7 +132,7 @@
 }
 
 impl ListPatch {
-    fn apply(&self, list: &str) -> Result<String, Vec<Trouble>> {
+    fn apply(&self, list: &str) -> Result<String, Vec<ConfigError>> {
         let at = format!("/{}", self.list);
         let mut put: BTreeMap<&str, &str> = self.put.iter().map(|i| (i.name.as_str(), i.json.as_str())).collect();
         let mut remove: BTreeSet<&str> = self.remove.iter().map(String::as_str).collect();
@@ -145,8 +145,9 @@
             out.push_str(json);
         };
         for item in sonic_rs::to_array_iter(list) {
-            let item =
-                item.map_err(|_| vec![Trouble::Wrong { at: at.clone(), is: "no list".into(), want: "a list".into() }])?;
+            let item = item.map_err(|_| {
+                vec![ConfigError::Wrong { at: at.clone(), is: "no list".into(), want: "a list".into() }]
+            })?;
             let name = name_of(&item);
             let name = name.as_deref().unwrap_or_default();
             if remove.remove(name) {
@@ -156,8 +157,11 @@
         }
         // Those that were not there come last, in the order in which they were sent.
         self.put.iter().filter(|i| put.contains_key(i.name.as_str())).for_each(|i| add(&i.json));
-        let missing =
-            remove.into_iter().map(|name| Trouble::Dangling { at: at.clone(), name: name.into(), sort: at.clone() });
+        let missing = remove.into_iter().map(|name| ConfigError::Dangling {
+            at: at.clone(),
+            name: name.into(),
+            sort: at.clone(),
+        });
         let missing: Vec<_> = missing.collect();
         if !missing.is_empty() {
             return Err(missing);
--- a/crates/core/src/config/tree/effective.rs
+++ b/crates/core/src/config/tree/effective.rs
@@ -1,10 +1,10 @@
 //! What is in force for one name, with all that it inherits.
 
-use super::{Limit, Measure, Plan};
-use crate::config::check::{Trouble, judge};
+use super::{CompiledConfig, Limit, Measure};
+use crate::config::check::{ConfigError, validate};
 
 /// The settings of one match or tenant with every inherited value written out.
-pub fn effective(p: &Plan, sort: &str, name: &str) -> Option<String> {
+pub fn effective(p: &CompiledConfig, sort: &str, name: &str) -> Option<String> {
     let q = |s: &str| sonic_rs::to_string(s).unwrap_or_default();
     match sort {
         "matches" => {
@@ -16,24 +16,24 @@
                 q(&m.path),
                 q(&m.pool),
                 q(m.kind.name()),
-                m.wait / 1000,
-                m.first / 1000,
-                m.idle / 1000,
+                m.queue_timeout / 1000,
+                m.first_byte_timeout / 1000,
+                m.idle_timeout / 1000,
                 m.max_body,
                 q(&format!("/{}", m.prompt.join("/"))),
-                m.prefix,
-                m.repeat,
-                m.resume,
+                m.prefix_chars,
+                m.idempotent,
+                m.resumable,
                 q(super::super::check::revoke_name(m.on_revoke)),
                 opt(m.host.as_deref().map(q)),
-                opt(m.under.as_deref().map(q)),
-                split(&m.split),
-                m.aim / 1000,
-                m.gap / 1000,
-                m.tries,
+                opt(m.path_prefix.as_deref().map(q)),
+                split(&m.weighted_pools),
+                m.latency_target / 1000,
+                m.max_stream_gap / 1000,
+                m.max_attempts,
                 opt(m.urgency.map(|u| u.to_string())),
-                m.open,
-                m.parts,
+                m.allows_anonymous,
+                m.has_prompt_parts,
             ))
         }
         "tenants" => {
@@ -68,7 +68,7 @@
 }
 
 /// How an operator's document becomes a plan: as a tree of our own, or translated into one.
-pub type Reader = fn(&str) -> Result<Plan, Vec<Trouble>>;
+pub type Reader = fn(&str) -> Result<CompiledConfig, Vec<ConfigError>>;
 
 /// Thousandths as the number that they are.
 fn milli(n: u64) -> String {
@@ -80,23 +80,25 @@
 fn limit(l: Limit, m: Measure) -> String {
     let counted = match m {
         Measure::Calls => String::new(),
-        Measure::Tokens { untold } => format!(",\"measure\":\"tokens\",\"untold\":{untold}"),
+        Measure::Tokens { default_units: untold } => format!(",\"measure\":\"tokens\",\"untold\":{untold}"),
     };
     match l {
         Limit::Window(q) => format!("{{\"calls\":{},\"window_ms\":{}}}", q.calls, q.window / 1000),
-        Limit::Rate(r) => format!("{{\"rate\":{},\"burst\":{}{counted}}}", milli(r.milli), milli(r.burst)),
+        Limit::Rate(r) => {
+            format!("{{\"rate\":{},\"burst\":{}{counted}}}", milli(r.milli_per_second), milli(r.burst_milli))
+        }
         Limit::Unlimited => "\"none\"".to_owned(),
     }
 }
 
-impl Plan {
+impl CompiledConfig {
     /// The plan of a body that was judged before it was agreed.
-    pub fn compile(version: u64, body: &str) -> Plan {
-        Plan::read(judge, version, body)
+    pub fn compile(version: u64, body: &str) -> CompiledConfig {
+        CompiledConfig::parse_with(validate, version, body)
     }
 
     /// The same for a document that `r` reads.
-    pub fn read(r: Reader, version: u64, body: &str) -> Plan {
+    pub fn parse_with(r: Reader, version: u64, body: &str) -> CompiledConfig {
         let mut p = r(body).unwrap_or_default();
         p.version = version;
         p
--- a/crates/core/src/config/tree/mod.rs
+++ b/crates/core/src/config/tree/mod.rs
@@ -4,4 +4,6 @@
 mod plan;
 
 pub use effective::{Reader, effective};
-pub use plan::{Kind, Limit, Match, Measure, OnRevoke, Placement, Plan, Pool, Quota, Rate, Tenant};
+pub use plan::{
+    CompiledConfig, Kind, Limit, Match, Measure, OnRevoke, PlacementWeights, Pool, Rate, Tenant, WindowQuota,
+};
--- a/crates/core/src/config/tree/plan.rs
+++ b/crates/core/src/config/tree/plan.rs
@@ -52,7 +52,7 @@
 
 /// So many calls in each window of time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Quota {
+pub struct WindowQuota {
     pub calls: u64,
     pub window: Micros,
 }
@@ -60,8 +60,8 @@
 /// Thousandths of units: so many a second, and at most so many at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rate {
-    pub milli: u64,
-    pub burst: u64,
+    pub milli_per_second: u64,
+    pub burst_milli: u64,
 }
 
 /// What a rate counts.
@@ -72,7 +72,7 @@
     Calls,
     /// A call is as many units as it has tokens, in and out together; one that doesn't tell them
     /// is `untold` units.
-    Tokens { untold: u32 },
+    Tokens { default_units: u32 },
 }
 
 impl Measure {
@@ -80,7 +80,7 @@
     pub fn units(self, (tokens_in, tokens_out): (u32, u32)) -> u32 {
         match self {
             Measure::Calls => 1,
-            Measure::Tokens { untold } => match tokens_in.saturating_add(tokens_out) {
+            Measure::Tokens { default_units: untold } => match tokens_in.saturating_add(tokens_out) {
                 0 => untold.max(1),
                 tokens => tokens,
             },
@@ -91,7 +91,7 @@
 /// How a tenant's calls are limited over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Limit {
-    Window(Quota),
+    Window(WindowQuota),
     Rate(Rate),
     Unlimited,
 }
@@ -102,36 +102,42 @@
     /// The addresses that may serve; none named means any that announces itself.
     pub workers: Option<Vec<String>>,
     /// Workers, by id, that an operator lets run empty: no new calls go to them.
-    pub drain: Vec<String>,
-    pub placement: Placement,
+    pub drained_workers: Vec<String>,
+    pub placement_weights: PlacementWeights,
 }
 
 /// How a pool's calls find their workers: weights in hundredths, and facts that can't be learned.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Placement {
+pub struct PlacementWeights {
     /// Against bytes between zones.
-    pub near: u32,
+    pub zone_locality: u32,
     /// Against reading shared parts of prompts again.
-    pub reread: u32,
+    pub prefix_affinity: u32,
     /// Against late first pieces and harm to those beside.
-    pub spread: u32,
+    pub load_spread: u32,
     /// Tokens that fit into a worker's memory; 0 where it is not known.
-    pub memory: u64,
+    pub kv_cache_tokens: u64,
     /// Tokens in one event of a stream.
-    pub event: u32,
+    pub tokens_per_event: u32,
 }
 
-impl Default for Placement {
+impl Default for PlacementWeights {
     fn default() -> Self {
-        Placement { near: 100, reread: 100, spread: 100, memory: 0, event: 1 }
+        PlacementWeights {
+            zone_locality: 100,
+            prefix_affinity: 100,
+            load_spread: 100,
+            kv_cache_tokens: 0,
+            tokens_per_event: 1,
+        }
     }
 }
 
 impl Pool {
     /// Whether new calls may go to this worker.
-    pub fn takes(&self, worker_id: &str, addr: &str) -> bool {
+    pub fn accepts_worker(&self, worker_id: &str, addr: &str) -> bool {
         let named = self.workers.as_ref().is_none_or(|v| v.iter().any(|a| a == addr));
-        named && !self.drain.iter().any(|w| w == worker_id)
+        named && !self.drained_workers.iter().any(|w| w == worker_id)
     }
 }
 
@@ -144,31 +150,31 @@
     pub host: Option<String>,
     pub path: String,
     /// The beginning of the paths that it takes, with every method, in place of one path.
-    pub under: Option<String>,
+    pub path_prefix: Option<String>,
     pub pool: String,
     /// Pools that share its calls by weight, in place of one pool.
-    pub split: Vec<(String, u32)>,
+    pub weighted_pools: Vec<(String, u32)>,
     pub kind: Kind,
     /// Within this time a response earns its full worth; nought is unknown.
-    pub aim: Micros,
+    pub latency_target: Micros,
     /// The longest pause between pieces of a stream that keeps it in time; nought is unknown.
-    pub gap: Micros,
+    pub max_stream_gap: Micros,
     /// At how many workers a call may be tried.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// Its rank, nought first.
     pub urgency: Option<u8>,
     /// It needs no key.
-    pub open: bool,
+    pub allows_anonymous: bool,
     /// The head tells the parts of the prompt, so the body is not read for it.
-    pub parts: bool,
-    pub wait: Micros,
-    pub first: Micros,
-    pub idle: Micros,
+    pub has_prompt_parts: bool,
+    pub queue_timeout: Micros,
+    pub first_byte_timeout: Micros,
+    pub idle_timeout: Micros,
     pub max_body: usize,
     pub prompt: Vec<String>,
-    pub prefix: usize,
-    pub repeat: bool,
-    pub resume: bool,
+    pub prefix_chars: usize,
+    pub idempotent: bool,
+    pub resumable: bool,
     pub on_revoke: OnRevoke,
 }
 
@@ -188,7 +194,7 @@
 
 /// One version of the configuration, compiled for lookups and never changed.
 #[derive(Clone, Debug, Default)]
-pub struct Plan {
+pub struct CompiledConfig {
     pub version: Version,
     /// The operator's own number of this tree.
     pub revision: u64,
@@ -197,12 +203,12 @@
     /// The matches by method and by path, which may have parameters.
     pub paths: BTreeMap<String, matchit::Router<Arc<Match>>>,
     /// The matches that take all paths with one beginning, by host and by beginning.
-    pub unders: HashMap<Option<String>, HashMap<String, Arc<Match>>>,
+    pub path_prefixes: HashMap<Option<String>, HashMap<String, Arc<Match>>>,
     pub tenants: BTreeMap<String, Arc<Tenant>>,
     pub keys: BTreeMap<String, String>,
 }
 
-impl Plan {
+impl CompiledConfig {
     /// The match of a call: by its exact path first, then by the longest beginning,
     /// those of its own host before those of every host.
     pub fn find(&self, method: &str, host: &str, path: &str) -> Option<&Arc<Match>> {
@@ -215,17 +221,17 @@
     }
 
     fn under(&self, host: &Option<String>, path: &str) -> Option<&Arc<Match>> {
-        let m = self.unders.get(host)?;
+        let m = self.path_prefixes.get(host)?;
         path.rmatch_indices('/').find_map(|(i, _)| m.get(&path[..=i]))
     }
 
     /// Whether calls need a key at all.
-    pub fn closed(&self) -> bool {
+    pub fn requires_key(&self) -> bool {
         !self.tenants.is_empty()
     }
 
     /// The tenant that this hash of a key belongs to.
-    pub fn key(&self, hash: &str) -> Option<&Arc<Tenant>> {
+    pub fn tenant_of_key(&self, hash: &str) -> Option<&Arc<Tenant>> {
         self.tenants.get(self.keys.get(hash)?)
     }
 }
@@ -233,15 +239,15 @@
 impl Match {
     /// The pools that may serve it.
     pub fn pools(&self) -> impl Iterator<Item = &str> {
-        let one = self.split.is_empty().then_some(self.pool.as_str());
-        one.into_iter().chain(self.split.iter().filter(|s| s.1 > 0).map(|s| s.0.as_str()))
+        let one = self.weighted_pools.is_empty().then_some(self.pool.as_str());
+        one.into_iter().chain(self.weighted_pools.iter().filter(|s| s.1 > 0).map(|s| s.0.as_str()))
     }
 
     /// The pool of the call that drew `n`.
-    pub fn draw(&self, n: u64) -> &str {
-        let sum: u64 = self.split.iter().map(|s| u64::from(s.1)).sum();
+    pub fn pool_for(&self, n: u64) -> &str {
+        let sum: u64 = self.weighted_pools.iter().map(|s| u64::from(s.1)).sum();
         let mut at = if sum == 0 { 0 } else { n % sum };
-        for (p, w) in &self.split {
+        for (p, w) in &self.weighted_pools {
             match at.checked_sub(u64::from(*w)) {
                 None => return p,
                 Some(r) => at = r,
@@ -253,7 +259,7 @@
 
 impl Tenant {
     /// Who calls an open match without a key.
-    pub fn nobody() -> Tenant {
+    pub fn anonymous() -> Tenant {
         Tenant {
             name: String::new(),
             quota: Limit::Unlimited,
--- /dev/null
+++ b/crates/core/src/consensus/mod.rs
@@ -0,0 +1,13 @@
+//! Agreement on versions of the configuration: what a core promised, accepted and decided.
+
+mod digest_log;
+mod durable;
+mod history;
+mod patch_chain;
+mod state;
+
+pub use digest_log::{ChangeStatus, DigestLog, MAX_DIGESTS};
+pub use durable::{DurableState, DurableWrite};
+pub use history::{MAX_HISTORY_BYTES, MAX_HISTORY_ENTRIES, lowest_kept_version, trim_history};
+pub use patch_chain::PatchChain;
+pub use state::{ConsensusState, PendingChange, Phase, Proposal, Requester, is_majority};
--- a/crates/core/src/agree/patches.rs
+++ b/crates/core/src/consensus/patch_chain.rs
@@ -1,7 +1,7 @@
 //! The newest versions as patches, for nodes that are a few versions behind.
 
 use crate::base::Version;
-use crate::peer::Decree;
+use crate::protocol::LogEntry;
 use std::collections::VecDeque;
 
 /// How many are kept, and how many bytes they have at most.
@@ -10,15 +10,15 @@
 
 /// Stripped versions without a gap, the last of which is the newest that a node holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Patches {
-    chain: VecDeque<Decree>,
+pub struct PatchChain {
+    chain: VecDeque<LogEntry>,
     bytes: usize,
 }
 
-impl Patches {
+impl PatchChain {
     /// The newest version is this one now. One that did not come as a patch, or not right after
     /// the one before, ends the chain.
-    pub fn lead_to(&mut self, d: &Decree) {
+    pub fn append(&mut self, d: &LogEntry) {
         match self.chain.back().map(|last| last.version) {
             Some(version) if version == d.version => return,
             Some(version) if version + 1 != d.version => self.clear(),
@@ -28,7 +28,7 @@
             self.clear();
             return;
         }
-        let d = d.stripped();
+        let d = d.without_body();
         self.bytes += d.size();
         self.chain.push_back(d);
         while self.chain.len() > MOST || self.bytes > BYTES {
@@ -43,7 +43,7 @@
     }
 
     /// All versions after this one; none where some of them are not held as patches.
-    pub fn after(&self, version: Version) -> Option<Vec<Decree>> {
+    pub fn after(&self, version: Version) -> Option<Vec<LogEntry>> {
         let first = self.chain.front()?.version;
         if version + 1 < first {
             return None;
--- a/crates/core/src/term/mod.rs
+++ b/crates/core/src/lease/mod.rs
@@ -3,23 +3,23 @@
 mod grantor;
 mod holder;
 
-pub use grantor::{Book, Said};
-pub use holder::{Held, Terms};
+pub use grantor::{LeaseDecision, LeaseGrantor};
+pub use holder::{HeldLease, HeldLeases};
 
 use crate::base::{MS, Micros, Version, hash64};
 
 /// How long a term lasts from the moment that its holder asked for it.
-pub const TERM: Micros = 1_000 * MS;
+pub const LEASE_DURATION: Micros = 1_000 * MS;
 /// A holder stops this long before its term ends.
-pub const MARGIN: Micros = 150 * MS;
+pub const HOLDER_MARGIN: Micros = 150 * MS;
 /// A term is renewed so long after it was asked for.
-pub const RENEW: Micros = 350 * MS;
+pub const RENEW_AFTER: Micros = 350 * MS;
 /// Tenants are spread over so many duties.
-pub const DUTIES: u32 = 8;
+pub const ROLE_COUNT: u32 = 8;
 
 /// Below the epochs of a set of voters and above those of all sets before it, so that a set
 /// that knows nothing of the ones before it is not taken for older than they are.
-pub fn first_epoch(set: Version) -> u64 {
+pub fn epoch_base(set: Version) -> u64 {
     set << EPOCHS
 }
 
@@ -27,6 +27,6 @@
 const EPOCHS: u32 = 24;
 
 /// The duty that the quota of a tenant falls under.
-pub fn duty(tenant: &str) -> u32 {
-    u32::try_from(hash64(tenant.as_bytes()) % u64::from(DUTIES)).unwrap_or(0)
+pub fn quota_role(tenant: &str) -> u32 {
+    u32::try_from(hash64(tenant.as_bytes()) % u64::from(ROLE_COUNT)).unwrap_or(0)
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,18 +1,18 @@
 //! The core of sumacvale. Nothing here opens a socket, a file or a timer.
 
-pub mod agree;
 pub mod base;
 pub mod cache;
 pub mod call;
 pub mod config;
-pub mod fresh;
-pub mod news;
+pub mod consensus;
+pub mod freshness;
+pub mod lease;
 pub mod node;
-pub mod peer;
-pub mod place;
+pub mod peers;
+pub mod placement;
+pub mod protocol;
+pub mod queue;
 pub mod quota;
-pub mod ring;
+pub mod retry;
 pub mod stream;
-pub mod term;
-pub mod tries;
-pub mod wait;
+pub mod workers;
--- a/crates/core/src/node/forward.rs
+++ b/crates/core/src/node/consensus/forwarding.rs
@@ -1,11 +1,11 @@
 //! Changes and questions of operators at a node that has no vote: handed on to a voter.
 
-use super::contact::DOUBT;
-use super::propose::PATIENCE;
-use super::{Effect, Node};
-use crate::agree::Asker;
+use super::proposer::PATIENCE;
 use crate::base::{ChangeId, MS, Micros, NodeId, Version};
-use crate::peer::{Change, Fate, Msg};
+use crate::consensus::Requester;
+use crate::node::dissemination::QUORUM_TIMEOUT;
+use crate::node::{Effect, Node};
+use crate::protocol::{Change, ChangeOutcome, Message};
 use std::collections::BTreeSet;
 
 /// After so long another voter is asked, though the one that was asked is heard.
@@ -17,7 +17,7 @@
 
 /// A change that a core must settle for this node.
 #[derive(Clone, Debug)]
-pub(super) struct Forward {
+pub(in crate::node) struct Forward {
     change_id: ChangeId,
     /// Nobody can have sent this change id before.
     fresh: bool,
@@ -56,15 +56,15 @@
 
     /// What its caller is told when it is given up: that nothing was sent only if each voter that
     /// was asked said so of its one ask.
-    fn given_up(&self) -> Fate {
+    fn given_up(&self) -> ChangeOutcome {
         let unsent = self.open.is_empty() && self.asked_again.is_empty();
-        if unsent || self.change.reads() { Fate::NoMajority } else { Fate::Unknown }
+        if unsent || self.change.is_read() { ChangeOutcome::NoQuorum } else { ChangeOutcome::Unknown }
     }
 }
 
 impl Node {
     /// Takes a change or a question of a caller at this node.
-    pub(super) fn put(
+    pub(in crate::node) fn submit_change(
         &mut self,
         req: u64,
         (change_id, fresh): (ChangeId, bool),
@@ -73,48 +73,48 @@
         now: Micros,
     ) {
         if self.voter() {
-            self.take_change(Asker::Here(req), (change_id, fresh), base, change, now);
+            self.accept_change(Requester::Local(req), (change_id, fresh), base, change, now);
             return;
         }
-        self.counts.forwarded += 1;
-        self.forwards.insert(req, Forward::new(change_id, fresh, base, change, now));
+        self.counters.forwarded += 1;
+        self.consensus.forwards.insert(req, Forward::new(change_id, fresh, base, change, now));
         self.tick_forward(now);
     }
 
-    fn take_change(&mut self, from: Asker, id: (ChangeId, bool), base: Version, change: Change, now: Micros) {
-        if change == Change::Newest {
+    fn accept_change(&mut self, from: Requester, id: (ChangeId, bool), base: Version, change: Change, now: Micros) {
+        if change == Change::ReadNewest {
             self.read_newest(from, now);
         } else {
             self.add_pending_change(from, id, base, change, now);
         }
     }
 
-    pub(super) fn tick_forward(&mut self, now: Micros) {
-        for (req, mut f) in std::mem::take(&mut self.forwards) {
-            if now >= f.due || self.forward_is_cut_off(&f, now) {
-                self.out.push(Effect::Answer { req, fate: f.given_up() });
+    pub(in crate::node) fn tick_forward(&mut self, now: Micros) {
+        for (req, mut f) in std::mem::take(&mut self.consensus.forwards) {
+            if now >= f.due || self.is_forward_cut_off(&f, now) {
+                self.outbox.push(Effect::CompleteChange { request_id: req, outcome: f.given_up() });
                 continue;
             }
-            self.hand_on(req, &mut f, now);
-            self.forwards.insert(req, f);
+            self.forward_to_voter(req, &mut f, now);
+            self.consensus.forwards.insert(req, f);
         }
     }
 
     /// Whether no voter has said anything since the call came, or none is there to be asked.
-    fn forward_is_cut_off(&self, f: &Forward, now: Micros) -> bool {
+    fn is_forward_cut_off(&self, f: &Forward, now: Micros) -> bool {
         let waited = now.saturating_sub(f.since);
-        let voters = self.agree.cores();
+        let voters = self.consensus.state.voters();
         if voters.is_empty() {
-            return waited >= DOUBT && self.near_core(now, 0).is_none();
+            return waited >= QUORUM_TIMEOUT && self.nearest_core(now, 0).is_none();
         }
-        let heard = voters.iter().any(|c| self.core_heard(c.node_id, f.since));
-        let silent = voters.iter().all(|c| self.core_is_silent(c.node_id, f.since, DOUBT, now));
-        waited >= DOUBT && (!heard || silent)
+        let heard = voters.iter().any(|c| self.has_core_replied(c.node_id, f.since));
+        let silent = voters.iter().all(|c| self.is_core_silent(c.node_id, f.since, QUORUM_TIMEOUT, now));
+        waited >= QUORUM_TIMEOUT && (!heard || silent)
     }
 
     /// Asks a voter, or the next one where the last one said no or nothing.
-    fn hand_on(&mut self, req: u64, f: &mut Forward, now: Micros) {
-        let silent = f.asked.is_some_and(|(node_id, at)| self.core_is_silent(node_id, at, SILENT, now));
+    fn forward_to_voter(&mut self, req: u64, f: &mut Forward, now: Micros) {
+        let silent = f.asked.is_some_and(|(node_id, at)| self.is_core_silent(node_id, at, SILENT, now));
         if now < f.again && !silent {
             return;
         }
@@ -130,25 +130,26 @@
             f.asked_again.insert(voter);
         }
         let (change_id, fresh) = (f.change_id, f.fresh && first);
-        self.send(voter, Msg::Forward { n: req, change_id, fresh, base: f.base, change: f.change.clone() }, now);
+        self.send(voter, Message::Forward { n: req, change_id, fresh, base: f.base, change: f.change.clone() }, now);
     }
 
     /// The voter to ask: the nearest one first, then one that was heard since the call came and
     /// was not asked yet.
     fn next_voter(&self, f: &Forward, now: Micros) -> Option<NodeId> {
-        let nearest = self.near_core(now, 0)?;
+        let nearest = self.nearest_core(now, 0)?;
         if f.tried.is_empty() {
             return Some(nearest);
         }
-        let voters: Vec<_> = self.agree.cores().iter().map(|c| c.node_id).filter(|n| *n != self.me.node_id).collect();
-        let live = |n: &&NodeId| self.ring.alive(**n, now);
-        let heard = |n: &&NodeId| self.core_heard(**n, f.since);
+        let voters: Vec<_> =
+            self.consensus.state.voters().iter().map(|c| c.node_id).filter(|n| *n != self.settings.node_id).collect();
+        let live = |n: &&NodeId| self.dissemination.peers.is_alive(**n, now);
+        let heard = |n: &&NodeId| self.has_core_replied(**n, f.since);
         let untried = voters.iter().filter(live).filter(|n| !f.tried.contains(n));
         let best = untried.clone().find(heard).or(untried.clone().next());
         best.or(voters.iter().filter(live).find(heard)).or(voters.iter().find(live)).copied()
     }
 
-    pub(super) fn on_forward(
+    pub(in crate::node) fn on_forward(
         &mut self,
         by: NodeId,
         n: u64,
@@ -158,41 +159,43 @@
         now: Micros,
     ) {
         if self.voter() {
-            self.take_change(Asker::Peer { node_id: by, n }, change_id, base, change, now);
+            self.accept_change(Requester::Peer { node_id: by, request_id: n }, change_id, base, change, now);
         } else {
-            self.send(by, Msg::Forwarded { n, fate: Fate::NoMajority }, now);
+            self.send(by, Message::Forwarded { n, fate: ChangeOutcome::NoQuorum }, now);
         }
     }
 
-    pub(super) fn on_forwarded(&mut self, by: NodeId, n: u64, fate: Fate, now: Micros) {
-        let Some(f) = self.forwards.get_mut(&n) else { return };
+    pub(in crate::node) fn on_forwarded(&mut self, by: NodeId, n: u64, fate: ChangeOutcome, now: Micros) {
+        let Some(f) = self.consensus.forwards.get_mut(&n) else { return };
         match fate {
-            Fate::NoMajority => self.declined(by, n, now),
-            Fate::Unknown if !f.change.reads() => {}
+            ChangeOutcome::NoQuorum => self.on_forward_declined(by, n, now),
+            ChangeOutcome::Unknown if !f.change.is_read() => {}
             fate => {
-                self.forwards.remove(&n);
-                self.out.push(Effect::Answer { req: n, fate });
+                self.consensus.forwards.remove(&n);
+                self.outbox.push(Effect::CompleteChange { request_id: n, outcome: fate });
             }
         }
     }
 
     /// A voter has sent nothing for this change: once all that live have said so, its caller
     /// is told.
-    fn declined(&mut self, by: NodeId, n: u64, now: Micros) {
-        let Some(mut f) = self.forwards.remove(&n) else { return };
+    fn on_forward_declined(&mut self, by: NodeId, n: u64, now: Micros) {
+        let Some(mut f) = self.consensus.forwards.remove(&n) else { return };
         f.open.remove(&by);
         f.again = now;
-        let untried = |c: &NodeId| *c != self.me.node_id && !f.tried.contains(c) && self.ring.alive(*c, now);
-        let more = self.agree.cores().iter().any(|c| untried(&c.node_id));
+        let untried = |c: &NodeId| {
+            *c != self.settings.node_id && !f.tried.contains(c) && self.dissemination.peers.is_alive(*c, now)
+        };
+        let more = self.consensus.state.voters().iter().any(|c| untried(&c.node_id));
         if f.open.is_empty() && !more {
-            self.out.push(Effect::Answer { req: n, fate: f.given_up() });
+            self.outbox.push(Effect::CompleteChange { request_id: n, outcome: f.given_up() });
             return;
         }
         if more {
-            self.hand_on(n, &mut f, now);
+            self.forward_to_voter(n, &mut f, now);
         } else {
             f.again = now + AGAIN;
         }
-        self.forwards.insert(n, f);
+        self.consensus.forwards.insert(n, f);
     }
 }
--- a/crates/core/src/node/counts.rs
+++ b/crates/core/src/node/counters.rs
@@ -4,9 +4,9 @@
     ($($(#[doc = $d:literal])* $n:ident,)*) => {
         /// Counters of the control plane; they only grow.
         #[derive(Clone, Debug, Default)]
-        pub struct Counts { $($(#[doc = $d])* pub $n: u64,)* }
+        pub struct Counters { $($(#[doc = $d])* pub $n: u64,)* }
 
-        impl Counts {
+        impl Counters {
             /// Name, value and description of each.
             pub fn list(&self) -> Vec<(&'static str, u64, &'static str)> {
                 vec![$((stringify!($n), self.$n, concat!($($d),*)),)*]
--- a/crates/core/src/node/contact.rs
+++ b/crates/core/src/node/dissemination/contact.rs
@@ -6,9 +6,9 @@
 //! answer came, since when silence counts. Nothing here is needed for safety: it decides how
 //! soon callers are sent elsewhere, never what is true.
 
-use super::Node;
-use crate::agree::{Asker, PendingChange};
 use crate::base::{MS, Micros, NodeId};
+use crate::consensus::{PendingChange, Requester};
+use crate::node::Node;
 use std::collections::BTreeMap;
 
 /// A majority that confirmed a question sent since then counts as reached: one round of
@@ -17,7 +17,7 @@
 /// After so long without an answer of a majority it is known to be gone.
 const LOST: Micros = 1_200 * MS;
 /// A caller is not kept waiting longer than this while no majority answers.
-pub(super) const DOUBT: Micros = 400 * MS;
+pub(in crate::node) const QUORUM_TIMEOUT: Micros = 400 * MS;
 /// Also where the majority is known to be gone a caller waits for the answers to one more
 /// question, as it may be back.
 const LAST_LOOK: Micros = 50 * MS;
@@ -45,7 +45,7 @@
 
 /// The questions of this node to the cores, and their answers.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Contact {
+pub(in crate::node) struct Contact {
     asked: BTreeMap<u64, Micros>,
     answered: BTreeMap<NodeId, Answered>,
     last_asked: Micros,
@@ -84,101 +84,107 @@
 
 impl Node {
     /// Notes a question that goes to the cores now.
-    pub(super) fn contact_asked(&mut self, seq: u64, now: Micros) {
-        self.contact.asks(seq, now);
+    pub(in crate::node) fn record_probe(&mut self, seq: u64, now: Micros) {
+        self.dissemination.contact.asks(seq, now);
     }
 
     /// Notes a core's answer.
-    pub(super) fn contact_answered(&mut self, by: NodeId, seq: u64, now: Micros) {
-        self.contact.answers(by, seq, now);
+    pub(in crate::node) fn record_probe_reply(&mut self, by: NodeId, seq: u64, now: Micros) {
+        self.dissemination.contact.answers(by, seq, now);
     }
 
     /// The newest moment that holds for a majority of the voters, this one among them.
     fn of_majority(&self, of: impl Fn(&Answered) -> Micros, now: Micros) -> Micros {
-        let moment = |node_id: &NodeId| match self.contact.answered.get(node_id) {
-            _ if *node_id == self.me.node_id => now,
+        let moment = |node_id: &NodeId| match self.dissemination.contact.answered.get(node_id) {
+            _ if *node_id == self.settings.node_id => now,
             Some(a) => of(a),
             None => 0,
         };
-        let mut moments: Vec<Micros> = self.agree.cores().iter().map(|c| moment(&c.node_id)).collect();
+        let mut moments: Vec<Micros> = self.consensus.state.voters().iter().map(|c| moment(&c.node_id)).collect();
         moments.sort_unstable_by(|a, b| b.cmp(a));
         moments.get(moments.len() / 2).copied().unwrap_or(0)
     }
 
     /// When the newest question was sent that a majority has answered.
-    pub(super) fn majority_reached(&self, now: Micros) -> Micros {
+    pub(in crate::node) fn majority_reached_at(&self, now: Micros) -> Micros {
         self.of_majority(|a| a.asked, now)
     }
 
     fn silence(&self, since: Micros, now: Micros) -> Micros {
         let heard = self.of_majority(|a| a.heard, now);
-        now.saturating_sub(heard.max(self.contact.running_since).max(since))
+        now.saturating_sub(heard.max(self.dissemination.contact.running_since).max(since))
     }
 
     /// Whether a majority confirmed lately that this node reaches it.
-    pub(super) fn majority_near(&self, now: Micros) -> bool {
-        now.saturating_sub(self.majority_reached(now)) <= REACHED
+    pub(in crate::node) fn is_majority_reached(&self, now: Micros) -> bool {
+        now.saturating_sub(self.majority_reached_at(now)) <= REACHED
     }
 
     /// Whether no majority has answered a round of questions.
-    pub(super) fn majority_silent(&self, now: Micros) -> bool {
+    pub(in crate::node) fn is_majority_silent(&self, now: Micros) -> bool {
         self.silence(0, now) > REACHED
     }
 
     /// Whether this voter knows that it has no majority.
-    pub(super) fn majority_lost(&self, now: Micros) -> bool {
+    pub(in crate::node) fn is_majority_lost(&self, now: Micros) -> bool {
         self.voter() && self.silence(0, now) >= LOST
     }
 
     /// Whether one who has waited here since then is to be sent elsewhere.
-    pub(super) fn sends_away(&self, since: Micros, now: Micros) -> bool {
-        let most = if self.majority_lost(now) { LAST_LOOK } else { DOUBT };
+    pub(in crate::node) fn should_redirect(&self, since: Micros, now: Micros) -> bool {
+        let most = if self.is_majority_lost(now) { LAST_LOOK } else { QUORUM_TIMEOUT };
         self.voter() && self.silence(since, now) >= most
     }
 
     /// Whether this change has no prospect of an end here, since no majority answers. `since`
     /// is when it came. What the voters themselves propose is left to its own time.
-    pub(super) fn change_is_cut_off(&self, pending: &PendingChange, since: Micros, now: Micros) -> bool {
-        pending.from != Asker::Own && self.sends_away(since, now)
+    pub(in crate::node) fn is_change_cut_off(&self, pending: &PendingChange, since: Micros, now: Micros) -> bool {
+        pending.requester != Requester::Internal && self.should_redirect(since, now)
     }
 
     /// Whether this core has answered a question since then.
-    pub(super) fn core_heard(&self, node_id: NodeId, since: Micros) -> bool {
-        self.contact.answered.get(&node_id).is_some_and(|a| a.heard > since)
+    pub(in crate::node) fn has_core_replied(&self, node_id: NodeId, since: Micros) -> bool {
+        self.dissemination.contact.answered.get(&node_id).is_some_and(|a| a.heard > since)
     }
 
     /// Whether this core has said nothing for so long though it was asked since then.
-    pub(super) fn core_is_silent(&self, node_id: NodeId, since: Micros, most: Micros, now: Micros) -> bool {
-        let heard = self.contact.answered.get(&node_id).map_or(0, |a| a.heard);
-        now.saturating_sub(heard.max(self.contact.running_since).max(since)) >= most
+    pub(in crate::node) fn is_core_silent(&self, node_id: NodeId, since: Micros, most: Micros, now: Micros) -> bool {
+        let heard = self.dissemination.contact.answered.get(&node_id).map_or(0, |a| a.heard);
+        now.saturating_sub(heard.max(self.dissemination.contact.running_since).max(since)) >= most
     }
 
     /// When the voters are to be asked next, whatever is due otherwise.
-    pub(super) fn next_question(&self, now: Micros) -> Micros {
-        let last = self.contact.last_asked;
+    pub(in crate::node) fn next_probe_at(&self, now: Micros) -> Micros {
+        let last = self.dissemination.contact.last_asked;
         let near = now.saturating_sub(self.of_majority(|a| a.heard, now)) <= REACHED;
         let after_last = |since: Micros| since > last;
-        if self.reads.iter().any(|r| after_last(r.since)) || (!near && self.waiting().any(after_last)) {
+        if self.consensus.reads.iter().any(|r| after_last(r.since)) || (!near && self.waiting_since().any(after_last)) {
             return last + APART;
         }
-        if self.waiting().any(|since| now.saturating_sub(since) >= PROBE_AFTER) {
+        if self.waiting_since().any(|since| now.saturating_sub(since) >= PROBE_AFTER) {
             return last + PROBE;
         }
         if near { Micros::MAX } else { last + SUSPECT }
     }
 
     /// Whether any caller waits for an answer.
-    pub(super) fn callers_wait(&self) -> bool {
-        self.waiting().next().is_some()
+    pub(in crate::node) fn has_waiting_callers(&self) -> bool {
+        self.waiting_since().next().is_some()
     }
 
     /// Since when each caller waits.
-    fn waiting(&self) -> impl Iterator<Item = Micros> {
-        let changes = self.agree.pending_changes.iter().filter(|w| w.from != Asker::Own).map(Node::came);
-        let ends = self.news.ends.0.values().flat_map(|e| e.reqs.iter().map(|r| r.1));
-        let forwards = self.forwards.values().map(|f| f.since);
-        let reads = self.reads.iter().map(|r| r.since);
-        let beats = self.beats.iter().map(|b| b.1);
+    fn waiting_since(&self) -> impl Iterator<Item = Micros> {
+        let changes = self
+            .consensus
+            .state
+            .pending_changes
+            .iter()
+            .filter(|w| w.requester != Requester::Internal)
+            .map(Node::received_at);
+        let ends = self.dissemination.workers.removals.0.values().flat_map(|e| e.waiting_requests.iter().map(|r| r.1));
+        let forwards = self.consensus.forwards.values().map(|f| f.since);
+        let reads = self.consensus.reads.iter().map(|r| r.since);
+        let beats = self.dissemination.pending_acks.iter().map(|b| b.1);
         changes.chain(ends).chain(forwards).chain(reads).chain(beats)
     }
 }
--- a/crates/core/src/node/peer_clocks.rs
+++ b/crates/core/src/node/dissemination/peer_clocks.rs
@@ -2,9 +2,9 @@
 //! never taken for younger than it is, also the first frames of a peer's new life, however long
 //! they were held on their way.
 
-use super::Node;
 use crate::base::{Incarnation, MS, Micros, NodeId, SEC};
-use crate::peer::{Msg, Row};
+use crate::node::Node;
+use crate::protocol::{Message, WorkerReport};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// A question that has no answer is sent again after this.
@@ -28,7 +28,7 @@
 struct Waiting {
     came: Micros,
     sent: Micros,
-    row: Row,
+    row: WorkerReport,
 }
 
 #[derive(Clone, Debug)]
@@ -61,7 +61,7 @@
 
 /// The clocks of all peers that pass reports on to this node.
 #[derive(Clone, Debug, Default)]
-pub(super) struct PeerClocks {
+pub(in crate::node) struct PeerClocks {
     peers: BTreeMap<NodeId, PeerClock>,
     /// Those whose reports wait.
     open: BTreeSet<NodeId>,
@@ -78,7 +78,7 @@
     }
 
     /// Forgets peers that were not heard for long.
-    pub fn sweep(&mut self, now: Micros) {
+    pub fn expire(&mut self, now: Micros) {
         self.peers.retain(|_, p| now.saturating_sub(p.used) < FORGET);
         self.open.retain(|n| self.peers.contains_key(n));
     }
@@ -86,38 +86,51 @@
 
 impl Node {
     /// The earliest moment at which this frame can have been sent; nothing while that is unknown.
-    pub(super) fn sent_at(&mut self, by: (NodeId, Incarnation), sent: Micros, now: Micros) -> Option<Micros> {
-        let earliest = self.clocks.peer(by, now).earliest(sent, now);
-        self.ask_clock(by.0, now);
+    pub(in crate::node) fn earliest_sent_at(
+        &mut self,
+        by: (NodeId, Incarnation),
+        sent: Micros,
+        now: Micros,
+    ) -> Option<Micros> {
+        let earliest = self.dissemination.peer_clocks.peer(by, now).earliest(sent, now);
+        self.request_clock(by.0, now);
         earliest
     }
 
     /// Reports of unknown age wait for an answer about their sender's clock.
-    pub(super) fn wait_for_clock(&mut self, by: (NodeId, Incarnation), sent: Micros, rows: Vec<Row>, now: Micros) {
-        let p = self.clocks.peer(by, now);
+    pub(in crate::node) fn wait_for_clock(
+        &mut self,
+        by: (NodeId, Incarnation),
+        sent: Micros,
+        rows: Vec<WorkerReport>,
+        now: Micros,
+    ) {
+        let p = self.dissemination.peer_clocks.peer(by, now);
         p.waiting.extend(rows.into_iter().map(|row| Waiting { came: now, sent, row }));
         p.waiting.truncate(MOST_WAITING);
-        self.clocks.open.insert(by.0);
+        self.dissemination.peer_clocks.open.insert(by.0);
     }
 
-    fn ask_clock(&mut self, peer: NodeId, now: Micros) {
-        let n = self.next();
-        let Some(p) = self.clocks.peers.get_mut(&peer).filter(|p| now >= p.ask_due) else { return };
+    fn request_clock(&mut self, peer: NodeId, now: Micros) {
+        let n = self.next_request_id();
+        let Some(p) = self.dissemination.peer_clocks.peers.get_mut(&peer).filter(|p| now >= p.ask_due) else { return };
         p.ask_due = now + RETRY;
         p.asked.push_back((n, now));
         if p.asked.len() > MOST_ASKED {
             p.asked.pop_front();
         }
-        self.send(peer, Msg::ClockAsk { n }, now);
+        self.send(peer, Message::ClockAsk { n }, now);
     }
 
-    pub(super) fn on_clock_ask(&mut self, by: NodeId, n: u64, now: Micros) {
-        self.send(by, Msg::ClockReply { n }, now);
+    pub(in crate::node) fn on_clock_request(&mut self, by: NodeId, n: u64, now: Micros) {
+        self.send(by, Message::ClockReply { n }, now);
     }
 
     /// The peer's clock showed `sent` after this node asked.
-    pub(super) fn on_clock_reply(&mut self, by: (NodeId, Incarnation), n: u64, sent: Micros, now: Micros) {
-        let Some(p) = self.clocks.peers.get_mut(&by.0).filter(|p| p.incarnation == by.1) else { return };
+    pub(in crate::node) fn on_clock_reply(&mut self, by: (NodeId, Incarnation), n: u64, sent: Micros, now: Micros) {
+        let Some(p) = self.dissemination.peer_clocks.peers.get_mut(&by.0).filter(|p| p.incarnation == by.1) else {
+            return;
+        };
         let Some(asked) = p.asked.iter().find(|a| a.0 == n).map(|a| a.1) else { return };
         p.asked.clear();
         let ahead = i128::from(asked) - i128::from(sent);
@@ -126,24 +139,26 @@
         let slow = now.saturating_sub(asked) > QUICK;
         p.ask_due = now + if slow { RENEW_SLOW } else { RENEW };
         let waiting = std::mem::take(&mut p.waiting);
-        self.clocks.open.remove(&by.0);
+        self.dissemination.peer_clocks.open.remove(&by.0);
         for w in waiting {
-            let Some(at) = self.clocks.peers.get(&by.0).and_then(|p| p.earliest(w.sent, now)) else { continue };
-            self.take(&w.row, at.saturating_sub(w.row.age), now);
+            let Some(at) = self.dissemination.peer_clocks.peers.get(&by.0).and_then(|p| p.earliest(w.sent, now)) else {
+                continue;
+            };
+            self.apply_report(&w.row, at.saturating_sub(w.row.age), now);
         }
     }
 
-    pub(super) fn tick_clocks(&mut self, now: Micros) {
-        for peer in self.clocks.open.clone() {
-            let Some(p) = self.clocks.peers.get_mut(&peer) else { continue };
+    pub(in crate::node) fn tick_peer_clocks(&mut self, now: Micros) {
+        for peer in self.dissemination.peer_clocks.open.clone() {
+            let Some(p) = self.dissemination.peer_clocks.peers.get_mut(&peer) else { continue };
             let before = p.waiting.len();
             p.waiting.retain(|w| now.saturating_sub(w.came) < KEEP);
             let dropped = before - p.waiting.len();
             if p.waiting.is_empty() {
-                self.clocks.open.remove(&peer);
+                self.dissemination.peer_clocks.open.remove(&peer);
             }
-            self.counts.reports_unaged += dropped as u64;
-            self.ask_clock(peer, now);
+            self.counters.reports_unaged += dropped as u64;
+            self.request_clock(peer, now);
         }
     }
 }
--- /dev/null
+++ b/crates/core/src/node/outbox.rs
@@ -0,0 +1,180 @@
+//! What a node sends, and what waits for its disk before it is sent.
+
+use super::{Effect, Node};
+use crate::base::{Micros, NodeId};
+use crate::consensus::DurableWrite;
+use crate::protocol::{Frame, Message};
+use std::collections::VecDeque;
+
+/// How many bytes may wait for the disk before a core takes in no further votes and versions.
+pub const MAX_UNSYNCED_BYTES: usize = 24 << 20;
+
+/// Effects that wait until a write is synced.
+#[derive(Clone, Debug)]
+struct PendingWrite {
+    token: u64,
+    then: Vec<Effect>,
+    bytes: usize,
+}
+
+/// The effects of the step that runs now, and those that wait for the disk.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Outbox {
+    /// The effects of this step, in their order.
+    effects: Vec<Effect>,
+    /// Frames that this node sent to itself: they are handled within the same step.
+    loopback: VecDeque<Frame>,
+    /// The token of the newest write.
+    last_token: u64,
+    /// Writes that are not synced yet, the oldest first.
+    pending_writes: VecDeque<PendingWrite>,
+    /// The bytes of bodies in the writes that are not synced yet.
+    unsynced_bytes: usize,
+}
+
+impl Outbox {
+    /// Adds an effect to this step.
+    pub fn push(&mut self, effect: Effect) {
+        self.effects.push(effect);
+    }
+
+    /// The next frame that this node sent to itself.
+    pub fn next_loopback(&mut self) -> Option<Frame> {
+        self.loopback.pop_front()
+    }
+
+    /// Ends the step: all its effects.
+    pub fn take_effects(&mut self) -> Vec<Effect> {
+        std::mem::take(&mut self.effects)
+    }
+
+    /// Whether all writes are synced.
+    pub fn is_synced(&self) -> bool {
+        self.pending_writes.is_empty()
+    }
+
+    /// Emits an effect once all writes that were begun before are synced; gives it back if they are already.
+    pub fn defer(&mut self, effect: Effect) -> Result<(), Effect> {
+        match self.pending_writes.back_mut() {
+            Some(newest) => {
+                newest.then.push(effect);
+                Ok(())
+            }
+            None => Err(effect),
+        }
+    }
+
+    fn begin_write(&mut self, writes: Vec<DurableWrite>, then: Vec<Effect>) {
+        self.last_token += 1;
+        let token = self.last_token;
+        let bytes = writes.iter().map(DurableWrite::size).sum::<usize>() + then.iter().map(body_bytes).sum::<usize>();
+        self.unsynced_bytes += bytes;
+        self.pending_writes.push_back(PendingWrite { token, then, bytes });
+        self.effects.push(Effect::Write { token, writes });
+    }
+
+    /// The next write that is synced, given the token of the newest synced one.
+    fn next_synced(&mut self, token: u64) -> Option<Vec<Effect>> {
+        self.pending_writes.front().filter(|write| write.token <= token)?;
+        let write = self.pending_writes.pop_front()?;
+        self.unsynced_bytes -= write.bytes;
+        Some(write.then)
+    }
+
+    /// For the digest of a node's state: the effects of each write that is not synced yet.
+    pub fn deferred_effects(&self) -> impl Iterator<Item = &Vec<Effect>> {
+        self.pending_writes.iter().map(|write| &write.then)
+    }
+
+    /// For the digest of a node's state: the frames that this node sent to itself.
+    pub fn loopback(&self) -> &VecDeque<Frame> {
+        &self.loopback
+    }
+}
+
+/// The bytes of a body that waits to be sent.
+fn body_bytes(effect: &Effect) -> usize {
+    match effect {
+        Effect::Send { frame, .. } => match &frame.message {
+            Message::Promise { accepted: Some((_, entry)), .. } => entry.body.len(),
+            _ => 0,
+        },
+        _ => 0,
+    }
+}
+
+impl Node {
+    /// A frame from this node.
+    pub(super) fn frame(&self, to: NodeId, message: Message, now: Micros) -> Frame {
+        Frame {
+            from: self.settings.node_id,
+            to,
+            incarnation: self.settings.incarnation,
+            fleet_id: self.fleet_id(),
+            sent_at: now,
+            message,
+        }
+    }
+
+    /// The effect that sends a message to a node; none where its address is not known.
+    pub(super) fn send_effect(&self, to: NodeId, message: Message, now: Micros) -> Option<Effect> {
+        let address = if to == self.settings.node_id {
+            self.settings.addr.clone()
+        } else {
+            match self.dissemination.peers.address(to) {
+                Some(address) => address.to_owned(),
+                None => self.consensus.state.voters().iter().find(|voter| voter.node_id == to)?.addr.clone(),
+            }
+        };
+        Some(Effect::Send { to: address, frame: Box::new(self.frame(to, message, now)) })
+    }
+
+    /// Sends a message to a node, if its address is known.
+    pub(super) fn send(&mut self, to: NodeId, message: Message, now: Micros) {
+        if let Some(effect) = self.send_effect(to, message, now) {
+            self.emit(effect);
+        }
+    }
+
+    /// Sends a message to whatever node is at an address; nothing is sent to the empty one.
+    pub(super) fn send_to_address(&mut self, to: &str, message: Message, now: Micros) {
+        if to.is_empty() {
+            return;
+        }
+        let frame = Box::new(self.frame(NodeId::default(), message, now));
+        self.emit(Effect::Send { to: to.to_owned(), frame });
+    }
+
+    /// Emits an effect. What this node sends to itself never leaves it.
+    pub(super) fn emit(&mut self, effect: Effect) {
+        match effect {
+            Effect::Send { to, frame } if to == self.settings.addr => self.outbox.loopback.push_back(*frame),
+            Effect::Send { .. } => {
+                self.counters.frames_out += 1;
+                self.outbox.push(effect);
+            }
+            effect => self.outbox.push(effect),
+        }
+    }
+
+    /// Writes to the disk. Nothing in `then` is emitted before `writes` are synced.
+    pub(super) fn persist(&mut self, writes: Vec<DurableWrite>, then: Vec<Effect>) {
+        self.outbox.begin_write(writes, then);
+    }
+
+    /// Whether so much waits for the disk that more would only take memory.
+    ///
+    /// A core whose disk stalls or is full stops voting then, and what it misses is replicated to it later.
+    pub(super) fn is_disk_behind(&self) -> bool {
+        self.outbox.unsynced_bytes > MAX_UNSYNCED_BYTES
+    }
+
+    /// All writes up to this one are synced.
+    pub(super) fn on_synced(&mut self, token: u64) {
+        while let Some(effects) = self.outbox.next_synced(token) {
+            for effect in effects {
+                self.emit(effect);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/node/publisher.rs
@@ -0,0 +1,100 @@
+//! What a node shows to those who take calls.
+
+use super::{Effect, Node};
+use crate::base::{MS, Micros, NodeId, Version};
+use crate::config::CompiledConfig;
+use crate::lease::ROLE_COUNT;
+use crate::protocol::{LogEntry, PeerRecord, WorkerReport};
+use std::sync::Arc;
+
+/// What the data plane and operators see: one immutable picture, swapped whole.
+#[derive(Clone, Debug, Default)]
+pub struct View {
+    pub version: Option<Version>,
+    pub confirmed_at: Option<Micros>,
+    /// From when on every worker that lives was heard of.
+    pub workers_complete_at: Micros,
+    pub config: Arc<CompiledConfig>,
+    pub entry: Option<Arc<LogEntry>>,
+    pub workers: Arc<Vec<WorkerReport>>,
+    pub nodes: Vec<(PeerRecord, bool)>,
+    pub voter: bool,
+    /// What this node holds is held without it, so a stop loses nothing.
+    pub may_stop: bool,
+    pub held_leases: Vec<(u32, u64)>,
+    pub grants: Vec<(String, u64, u64, u64)>,
+    /// By the hash of a tenant's name: what this holder counts as held of its rate, in
+    /// millionths, and what may be held by nodes that it did not hear of.
+    pub share_pools: Vec<(u64, u64, u64)>,
+    pub upstreams: Vec<NodeId>,
+    pub counters: Vec<(&'static str, u64, &'static str)>,
+}
+
+/// What was published last, and whether something changed since.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Publisher {
+    /// Something in the view changed since it was published.
+    pub is_dirty: bool,
+    pub published_at: Micros,
+    version: Option<Version>,
+    entry: Option<Arc<LogEntry>>,
+    workers: Arc<Vec<WorkerReport>>,
+}
+
+impl Publisher {
+    /// Nothing was published yet.
+    pub fn new() -> Self {
+        Publisher { is_dirty: true, ..Publisher::default() }
+    }
+}
+
+/// A new view is published at most this often, unless the version changed.
+const MIN_INTERVAL: Micros = 20 * MS;
+/// A new view is published at least this often.
+const MAX_INTERVAL: Micros = 100 * MS;
+
+impl Node {
+    /// Publishes a new view when something changed, and at least every [`MAX_INTERVAL`].
+    pub(super) fn publish(&mut self, now: Micros) {
+        let is_new_version = self.version() != self.publisher.version;
+        let age = now.saturating_sub(self.publisher.published_at);
+        let is_due = age >= MIN_INTERVAL && self.publisher.is_dirty;
+        if !is_new_version && !is_due && age < MAX_INTERVAL {
+            return;
+        }
+        self.publisher.is_dirty = false;
+        self.publisher.published_at = now;
+        if is_new_version {
+            self.publisher.version = self.version();
+            self.publisher.entry = self.consensus.state.newest().cloned().map(Arc::new);
+        }
+        let workers: Vec<_> = self.dissemination.workers.live(now).cloned().collect();
+        if *self.publisher.workers != workers {
+            self.publisher.workers = Arc::new(workers);
+        }
+        let view = self.current_view(now);
+        self.outbox.push(Effect::Publish(Arc::new(view)));
+    }
+
+    fn current_view(&self, now: Micros) -> View {
+        let peers = &self.dissemination.peers;
+        let with_liveness = |record: &PeerRecord| (record.clone(), peers.is_alive(record.node_id, now));
+        let held_epoch = |role: u32| Some((role, self.leases.held.valid_epoch(role, now)?));
+        View {
+            version: self.publisher.version,
+            confirmed_at: self.consensus.freshness.confirmed_at(self.version()),
+            workers_complete_at: self.workers_complete_at(),
+            config: self.config.clone(),
+            entry: self.publisher.entry.clone(),
+            workers: self.publisher.workers.clone(),
+            nodes: peers.entries.values().map(|entry| with_liveness(&entry.record)).collect(),
+            voter: self.voter(),
+            may_stop: self.may_stop(now),
+            held_leases: (0..ROLE_COUNT).filter_map(held_epoch).collect(),
+            grants: self.quota.window_ledger.list(),
+            share_pools: self.quota.share_pools.list(),
+            upstreams: self.dissemination.workers.upstreams.keys().copied().collect(),
+            counters: self.counters.list(),
+        }
+    }
+}
--- a/crates/core/src/node/state_digest.rs
+++ b/crates/core/src/node/state_digest.rs
@@ -45,39 +45,54 @@
     /// writes are left out: only their order counts.
     pub fn digest(&self, scope: Scope) -> u64 {
         let mut feed = Feed::new();
-        let me = &self.me;
-        feed.add(&(me.node_id.0, me.incarnation, &me.addr, self.leaving));
+        let me = &self.settings;
+        feed.add(&(me.node_id.0, me.incarnation, &me.addr, self.draining));
         self.feed_agreement(&mut feed);
-        feed.add(&(self.fresh.stamp, self.fresh.due, &self.fresh.round));
-        feed.add(&(self.have, self.ready, self.took));
-        feed.add(&self.takeover);
-        feed.add(&(&self.found, self.due_found));
-        feed.add(&(&self.forwards, &self.contact, &self.reads));
-        for unsynced in &self.held {
-            feed.add(&unsynced.then);
+        feed.add(&(
+            self.consensus.freshness.confirmed,
+            self.consensus.freshness.probe_due,
+            &self.consensus.freshness.open_probes,
+        ));
+        feed.add(&(self.consensus.synced_version, self.membership.ready_set, self.membership.synced_ready_set));
+        feed.add(&self.membership.takeover);
+        feed.add(&(&self.membership.bootstrap_peers, self.membership.bootstrap_due));
+        feed.add(&(&self.consensus.forwards, &self.dissemination.contact, &self.consensus.reads));
+        for effects in self.outbox.deferred_effects() {
+            feed.add(effects);
         }
-        feed.add(&self.digest_sync);
-        feed.add(&self.back);
-        feed.add(&(&self.rng, self.last, self.woke, self.born));
+        feed.add(&self.consensus.digest_sync);
+        feed.add(self.outbox.loopback());
+        feed.add(&(&self.rng, self.clock.last_step, self.clock.resumed_at, self.clock.started_at));
         if scope == Scope::Whole {
-            feed.add(&(&self.need, &self.ring, &self.book));
-            feed.add(&(&self.terms, &self.news, &self.lag));
-            feed.add(&(&self.rows, &self.wins, &self.lives));
-            feed.add(&(&self.ledger, &self.pools, &self.asks, &self.owed));
-            feed.add(&(&self.lines, self.n, self.fresh.seq, self.beat, &self.beats));
+            feed.add(&(&self.membership.planned_change, &self.dissemination.peers, &self.leases.grantor));
+            feed.add(&(&self.leases.held, &self.dissemination.workers, &self.dissemination.frame_delays));
+            feed.add(&(&self.quota.grants, &self.quota.windows, &self.membership.registrations));
+            feed.add(&(
+                &self.quota.window_ledger,
+                &self.quota.share_pools,
+                &self.quota.slice_requests,
+                &self.quota.pending_grants,
+            ));
+            feed.add(&(
+                &self.quota.share_client,
+                self.last_request_id,
+                self.consensus.freshness.last_probe,
+                self.dissemination.heartbeat,
+                &self.dissemination.pending_acks,
+            ));
         }
         feed.digest()
     }
 
     fn feed_agreement(&self, feed: &mut Feed) {
-        let agree = &self.agree;
+        let agree = &self.consensus.state;
         // Versions that are decided are told apart by their changes.
         for decree in agree.history.values() {
             feed.add(&(decree.version, decree.change_id.0));
         }
-        feed.add(&(agree.digests.len(), agree.digests.missing(), &agree.pledge));
+        feed.add(&(agree.digests.len(), agree.digests.newest_gap(), &agree.bootstrap_vote));
         let accepted = agree.accepted.as_ref().map(|a| (a.0, a.1.version, a.1.change_id.0));
-        feed.add(&(agree.promised, accepted, agree.accepted_at, agree.rest, agree.round));
+        feed.add(&(agree.promised_ballot, accepted, agree.accepted_at, agree.backoff_until, agree.ballot_number));
         feed.add(&agree.yields_until);
         if let Some(proposal) = &agree.proposal {
             let best = proposal.highest_accepted.as_ref().map(|b| (b.0, b.1.change_id.0));
@@ -89,20 +104,20 @@
                 &proposal.answered,
                 best,
                 value,
-                proposal.due,
+                proposal.deadline,
             ));
         }
         for pending in &agree.pending_changes {
             feed.add(&(
-                pending.from,
+                pending.requester,
                 pending.change_id.0,
-                pending.fresh,
+                pending.is_first_send,
                 pending.base,
-                pending.due,
-                pending.sent,
-                pending.won,
+                pending.deadline,
+                pending.was_proposed,
+                pending.decided_version,
             ));
         }
-        feed.add(&(&agree.have, &agree.ready, &agree.digests));
+        feed.add(&(&agree.synced_versions, &agree.ready_sets, &agree.digests));
     }
 }
--- a/crates/core/src/place/demand.rs
+++ b/crates/core/src/placement/demand.rs
@@ -8,16 +8,16 @@
 
 /// How often beginnings of prompts were lately asked for at this node; 16 bytes each.
 #[derive(Clone, Debug, Default)]
-pub struct Demand(Vec<(u64, f32, u32)>);
+pub struct PromptDemand(Vec<(u64, f32, u32)>);
 
-impl Demand {
+impl PromptDemand {
     /// How much this one was asked for, faded by now.
     pub fn of(&self, key: u64, now: Micros) -> f32 {
         self.0.binary_search_by_key(&key, |r| r.0).map_or(0.0, |i| faded(&self.0[i], ms(now)))
     }
 
     /// It is asked for once more.
-    pub fn asked(&mut self, key: u64, now: Micros) {
+    pub fn record(&mut self, key: u64, now: Micros) {
         let t = ms(now);
         match self.0.binary_search_by_key(&key, |r| r.0) {
             Ok(i) => self.0[i] = (key, faded(&self.0[i], t) + 1.0, t),
--- a/crates/core/src/place/engine.rs
+++ b/crates/core/src/placement/engine.rs
@@ -1,8 +1,8 @@
 //! One engine as a router learns it from its answers.
 
-use super::ask::{Ask, Link};
-use super::kept::Kept;
-use super::pools::Learned;
+use super::pool_model::PoolModel;
+use super::prefix_cache::PrefixCache;
+use super::prompt::{PromptRequest, PromptSegment};
 use crate::base::{Incarnation, MS, Micros, SEC};
 use smallvec::SmallVec;
 
@@ -15,7 +15,7 @@
 
 /// One own call at a worker.
 #[derive(Clone, Debug)]
-pub struct Run {
+pub struct ActiveCall {
     pub n: u64,
     pub at: Micros,
     /// Tokens to read, and all that were before it and its own.
@@ -32,10 +32,10 @@
 /// What this node sent to one worker and heard of it. About 4 KB of kept parts at most,
 /// and some 100 bytes for each own call there.
 #[derive(Clone, Debug)]
-pub struct Engine {
+pub struct EngineModel {
     pub incarnation: Incarnation,
-    pub runs: Vec<Run>,
-    pub kept: Kept,
+    pub runs: Vec<ActiveCall>,
+    pub kept: PrefixCache,
     /// How much slower than its pool it is.
     pub factor: f64,
     /// When it last spoke, and what others then had running and waiting there.
@@ -51,7 +51,7 @@
 
 /// What a call would meet at a worker.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Met {
+pub struct ExpectedLoad {
     pub unread: f64,
     /// Shared tokens that would be read again.
     pub again: f64,
@@ -63,12 +63,12 @@
     pub silent: u32,
 }
 
-impl Default for Engine {
+impl Default for EngineModel {
     fn default() -> Self {
-        Engine {
+        EngineModel {
             incarnation: 0,
             runs: Vec::new(),
-            kept: Kept::default(),
+            kept: PrefixCache::default(),
             factor: 1.0,
             heard: None,
             others: (0.0, 0.0),
@@ -80,9 +80,9 @@
     }
 }
 
-impl Engine {
+impl EngineModel {
     /// What others have running and waiting there by now: old news fades to the usual.
-    fn others(&self, p: &Learned, now: Micros) -> (f64, f64) {
+    fn others(&self, p: &PoolModel, now: Micros) -> (f64, f64) {
         let Some(at) = self.heard else { return p.others };
         let w = (-(now.saturating_sub(at) as f64) / STALE).exp2();
         (self.others.0 * w + p.others.0 * (1.0 - w), self.others.1 * w + p.others.1 * (1.0 - w))
@@ -100,12 +100,19 @@
     }
 
     /// `likely` tells how likely a part is kept that this node did not send there.
-    pub fn meets(&self, a: &Ask, c: &[Link], likely: impl Fn(usize) -> f64, p: &Learned, now: Micros) -> Met {
-        let (mut m, mut all, mut sure) = (Met::default(), 0.0, 1.0f64);
+    pub fn meets(
+        &self,
+        a: &PromptRequest,
+        c: &[PromptSegment],
+        likely: impl Fn(usize) -> f64,
+        p: &PoolModel,
+        now: Micros,
+    ) -> ExpectedLoad {
+        let (mut m, mut all, mut sure) = (ExpectedLoad::default(), 0.0, 1.0f64);
         for (i, l) in c.iter().enumerate() {
             let n = f64::from(l.tokens);
             all += n;
-            sure = sure.min(if self.kept.has(l.key) { 0.97 } else { likely(i) });
+            sure = sure.min(if self.kept.contains(l.key) { 0.97 } else { likely(i) });
             m.unread += n * (1.0 - sure);
             if i + 1 < c.len() {
                 m.again += n * (1.0 - sure);
@@ -127,7 +134,7 @@
     }
 
     /// A call is sent to it.
-    pub fn begin(&mut self, r: Run) {
+    pub fn begin(&mut self, r: ActiveCall) {
         if !self.runs.iter().any(|r| r.first.is_none()) {
             self.mark = r.at;
         }
@@ -137,7 +144,7 @@
     }
 
     /// Its first piece came.
-    pub fn first(&mut self, n: u64, now: Micros) -> Option<Run> {
+    pub fn first(&mut self, n: u64, now: Micros) -> Option<ActiveCall> {
         self.silent = 0;
         let r = self.runs.iter_mut().find(|r| r.n == n && r.first.is_none())?;
         r.first = Some(now);
@@ -146,7 +153,7 @@
     }
 
     /// A call ended.
-    pub fn end(&mut self, n: u64, now: Micros) -> Option<Run> {
+    pub fn end(&mut self, n: u64, now: Micros) -> Option<ActiveCall> {
         let i = self.runs.iter().position(|r| r.n == n)?;
         self.used = now;
         let r = self.runs.remove(i);
@@ -157,7 +164,7 @@
     }
 
     /// The engine told how many calls run and wait there.
-    pub fn hears(&mut self, running: u32, waiting: u32, p: &mut Learned, now: Micros) {
+    pub fn hears(&mut self, running: u32, waiting: u32, p: &mut PoolModel, now: Micros) {
         let mine = self.runs.iter().filter(|r| r.first.is_some()).count() as f64;
         let rest = self.runs.len() as f64 - mine;
         self.others = ((f64::from(running) - mine).max(0.0), (f64::from(waiting) - rest).max(0.0));
@@ -182,7 +189,7 @@
     pub fn life(&mut self, incarnation: Incarnation) {
         if self.incarnation < incarnation {
             let runs = std::mem::take(&mut self.runs);
-            *self = Engine { incarnation, runs, ..Engine::default() };
+            *self = EngineModel { incarnation, runs, ..EngineModel::default() };
         }
     }
 }
--- a/crates/core/src/place/fit.rs
+++ b/crates/core/src/placement/fit.rs
@@ -12,7 +12,7 @@
 /// A line through the times to the first piece over the tokens read until then, which
 /// follows the last hundred outcomes and can't be thrown by single ones.
 #[derive(Clone, Debug)]
-pub struct Fit {
+pub struct PrefillFit {
     n: f64,
     x: f64,
     y: f64,
@@ -20,15 +20,15 @@
     xy: f64,
 }
 
-impl Default for Fit {
+impl Default for PrefillFit {
     fn default() -> Self {
         // Two outcomes as the priors would have them.
         let y = BASE + EACH * FAR;
-        Fit { n: 4.0, x: 2.0 * FAR, y: 2.0 * (BASE + y), xx: 2.0 * FAR * FAR, xy: 2.0 * FAR * y }
+        PrefillFit { n: 4.0, x: 2.0 * FAR, y: 2.0 * (BASE + y), xx: 2.0 * FAR * FAR, xy: 2.0 * FAR * y }
     }
 }
 
-impl Fit {
+impl PrefillFit {
     /// The time without reading, and for each token, in microseconds.
     pub fn line(&self) -> (f64, f64) {
         let d = self.n * self.xx - self.x * self.x;
--- a/crates/core/src/place/lengths.rs
+++ b/crates/core/src/placement/lengths.rs
@@ -50,7 +50,7 @@
 
 /// The lengths of a pool's prompts, by route.
 #[derive(Clone, Debug, Default)]
-pub struct Lengths {
+pub struct PromptLengths {
     routes: BTreeMap<u64, Route>,
     tokens: f64,
     calls: u64,
@@ -62,28 +62,28 @@
 
 /// Which part of the workers a call should go to: those below this place are for short prompts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Side {
-    pub long: bool,
-    pub short_part: f64,
+pub struct LengthClass {
+    pub is_long: bool,
+    pub short_fraction: f64,
 }
 
-impl Side {
+impl LengthClass {
     /// Whether the worker at this place, from 0 to 1, is on this side.
-    pub fn has(&self, place: f64) -> bool {
-        (place >= self.short_part) == self.long
+    pub fn contains(&self, place: f64) -> bool {
+        (place >= self.short_fraction) == self.is_long
     }
 }
 
-impl Lengths {
+impl PromptLengths {
     /// Where a call of this route should go.
-    pub fn side(&self, route: u64) -> Option<Side> {
+    pub fn class_of(&self, route: u64) -> Option<LengthClass> {
         let short_part = self.short?;
         let long = self.routes.get(&route)?.long;
-        Some(Side { long, short_part })
+        Some(LengthClass { is_long: long, short_fraction: short_part })
     }
 
     /// A call of this route has so many tokens, of which these are to be read.
-    pub fn seen(&mut self, route: u64, tokens: f64, unread: f64, now: Micros) {
+    pub fn record(&mut self, route: u64, tokens: f64, unread: f64, now: Micros) {
         if self.routes.len() >= MOST && !self.routes.contains_key(&route) {
             self.forget_oldest();
         }
@@ -96,7 +96,7 @@
         r.work = r.work(now) + unread;
         r.at = now;
         r.long = r.tokens > self.tokens * if r.long { SHORT } else { LONG };
-        self.part(now);
+        self.repartition(now);
     }
 
     fn forget_oldest(&mut self) {
@@ -106,7 +106,7 @@
     }
 
     /// Parts the workers by the work of both.
-    fn part(&mut self, now: Micros) {
+    fn repartition(&mut self, now: Micros) {
         let sum = |long: bool| {
             let of = self.routes.values().filter(|r| r.long == long);
             of.fold((0.0, 0.0), |(work, weighed), r| {
--- a/crates/core/src/place/kept.rs
+++ b/crates/core/src/placement/prefix_cache.rs
@@ -1,12 +1,12 @@
 //! The prompts that an engine likely keeps in its memory.
 
-use super::ask::Link;
+use super::prompt::PromptSegment;
 use crate::base::Micros;
 
 /// The parts that a worker likely keeps, as far as this node sent them there.
 /// Bounded by number and by tokens; 16 bytes each.
 #[derive(Clone, Debug, Default)]
-pub struct Kept {
+pub struct PrefixCache {
     /// By key: when it was last used, in milliseconds, and its tokens.
     rows: Vec<(u64, u32, u32)>,
     tokens: u64,
@@ -15,14 +15,14 @@
 /// So many are remembered.
 pub const MOST: usize = 256;
 
-impl Kept {
+impl PrefixCache {
     /// Whether this one is likely kept.
-    pub fn has(&self, key: u64) -> bool {
+    pub fn contains(&self, key: u64) -> bool {
         self.rows.binary_search_by_key(&key, |r| r.0).is_ok()
     }
 
     /// Notes that a chain was sent there; `room` is how many tokens may be kept.
-    pub fn used(&mut self, c: &[Link], room: u64, now: Micros) {
+    pub fn record(&mut self, c: &[PromptSegment], room: u64, now: Micros) {
         let ms = u32::try_from((now / 1000) & 0xFFFF_FFFF).unwrap_or(0);
         for l in c {
             match self.rows.binary_search_by_key(&l.key, |r| r.0) {
@@ -40,7 +40,7 @@
     }
 
     /// Parts that were not read after all.
-    pub fn forget(&mut self, keys: &[u64]) {
+    pub fn remove(&mut self, keys: &[u64]) {
         for k in keys {
             if let Ok(i) = self.rows.binary_search_by_key(k, |r| r.0) {
                 self.tokens -= u64::from(self.rows.remove(i).2);
--- a/crates/core/src/place/ask.rs
+++ b/crates/core/src/placement/prompt.rs
@@ -4,23 +4,23 @@
 use smallvec::SmallVec;
 
 /// The hashes of all beginnings of a prompt, the shortest first.
-pub type Chain = SmallVec<[Link; 8]>;
+pub type SegmentChain = SmallVec<[PromptSegment; 8]>;
 
 /// What a call asks of the worker that will take it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct PromptRequest {
     /// Names the route, whose prompts are of like length.
     pub route: u64,
     /// The parts of its prompt in order: their ids and how many tokens each has.
     pub parts: SmallVec<[(u64, u32); 8]>,
     /// The most tokens it may put out.
-    pub out: u32,
+    pub max_output_tokens: u32,
     /// When its first piece is due to be worth all.
-    pub aim: Micros,
+    pub latency_target: Micros,
     /// The longest pause that streams beside it bear.
-    pub gap: Micros,
+    pub max_stream_gap: Micros,
     /// How much longer the caller waits.
-    pub left: Micros,
+    pub time_left: Micros,
     /// 0 goes first.
     pub urgency: u8,
     /// What crosses between zones if its worker is in another: both ways.
@@ -29,35 +29,35 @@
 
 /// The beginning of a prompt up to the end of one part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Link {
+pub struct PromptSegment {
     pub key: u64,
     pub tokens: u32,
 }
 
-impl Default for Ask {
+impl Default for PromptRequest {
     fn default() -> Self {
-        Ask {
+        PromptRequest {
             route: 0,
             parts: SmallVec::new(),
-            out: 0,
-            aim: 500 * MS,
-            gap: 300 * MS,
-            left: 2 * SEC,
+            max_output_tokens: 0,
+            latency_target: 500 * MS,
+            max_stream_gap: 300 * MS,
+            time_left: 2 * SEC,
             urgency: 5,
             bytes: 0,
         }
     }
 }
 
-impl Ask {
+impl PromptRequest {
     /// Each part is kept only as the continuation of all before it, so it is known by all of them.
-    pub fn chain(&self) -> Chain {
+    pub fn chain(&self) -> SegmentChain {
         let mut h = 0x5EA7;
         self.parts
             .iter()
             .map(|(id, n)| {
                 h = mix(h ^ mix(*id).wrapping_add(u64::from(*n)));
-                Link { key: h, tokens: *n }
+                PromptSegment { key: h, tokens: *n }
             })
             .collect()
     }
@@ -69,7 +69,7 @@
 }
 
 /// What of a chain is worth being led by: the last part is the call's own.
-pub fn home(c: &[Link]) -> Option<u64> {
+pub fn home(c: &[PromptSegment]) -> Option<u64> {
     match c {
         [] => None,
         [x] => Some(x.key),
--- a/crates/core/src/place/table.rs
+++ b/crates/core/src/placement/table.rs
@@ -1,7 +1,7 @@
 //! The workers of a pool on a ring of virtual places.
 
 use crate::base::hash64;
-use crate::peer::Row;
+use crate::protocol::WorkerReport;
 use smallvec::SmallVec;
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
 
 /// One worker of the table.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Endpoint {
     pub worker_id: String,
     pub incarnation: u64,
     pub seq: u64,
@@ -24,8 +24,8 @@
 
 /// The workers of one pool and their ring; never changed, swapped whole.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Table {
-    pub places: Vec<Place>,
+pub struct PlacementTable {
+    pub endpoints: Vec<Endpoint>,
     ring: Vec<(u64, u32)>,
     /// A hash of each worker's id, and the number of its zone among so many.
     pub(super) ids: Vec<u64>,
@@ -35,12 +35,12 @@
     pub(super) standing: Vec<f64>,
 }
 
-impl Table {
+impl PlacementTable {
     /// The table of these workers.
-    pub fn new<'a>(rows: impl Iterator<Item = &'a Row>) -> Table {
+    pub fn new<'a>(rows: impl Iterator<Item = &'a WorkerReport>) -> PlacementTable {
         let mut places: Vec<_> = rows
             .filter_map(|r| {
-                Some(Place {
+                Some(Endpoint {
                     worker_id: r.worker_id.clone(),
                     incarnation: r.incarnation,
                     seq: r.seq,
@@ -69,27 +69,27 @@
             places.iter().map(|p| number(names.binary_search(&p.zone.as_str()).unwrap_or(0))).collect();
         let zones = number(names.len());
         let standing = standing(&ids, &zone);
-        Table { places, ring, ids, zone, zones, standing }
+        PlacementTable { endpoints: places, ring, ids, zone, zones, standing }
     }
 
     /// Who serves this prefix: along the ring, the own zone first, past those
     /// above their bound, then past those that are full. None: all are full.
     pub fn nominate(&self, h: u64, zone: &str, load: &[u32], skip: &[String]) -> Option<usize> {
         let ok = |i: usize| {
-            let p = &self.places[i];
+            let p = &self.endpoints[i];
             !skip.contains(&p.worker_id) && load.get(i).copied().unwrap_or(0) < p.slots
         };
         let order = self.walk(h);
         for own in [true, false] {
-            let near = |i: usize| (self.places[i].zone == zone) == own;
+            let near = |i: usize| (self.endpoints[i].zone == zone) == own;
             let (mut sum, mut slots) = (1u64, 0u64);
-            for (i, p) in self.places.iter().enumerate().filter(|x| near(x.0)) {
+            for (i, p) in self.endpoints.iter().enumerate().filter(|x| near(x.0)) {
                 sum += u64::from(load.get(i).copied().unwrap_or(0));
                 slots += u64::from(p.slots);
             }
             let under = |i: usize| {
                 let l = u64::from(load.get(i).copied().unwrap_or(0));
-                l * slots * 100 < sum * u64::from(self.places[i].slots) * BOUND
+                l * slots * 100 < sum * u64::from(self.endpoints[i].slots) * BOUND
             };
             let mut it = order.iter().copied().filter(|i| near(*i) && ok(*i));
             if let Some(i) = it.clone().find(|i| under(*i)).or_else(|| it.next()) {
@@ -102,14 +102,14 @@
     /// Every worker once, in the order that the ring gives from `h` on.
     fn walk(&self, h: u64) -> SmallVec<[usize; 32]> {
         let at = self.ring.partition_point(|x| x.0 < h);
-        let mut seen = vec![false; self.places.len()];
+        let mut seen = vec![false; self.endpoints.len()];
         let mut out = SmallVec::new();
         for (_, i) in self.ring[at..].iter().chain(&self.ring[..at]) {
             let i = *i as usize;
             if !seen[i] {
                 seen[i] = true;
                 out.push(i);
-                if out.len() == self.places.len() {
+                if out.len() == self.endpoints.len() {
                     break;
                 }
             }
--- a/crates/core/src/peer/packed.rs
+++ b/crates/core/src/protocol/compression.rs
@@ -2,7 +2,7 @@
 //!
 //! A version is packed once, by the core that proposes it; everyone else hands the packed bytes on.
 
-use super::Decree;
+use super::LogEntry;
 use crate::config::Patch;
 use miniz_oxide::deflate::compress_to_vec;
 use miniz_oxide::inflate::decompress_to_vec_with_limit;
@@ -30,43 +30,43 @@
     }
 }
 
-impl Decree {
+impl LogEntry {
     /// The same with its packed form beside it, where that is worth it.
-    pub fn packed(mut self) -> Decree {
+    pub fn compress(mut self) -> LogEntry {
         let content = match &self.patch {
             Some(patch) if patch.size() >= SMALL => Content { patch: Some(patch.clone()), body: None },
             None if self.body.len() >= SMALL => Content { patch: None, body: Some(self.body.clone()) },
             _ => return self,
         };
-        self.packed = content.pack();
+        self.compressed = content.pack();
         self
     }
 
     /// Takes the packed form apart where the version came so; none where it is no version.
-    pub fn unpacked(mut self) -> Option<Decree> {
-        if !self.body.is_empty() || self.packed.is_empty() {
+    pub fn decompress(mut self) -> Option<LogEntry> {
+        if !self.body.is_empty() || self.compressed.is_empty() {
             return Some(self);
         }
-        let bytes = decompress_to_vec_with_limit(&self.packed, MOST).ok()?;
+        let bytes = decompress_to_vec_with_limit(&self.compressed, MOST).ok()?;
         let Content { body, patch } = musli::wire::from_slice(&bytes).ok()?;
         let both = body.is_some() && patch.is_some();
         self.body = body.unwrap_or_default();
         self.patch = patch;
         if both {
             // Who holds the version before it needs the patch alone.
-            self.packed = Vec::new();
-            return Some(self.packed());
+            self.compressed = Vec::new();
+            return Some(self.compress());
         }
         Some(self)
     }
 
     /// For one who holds no version before it: its body in packed form, where that is worth it,
     /// and the patch that made it.
-    pub fn packed_alone(&self) -> Decree {
+    pub fn self_contained_compressed(&self) -> LogEntry {
         if self.body.len() < SMALL || self.patch.is_none() {
-            return self.alone();
+            return self.self_contained();
         }
         let packed = Content { body: Some(self.body.clone()), patch: self.patch.clone() }.pack();
-        Decree { packed, ..Decree { body: String::new(), patch: None, ..self.clone() } }
+        LogEntry { compressed: packed, ..LogEntry { body: String::new(), patch: None, ..self.clone() } }
     }
 }
--- a/crates/core/src/peer/msg.rs
+++ b/crates/core/src/protocol/message.rs
@@ -1,27 +1,27 @@
 //! The messages between nodes and what they are made of.
 
-use super::Digest;
+use super::EntryDigest;
 use crate::base::{ChangeId, Incarnation, Micros, NodeId, Version};
 use crate::config::Patch;
 use musli::{Decode, Encode};
 
 /// A place among the cores that a version names.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
-pub struct Core {
+pub struct Voter {
     pub node_id: NodeId,
     pub addr: String,
 }
 
 /// One decided (or proposed) version of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Decree {
+pub struct LogEntry {
     pub version: Version,
     pub change_id: ChangeId,
-    pub fleet: u64,
+    pub fleet_id: u64,
     /// The version at which the set of cores last changed, and the set before it.
-    pub since: Version,
-    pub old: Vec<Core>,
-    pub cores: Vec<Core>,
+    pub voters_since: Version,
+    pub previous_voters: Vec<Voter>,
+    pub voters: Vec<Voter>,
     pub body: String,
     /// The operator's own number of the body.
     #[musli(default)]
@@ -32,47 +32,47 @@
     pub patch: Option<Patch>,
     /// The body or the patch in packed form, where that is large.
     #[musli(default, bytes)]
-    pub packed: Vec<u8>,
+    pub compressed: Vec<u8>,
 }
 
-impl Decree {
+impl LogEntry {
     /// The same without its body, for one who holds the version before; large ones in their packed
     /// form.
-    pub fn stripped(&self) -> Decree {
+    pub fn without_body(&self) -> LogEntry {
         let by_patch = self.patch.is_some();
-        let is_packed = !self.packed.is_empty();
-        Decree {
+        let is_packed = !self.compressed.is_empty();
+        LogEntry {
             version: self.version,
             change_id: self.change_id,
-            fleet: self.fleet,
-            since: self.since,
-            old: self.old.clone(),
-            cores: self.cores.clone(),
+            fleet_id: self.fleet_id,
+            voters_since: self.voters_since,
+            previous_voters: self.previous_voters.clone(),
+            voters: self.voters.clone(),
             body: if by_patch || is_packed { String::new() } else { self.body.clone() },
             revision: self.revision,
             patch: if is_packed { None } else { self.patch.clone() },
-            packed: self.packed.clone(),
+            compressed: self.compressed.clone(),
         }
     }
 
     /// The same for one who may hold no version before it.
-    pub fn alone(&self) -> Decree {
+    pub fn self_contained(&self) -> LogEntry {
         match &self.patch {
-            None => self.stripped(),
-            Some(_) => Decree { packed: Vec::new(), ..self.clone() },
+            None => self.without_body(),
+            Some(_) => LogEntry { compressed: Vec::new(), ..self.clone() },
         }
     }
 
     /// Whether its body is to be made yet.
-    pub fn is_stripped(&self) -> bool {
-        self.body.is_empty() && (self.patch.is_some() || !self.packed.is_empty())
+    pub fn lacks_body(&self) -> bool {
+        self.body.is_empty() && (self.patch.is_some() || !self.compressed.is_empty())
     }
 
     /// This version whole, given the one before it; none if that is another one.
-    pub fn restored(self, before: &Decree) -> Option<Decree> {
-        let mut whole = self.unpacked()?;
-        if whole.is_stripped() {
-            if before.version + 1 != whole.version || before.is_stripped() {
+    pub fn with_body_from(self, before: &LogEntry) -> Option<LogEntry> {
+        let mut whole = self.decompress()?;
+        if whole.lacks_body() {
+            if before.version + 1 != whole.version || before.lacks_body() {
                 return None;
             }
             whole.body = whole.patch.as_ref()?.apply(&before.body).ok()?;
@@ -82,51 +82,51 @@
 
     /// About how many bytes it has on its way.
     pub fn size(&self) -> usize {
-        self.body.len() + self.patch.as_ref().map_or(0, Patch::size) + self.packed.len()
+        self.body.len() + self.patch.as_ref().map_or(0, Patch::size) + self.compressed.len()
     }
 }
 
 /// The number of a ballot, unlike that of any other proposer or life.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct Ballot {
-    pub n: u64,
+    pub number: u64,
     pub node_id: NodeId,
     /// A core that starts anew may not know what it bid before.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
 }
 
 /// What is known of one node.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Peer {
+pub struct PeerRecord {
     pub node_id: NodeId,
     pub incarnation: Incarnation,
-    pub beat: u64,
+    pub heartbeat: u64,
     pub addr: String,
     pub admin: String,
     pub zone: String,
-    pub core: bool,
-    pub leaving: bool,
+    pub is_core: bool,
+    pub draining: bool,
     pub version: Version,
 }
 
 /// The part of what is known of a node that changes all the time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[musli(packed)]
-pub struct Beat {
+pub struct Heartbeat {
     pub node_id: NodeId,
     pub incarnation: Incarnation,
-    pub beat: u64,
+    pub heartbeat: u64,
     pub version: Version,
-    pub leaving: bool,
+    pub draining: bool,
 }
 
 /// In the place of a worker's incarnation where the worker doesn't number its lives: the node
 /// that it reports to does.
-pub const UNNUMBERED: Incarnation = 0;
+pub const UNNUMBERED_INCARNATION: Incarnation = 0;
 
 /// What a worker said of itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct Row {
+pub struct WorkerReport {
     pub worker_id: String,
     pub incarnation: Incarnation,
     pub seq: u64,
@@ -135,31 +135,31 @@
     pub zone: String,
     pub slots: u32,
     pub busy: u32,
-    pub drain: bool,
+    pub draining: bool,
     /// How much longer it is slow after its start.
-    pub cold: Micros,
+    pub warm_up_left: Micros,
     /// It left in order; this life never comes back.
-    pub gone: bool,
+    pub removed: bool,
     pub age: Micros,
 }
 
 /// Whose end it is, and whether it left or only drains.
-pub type RowKey = (String, Incarnation, bool);
+pub type RemovalKey = (String, Incarnation, bool);
 
-impl Row {
+impl WorkerReport {
     /// Takes no calls any more, by its own word.
-    pub fn ends(&self) -> bool {
-        self.drain || self.gone
+    pub fn is_out_of_service(&self) -> bool {
+        self.draining || self.removed
     }
 
     /// What tells this row from those of other lives.
-    pub fn key(&self) -> RowKey {
-        (self.worker_id.clone(), self.incarnation, self.gone)
+    pub fn removal_key(&self) -> RemovalKey {
+        (self.worker_id.clone(), self.incarnation, self.removed)
     }
 
     /// A leave that names nothing but the worker: it counts more than any report of that life.
-    pub fn left(worker_id: &str, incarnation: Incarnation) -> Row {
-        Row { worker_id: worker_id.into(), incarnation, gone: true, ..Row::default() }
+    pub fn removal(worker_id: &str, incarnation: Incarnation) -> WorkerReport {
+        WorkerReport { worker_id: worker_id.into(), incarnation, removed: true, ..WorkerReport::default() }
     }
 }
 
@@ -169,49 +169,49 @@
     Tree(String),
     /// A document that has a number of its own, built on the one with the number that is
     /// its base. Versions that change nothing of it, such as of the cores, don't outdate it.
-    Doc(String),
+    Document(String),
     /// The document with the number that is its base, changed in single items.
     Patch(Patch),
-    Cores(Vec<Core>),
+    Voters(Vec<Voter>),
     /// Nothing is changed: how did this change end?
-    Look,
+    QueryOutcome,
     /// Nothing is changed: which versions are kept?
-    History,
+    ReadHistory,
     /// Nothing is changed: the newest document, with all that was acknowledged before.
-    Newest,
+    ReadNewest,
 }
 
 impl Change {
     /// Whether it only asks for something.
-    pub fn reads(&self) -> bool {
-        matches!(self, Change::Look | Change::History | Change::Newest)
+    pub fn is_read(&self) -> bool {
+        matches!(self, Change::QueryOutcome | Change::ReadHistory | Change::ReadNewest)
     }
 
     /// The bytes that it brings.
     pub fn size(&self) -> usize {
         match self {
-            Change::Tree(body) | Change::Doc(body) => body.len(),
+            Change::Tree(body) | Change::Document(body) => body.len(),
             Change::Patch(patch) => patch.size(),
-            Change::Cores(_) | Change::Look | Change::History | Change::Newest => 0,
+            Change::Voters(_) | Change::QueryOutcome | Change::ReadHistory | Change::ReadNewest => 0,
         }
     }
 }
 
 /// How a change ended, as far as the answering node knows.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub enum Fate {
-    Done { version: Version },
+pub enum ChangeOutcome {
+    Committed { version: Version },
     Stale { version: Version },
-    NoMajority,
+    NoQuorum,
     Unknown,
-    Reused,
-    Invalid { why: String },
-    Told { text: String },
+    IdReused,
+    Invalid { reason: String },
+    Content { text: String },
 }
 
 /// How much of one tenant's window one node was ever granted.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Grant {
+pub struct WindowGrant {
     pub tenant: String,
     pub window: u64,
     pub node_id: NodeId,
@@ -219,61 +219,61 @@
     pub age: Micros,
 }
 
-impl Grant {
+impl WindowGrant {
     /// The same so much later.
-    pub fn older(self, by: Micros) -> Grant {
-        Grant { age: self.age.saturating_add(by), ..self }
+    pub fn aged_by(self, by: Micros) -> WindowGrant {
+        WindowGrant { age: self.age.saturating_add(by), ..self }
     }
 }
 
 /// What one node holds of one tenant's rate, and what it looks for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 #[musli(packed)]
-pub struct ShareAsk {
+pub struct ShareRequest {
     /// The hash of the tenant's name.
-    pub key: u64,
+    pub tenant_key: u64,
     /// The share held, in millionths.
-    pub has: u32,
+    pub held_share: u32,
     /// Thousandths of units that came free when the share shrank.
-    pub returned: u64,
+    pub returned_milli: u64,
     /// Thousandths of units looked for in a second.
-    pub want: u64,
+    pub demand_milli: u64,
     /// The units of calls that find nothing here.
-    pub need: u32,
+    pub missing_units: u32,
     /// The fewest units that any of these calls takes, of use only together.
-    pub first: u32,
+    pub smallest_call: u32,
     /// The units of a usual call.
-    pub each: u32,
+    pub usual_call: u32,
     /// Thousandths of calls looked for in a second.
-    pub calls: u64,
+    pub call_rate_milli: u64,
 }
 
 /// The answer to the row in the same place of an ask.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 #[musli(packed)]
-pub struct ShareGiven {
+pub struct ShareGrant {
     /// False where the answerer doesn't hold the duty, or not this row.
-    pub yes: bool,
+    pub granted: bool,
     pub share: u32,
     /// Thousandths of units that may be used at once on top.
-    pub add: u64,
+    pub burst_milli: u64,
     /// Units for calls that wait now, which may go whatever is held.
-    pub lend: u32,
+    pub loaned_units: u32,
 }
 
 /// Who holds a duty: `set` and `epoch` only grow, and the nid is nought where nobody is known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 #[musli(packed)]
-pub struct ShareMark {
-    pub duty: u32,
-    pub set: u64,
+pub struct LeaseClaim {
+    pub role: u32,
+    pub voter_set: u64,
     pub epoch: u64,
     pub holder: NodeId,
 }
 
 /// One life of a node that may hold shares, and where it lives.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Life {
+pub struct RegisteredIncarnation {
     pub node_id: NodeId,
     pub incarnation: Incarnation,
     pub addr: String,
@@ -281,10 +281,10 @@
 
 /// All that nodes say to each other.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum Msg {
+pub enum Message {
     Gossip {
-        beats: Vec<Beat>,
-        rows: Vec<Peer>,
+        beats: Vec<Heartbeat>,
+        rows: Vec<PeerRecord>,
         ask: Vec<NodeId>,
         reply: bool,
         /// Names the lives that the sender knows; nought says nothing.
@@ -295,9 +295,9 @@
         pulse: Vec<u8>,
     },
     Found {
-        me: Core,
+        me: Voter,
         version: Option<Version>,
-        pledge: Vec<Core>,
+        pledge: Vec<Voter>,
         first: bool,
     },
     Prepare {
@@ -307,7 +307,7 @@
     Promise {
         instance: Version,
         ballot: Ballot,
-        accepted: Option<(Ballot, Decree)>,
+        accepted: Option<(Ballot, LogEntry)>,
     },
     Refuse {
         instance: Version,
@@ -315,14 +315,14 @@
     },
     Accept {
         ballot: Ballot,
-        decree: Decree,
+        decree: LogEntry,
     },
     Accepted {
         instance: Version,
         ballot: Ballot,
     },
     Learn {
-        decrees: Vec<Decree>,
+        decrees: Vec<LogEntry>,
     },
     Have {
         version: Version,
@@ -353,25 +353,25 @@
         version: Version,
         /// The versions from the asker's on, as patches, where they lead to the one told.
         #[musli(default)]
-        before: Vec<Decree>,
-        decree: Option<Decree>,
+        before: Vec<LogEntry>,
+        decree: Option<LogEntry>,
         idx: u64,
         whole: bool,
-        rows: Vec<Row>,
+        rows: Vec<WorkerReport>,
     },
     Reports {
-        rows: Vec<Row>,
+        rows: Vec<WorkerReport>,
     },
     /// Workers that take no calls any more, to every live node at once.
     Ends {
-        rows: Vec<Row>,
+        rows: Vec<WorkerReport>,
     },
     EndsOk {
-        keys: Vec<RowKey>,
+        keys: Vec<RemovalKey>,
     },
     /// All live nodes have these.
     EndsDone {
-        keys: Vec<RowKey>,
+        keys: Vec<RemovalKey>,
     },
     TermAsk {
         set: Version,
@@ -384,9 +384,9 @@
         duty: u32,
         epoch: u64,
         n: u64,
-        rows: Vec<Grant>,
+        rows: Vec<WindowGrant>,
         first: bool,
-        lives: Vec<Life>,
+        lives: Vec<RegisteredIncarnation>,
     },
     TermNo {
         duty: u32,
@@ -400,7 +400,7 @@
         duty: u32,
         epoch: u64,
         n: u64,
-        rows: Vec<Grant>,
+        rows: Vec<WindowGrant>,
     },
     GrantsOk {
         duty: u32,
@@ -413,8 +413,8 @@
     TakeoverReply {
         set: Version,
         full: bool,
-        rows: Vec<Grant>,
-        lives: Vec<Life>,
+        rows: Vec<WindowGrant>,
+        lives: Vec<RegisteredIncarnation>,
     },
     SliceAsk {
         n: u64,
@@ -461,7 +461,7 @@
     },
     Forwarded {
         n: u64,
-        fate: Fate,
+        fate: ChangeOutcome,
     },
     Ready {
         set: Version,
@@ -470,7 +470,7 @@
     Enroll {
         set: Version,
         n: u64,
-        rows: Vec<Life>,
+        rows: Vec<RegisteredIncarnation>,
     },
     /// They are on this voter's disk.
     Enrolled {
@@ -479,28 +479,28 @@
     },
     /// Who holds these duties wants to be asked now.
     Probe {
-        marks: Vec<ShareMark>,
+        marks: Vec<LeaseClaim>,
     },
     /// Who lives at the address that was probed.
     Probed {
         addr: String,
-        marks: Vec<ShareMark>,
+        marks: Vec<LeaseClaim>,
         /// How long ago this life began, which had the address for itself from then on.
         #[musli(default)]
         age: Micros,
     },
     ShareAsk {
         n: u64,
-        rows: Vec<ShareAsk>,
-        marks: Vec<ShareMark>,
+        rows: Vec<ShareRequest>,
+        marks: Vec<LeaseClaim>,
         /// For how long this life was given nothing and held the same share, in the order of the rows.
         #[musli(default)]
         idle: Vec<Micros>,
     },
     Shares {
         n: u64,
-        rows: Vec<ShareGiven>,
-        marks: Vec<ShareMark>,
+        rows: Vec<ShareGrant>,
+        marks: Vec<LeaseClaim>,
     },
     /// Which digests of the versions `from` to `to` are held there?
     DigestAsk {
@@ -511,7 +511,7 @@
     Digests {
         from: Version,
         to: Version,
-        rows: Vec<Digest>,
+        rows: Vec<EntryDigest>,
     },
     /// A voter that has just started asks a core whether it holds any term.
     HoldsAsk {
--- a/crates/core/src/wait/list.rs
+++ b/crates/core/src/queue/fair_queue.rs
@@ -22,13 +22,13 @@
 
 /// Why a call may not wait; `back` is when it is worth coming again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refused {
-    pub back: Micros,
+pub struct QueueRejection {
+    pub retry_after: Micros,
 }
 
 /// A bounded waitlist that serves tenants and kinds by their weights.
 #[derive(Clone, Debug)]
-pub struct Waitlist<T> {
+pub struct FairQueue<T> {
     flows: BTreeMap<Key, Flow<T>>,
     vt: u64,
     len: usize,
@@ -43,10 +43,10 @@
 
 const UNIT: u64 = 1 << 20;
 
-impl<T> Waitlist<T> {
+impl<T> FairQueue<T> {
     /// A list for so many.
     pub fn new(cap: usize) -> Self {
-        Waitlist { flows: BTreeMap::new(), vt: 0, len: 0, cap, freed: VecDeque::new(), since: 0 }
+        FairQueue { flows: BTreeMap::new(), vt: 0, len: 0, cap, freed: VecDeque::new(), since: 0 }
     }
 
     /// How many wait.
@@ -65,7 +65,7 @@
     }
 
     /// A place came free now, by which the wait is told.
-    pub fn freed(&mut self, now: Micros) {
+    pub fn record_freed(&mut self, now: Micros) {
         self.freed.push_back(now);
         while self.freed.len() > 64 || self.freed.front().is_some_and(|t| now.saturating_sub(*t) > LATELY) {
             self.freed.pop_front();
@@ -93,7 +93,7 @@
     }
 
     /// Takes out those who now wait in vain: the places come too slowly for them.
-    pub fn vain(&mut self, now: Micros) -> Vec<T> {
+    pub fn take_hopeless(&mut self, now: Micros) -> Vec<T> {
         if self.len == 0 {
             return Vec::new();
         }
@@ -118,19 +118,26 @@
     }
 
     /// Takes one out that will not wait any longer.
-    pub fn leave(&mut self, mut f: impl FnMut(&T) -> bool) -> Option<T> {
-        self.take(|v, _| f(v)).pop()
+    pub fn remove_first(&mut self, mut f: impl FnMut(&T) -> bool) -> Option<T> {
+        self.drain_where(|v, _| f(v)).pop()
     }
 
     /// Takes a call in, or says at once that it would wait in vain. A full list
     /// makes room by letting the last of the longest-served flow go.
-    pub fn push(&mut self, k: Key, weight: u64, val: T, due: Micros, now: Micros) -> Result<Option<T>, (T, Refused)> {
+    pub fn push(
+        &mut self,
+        k: Key,
+        weight: u64,
+        val: T,
+        due: Micros,
+        now: Micros,
+    ) -> Result<Option<T>, (T, QueueRejection)> {
         let w = weight.max(1) * k.1.weight();
         let mine = self.flows.get(&k).map_or(0, |f| f.q.len());
         let total = self.total() + if mine == 0 { w } else { 0 };
         let est = self.wait(self.pace(now), mine, w, total);
         if now.saturating_add(est) > due {
-            return Err((val, Refused { back: est }));
+            return Err((val, QueueRejection { retry_after: est }));
         }
         let mut out = None;
         if self.len >= self.cap {
@@ -140,7 +147,7 @@
                 .filter(|f| !f.1.q.is_empty())
                 .max_by_key(|f| f.1.q.len() as u64 * UNIT / f.1.weight)
                 .map(|f| f.0.clone());
-            let back = self.back(now);
+            let back = self.retry_after(now);
             match longest {
                 Some(l)
                     if l != k
@@ -151,7 +158,7 @@
                         out = Some(i.val);
                     }
                 }
-                _ => return Err((val, Refused { back })),
+                _ => return Err((val, QueueRejection { retry_after: back })),
             }
         }
         if self.len == 0 {
@@ -197,7 +204,7 @@
     }
 
     /// Takes out everyone for whom `f` holds, such as those whose key was withdrawn.
-    pub fn take(&mut self, mut f: impl FnMut(&T, Micros) -> bool) -> Vec<T> {
+    pub fn drain_where(&mut self, mut f: impl FnMut(&T, Micros) -> bool) -> Vec<T> {
         let mut out = Vec::new();
         for fl in self.flows.values_mut() {
             let q = std::mem::take(&mut fl.q);
@@ -215,7 +222,7 @@
     }
 
     /// When it is worth coming again.
-    pub fn back(&self, now: Micros) -> Micros {
+    pub fn retry_after(&self, now: Micros) -> Micros {
         let (each, gap) = self.pace(now);
         let each = if self.freed.is_empty() { SEC / 10 } else { each };
         each.saturating_mul(self.len as u64 + 1).max(gap).clamp(SEC / 2, 30 * SEC)
--- /dev/null
+++ b/crates/core/src/queue/mod.rs
@@ -0,0 +1,5 @@
+//! Waitlists.
+
+mod fair_queue;
+
+pub use fair_queue::{FairQueue, QueueRejection};
--- a/crates/core/src/quota/mod.rs
+++ b/crates/core/src/quota/mod.rs
@@ -1,13 +1,13 @@
 //! Limits of tenants over all nodes: windows lent in slices, rates lent in shares.
 
-mod bucket;
-mod holder;
-mod pool;
 mod rates;
+mod share_bucket;
+mod share_pool;
 mod slices;
+mod window_ledger;
 
-pub use bucket::{AGAIN, Bucket, LEASE, LOAN, TOKEN, WHOLE};
-pub use holder::{Ask, Ledger, Turn};
-pub use pool::{Pool, Pools};
-pub use rates::{Rates, key};
-pub use slices::{Slices, Take};
+pub use rates::{RateShares, tenant_key};
+pub use share_bucket::{AGAIN, FULL_SHARE, LOAN_DURATION, SHARE_LEASE, ShareBucket, UNIT};
+pub use share_pool::{SharePool, SharePools};
+pub use slices::{TakeOutcome, WindowSlices};
+pub use window_ledger::{LedgerAction, SliceRequest, WindowLedger};
--- a/crates/core/src/quota/bucket.rs
+++ b/crates/core/src/quota/share_bucket.rs
@@ -1,17 +1,17 @@
 //! One node's share of one tenant's rate.
 
-use super::Take;
+use super::TakeOutcome;
 use crate::base::{MS, Micros, SEC};
 use crate::config::Rate;
-use crate::peer::{ShareAsk, ShareGiven};
+use crate::protocol::{ShareGrant, ShareRequest};
 use std::collections::VecDeque;
 
 /// All of a tenant's rate, in the units that shares are counted in.
-pub const WHOLE: u32 = 1_000_000;
+pub const FULL_SHARE: u32 = 1_000_000;
 /// How long a share is held from the moment that its holder sent its ask.
-pub const LEASE: Micros = 4 * SEC;
+pub const SHARE_LEASE: Micros = 4 * SEC;
 /// One unit: thousandths of it, times millionths of a share, times microseconds.
-pub const TOKEN: u128 = 1_000 * MILLI;
+pub const UNIT: u128 = 1_000 * MILLI;
 /// A thousandth of a unit.
 pub const MILLI: u128 = 1_000_000 * 1_000_000;
 /// A unit that was not sent by then needs another one.
@@ -23,7 +23,7 @@
 /// As long as the holder has units for calls that wait, they are asked for one by one.
 const SOON: Micros = 4 * MS;
 /// What is lent is of use for so long after it was asked for.
-pub const LOAN: Micros = 200 * MS;
+pub const LOAN_DURATION: Micros = 200 * MS;
 /// For so many calls at once.
 const MOST: u32 = 64;
 /// The usual call follows the last eight or so.
@@ -51,13 +51,13 @@
 }
 
 /// What a share may hold at most.
-pub fn cap(r: Rate, share: u32) -> u128 {
-    u128::from(r.burst) * u128::from(share) * 1_000_000
+pub fn share_capacity(r: Rate, share: u32) -> u128 {
+    u128::from(r.burst_milli) * u128::from(share) * 1_000_000
 }
 
 /// What a share brings in so long a time.
-pub fn flow(r: Rate, share: u32, t: Micros) -> u128 {
-    u128::from(r.milli) * u128::from(share) * u128::from(t)
+pub fn share_refill(r: Rate, share: u32, t: Micros) -> u128 {
+    u128::from(r.milli_per_second) * u128::from(share) * u128::from(t)
 }
 
 /// One node's share of one tenant's rate, spent without asking anybody.
@@ -67,7 +67,7 @@
 /// what is there at any moment is at most the burst, and what comes in after it at most
 /// the rate: no interval sees more than both.
 #[derive(Clone, Debug, Default)]
-pub struct Bucket {
+pub struct ShareBucket {
     rate: Option<Rate>,
     share: u32,
     until: Micros,
@@ -112,35 +112,35 @@
     idle_since: Micros,
 }
 
-impl Bucket {
+impl ShareBucket {
     /// A bucket without a share.
     pub fn new(r: Rate, now: Micros) -> Self {
         // An earlier bucket of the tenant may have given units that are used still.
-        Bucket { rate: Some(r), at: now, since: now, idle_since: now + KEEP, ..Bucket::default() }
+        ShareBucket { rate: Some(r), at: now, since: now, idle_since: now + KEEP, ..ShareBucket::default() }
     }
 
     /// The first bucket that this life of the node has for the tenant: it was given nothing since then.
-    pub fn first(r: Rate, idle_since: Micros, now: Micros) -> Self {
-        Bucket { idle_since, ..Bucket::new(r, now) }
+    pub fn first_of_incarnation(r: Rate, idle_since: Micros, now: Micros) -> Self {
+        ShareBucket { idle_since, ..ShareBucket::new(r, now) }
     }
 
     /// For how long this life was given nothing, neither units nor a loan, and held the same share.
-    pub fn idle(&mut self, now: Micros) -> Micros {
+    pub fn idle_for(&mut self, now: Micros) -> Micros {
         self.turn(now);
         now.saturating_sub(self.idle_since)
     }
 
     /// The rate that is in force here.
     pub fn rate(&self) -> Rate {
-        self.rate.unwrap_or(Rate { milli: 0, burst: 0 })
+        self.rate.unwrap_or(Rate { milli_per_second: 0, burst_milli: 0 })
     }
 
     /// A version in force here: what the new burst can't hold is gone.
-    pub fn set(&mut self, r: Rate, now: Micros) {
+    pub fn set_rate(&mut self, r: Rate, now: Micros) {
         if self.rate != Some(r) {
             self.turn(now);
             self.rate = Some(r);
-            self.free = self.free.min(cap(r, self.share));
+            self.free = self.free.min(share_capacity(r, self.share));
             self.forget();
         }
     }
@@ -170,8 +170,8 @@
         let r = self.rate();
         let t = now.min(self.until);
         if t > self.at {
-            let full = cap(r, self.share);
-            self.free = (self.free + flow(r, self.share, t - self.at)).min(full);
+            let full = share_capacity(r, self.share);
+            self.free = (self.free + share_refill(r, self.share, t - self.at)).min(full);
             self.spill(full, now);
         }
         self.at = self.at.max(now);
@@ -189,15 +189,15 @@
     }
 
     /// One unit for a call that comes now.
-    pub fn take(&mut self, now: Micros) -> Take {
+    pub fn take(&mut self, now: Micros) -> TakeOutcome {
         self.take_units(1, now)
     }
 
     /// The units of a call that comes now, all or none.
-    pub fn take_units(&mut self, units: u32, now: Micros) -> Take {
+    pub fn take_units(&mut self, units: u32, now: Micros) -> TakeOutcome {
         self.look_for(units);
-        let t = self.draw(units, now);
-        if !matches!(t, Take::Dry { .. } | Take::Empty) {
+        let t = self.take_for_waiter(units, now);
+        if !matches!(t, TakeOutcome::RateExhausted { .. } | TakeOutcome::Empty) {
             return t;
         }
         self.miss(units);
@@ -217,29 +217,29 @@
     }
 
     /// The fewest units that are of use to those who wait.
-    pub fn set_first(&mut self, units: u32) {
+    pub fn set_smallest_call(&mut self, units: u32) {
         self.first = units;
     }
 
     /// As `take_units` does, for one who was counted already.
-    pub fn draw(&mut self, units: u32, now: Micros) -> Take {
+    pub fn take_for_waiter(&mut self, units: u32, now: Micros) -> TakeOutcome {
         self.turn(now);
-        let price = u128::from(units) * TOKEN;
+        let price = u128::from(units) * UNIT;
         if self.free >= price {
             let window = self.spend(price, now);
-            let low = self.free < cap(self.rate(), self.share) / 4 && self.early(now);
-            return Take::Took { window, until: now + KEEP, low };
+            let low = self.free < share_capacity(self.rate(), self.share) / 4 && self.early(now);
+            return TakeOutcome::Taken { window, until: now + KEEP, low };
         }
         let lent = if now < self.loan.1 { self.loan.0 } else { 0 };
         if lent >= units {
             self.loan.0 -= units;
             // What comes back of it brings nothing: it was spent where it was lent.
-            return Take::Took { window: 0, until: self.loan.1, low: false };
+            return TakeOutcome::Taken { window: 0, until: self.loan.1, low: false };
         }
-        let rest = price - u128::from(lent) * TOKEN;
+        let rest = price - u128::from(lent) * UNIT;
         if lent > 0 && self.free >= rest {
             self.loan.0 = 0;
-            return Take::Took { window: self.spend(rest, now), until: self.loan.1, low: false };
+            return TakeOutcome::Taken { window: self.spend(rest, now), until: self.loan.1, low: false };
         }
         self.dry(units, now)
     }
@@ -254,30 +254,30 @@
     }
 
     /// What one finds who stands behind others.
-    pub fn look(&mut self, units: u32, now: Micros) -> Take {
+    pub fn peek(&mut self, units: u32, now: Micros) -> TakeOutcome {
         self.look_for(units);
         self.miss(units);
         self.turn(now);
         self.dry(units, now)
     }
 
-    fn dry(&self, units: u32, now: Micros) -> Take {
-        if self.heard.is_none_or(|h| now >= h + LEASE) {
-            return Take::Empty;
+    fn dry(&self, units: u32, now: Micros) -> TakeOutcome {
+        if self.heard.is_none_or(|h| now >= h + SHARE_LEASE) {
+            return TakeOutcome::Empty;
         }
         // The holder's word that it has none counts for those who are no smaller.
         let vain = self.vain > 0 && units >= self.vain;
         let unasked = !vain && self.short > 0;
         let more = self.open || unasked || (vain && now < self.fills) || self.early(now);
         let (r, s) = (self.rate(), self.share);
-        let pace = flow(r, s, 1);
-        let price = u128::from(units) * TOKEN;
-        if pace == 0 || cap(r, s) < price {
-            return Take::Dry { wait: Micros::MAX / 4, each: Micros::MAX / 4, more };
+        let pace = share_refill(r, s, 1);
+        let price = u128::from(units) * UNIT;
+        if pace == 0 || share_capacity(r, s) < price {
+            return TakeOutcome::RateExhausted { wait: Micros::MAX / 4, interval: Micros::MAX / 4, may_get_more: more };
         }
         let wait = Micros::try_from(price.saturating_sub(self.free).div_ceil(pace)).unwrap_or(Micros::MAX / 4);
         let each = Micros::try_from(price.div_ceil(pace)).unwrap_or(Micros::MAX / 4);
-        Take::Dry { wait, each, more }
+        TakeOutcome::RateExhausted { wait, interval: each, may_get_more: more }
     }
 
     /// A unit that was taken at `at` and not used.
@@ -305,26 +305,26 @@
     }
 
     /// A call waits: the holder is asked as soon as may be.
-    pub fn urge(&mut self) {
+    pub fn request_soon(&mut self) {
         self.urgent = true;
     }
 
     /// The ask went unanswered.
-    pub fn mute(&mut self, n: u64) {
+    pub fn request_timed_out(&mut self, n: u64) {
         if self.n == n && self.open {
             self.urgent = true;
         }
     }
 
     /// The ask reached one who can't answer it.
-    pub fn deny(&mut self, n: u64) {
+    pub fn request_rejected(&mut self, n: u64) {
         if self.n == n && self.open {
             (self.open, self.urgent) = (false, true);
         }
     }
 
     /// Whether an ask should go now; `eager` nodes hold shares before any call comes.
-    pub fn due(&mut self, eager: bool, now: Micros) -> bool {
+    pub fn is_request_due(&mut self, eager: bool, now: Micros) -> bool {
         self.turn(now);
         if !self.early(now) {
             return false;
@@ -337,12 +337,12 @@
         }
         let busy = self.looked > 0 || self.want > 0 || self.returned >= MILLI || self.open;
         let ends = self.share > 0 && self.until < now + RENEW;
-        let idle = eager && now >= self.asked + if self.heard.is_some() { LEASE } else { SEC };
+        let idle = eager && now >= self.asked + if self.heard.is_some() { SHARE_LEASE } else { SEC };
         busy || ends || (idle && self.share == 0) || self.asked == 0 && eager
     }
 
     /// What to ask the holder for; `n` numbers the ask, `waits` is how many units calls wait for.
-    pub fn ask(&mut self, key: u64, n: u64, waits: u64, now: Micros) -> ShareAsk {
+    pub fn make_request(&mut self, key: u64, n: u64, waits: u64, now: Micros) -> ShareRequest {
         self.turn(now);
         let gap = now.saturating_sub(self.since);
         let a_second = |n: u64| n.saturating_mul(1_000 * SEC) / gap.max(EVERY);
@@ -361,44 +361,53 @@
         let first = self.first.clamp(1, need.max(1));
         (self.short, self.need, self.least) = (self.short.min(need), need, first);
         (self.n, self.asked, self.open, self.returned, self.urgent) = (n, now, true, 0, false);
-        ShareAsk { key, has: self.share, returned, want: self.want, need, first, each, calls: self.calls }
+        ShareRequest {
+            tenant_key: key,
+            held_share: self.share,
+            returned_milli: returned,
+            demand_milli: self.want,
+            missing_units: need,
+            smallest_call: first,
+            usual_call: each,
+            call_rate_milli: self.calls,
+        }
     }
 
     /// The holder's word on the ask `n` that was sent at `at`.
-    pub fn answer(&mut self, n: u64, g: ShareGiven, at: Micros, now: Micros) -> bool {
-        if n != self.n || !self.open || at + LEASE <= now {
+    pub fn apply_grant(&mut self, n: u64, g: ShareGrant, at: Micros, now: Micros) -> bool {
+        if n != self.n || !self.open || at + SHARE_LEASE <= now {
             return false;
         }
         self.turn(now);
-        if (g.share, g.add, g.lend) != (self.share, 0, 0) {
+        if (g.share, g.burst_milli, g.loaned_units) != (self.share, 0, 0) {
             self.idle_since = self.idle_since.max(now);
         }
         (self.open, self.mute) = (false, 0);
-        if self.heard.is_none_or(|h| now >= h + LEASE) {
+        if self.heard.is_none_or(|h| now >= h + SHARE_LEASE) {
             self.fills = now + FILLS;
         }
         self.heard = self.heard.max(Some(at));
         let r = self.rate();
-        let full = cap(r, g.share);
+        let full = share_capacity(r, g.share);
         if g.share < self.share {
             self.forget();
             self.returned += self.free.saturating_sub(full);
         } else {
-            self.free += u128::from(g.add) * MILLI;
+            self.free += u128::from(g.burst_milli) * MILLI;
         }
         self.short -= self.short.min(self.need);
-        self.loan = (g.lend, at + LOAN);
-        let none = self.need > 0 && g.lend == 0 && self.free < u128::from(self.least) * TOKEN;
+        self.loan = (g.loaned_units, at + LOAN_DURATION);
+        let none = self.need > 0 && g.loaned_units == 0 && self.free < u128::from(self.least) * UNIT;
         self.vain = if none { self.least } else { 0 };
         self.urgent |= self.short > 0;
         self.free = self.free.min(full);
         self.share = g.share;
-        self.until = self.until.max(at + LEASE);
+        self.until = self.until.max(at + SHARE_LEASE);
         true
     }
 
     /// For metrics: the share in millionths, and the whole units at hand.
     pub fn list(&self) -> (u32, u64) {
-        (self.share, u64::try_from(self.free / TOKEN).unwrap_or(u64::MAX))
+        (self.share, u64::try_from(self.free / UNIT).unwrap_or(u64::MAX))
     }
 }
--- a/crates/core/src/quota/slices.rs
+++ b/crates/core/src/quota/slices.rs
@@ -1,6 +1,6 @@
 //! A node's slices of windows by tenant.
 
-use super::Rates;
+use super::RateShares;
 use crate::base::{MS, Micros, Shards};
 
 /// A slice is cut for so long.
@@ -41,50 +41,50 @@
 
 /// What a call finds that looks for a unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Take {
+pub enum TakeOutcome {
     /// Taken from this window; more should be fetched if `low`.
-    Took { window: u64, until: Micros, low: bool },
+    Taken { window: u64, until: Micros, low: bool },
     /// Nothing here: ask the holder and wait.
     Empty,
     /// The holder said that the window is spent; it ends after this long.
-    Spent { left: Micros },
+    WindowSpent { remaining: Micros },
     /// The share of a rate is used up: the next unit comes after `wait`, later ones every
     /// `each`; `more` if the holder may have some.
-    Dry { wait: Micros, each: Micros, more: bool },
+    RateExhausted { wait: Micros, interval: Micros, may_get_more: bool },
 }
 
 /// Every tenant's slice on this node.
 #[derive(Clone, Debug, Default)]
-pub struct Slices {
+pub struct WindowSlices {
     slices: Shards<Slice>,
     /// The tenants that have a rate, or no limit.
-    pub rates: Rates,
+    pub rates: RateShares,
 }
 
-impl Slices {
+impl WindowSlices {
     /// One unit for a call that comes now.
-    pub fn take(&self, t: &str, now: Micros) -> Take {
+    pub fn take(&self, t: &str, now: Micros) -> TakeOutcome {
         self.take_units(t, 1, now)
     }
 
     /// The units of a call that comes now; of a window each call takes one.
-    pub fn take_units(&self, t: &str, units: u32, now: Micros) -> Take {
+    pub fn take_units(&self, t: &str, units: u32, now: Micros) -> TakeOutcome {
         if let Some(r) = self.rates.take(t, units, now) {
             return r;
         }
-        let mut g = self.slices.at(t);
+        let mut g = self.slices.lock_shard(t);
         let s = g.entry(t.to_owned()).or_default();
         s.looked += 1;
         s.last = now;
         if now < s.until && s.free > 0 {
             s.free -= 1;
             let low = s.free <= s.rate / 2 && now.saturating_sub(s.asked) > 50 * MS;
-            return Take::Took { window: s.window, until: s.until, low };
+            return TakeOutcome::Taken { window: s.window, until: s.until, low };
         }
         if now < s.spent {
-            return Take::Spent { left: s.ends.max(s.until).max(s.spent) - now };
+            return TakeOutcome::WindowSpent { remaining: s.ends.max(s.until).max(s.spent) - now };
         }
-        Take::Empty
+        TakeOutcome::Empty
     }
 
     /// A call that was turned away unrun gives its unit back to its own window.
@@ -92,7 +92,7 @@
         if self.rates.refund(t, window) {
             return;
         }
-        if let Some(s) = self.slices.at(t).get_mut(t)
+        if let Some(s) = self.slices.lock_shard(t).get_mut(t)
             && s.window == window
             && s.free + s.parked + s.returned < s.got
         {
@@ -104,10 +104,10 @@
     /// if the holder recalls what is idle. False where the unit stays with the call: one of a rate,
     /// which ends soon and may be of no use to others, or one of a window that has ended.
     pub fn park(&self, t: &str, window: u64) -> bool {
-        if self.rates.has(t) {
+        if self.rates.contains(t) {
             return false;
         }
-        let mut g = self.slices.at(t);
+        let mut g = self.slices.lock_shard(t);
         let Some(s) = g.get_mut(t).filter(|s| s.window == window && s.free + s.parked + s.returned < s.got) else {
             return false;
         };
@@ -117,15 +117,15 @@
 
     /// A call that waited for a place takes its unit up again; false if it was given back meanwhile.
     pub fn unpark(&self, t: &str, window: u64) -> bool {
-        let mut g = self.slices.at(t);
+        let mut g = self.slices.lock_shard(t);
         let Some(s) = g.get_mut(t).filter(|s| s.window == window && s.parked > 0) else { return false };
         s.parked -= 1;
         true
     }
 
     /// What to ask for: as much as was lately looked for, and those who wait.
-    pub fn want(&self, t: &str, waiting: u64, now: Micros) -> (u64, u64, u64) {
-        let mut g = self.slices.at(t);
+    pub fn demand(&self, t: &str, waiting: u64, now: Micros) -> (u64, u64, u64) {
+        let mut g = self.slices.lock_shard(t);
         let s = g.entry(t.to_owned()).or_default();
         let gap = now.saturating_sub(s.since);
         if gap >= AHEAD {
@@ -141,8 +141,8 @@
     }
 
     /// The holder's word on all that this node was ever granted in a window.
-    pub fn add(&self, t: &str, window: u64, granted_total: u64, until: Micros) {
-        let mut g = self.slices.at(t);
+    pub fn add_granted(&self, t: &str, window: u64, granted_total: u64, until: Micros) {
+        let mut g = self.slices.lock_shard(t);
         let s = g.entry(t.to_owned()).or_default();
         if window < s.window {
             return;
@@ -157,8 +157,8 @@
     }
 
     /// The holder's word that nothing is left of a window, which ends at about `ends`.
-    pub fn spent(&self, t: &str, window: u64, ends: Micros, now: Micros) {
-        let mut g = self.slices.at(t);
+    pub fn mark_spent(&self, t: &str, window: u64, ends: Micros, now: Micros) {
+        let mut g = self.slices.lock_shard(t);
         let s = g.entry(t.to_owned()).or_default();
         if window >= s.window {
             s.turn(window);
@@ -169,8 +169,8 @@
 
     /// Gives back what is idle, also the units of calls that wait for a place. The sum given back
     /// in the window is told.
-    pub fn give(&self, t: &str, window: u64, now: Micros) -> Option<u64> {
-        let mut g = self.slices.at(t);
+    pub fn return_idle(&self, t: &str, window: u64, now: Micros) -> Option<u64> {
+        let mut g = self.slices.lock_shard(t);
         let s = g.get_mut(t)?;
         if s.window != window || now >= s.until {
             return None;
@@ -182,14 +182,14 @@
     }
 
     /// Whether no call looked for a unit lately.
-    pub fn idle(&self, t: &str, now: Micros) -> bool {
-        self.slices.at(t).get(t).is_none_or(|s| now.saturating_sub(s.last) > 300 * MS)
+    pub fn is_idle(&self, t: &str, now: Micros) -> bool {
+        self.slices.lock_shard(t).get(t).is_none_or(|s| now.saturating_sub(s.last) > 300 * MS)
     }
 
     /// For comparison and metrics: tenant, window, granted, given back, free.
     pub fn list(&self) -> Vec<(String, u64, u64, u64, u64)> {
         let mut v = Vec::new();
-        for g in self.slices.each() {
+        for g in self.slices.lock_each() {
             v.extend(g.iter().map(|(t, s)| (t.clone(), s.window, s.got, s.returned, s.free)));
         }
         v.sort();
--- a/crates/core/src/quota/holder.rs
+++ b/crates/core/src/quota/window_ledger.rs
@@ -1,17 +1,17 @@
 //! The holder of windows: what it granted to whom, and what came back.
 
 use crate::base::{MS, Micros, NodeId};
-use crate::config::Quota;
-use crate::peer::Grant;
+use crate::config::WindowQuota;
+use crate::protocol::WindowGrant;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// One node's ask that can't be met at once.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct SliceRequest {
     pub node_id: NodeId,
-    pub n: u64,
-    pub want: u64,
-    pub at: Micros,
+    pub request_id: u64,
+    pub wanted_units: u64,
+    pub received_at: Micros,
 }
 
 /// A question to all who may have idle units.
@@ -30,19 +30,19 @@
     from: Micros,
     granted_total: BTreeMap<NodeId, u64>,
     returned: BTreeMap<NodeId, u64>,
-    wait: Vec<Ask>,
+    wait: Vec<SliceRequest>,
     polled: Option<Poll>,
     calm: Micros,
 }
 
 /// What the holder does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum LedgerAction {
     /// Make this durable on a majority, then tell the node.
-    Give {
-        n: u64,
-        g: Grant,
-        left: Micros,
+    Grant {
+        request_id: u64,
+        grant: WindowGrant,
+        remaining: Micros,
     },
     Recall {
         to: Vec<NodeId>,
@@ -50,15 +50,15 @@
     },
     Spent {
         node_id: NodeId,
-        n: u64,
+        request_id: u64,
         window: u64,
-        left: Micros,
+        remaining: Micros,
     },
 }
 
 /// What the holder of a tenant's quota keeps while its term lasts.
 #[derive(Clone, Debug, Default)]
-pub struct Ledger {
+pub struct WindowLedger {
     books: BTreeMap<String, Book>,
 }
 
@@ -67,9 +67,9 @@
 /// make a window pass for spent.
 const POLL_AGAIN: Micros = 75 * MS;
 
-impl Ledger {
+impl WindowLedger {
     /// Takes over what a voter knows. A window whose beginning nobody knows begins now.
-    pub fn inherit(&mut self, g: &Grant, now: Micros) {
+    pub fn inherit(&mut self, g: &WindowGrant, now: Micros) {
         let from = now.saturating_sub(g.age);
         let b = self.books.entry(g.tenant.clone()).or_default();
         if g.window > b.window {
@@ -92,20 +92,28 @@
         self.books.get(t).filter(|b| b.window == window).map_or(0, |b| now.saturating_sub(b.from))
     }
 
-    fn roll(b: &mut Book, q: Quota, now: Micros) {
+    fn roll(b: &mut Book, q: WindowQuota, now: Micros) {
         if b.window == 0 || now >= b.from + q.window {
             *b = Book { window: b.window + 1, from: now, wait: std::mem::take(&mut b.wait), ..Book::default() };
         }
     }
 
     /// A node asks for units and tells what it returned: a window and the sum in it.
-    pub fn ask(&mut self, t: &str, q: Quota, mut a: Ask, returned: (u64, u64), nodes: u64, now: Micros) -> Vec<Turn> {
+    pub fn request(
+        &mut self,
+        t: &str,
+        q: WindowQuota,
+        mut a: SliceRequest,
+        returned: (u64, u64),
+        nodes: u64,
+        now: Micros,
+    ) -> Vec<LedgerAction> {
         let b = self.books.entry(t.to_owned()).or_default();
         Self::roll(b, q, now);
         if returned.0 == b.window {
             Self::returned(b, a.node_id, returned.1);
         }
-        a.at = now;
+        a.received_at = now;
         b.wait.retain(|w| w.node_id != a.node_id);
         b.wait.push(a);
         Self::turn(t, b, q, nodes, now)
@@ -113,16 +121,16 @@
 
     /// A node returned so many units of a window in all.
     #[allow(clippy::too_many_arguments)]
-    pub fn give_back(
+    pub fn return_units(
         &mut self,
         t: &str,
-        q: Quota,
+        q: WindowQuota,
         node_id: NodeId,
         window: u64,
         returned: u64,
         nodes: u64,
         now: Micros,
-    ) -> Vec<Turn> {
+    ) -> Vec<LedgerAction> {
         let Some(b) = self.books.get_mut(t) else { return Vec::new() };
         if b.window == window {
             Self::returned(b, node_id, returned);
@@ -134,7 +142,7 @@
     }
 
     /// Time passes for those who wait.
-    pub fn tick(&mut self, t: &str, q: Quota, nodes: u64, now: Micros) -> Vec<Turn> {
+    pub fn tick(&mut self, t: &str, q: WindowQuota, nodes: u64, now: Micros) -> Vec<LedgerAction> {
         let Some(b) = self.books.get_mut(t) else { return Vec::new() };
         if b.wait.is_empty() {
             return Vec::new();
@@ -149,12 +157,12 @@
         *r = (*r).max(returned.min(cap));
     }
 
-    fn left(b: &Book, q: Quota) -> u64 {
+    fn left(b: &Book, q: WindowQuota) -> u64 {
         let out: u64 = b.granted_total.values().sum::<u64>() - b.returned.values().sum::<u64>();
         q.calls.saturating_sub(out)
     }
 
-    fn turn(t: &str, b: &mut Book, q: Quota, nodes: u64, now: Micros) -> Vec<Turn> {
+    fn turn(t: &str, b: &mut Book, q: WindowQuota, nodes: u64, now: Micros) -> Vec<LedgerAction> {
         let mut out = Vec::new();
         let end = (b.from + q.window).saturating_sub(now);
         while let Some(a) = b.wait.first().cloned() {
@@ -164,17 +172,17 @@
             }
             b.wait.remove(0);
             let fair = (l / (2 * nodes.max(1))).max(1);
-            let n = a.want.min(fair.max(l / 4)).max(1).min(l);
+            let n = a.wanted_units.min(fair.max(l / 4)).max(1).min(l);
             let c = b.granted_total.entry(a.node_id).or_insert(0);
             *c += n;
-            let g = Grant {
+            let g = WindowGrant {
                 tenant: t.to_owned(),
                 window: b.window,
                 node_id: a.node_id,
                 granted_total: *c,
                 age: now.saturating_sub(b.from),
             };
-            out.push(Turn::Give { n: a.n, g, left: end });
+            out.push(LedgerAction::Grant { request_id: a.request_id, grant: g, remaining: end });
         }
         if b.wait.is_empty() {
             b.polled = None;
@@ -186,7 +194,7 @@
             Some(p) => {
                 if !p.again && now >= p.began + POLL_AGAIN {
                     p.again = true;
-                    out.push(Turn::Recall { to: p.left.iter().copied().collect(), window: b.window });
+                    out.push(LedgerAction::Recall { to: p.left.iter().copied().collect(), window: b.window });
                 }
                 None
             }
@@ -202,7 +210,7 @@
                     Some(now)
                 } else {
                     b.polled = Some(Poll { began: now, left: to.iter().copied().collect(), again: false });
-                    out.push(Turn::Recall { to, window: b.window });
+                    out.push(LedgerAction::Recall { to, window: b.window });
                     None
                 }
             }
@@ -210,10 +218,15 @@
         if let Some(polled_at) = polled_at {
             b.polled = None;
             b.calm = now + 100 * MS;
-            let (before, after): (Vec<_>, _) = b.wait.drain(..).partition(|a| a.at <= polled_at);
+            let (before, after): (Vec<_>, _) = b.wait.drain(..).partition(|a| a.received_at <= polled_at);
             b.wait = after;
             for a in before {
-                out.push(Turn::Spent { node_id: a.node_id, n: a.n, window: b.window, left: end });
+                out.push(LedgerAction::Spent {
+                    node_id: a.node_id,
+                    request_id: a.request_id,
+                    window: b.window,
+                    remaining: end,
+                });
             }
         }
         out
--- a/crates/core/src/tries/judge.rs
+++ b/crates/core/src/retry/decision.rs
@@ -2,26 +2,26 @@
 
 /// Whether a call ran at a worker, as far as anyone can tell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ran {
-    No,
-    Yes,
+pub enum Execution {
+    NotRun,
+    Ran,
     Unknown,
 }
 
-impl Ran {
+impl Execution {
     /// Its name in metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Ran::No => "no",
-            Ran::Yes => "yes",
-            Ran::Unknown => "unknown",
+            Execution::NotRun => "no",
+            Execution::Ran => "yes",
+            Execution::Unknown => "unknown",
         }
     }
 }
 
 /// Where a try ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Spot {
+pub enum FailurePoint {
     /// No connection: nothing was sent.
     Connect,
     /// Something was sent and no head of a response came.
@@ -34,17 +34,21 @@
 
 /// What becomes of a call after a try that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
-    Again,
-    Stop(Ran),
+pub enum RetryDecision {
+    Retry,
+    Stop(Execution),
 }
 
 /// What may follow a try that ended in trouble.
-pub fn next(s: Spot, repeat: bool, downstream: bool, budget: impl FnOnce() -> bool) -> Next {
+pub fn decide(s: FailurePoint, repeat: bool, downstream: bool, budget: impl FnOnce() -> bool) -> RetryDecision {
     let ran = match s {
-        Spot::Connect | Spot::Declined => Ran::No,
-        Spot::Sent => Ran::Unknown,
-        Spot::Body => Ran::Yes,
+        FailurePoint::Connect | FailurePoint::Declined => Execution::NotRun,
+        FailurePoint::Sent => Execution::Unknown,
+        FailurePoint::Body => Execution::Ran,
     };
-    if !downstream && (ran == Ran::No || repeat) && budget() { Next::Again } else { Next::Stop(ran) }
+    if !downstream && (ran == Execution::NotRun || repeat) && budget() {
+        RetryDecision::Retry
+    } else {
+        RetryDecision::Stop(ran)
+    }
 }
--- a/crates/core/src/stream/mod.rs
+++ b/crates/core/src/stream/mod.rs
@@ -2,4 +2,4 @@
 
 mod sse;
 
-pub use sse::{Broken, Pieces};
+pub use sse::{EventSplitter, StreamError};
--- a/crates/core/src/stream/sse.rs
+++ b/crates/core/src/stream/sse.rs
@@ -8,18 +8,18 @@
 
 /// Why a stream can't go on.
 #[derive(Clone, Debug, PartialEq, Eq, Display, thiserror::Error)]
-pub enum Broken {
+pub enum StreamError {
     /// a piece has more than 1 MiB; the worker must send smaller ones
-    Large,
+    EventTooLarge,
     /// piece {got} came where {want} was due; the worker must number its pieces without gaps
-    Gap { got: u64, want: u64 },
+    EventGap { got: u64, want: u64 },
     /// a piece without a number came where a stream goes on; the worker must number its pieces
-    NoId,
+    MissingEventId,
 }
 
 /// Cuts a stream of server-sent events into whole pieces and keeps their count.
 #[derive(Clone, Debug, Default)]
-pub struct Pieces {
+pub struct EventSplitter {
     buf: BytesMut,
     at: usize,
     line: usize,
@@ -39,31 +39,31 @@
     resumed: bool,
 }
 
-impl Pieces {
+impl EventSplitter {
     /// `after` is the piece that the downstream itself had last.
     pub fn new(strict: bool, after: Option<u64>) -> Self {
         let last = after.filter(|_| strict);
-        Pieces { strict, last, resumed: last.is_some(), first: true, ..Pieces::default() }
+        EventSplitter { strict, last, resumed: last.is_some(), first: true, ..EventSplitter::default() }
     }
 
     /// After which piece the stream may go on elsewhere, exactly; `Some(None)` is its beginning.
-    pub fn from(&self) -> Option<Option<u64>> {
+    pub fn resume_point(&self) -> Option<Option<u64>> {
         (self.strict && !self.loose).then_some(self.last)
     }
 
     /// A new connection to a worker follows: the half piece of the old one goes.
     pub fn resume(&mut self) {
         let last = self.last;
-        *self = Pieces { strict: self.strict, last, resumed: true, first: true, ..Pieces::default() };
+        *self = EventSplitter { strict: self.strict, last, resumed: true, first: true, ..EventSplitter::default() };
     }
 
     /// Whether the stream stands between two pieces.
-    pub fn clean(&self) -> bool {
+    pub fn is_between_events(&self) -> bool {
         self.buf.is_empty()
     }
 
     /// Takes bytes in and gives the whole pieces that may go downstream.
-    pub fn feed(&mut self, b: &[u8]) -> Result<Vec<Bytes>, Broken> {
+    pub fn push(&mut self, b: &[u8]) -> Result<Vec<Bytes>, StreamError> {
         self.buf.extend_from_slice(b);
         let mut out = Vec::new();
         while let Some(c) = self.buf.get(self.at).copied() {
@@ -95,7 +95,7 @@
                 }
             }
         }
-        if self.buf.len() > LARGE { Err(Broken::Large) } else { Ok(out) }
+        if self.buf.len() > LARGE { Err(StreamError::EventTooLarge) } else { Ok(out) }
     }
 
     fn cut(&mut self) -> Bytes {
@@ -128,21 +128,21 @@
     }
 
     /// Whether the piece that just ended goes downstream.
-    fn passes(&mut self) -> Result<bool, Broken> {
+    fn passes(&mut self) -> Result<bool, StreamError> {
         let id = std::mem::take(&mut self.id);
         if !std::mem::take(&mut self.data) || !self.strict {
             return Ok(true);
         }
         let Some(Some(n)) = id else {
             self.loose = true;
-            return if self.resumed { Err(Broken::NoId) } else { Ok(true) };
+            return if self.resumed { Err(StreamError::MissingEventId) } else { Ok(true) };
         };
         let want = self.last.map_or(n, |l| l.saturating_add(1));
         if n < want && self.resumed {
             return Ok(false);
         }
         if n != want {
-            return Err(Broken::Gap { got: n, want });
+            return Err(StreamError::EventGap { got: n, want });
         }
         self.resumed = false;
         self.loose = false;
--- a/crates/core/src/wait/mod.rs
+++ /dev/null
@@ -1,5 +0,0 @@
-//! Waitlists.
-
-mod list;
-
-pub use list::{Refused, Waitlist};
--- a/crates/core/tests/ballots.rs
+++ b/crates/core/tests/ballots.rs
@@ -5,7 +5,7 @@
 use fleet::{Fleet, decree, kept};
 use sumacvale_core::base::{ChangeId, MS, NodeId, SEC};
 use sumacvale_core::node::Event;
-use sumacvale_core::peer::{Ballot, Change, Msg};
+use sumacvale_core::protocol::{Ballot, Change, Message};
 
 /// Three voters with version 1, of which the third does not run: the test speaks for it.
 fn two_of_three() -> Fleet {
@@ -20,25 +20,25 @@
 
 fn change(f: &mut Fleet, base: u64) {
     let change = Change::Tree("{}".into());
-    let order = Event::Put { req: 1, change_id: ChangeId(77), fresh: true, base, change };
+    let order = Event::SubmitChange { request_id: 1, change_id: ChangeId(77), is_first_send: true, base, change };
     let effects = f.step(1, order);
     f.carry(1, effects);
 }
 
 /// The ballot of another core, higher than all before it.
 fn of_another(n: u64) -> Ballot {
-    Ballot { n, node_id: NodeId(3), life: 1 }
+    Ballot { number: n, node_id: NodeId(3), incarnation: 1 }
 }
 
 /// How many ballots this voter began since.
 fn begun(f: &Fleet, since: usize) -> usize {
-    f.sent[since..].iter().filter(|(m, x)| *m == 1 && matches!(x.msg, Msg::Prepare { .. })).count()
+    f.sent[since..].iter().filter(|(m, x)| *m == 1 && matches!(x.message, Message::Prepare { .. })).count()
 }
 
 #[test]
 fn a_voter_begins_no_ballot_while_that_of_another_is_under_way() {
     let mut f = two_of_three();
-    f.tell(3, 1, Msg::Prepare { instance: 2, ballot: of_another(50) });
+    f.tell(3, 1, Message::Prepare { instance: 2, ballot: of_another(50) });
     let since = f.sent.len();
     change(&mut f, 1);
     f.run(350 * MS);
@@ -46,19 +46,19 @@
 
     // The other goes on to its second step, which takes a write as well.
     let next = decree(2, 0, &[], &[1, 2, 3]);
-    f.tell(3, 1, Msg::Accept { ballot: of_another(50), decree: next });
+    f.tell(3, 1, Message::Accept { ballot: of_another(50), decree: next });
     f.run(350 * MS);
     assert_eq!(begun(&f, since), 0, "it outbid a ballot in its second step");
     // The change still waits, and is refused once the other's version is known.
     f.run(SEC);
     assert_eq!(f.node(1).version(), Some(2));
-    assert_eq!(f.kept(1).decrees[&2].change_id, ChangeId(2));
+    assert_eq!(f.kept(1).entries[&2].change_id, ChangeId(2));
 }
 
 #[test]
 fn a_ballot_that_comes_to_nothing_holds_nobody_up_for_long() {
     let mut f = two_of_three();
-    f.tell(3, 1, Msg::Prepare { instance: 2, ballot: of_another(50) });
+    f.tell(3, 1, Message::Prepare { instance: 2, ballot: of_another(50) });
     let since = f.sent.len();
     f.run(100 * MS);
     change(&mut f, 1);
@@ -69,8 +69,8 @@
 #[test]
 fn once_the_version_is_known_the_next_ballot_may_begin() {
     let mut f = two_of_three();
-    f.tell(3, 1, Msg::Prepare { instance: 2, ballot: of_another(50) });
-    f.tell(3, 1, Msg::Learn { decrees: vec![decree(2, 0, &[], &[1, 2, 3])] });
+    f.tell(3, 1, Message::Prepare { instance: 2, ballot: of_another(50) });
+    f.tell(3, 1, Message::Learn { decrees: vec![decree(2, 0, &[], &[1, 2, 3])] });
     assert_eq!(f.node(1).version(), Some(2));
     let since = f.sent.len();
     change(&mut f, 2);
--- a/crates/core/tests/cache.rs
+++ b/crates/core/tests/cache.rs
@@ -2,14 +2,14 @@
 
 use std::cell::Cell;
 use sumacvale_core::base::{MS, Micros, SEC};
-use sumacvale_core::cache::{Ctx, Found, L1, L2, Look, Opts, Soft, Step, Ttl, get};
+use sumacvale_core::cache::{CacheOptions, Found, L1, L2, Look, LookupContext, Soft, Step, Ttl, get};
 
-fn at(now: Micros) -> Ctx {
-    Ctx { now, version: 1 }
+fn at(now: Micros) -> LookupContext {
+    LookupContext { now, version: 1 }
 }
 
-fn opts() -> Opts {
-    Opts { shards: 1, ..Opts::default() }
+fn opts() -> CacheOptions {
+    CacheOptions { shards: 1, ..CacheOptions::default() }
 }
 
 struct One {
@@ -21,15 +21,15 @@
 type R = Result<Found<u32>, Soft>;
 
 impl One {
-    fn new(o: Opts) -> Self {
+    fn new(o: CacheOptions) -> Self {
         One { l1: L1::new(&o), l2: L2::new(o), fetched: Cell::new(0) }
     }
 
-    fn get(&mut self, k: &str, c: Ctx, f: Result<Option<u32>, Soft>) -> R {
+    fn get(&mut self, k: &str, c: LookupContext, f: Result<Option<u32>, Soft>) -> R {
         self.get_ttl(k, c, f, Ttl::Usual)
     }
 
-    fn get_ttl(&mut self, k: &str, c: Ctx, f: Result<Option<u32>, Soft>, t: Ttl) -> R {
+    fn get_ttl(&mut self, k: &str, c: LookupContext, f: Result<Option<u32>, Soft>, t: Ttl) -> R {
         self.l1.update(&self.l2.log, || c.now);
         match get(&mut self.l1, &self.l2, k, c) {
             Step::Found(f) => Ok(f),
@@ -43,7 +43,7 @@
 }
 
 fn ok(val: Option<u32>, level: u8) -> R {
-    Ok(Found { val, level })
+    Ok(Found { value: val, level })
 }
 
 fn soft() -> Soft {
@@ -99,7 +99,7 @@
     assert_eq!(c.get("k", at(36 * SEC - 1), Ok(Some(2))), ok(Some(1), 1));
     assert_eq!(c.get("k", at(36 * SEC), Err(soft())), ok(Some(1), 4));
     assert_eq!(c.get("k", at(41 * SEC), Ok(Some(2))), ok(Some(2), 3));
-    let mut c = One::new(Opts { resurrect: None, ..opts() });
+    let mut c = One::new(CacheOptions { stale_ttl: None, ..opts() });
     let _ = c.get("k", at(0), Ok(Some(1)));
     assert_eq!(c.get("k", at(31 * SEC), Err(soft())), Err(soft()));
 }
@@ -108,7 +108,7 @@
 fn nothing_of_another_version_is_given_stale_or_not() {
     let mut c = One::new(opts());
     let _ = c.get("k", at(0), Ok(Some(1)));
-    let next = Ctx { now: 1, version: 2 };
+    let next = LookupContext { now: 1, version: 2 };
     assert_eq!(c.get("k", next, Err(soft())), Err(soft()));
     assert!(c.l2.stale("k", next).is_err());
     assert!(c.l2.peek("k", true, next).is_none());
@@ -125,25 +125,25 @@
     assert!(matches!(get(&mut b, &l2, "other", at(1)), Step::Fetch(_)), "another key waits for nobody");
     assert_eq!(l2.stale("k", at(2)), Err(Soft::LockWait), "nothing stale: the waiter is told");
     let _ = l2.finish(&mut a, "k", &l, Ok((Some(1), Ttl::Usual)), 1, at(3));
-    assert!(matches!(get(&mut b, &l2, "k", at(4)), Step::Found(Found { val: Some(1), level: 2 })));
+    assert!(matches!(get(&mut b, &l2, "k", at(4)), Step::Found(Found { value: Some(1), level: 2 })));
     assert!(matches!(get(&mut b, &l2, "k", at(5)), Step::Found(Found { level: 1, .. })), "promoted");
 
     // A waiter gets a stale value, which is not raised for others.
     let late = 31 * SEC;
     let Step::Fetch(l) = get(&mut a, &l2, "k", at(late)) else { panic!("ended: fetch") };
-    assert_eq!(l2.stale("k", at(late)), Ok(Found { val: Some(1), level: 4 }));
+    assert_eq!(l2.stale("k", at(late)), Ok(Found { value: Some(1), level: 4 }));
     assert!(matches!(get(&mut b, &l2, "k", at(late)), Step::Wait));
     // A fetch that outlives its lock writes nothing.
     let after = late + 6 * SEC;
     let Step::Fetch(m) = get(&mut b, &l2, "k", at(after)) else { panic!("the lock ended") };
     let _ = l2.finish(&mut b, "k", &m, Ok((Some(3), Ttl::Usual)), 1, at(after));
     let _ = l2.finish(&mut a, "k", &l, Ok((Some(2), Ttl::Usual)), 1, at(after + 1));
-    assert!(matches!(get(&mut a, &l2, "k", at(after + 2)), Step::Found(Found { val: Some(3), .. })));
+    assert!(matches!(get(&mut a, &l2, "k", at(after + 2)), Step::Found(Found { value: Some(3), .. })));
 }
 
 #[test]
 fn full_zones_free_their_oldest_thirty_at_a_try() {
-    let mut c = One::new(Opts { room: 1_000, miss_room: 100, ..opts() });
+    let mut c = One::new(CacheOptions { shard_capacity: 1_000, negative_capacity: 100, ..opts() });
     for i in 0..100 {
         let _ = c.get(&format!("k{i}"), at(0), Ok(Some(i)));
     }
--- a/crates/core/tests/config.rs
+++ b/crates/core/tests/config.rs
@@ -2,7 +2,7 @@
 
 use sonic_rs::{JsonContainerTrait, JsonValueTrait, Value};
 use std::path::Path;
-use sumacvale_core::config::judge;
+use sumacvale_core::config::validate;
 
 fn case(p: &Path) -> datatest_stable::Result<()> {
     let s = std::fs::read_to_string(p)?;
@@ -15,7 +15,7 @@
         .pointer(["troubles"])
         .and_then(|t| t.as_array().map(|a| a.iter().filter_map(|x| x.as_str().map(str::to_owned)).collect()))
         .ok_or("no troubles")?;
-    let mut got: Vec<String> = match judge(&body) {
+    let mut got: Vec<String> = match validate(&body) {
         Ok(_) => Vec::new(),
         Err(v) => v.iter().map(|t| format!("{} {}", t.code(), t.at()).trim_end().to_owned()).collect(),
     };
--- a/crates/core/tests/cutoff.rs
+++ b/crates/core/tests/cutoff.rs
@@ -4,10 +4,10 @@
 
 use nodes::{addr, doc, founded, me};
 use std::collections::BTreeMap;
-use sumacvale_core::agree::Kept;
 use sumacvale_core::base::{ChangeId, MS, Micros, Rng, SEC, hash64};
+use sumacvale_core::consensus::DurableState;
 use sumacvale_core::node::{Effect, Event, Node};
-use sumacvale_core::peer::{Change, Fate, Frame, Msg, Row};
+use sumacvale_core::protocol::{Change, ChangeOutcome, Frame, Message, WorkerReport};
 
 /// What is said of a call in the end.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -51,7 +51,7 @@
     nodes: Vec<Node>,
     wires: BTreeMap<(Micros, u64), (usize, usize, Frame)>,
     syncs: BTreeMap<(Micros, u64), (usize, u64)>,
-    kept: Vec<Kept>,
+    kept: Vec<DurableState>,
     /// Frames from the first to the second don't arrive.
     cut: Vec<(usize, usize)>,
     /// Processes that stand still.
@@ -67,11 +67,11 @@
     answers: BTreeMap<u64, (Answer, Micros)>,
     told: BTreeMap<u64, String>,
     /// Answers to orders and reads, as they were given.
-    fates: BTreeMap<u64, Fate>,
+    fates: BTreeMap<u64, ChangeOutcome>,
 }
 
-fn row(worker: &str, seq: u64) -> Row {
-    Row {
+fn row(worker: &str, seq: u64) -> WorkerReport {
+    WorkerReport {
         worker_id: worker.into(),
         incarnation: 1,
         seq,
@@ -79,14 +79,15 @@
         pool: "p".into(),
         zone: "z0".into(),
         slots: 4,
-        ..Row::default()
+        ..WorkerReport::default()
     }
 }
 
 impl Net {
     fn new(seed: u64, cores: usize, fronts: usize) -> Self {
         let k = founded(cores, doc(1, "p"), 1);
-        let kept: Vec<_> = (0..cores + fronts).map(|i| if i < cores { k.clone() } else { Kept::default() }).collect();
+        let kept: Vec<_> =
+            (0..cores + fronts).map(|i| if i < cores { k.clone() } else { DurableState::default() }).collect();
         let me = |i: usize| me(i, cores, SEC);
         let nodes = kept.iter().enumerate().map(|(i, k)| Node::new(me(i), k, seed * 10 + i as u64, SEC)).collect();
         let mut n = Net {
@@ -128,23 +129,23 @@
                 let late = if self.late > 0 { self.rng.below(self.late) } else { 0 };
                 self.wires.insert((self.now + MS + late, self.n), (i, j, *frame));
             }
-            Effect::Write { token, ops } => {
+            Effect::Write { token, writes: ops } => {
                 ops.iter().for_each(|o| self.kept[i].apply(o));
                 self.syncs.insert((self.now + self.sync, self.n), (i, token));
             }
-            Effect::Answer { req, fate } => {
+            Effect::CompleteChange { request_id: req, outcome: fate } => {
                 self.fates.insert(req, fate.clone());
                 let a = match &fate {
-                    Fate::Done { .. } | Fate::Told { .. } => Answer::Yes,
-                    Fate::NoMajority | Fate::Unknown => Answer::Unclear,
+                    ChangeOutcome::Committed { .. } | ChangeOutcome::Content { .. } => Answer::Yes,
+                    ChangeOutcome::NoQuorum | ChangeOutcome::Unknown => Answer::Unclear,
                     f => Answer::No(format!("{f:?}")),
                 };
-                if let Fate::Told { text } = fate {
+                if let ChangeOutcome::Content { text } = fate {
                     self.told.insert(req, text);
                 }
                 self.answers.insert(req, (a, self.now));
             }
-            Effect::Heard { req, ok } => {
+            Effect::AcknowledgeReport { request_id: req, is_accepted: ok } => {
                 self.answers.insert(req, (if ok { Answer::Yes } else { Answer::Unclear }, self.now));
             }
             _ => {}
@@ -205,25 +206,50 @@
                 self.order(i, req, base, &doc(base + 1, &format!("o{req}")));
             }
             Caller::Read => {
-                let change = Change::Newest;
-                self.step(i, Event::Put { req, change_id: ChangeId(0), fresh: false, base: 0, change });
+                let change = Change::ReadNewest;
+                self.step(
+                    i,
+                    Event::SubmitChange {
+                        request_id: req,
+                        change_id: ChangeId(0),
+                        is_first_send: false,
+                        base: 0,
+                        change,
+                    },
+                );
+            }
+            Caller::Beat => self.step(i, Event::ReportWithAck { request_id: req, report: row("old", req) }),
+            Caller::NewWorker => {
+                self.step(i, Event::ReportWithAck { request_id: req, report: row(&format!("w{req}"), 1) })
+            }
+            Caller::Drain => self.step(
+                i,
+                Event::ReportWithAck { request_id: req, report: WorkerReport { draining: true, ..row("drains", req) } },
+            ),
+            Caller::Leave => {
+                self.step(i, Event::ReportWithAck { request_id: req, report: WorkerReport::removal("leaves", 1) })
             }
-            Caller::Beat => self.step(i, Event::Told { req, row: row("old", req) }),
-            Caller::NewWorker => self.step(i, Event::Told { req, row: row(&format!("w{req}"), 1) }),
-            Caller::Drain => self.step(i, Event::Told { req, row: Row { drain: true, ..row("drains", req) } }),
-            Caller::Leave => self.step(i, Event::Told { req, row: Row::left("leaves", 1) }),
         }
         req
     }
 
     /// The number of the newest document that any node holds.
     fn newest(&self) -> u64 {
-        self.nodes.iter().map(|x| x.agree.last().map_or(0, |d| d.revision)).max().unwrap_or(0)
+        self.nodes.iter().map(|x| x.consensus.state.newest().map_or(0, |d| d.revision)).max().unwrap_or(0)
     }
 
     fn order(&mut self, i: usize, req: u64, base: u64, body: &str) {
         let change_id = ChangeId(hash64(body.as_bytes()).max(1));
-        self.step(i, Event::Put { req, change_id, fresh: false, base, change: Change::Doc(body.to_owned()) });
+        self.step(
+            i,
+            Event::SubmitChange {
+                request_id: req,
+                change_id,
+                is_first_send: false,
+                base,
+                change: Change::Document(body.to_owned()),
+            },
+        );
     }
 
     /// Waits for the end of a call: the answer and how long it took.
@@ -244,7 +270,7 @@
     /// Workers are known, so that beats are nothing new.
     fn workers(&mut self) {
         for (i, w) in ["old", "drains", "leaves"].iter().enumerate() {
-            self.step(i, Event::Told { req: i as u64, row: row(w, 1) });
+            self.step(i, Event::ReportWithAck { request_id: i as u64, report: row(w, 1) });
         }
         self.run(200 * MS);
     }
@@ -438,7 +464,8 @@
     for how in CUTS {
         for i in 0..3 {
             let mut n = Net::new(11, 3, 1);
-            let held = |n: &Net, i: usize| (0..8).filter(|d| n.nodes[i].terms.holds(*d, n.now).is_some()).count();
+            let held =
+                |n: &Net, i: usize| (0..8).filter(|d| n.nodes[i].leases.held.valid_epoch(*d, n.now).is_some()).count();
             n.cut_off(&[i], how);
             n.run(SEC);
             assert_eq!(held(&n, i), 0, "core {i} {how:?}: still grants a second after the cut");
@@ -505,7 +532,7 @@
             assert!(matches!(n.end(7).0, Answer::No(_)), "{name}, back: two on one base");
             n.run(SEC);
             for i in 0..3 {
-                assert_eq!(n.nodes[i].agree.last().map(|d| d.body.clone()), Some(body.clone()), "{name}");
+                assert_eq!(n.nodes[i].consensus.state.newest().map(|d| d.body.clone()), Some(body.clone()), "{name}");
             }
         }
     }
@@ -540,8 +567,9 @@
     for seed in 1..6 {
         let mut n = Net::new(seed, cores, 1);
         let req = n.call(front, Caller::Order);
-        let casts =
-            |n: &Net| n.wires.values().find(|w| matches!(w.2.msg, Msg::Accept { .. }) && w.0 != w.1).map(|w| w.0);
+        let casts = |n: &Net| {
+            n.wires.values().find(|w| matches!(w.2.message, Message::Accept { .. }) && w.0 != w.1).map(|w| w.0)
+        };
         let end = n.now + SEC;
         while casts(&n).is_none() && n.now < end {
             n.run(MS);
@@ -554,11 +582,11 @@
         n.end(req);
         n.cut.clear();
         n.run(8 * SEC);
-        let taken = n.nodes.iter().all(|x| x.agree.last().is_some_and(|d| d.revision == 2));
+        let taken = n.nodes.iter().all(|x| x.consensus.state.newest().is_some_and(|d| d.revision == 2));
         assert!(taken, "seed {seed}: the order that was sent stands in the end");
         assert_eq!(
             n.fates.get(&req),
-            Some(&Fate::Unknown),
+            Some(&ChangeOutcome::Unknown),
             "seed {seed}: the answer must not promise that it never will"
         );
     }
