--- a/crates/core/tests/digests.rs
+++ b/crates/core/tests/digests.rs
@@ -1,59 +1,59 @@
 //! Digests of decided versions: what is concluded from them, and what is not where some are missing.
 
-use sumacvale_core::agree::{DIGESTS, Digests, Known};
 use sumacvale_core::base::{ChangeId, NodeId, Version};
-use sumacvale_core::peer::{Change, Core, Decree, Digest};
+use sumacvale_core::consensus::{ChangeStatus, DigestLog, MAX_DIGESTS};
+use sumacvale_core::protocol::{Change, EntryDigest, LogEntry, Voter};
 
-fn core(n: u64) -> Core {
-    Core { node_id: NodeId(n), addr: format!("10.0.0.{n}:1") }
+fn core(n: u64) -> Voter {
+    Voter { node_id: NodeId(n), addr: format!("10.0.0.{n}:1") }
 }
 
 /// Version `version` with a document of number `3 * version`.
-fn decree(version: Version) -> Decree {
-    Decree {
+fn decree(version: Version) -> LogEntry {
+    LogEntry {
         version,
         change_id: ChangeId(version + 100),
-        fleet: 9,
-        since: 0,
-        old: Vec::new(),
-        cores: vec![core(1)],
+        fleet_id: 9,
+        voters_since: 0,
+        previous_voters: Vec::new(),
+        voters: vec![core(1)],
         body: format!("document {version}"),
         revision: 3 * version,
         patch: None,
-        packed: Vec::new(),
+        compressed: Vec::new(),
     }
 }
 
-fn digests(versions: impl IntoIterator<Item = Version>) -> Digests {
-    let mut all = Digests::default();
-    all.extend(versions.into_iter().map(|v| Digest::of(&decree(v))));
+fn digests(versions: impl IntoIterator<Item = Version>) -> DigestLog {
+    let mut all = DigestLog::default();
+    all.insert_all(versions.into_iter().map(|v| EntryDigest::of(&decree(v))));
     all
 }
 
 fn document(version: Version) -> Change {
-    Change::Doc(decree(version).body)
+    Change::Document(decree(version).body)
 }
 
 #[test]
 fn a_change_is_known_by_its_id_and_all_of_its_bytes() {
     let all = digests(0..10);
-    assert_eq!(all.find(ChangeId(104), &document(4)), Known::Taken(4));
-    assert_eq!(all.find(ChangeId(104), &document(5)), Known::Reused);
-    assert_eq!(all.find(ChangeId(999), &document(4)), Known::Absent);
+    assert_eq!(all.status_of(ChangeId(104), &document(4)), ChangeStatus::Decided(4));
+    assert_eq!(all.status_of(ChangeId(104), &document(5)), ChangeStatus::IdReused);
+    assert_eq!(all.status_of(ChangeId(999), &document(4)), ChangeStatus::Unknown);
     // Of two changes under one id each is known.
     let mut all = digests(0..10);
-    all.extend([Digest::of(&Decree { change_id: ChangeId(104), body: "other".into(), ..decree(10) })]);
-    assert_eq!(all.find(ChangeId(104), &document(4)), Known::Taken(4));
-    assert_eq!(all.find(ChangeId(104), &Change::Doc("other".into())), Known::Taken(10));
+    all.insert_all([EntryDigest::of(&LogEntry { change_id: ChangeId(104), body: "other".into(), ..decree(10) })]);
+    assert_eq!(all.status_of(ChangeId(104), &document(4)), ChangeStatus::Decided(4));
+    assert_eq!(all.status_of(ChangeId(104), &Change::Document("other".into())), ChangeStatus::Decided(10));
 }
 
 #[test]
 fn a_change_of_the_cores_is_known_by_the_cores() {
     let mut all = digests(0..3);
-    all.extend([Digest::of(&Decree { since: 3, cores: vec![core(1), core(2)], ..decree(3) })]);
-    assert_eq!(all.find(ChangeId(103), &Change::Cores(vec![core(2), core(1)])), Known::Taken(3));
-    assert_eq!(all.find(ChangeId(103), &Change::Cores(vec![core(1)])), Known::Reused);
-    assert_eq!(all.find(ChangeId(103), &document(3)), Known::Reused);
+    all.insert_all([EntryDigest::of(&LogEntry { voters_since: 3, voters: vec![core(1), core(2)], ..decree(3) })]);
+    assert_eq!(all.status_of(ChangeId(103), &Change::Voters(vec![core(2), core(1)])), ChangeStatus::Decided(3));
+    assert_eq!(all.status_of(ChangeId(103), &Change::Voters(vec![core(1)])), ChangeStatus::IdReused);
+    assert_eq!(all.status_of(ChangeId(103), &document(3)), ChangeStatus::IdReused);
 }
 
 #[test]
@@ -81,13 +81,13 @@
 fn what_is_missing_is_asked_for_from_the_newest_on_in_pieces() {
     let full = digests(0..1_000);
     let mut mine = digests((0..50).chain(400..410).chain([999]));
-    assert_eq!(mine.missing(), Some((410, 998)));
+    assert_eq!(mine.newest_gap(), Some((410, 998)));
     let mut pieces = 0;
-    while let Some((from, to)) = mine.missing() {
-        let piece = full.piece(from, to, 300);
+    while let Some((from, to)) = mine.newest_gap() {
+        let piece = full.chunk(from, to, 300);
         assert!(piece.len() <= 300 && piece.last().is_some_and(|d| d.version == to));
-        assert_eq!(mine.extend(piece.clone()), piece, "all of it is new");
-        assert!(mine.extend(piece).is_empty(), "nothing is taken twice");
+        assert_eq!(mine.insert_all(piece.clone()), piece, "all of it is new");
+        assert!(mine.insert_all(piece).is_empty(), "nothing is taken twice");
         pieces += 1;
     }
     assert_eq!((mine, pieces), (full, 4));
@@ -95,13 +95,13 @@
 
 #[test]
 fn the_oldest_go_where_there_are_too_many() {
-    let most = DIGESTS as Version;
+    let most = MAX_DIGESTS as Version;
     let mut all = digests(0..most);
-    assert_eq!((all.len(), all.missing()), (DIGESTS, None));
-    all.extend([Digest::of(&decree(most + 4))]);
-    assert_eq!((all.floor(), all.len()), (5, DIGESTS - 4));
-    assert_eq!(all.find(ChangeId(104), &document(4)), Known::Absent);
-    assert_eq!(all.find(ChangeId(105), &document(5)), Known::Taken(5));
-    assert_eq!(all.missing(), Some((most, most + 3)));
-    assert!(all.extend([Digest::of(&decree(3))]).is_empty(), "what is too old is not taken");
+    assert_eq!((all.len(), all.newest_gap()), (MAX_DIGESTS, None));
+    all.insert_all([EntryDigest::of(&decree(most + 4))]);
+    assert_eq!((all.lowest_kept_version(), all.len()), (5, MAX_DIGESTS - 4));
+    assert_eq!(all.status_of(ChangeId(104), &document(4)), ChangeStatus::Unknown);
+    assert_eq!(all.status_of(ChangeId(105), &document(5)), ChangeStatus::Decided(5));
+    assert_eq!(all.newest_gap(), Some((most, most + 3)));
+    assert!(all.insert_all([EntryDigest::of(&decree(3))]).is_empty(), "what is too old is not taken");
 }
--- a/crates/core/tests/documents/main.rs
+++ b/crates/core/tests/documents/main.rs
@@ -9,12 +9,12 @@
 use net::{ALL, CORES, FRONT, Net, me};
 use nodes::{core, doc};
 use std::collections::{BTreeMap, BTreeSet};
-use sumacvale_core::agree::{HISTORY_BYTES, Op};
 use sumacvale_core::base::{ChangeId, MS, Micros, NodeId, Rng, SEC, hash64};
-use sumacvale_core::config::Plan;
-use sumacvale_core::config::check::Trouble;
-use sumacvale_core::node::{BODY_MOST, Effect, Event, Me, Node, UNSYNCED_MOST};
-use sumacvale_core::peer::{Change, Fate, Frame, Msg, Peer};
+use sumacvale_core::config::CompiledConfig;
+use sumacvale_core::config::check::ConfigError;
+use sumacvale_core::consensus::{DurableWrite, MAX_HISTORY_BYTES};
+use sumacvale_core::node::{Effect, Event, MAX_BODY_BYTES, MAX_UNSYNCED_BYTES, Node, NodeSettings};
+use sumacvale_core::protocol::{Change, ChangeOutcome, Frame, Message, PeerRecord};
 
 #[test]
 fn documents_build_on_one_another_by_their_own_numbers() {
@@ -186,7 +186,7 @@
                     }
                     // What it builds on is what some core holds, which may be old.
                     let i = usize::try_from(r.below(3)).expect("small");
-                    let base = n.nodes[i].agree.last().map_or(0, |d| d.revision);
+                    let base = n.nodes[i].consensus.state.newest().map_or(0, |d| d.revision);
                     serial += 1;
                     let revision = base + 1 + r.below(9);
                     let body = doc(revision, &format!("by{k}n{serial}"));
@@ -293,21 +293,35 @@
     let change_id = ChangeId(hash64(body.as_bytes()).max(1));
     n.cut.push(0);
     // The front came here first; this core can't reach the others.
-    let msg = Msg::Forward { n: 9, change_id, fresh: true, base: 0, change: Change::Doc(body.clone()) };
-    let frame = Frame { from: core(FRONT).node_id, to: core(0).node_id, incarnation: SEC, fleet: 7, sent: n.now, msg };
+    let msg = Message::Forward { n: 9, change_id, fresh: true, base: 0, change: Change::Document(body.clone()) };
+    let frame = Frame {
+        from: core(FRONT).node_id,
+        to: core(0).node_id,
+        incarnation: SEC,
+        fleet_id: 7,
+        sent_at: n.now,
+        message: msg,
+    };
     n.step(0, Event::Frame(Box::new(frame)));
     // It went on to another one, which took it, and so was a further one.
     assert_eq!(n.put_soon(1, 0, &body), "done");
     assert_eq!(n.put_soon(1, 2, &doc(4, "b")), "done");
-    let newest = n.nodes[1].agree.last().expect("has a version").clone();
-    let msg = Msg::Learn { decrees: vec![newest] };
-    let frame = Frame { from: core(1).node_id, to: core(0).node_id, incarnation: SEC, fleet: 7, sent: n.now, msg };
+    let newest = n.nodes[1].consensus.state.newest().expect("has a version").clone();
+    let msg = Message::Learn { decrees: vec![newest] };
+    let frame = Frame {
+        from: core(1).node_id,
+        to: core(0).node_id,
+        incarnation: SEC,
+        fleet_id: 7,
+        sent_at: n.now,
+        message: msg,
+    };
     n.sent.clear();
     n.step(0, Event::Frame(Box::new(frame)));
     n.run(4 * SEC);
     let said: Vec<_> = n.sent.iter().filter(|s| s.0 == 0).filter_map(|s| s.2.clone()).collect();
     assert!(!said.is_empty(), "it says something in the end");
-    assert!(!said.iter().any(|f| matches!(f, Fate::Stale { .. })), "taken and refused: {said:?}");
+    assert!(!said.iter().any(|f| matches!(f, ChangeOutcome::Stale { .. })), "taken and refused: {said:?}");
 }
 
 /// A document with 350 matches, as a large fleet has.
@@ -370,14 +384,15 @@
         let by = usize::try_from(stalled % 2).expect("small");
         assert_eq!(n.put_soon(by, stalled, &huge(stalled + 1)), "done");
         stalled += 1;
-        most = most.max(n.waiting.iter().flat_map(|w| &w.2).map(Op::size).sum());
+        most = most.max(n.waiting.iter().flat_map(|w| &w.2).map(DurableWrite::size).sum());
     }
-    let held: Vec<usize> = n.nodes.iter().map(|x| x.agree.history.values().map(|d| d.body.len()).sum()).collect();
+    let held: Vec<usize> =
+        n.nodes.iter().map(|x| x.consensus.state.history.values().map(|d| d.body.len()).sum()).collect();
     println!("20 versions of 4 MiB: bodies held {held:?}, at most {most} bytes waited for the disk");
-    assert!(held.iter().all(|b| *b <= HISTORY_BYTES), "{held:?}");
-    assert_eq!(n.nodes[FRONT].agree.history.len(), 1, "a front holds the newest alone");
+    assert!(held.iter().all(|b| *b <= MAX_HISTORY_BYTES), "{held:?}");
+    assert_eq!(n.nodes[FRONT].consensus.state.history.len(), 1, "a front holds the newest alone");
     assert_eq!(held[FRONT], huge(stalled).len());
-    assert!(most <= UNSYNCED_MOST + 2 * huge(1).len(), "{most}");
+    assert!(most <= MAX_UNSYNCED_BYTES + 2 * huge(1).len(), "{most}");
     n.resume();
     n.run(2 * SEC);
     assert_eq!(n.nodes[2].version(), n.nodes[0].version(), "it learns what it missed");
@@ -388,19 +403,23 @@
 }
 
 /// Reads any text as a document with the number 1.
-fn read_anything(_: &str) -> Result<Plan, Vec<Trouble>> {
-    Ok(Plan { revision: 1, ..Plan::default() })
+fn read_anything(_: &str) -> Result<CompiledConfig, Vec<ConfigError>> {
+    Ok(CompiledConfig { revision: 1, ..CompiledConfig::default() })
 }
 
 #[test]
 fn a_change_that_no_frame_could_bring_on_is_refused() {
     let n = Net::new(16);
     let kept = n.kept[0].clone();
-    let mut node = Node::new(Me { read: read_anything, ..me(0, SEC) }, &kept, 1, SEC);
-    for (size, refused) in [(BODY_MOST, false), (BODY_MOST + 1, true)] {
-        let change = Change::Doc(" ".repeat(size));
-        let out = node.step(Event::Put { req: 1, change_id: ChangeId(5), fresh: false, base: 0, change }, 2 * SEC);
-        let invalid = out.iter().any(|e| matches!(e, Effect::Answer { fate: Fate::Invalid { .. }, .. }));
+    let mut node = Node::new(NodeSettings { config_reader: read_anything, ..me(0, SEC) }, &kept, 1, SEC);
+    for (size, refused) in [(MAX_BODY_BYTES, false), (MAX_BODY_BYTES + 1, true)] {
+        let change = Change::Document(" ".repeat(size));
+        let out = node.step(
+            Event::SubmitChange { request_id: 1, change_id: ChangeId(5), is_first_send: false, base: 0, change },
+            2 * SEC,
+        );
+        let invalid =
+            out.iter().any(|e| matches!(e, Effect::CompleteChange { outcome: ChangeOutcome::Invalid { .. }, .. }));
         assert_eq!(invalid, refused, "{size}");
     }
 }
@@ -424,36 +443,43 @@
 fn a_large_version_is_handed_to_a_few_askers_at_a_time() {
     const ASKERS: u64 = 12;
     let mut n = Net::new(18);
-    let peer = |i: u64| Peer {
+    let peer = |i: u64| PeerRecord {
         node_id: NodeId(900 + i),
         incarnation: 1,
-        beat: 1,
+        heartbeat: 1,
         addr: format!("asker{i}"),
         admin: String::new(),
         zone: "z0".into(),
-        core: false,
-        leaving: false,
+        is_core: false,
+        draining: false,
         version: 0,
     };
-    let frame = |n: &Net, from, msg| Frame { from, to: core(0).node_id, incarnation: 1, fleet: 7, sent: n.now, msg };
+    let frame = |n: &Net, from, msg| Frame {
+        from,
+        to: core(0).node_id,
+        incarnation: 1,
+        fleet_id: 7,
+        sent_at: n.now,
+        message: msg,
+    };
     for i in 0..ASKERS {
         let rows = vec![peer(i)];
-        let msg = Msg::Gossip { beats: vec![], rows, ask: vec![], reply: false, set: 0, pulse: vec![] };
+        let msg = Message::Gossip { beats: vec![], rows, ask: vec![], reply: false, set: 0, pulse: vec![] };
         let f = frame(&n, peer(i).node_id, msg);
         n.step(0, Event::Frame(Box::new(f)));
-        let ask = Msg::Ask { seq: 1, version: 1, idx: 0, of: 0, svcs: vec!["config".into()] };
+        let ask = Message::Ask { seq: 1, version: 1, idx: 0, of: 0, svcs: vec!["config".into()] };
         let f = frame(&n, peer(i).node_id, ask);
         n.step(0, Event::Frame(Box::new(f)));
     }
     n.told.clear();
     // Text that does not get smaller by packing it.
     let mut rng = Rng::new(18);
-    let noise: String = (0..3 << 16).map(|_| format!("{:016x}", rng.draw())).collect();
+    let noise: String = (0..3 << 16).map(|_| format!("{:016x}", rng.next_u64())).collect();
     assert_eq!(n.put_soon(1, 0, &doc(1, &noise)), "done");
     n.run(SEC / 2);
     let by_zero: Vec<_> = n.told.iter().filter(|t| t.0.0 == 0).map(|t| *t.1).collect();
     let (most, sum) = (by_zero.iter().max().copied().unwrap_or(0), by_zero.iter().sum::<usize>());
-    let one = n.nodes[0].agree.last().map_or(0, |d| d.stripped().size());
+    let one = n.nodes[0].consensus.state.newest().map_or(0, |d| d.without_body().size());
     assert!(one > noise.len() / 3 && one < noise.len(), "{one} bytes packed of {}", noise.len());
     assert!(most <= one, "{most} bytes in one step, {one} for one");
     assert!(sum >= one * usize::try_from(ASKERS).expect("small"), "all were told: {sum}");
--- a/crates/core/tests/documents/net.rs
+++ b/crates/core/tests/documents/net.rs
@@ -2,10 +2,10 @@
 
 use super::nodes::{self, addr, core, founded};
 use std::collections::BTreeMap;
-use sumacvale_core::agree::{Kept, Op};
 use sumacvale_core::base::{ChangeId, MS, Micros, NodeId, Rng, SEC, hash64};
-use sumacvale_core::node::{Effect, Event, Me, Node};
-use sumacvale_core::peer::{Change, Core, Decree, Fate, Frame, Msg};
+use sumacvale_core::consensus::{DurableState, DurableWrite};
+use sumacvale_core::node::{Effect, Event, Node, NodeSettings};
+use sumacvale_core::protocol::{Change, ChangeOutcome, Frame, LogEntry, Message, Voter};
 
 pub const CORES: usize = 3;
 /// A front, which hands changes on.
@@ -18,53 +18,53 @@
     pub nodes: Vec<Node>,
     pub wires: BTreeMap<(Micros, u64), (usize, Frame)>,
     /// What each node has on its disk; a front has none.
-    pub kept: Vec<Kept>,
+    pub kept: Vec<DurableState>,
     pub cut: Vec<usize>,
     pub dead: Vec<usize>,
     /// So many of a hundred frames don't arrive.
     pub lost: u64,
     pub rng: Rng,
     pub n: u64,
-    pub fates: BTreeMap<u64, Fate>,
+    pub fates: BTreeMap<u64, ChangeOutcome>,
     /// Who each machine is: one that lost its disk comes back as another.
     pub ids: Vec<NodeId>,
     /// Kinds of messages that get lost.
     pub mute: Vec<&'static str>,
     /// Machines whose disk stands still, and what waits for it.
     pub stalled: Vec<usize>,
-    pub waiting: Vec<(usize, u64, Vec<Op>)>,
+    pub waiting: Vec<(usize, u64, Vec<DurableWrite>)>,
     /// Bytes of versions told to askers, by the teller and the moment.
     pub told: BTreeMap<(usize, Micros), usize>,
     /// Every message that was sent: by whom, its kind, and the answer that it brings.
-    pub sent: Vec<(usize, String, Option<Fate>)>,
+    pub sent: Vec<(usize, String, Option<ChangeOutcome>)>,
     /// Bytes of versions and changes that went to other machines.
     pub bytes: usize,
 }
 
-fn kind(m: &Msg) -> String {
+fn kind(m: &Message) -> String {
     format!("{m:?}").split([' ', '{']).next().unwrap_or_default().to_owned()
 }
 
 /// The bytes of versions and changes in a message.
-fn bytes(msg: &Msg) -> usize {
+fn bytes(msg: &Message) -> usize {
     match msg {
-        Msg::Promise { accepted: Some((_, decree)), .. } | Msg::Accept { decree, .. } => decree.size(),
-        Msg::Learn { decrees } => decrees.iter().map(Decree::size).sum(),
-        Msg::Tell { before, decree, .. } => before.iter().chain(decree).map(Decree::size).sum(),
-        Msg::Forward { change, .. } => change.size(),
+        Message::Promise { accepted: Some((_, decree)), .. } | Message::Accept { decree, .. } => decree.size(),
+        Message::Learn { decrees } => decrees.iter().map(LogEntry::size).sum(),
+        Message::Tell { before, decree, .. } => before.iter().chain(decree).map(LogEntry::size).sum(),
+        Message::Forward { change, .. } => change.size(),
         _ => 0,
     }
 }
 
 /// Each machine is in a zone of its own.
-pub fn me(i: usize, incarnation: Micros) -> Me {
-    Me { zone: format!("z{i}"), ..nodes::me(i, CORES, incarnation) }
+pub fn me(i: usize, incarnation: Micros) -> NodeSettings {
+    NodeSettings { zone: format!("z{i}"), ..nodes::me(i, CORES, incarnation) }
 }
 
 impl Net {
     pub fn new(seed: u64) -> Self {
         let k = founded(CORES, "{}".into(), 0);
-        let kept: Vec<_> = (0..ALL).map(|i| if i < CORES { k.clone() } else { Kept::default() }).collect();
+        let kept: Vec<_> = (0..ALL).map(|i| if i < CORES { k.clone() } else { DurableState::default() }).collect();
         let nodes = kept.iter().enumerate().map(|(i, k)| Node::new(me(i, SEC), k, seed * 10 + i as u64, SEC)).collect();
         let mut n = Net {
             now: SEC,
@@ -97,22 +97,23 @@
         for e in self.nodes[i].step(e, now) {
             match e {
                 Effect::Send { to, frame } => {
-                    if let Msg::Tell { decree: Some(d), .. } = &frame.msg {
+                    if let Message::Tell { decree: Some(d), .. } = &frame.message {
                         *self.told.entry((i, now)).or_default() += d.size();
                     }
                     let Some(j) = (0..ALL).find(|j| addr(*j) == to) else { continue };
                     if i != j {
-                        self.bytes += bytes(&frame.msg);
+                        self.bytes += bytes(&frame.message);
                     }
-                    let answer = if let Msg::Forwarded { fate, .. } = &frame.msg { Some(fate.clone()) } else { None };
-                    if !matches!(frame.msg, Msg::Gossip { .. }) {
+                    let answer =
+                        if let Message::Forwarded { fate, .. } = &frame.message { Some(fate.clone()) } else { None };
+                    if !matches!(frame.message, Message::Gossip { .. }) {
                         // The name alone: a large body is not written out.
-                        let name = match &frame.msg {
-                            Msg::Accept { .. } => "Accept".into(),
-                            Msg::Learn { .. } => "Learn".into(),
-                            Msg::Promise { .. } => "Promise".into(),
-                            Msg::Tell { .. } => "Tell".into(),
-                            Msg::Forward { .. } => "Forward".into(),
+                        let name = match &frame.message {
+                            Message::Accept { .. } => "Accept".into(),
+                            Message::Learn { .. } => "Learn".into(),
+                            Message::Promise { .. } => "Promise".into(),
+                            Message::Tell { .. } => "Tell".into(),
+                            Message::Forward { .. } => "Forward".into(),
                             m => kind(m),
                         };
                         let lost = self.mute.contains(&name.as_str());
@@ -130,12 +131,12 @@
                     self.n += 1;
                     self.wires.insert((now + MS, self.n), (j, *frame));
                 }
-                Effect::Write { token, ops } if self.stalled.contains(&i) => self.waiting.push((i, token, ops)),
-                Effect::Write { token, ops } => {
+                Effect::Write { token, writes: ops } if self.stalled.contains(&i) => self.waiting.push((i, token, ops)),
+                Effect::Write { token, writes: ops } => {
                     ops.iter().for_each(|o| self.kept[i].apply(o));
                     self.step(i, Event::Synced(token));
                 }
-                Effect::Answer { req, fate } => {
+                Effect::CompleteChange { request_id: req, outcome: fate } => {
                     self.fates.insert(req, fate);
                 }
                 _ => {}
@@ -145,8 +146,8 @@
 
     /// Number and document of each version that any node or disk ever had.
     pub fn known(&self, all: &mut BTreeMap<u64, (u64, String)>) {
-        let kept = self.kept.iter().flat_map(|k| k.decrees.values());
-        for d in self.nodes.iter().flat_map(|x| x.agree.history.values()).chain(kept) {
+        let kept = self.kept.iter().flat_map(|k| k.entries.values());
+        for d in self.nodes.iter().flat_map(|x| x.consensus.state.history.values()).chain(kept) {
             let o = all.entry(d.version).or_insert_with(|| (d.revision, d.body.clone()));
             assert_eq!(o.1, d.body, "version {} is one document", d.version);
         }
@@ -154,23 +155,32 @@
 
     /// Its process ended and starts anew, with its disk.
     pub fn start(&mut self, i: usize) {
-        let (now, seed) = (self.now, self.rng.draw());
-        let me = Me { node_id: self.ids[i], ..me(i, now) };
+        let (now, seed) = (self.now, self.rng.next_u64());
+        let me = NodeSettings { node_id: self.ids[i], ..me(i, now) };
         self.nodes[i] = Node::new(me, &self.kept[i], seed, now);
         self.dead.retain(|d| *d != i);
     }
 
     /// Its disk was lost: it starts as somebody else, and takes the old one's place.
     pub fn wipe(&mut self, i: usize) {
-        self.kept[i] = Kept::default();
+        self.kept[i] = DurableState::default();
         self.ids[i] = NodeId(100 + self.now);
         self.start(i);
         self.run(2 * SEC);
-        let cores = (0..CORES).map(|j| Core { node_id: self.ids[j], addr: addr(j) }).collect();
+        let cores = (0..CORES).map(|j| Voter { node_id: self.ids[j], addr: addr(j) }).collect();
         let (by, base) = ((i + 1) % CORES, self.nodes[(i + 1) % CORES].version().expect("has a version"));
         let req = 500_000 + self.n;
         let change_id = ChangeId(req);
-        self.step(by, Event::Put { req, change_id, fresh: true, base, change: Change::Cores(cores) });
+        self.step(
+            by,
+            Event::SubmitChange {
+                request_id: req,
+                change_id,
+                is_first_send: true,
+                base,
+                change: Change::Voters(cores),
+            },
+        );
         assert_eq!(self.wait(req, 4 * SEC), "done");
     }
 
@@ -228,7 +238,16 @@
 
     pub fn put(&mut self, i: usize, req: u64, base: u64, body: &str) {
         let change_id = ChangeId(hash64(body.as_bytes()).max(1));
-        self.step(i, Event::Put { req, change_id, fresh: false, base, change: Change::Doc(body.to_owned()) });
+        self.step(
+            i,
+            Event::SubmitChange {
+                request_id: req,
+                change_id,
+                is_first_send: false,
+                base,
+                change: Change::Document(body.to_owned()),
+            },
+        );
     }
 
     /// Sends one and waits for its end, which must come within the time that one who asks waits.
@@ -242,15 +261,24 @@
 
     pub fn cores(&mut self, req: u64, base: u64, of: &[usize]) {
         let cs = of.iter().map(|i| core(*i)).collect();
-        self.step(0, Event::Put { req, change_id: ChangeId(77), fresh: true, base, change: Change::Cores(cs) });
+        self.step(
+            0,
+            Event::SubmitChange {
+                request_id: req,
+                change_id: ChangeId(77),
+                is_first_send: true,
+                base,
+                change: Change::Voters(cs),
+            },
+        );
     }
 
     pub fn end(&self, req: u64) -> String {
         match self.fates.get(&req) {
             None => "none".into(),
-            Some(Fate::Done { .. }) => "done".into(),
-            Some(Fate::Stale { .. }) => "stale".into(),
-            Some(Fate::Invalid { .. }) => "invalid".into(),
+            Some(ChangeOutcome::Committed { .. }) => "done".into(),
+            Some(ChangeOutcome::Stale { .. }) => "stale".into(),
+            Some(ChangeOutcome::Invalid { .. }) => "invalid".into(),
             Some(f) => format!("{f:?}"),
         }
     }
@@ -259,7 +287,7 @@
     pub fn held(&self) -> (u64, String) {
         let mut v: Vec<_> = (0..CORES)
             .filter(|i| !self.cut.contains(i))
-            .map(|i| self.nodes[i].agree.last().map_or((0, String::new()), |d| (d.version, d.body.clone())))
+            .map(|i| self.nodes[i].consensus.state.newest().map_or((0, String::new()), |d| (d.version, d.body.clone())))
             .collect();
         v.dedup();
         assert_eq!(v.len(), 1, "{v:?}");
--- a/crates/core/tests/documents/packed.rs
+++ b/crates/core/tests/documents/packed.rs
@@ -4,20 +4,20 @@
 use super::nodes::doc;
 use sumacvale_core::base::{ChangeId, SEC};
 use sumacvale_core::config::{Item, ListPatch, Patch};
-use sumacvale_core::peer::Decree;
+use sumacvale_core::protocol::LogEntry;
 
-fn decree(body: String, patch: Option<Patch>) -> Decree {
-    Decree {
+fn decree(body: String, patch: Option<Patch>) -> LogEntry {
+    LogEntry {
         version: 5,
         change_id: ChangeId(1),
-        fleet: 7,
-        since: 0,
-        old: Vec::new(),
-        cores: Vec::new(),
+        fleet_id: 7,
+        voters_since: 0,
+        previous_voters: Vec::new(),
+        voters: Vec::new(),
         body,
         revision: 9,
         patch,
-        packed: Vec::new(),
+        compressed: Vec::new(),
     }
 }
 
@@ -37,36 +37,45 @@
 
 #[test]
 fn a_packed_version_is_the_same_version() {
-    let before = Decree { version: 4, ..decree("{\"revision\":1}".into(), None) };
+    let before = LogEntry { version: 4, ..decree("{\"revision\":1}".into(), None) };
     for (name, count, by_patch) in [
         ("a small document", 2, false),
         ("a large document", 1_600, false),
         ("a small patch", 2, true),
         ("a large patch", 1_600, true),
     ] {
-        let whole = decree(document(count), by_patch.then(|| patch(count))).packed();
-        for told in [whole.stripped(), whole.alone(), whole.packed_alone()] {
-            let made = told.clone().restored(&before).expect(name);
+        let whole = decree(document(count), by_patch.then(|| patch(count))).compress();
+        for told in [whole.without_body(), whole.self_contained(), whole.self_contained_compressed()] {
+            let made = told.clone().with_body_from(&before).expect(name);
             let same = (made.version, &made.body, made.revision) == (whole.version, &whole.body, whole.revision);
             assert!(same && made.patch == whole.patch, "{name}");
             // What it is told by next is the same again.
-            assert_eq!(made.stripped().restored(&before).map(|d| d.body), Some(whole.body.clone()), "{name}");
+            assert_eq!(made.without_body().with_body_from(&before).map(|d| d.body), Some(whole.body.clone()), "{name}");
         }
         let large = count > 100;
-        assert_eq!(whole.stripped().size() * 4 < whole.body.len(), large, "{name}: {}", whole.stripped().size());
-        assert_eq!(whole.packed_alone().size() * 4 < whole.body.len(), large, "{name}: one who holds none before it");
+        assert_eq!(
+            whole.without_body().size() * 4 < whole.body.len(),
+            large,
+            "{name}: {}",
+            whole.without_body().size()
+        );
+        assert_eq!(
+            whole.self_contained_compressed().size() * 4 < whole.body.len(),
+            large,
+            "{name}: one who holds none before it"
+        );
     }
 }
 
 #[test]
 fn what_is_no_packed_version_is_refused() {
-    let good = decree(document(1_600), None).packed().stripped();
+    let good = decree(document(1_600), None).compress().without_body();
     for (name, packed) in [
-        ("cut short", good.packed[..good.packed.len() / 2].to_vec()),
+        ("cut short", good.compressed[..good.compressed.len() / 2].to_vec()),
         ("other bytes", vec![7; 100]),
         ("a bomb", miniz_oxide::deflate::compress_to_vec(&vec![0; 64 << 20], 3)),
     ] {
-        assert_eq!(Decree { packed, ..good.clone() }.unpacked(), None, "{name}");
+        assert_eq!(LogEntry { compressed: packed, ..good.clone() }.decompress(), None, "{name}");
     }
 }
 
@@ -86,11 +95,11 @@
     let size = large(2).len();
     println!("a document of {size} bytes: {} bytes to {CORES} cores and a front", net.bytes);
     assert!(net.bytes < size, "{} of {size}", net.bytes);
-    assert_eq!(net.nodes[FRONT].agree.last().map(|d| d.body.clone()), Some(large(2)));
+    assert_eq!(net.nodes[FRONT].consensus.state.newest().map(|d| d.body.clone()), Some(large(2)));
     // A core that lost its disk, and a front that starts, get it so too.
     net.wipe(2);
     net.start(FRONT);
     net.run(3 * SEC);
     assert_eq!(net.held().1, large(2));
-    assert_eq!(net.nodes[FRONT].agree.last().map(|d| d.body.clone()), Some(large(2)));
+    assert_eq!(net.nodes[FRONT].consensus.state.newest().map(|d| d.body.clone()), Some(large(2)));
 }
--- a/crates/core/tests/documents/patches.rs
+++ b/crates/core/tests/documents/patches.rs
@@ -2,9 +2,9 @@
 
 use super::net::{ALL, CORES, FRONT, Net};
 use sumacvale_core::base::{ChangeId, SEC};
-use sumacvale_core::config::{Item, ListPatch, Patch, Plan, Trouble};
+use sumacvale_core::config::{CompiledConfig, ConfigError, Item, ListPatch, Patch};
 use sumacvale_core::node::Event;
-use sumacvale_core::peer::{Change, Decree, Fate};
+use sumacvale_core::protocol::{Change, ChangeOutcome, LogEntry};
 
 fn item(name: &str, what: u64) -> Item {
     Item { name: name.into(), json: format!("{{\"name\":\"{name}\",\"what\":{what}}}") }
@@ -67,21 +67,21 @@
 }
 
 /// Reads a document of rows; one whose `what` is 666666 is invalid.
-fn read(text: &str) -> Result<Plan, Vec<Trouble>> {
-    let missing = || vec![Trouble::Missing { at: "/number".into(), want: "a number".into() }];
+fn read(text: &str) -> Result<CompiledConfig, Vec<ConfigError>> {
+    let missing = || vec![ConfigError::Missing { at: "/number".into(), want: "a number".into() }];
     let number = sonic_rs::get(text, &["number"]).map_err(|_| missing())?;
     let revision = number.as_raw_str().parse().map_err(|_| missing())?;
     if text.contains("\"what\":666666}") {
-        return Err(vec![Trouble::Missing { at: "/rows".into(), want: "luck".into() }]);
+        return Err(vec![ConfigError::Missing { at: "/rows".into(), want: "luck".into() }]);
     }
-    Ok(Plan { revision, ..Plan::default() })
+    Ok(CompiledConfig { revision, ..CompiledConfig::default() })
 }
 
 /// Nodes that read documents of rows.
 fn net(seed: u64) -> Net {
     let mut net = Net::new(seed);
     for node in &mut net.nodes {
-        node.me.read = read;
+        node.settings.config_reader = read;
     }
     net
 }
@@ -90,7 +90,7 @@
     let [a, b, c, d, ..] = patch.hash();
     let change_id = ChangeId(u64::from(u32::from_be_bytes([a, b, c, d])).max(1));
     let change = Change::Patch(patch.clone());
-    net.step(node, Event::Put { req, change_id, fresh: false, base, change });
+    net.step(node, Event::SubmitChange { request_id: req, change_id, is_first_send: false, base, change });
 }
 
 fn put(net: &mut Net, node: usize, base: u64, patch: &Patch) -> String {
@@ -117,9 +117,18 @@
     net.run(SEC);
     let want = document(8, &[("b", 9), ("c", 3), ("d", 4)]);
     assert_eq!(net.held(), (3, want.clone()));
-    assert_eq!(net.nodes[FRONT].agree.last().map(|d| d.body.clone()), Some(want.clone()));
-    net.step(FRONT, Event::Put { req: 1, change_id: ChangeId(0), fresh: false, base: 0, change: Change::Newest });
-    assert_eq!(net.wait(1, SEC), format!("{:?}", Fate::Told { text: want }));
+    assert_eq!(net.nodes[FRONT].consensus.state.newest().map(|d| d.body.clone()), Some(want.clone()));
+    net.step(
+        FRONT,
+        Event::SubmitChange {
+            request_id: 1,
+            change_id: ChangeId(0),
+            is_first_send: false,
+            base: 0,
+            change: Change::ReadNewest,
+        },
+    );
+    assert_eq!(net.wait(1, SEC), format!("{:?}", ChangeOutcome::Content { text: want }));
     // A whole document follows a patch, and a patch that one.
     assert_eq!(net.put_soon(1, 8, &document(9, &[("x", 1)])), "done");
     assert_eq!(put(&mut net, 0, 9, &patch(10, &[("y", 2)], &[])), "done");
@@ -191,7 +200,7 @@
             }
             net.cut.clear();
             net.run(3 * SEC);
-            let body = |i: usize| net.nodes[i].agree.last().map(|d| d.body.clone());
+            let body = |i: usize| net.nodes[i].consensus.state.newest().map(|d| d.body.clone());
             assert_eq!(body(behind), body(by), "{behind} missed {missed}");
         }
     }
@@ -205,7 +214,7 @@
     }
     for i in 0..CORES {
         net.start(i);
-        net.nodes[i].me.read = read;
+        net.nodes[i].settings.config_reader = read;
     }
     net.run(3 * SEC);
     assert_eq!(put(&mut net, 1, 19, &patch(20, &[("e", 1)], &["d"])), "done");
@@ -272,35 +281,35 @@
 
 #[test]
 fn a_version_without_its_body_needs_the_one_before() {
-    let base = Decree { version: 4, body: document(5, &[("a", 1)]), ..decree() };
-    let whole = Decree {
+    let base = LogEntry { version: 4, body: document(5, &[("a", 1)]), ..decree() };
+    let whole = LogEntry {
         version: 5,
         body: document(6, &[("a", 1), ("b", 2)]),
         patch: Some(patch(6, &[("b", 2)], &[])),
         ..decree()
     };
-    let stripped = whole.stripped();
-    assert!(stripped.is_stripped() && !whole.is_stripped());
-    assert_eq!(stripped.clone().restored(&base), Some(whole.clone()));
-    assert_eq!(whole.clone().restored(&decree()), Some(whole), "a whole one needs nothing");
-    for before in [decree(), Decree { version: 3, ..base.clone() }, Decree { version: 5, ..base.clone() }] {
-        assert_eq!(stripped.clone().restored(&before), None, "on {}", before.version);
+    let stripped = whole.without_body();
+    assert!(stripped.lacks_body() && !whole.lacks_body());
+    assert_eq!(stripped.clone().with_body_from(&base), Some(whole.clone()));
+    assert_eq!(whole.clone().with_body_from(&decree()), Some(whole), "a whole one needs nothing");
+    for before in [decree(), LogEntry { version: 3, ..base.clone() }, LogEntry { version: 5, ..base.clone() }] {
+        assert_eq!(stripped.clone().with_body_from(&before), None, "on {}", before.version);
     }
-    let other = Decree { body: "[]".into(), ..base };
-    assert_eq!(stripped.restored(&other), None, "on what is no document");
+    let other = LogEntry { body: "[]".into(), ..base };
+    assert_eq!(stripped.with_body_from(&other), None, "on what is no document");
 }
 
-fn decree() -> Decree {
-    Decree {
+fn decree() -> LogEntry {
+    LogEntry {
         version: 0,
         change_id: ChangeId(1),
-        fleet: 7,
-        since: 0,
-        old: Vec::new(),
-        cores: Vec::new(),
+        fleet_id: 7,
+        voters_since: 0,
+        previous_voters: Vec::new(),
+        voters: Vec::new(),
         body: "{}".into(),
         revision: 0,
         patch: None,
-        packed: Vec::new(),
+        compressed: Vec::new(),
     }
 }
--- a/crates/core/tests/fleet/mod.rs
+++ b/crates/core/tests/fleet/mod.rs
@@ -7,15 +7,15 @@
 
 use nodes::{FLEET, addr, core_at, me};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use sumacvale_core::agree::{Kept, Op};
 use sumacvale_core::base::{ChangeId, MS, Micros, NodeId, SEC};
-use sumacvale_core::node::{Effect, Event, Me, Node};
-use sumacvale_core::peer::{Core, Decree, Frame, Msg};
+use sumacvale_core::consensus::{DurableState, DurableWrite};
+use sumacvale_core::node::{Effect, Event, Node, NodeSettings};
+use sumacvale_core::protocol::{Frame, LogEntry, Message, Voter};
 
 const TICK: Micros = 25 * MS;
 
 /// The core with this node id at the address of the machine with the same number.
-pub fn core(n: u64) -> Core {
+pub fn core(n: u64) -> Voter {
     core_at(n, index(n))
 }
 
@@ -27,35 +27,35 @@
     usize::try_from(machine).expect("machines have small numbers")
 }
 
-pub fn decree(version: u64, since: u64, old: &[u64], cores: &[u64]) -> Decree {
+pub fn decree(version: u64, since: u64, old: &[u64], cores: &[u64]) -> LogEntry {
     let all = |v: &[u64]| v.iter().map(|n| core(*n)).collect::<Vec<_>>();
     let (old, cores) = (all(old), all(cores));
-    Decree {
+    LogEntry {
         version,
         change_id: ChangeId(version),
-        fleet: FLEET,
-        since,
-        old,
-        cores,
+        fleet_id: FLEET,
+        voters_since: since,
+        previous_voters: old,
+        voters: cores,
         revision: 0,
         body: "{}".into(),
         patch: None,
-        packed: Vec::new(),
+        compressed: Vec::new(),
     }
 }
 
 /// What is on a disk that holds these versions, and the set that was taken over there.
-pub fn kept(node_id: u64, decrees: &[Decree], ready: Option<u64>) -> Kept {
+pub fn kept(node_id: u64, decrees: &[LogEntry], ready: Option<u64>) -> DurableState {
     let decrees = decrees.iter().map(|d| (d.version, d.clone())).collect();
-    Kept { node_id: NodeId(node_id), decrees, ready, ..Kept::default() }
+    DurableState { node_id: NodeId(node_id), entries: decrees, ready_set: ready, ..DurableState::default() }
 }
 
 #[derive(Default)]
 struct Machine {
     node: Option<Node>,
-    kept: Kept,
+    kept: DurableState,
     life: u64,
-    unsynced: VecDeque<(u64, Vec<Op>)>,
+    unsynced: VecDeque<(u64, Vec<DurableWrite>)>,
 }
 
 /// Machines by number, with what is under way between them.
@@ -86,22 +86,22 @@
 }
 
 impl Fleet {
-    pub fn start(&mut self, n: u64, kept: Kept) {
+    pub fn start(&mut self, n: u64, kept: DurableState) {
         self.start_at(n, n, kept);
     }
 
     /// Starts a core with this node id on a machine.
-    pub fn start_at(&mut self, node_id: u64, machine: u64, kept: Kept) {
+    pub fn start_at(&mut self, node_id: u64, machine: u64, kept: DurableState) {
         let life = self.machines.get(&machine).map_or(0, |m| m.life) + 1;
-        let me = Me {
+        let me = NodeSettings {
             node_id: NodeId(node_id),
             zone: format!("z{machine}"),
             seeds: (1..4).map(address).collect(),
-            core: true,
-            first: false,
-            auto: self.auto,
-            beat: 500 * MS,
-            to_cores: false,
+            is_core: true,
+            may_bootstrap: false,
+            manages_voters: self.auto,
+            report_interval: 500 * MS,
+            reports_to_cores_only: false,
             ..me(index(machine), 0, life)
         };
         let node = Node::new(me, &kept, node_id * 1_000 + life, self.now);
@@ -125,7 +125,7 @@
         self.machines[&machine].node.as_ref().expect("it runs")
     }
 
-    pub fn kept(&self, machine: u64) -> &Kept {
+    pub fn kept(&self, machine: u64) -> &DurableState {
         &self.machines[&machine].kept
     }
 
@@ -140,14 +140,21 @@
     }
 
     /// A frame from one core's node to a machine, whatever is cut, and all that follows.
-    pub fn tell(&mut self, from: u64, machine: u64, msg: Msg) {
+    pub fn tell(&mut self, from: u64, machine: u64, msg: Message) {
         self.tell_late(from, machine, msg, 0);
     }
 
     /// The same with a frame that was under way for so much longer than others.
-    pub fn tell_late(&mut self, from: u64, machine: u64, msg: Msg, late: Micros) {
+    pub fn tell_late(&mut self, from: u64, machine: u64, msg: Message, late: Micros) {
         let sent = self.now - late;
-        let frame = Frame { from: NodeId(from), to: NodeId::default(), incarnation: 1, fleet: FLEET, sent, msg };
+        let frame = Frame {
+            from: NodeId(from),
+            to: NodeId::default(),
+            incarnation: 1,
+            fleet_id: FLEET,
+            sent_at: sent,
+            message: msg,
+        };
         let effects = self.step(machine, Event::Frame(Box::new(frame)));
         self.carry(machine, effects);
         self.deliver();
@@ -166,7 +173,7 @@
                     self.sent.push((machine, (*frame).clone()));
                     self.mail.push_back((machine, to, *frame));
                 }
-                Effect::Write { token, ops } => {
+                Effect::Write { token, writes: ops } => {
                     if let Some(m) = self.machines.get_mut(&machine) {
                         m.unsynced.push_back((token, ops));
                     }
--- a/crates/core/tests/golden/forms.rs
+++ b/crates/core/tests/golden/forms.rs
@@ -6,7 +6,7 @@
 use crate::folder::GoldenFolder;
 use crate::values::{body_decree, item, patch};
 use sumacvale_core::config::{ListPatch, Patch};
-use sumacvale_core::peer::Decree;
+use sumacvale_core::protocol::LogEntry;
 
 /// Enough items for a version that is worth packing.
 const LARGE: u64 = 400;
@@ -23,32 +23,32 @@
 }
 
 /// A version that came by its body alone.
-fn large_by_body() -> Decree {
-    Decree { body: large_body(), ..body_decree() }
+fn large_by_body() -> LogEntry {
+    LogEntry { body: large_body(), ..body_decree() }
 }
 
 /// A version that came by a patch.
-fn large_by_patch() -> Decree {
-    Decree { patch: Some(large_patch()), ..large_by_body() }
+fn large_by_patch() -> LogEntry {
+    LogEntry { patch: Some(large_patch()), ..large_by_body() }
 }
 
 /// The version as a node receives it, of which only the packed bytes are known.
-fn received(packed: &[u8]) -> Decree {
-    Decree { packed: packed.to_vec(), ..without_content(large_by_body()) }
+fn received(packed: &[u8]) -> LogEntry {
+    LogEntry { compressed: packed.to_vec(), ..without_content(large_by_body()) }
 }
 
-fn without_content(decree: Decree) -> Decree {
-    Decree { body: String::new(), patch: None, ..decree }
+fn without_content(decree: LogEntry) -> LogEntry {
+    LogEntry { body: String::new(), patch: None, ..decree }
 }
 
 /// Checks one packed form against its golden file, and the version that is made of it.
-fn check_packed_form(file_name: &str, encoded: &Decree, body: &str, patch: Option<Patch>) {
-    assert!(!encoded.packed.is_empty(), "{file_name}: large enough to be packed");
-    let stored = folder().expect_same_bytes(file_name, &encoded.packed);
-    let unpacked = received(&stored).unpacked().unwrap_or_else(|| panic!("{file_name}: can't be unpacked"));
+fn check_packed_form(file_name: &str, encoded: &LogEntry, body: &str, patch: Option<Patch>) {
+    assert!(!encoded.compressed.is_empty(), "{file_name}: large enough to be packed");
+    let stored = folder().expect_same_bytes(file_name, &encoded.compressed);
+    let unpacked = received(&stored).decompress().unwrap_or_else(|| panic!("{file_name}: can't be unpacked"));
     assert_eq!(unpacked.body, body, "{file_name}: the body");
     assert_eq!(unpacked.patch, patch, "{file_name}: the patch");
-    let rest = Decree { packed: Vec::new(), ..without_content(unpacked) };
+    let rest = LogEntry { compressed: Vec::new(), ..without_content(unpacked) };
     assert_eq!(rest, without_content(body_decree()), "{file_name}: all that is not packed");
 }
 
@@ -63,9 +63,9 @@
 
 #[test]
 fn packed_versions_and_patches_keep_their_golden_bytes() {
-    check_packed_form(PACKED_BODY, &large_by_body().packed(), &large_body(), None);
-    check_packed_form(PACKED_PATCH, &large_by_patch().packed(), "", Some(large_patch()));
-    check_packed_form(PACKED_BOTH, &large_by_patch().packed_alone(), &large_body(), Some(large_patch()));
+    check_packed_form(PACKED_BODY, &large_by_body().compress(), &large_body(), None);
+    check_packed_form(PACKED_PATCH, &large_by_patch().compress(), "", Some(large_patch()));
+    check_packed_form(PACKED_BOTH, &large_by_patch().self_contained_compressed(), &large_body(), Some(large_patch()));
     check_patch();
     folder().expect_only([PACKED_BODY, PACKED_PATCH, PACKED_BOTH, PATCH].into_iter());
 }
--- a/crates/core/tests/golden/values.rs
+++ b/crates/core/tests/golden/values.rs
@@ -3,16 +3,17 @@
 
 use sumacvale_core::base::{ChangeId, NodeId};
 use sumacvale_core::config::{Item, ListPatch, Patch};
-use sumacvale_core::peer::{
-    Ballot, Beat, Core, Decree, Digest, Grant, Life, Peer, Row, RowKey, ShareAsk, ShareGiven, ShareMark,
+use sumacvale_core::protocol::{
+    Ballot, EntryDigest, Heartbeat, LeaseClaim, LogEntry, PeerRecord, RegisteredIncarnation, RemovalKey, ShareGrant,
+    ShareRequest, Voter, WindowGrant, WorkerReport,
 };
 
-pub fn core(number: u64) -> Core {
-    Core { node_id: NodeId(0xC0DE_0000 + number), addr: format!("10.1.2.{number}:7400") }
+pub fn core(number: u64) -> Voter {
+    Voter { node_id: NodeId(0xC0DE_0000 + number), addr: format!("10.1.2.{number}:7400") }
 }
 
 pub fn ballot(number: u64) -> Ballot {
-    Ballot { n: number, node_id: NodeId(0xBA11_0000_0000_0000 + number), life: number + 300 }
+    Ballot { number: number, node_id: NodeId(0xBA11_0000_0000_0000 + number), incarnation: number + 300 }
 }
 
 pub fn patch() -> Patch {
@@ -30,61 +31,61 @@
 }
 
 /// A decree in which every field is set.
-pub fn full_decree() -> Decree {
-    Decree {
+pub fn full_decree() -> LogEntry {
+    LogEntry {
         version: 1_001,
         change_id: ChangeId(0x0123_4567_89AB_CDEF),
-        fleet: 1_002,
-        since: 1_003,
-        old: vec![core(1), core(2)],
-        cores: vec![core(3), core(4), core(5)],
+        fleet_id: 1_002,
+        voters_since: 1_003,
+        previous_voters: vec![core(1), core(2)],
+        voters: vec![core(3), core(4), core(5)],
         body: "{\"revision\":9001,\"pools\":[]}".into(),
         revision: 1_004,
         patch: Some(patch()),
-        packed: vec![0xF1, 0x02, 0x00, 0xF4],
+        compressed: vec![0xF1, 0x02, 0x00, 0xF4],
     }
 }
 
 /// A decree that is told by its body alone.
-pub fn body_decree() -> Decree {
-    Decree { version: 1_101, patch: None, packed: Vec::new(), ..full_decree() }
+pub fn body_decree() -> LogEntry {
+    LogEntry { version: 1_101, patch: None, compressed: Vec::new(), ..full_decree() }
 }
 
 /// A decree that is told by its patch alone.
-pub fn patch_decree() -> Decree {
-    Decree { version: 1_201, body: String::new(), packed: Vec::new(), ..full_decree() }
+pub fn patch_decree() -> LogEntry {
+    LogEntry { version: 1_201, body: String::new(), compressed: Vec::new(), ..full_decree() }
 }
 
 /// A decree that is told by its packed form alone.
-pub fn packed_decree() -> Decree {
-    Decree { version: 1_301, body: String::new(), patch: None, ..full_decree() }
+pub fn packed_decree() -> LogEntry {
+    LogEntry { version: 1_301, body: String::new(), patch: None, ..full_decree() }
 }
 
-pub fn beat() -> Beat {
-    Beat { node_id: NodeId(2_001), incarnation: 2_002, beat: 2_003, version: 2_004, leaving: true }
+pub fn beat() -> Heartbeat {
+    Heartbeat { node_id: NodeId(2_001), incarnation: 2_002, heartbeat: 2_003, version: 2_004, draining: true }
 }
 
-pub fn peer() -> Peer {
-    Peer {
+pub fn peer() -> PeerRecord {
+    PeerRecord {
         node_id: NodeId(2_101),
         incarnation: 2_102,
-        beat: 2_103,
+        heartbeat: 2_103,
         addr: "10.2.0.1:7400".into(),
         admin: "10.2.0.2:7401".into(),
         zone: "north".into(),
-        core: true,
-        leaving: false,
+        is_core: true,
+        draining: false,
         version: 2_104,
     }
 }
 
 /// As `peer`, with the other value of each flag.
-pub fn leaving_peer() -> Peer {
-    Peer { node_id: NodeId(2_111), core: false, leaving: true, ..peer() }
+pub fn leaving_peer() -> PeerRecord {
+    PeerRecord { node_id: NodeId(2_111), is_core: false, draining: true, ..peer() }
 }
 
-pub fn row() -> Row {
-    Row {
+pub fn row() -> WorkerReport {
+    WorkerReport {
         worker_id: "worker-1".into(),
         incarnation: 2_201,
         seq: 2_202,
@@ -93,24 +94,24 @@
         zone: "south".into(),
         slots: 2_203,
         busy: 2_204,
-        drain: true,
-        cold: 2_205,
-        gone: false,
+        draining: true,
+        warm_up_left: 2_205,
+        removed: false,
         age: 2_206,
     }
 }
 
 /// As `row`, with the other value of each flag.
-pub fn gone_row() -> Row {
-    Row { worker_id: "worker-2".into(), incarnation: 2_211, drain: false, gone: true, ..row() }
+pub fn gone_row() -> WorkerReport {
+    WorkerReport { worker_id: "worker-2".into(), incarnation: 2_211, draining: false, removed: true, ..row() }
 }
 
-pub fn row_keys() -> Vec<RowKey> {
+pub fn row_keys() -> Vec<RemovalKey> {
     vec![("worker-3".into(), 2_301, true), ("worker-4".into(), 2_302, false)]
 }
 
-pub fn grant(number: u64) -> Grant {
-    Grant {
+pub fn grant(number: u64) -> WindowGrant {
+    WindowGrant {
         tenant: format!("tenant-{number}"),
         window: 2_400 + number,
         node_id: NodeId(2_500 + number),
@@ -119,38 +120,42 @@
     }
 }
 
-pub fn life(number: u64) -> Life {
-    Life { node_id: NodeId(2_800 + number), incarnation: 2_900 + number, addr: format!("10.4.0.{number}:7400") }
+pub fn life(number: u64) -> RegisteredIncarnation {
+    RegisteredIncarnation {
+        node_id: NodeId(2_800 + number),
+        incarnation: 2_900 + number,
+        addr: format!("10.4.0.{number}:7400"),
+    }
 }
 
-pub fn share_ask() -> ShareAsk {
-    ShareAsk {
-        key: 0xFEED_0000_0000_0001,
-        has: 3_001,
-        returned: 3_002,
-        want: 3_003,
-        need: 3_004,
-        first: 3_005,
-        each: 3_006,
-        calls: 3_007,
+pub fn share_ask() -> ShareRequest {
+    ShareRequest {
+        tenant_key: 0xFEED_0000_0000_0001,
+        held_share: 3_001,
+        returned_milli: 3_002,
+        demand_milli: 3_003,
+        missing_units: 3_004,
+        smallest_call: 3_005,
+        usual_call: 3_006,
+        call_rate_milli: 3_007,
     }
 }
 
-pub fn share_given() -> ShareGiven {
-    ShareGiven { yes: true, share: 3_101, add: 3_102, lend: 3_103 }
+pub fn share_given() -> ShareGrant {
+    ShareGrant { granted: true, share: 3_101, burst_milli: 3_102, loaned_units: 3_103 }
 }
 
-pub fn share_mark(number: u32) -> ShareMark {
+pub fn share_mark(number: u32) -> LeaseClaim {
     let wide = u64::from(number);
-    ShareMark { duty: 3_200 + number, set: 3_300 + wide, epoch: 3_400 + wide, holder: NodeId(3_500 + wide) }
+    LeaseClaim { role: 3_200 + number, voter_set: 3_300 + wide, epoch: 3_400 + wide, holder: NodeId(3_500 + wide) }
 }
 
-pub fn digest(number: u8) -> Digest {
+pub fn digest(number: u8) -> EntryDigest {
     let wide = u64::from(number);
-    Digest {
+    EntryDigest {
         version: 3_600 + wide,
         change_id: ChangeId(3_700 + wide),
-        since: 3_800 + wide,
+        voters_since: 3_800 + wide,
         revision: 3_900 + wide,
         content: std::array::from_fn(|position| number + position as u8),
     }
--- a/crates/core/tests/golden/variants.rs
+++ b/crates/core/tests/golden/variants.rs
@@ -1,6 +1,6 @@
 //! The names of the variants that need golden files.
 
-use sumacvale_core::peer::{Change, Fate, Msg};
+use sumacvale_core::protocol::{Change, ChangeOutcome, Message};
 
 /// Makes a function that names the variant of a value, and the list of all these names.
 ///
@@ -19,7 +19,7 @@
     };
 }
 
-name_variants!(Msg, message_name, MESSAGE_NAMES, {
+name_variants!(Message, message_name, MESSAGE_NAMES, {
     Gossip => "gossip",
     Found => "found",
     Prepare => "prepare",
@@ -69,20 +69,20 @@
 
 name_variants!(Change, change_name, CHANGE_NAMES, {
     Tree => "tree",
-    Doc => "doc",
+    Document => "doc",
     Patch => "patch",
-    Cores => "cores",
-    Look => "look",
-    History => "history",
-    Newest => "newest",
+    Voters => "cores",
+    QueryOutcome => "look",
+    ReadHistory => "history",
+    ReadNewest => "newest",
 });
 
-name_variants!(Fate, fate_name, FATE_NAMES, {
-    Done => "done",
+name_variants!(ChangeOutcome, fate_name, FATE_NAMES, {
+    Committed => "done",
     Stale => "stale",
-    NoMajority => "no_majority",
+    NoQuorum => "no_majority",
     Unknown => "unknown",
-    Reused => "reused",
+    IdReused => "reused",
     Invalid => "invalid",
-    Told => "told",
+    Content => "told",
 });
--- a/crates/core/tests/leaving.rs
+++ b/crates/core/tests/leaving.rs
@@ -5,7 +5,7 @@
 use fleet::{Fleet, decree, kept};
 use sumacvale_core::base::{MS, NodeId, SEC};
 use sumacvale_core::node::Event;
-use sumacvale_core::peer::{Ballot, Msg};
+use sumacvale_core::protocol::{Ballot, Message};
 
 const A: u64 = 1;
 const B: u64 = 2;
@@ -22,11 +22,11 @@
 }
 
 fn may_end(fleet: &Fleet, n: u64) -> bool {
-    fleet.node(n).may_end(fleet.now)
+    fleet.node(n).may_stop(fleet.now)
 }
 
 fn leave(fleet: &mut Fleet, n: u64) {
-    let effects = fleet.step(n, Event::Leave);
+    let effects = fleet.step(n, Event::Shutdown);
     fleet.carry(n, effects);
 }
 
@@ -39,11 +39,11 @@
     leave(&mut fleet, A);
     assert!(!may_end(&fleet, A), "it votes, and D could take its place");
     fleet.run(SEC);
-    assert!(!fleet.node(B).agree.votes(NodeId(A)), "it was replaced");
+    assert!(!fleet.node(B).consensus.state.is_voter(NodeId(A)), "it was replaced");
     assert!(!fleet.node(A).voter());
     // B and C are a majority without it and without D.
     assert!(may_end(&fleet, A));
-    assert!(fleet.kept(D).ready != Some(1), "D took nothing over that is on its disk");
+    assert!(fleet.kept(D).ready_set != Some(1), "D took nothing over that is on its disk");
 }
 
 #[test]
@@ -55,7 +55,7 @@
     fleet.stuck.insert(D);
     fleet.run(25 * MS);
     fleet.stuck.insert(C);
-    let removed = |f: &Fleet| !f.node(A).agree.votes(NodeId(A));
+    let removed = |f: &Fleet| !f.node(A).consensus.state.is_voter(NodeId(A));
     assert!(fleet.run_until(SEC, removed).is_some(), "A's own vote decides it");
     fleet.run(SEC);
     assert!(!may_end(&fleet, A), "only B has it on its disk");
@@ -69,7 +69,7 @@
     let mut fleet = three();
     fleet.stuck.insert(C);
     for (from, to) in [(B, A), (A, B), (A, C)] {
-        fleet.tell(from, to, Msg::Learn { decrees: vec![decree(1, 0, &[], &[A, B, C])] });
+        fleet.tell(from, to, Message::Learn { decrees: vec![decree(1, 0, &[], &[A, B, C])] });
     }
     leave(&mut fleet, A);
     fleet.run(SEC);
@@ -103,8 +103,8 @@
     let mut fleet = three();
     fleet.part(&[A], &[B, C]);
     let one = decree(1, 0, &[], &[A, B, C]);
-    let ballot = Ballot { n: 9_000, node_id: NodeId(B), life: 1 };
-    fleet.tell(B, A, Msg::Accept { ballot, decree: one });
+    let ballot = Ballot { number: 9_000, node_id: NodeId(B), incarnation: 1 };
+    fleet.tell(B, A, Message::Accept { ballot, decree: one });
     leave(&mut fleet, A);
     fleet.run(200 * MS);
     assert!(!may_end(&fleet, A), "it may be one of the two that decided it");
@@ -132,5 +132,5 @@
     assert!(!may_end(&fleet, A), "it holds the only copy");
     let t = fleet.run_until(3 * SEC, |f| f.node(D).voter() && may_end(f, A));
     assert!(t.is_some(), "D never becomes the voter");
-    assert!(fleet.kept(D).decrees.contains_key(&1), "D has it on its disk");
+    assert!(fleet.kept(D).entries.contains_key(&1), "D has it on its disk");
 }
--- a/crates/core/tests/life/admission.rs
+++ b/crates/core/tests/life/admission.rs
@@ -5,16 +5,16 @@
 #[test]
 fn a_call_is_judged_until_it_is_sent() {
     check(vec![
-        ("no match", "/none", 2, 4, 9, vec![(E(Event::Turn), "404 no_match no")], 9),
-        ("stale", "/chat", 2, 4, 9, vec![(Stale, ""), (E(Event::Turn), "503 stale no")], 9),
-        ("withdrawn", "/chat", 2, 4, 9, vec![(Withdraw, ""), (E(Event::Turn), "401 key no")], 9),
+        ("no match", "/none", 2, 4, 9, vec![(E(Event::Wake), "404 no_match no")], 9),
+        ("stale", "/chat", 2, 4, 9, vec![(Stale, ""), (E(Event::Wake), "503 stale no")], 9),
+        ("withdrawn", "/chat", 2, 4, 9, vec![(Withdraw, ""), (E(Event::Wake), "401 key no")], 9),
         (
             "too many bodies",
             "/chat",
             2,
             4,
             9,
-            vec![(E(Event::Turn), "read"), (E(Event::Body(Err(Bad::NoRoom))), "503 crowded no")],
+            vec![(E(Event::Wake), "read"), (E(Event::Body(Err(BodyError::NoCapacity))), "503 crowded no")],
             9,
         ),
         (
@@ -23,7 +23,7 @@
             2,
             4,
             9,
-            vec![(E(Event::Turn), "read"), (Withdraw, ""), (Body, "401 key no")],
+            vec![(E(Event::Wake), "read"), (Withdraw, ""), (Body, "401 key no")],
             9,
         ),
         (
@@ -32,7 +32,7 @@
             2,
             4,
             9,
-            vec![(E(Event::Turn), "read"), (Body, "open"), (Withdraw, ""), (E(Event::Opened), "close, 401 key no")],
+            vec![(E(Event::Wake), "read"), (Body, "open"), (Withdraw, ""), (E(Event::Connected), "close, 401 key no")],
             9,
         ),
         (
@@ -41,7 +41,7 @@
             2,
             4,
             9,
-            vec![(E(Event::Turn), "read"), (Body, "open"), (Stale, ""), (E(Event::Opened), "close, 503 stale no")],
+            vec![(E(Event::Wake), "read"), (Body, "open"), (Stale, ""), (E(Event::Connected), "close, 503 stale no")],
             9,
         ),
     ]);
@@ -54,14 +54,14 @@
         ("open, without a key", "/open/x", "", 0, 2, and(put("send win 0"), whole()), 9),
         ("open, with a key that nobody has", "/open/x", "none", 0, 2, and(put("send win 0"), whole()), 9),
         ("open, with a tenant's key", "/open/x", "key", 0, 2, and(put("send win 1"), whole()), 8),
-        ("not open, without a key", "/safe/x", "", 0, 2, vec![(E(Event::Turn), "401 key no")], 9),
+        ("not open, without a key", "/safe/x", "", 0, 2, vec![(E(Event::Wake), "401 key no")], 9),
         (
             "no longer open when the body came",
             "/shut/x",
             "",
             0,
             2,
-            vec![(E(Event::Turn), "read"), (Move("\"pool\":\"p\""), ""), (Body, "401 key no")],
+            vec![(E(Event::Wake), "read"), (Move("\"pool\":\"p\""), ""), (Body, "401 key no")],
             9,
         ),
         (
@@ -70,7 +70,7 @@
             "",
             0,
             2,
-            and(came(), vec![(Move("\"pool\":\"p\""), ""), (E(Event::Opened), "close, 401 key no")]),
+            and(came(), vec![(Move("\"pool\":\"p\""), ""), (E(Event::Connected), "close, 401 key no")]),
             9,
         ),
         (
@@ -79,7 +79,7 @@
             "key",
             0,
             1,
-            vec![(Fill, ""), (E(Event::Turn), "read"), (Body, ""), (Move(moved), ""), (E(Event::Turn), "503 moved no")],
+            vec![(Fill, ""), (E(Event::Wake), "read"), (Body, ""), (Move(moved), ""), (E(Event::Wake), "503 moved no")],
             9,
         ),
         (
@@ -88,7 +88,7 @@
             "key",
             0,
             2,
-            and(came(), vec![(Move(moved), ""), (E(Event::Opened), "close, 503 moved no")]),
+            and(came(), vec![(Move(moved), ""), (E(Event::Connected), "close, 503 moved no")]),
             9,
         ),
         (
@@ -99,7 +99,7 @@
             2,
             and(
                 came(),
-                and(vec![(Move("\"split\":{\"p\":1,\"q\":9}"), ""), (E(Event::Opened), "send win 1")], whole()),
+                and(vec![(Move("\"split\":{\"p\":1,\"q\":9}"), ""), (E(Event::Connected), "send win 1")], whole()),
             ),
             8,
         ),
@@ -109,7 +109,7 @@
             "key",
             0,
             2,
-            and(came(), vec![(Move("\"split\":{\"p\":0,\"q\":9}"), ""), (E(Event::Opened), "close, 503 moved no")]),
+            and(came(), vec![(Move("\"split\":{\"p\":0,\"q\":9}"), ""), (E(Event::Connected), "close, 503 moved no")]),
             9,
         ),
         (
@@ -118,7 +118,7 @@
             "key",
             0,
             2,
-            and(put("send win 1"), and(vec![(Move(moved), ""), (E(Event::Turn), "")], whole())),
+            and(put("send win 1"), and(vec![(Move(moved), ""), (E(Event::Wake), "")], whole())),
             8,
         ),
     ]);
--- a/crates/core/tests/life/explore.rs
+++ b/crates/core/tests/life/explore.rs
@@ -4,7 +4,7 @@
 
 use super::stage::*;
 use std::sync::Arc;
-use sumacvale_core::config::Plan;
+use sumacvale_core::config::CompiledConfig;
 
 /// One thing that may happen next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -187,11 +187,11 @@
         let plan = if route.aim { &plans.aimed } else { &plans.plain };
         let stage = Stage::of(route.path, 3, 4, if route.no_unit { 0 } else { 9 }, plan.clone());
         for _ in 0..5 * PAID {
-            stage.floor.budget.first();
+            stage.floor.retry_budget.deposit();
         }
         if route.no_place {
             for r in stage.view.workers.iter() {
-                (0..r.slots).for_each(|_| stage.floor.loads.begin(&r.worker_id));
+                (0..r.slots).for_each(|_| stage.floor.worker_loads.begin(&r.worker_id));
             }
         }
         World {
@@ -214,61 +214,61 @@
     fn pass(&mut self, t: Micros) {
         self.stage.now += t;
         let n = self.stage.now;
-        self.stage.look(|v| v.fresh = Some(n));
+        self.stage.look(|v| v.confirmed_at = Some(n));
     }
 
     /// Time goes on to the call's next turn.
     fn due(&mut self) -> Event {
-        let due = self.stage.life.due(&self.stage.view).unwrap_or(0);
+        let due = self.stage.life.next_wake(&self.stage.view).unwrap_or(0);
         self.pass(due.saturating_sub(self.stage.now));
-        Event::Turn
+        Event::Wake
     }
 
     fn event(&mut self, c: Choice, plans: &Plans) -> Option<Event> {
         let stream = self.events;
         Some(match c {
-            C::Turn => Event::Turn,
+            C::Turn => Event::Wake,
             C::BodyOk => Event::Body(Ok(Bytes::from_static(b"{\"prompt\":\"x\"}"))),
-            C::BodySlow => Event::Body(Err(Bad::Slow)),
-            C::BodyNoRoom => Event::Body(Err(Bad::NoRoom)),
-            C::Left => Event::Left,
-            C::Opened => Event::Opened,
-            C::NoConnection => Event::Lost(Spot::Connect),
-            C::NoRoom => Event::Lost(Spot::Declined),
+            C::BodySlow => Event::Body(Err(BodyError::TimedOut)),
+            C::BodyNoRoom => Event::Body(Err(BodyError::NoCapacity)),
+            C::Left => Event::ClientGone,
+            C::Opened => Event::Connected,
+            C::NoConnection => Event::AttemptFailed(FailurePoint::Connect),
+            C::NoRoom => Event::AttemptFailed(FailurePoint::Declined),
             C::ConnectLate | C::HeadLate | C::Silent | C::NoWord | C::NoPlace => {
                 // A call that may wait longer than its key is fresh is a call of another test.
                 self.due()
             }
             C::WithdrawnThenOpened => {
                 let p = plans.withdrawn.clone();
-                self.stage.look(|v| (v.version, v.plan) = (Some(2), p));
-                Event::Opened
+                self.stage.look(|v| (v.version, v.config) = (Some(2), p));
+                Event::Connected
             }
             C::MovedThenOpened => {
                 let p = plans.moved.clone();
-                self.stage.look(|v| (v.version, v.plan) = (Some(2), p));
-                Event::Opened
+                self.stage.look(|v| (v.version, v.config) = (Some(2), p));
+                Event::Connected
             }
             C::WorkerLostThenOpened => {
                 let w = self.stage.at.as_ref().map(|p| p.worker_id.clone()).unwrap_or_default();
                 self.stage
                     .look(|v| v.workers = Arc::new(v.workers.iter().filter(|r| r.worker_id != w).cloned().collect()));
                 self.stage.floor.caches.routes.delete("p");
-                Event::Opened
+                Event::Connected
             }
             C::WindowEndsThenOpened => {
                 self.pass(1_100 * MS);
-                Event::Opened
+                Event::Connected
             }
             C::Unsent => {
                 self.arrivals.pop();
-                Event::Unsent
+                Event::NotSent
             }
             C::Refused => {
                 self.arrivals.pop();
-                Event::Lost(Spot::Connect)
+                Event::AttemptFailed(FailurePoint::Connect)
             }
-            C::LostAfterSend => Event::Lost(Spot::Sent),
+            C::LostAfterSend => Event::AttemptFailed(FailurePoint::Sent),
             C::Head(status, word) => {
                 let not = matches!(word, Word::NotRun | Word::OtherNotRun);
                 let other = matches!(word, Word::Other | Word::OtherNotRun);
@@ -281,31 +281,38 @@
                 self.bounded = word != Word::Unbounded;
                 self.next = if self.begun { self.passed.last().map_or(0, |n| n + 1) } else { 0 };
                 self.half = false;
-                Event::Head(Reply { status, sse, bounded: self.bounded, unrun: not, other, load: None })
+                Event::Head(ResponseHead {
+                    status,
+                    is_event_stream: sse,
+                    has_definite_end: self.bounded,
+                    not_run: not,
+                    is_foreign: other,
+                    load: None,
+                })
             }
-            C::Piece if !stream => Event::Piece(Bytes::from_static(b"ok")),
+            C::Piece if !stream => Event::Chunk(Bytes::from_static(b"ok")),
             C::Piece => self.piece(self.next),
             C::SamePiece if stream && self.next > 0 => self.piece(self.next - 1),
             C::SkippedPiece if stream => self.piece(self.next + 1),
             C::HalfPiece if stream && !self.half => {
                 self.half = true;
-                Event::Piece(Bytes::from(format!("id: {}\nda", self.next)))
+                Event::Chunk(Bytes::from(format!("id: {}\nda", self.next)))
             }
             C::SamePiece | C::SkippedPiece | C::HalfPiece => return None,
             C::End => Event::End,
-            C::Broke => Event::Broke,
+            C::Broke => Event::BodyAborted,
             C::Units | C::Spent => {
                 let (now, slices) = (self.stage.now, &self.stage.floor.slices);
                 if c == C::Units {
-                    slices.add("t", 2, 5, now + SEC)
+                    slices.add_granted("t", 2, 5, now + SEC)
                 } else {
-                    slices.spent("t", 1, now + SEC, now)
+                    slices.mark_spent("t", 1, now + SEC, now)
                 };
-                self.stage.floor.refill("t", now).pop()?.event
+                self.stage.floor.serve_quota_queue("t", now).pop()?.event
             }
             C::PlaceFree => {
                 let w = self.stage.view.workers.first()?.worker_id.clone();
-                self.stage.floor.loads.end(&w);
+                self.stage.floor.worker_loads.end(&w);
                 self.stage.sweep().pop()?.event
             }
         })
@@ -314,7 +321,7 @@
     fn piece(&mut self, n: u64) -> Event {
         let rest = if std::mem::take(&mut self.half) { "ta: a\n\n".into() } else { format!("id: {n}\ndata: a\n\n") };
         self.next = n + 1;
-        Event::Piece(Bytes::from(rest))
+        Event::Chunk(Bytes::from(rest))
     }
 
     /// One thing happens; none if it can't now.
@@ -327,12 +334,12 @@
                 return Some(Err(why));
             }
         }
-        self.expects = if self.stage.life.over() {
+        self.expects = if self.stage.life.is_finished() {
             Expects::Nothing
-        } else if self.stage.life.flows() {
+        } else if self.stage.life.is_streaming() {
             Expects::Flow
         } else {
-            match (waits, self.stage.floor.waiting()) {
+            match (waits, self.stage.floor.queue_lengths()) {
                 (Some(w), _) => w,
                 (None, (1, _)) => Expects::Place,
                 (None, (_, 1)) => Expects::Unit,
@@ -346,12 +353,12 @@
     fn follow(&mut self, e: Effect, waits: &mut Option<Expects>) -> Result<(), String> {
         let check = |ok: bool, why: &str| if ok { Ok(()) } else { Err(why.to_owned()) };
         match e {
-            Effect::Read { .. } => *waits = Some(Expects::Body),
-            Effect::Open(p) => {
+            Effect::ReadBody { .. } => *waits = Some(Expects::Body),
+            Effect::Connect(p) => {
                 self.stage.at = Some(p);
                 *waits = Some(Expects::Connection);
             }
-            Effect::Send { after, .. } => {
+            Effect::Send { last_event_id: after, .. } => {
                 check(self.answered.is_none(), "sent after its answer")?;
                 check(!self.ended, "sent after its end")?;
                 let ran = self.arrivals.contains(&true);
@@ -361,12 +368,12 @@
                 self.arrivals.push(true);
                 *waits = Some(Expects::Answer);
             }
-            Effect::Begin => {
+            Effect::ForwardHead => {
                 check(self.answered.is_none() && !self.begun, "two answers")?;
                 check(!PROMISES.contains(&self.status), "a worker's promise that it did not back is passed on")?;
                 self.begun = true;
             }
-            Effect::Pass(b) => {
+            Effect::ForwardChunk(b) => {
                 check(self.begun && !self.ended, "bytes outside an answer")?;
                 for l in String::from_utf8_lossy(&b).lines().filter_map(|l| l.strip_prefix("id: ")) {
                     self.passed.push(l.parse().map_err(|_| "half an event".to_owned())?);
@@ -382,15 +389,15 @@
                 check(self.begun && !self.ended, "a break of nothing")?;
                 self.ended = true;
             }
-            Effect::Answer(a) => {
+            Effect::Respond(a) => {
                 check(self.answered.is_none() && !self.begun, "two answers")?;
                 let ran = self.arrivals.contains(&true);
                 check(!PROMISES.contains(&a.status) || !ran, "refused, and it may have run")?;
                 check(!(200..300).contains(&a.status), "a success of our own")?;
-                check(!ran || a.ran.name() != "no", "told that it did not run, and it may have")?;
+                check(!ran || a.execution.name() != "no", "told that it did not run, and it may have")?;
                 self.answered = Some(a.status);
             }
-            Effect::Close | Effect::Need { .. } | Effect::Ring(_) => {}
+            Effect::Close | Effect::RequestUnits { .. } | Effect::Wake(_) => {}
         }
         Ok(())
     }
@@ -402,7 +409,7 @@
         check(!self.route.stream || !self.resumable() || in_order, "events are missing or come twice")?;
         check(self.arrivals.len() <= self.route.tries.max(1), "more workers than its route allows")?;
         check(self.arrivals.len() <= PAID + 1, "a second try that nobody paid for")?;
-        if self.stage.life.over() {
+        if self.stage.life.is_finished() {
             let taken = if self.route.no_place { 12 } else { 0 };
             let (own, waiting, _) = self.stage.held();
             check(own <= taken && waiting == (0, 0), "it holds something after its end")?;
@@ -417,10 +424,10 @@
 
 /// Plans are read once.
 struct Plans {
-    plain: Arc<Plan>,
-    aimed: Arc<Plan>,
-    withdrawn: Arc<Plan>,
-    moved: Arc<Plan>,
+    plain: Arc<CompiledConfig>,
+    aimed: Arc<CompiledConfig>,
+    withdrawn: Arc<CompiledConfig>,
+    moved: Arc<CompiledConfig>,
 }
 
 /// How many events a path has; the first three are the head, the body and the connection.
@@ -455,7 +462,7 @@
             if let Err(why) = got {
                 panic!("{why}: {} after {path:?}", route.path);
             }
-            ends += u64::from(w.stage.life.over());
+            ends += u64::from(w.stage.life.is_finished());
             if path.len() < DEPTH {
                 todo.extend(w.expects.choices().iter().map(|c| [&path[..], &[*c]].concat()));
             }
--- a/crates/core/tests/life/stage.rs
+++ b/crates/core/tests/life/stage.rs
@@ -2,21 +2,21 @@
 
 pub use bytes::Bytes;
 use std::sync::Arc;
-use sumacvale_core::base::sha_hex;
+use sumacvale_core::base::sha256_hex;
 pub use sumacvale_core::base::{MS, Micros, SEC};
-pub use sumacvale_core::call::{Bad, Event, Head, Life, Reply};
-pub use sumacvale_core::call::{Cx, Effect, Floor, Out, Own, Ring};
-use sumacvale_core::config::Plan;
+pub use sumacvale_core::call::{BodyError, CallMachine, Event, RequestHead, ResponseHead};
+pub use sumacvale_core::call::{Effect, Effects, SharedCallState, StepContext, ThreadCaches, Wakeup};
+use sumacvale_core::config::CompiledConfig;
 use sumacvale_core::node::View;
-use sumacvale_core::peer::Row;
-use sumacvale_core::place::Place;
-use sumacvale_core::quota::Slices;
-pub use sumacvale_core::tries::Spot;
+use sumacvale_core::placement::Endpoint;
+use sumacvale_core::protocol::WorkerReport;
+use sumacvale_core::quota::WindowSlices;
+pub use sumacvale_core::retry::FailurePoint;
 
 pub const BEGIN: Micros = 10 * SEC;
 
-pub fn row(n: u64, slots: u32) -> Row {
-    Row {
+pub fn row(n: u64, slots: u32) -> WorkerReport {
+    WorkerReport {
         worker_id: format!("w{n}"),
         incarnation: 1,
         seq: 1,
@@ -25,15 +25,15 @@
         zone: "z".into(),
         slots,
         busy: 0,
-        drain: false,
-        cold: 0,
-        gone: false,
+        draining: false,
+        warm_up_left: 0,
+        removed: false,
         age: 0,
     }
 }
 
-pub fn plan(key: bool) -> Arc<Plan> {
-    let k = if key { format!("\"sha256:{}\"", sha_hex(b"key")) } else { String::new() };
+pub fn plan(key: bool) -> Arc<CompiledConfig> {
+    let k = if key { format!("\"sha256:{}\"", sha256_hex(b"key")) } else { String::new() };
     let m = |n: &str, x: &str| format!("\"{n}\":{{\"path\":\"/{n}\",\"pool\":\"p\",\"kind\":{x}}}");
     let ms = [
         m("chat", "\"chat\""),
@@ -45,16 +45,16 @@
         "{{\"pools\":{{\"p\":{{}}}},\"matches\":{{{}}},\"tenants\":{{\"t\":{{\"keys\":[{k}]}}}}}}",
         ms.join(",")
     );
-    Arc::new(Plan::compile(if key { 1 } else { 2 }, &t))
+    Arc::new(CompiledConfig::compile(if key { 1 } else { 2 }, &t))
 }
 
 pub struct Stage {
-    pub floor: Floor,
-    pub own: Own,
+    pub floor: SharedCallState,
+    pub own: ThreadCaches,
     pub view: Arc<View>,
     pub now: Micros,
-    pub life: Life,
-    pub at: Option<Place>,
+    pub life: CallMachine,
+    pub at: Option<Endpoint>,
 }
 
 impl Stage {
@@ -62,17 +62,35 @@
         Stage::of(path, workers, slots, units, plan(true))
     }
 
-    pub fn of(path: &str, workers: u64, slots: u32, units: u64, plan: Arc<Plan>) -> Stage {
-        let slices = Arc::new(Slices::default());
+    pub fn of(path: &str, workers: u64, slots: u32, units: u64, plan: Arc<CompiledConfig>) -> Stage {
+        let slices = Arc::new(WindowSlices::default());
         if units > 0 {
-            slices.add("t", 1, units, BEGIN + SEC);
+            slices.add_granted("t", 1, units, BEGIN + SEC);
         }
         let workers: Vec<_> = (1..=workers).map(|n| row(n, slots)).collect();
-        let view = View { version: Some(1), fresh: Some(BEGIN), plan, workers: Arc::new(workers), ..View::default() };
+        let view = View {
+            version: Some(1),
+            confirmed_at: Some(BEGIN),
+            config: plan,
+            workers: Arc::new(workers),
+            ..View::default()
+        };
         let view = Arc::new(view);
-        let head = Head { method: "POST".into(), path: path.into(), key: Some("key".into()), ..Head::default() };
-        let life = Life::new(1, head, view.clone(), BEGIN);
-        Stage { floor: Floor::new("z", 8, 1 << 20, slices), own: Own::default(), view, now: BEGIN, life, at: None }
+        let head = RequestHead {
+            method: "POST".into(),
+            path: path.into(),
+            api_key: Some("key".into()),
+            ..RequestHead::default()
+        };
+        let life = CallMachine::new(1, head, view.clone(), BEGIN);
+        Stage {
+            floor: SharedCallState::new("z", 8, 1 << 20, slices),
+            own: ThreadCaches::default(),
+            view,
+            now: BEGIN,
+            life,
+            at: None,
+        }
     }
 
     pub fn look(&mut self, f: impl FnOnce(&mut View)) {
@@ -82,19 +100,21 @@
     }
 
     /// One event, and the effects that follow.
-    pub fn effects(&mut self, e: Event) -> Out {
+    pub fn effects(&mut self, e: Event) -> Effects {
         let now = self.now;
         let clock = || now;
-        let mut cx = Cx { floor: &self.floor, own: &mut self.own, view: &self.view, now, clock: &clock };
+        let mut cx =
+            StepContext { shared: &self.floor, thread_caches: &mut self.own, view: &self.view, now, clock: &clock };
         self.life.step(e, &mut cx)
     }
 
     /// What the sweep of the waitlists rings.
-    pub fn sweep(&mut self) -> Vec<Ring> {
+    pub fn sweep(&mut self) -> Vec<Wakeup> {
         let now = self.now;
         let clock = || now;
-        let mut cx = Cx { floor: &self.floor, own: &mut self.own, view: &self.view, now, clock: &clock };
-        Floor::sweep(&mut cx).0
+        let mut cx =
+            StepContext { shared: &self.floor, thread_caches: &mut self.own, view: &self.view, now, clock: &clock };
+        SharedCallState::expire_waiters(&mut cx).0
     }
 
     /// The same in words.
@@ -103,9 +123,9 @@
         let names: Vec<_> = out
             .into_iter()
             .map(|e| match e {
-                Effect::Read { .. } => "read".into(),
-                Effect::Need { .. } => "need".into(),
-                Effect::Open(p) => {
+                Effect::ReadBody { .. } => "read".into(),
+                Effect::RequestUnits { .. } => "need".into(),
+                Effect::Connect(p) => {
                     // The same prefix goes to the same worker, whichever that is.
                     let s = match &self.at {
                         Some(o) if o.worker_id == p.worker_id => "open again",
@@ -115,7 +135,7 @@
                     self.at = Some(p);
                     s.into()
                 }
-                Effect::Send { after, window, until, urgency } => {
+                Effect::Send { last_event_id: after, window, deadline: until, urgency } => {
                     let after = after.map_or(String::new(), |n| format!(" after {n}"));
                     let until =
                         if until == Micros::MAX { String::new() } else { format!(" until {}", (until - BEGIN) / MS) };
@@ -123,12 +143,12 @@
                     format!("send{after} win {window}{until}{rank}")
                 }
                 Effect::Close => "close".into(),
-                Effect::Begin => "begin".into(),
-                Effect::Pass(b) => format!("pass {}", b.len()),
+                Effect::ForwardHead => "begin".into(),
+                Effect::ForwardChunk(b) => format!("pass {}", b.len()),
                 Effect::End => "end".into(),
                 Effect::Abort(_) => "abort".into(),
-                Effect::Answer(a) => format!("{} {} {}", a.status, a.code, a.ran.name()),
-                Effect::Ring(Ring { call, .. }) => format!("ring {call}"),
+                Effect::Respond(a) => format!("{} {} {}", a.status, a.code, a.execution.name()),
+                Effect::Wake(Wakeup { call_id: call, .. }) => format!("ring {call}"),
             })
             .collect();
         names.join(", ")
@@ -136,7 +156,7 @@
 
     pub fn held(&self) -> (u64, (u64, u64), u64) {
         let free = self.floor.slices.list().iter().find(|s| s.0 == "t").map_or(0, |s| s.4);
-        (self.floor.loads.own(), self.floor.waiting(), free)
+        (self.floor.worker_loads.total_in_flight(), self.floor.queue_lengths(), free)
     }
 }
 
@@ -161,11 +181,16 @@
 pub use Do::{Body, E, Fill, Lose, Move, Pay, Refill, Slice, Stale, Wait, Withdraw};
 
 pub fn head(sse: bool, bounded: bool) -> Do {
-    E(Event::Head(Reply { status: 200, sse, bounded, ..Reply::default() }))
+    E(Event::Head(ResponseHead {
+        status: 200,
+        is_event_stream: sse,
+        has_definite_end: bounded,
+        ..ResponseHead::default()
+    }))
 }
 
 pub fn piece(s: &str) -> Do {
-    E(Event::Piece(Bytes::from(s.to_owned())))
+    E(Event::Chunk(Bytes::from(s.to_owned())))
 }
 
 pub fn run(name: &str, s: &mut Stage, steps: Vec<(Do, &str)>) {
@@ -175,7 +200,7 @@
             Body => s.step(Event::Body(Ok(Bytes::from_static(b"{\"prompt\":\"x\"}")))),
             Pay => {
                 for _ in 0..5 {
-                    s.floor.budget.first();
+                    s.floor.retry_budget.deposit();
                 }
                 String::new()
             }
@@ -183,7 +208,7 @@
                 let p = plan(false);
                 s.look(|v| {
                     v.version = Some(2);
-                    v.plan = p;
+                    v.config = p;
                 });
                 String::new()
             }
@@ -200,20 +225,20 @@
             Wait(t) => {
                 s.now += t;
                 let n = s.now;
-                s.look(|v| v.fresh = Some(n));
+                s.look(|v| v.confirmed_at = Some(n));
                 String::new()
             }
             Refill(window) => {
                 if window == 0 {
-                    s.floor.slices.spent("t", 1, s.now + SEC, s.now);
+                    s.floor.slices.mark_spent("t", 1, s.now + SEC, s.now);
                 } else {
-                    s.floor.slices.add("t", window, 5, s.now + SEC);
+                    s.floor.slices.add_granted("t", window, 5, s.now + SEC);
                 }
-                s.floor.refill("t", s.now).into_iter().map(|r| s.step(r.event)).collect()
+                s.floor.serve_quota_queue("t", s.now).into_iter().map(|r| s.step(r.event)).collect()
             }
             Fill => {
                 for r in s.view.workers.iter() {
-                    (0..r.slots).for_each(|_| s.floor.loads.begin(&r.worker_id));
+                    (0..r.slots).for_each(|_| s.floor.worker_loads.begin(&r.worker_id));
                 }
                 String::new()
             }
@@ -221,12 +246,12 @@
                 let p = aims(to, 2);
                 s.look(|v| {
                     v.version = Some(2);
-                    v.plan = p;
+                    v.config = p;
                 });
                 String::new()
             }
             Slice(window) => {
-                s.floor.slices.add("t", window, 5, s.now + SEC);
+                s.floor.slices.add_granted("t", window, 5, s.now + SEC);
                 String::new()
             }
         };
@@ -235,14 +260,14 @@
 }
 
 pub fn sent() -> Vec<(Do, &'static str)> {
-    vec![(E(Event::Turn), "read"), (Body, "open"), (E(Event::Opened), "send win 1")]
+    vec![(E(Event::Wake), "read"), (Body, "open"), (E(Event::Connected), "send win 1")]
 }
 
 pub fn then(more: Vec<(Do, &'static str)>) -> Vec<(Do, &'static str)> {
     sent().into_iter().chain(more).collect()
 }
 /// Matches with an aim, whose calls are sent to the pools of `to`.
-pub fn aims(to: &str, version: u64) -> Arc<Plan> {
+pub fn aims(to: &str, version: u64) -> Arc<CompiledConfig> {
     let m = |n: &str, x: &str| format!("\"{n}\":{{\"under\":\"/{n}/\",{to},\"kind\":\"lookup\"{x}}}");
     let ms = [
         m("open", ",\"open\":true"),
@@ -256,7 +281,7 @@
         m("slow", ",\"repeat\":true,\"resume\":true,\"gap_ms\":600,\"idle_ms\":9000"),
         m("flow-once", ",\"gap_ms\":100,\"idle_ms\":9000"),
     ];
-    let k = |s: &str| sha_hex(s.as_bytes());
+    let k = |s: &str| sha256_hex(s.as_bytes());
     let t = format!(
         "{{\"defaults\":{{\"aim_ms\":400}},\"pools\":{{\"p\":{{}},\"q\":{{}}}},\"matches\":{{{}}},\"tenants\":\
          {{\"t\":{{\"keys\":[\"sha256:{}\"]}},\"u\":{{\"keys\":[\"sha256:{}\"],\"urgency\":2}}}}}}",
@@ -264,8 +289,8 @@
         k("key"),
         k("urgent"),
     );
-    let p = Plan::compile(version, &t);
-    assert!(!p.matches.is_empty(), "{t}: {:?}", sumacvale_core::config::judge(&t));
+    let p = CompiledConfig::compile(version, &t);
+    assert!(!p.matches.is_empty(), "{t}: {:?}", sumacvale_core::config::validate(&t));
     Arc::new(p)
 }
 
@@ -273,25 +298,25 @@
 pub fn aimed(path: &str, key: &str, left: Micros, workers: u64) -> Stage {
     let mut s = Stage::new(path, workers, 4, 9);
     let p = aims("\"pool\":\"p\"", 1);
-    s.look(|v| v.plan = p);
-    s.floor.slices.add("u", 1, 9, BEGIN + SEC);
-    let head = Head {
+    s.look(|v| v.config = p);
+    s.floor.slices.add_granted("u", 1, 9, BEGIN + SEC);
+    let head = RequestHead {
         method: "POST".into(),
         path: path.into(),
-        key: (!key.is_empty()).then(|| key.into()),
-        left: (left > 0).then_some(left * MS),
-        ..Head::default()
+        api_key: (!key.is_empty()).then(|| key.into()),
+        time_left: (left > 0).then_some(left * MS),
+        ..RequestHead::default()
     };
-    s.life = Life::new(1, head, s.view.clone(), BEGIN);
+    s.life = CallMachine::new(1, head, s.view.clone(), BEGIN);
     s
 }
 
 pub fn status(n: u16) -> Do {
-    E(Event::Head(Reply { status: n, bounded: true, ..Reply::default() }))
+    E(Event::Head(ResponseHead { status: n, has_definite_end: true, ..ResponseHead::default() }))
 }
 
 pub fn declined(n: u16) -> Do {
-    E(Event::Head(Reply { status: n, bounded: true, unrun: true, ..Reply::default() }))
+    E(Event::Head(ResponseHead { status: n, has_definite_end: true, not_run: true, ..ResponseHead::default() }))
 }
 
 pub fn whole() -> Vec<(Do, &'static str)> {
@@ -306,10 +331,10 @@
     for (name, path, workers, slots, units, steps, left) in cases {
         let mut s = Stage::new(path, workers, slots, units);
         run(name, &mut s, steps);
-        assert!(s.life.over(), "{name}: is not over");
+        assert!(s.life.is_finished(), "{name}: is not over");
         assert_eq!((s.held().0, s.held().1), (0, (0, 0)), "{name}: places and waits");
         assert_eq!(s.held().2, left, "{name}: units left");
-        let (one, two) = (s.floor.counts.tries_first.get(), s.floor.counts.tries_second.get());
+        let (one, two) = (s.floor.counters.tries_first.get(), s.floor.counters.tries_second.get());
         assert!(one <= 1 && two <= 1, "{name}: {one} first and {two} second tries");
     }
 }
@@ -323,7 +348,7 @@
         let mut s = aimed(path, key, left, workers);
         let full = matches!(steps.first(), Some((Fill, _)));
         run(name, &mut s, steps);
-        assert!(s.life.over(), "{name}: is not over");
+        assert!(s.life.is_finished(), "{name}: is not over");
         assert_eq!((s.held().0, s.held().1), (if full { 4 } else { 0 }, (0, 0)), "{name}: places and waits");
         assert_eq!(s.held().2, units, "{name}: units left");
     }
@@ -331,12 +356,12 @@
 
 /// Its head and body were read.
 pub fn came() -> Vec<(Do, &'static str)> {
-    vec![(E(Event::Turn), "read"), (Body, "open")]
+    vec![(E(Event::Wake), "read"), (Body, "open")]
 }
 
 /// It was sent, with this effect.
 pub fn put(effect: &'static str) -> Vec<(Do, &'static str)> {
-    and(came(), vec![(E(Event::Opened), effect)])
+    and(came(), vec![(E(Event::Connected), effect)])
 }
 
 /// One script after another.
--- a/crates/core/tests/life/tries.rs
+++ b/crates/core/tests/life/tries.rs
@@ -21,12 +21,12 @@
             4,
             9,
             vec![
-                (E(Event::Turn), "read"),
+                (E(Event::Wake), "read"),
                 (Body, "open"),
                 (Lose, ""),
-                (E(Event::Opened), "close, open other"),
-                (E(Event::Opened), "send win 1"),
-                (E(Event::Left), ""),
+                (E(Event::Connected), "close, open other"),
+                (E(Event::Connected), "send win 1"),
+                (E(Event::ClientGone), ""),
             ],
             8,
         ),
@@ -36,7 +36,11 @@
             2,
             4,
             9,
-            vec![(E(Event::Turn), "read"), (Body, "open"), (E(Event::Lost(Spot::Connect)), "503 worker_gone no")],
+            vec![
+                (E(Event::Wake), "read"),
+                (Body, "open"),
+                (E(Event::AttemptFailed(FailurePoint::Connect)), "503 worker_gone no"),
+            ],
             9,
         ),
         (
@@ -47,11 +51,11 @@
             9,
             vec![
                 (Pay, ""),
-                (E(Event::Turn), "read"),
+                (E(Event::Wake), "read"),
                 (Body, "open"),
-                (E(Event::Lost(Spot::Connect)), "open other"),
-                (E(Event::Opened), "send win 1"),
-                (E(Event::Lost(Spot::Sent)), "502 worker_trouble unknown"),
+                (E(Event::AttemptFailed(FailurePoint::Connect)), "open other"),
+                (E(Event::Connected), "send win 1"),
+                (E(Event::AttemptFailed(FailurePoint::Sent)), "502 worker_trouble unknown"),
             ],
             8,
         ),
@@ -63,11 +67,11 @@
             9,
             vec![
                 (Pay, ""),
-                (E(Event::Turn), "read"),
+                (E(Event::Wake), "read"),
                 (Body, "open"),
-                (E(Event::Lost(Spot::Declined)), "open other"),
-                (E(Event::Opened), "send win 1"),
-                (E(Event::Lost(Spot::Sent)), "502 worker_trouble unknown"),
+                (E(Event::AttemptFailed(FailurePoint::Declined)), "open other"),
+                (E(Event::Connected), "send win 1"),
+                (E(Event::AttemptFailed(FailurePoint::Sent)), "502 worker_trouble unknown"),
             ],
             8,
         ),
@@ -77,7 +81,11 @@
             2,
             4,
             9,
-            vec![(E(Event::Turn), "read"), (Body, "open"), (E(Event::Lost(Spot::Declined)), "503 worker_full no")],
+            vec![
+                (E(Event::Wake), "read"),
+                (Body, "open"),
+                (E(Event::AttemptFailed(FailurePoint::Declined)), "503 worker_full no"),
+            ],
             9,
         ),
         (
@@ -87,10 +95,10 @@
             4,
             9,
             vec![
-                (E(Event::Turn), "read"),
+                (E(Event::Wake), "read"),
                 (Body, "open"),
                 (Wait(500 * MS), ""),
-                (E(Event::Turn), "close, 503 worker_gone no"),
+                (E(Event::Wake), "close, 503 worker_gone no"),
             ],
             9,
         ),
@@ -100,7 +108,7 @@
             2,
             4,
             9,
-            then(vec![(E(Event::Unsent), "open again"), (Withdraw, ""), (E(Event::Opened), "close, 401 key no")]),
+            then(vec![(E(Event::NotSent), "open again"), (Withdraw, ""), (E(Event::Connected), "close, 401 key no")]),
             9,
         ),
         (
@@ -109,7 +117,7 @@
             2,
             4,
             9,
-            then(vec![(Pay, ""), (E(Event::Lost(Spot::Sent)), "502 worker_trouble unknown")]),
+            then(vec![(Pay, ""), (E(Event::AttemptFailed(FailurePoint::Sent)), "502 worker_trouble unknown")]),
             8,
         ),
         (
@@ -120,11 +128,11 @@
             9,
             then(vec![
                 (Pay, ""),
-                (E(Event::Lost(Spot::Sent)), "open other"),
+                (E(Event::AttemptFailed(FailurePoint::Sent)), "open other"),
                 (Wait(1_100 * MS), ""),
                 (Slice(2), ""),
-                (E(Event::Opened), "send win 2"),
-                (E(Event::Left), ""),
+                (E(Event::Connected), "send win 2"),
+                (E(Event::ClientGone), ""),
             ]),
             4,
         ),
@@ -136,9 +144,9 @@
             9,
             then(vec![
                 (Pay, ""),
-                (E(Event::Lost(Spot::Sent)), "open other"),
+                (E(Event::AttemptFailed(FailurePoint::Sent)), "open other"),
                 (Wait(1_100 * MS), ""),
-                (E(Event::Opened), "close, 504 worker_slow unknown"),
+                (E(Event::Connected), "close, 504 worker_slow unknown"),
             ]),
             8,
         ),
@@ -150,10 +158,10 @@
             9,
             then(vec![
                 (Pay, ""),
-                (E(Event::Lost(Spot::Sent)), "open other"),
-                (E(Event::Opened), "send win 1"),
+                (E(Event::AttemptFailed(FailurePoint::Sent)), "open other"),
+                (E(Event::Connected), "send win 1"),
                 (Pay, ""),
-                (E(Event::Lost(Spot::Sent)), "502 worker_trouble unknown"),
+                (E(Event::AttemptFailed(FailurePoint::Sent)), "502 worker_trouble unknown"),
             ]),
             8,
         ),
@@ -164,7 +172,7 @@
             4,
             9,
             then(vec![(
-                E(Event::Head(Reply { status: 503, unrun: true, ..Reply::default() })),
+                E(Event::Head(ResponseHead { status: 503, not_run: true, ..ResponseHead::default() })),
                 "close, 503 worker_full no",
             )]),
             9,
@@ -176,7 +184,7 @@
             4,
             9,
             then(vec![(
-                E(Event::Head(Reply { status: 200, other: true, ..Reply::default() })),
+                E(Event::Head(ResponseHead { status: 200, is_foreign: true, ..ResponseHead::default() })),
                 "close, 502 worker_trouble unknown",
             )]),
             8,
@@ -190,7 +198,12 @@
             then(vec![
                 (Pay, ""),
                 (
-                    E(Event::Head(Reply { status: 503, other: true, unrun: true, ..Reply::default() })),
+                    E(Event::Head(ResponseHead {
+                        status: 503,
+                        is_foreign: true,
+                        not_run: true,
+                        ..ResponseHead::default()
+                    })),
                     "close, 502 worker_trouble unknown",
                 ),
             ]),
@@ -202,7 +215,7 @@
             2,
             4,
             9,
-            then(vec![(Wait(15 * SEC), ""), (E(Event::Turn), "close, 504 worker_slow unknown")]),
+            then(vec![(Wait(15 * SEC), ""), (E(Event::Wake), "close, 504 worker_slow unknown")]),
             8,
         ),
         (
@@ -211,7 +224,7 @@
             2,
             4,
             9,
-            then(vec![(Withdraw, ""), (E(Event::Turn), "close, 401 key unknown")]),
+            then(vec![(Withdraw, ""), (E(Event::Wake), "close, 401 key unknown")]),
             8,
         ),
     ]);
@@ -234,8 +247,8 @@
                     (Pay, ""),
                     (Wait(300 * MS), ""),
                     (declined(503), other),
-                    (E(Event::Opened), "send win 1 until 3000"),
-                    (E(Event::Left), ""),
+                    (E(Event::Connected), "send win 1 until 3000"),
+                    (E(Event::ClientGone), ""),
                 ],
             ),
             8,
@@ -250,9 +263,9 @@
                 put("send win 1 until 3000"),
                 vec![
                     (Wait(2_999 * MS), ""),
-                    (E(Event::Turn), ""),
+                    (E(Event::Wake), ""),
                     (Wait(MS), ""),
-                    (E(Event::Turn), "close, 504 worker_slow unknown"),
+                    (E(Event::Wake), "close, 504 worker_slow unknown"),
                 ],
             ),
             8,
@@ -276,7 +289,7 @@
             2,
             and(
                 put("send win 1"),
-                and(vec![(Pay, ""), (declined(421), other), (E(Event::Opened), "send win 1")], whole()),
+                and(vec![(Pay, ""), (declined(421), other), (E(Event::Connected), "send win 1")], whole()),
             ),
             8,
         ),
@@ -306,7 +319,7 @@
             2,
             and(
                 put("send win 1"),
-                and(vec![(Pay, ""), (status(500), other), (E(Event::Opened), "send win 1")], whole()),
+                and(vec![(Pay, ""), (status(500), other), (E(Event::Connected), "send win 1")], whole()),
             ),
             8,
         ),
@@ -331,7 +344,7 @@
                     (Pay, ""),
                     (status(503), other),
                     (Pay, ""),
-                    (E(Event::Opened), "send win 1"),
+                    (E(Event::Connected), "send win 1"),
                     (status(503), "close, 502 worker_trouble unknown"),
                 ],
             ),
@@ -357,7 +370,7 @@
                 vec![
                     (Pay, ""),
                     (declined(503), other),
-                    (E(Event::Opened), "send win 1"),
+                    (E(Event::Connected), "send win 1"),
                     (Pay, ""),
                     (Pay, ""),
                     (declined(503), "close, 503 worker_full no"),
@@ -373,7 +386,13 @@
             3,
             and(
                 came(),
-                and(vec![(E(Event::Lost(Spot::Connect)), "open other"), (E(Event::Opened), "send win 1")], whole()),
+                and(
+                    vec![
+                        (E(Event::AttemptFailed(FailurePoint::Connect)), "open other"),
+                        (E(Event::Connected), "send win 1"),
+                    ],
+                    whole(),
+                ),
             ),
             8,
         ),
@@ -382,7 +401,7 @@
         let one = "without its word no promise of a worker is passed on";
         let steps = vec![(status(n), "close, 502 worker_trouble unknown")];
         cases.push((one, "/once/x", "key", 0, 2, and(put("send win 1"), steps), 8));
-        let steps = vec![(Pay, ""), (status(n), other), (E(Event::Opened), "send win 1")];
+        let steps = vec![(Pay, ""), (status(n), other), (E(Event::Connected), "send win 1")];
         cases.push((
             "or it is tried elsewhere",
             "/safe/x",
@@ -399,9 +418,10 @@
 #[test]
 fn a_call_that_was_not_written_is_the_same_try() {
     let mut s = Stage::new("/chat", 2, 4, 9);
-    let again = vec![(E(Event::Unsent), "open again"), (E(Event::Opened), "send win 1"), (E(Event::Left), "")];
+    let again =
+        vec![(E(Event::NotSent), "open again"), (E(Event::Connected), "send win 1"), (E(Event::ClientGone), "")];
     run("not written", &mut s, then(again));
-    assert_eq!((s.floor.counts.tries_first.get(), s.floor.counts.tries_second.get()), (1, 0));
+    assert_eq!((s.floor.counters.tries_first.get(), s.floor.counters.tries_second.get()), (1, 0));
 }
 
 /// Each worker reports anew that it has room, and the waitlists are looked through.
@@ -420,21 +440,21 @@
 #[test]
 fn a_call_that_every_worker_declined_waits_for_a_place() {
     let other = "close, open other";
-    let again = || E(Event::Opened);
+    let again = || E(Event::Connected);
     let declined_by_all =
         || then(vec![(Pay, ""), (Pay, ""), (declined(503), other), (again(), "send win 1"), (declined(503), "close")]);
     let failed_then_declined = || {
         then(vec![
             (Pay, ""),
             (Pay, ""),
-            (E(Event::Lost(Spot::Sent)), "open other"),
+            (E(Event::AttemptFailed(FailurePoint::Sent)), "open other"),
             (again(), "send win 1"),
             (declined(503), "close"),
         ])
     };
     let served = || and(vec![(again(), "send win 1")], whole());
     let unpaid = || vec![(again(), "send win 1"), (declined(503), "close, 503 worker_full no")];
-    let patience = || vec![(Wait(60 * SEC), ""), (E(Event::Turn), "503 full no")];
+    let patience = || vec![(Wait(60 * SEC), ""), (E(Event::Wake), "503 full no")];
     // Name, path; the steps; whether workers report, what follows then; units left, first and second tries.
     let cases = vec![
         ("served when one has room", "/chat", declined_by_all(), true, served(), 8, (1, 2)),
@@ -455,10 +475,10 @@
             assert_eq!(s.at.as_ref().map(|p| p.worker_id.clone()), last, "{name}");
         }
         run(name, &mut s, more);
-        assert!(s.life.over(), "{name}: is not over");
+        assert!(s.life.is_finished(), "{name}: is not over");
         assert_eq!((s.held().0, s.held().1), (0, (0, 0)), "{name}: places and waits");
         assert_eq!(s.held().2, units, "{name}: units left");
-        let counts = &s.floor.counts;
+        let counts = &s.floor.counters;
         assert_eq!((counts.tries_first.get(), counts.tries_second.get()), tries, "{name}: tries");
     }
 }
--- a/crates/core/tests/machines.rs
+++ b/crates/core/tests/machines.rs
@@ -2,19 +2,19 @@
 
 use std::collections::BTreeMap;
 use sumacvale_core::base::{MS, NodeId, SEC};
-use sumacvale_core::config::{Kind, Quota};
-use sumacvale_core::news::{Apply, News};
-use sumacvale_core::peer::{Frame, Garbled, Grant, Msg, Row, pack, unpack};
-use sumacvale_core::place::{Loads, Table};
-use sumacvale_core::quota::{Ask, Ledger, Slices, Take, Turn};
-use sumacvale_core::stream::{Broken, Pieces};
-use sumacvale_core::term::{Book, Held, MARGIN, Said, TERM};
-use sumacvale_core::tries::{Budget, Next, Ran, Spot, next};
-use sumacvale_core::wait::Waitlist;
+use sumacvale_core::config::{Kind, WindowQuota};
+use sumacvale_core::lease::{HOLDER_MARGIN, HeldLease, LEASE_DURATION, LeaseDecision, LeaseGrantor};
+use sumacvale_core::placement::{PlacementTable, WorkerLoads};
+use sumacvale_core::protocol::{Frame, FrameError, Message, WindowGrant, WorkerReport, decode_frame, encode_frame};
+use sumacvale_core::queue::FairQueue;
+use sumacvale_core::quota::{LedgerAction, SliceRequest, TakeOutcome, WindowLedger, WindowSlices};
+use sumacvale_core::retry::{Execution, FailurePoint, RetryBudget, RetryDecision, decide};
+use sumacvale_core::stream::{EventSplitter, StreamError};
+use sumacvale_core::workers::{MergeOutcome, WorkerTable};
 
-fn row(w: &str, zone: &str, incarnation: u64, seq: u64) -> Row {
+fn row(w: &str, zone: &str, incarnation: u64, seq: u64) -> WorkerReport {
     let n = w.bytes().map(u32::from).sum::<u32>() % 250 + 1;
-    Row {
+    WorkerReport {
         worker_id: w.into(),
         incarnation,
         seq,
@@ -23,9 +23,9 @@
         zone: zone.into(),
         slots: 4,
         busy: 0,
-        drain: false,
-        cold: 0,
-        gone: false,
+        draining: false,
+        warm_up_left: 0,
+        removed: false,
         age: 0,
     }
 }
@@ -33,97 +33,112 @@
 #[test]
 fn reports_merge_by_life_and_sequence() {
     for (name, incarnation, seq, at, want, heard) in [
-        ("next", 2, 6, 10, Apply::New, 10),
-        ("the same again, heard later", 2, 5, 9, Apply::Old, 9),
-        ("the same again, heard earlier", 2, 5, 1, Apply::Old, 5),
-        ("an older one", 2, 4, 10, Apply::Old, 5),
-        ("of an ended life", 1, 99, 10, Apply::Ended, 5),
-        ("of a new life", 3, 1, 10, Apply::New, 10),
-        ("from the future", 2, 6, 11, Apply::Future, 5),
+        ("next", 2, 6, 10, MergeOutcome::Applied, 10),
+        ("the same again, heard later", 2, 5, 9, MergeOutcome::Outdated, 9),
+        ("the same again, heard earlier", 2, 5, 1, MergeOutcome::Outdated, 5),
+        ("an older one", 2, 4, 10, MergeOutcome::Outdated, 5),
+        ("of an ended life", 1, 99, 10, MergeOutcome::EndedIncarnation, 5),
+        ("of a new life", 3, 1, 10, MergeOutcome::Applied, 10),
+        ("from the future", 2, 6, 11, MergeOutcome::FromFuture, 5),
     ] {
-        let mut n = News::default();
-        assert_eq!(n.merge(&row("w", "z", 2, 5), 5, 5), Apply::New);
+        let mut n = WorkerTable::default();
+        assert_eq!(n.merge(&row("w", "z", 2, 5), 5, 5), MergeOutcome::Applied);
         assert_eq!(n.merge(&row("w", "z", incarnation, seq), at, 10), want, "{name}");
-        assert_eq!(n.rows["w"].heard, heard, "{name}");
+        assert_eq!(n.entries["w"].heard_at, heard, "{name}");
     }
 }
 
 #[test]
 fn the_silent_and_the_draining_take_no_calls() {
-    let mut n = News::default();
+    let mut n = WorkerTable::default();
     n.merge(&row("w", "z", 1, 1), 0, 0);
     assert_eq!(n.live(1_499 * MS).count(), 1);
     assert_eq!(n.live(1_500 * MS).count(), 0);
-    n.merge(&Row { drain: true, ..row("w", "z", 1, 2) }, SEC, SEC);
+    n.merge(&WorkerReport { draining: true, ..row("w", "z", 1, 2) }, SEC, SEC);
     assert_eq!(n.live(SEC).count(), 0);
 }
 
 #[test]
 fn terms_are_granted_once_and_fenced() {
     let (a, b) = (NodeId(1), NodeId(2));
-    let yes = |w| Said::Yes { write: w };
-    let mut k = Book { quiet: SEC, ..Book::default() };
-    let no = |x: Said| matches!(x, Said::No { .. });
-    assert!(no(k.ask(0, a, 1, true, 0)), "quiet after a start");
-    assert_eq!(k.ask(0, a, 1, true, SEC), yes(true));
-    assert!(no(k.ask(0, b, 2, true, SEC + TERM - 1)), "another's term runs");
-    assert_eq!(k.ask(0, a, 1, false, SEC + TERM - 1), yes(false), "a holder renews");
-    assert!(no(k.ask(0, a, 1, true, SEC + TERM)), "a new term needs a new epoch");
-    assert_eq!(k.ask(0, b, 2, true, SEC + 2 * TERM), yes(true), "ended: the next");
-    assert!(no(k.ask(0, a, 1, false, SEC + 3 * TERM)), "an old epoch is not renewed");
-    assert!(k.fenced(0, 1) && !k.fenced(0, 2) && !k.fenced(1, 0));
+    let yes = |w| LeaseDecision::Granted { is_new_epoch: w };
+    let mut k = LeaseGrantor { fence_until: SEC, ..LeaseGrantor::default() };
+    let no = |x: LeaseDecision| matches!(x, LeaseDecision::Rejected { .. });
+    assert!(no(k.request(0, a, 1, true, 0)), "quiet after a start");
+    assert_eq!(k.request(0, a, 1, true, SEC), yes(true));
+    assert!(no(k.request(0, b, 2, true, SEC + LEASE_DURATION - 1)), "another's term runs");
+    assert_eq!(k.request(0, a, 1, false, SEC + LEASE_DURATION - 1), yes(false), "a holder renews");
+    assert!(no(k.request(0, a, 1, true, SEC + LEASE_DURATION)), "a new term needs a new epoch");
+    assert_eq!(k.request(0, b, 2, true, SEC + 2 * LEASE_DURATION), yes(true), "ended: the next");
+    assert!(no(k.request(0, a, 1, false, SEC + 3 * LEASE_DURATION)), "an old epoch is not renewed");
+    assert!(k.is_fenced(0, 1) && !k.is_fenced(0, 2) && !k.is_fenced(1, 0));
 }
 
 /// The quiet of all may end early; a duty whose windows an earlier life told of waits out its own.
 #[test]
 fn a_duty_with_a_quiet_of_its_own_is_granted_after_it_only() {
     let (a, b) = (NodeId(1), NodeId(2));
-    let mut book = Book { quiet: TERM, quiet_duties: BTreeMap::from([(3, TERM)]), ..Book::default() };
-    book.quiet = 0;
-    assert_eq!(book.ask(4, a, 1, true, MS), Said::Yes { write: true }, "another duty");
-    let refused = book.ask(3, a, 1, true, TERM - MS);
-    assert!(matches!(refused, Said::No { holder, left: MS, .. } if holder == NodeId::default()), "{refused:?}");
-    assert_eq!(book.ask(3, b, 1, false, TERM - MS), Said::Yes { write: true }, "a holder renews meanwhile");
-    book.rows.clear();
-    assert_eq!(book.ask(3, a, 2, true, TERM), Said::Yes { write: true }, "its quiet has ended");
+    let mut book = LeaseGrantor {
+        fence_until: LEASE_DURATION,
+        role_fences: BTreeMap::from([(3, LEASE_DURATION)]),
+        ..LeaseGrantor::default()
+    };
+    book.fence_until = 0;
+    assert_eq!(book.request(4, a, 1, true, MS), LeaseDecision::Granted { is_new_epoch: true }, "another duty");
+    let refused = book.request(3, a, 1, true, LEASE_DURATION - MS);
+    assert!(
+        matches!(refused, LeaseDecision::Rejected { holder, remaining: MS, .. } if holder == NodeId::default()),
+        "{refused:?}"
+    );
+    assert_eq!(
+        book.request(3, b, 1, false, LEASE_DURATION - MS),
+        LeaseDecision::Granted { is_new_epoch: true },
+        "a holder renews meanwhile"
+    );
+    book.granted.clear();
+    assert_eq!(
+        book.request(3, a, 2, true, LEASE_DURATION),
+        LeaseDecision::Granted { is_new_epoch: true },
+        "its quiet has ended"
+    );
 }
 
 #[test]
 fn a_holder_stops_before_its_grantors_think_so() {
-    let mut h = Held::default();
-    h.won(100);
-    assert!(h.holds(100 + TERM - MARGIN - 1));
-    assert!(!h.holds(100 + TERM - MARGIN));
+    let mut h = HeldLease::default();
+    h.extend_from(100);
+    assert!(h.is_valid(100 + LEASE_DURATION - HOLDER_MARGIN - 1));
+    assert!(!h.is_valid(100 + LEASE_DURATION - HOLDER_MARGIN));
 }
 
-const Q: Quota = Quota { calls: 10, window: SEC };
+const Q: WindowQuota = WindowQuota { calls: 10, window: SEC };
 
-fn ask(n: u64, want: u64) -> Ask {
-    Ask { node_id: NodeId(n), n: 0, want, at: 0 }
+fn ask(n: u64, want: u64) -> SliceRequest {
+    SliceRequest { node_id: NodeId(n), request_id: 0, wanted_units: want, received_at: 0 }
 }
 
-fn given(v: &[Turn]) -> u64 {
-    v.iter().map(|t| if let Turn::Give { g, .. } = t { g.granted_total } else { 0 }).sum()
+fn given(v: &[LedgerAction]) -> u64 {
+    v.iter().map(|t| if let LedgerAction::Grant { grant: g, .. } = t { g.granted_total } else { 0 }).sum()
 }
 
 #[test]
 fn a_ledger_gives_no_more_than_the_quota_and_recalls_before_it_refuses() {
-    let mut l = Ledger::default();
+    let mut l = WindowLedger::default();
     let mut sum = 0;
     for k in 0..10 {
-        sum += given(&l.ask("t", Q, ask(k, 1), (0, 0), 1, 0));
+        sum += given(&l.request("t", Q, ask(k, 1), (0, 0), 1, 0));
     }
     assert_eq!(sum, 10);
-    let v = l.ask("t", Q, ask(99, 1), (0, 0), 1, 1);
-    assert!(matches!(&v[..], [Turn::Recall { to, .. }] if to.len() == 10), "{v:?}");
-    let v = l.give_back("t", Q, NodeId(3), 1, 1, 1, 2);
-    assert!(matches!(&v[..], [Turn::Give { g, .. }] if g.node_id == NodeId(99)), "{v:?}");
-    let v = l.ask("t", Q, ask(98, 1), (0, 0), 1, 3);
-    assert!(matches!(&v[..], [Turn::Recall { .. }]), "{v:?}");
+    let v = l.request("t", Q, ask(99, 1), (0, 0), 1, 1);
+    assert!(matches!(&v[..], [LedgerAction::Recall { to, .. }] if to.len() == 10), "{v:?}");
+    let v = l.return_units("t", Q, NodeId(3), 1, 1, 1, 2);
+    assert!(matches!(&v[..], [LedgerAction::Grant { grant: g, .. }] if g.node_id == NodeId(99)), "{v:?}");
+    let v = l.request("t", Q, ask(98, 1), (0, 0), 1, 3);
+    assert!(matches!(&v[..], [LedgerAction::Recall { .. }]), "{v:?}");
     let v = l.tick("t", Q, 1, 3 + 150 * MS);
-    assert!(matches!(&v[..], [Turn::Spent { left, .. }] if *left == SEC - 3 - 150 * MS), "{v:?}");
-    let v = l.ask("t", Q, ask(98, 1), (0, 0), 1, SEC);
-    assert!(matches!(&v[..], [Turn::Give { g, .. }] if g.window == 2), "a new window: {v:?}");
+    assert!(matches!(&v[..], [LedgerAction::Spent { remaining: left, .. }] if *left == SEC - 3 - 150 * MS), "{v:?}");
+    let v = l.request("t", Q, ask(98, 1), (0, 0), 1, SEC);
+    assert!(matches!(&v[..], [LedgerAction::Grant { grant: g, .. }] if g.window == 2), "a new window: {v:?}");
 }
 
 #[test]
@@ -133,13 +148,13 @@
         ("its beginning is known", 900 * MS, 200 * MS, 10),
         ("it ends by the successor's clock", 0, SEC, 10),
     ] {
-        let mut l = Ledger::default();
+        let mut l = WindowLedger::default();
         for (n, granted_total) in [(1, 5), (2, 3)] {
-            l.inherit(&Grant { tenant: "t".into(), window: 7, node_id: NodeId(n), granted_total, age }, 10 * SEC);
+            l.inherit(&WindowGrant { tenant: "t".into(), window: 7, node_id: NodeId(n), granted_total, age }, 10 * SEC);
         }
         let mut sum = 0;
         for k in 10..30 {
-            sum += given(&l.ask("t", Q, ask(k, 1), (0, 0), 1, 10 * SEC + now));
+            sum += given(&l.request("t", Q, ask(k, 1), (0, 0), 1, 10 * SEC + now));
         }
         assert_eq!(sum, want, "{name}");
     }
@@ -147,72 +162,72 @@
 
 #[test]
 fn a_slice_ends_inside_its_window() {
-    let s = Slices::default();
-    assert_eq!(s.take("t", 0), Take::Empty);
-    s.add("t", 1, 2, SEC);
-    assert!(matches!(s.take("t", 0), Take::Took { window: 1, .. }));
+    let s = WindowSlices::default();
+    assert_eq!(s.take("t", 0), TakeOutcome::Empty);
+    s.add_granted("t", 1, 2, SEC);
+    assert!(matches!(s.take("t", 0), TakeOutcome::Taken { window: 1, .. }));
     s.refund("t", 1);
-    assert!(matches!(s.take("t", 1), Take::Took { .. }));
-    assert!(matches!(s.take("t", 2), Take::Took { .. }));
-    assert_eq!(s.take("t", 3), Take::Empty);
-    s.add("t", 1, 3, SEC);
-    assert_eq!(s.take("t", SEC), Take::Empty, "the window is over");
-    s.add("t", 1, 3, SEC);
-    assert!(matches!(s.take("t", SEC - 1), Take::Took { .. }), "told twice, counted once");
-    assert_eq!(s.take("t", SEC - 1), Take::Empty);
-    s.add("t", 2, 5, 2 * SEC);
+    assert!(matches!(s.take("t", 1), TakeOutcome::Taken { .. }));
+    assert!(matches!(s.take("t", 2), TakeOutcome::Taken { .. }));
+    assert_eq!(s.take("t", 3), TakeOutcome::Empty);
+    s.add_granted("t", 1, 3, SEC);
+    assert_eq!(s.take("t", SEC), TakeOutcome::Empty, "the window is over");
+    s.add_granted("t", 1, 3, SEC);
+    assert!(matches!(s.take("t", SEC - 1), TakeOutcome::Taken { .. }), "told twice, counted once");
+    assert_eq!(s.take("t", SEC - 1), TakeOutcome::Empty);
+    s.add_granted("t", 2, 5, 2 * SEC);
     s.refund("t", 1);
-    assert_eq!(s.give("t", 2, SEC), Some(5), "a refund of an older window adds nothing");
-    assert_eq!(s.give("t", 2, SEC), Some(5), "given back once");
-    assert_eq!(s.take("t", SEC), Take::Empty);
-    s.add("t", 1, 9, 3 * SEC);
-    assert_eq!(s.take("t", SEC), Take::Empty, "an older window comes too late");
+    assert_eq!(s.return_idle("t", 2, SEC), Some(5), "a refund of an older window adds nothing");
+    assert_eq!(s.return_idle("t", 2, SEC), Some(5), "given back once");
+    assert_eq!(s.take("t", SEC), TakeOutcome::Empty);
+    s.add_granted("t", 1, 9, 3 * SEC);
+    assert_eq!(s.take("t", SEC), TakeOutcome::Empty, "an older window comes too late");
 }
 
 #[test]
 fn what_may_follow_a_trouble() {
     for (spot, repeat, down, budget, want) in [
-        (Spot::Connect, false, false, true, Next::Again),
-        (Spot::Connect, false, false, false, Next::Stop(Ran::No)),
-        (Spot::Declined, false, false, true, Next::Again),
-        (Spot::Sent, false, false, true, Next::Stop(Ran::Unknown)),
-        (Spot::Sent, true, false, true, Next::Again),
-        (Spot::Sent, true, true, true, Next::Stop(Ran::Unknown)),
-        (Spot::Body, true, true, true, Next::Stop(Ran::Yes)),
-        (Spot::Body, false, false, true, Next::Stop(Ran::Yes)),
+        (FailurePoint::Connect, false, false, true, RetryDecision::Retry),
+        (FailurePoint::Connect, false, false, false, RetryDecision::Stop(Execution::NotRun)),
+        (FailurePoint::Declined, false, false, true, RetryDecision::Retry),
+        (FailurePoint::Sent, false, false, true, RetryDecision::Stop(Execution::Unknown)),
+        (FailurePoint::Sent, true, false, true, RetryDecision::Retry),
+        (FailurePoint::Sent, true, true, true, RetryDecision::Stop(Execution::Unknown)),
+        (FailurePoint::Body, true, true, true, RetryDecision::Stop(Execution::Ran)),
+        (FailurePoint::Body, false, false, true, RetryDecision::Stop(Execution::Ran)),
     ] {
-        assert_eq!(next(spot, repeat, down, || budget), want, "{spot:?} {repeat} {down} {budget}");
+        assert_eq!(decide(spot, repeat, down, || budget), want, "{spot:?} {repeat} {down} {budget}");
     }
 }
 
 #[test]
 fn second_tries_are_a_fifth_of_first_ones_from_the_start() {
-    let b = Budget::default();
-    assert!(!b.second(), "no floor");
+    let b = RetryBudget::default();
+    assert!(!b.withdraw(), "no floor");
     let mut n = 0;
     for _ in 0..1_000 {
-        b.first();
-        n += u64::from(b.second());
+        b.deposit();
+        n += u64::from(b.withdraw());
     }
     assert_eq!(n, 200);
 }
 
 #[test]
 fn streams_are_cut_into_whole_pieces_and_resumed_exactly() {
-    let feed = |p: &mut Pieces, s: &str| p.feed(s.as_bytes()).map(|v| v.concat());
-    let ok = |s: &str| Ok::<_, Broken>(s.as_bytes().to_vec());
-    let new = || Pieces::new(true, None);
+    let feed = |p: &mut EventSplitter, s: &str| p.push(s.as_bytes()).map(|v| v.concat());
+    let ok = |s: &str| Ok::<_, StreamError>(s.as_bytes().to_vec());
+    let new = || EventSplitter::new(true, None);
     let mut p = new();
     assert_eq!(feed(&mut p, "id: 0\ndata: a\n\nid: 1\nda"), ok("id: 0\ndata: a\n\n"));
-    assert!(!p.clean());
+    assert!(!p.is_between_events());
     assert_eq!(feed(&mut p, "ta: b\n\n: hold\n\n"), ok("id: 1\ndata: b\n\n: hold\n\n"));
     assert_eq!(feed(&mut p, "id: 2\nda"), ok(""));
-    assert_eq!(p.from(), Some(Some(1)));
+    assert_eq!(p.resume_point(), Some(Some(1)));
     for (name, s, want) in [
         ("goes on", "id: 2\ndata: c\n\n", ok("id: 2\ndata: c\n\n")),
         ("repeats what was sent", "id: 1\ndata: b\n\nid: 2\ndata: c\n\n", ok("id: 2\ndata: c\n\n")),
-        ("skips", "id: 3\ndata: d\n\n", Err(Broken::Gap { got: 3, want: 2 })),
-        ("has no number", "data: c\n\n", Err(Broken::NoId)),
+        ("skips", "id: 3\ndata: d\n\n", Err(StreamError::EventGap { got: 3, want: 2 })),
+        ("has no number", "data: c\n\n", Err(StreamError::MissingEventId)),
         ("ends lines another way", "id: 2\r\ndata: c\r\n\r\n", ok("id: 2\r\ndata: c\r\n\r\n")),
     ] {
         let mut p = new();
@@ -220,15 +235,15 @@
         p.resume();
         assert_eq!(feed(&mut p, s), want, "{name}");
     }
-    assert_eq!(new().feed(&vec![b'x'; 2 << 20]), Err(Broken::Large));
+    assert_eq!(new().push(&vec![b'x'; 2 << 20]), Err(StreamError::EventTooLarge));
 }
 
 #[test]
 fn placement_keeps_prefixes_steps_past_the_full_and_stays_in_its_zone() {
     let rs: Vec<_> = (0..9).map(|i| row(&format!("w{i}"), &format!("z{}", i % 3), 1, 1)).collect();
-    let t = Table::new(rs.iter());
+    let t = PlacementTable::new(rs.iter());
     let none = vec![0; 9];
-    let zone = |i: usize| t.places[i].zone.clone();
+    let zone = |i: usize| t.endpoints[i].zone.clone();
     let mut moved = 0;
     for h in (0..500u64).map(|k| k.wrapping_mul(0x9E37_79B9_7F4A_7C15)) {
         let i = t.nominate(h, "z1", &none, &[]).expect("room");
@@ -238,26 +253,26 @@
         load[i] = 4;
         let j = t.nominate(h, "z1", &load, &[]).expect("room");
         assert!(j != i && zone(j) == "z1", "past a full one");
-        let skip = [t.places[i].worker_id.clone()];
+        let skip = [t.endpoints[i].worker_id.clone()];
         assert!(t.nominate(h, "z1", &none, &skip) != Some(i));
         let full: Vec<_> = (0..9).map(|k| if zone(k) == "z1" { 4 } else { 0 }).collect();
         assert!(zone(t.nominate(h, "z1", &full, &[]).expect("room elsewhere")) != "z1");
         // One worker less moves only its own prefixes.
-        let less = Table::new(rs.iter().filter(|r| r.worker_id != "w4"));
+        let less = PlacementTable::new(rs.iter().filter(|r| r.worker_id != "w4"));
         let k = less.nominate(h, "z1", &[0; 8], &[]).expect("room");
-        if t.places[i].worker_id != "w4" {
-            moved += usize::from(less.places[k].worker_id != t.places[i].worker_id);
+        if t.endpoints[i].worker_id != "w4" {
+            moved += usize::from(less.endpoints[k].worker_id != t.endpoints[i].worker_id);
         }
     }
     assert_eq!(moved, 0);
     assert_eq!(t.nominate(1, "z1", &[4; 9], &[]), None);
-    assert_eq!(Table::default().nominate(1, "z1", &[], &[]), None);
+    assert_eq!(PlacementTable::default().nominate(1, "z1", &[], &[]), None);
 }
 
 #[test]
 fn a_hot_prefix_is_spread_by_the_bound() {
-    let rs: Vec<_> = (0..4).map(|i| Row { slots: 100, ..row(&format!("w{i}"), "z", 1, 1) }).collect();
-    let t = Table::new(rs.iter());
+    let rs: Vec<_> = (0..4).map(|i| WorkerReport { slots: 100, ..row(&format!("w{i}"), "z", 1, 1) }).collect();
+    let t = PlacementTable::new(rs.iter());
     let mut load = vec![0u32; 4];
     for _ in 0..200 {
         let i = t.nominate(42, "z", &load, &[]).expect("room");
@@ -268,28 +283,28 @@
 
 #[test]
 fn a_worker_that_failed_is_left_out_until_it_reports_anew() {
-    let l = Loads::default();
-    let t = Table::new([row("w", "z", 1, 5)].iter());
+    let l = WorkerLoads::default();
+    let t = PlacementTable::new([row("w", "z", 1, 5)].iter());
     l.begin("w");
-    assert_eq!(l.of(&t), [1]);
-    l.bad("w", 1, 5);
-    assert_eq!(l.of(&t), [u32::MAX]);
-    assert_eq!(l.of(&Table::new([row("w", "z", 1, 6)].iter())), [1]);
-    let busy = Row { busy: 3, ..row("w", "z", 1, 7) };
-    assert_eq!(l.of(&Table::new([busy.clone()].iter())), [3], "one own and two of others");
+    assert_eq!(l.current(&t), [1]);
+    l.mark_failed("w", 1, 5);
+    assert_eq!(l.current(&t), [u32::MAX]);
+    assert_eq!(l.current(&PlacementTable::new([row("w", "z", 1, 6)].iter())), [1]);
+    let busy = WorkerReport { busy: 3, ..row("w", "z", 1, 7) };
+    assert_eq!(l.current(&PlacementTable::new([busy.clone()].iter())), [3], "one own and two of others");
     l.begin("w");
-    l.full("w", 4);
-    assert_eq!(l.of(&Table::new([busy.clone()].iter())), [5], "it said that it is full");
+    l.mark_full("w", 4);
+    assert_eq!(l.current(&PlacementTable::new([busy.clone()].iter())), [5], "it said that it is full");
     l.end("w");
     l.end("w");
-    assert_eq!(l.of(&Table::new([busy].iter())), [3], "room where own calls ended");
-    assert_eq!(l.of(&Table::new([row("w", "z", 1, 8)].iter())), [0]);
+    assert_eq!(l.current(&PlacementTable::new([busy].iter())), [3], "room where own calls ended");
+    assert_eq!(l.current(&PlacementTable::new([row("w", "z", 1, 8)].iter())), [0]);
 }
 
 #[test]
 fn waiting_is_fair_bounded_and_ends_at_once() {
     let k = |t: &str, x: Kind| (t.to_owned(), x);
-    let mut w = Waitlist::new(100);
+    let mut w = FairQueue::new(100);
     for i in 0..50 {
         assert!(w.push(k("big", Kind::Chat), 1, ("big", i), SEC, 0).is_ok());
     }
@@ -298,7 +313,7 @@
     }
     let first: Vec<_> = (0..10).filter_map(|_| w.pop(|_| Some(())).map(|x| x.0.0)).collect();
     assert_eq!(first.iter().filter(|t| **t == "small").count(), 5, "{first:?}");
-    assert_eq!(w.take(|_, due| due <= SEC).len(), 45);
+    assert_eq!(w.drain_where(|_, due| due <= SEC).len(), 45);
     assert!(w.is_empty());
 
     // Quick lookups are not stuck behind drafts of the same tenant.
@@ -310,22 +325,22 @@
     assert!(got.contains(&"lookup"), "{got:?}");
 
     // A full list lets the last of the longest flow go, never the small one's.
-    let mut w = Waitlist::new(3);
+    let mut w = FairQueue::new(3);
     for i in 0..3 {
         assert!(matches!(w.push(k("big", Kind::Chat), 1, i, SEC, 0), Ok(None)));
     }
     assert!(matches!(w.push(k("small", Kind::Chat), 1, 9, SEC, 0), Ok(Some(2))));
     assert!(w.push(k("big", Kind::Chat), 1, 8, SEC, 0).is_err());
     // What can't be served in time is refused at once.
-    let mut w = Waitlist::new(100);
+    let mut w = FairQueue::new(100);
     for t in 0..10 {
-        w.freed(t * 100 * MS);
+        w.record_freed(t * 100 * MS);
     }
     for _ in 0..5 {
         assert!(w.push(k("t", Kind::Chat), 1, 0, SEC + 500 * MS, SEC).is_ok());
     }
     let r = w.push(k("t", Kind::Chat), 1, 0, SEC + 500 * MS, SEC);
-    assert!(matches!(r, Err((_, r)) if r.back >= 500 * MS), "{r:?}");
+    assert!(matches!(r, Err((_, r)) if r.retry_after >= 500 * MS), "{r:?}");
 }
 
 #[test]
@@ -334,15 +349,15 @@
         from: NodeId(1),
         to: NodeId(2),
         incarnation: 3,
-        fleet: 4,
-        sent: 5,
-        msg: Msg::SliceAsk { n: 1, tenant: "t".into(), want: 2, window: 3, returned: 4 },
+        fleet_id: 4,
+        sent_at: 5,
+        message: Message::SliceAsk { n: 1, tenant: "t".into(), want: 2, window: 3, returned: 4 },
     };
-    let b = pack(&f).expect("packs");
-    assert_eq!(unpack(&b), Ok(f));
-    assert_eq!(unpack(&[]), Err(Garbled::Empty));
-    assert_eq!(unpack(&[9, 1, 2]), Err(Garbled::Version(9)));
-    assert!(matches!(unpack(&vec![1; 17 << 20]), Err(Garbled::Large(_))));
+    let b = encode_frame(&f).expect("packs");
+    assert_eq!(decode_frame(&b), Ok(f));
+    assert_eq!(decode_frame(&[]), Err(FrameError::Empty));
+    assert_eq!(decode_frame(&[9, 1, 2]), Err(FrameError::Version(9)));
+    assert!(matches!(decode_frame(&vec![1; 17 << 20]), Err(FrameError::TooLarge(_))));
     // Any change of any byte is read as some frame or refused, and never more.
     let mut r = sumacvale_core::base::Rng::new(7);
     for _ in 0..20_000 {
@@ -352,20 +367,20 @@
             c[i] = u8::try_from(r.below(256)).expect("byte");
         }
         c.truncate(usize::try_from(r.below(c.len() as u64 + 1)).expect("small"));
-        let _ = unpack(&c);
+        let _ = decode_frame(&c);
     }
 }
 
 #[test]
 fn times_fall_into_the_buckets_that_they_are_within() {
-    use sumacvale_core::call::{ENDS, Times};
-    let t = Times::default();
+    use sumacvale_core::call::{BUCKET_BOUNDS, LatencyHistogram};
+    let t = LatencyHistogram::default();
     for us in [1, 5 * MS, 5 * MS + 1, 99 * MS, 11 * SEC] {
-        t.add(Kind::Chat, us);
+        t.record(Kind::Chat, us);
     }
-    let v = t.list();
+    let v = t.snapshot();
     let chat = v.iter().find(|s| s.kind == "chat").expect("a kind");
-    assert_eq!(chat.upto, [2, 3, 3, 3, 4, 4, 4, 4, 4, 4, 4]);
-    assert_eq!((chat.all, chat.sum), (5, 11 * SEC + 109 * MS + 2));
-    assert!(v.iter().filter(|s| s.kind != "chat").all(|s| s.all == 0 && s.upto.len() == ENDS.len()));
+    assert_eq!(chat.cumulative, [2, 3, 3, 3, 4, 4, 4, 4, 4, 4, 4]);
+    assert_eq!((chat.count, chat.sum), (5, 11 * SEC + 109 * MS + 2));
+    assert!(v.iter().filter(|s| s.kind != "chat").all(|s| s.count == 0 && s.cumulative.len() == BUCKET_BOUNDS.len()));
 }
--- a/crates/core/tests/news.rs
+++ b/crates/core/tests/news.rs
@@ -1,14 +1,14 @@
 //! What workers say: orders of words, addresses that pass on, and ends that every node knows in time.
 
 use std::collections::BTreeMap;
-use sumacvale_core::agree::Kept;
 use sumacvale_core::base::{ChangeId, MS, Micros, NodeId, SEC};
-use sumacvale_core::news::{News, SILENT};
-use sumacvale_core::node::{Effect, Event, Me, Node};
-use sumacvale_core::peer::{Core, Decree, Frame, Row, UNNUMBERED};
+use sumacvale_core::consensus::DurableState;
+use sumacvale_core::node::{Effect, Event, Node, NodeSettings};
+use sumacvale_core::protocol::{Frame, LogEntry, UNNUMBERED_INCARNATION, Voter, WorkerReport};
+use sumacvale_core::workers::{REPORT_TIMEOUT, WorkerTable};
 
-fn row(w: &str, seq: u64) -> Row {
-    Row {
+fn row(w: &str, seq: u64) -> WorkerReport {
+    WorkerReport {
         worker_id: w.into(),
         incarnation: 1,
         seq,
@@ -16,33 +16,33 @@
         pool: "p".into(),
         zone: "z0".into(),
         slots: 4,
-        ..Row::default()
+        ..WorkerReport::default()
     }
 }
 
-fn drain(w: &str, seq: u64) -> Row {
-    Row { drain: true, ..row(w, seq) }
+fn drain(w: &str, seq: u64) -> WorkerReport {
+    WorkerReport { draining: true, ..row(w, seq) }
 }
 
-fn gone(w: &str, seq: u64) -> Row {
-    Row { gone: true, ..row(w, seq) }
+fn gone(w: &str, seq: u64) -> WorkerReport {
+    WorkerReport { removed: true, ..row(w, seq) }
 }
 
-fn next(w: &str) -> Row {
-    Row { pool: "q".into(), ..row(w, 1) }
+fn next(w: &str) -> WorkerReport {
+    WorkerReport { pool: "q".into(), ..row(w, 1) }
 }
 
-fn live(n: &News, now: Micros) -> String {
+fn live(n: &WorkerTable, now: Micros) -> String {
     n.live(now).map(|r| r.worker_id.clone()).collect::<Vec<_>>().join(" ")
 }
 
-type Words = Vec<(Micros, Row)>;
+type Words = Vec<(Micros, WorkerReport)>;
 type Deaf = &'static [(Micros, Micros)];
 
 #[test]
 fn words_count_in_their_order_and_an_end_is_final() {
-    let left = |w: &str| Row::left(w, 1);
-    let other = Row { addr: "10.0.0.2:80".into(), ..row("b", 1) };
+    let left = |w: &str| WorkerReport::removal(w, 1);
+    let other = WorkerReport { addr: "10.0.0.2:80".into(), ..row("b", 1) };
     let cases: [(&str, Words, Micros, &str); 15] = [
         ("a beat", vec![(0, row("a", 1))], SEC, "a"),
         ("two workers", vec![(0, row("a", 1)), (0, other)], SEC, "a b"),
@@ -55,24 +55,24 @@
         ("a drain after the leave", vec![(0, gone("a", 2)), (SEC, drain("a", 9))], SEC, ""),
         ("a bare leave ends all of the id", vec![(0, row("a", 7)), (SEC, left("a"))], SEC, ""),
         ("a bare leave comes first", vec![(0, left("a")), (SEC, row("a", 7))], SEC, ""),
-        ("a new life", vec![(0, left("a")), (SEC, Row { incarnation: 2, ..row("a", 1) })], SEC, "a"),
+        ("a new life", vec![(0, left("a")), (SEC, WorkerReport { incarnation: 2, ..row("a", 1) })], SEC, "a"),
         ("the address passes on after a leave", vec![(0, gone("a", 2)), (SEC, next("b"))], SEC, "b"),
         ("the address passes on in silence", vec![(0, row("a", 1)), (SEC, next("b"))], SEC, "b"),
         ("the old one is told of late", vec![(SEC, next("b")), (0, row("a", 1))], SEC, "b"),
     ];
     for (name, ws, at, want) in cases {
-        let mut n = News::default();
+        let mut n = WorkerTable::default();
         for (t, r) in &ws {
             n.merge(r, *t, at);
         }
         assert_eq!(live(&n, at), want, "{name}");
-        n.sweep(at);
+        n.expire(at);
         assert_eq!(live(&n, at), want, "{name}, swept");
-        if ws.iter().any(|w| w.1.gone) {
-            let told = n.after(0, &["p".into(), "q".into()], at + 20 * SEC);
-            assert!(told.iter().any(|r| r.gone) || want == "a", "{name}: the leave is passed on for long");
-            n.sweep(at + 60 * SEC);
-            assert!(n.rows.is_empty(), "{name}: and forgotten in the end");
+        if ws.iter().any(|w| w.1.removed) {
+            let told = n.changes_after(0, &["p".into(), "q".into()], at + 20 * SEC);
+            assert!(told.iter().any(|r| r.removed) || want == "a", "{name}: the leave is passed on for long");
+            n.expire(at + 60 * SEC);
+            assert!(n.entries.is_empty(), "{name}: and forgotten in the end");
         }
     }
 }
@@ -80,15 +80,15 @@
 #[test]
 fn silence_follows_from_the_period_and_from_who_could_hear() {
     let cases: [(&str, Micros, Deaf, Micros); 6] = [
-        ("as often as can be", 500 * MS, &[], SILENT),
-        ("not set", 0, &[], SILENT),
+        ("as often as can be", 500 * MS, &[], REPORT_TIMEOUT),
+        ("not set", 0, &[], REPORT_TIMEOUT),
         ("two beats lost, each retried a second later", 1_200 * MS, &[], 4_300 * MS),
         ("no core for two seconds", 1_200 * MS, &[(SEC, 3 * SEC)], 6_300 * MS),
         ("no core, once before it was heard", 1_200 * MS, &[(0, 0)], 4_300 * MS),
         ("twice", 1_200 * MS, &[(SEC, 2 * SEC), (4 * SEC, 5 * SEC)], 6_300 * MS),
     ];
     for (name, beat, deaf, until) in cases {
-        let mut n = News { beat, deaf: deaf.to_vec(), ..News::default() };
+        let mut n = WorkerTable { report_interval: beat, unreachable_periods: deaf.to_vec(), ..WorkerTable::default() };
         n.merge(&row("a", 1), 0, 0);
         assert_eq!(live(&n, until - 1), "a", "{name}");
         assert_eq!(live(&n, until), "", "{name}");
@@ -113,23 +113,23 @@
     format!("n{i}")
 }
 
-fn kept() -> Kept {
-    let cores = (0..CORES).map(|i| Core { node_id: NodeId(i as u64 + 1), addr: addr(i) }).collect();
+fn kept() -> DurableState {
+    let cores = (0..CORES).map(|i| Voter { node_id: NodeId(i as u64 + 1), addr: addr(i) }).collect();
     let body = "{\"pools\":{\"p\":{},\"q\":{}},\"matches\":{},\"tenants\":{}}".to_owned();
-    let d = Decree {
+    let d = LogEntry {
         version: 0,
         change_id: ChangeId(1),
-        fleet: 7,
-        since: 0,
-        old: vec![],
-        cores,
+        fleet_id: 7,
+        voters_since: 0,
+        previous_voters: vec![],
+        voters: cores,
         body,
         revision: 0,
         patch: None,
-        packed: Vec::new(),
+        compressed: Vec::new(),
     };
-    let mut k = Kept::default();
-    k.decrees.insert(0, d);
+    let mut k = DurableState::default();
+    k.entries.insert(0, d);
     k
 }
 
@@ -152,22 +152,22 @@
     }
 
     fn start(&mut self, i: usize, node_id: u64) {
-        let me = Me {
-            read: sumacvale_core::config::judge,
-            first: true,
-            auto: false,
-            lose: 1,
+        let me = NodeSettings {
+            config_reader: sumacvale_core::config::validate,
+            may_bootstrap: true,
+            manages_voters: false,
+            tolerated_losses: 1,
             node_id: NodeId(node_id),
             incarnation: self.now,
             addr: addr(i),
             admin: String::new(),
             zone: format!("z{}", i % 3),
             seeds: (0..CORES).map(addr).collect(),
-            core: i < CORES,
-            beat: 1_200 * MS,
-            to_cores: true,
+            is_core: i < CORES,
+            report_interval: 1_200 * MS,
+            reports_to_cores_only: true,
         };
-        let k = if i < CORES { kept() } else { Kept::default() };
+        let k = if i < CORES { kept() } else { DurableState::default() };
         self.nodes[i] = Some(Node::new(me, &k, node_id, self.now));
         self.rows[i].clear();
     }
@@ -184,8 +184,8 @@
                     self.wires.insert((now + MS, self.n), (i, j, *frame));
                 }
                 Effect::Write { token, .. } => self.step(i, Event::Synced(token)),
-                Effect::Heard { req, ok } => self.heard.push((i, req, ok, now)),
-                Effect::Show(v) => self.rows[i] = v.workers.iter().map(|r| r.worker_id.clone()).collect(),
+                Effect::AcknowledgeReport { request_id: req, is_accepted: ok } => self.heard.push((i, req, ok, now)),
+                Effect::Publish(v) => self.rows[i] = v.workers.iter().map(|r| r.worker_id.clone()).collect(),
                 _ => {}
             }
         }
@@ -209,8 +209,8 @@
         }
     }
 
-    fn tell(&mut self, i: usize, req: u64, row: Row) {
-        self.step(i, Event::Told { req, row });
+    fn tell(&mut self, i: usize, req: u64, row: WorkerReport) {
+        self.step(i, Event::ReportWithAck { request_id: req, report: row });
     }
 
     fn answer(&self, req: u64) -> Option<(bool, Micros)> {
@@ -224,8 +224,8 @@
 
     fn home(&self, core: usize) -> usize {
         let n = self.nodes[core].as_ref().expect("it runs");
-        let h = n.ring.homes("p", "z1", self.now)[0];
-        (0..ALL).find(|i| self.nodes[*i].as_ref().is_some_and(|n| n.me.node_id == h)).expect("a home")
+        let h = n.dissemination.peers.home_nodes("p", "z1", self.now)[0];
+        (0..ALL).find(|i| self.nodes[*i].as_ref().is_some_and(|n| n.settings.node_id == h)).expect("a home")
     }
 }
 
@@ -289,7 +289,7 @@
         ),
     ];
     for (name, before, after, most) in cases {
-        for word in [drain("a", 2), gone("a", 2), Row::left("a", 1)] {
+        for word in [drain("a", 2), gone("a", 2), WorkerReport::removal("a", 1)] {
             let mut n = Net::new();
             n.tell(0, 1, row("a", 1));
             n.run(500 * MS);
@@ -311,7 +311,7 @@
             let left: Vec<_> = n.takers("a").into_iter().filter(|i| n.nodes[*i].is_some()).collect();
             assert!(left.is_empty(), "{name}: a late beat revives it at {left:?}");
             n.run(12 * SEC);
-            let open = n.nodes.iter().flatten().filter(|n| !n.news.ends.0.is_empty()).count();
+            let open = n.nodes.iter().flatten().filter(|n| !n.dissemination.workers.removals.0.is_empty()).count();
             assert_eq!(open, 0, "{name}: nothing is spread for ever");
         }
     }
@@ -340,7 +340,7 @@
     let mut n = Net::new();
     n.tell(0, 1, drain("a", 1));
     n.run(100 * MS);
-    let ends = |n: &Net| n.nodes.iter().flatten().map(|n| n.counts.ends).sum::<u64>();
+    let ends = |n: &Net| n.nodes.iter().flatten().map(|n| n.counters.ends).sum::<u64>();
     let was = ends(&n);
     for k in 2..6 {
         n.tell(usize::try_from(k).unwrap_or(0) % 3, k, drain("a", k));
@@ -380,7 +380,7 @@
     n.run(SEC);
     n.start(4, 77);
     let at = n.now;
-    let whole = |n: &Net| n.nodes[4].as_ref().and_then(|n| n.news.whole);
+    let whole = |n: &Net| n.nodes[4].as_ref().and_then(|n| n.dissemination.workers.complete_at);
     while whole(&n).is_none() && n.now < at + 5 * SEC {
         n.run(25 * MS);
     }
@@ -390,21 +390,21 @@
     assert!(n.takers("a").contains(&4));
 }
 
-fn unnumbered(w: &str, seq: u64) -> Row {
-    Row { incarnation: UNNUMBERED, ..row(w, seq) }
+fn unnumbered(w: &str, seq: u64) -> WorkerReport {
+    WorkerReport { incarnation: UNNUMBERED_INCARNATION, ..row(w, seq) }
 }
 
-fn elsewhere(w: &str, seq: u64) -> Row {
-    Row { addr: "10.0.0.7:80".into(), ..unnumbered(w, seq) }
+fn elsewhere(w: &str, seq: u64) -> WorkerReport {
+    WorkerReport { addr: "10.0.0.7:80".into(), ..unnumbered(w, seq) }
 }
 
 /// An id that reappears with a lower counter is another life once the one that was known is
 /// silent; a life that ended by its own word stays ended until it is forgotten.
 #[test]
 fn an_id_whose_counter_begins_anew_is_another_life() {
-    type Word = fn(&str, u64) -> Row;
-    let bare: Word = |w, _| Row::left(w, UNNUMBERED);
-    let ends: Word = |w, n| Row { drain: true, ..unnumbered(w, n) };
+    type Word = fn(&str, u64) -> WorkerReport;
+    let bare: Word = |w, _| WorkerReport::removal(w, UNNUMBERED_INCARNATION);
+    let ends: Word = |w, n| WorkerReport { draining: true, ..unnumbered(w, n) };
     // What was said last at 50; how long after it the id begins anew, where and with which
     // number; whether that is acknowledged, and whether it takes calls.
     let cases: [(&str, Word, Micros, Word, u64, bool); 11] = [
@@ -460,7 +460,11 @@
         n.tell(0, 1, unnumbered("a", 500));
         n.run(500 * MS);
         let at = n.now;
-        let back = |n: &Net| n.nodes[5].as_ref().is_some_and(|x| x.news.rows.get("a").is_some_and(|e| e.row.seq < 100));
+        let back = |n: &Net| {
+            n.nodes[5]
+                .as_ref()
+                .is_some_and(|x| x.dissemination.workers.entries.get("a").is_some_and(|e| e.report.seq < 100))
+        };
         for k in 1..9 {
             n.tell(usize::try_from(k % 3).unwrap_or(0), 10 + k, first("a", k));
             n.run(1_200 * MS);
--- a/crates/core/tests/nodes/mod.rs
+++ b/crates/core/tests/nodes/mod.rs
@@ -3,10 +3,10 @@
 
 #![allow(dead_code)]
 
-use sumacvale_core::agree::Kept;
 use sumacvale_core::base::{ChangeId, MS, Micros, NodeId};
-use sumacvale_core::node::Me;
-use sumacvale_core::peer::{Core, Decree};
+use sumacvale_core::consensus::DurableState;
+use sumacvale_core::node::NodeSettings;
+use sumacvale_core::protocol::{LogEntry, Voter};
 
 pub const FLEET: u64 = 7;
 
@@ -16,13 +16,13 @@
 }
 
 /// The first core of a machine.
-pub fn core(i: usize) -> Core {
+pub fn core(i: usize) -> Voter {
     core_at(i as u64 + 1, i)
 }
 
 /// A core with this node id on a machine.
-pub fn core_at(node_id: u64, machine: usize) -> Core {
-    Core { node_id: NodeId(node_id), addr: addr(machine) }
+pub fn core_at(node_id: u64, machine: usize) -> Voter {
+    Voter { node_id: NodeId(node_id), addr: addr(machine) }
 }
 
 /// An operator's document that has this number.
@@ -31,40 +31,40 @@
 }
 
 /// The settings of the first node of a machine; the first `cores` machines have cores.
-pub fn me(i: usize, cores: usize, incarnation: Micros) -> Me {
-    Me {
-        read: sumacvale_core::config::judge,
-        first: true,
-        auto: false,
-        lose: 1,
+pub fn me(i: usize, cores: usize, incarnation: Micros) -> NodeSettings {
+    NodeSettings {
+        config_reader: sumacvale_core::config::validate,
+        may_bootstrap: true,
+        manages_voters: false,
+        tolerated_losses: 1,
         node_id: core(i).node_id,
         incarnation,
         addr: addr(i),
         admin: String::new(),
         zone: format!("z{}", i % 3),
         seeds: (0..cores.min(3)).map(addr).collect(),
-        core: i < cores,
-        beat: 1_200 * MS,
-        to_cores: true,
+        is_core: i < cores,
+        report_interval: 1_200 * MS,
+        reports_to_cores_only: true,
     }
 }
 
 /// The disk of a core of a fleet that has only this version 0.
-pub fn founded(cores: usize, body: String, revision: u64) -> Kept {
+pub fn founded(cores: usize, body: String, revision: u64) -> DurableState {
     let cores = (0..cores).map(core).collect();
-    let d = Decree {
+    let d = LogEntry {
         version: 0,
         change_id: ChangeId(1),
-        fleet: FLEET,
-        since: 0,
-        old: vec![],
-        cores,
+        fleet_id: FLEET,
+        voters_since: 0,
+        previous_voters: vec![],
+        voters: cores,
         body,
         revision,
         patch: None,
-        packed: Vec::new(),
+        compressed: Vec::new(),
     };
-    let mut k = Kept { ready: Some(0), ..Kept::default() };
-    k.decrees.insert(0, d);
+    let mut k = DurableState { ready_set: Some(0), ..DurableState::default() };
+    k.entries.insert(0, d);
     k
 }
--- a/crates/core/tests/place.rs
+++ b/crates/core/tests/place.rs
@@ -1,14 +1,17 @@
 //! Where calls with prompts go: tables of cases on the view of one node or of several.
 
 use sumacvale_core::base::{MS, Micros, SEC};
-use sumacvale_core::config::Placement;
-use sumacvale_core::peer::Row;
-use sumacvale_core::place::{Ask, Demand, Engines, Fit, Kept, Link, Loads, Outcome, Scene, Table};
+use sumacvale_core::config::PlacementWeights;
+use sumacvale_core::placement::{
+    CallOutcome, EngineModels, PlacementContext, PlacementTable, PrefillFit, PrefixCache, PromptDemand, PromptRequest,
+    PromptSegment, WorkerLoads,
+};
+use sumacvale_core::protocol::WorkerReport;
 
 const COST: Micros = 2 * MS;
 
-fn row(worker_id: &str, zone: &str, slots: u32) -> Row {
-    Row {
+fn row(worker_id: &str, zone: &str, slots: u32) -> WorkerReport {
+    WorkerReport {
         worker_id: worker_id.into(),
         pool: "p".into(),
         addr: format!("10.0.0.1:{}", 1000 + worker_id.len()),
@@ -17,62 +20,62 @@
         seq: 1,
         slots,
         busy: 0,
-        drain: false,
+        draining: false,
         age: 0,
-        ..Row::default()
+        ..WorkerReport::default()
     }
 }
 
 /// `n` workers in three zones by turns.
-fn table(n: usize, slots: u32) -> Table {
+fn table(n: usize, slots: u32) -> PlacementTable {
     let rs: Vec<_> = (0..n).map(|i| row(&format!("w{i:03}"), &format!("z{}", i % 3), slots)).collect();
-    Table::new(rs.iter())
+    PlacementTable::new(rs.iter())
 }
 
-fn ask(parts: &[(u64, u32)]) -> Ask {
-    Ask {
+fn ask(parts: &[(u64, u32)]) -> PromptRequest {
+    PromptRequest {
         parts: parts.iter().copied().collect(),
-        out: 100,
-        aim: 600 * MS,
-        left: 10 * SEC,
+        max_output_tokens: 100,
+        latency_target: 600 * MS,
+        time_left: 10 * SEC,
         urgency: 1,
         bytes: 16_000,
-        ..Ask::default()
+        ..PromptRequest::default()
     }
 }
 
 struct Front {
-    e: Engines,
-    l: Loads,
-    set: Placement,
+    e: EngineModels,
+    l: WorkerLoads,
+    set: PlacementWeights,
     zone: &'static str,
 }
 
 impl Front {
     fn new(seed: u64, zone: &'static str) -> Self {
-        Front { e: Engines::new(seed), l: Loads::default(), set: Placement::default(), zone }
+        Front { e: EngineModels::new(seed), l: WorkerLoads::default(), set: PlacementWeights::default(), zone }
     }
 
-    fn choose(&self, t: &Table, a: &Ask, now: Micros) -> Option<usize> {
+    fn choose(&self, t: &PlacementTable, a: &PromptRequest, now: Micros) -> Option<usize> {
         self.past(t, a, &[], now)
     }
 
-    fn past(&self, t: &Table, a: &Ask, skip: &[String], now: Micros) -> Option<usize> {
-        let s = Scene { pool: "p", zone: self.zone, set: &self.set, skip, now };
+    fn past(&self, t: &PlacementTable, a: &PromptRequest, skip: &[String], now: Micros) -> Option<usize> {
+        let s = PlacementContext { pool: "p", zone: self.zone, weights: &self.set, excluded: skip, now };
         self.e.choose(t, a, &s, &self.l)
     }
 
-    fn begin(&self, t: &Table, i: usize, a: &Ask, now: Micros) -> u64 {
-        self.e.begin("p", &t.places[i], a, &self.set, now)
+    fn begin(&self, t: &PlacementTable, i: usize, a: &PromptRequest, now: Micros) -> u64 {
+        self.e.record_start("p", &t.endpoints[i], a, &self.set, now)
     }
 
     /// Chooses and sends; the first piece and the end come after these times.
-    fn call(&self, t: &Table, a: &Ask, first: Micros, end: Micros, now: Micros) -> usize {
+    fn call(&self, t: &PlacementTable, a: &PromptRequest, first: Micros, end: Micros, now: Micros) -> usize {
         let i = self.choose(t, a, now).expect("room");
         let n = self.begin(t, i, a, now);
-        let w = &t.places[i].worker_id;
-        self.e.first("p", w, n, now + first);
-        self.e.end("p", w, n, Outcome::Done, now + first + end);
+        let w = &t.endpoints[i].worker_id;
+        self.e.record_first_token("p", w, n, now + first);
+        self.e.record_end("p", w, n, CallOutcome::Done, now + first + end);
         i
     }
 }
@@ -110,9 +113,9 @@
     let j = f.choose(&t, &again, 3 * SEC).expect("room");
     assert!(j != i, "{i} {j}");
     // Who doesn't mind reading again stays in its zone then.
-    let f = Front { set: Placement { reread: 0, ..Placement::default() }, ..f };
+    let f = Front { set: PlacementWeights { prefix_affinity: 0, ..PlacementWeights::default() }, ..f };
     let j = f.choose(&t, &again, 3 * SEC).expect("room");
-    assert!(j != i && t.places[j].zone == "z0", "{i} {j}");
+    assert!(j != i && t.endpoints[j].zone == "z0", "{i} {j}");
 }
 
 #[test]
@@ -136,11 +139,17 @@
 fn what_a_worker_says_of_others_counts_and_fades() {
     let t = table(3, 8);
     let f = Front::new(5, "z0");
-    let a = Ask { parts: Default::default(), aim: 100 * MS, left: SEC, bytes: 2_000, ..Ask::default() };
+    let a = PromptRequest {
+        parts: Default::default(),
+        latency_target: 100 * MS,
+        time_left: SEC,
+        bytes: 2_000,
+        ..PromptRequest::default()
+    };
     let i = f.call(&t, &a, 15 * MS, 0, SEC);
-    assert_eq!(t.places[i].zone, "z0");
-    let w = t.places[i].worker_id.clone();
-    f.e.heard("p", &w, 8, 6, 2 * SEC);
+    assert_eq!(t.endpoints[i].zone, "z0");
+    let w = t.endpoints[i].worker_id.clone();
+    f.e.record_load("p", &w, 8, 6, 2 * SEC);
     assert_ne!(f.choose(&t, &a, 2 * SEC), Some(i), "it is full of others' calls");
     assert_eq!(f.choose(&t, &a, 12 * SEC), Some(i), "that is long ago");
 }
@@ -148,9 +157,9 @@
 #[test]
 fn who_may_be_chosen() {
     let t = table(3, 2);
-    let a = Ask { left: 50 * MS, aim: 100 * MS, ..Ask::default() };
-    let worker_id = |i: usize| t.places[i].worker_id.clone();
-    type Done = fn(&Front, &Table, &Ask);
+    let a = PromptRequest { time_left: 50 * MS, latency_target: 100 * MS, ..PromptRequest::default() };
+    let worker_id = |i: usize| t.endpoints[i].worker_id.clone();
+    type Done = fn(&Front, &PlacementTable, &PromptRequest);
     let cases: [(&str, Done, bool); 6] = [
         ("none is busy", |_, _, _| {}, true),
         (
@@ -169,7 +178,7 @@
             |f, t, a| {
                 for i in 0..3 {
                     let n = f.begin(t, i, a, SEC);
-                    f.e.end("p", &t.places[i].worker_id, n, Outcome::Declined, SEC);
+                    f.e.record_end("p", &t.endpoints[i].worker_id, n, CallOutcome::Declined, SEC);
                 }
             },
             false,
@@ -177,8 +186,8 @@
         (
             "all failed",
             |f, t, _| {
-                for p in &t.places {
-                    f.l.bad(&p.worker_id, p.incarnation, p.seq);
+                for p in &t.endpoints {
+                    f.l.mark_failed(&p.worker_id, p.incarnation, p.seq);
                 }
             },
             true,
@@ -186,8 +195,8 @@
         (
             "all but one failed",
             |f, t, _| {
-                for p in &t.places[1..] {
-                    f.l.bad(&p.worker_id, p.incarnation, p.seq);
+                for p in &t.endpoints[1..] {
+                    f.l.mark_failed(&p.worker_id, p.incarnation, p.seq);
                 }
             },
             true,
@@ -215,7 +224,7 @@
     let f = Front::new(6, "z0");
     assert_eq!(f.past(&t, &a, &[worker_id(0), worker_id(1)], SEC), Some(2));
     assert_eq!(f.past(&t, &a, &[worker_id(0), worker_id(1), worker_id(2)], SEC), None);
-    assert_eq!(f.choose(&Table::default(), &a, SEC), None);
+    assert_eq!(f.choose(&PlacementTable::default(), &a, SEC), None);
 }
 
 #[test]
@@ -225,10 +234,10 @@
     let a = ask(&[(1, 12_000), (2, 100)]);
     for (near, reread, far) in [(300, 0, false), (10_000, 100, false), (0, 100, true)] {
         let mut f = Front::new(7, "z0");
-        f.set = Placement { near, reread, ..Placement::default() };
+        f.set = PlacementWeights { zone_locality: near, prefix_affinity: reread, ..PlacementWeights::default() };
         let n = f.begin(&t, 1, &a, SEC);
-        f.e.first("p", &t.places[1].worker_id, n, SEC + 100 * MS);
-        f.e.end("p", &t.places[1].worker_id, n, Outcome::Done, SEC + 200 * MS);
+        f.e.record_first_token("p", &t.endpoints[1].worker_id, n, SEC + 100 * MS);
+        f.e.record_end("p", &t.endpoints[1].worker_id, n, CallOutcome::Done, SEC + 200 * MS);
         let i = f.choose(&t, &a, 2 * SEC).expect("room");
         assert_eq!(i == 1, far, "near {near} reread {reread}");
     }
@@ -239,10 +248,10 @@
     let t = table(1, 48);
     let f = Front::new(8, "z0");
     for k in 0..10 {
-        f.begin(&t, 0, &Ask { urgency: 5, ..ask(&[(k, 10_000)]) }, SEC);
+        f.begin(&t, 0, &PromptRequest { urgency: 5, ..ask(&[(k, 10_000)]) }, SEC);
     }
-    let mut a = Ask { left: 300 * MS, ..ask(&[(99, 1_000)]) };
-    assert!(f.choose(&t, &Ask { urgency: 9, ..a.clone() }, SEC).is_none());
+    let mut a = PromptRequest { time_left: 300 * MS, ..ask(&[(99, 1_000)]) };
+    assert!(f.choose(&t, &PromptRequest { urgency: 9, ..a.clone() }, SEC).is_none());
     a.urgency = 0;
     assert!(f.choose(&t, &a, SEC).is_some());
 }
@@ -254,20 +263,21 @@
     let a = ask(&[(1, 5_000), (2, 100)]);
     f.call(&t, &a, 60 * MS, 100 * MS, SEC);
     assert_eq!(f.e.size(), (1, 2));
-    f.e.sweep(30 * SEC);
+    f.e.expire(30 * SEC);
     assert_eq!(f.e.size(), (1, 2));
-    let rs: Vec<_> =
-        (0..3).map(|i| Row { incarnation: 2, ..row(&format!("w{i:03}"), &format!("z{}", i % 3), 48) }).collect();
-    f.choose(&Table::new(rs.iter()), &a, 31 * SEC);
+    let rs: Vec<_> = (0..3)
+        .map(|i| WorkerReport { incarnation: 2, ..row(&format!("w{i:03}"), &format!("z{}", i % 3), 48) })
+        .collect();
+    f.choose(&PlacementTable::new(rs.iter()), &a, 31 * SEC);
     assert_eq!(f.e.size(), (1, 0));
-    f.e.sweep(120 * SEC);
+    f.e.expire(120 * SEC);
     assert_eq!(f.e.size(), (0, 0));
 }
 
 #[test]
 fn the_fit_finds_the_line_and_bears_outliers() {
     for (base, each) in [(8_000.0, 10.0), (30_000.0, 4.0), (2_000.0, 40.0)] {
-        let mut f = Fit::default();
+        let mut f = PrefillFit::default();
         for i in 0..400u64 {
             let x = (i * 7919 % 12_000) as f64;
             let y = if i % 25 == 0 { 5e6 } else { base + each * x };
@@ -288,30 +298,30 @@
             let now = SEC + k * SEC;
             let n = f.begin(&t, i, &a, now);
             let took = if i == 0 { 700 } else { 60 };
-            f.e.first("p", &t.places[i].worker_id, n, now + took * MS);
-            f.e.end("p", &t.places[i].worker_id, n, Outcome::Done, now + took * MS);
+            f.e.record_first_token("p", &t.endpoints[i].worker_id, n, now + took * MS);
+            f.e.record_end("p", &t.endpoints[i].worker_id, n, CallOutcome::Done, now + took * MS);
         }
     }
     let i = f.choose(&t, &ask(&[(999, 4_000)]), 90 * SEC).expect("room");
-    assert_ne!(t.places[i].zone, "z0", "its own zone's worker misses the aim");
+    assert_ne!(t.endpoints[i].zone, "z0", "its own zone's worker misses the aim");
 }
 
 #[test]
 fn what_is_kept_is_bounded_and_the_oldest_go_first() {
-    let l = |key, tokens| Link { key, tokens };
-    let mut k = Kept::default();
-    k.used(&[l(1, 400), l(2, 400)], 1_000, SEC);
-    k.used(&[l(3, 400)], 1_000, 2 * SEC);
-    assert!(k.has(3) && k.len() == 2, "one of the older two gave way");
-    k.forget(&[3]);
-    assert!(!k.has(3) && k.len() == 1);
+    let l = |key, tokens| PromptSegment { key, tokens };
+    let mut k = PrefixCache::default();
+    k.record(&[l(1, 400), l(2, 400)], 1_000, SEC);
+    k.record(&[l(3, 400)], 1_000, 2 * SEC);
+    assert!(k.contains(3) && k.len() == 2, "one of the older two gave way");
+    k.remove(&[3]);
+    assert!(!k.contains(3) && k.len() == 1);
     for i in 0..2_000 {
-        k.used(&[l(10 + i, 1)], u64::MAX, i * MS);
+        k.record(&[l(10 + i, 1)], u64::MAX, i * MS);
     }
-    assert!(k.len() <= 256 && k.has(2_009) && !k.has(10));
-    let mut d = Demand::default();
+    assert!(k.len() <= 256 && k.contains(2_009) && !k.contains(10));
+    let mut d = PromptDemand::default();
     for _ in 0..8 {
-        d.asked(7, SEC);
+        d.record(7, SEC);
     }
     assert!((d.of(7, SEC) - 8.0).abs() < 0.01);
     assert!((d.of(7, 21 * SEC) - 4.0).abs() < 0.1);
--- a/crates/core/tests/rates.rs
+++ b/crates/core/tests/rates.rs
@@ -2,41 +2,41 @@
 
 use std::collections::{BTreeMap, VecDeque};
 use sumacvale_core::base::{MS, Micros, NodeId, Rng, SEC};
-use sumacvale_core::config::{Limit, Plan, Rate, effective, judge};
-use sumacvale_core::peer::{Life, ShareAsk, ShareGiven};
-use sumacvale_core::quota::{Bucket, LEASE, LOAN, Pool, Pools, Take, WHOLE};
-use sumacvale_core::term::{Book, Said, TERM};
+use sumacvale_core::config::{CompiledConfig, Limit, Rate, effective, validate};
+use sumacvale_core::lease::{LEASE_DURATION, LeaseDecision, LeaseGrantor};
+use sumacvale_core::protocol::{RegisteredIncarnation, ShareGrant, ShareRequest};
+use sumacvale_core::quota::{FULL_SHARE, LOAN_DURATION, SHARE_LEASE, ShareBucket, SharePool, SharePools, TakeOutcome};
 
-const R: Rate = Rate { milli: 10_000, burst: 10_000 };
+const R: Rate = Rate { milli_per_second: 10_000, burst_milli: 10_000 };
 
-fn given(share: u32, add: u64) -> ShareGiven {
-    ShareGiven { yes: true, share, add, lend: 0 }
+fn given(share: u32, add: u64) -> ShareGrant {
+    ShareGrant { granted: true, share, burst_milli: add, loaned_units: 0 }
 }
 
-fn took(b: &mut Bucket, now: Micros) -> u64 {
-    (0..1_000).take_while(|_| matches!(b.take(now), Take::Took { .. })).count() as u64
+fn took(b: &mut ShareBucket, now: Micros) -> u64 {
+    (0..1_000).take_while(|_| matches!(b.take(now), TakeOutcome::Taken { .. })).count() as u64
 }
 
 /// A bucket that was given a share at the time of its ask.
-fn bucket(share: u32, add: u64, now: Micros) -> Bucket {
-    let mut b = Bucket::new(R, now);
-    b.ask(0, 1, 0, now);
-    assert!(b.answer(1, given(share, add), now, now));
+fn bucket(share: u32, add: u64, now: Micros) -> ShareBucket {
+    let mut b = ShareBucket::new(R, now);
+    b.make_request(0, 1, 0, now);
+    assert!(b.apply_grant(1, given(share, add), now, now));
     b
 }
 
 #[test]
 fn a_bucket_spends_its_share_and_no_more() {
-    let half = WHOLE / 2;
+    let half = FULL_SHARE / 2;
     for (name, share, add, gap, want) in [
         ("empty at first", half, 0, 0, 0),
         ("with units on top", half, 3_000, 0, 3),
         ("never over its part of the burst", half, 9_000, 0, 5),
         ("after a second at half the rate", half, 0, SEC, 5),
         ("full after more", half, 0, 2 * SEC, 5),
-        ("a lease is over", half, 5_000, LEASE, 0),
-        ("just before its end", half, 5_000, LEASE - 1, 5),
-        ("too small for a whole unit", WHOLE / 20, 9_000, 3 * SEC, 0),
+        ("a lease is over", half, 5_000, SHARE_LEASE, 0),
+        ("just before its end", half, 5_000, SHARE_LEASE - 1, 5),
+        ("too small for a whole unit", FULL_SHARE / 20, 9_000, 3 * SEC, 0),
     ] {
         let mut b = bucket(share, add, SEC);
         assert_eq!(took(&mut b, SEC + gap), want, "{name}");
@@ -47,17 +47,17 @@
 fn a_share_that_changes_brings_nothing() {
     for (name, share, add, want, returned) in [
         ("renewed", 500_000, 0, 5, 0),
-        ("grown", WHOLE, 0, 5, 0),
-        ("grown with units on top", WHOLE, 2_000, 7, 0),
+        ("grown", FULL_SHARE, 0, 5, 0),
+        ("grown with units on top", FULL_SHARE, 2_000, 7, 0),
         ("shrunk", 200_000, 0, 2, 3_000),
         ("taken away", 0, 0, 0, 5_000),
     ] {
         let mut b = bucket(500_000, 5_000, SEC);
-        b.ask(0, 2, 0, SEC);
-        assert!(b.answer(2, given(share, add), SEC, SEC), "{name}");
+        b.make_request(0, 2, 0, SEC);
+        assert!(b.apply_grant(2, given(share, add), SEC, SEC), "{name}");
         assert_eq!(took(&mut b, SEC), want, "{name}");
-        assert_eq!(b.ask(0, 3, 0, SEC + 500 * MS).returned, returned, "{name}");
-        assert_eq!(b.ask(0, 4, 0, 2 * SEC).returned, 0, "{name}: told once");
+        assert_eq!(b.make_request(0, 3, 0, SEC + 500 * MS).returned_milli, returned, "{name}");
+        assert_eq!(b.make_request(0, 4, 0, 2 * SEC).returned_milli, 0, "{name}: told once");
     }
 }
 
@@ -67,14 +67,14 @@
         ("the newest", 3, SEC, SEC + MS, true),
         ("an older one", 2, SEC, SEC + MS, false),
         ("one that was never sent", 4, SEC, SEC + MS, false),
-        ("after a lease", 3, SEC, SEC + LEASE, false),
+        ("after a lease", 3, SEC, SEC + SHARE_LEASE, false),
     ] {
         let mut b = bucket(0, 0, SEC);
-        b.ask(0, 2, 0, SEC);
-        b.ask(0, 3, 0, SEC);
-        assert_eq!(b.answer(n, given(WHOLE, 5_000), sent, now), want, "{name}");
+        b.make_request(0, 2, 0, SEC);
+        b.make_request(0, 3, 0, SEC);
+        assert_eq!(b.apply_grant(n, given(FULL_SHARE, 5_000), sent, now), want, "{name}");
         assert_eq!(took(&mut b, now) > 0, want, "{name}");
-        assert!(!b.answer(n, given(WHOLE, 5_000), sent, now), "{name}: twice");
+        assert!(!b.apply_grant(n, given(FULL_SHARE, 5_000), sent, now), "{name}: twice");
     }
 }
 
@@ -84,9 +84,9 @@
         [("at once", MS, 0, 5), ("others were taken", MS, 2, 3), ("the bucket was full meanwhile", SEC, 5, 0)]
     {
         let mut b = bucket(500_000, 5_000, SEC);
-        let Take::Took { window, .. } = b.take(SEC + 1) else { panic!("{name}") };
+        let TakeOutcome::Taken { window, .. } = b.take(SEC + 1) else { panic!("{name}") };
         let at = SEC + 1 + gap;
-        let n = (0..spend).filter(|_| matches!(b.take(at), Take::Took { .. })).count();
+        let n = (0..spend).filter(|_| matches!(b.take(at), TakeOutcome::Taken { .. })).count();
         assert_eq!(n, spend, "{name}");
         b.refund(window, at);
         assert_eq!(took(&mut b, at), want, "{name}");
@@ -96,42 +96,51 @@
 #[test]
 fn a_lower_limit_binds_at_once() {
     let mut b = bucket(500_000, 5_000, SEC);
-    b.set(Rate { milli: 2_000, burst: 4_000 }, SEC);
+    b.set_rate(Rate { milli_per_second: 2_000, burst_milli: 4_000 }, SEC);
     assert_eq!(took(&mut b, SEC), 2);
     assert_eq!(took(&mut b, 2 * SEC), 1);
 }
 
 #[test]
 fn a_dry_bucket_says_when_the_next_unit_comes() {
-    let mut b = Bucket::new(R, SEC);
-    assert_eq!(b.take(SEC), Take::Empty, "nobody said anything yet");
+    let mut b = ShareBucket::new(R, SEC);
+    assert_eq!(b.take(SEC), TakeOutcome::Empty, "nobody said anything yet");
     let mut b = bucket(500_000, 0, SEC);
-    assert_eq!(b.take(SEC), Take::Dry { wait: 200 * MS, each: 200 * MS, more: true }, "it was not asked for yet");
+    assert_eq!(
+        b.take(SEC),
+        TakeOutcome::RateExhausted { wait: 200 * MS, interval: 200 * MS, may_get_more: true },
+        "it was not asked for yet"
+    );
     // The holder's word that there is none, when its pool is no longer filling up.
     assert_eq!(took(&mut b, 3 * SEC), 5);
-    assert_eq!(b.ask(0, 2, 0, 3 * SEC).need, 2);
-    assert!(b.answer(2, given(500_000, 0), 3 * SEC, 3 * SEC));
-    assert_eq!(b.take(3 * SEC), Take::Dry { wait: 200 * MS, each: 200 * MS, more: false });
+    assert_eq!(b.make_request(0, 2, 0, 3 * SEC).missing_units, 2);
+    assert!(b.apply_grant(2, given(500_000, 0), 3 * SEC, 3 * SEC));
+    assert_eq!(b.take(3 * SEC), TakeOutcome::RateExhausted { wait: 200 * MS, interval: 200 * MS, may_get_more: false });
     let mut b = bucket(500_000, 0, SEC);
-    assert!(matches!(b.take(SEC + 100 * MS), Take::Dry { wait, more: true, .. } if wait == 100 * MS));
-    assert_eq!(b.take(SEC + LEASE), Take::Empty, "the lease is over");
+    assert!(
+        matches!(b.take(SEC + 100 * MS), TakeOutcome::RateExhausted { wait, may_get_more: true, .. } if wait == 100 * MS)
+    );
+    assert_eq!(b.take(SEC + SHARE_LEASE), TakeOutcome::Empty, "the lease is over");
     let mut b = bucket(0, 0, SEC);
-    assert!(matches!(b.take(SEC), Take::Dry { more: true, wait, .. } if wait > 3_600 * SEC));
-    b.ask(0, 2, 0, 3 * SEC);
-    assert!(b.answer(2, given(0, 0), 3 * SEC, 3 * SEC), "there is none");
-    assert!(matches!(b.take(3 * SEC), Take::Dry { more: false, wait, .. } if wait > 3_600 * SEC));
+    assert!(matches!(b.take(SEC), TakeOutcome::RateExhausted { may_get_more: true, wait, .. } if wait > 3_600 * SEC));
+    b.make_request(0, 2, 0, 3 * SEC);
+    assert!(b.apply_grant(2, given(0, 0), 3 * SEC, 3 * SEC), "there is none");
+    assert!(
+        matches!(b.take(3 * SEC), TakeOutcome::RateExhausted { may_get_more: false, wait, .. } if wait > 3_600 * SEC)
+    );
 }
 
 /// After a loss of all power a holder's pool begins empty and fills by the rate: what it has not
 /// yet is no word that the rate is spent.
 #[test]
 fn who_finds_nothing_right_after_a_start_waits_for_the_pool_to_fill() {
-    let soon = |b: &mut Bucket, now: Micros| matches!(b.take(now), Take::Dry { more: true, .. });
-    let answered = |b: &mut Bucket, n: u64, now: Micros| {
-        b.ask(0, n, 1, now);
-        assert!(b.answer(n, given(0, 0), now, now));
+    let soon =
+        |b: &mut ShareBucket, now: Micros| matches!(b.take(now), TakeOutcome::RateExhausted { may_get_more: true, .. });
+    let answered = |b: &mut ShareBucket, n: u64, now: Micros| {
+        b.make_request(0, n, 1, now);
+        assert!(b.apply_grant(n, given(0, 0), now, now));
     };
-    let mut b = Bucket::new(R, SEC);
+    let mut b = ShareBucket::new(R, SEC);
     let first = SEC + 10 * MS;
     answered(&mut b, 1, first);
     for (n, after) in [(2, 0), (3, 300 * MS), (4, 999 * MS)] {
@@ -143,17 +152,26 @@
         assert!(!soon(&mut b, first + after), "{after} us after the first answer the word counts");
     }
     // Who heard nothing for longer than a lease knows as little as after a start.
-    let again = first + 3 * SEC + LEASE;
+    let again = first + 3 * SEC + SHARE_LEASE;
     answered(&mut b, 7, again);
     assert!(soon(&mut b, again + MS), "the first answer after a silence");
 }
 
-fn ask(has: u32, want: u64, need: u32) -> ShareAsk {
-    ShareAsk { key: 7, has, returned: 0, want, need, first: need.min(1), each: 1, calls: want }
+fn ask(has: u32, want: u64, need: u32) -> ShareRequest {
+    ShareRequest {
+        tenant_key: 7,
+        held_share: has,
+        returned_milli: 0,
+        demand_milli: want,
+        missing_units: need,
+        smallest_call: need.min(1),
+        usual_call: 1,
+        call_rate_milli: want,
+    }
 }
 
 /// The pool of the tenant that `ask` names.
-fn at(pools: &mut Pools, duty: u32, now: Micros) -> Option<&mut Pool> {
+fn at(pools: &mut SharePools, duty: u32, now: Micros) -> Option<&mut SharePool> {
     pools.pool(duty, 7, R, now)
 }
 
@@ -162,11 +180,12 @@
 
 #[test]
 fn a_pool_gives_what_nobody_can_hold() {
-    let give = |p: &mut Pool, by, n, q, now| p.ask(by, n, &q, R, 2, now).map_or((9, 9), |g| (g.share, g.add));
+    let give =
+        |p: &mut SharePool, by, n, q, now| p.request(by, n, &q, R, 2, now).map_or((9, 9), |g| (g.share, g.burst_milli));
     // A first holder: half follows what is looked for, with half of what is there.
-    let mut p = Pool::full(R, SEC);
+    let mut p = SharePool::full(R, SEC);
     assert_eq!(give(&mut p, A, 1, ask(0, 8_000, 0), SEC), (500_000, 5_000));
-    assert_eq!(p.ask(A, 1, &ask(500_000, 8_000, 0), R, 2, SEC), None, "the same ask again");
+    assert_eq!(p.request(A, 1, &ask(500_000, 8_000, 0), R, 2, SEC), None, "the same ask again");
     let (b, _) = give(&mut p, B, 1, ask(0, 8_000, 0), SEC);
     assert_eq!(b, 250_000, "as much as another who looks for as much will have");
     // What shrinks counts until who has it says that it is smaller.
@@ -175,32 +194,32 @@
     give(&mut p, A, 3, ask(a, 8_000, 0), SEC + 2 * MS);
     assert_eq!(p.list().0, 500_000);
     // Who is silent holds it until the lease is over.
-    let end = SEC + 3 * MS + LEASE;
-    p.sweep(R, end - 10 * MS);
+    let end = SEC + 3 * MS + SHARE_LEASE;
+    p.expire(R, end - 10 * MS);
     assert_eq!(p.list().0, 500_000);
-    p.sweep(R, end + 200 * MS);
+    p.expire(R, end + 200 * MS);
     assert_eq!(p.list().0, 0);
 }
 
 #[test]
 fn a_successor_knows_what_it_hears() {
-    let from = SEC + LEASE;
-    let mut p = Pool::new(R, from, SEC);
-    let g = p.ask(A, 1, &ask(600_000, 8_000, 3), R, 2, SEC).unwrap();
-    assert!(g.share >= 500_000 && (g.add, g.lend) == (0, 0), "renewed, and nothing on top: {g:?}");
+    let from = SEC + SHARE_LEASE;
+    let mut p = SharePool::new(R, from, SEC);
+    let g = p.request(A, 1, &ask(600_000, 8_000, 3), R, 2, SEC).unwrap();
+    assert!(g.share >= 500_000 && (g.burst_milli, g.loaned_units) == (0, 0), "renewed, and nothing on top: {g:?}");
     assert_eq!(p.list(), (600_000, 400_000));
-    let g = p.ask(B, 1, &ask(0, 8_000, 3), R, 2, SEC).unwrap();
-    assert_eq!((g.share, g.add, g.lend), (0, 0, 0));
+    let g = p.request(B, 1, &ask(0, 8_000, 3), R, 2, SEC).unwrap();
+    assert_eq!((g.share, g.burst_milli, g.loaned_units), (0, 0, 0));
     // A third one is heard of: what it holds was among the unknown.
-    p.ask((NodeId(3), 1), 1, &ask(300_000, 0, 0), R, 2, SEC);
+    p.request((NodeId(3), 1), 1, &ask(300_000, 0, 0), R, 2, SEC);
     assert_eq!(p.list(), (900_000, 100_000));
     // What shrank may be given on at once, the unknown when a lease is over.
-    let g = p.ask(A, 2, &ask(600_000, 1_000, 0), R, 2, SEC + MS).unwrap();
+    let g = p.request(A, 2, &ask(600_000, 1_000, 0), R, 2, SEC + MS).unwrap();
     assert!(g.share < 300_000);
-    p.ask(A, 3, &ask(g.share, 1_000, 0), R, 2, SEC + MS);
-    let g = p.ask(B, 2, &ask(0, 8_000, 3), R, 2, SEC + MS).unwrap();
-    assert!(g.share > 300_000 && g.add == 0, "a part that was somebody's comes empty: {g:?}");
-    p.sweep(R, from);
+    p.request(A, 3, &ask(g.share, 1_000, 0), R, 2, SEC + MS);
+    let g = p.request(B, 2, &ask(0, 8_000, 3), R, 2, SEC + MS).unwrap();
+    assert!(g.share > 300_000 && g.burst_milli == 0, "a part that was somebody's comes empty: {g:?}");
+    p.expire(R, from);
     assert_eq!(p.list().1, 0);
 }
 
@@ -209,29 +228,29 @@
     for (name, first, gap, want) in [
         ("the first holder", true, 0, 10_000),
         ("a successor", false, 0, 0),
-        ("half a second after a lease", false, LEASE + 600 * MS, 5_000),
+        ("half a second after a lease", false, SHARE_LEASE + 600 * MS, 5_000),
         ("long after it", false, 60 * SEC, 10_000),
     ] {
-        let mut p = Pools::default();
-        p.begin(3, first, SEC, 0);
-        let g = at(&mut p, 3, SEC + gap).unwrap().ask(A, 1, &ask(0, 50_000, 99), R, 1, SEC + gap).unwrap();
-        assert_eq!(u64::from(g.lend) * 1_000, want, "{name}: {g:?}");
-        assert_eq!(g.add, 0, "{name}: all of it is lent: {g:?}");
+        let mut p = SharePools::default();
+        p.begin_lease(3, first, SEC, 0);
+        let g = at(&mut p, 3, SEC + gap).unwrap().request(A, 1, &ask(0, 50_000, 99), R, 1, SEC + gap).unwrap();
+        assert_eq!(u64::from(g.loaned_units) * 1_000, want, "{name}: {g:?}");
+        assert_eq!(g.burst_milli, 0, "{name}: all of it is lent: {g:?}");
         assert!(at(&mut p, 4, SEC + gap).is_none(), "{name}: another duty");
-        p.end(3);
+        p.end_lease(3);
         assert!(p.list().is_empty(), "{name}");
     }
 }
 
 #[test]
 fn a_voter_knows_whether_a_duty_was_ever_held() {
-    let mut k = Book::default();
-    assert_eq!(k.ask(0, NodeId(1), 1, true, 0), Said::Yes { write: true });
-    assert!(k.known.is_empty(), "asked for in vain, perhaps");
-    k.ask(0, NodeId(1), 1, false, MS);
-    assert!(k.known.contains(&0));
-    k.ask(0, NodeId(2), 2, true, 2 * TERM);
-    assert!(k.known.contains(&0) && !k.known.contains(&1));
+    let mut k = LeaseGrantor::default();
+    assert_eq!(k.request(0, NodeId(1), 1, true, 0), LeaseDecision::Granted { is_new_epoch: true });
+    assert!(k.previously_held.is_empty(), "asked for in vain, perhaps");
+    k.request(0, NodeId(1), 1, false, MS);
+    assert!(k.previously_held.contains(&0));
+    k.request(0, NodeId(2), 2, true, 2 * LEASE_DURATION);
+    assert!(k.previously_held.contains(&0) && !k.previously_held.contains(&1));
 }
 
 #[test]
@@ -239,11 +258,15 @@
     let t = r#"{"defaults":{"quota":{"rate":38,"burst":38,"over":0.06,"slack":29}},"tenants":{
         "a":{"keys":[]},"b":{"keys":[],"quota":"none"},"c":{"keys":[],"quota":{"calls":5,"window_ms":1000}},
         "d":{"keys":[],"quota":{"rate":0.5,"burst":2}}}}"#;
-    let p = judge(t).unwrap();
+    let p = validate(t).unwrap();
     for (n, want, shown) in [
-        ("a", Limit::Rate(Rate { milli: 40_280, burst: 50_280 }), r#""quota":{"rate":40.28,"burst":50.28}"#),
+        (
+            "a",
+            Limit::Rate(Rate { milli_per_second: 40_280, burst_milli: 50_280 }),
+            r#""quota":{"rate":40.28,"burst":50.28}"#,
+        ),
         ("b", Limit::Unlimited, r#""quota":"none""#),
-        ("d", Limit::Rate(Rate { milli: 500, burst: 2_000 }), r#""quota":{"rate":0.5,"burst":2}"#),
+        ("d", Limit::Rate(Rate { milli_per_second: 500, burst_milli: 2_000 }), r#""quota":{"rate":0.5,"burst":2}"#),
     ] {
         assert_eq!(p.tenants[n].quota, want, "{n}");
         assert!(effective(&p, "tenants", n).unwrap().contains(shown), "{n}");
@@ -253,12 +276,12 @@
 
 #[test]
 fn an_unlimited_tenant_asks_nobody() {
-    let s = sumacvale_core::quota::Slices::default();
-    s.rates.set(&Plan::compile(1, r#"{"tenants":{"b":{"keys":[],"quota":"none"}}}"#), 0);
+    let s = sumacvale_core::quota::WindowSlices::default();
+    s.rates.apply_plan(&CompiledConfig::compile(1, r#"{"tenants":{"b":{"keys":[],"quota":"none"}}}"#), 0);
     for k in 0..1_000 {
-        assert!(matches!(s.take("b", k), Take::Took { low: false, .. }));
+        assert!(matches!(s.take("b", k), TakeOutcome::Taken { low: false, .. }));
     }
-    assert!(s.rates.due(true, SEC).is_empty());
+    assert!(s.rates.due_requests(true, SEC).is_empty());
 }
 
 /// The most by which any interval exceeds the rate, in thousandths of calls.
@@ -267,7 +290,7 @@
     let (mut low, mut top) = (i128::MAX, 0);
     for (i, t) in at.iter().enumerate() {
         // In millionths of thousandths, so that nothing is lost to rounding.
-        let came = i128::from(r.milli) * i128::from(*t);
+        let came = i128::from(r.milli_per_second) * i128::from(*t);
         low = low.min(i as i128 * 1_000_000_000 - came);
         top = top.max((i as i128 + 1) * 1_000_000_000 - came - low);
     }
@@ -276,7 +299,7 @@
 
 /// What an interval may see beyond its rate: the burst, and what was lent a moment before.
 fn bound(r: Rate) -> i128 {
-    i128::from(r.burst) + i128::from(r.milli) * i128::from(LOAN) / i128::from(SEC)
+    i128::from(r.burst_milli) + i128::from(r.milli_per_second) * i128::from(LOAN_DURATION) / i128::from(SEC)
 }
 
 /// How long a call waits for a unit.
@@ -296,13 +319,13 @@
 
 enum Mail {
     /// With how long its sender lived, and for how long it can have used no unit.
-    Ask((NodeId, u64), u64, ShareAsk, (Micros, Micros)),
-    Given(usize, u64, ShareGiven),
+    Ask((NodeId, u64), u64, ShareRequest, (Micros, Micros)),
+    Given(usize, u64, ShareGrant),
 }
 
 struct Front {
     id: (NodeId, u64),
-    b: Bucket,
+    b: ShareBucket,
     n: u64,
     sent: BTreeMap<u64, Micros>,
     load: u64,
@@ -323,8 +346,8 @@
     now: Micros,
     fronts: Vec<Front>,
     /// Holders by turns; each with the end of its term and until when it is frozen.
-    pools: Pools,
-    old: Option<(Pools, Micros)>,
+    pools: SharePools,
+    old: Option<(SharePools, Micros)>,
     mute: Micros,
     mail: Vec<(Micros, bool, Mail)>,
     ran: Vec<Micros>,
@@ -345,11 +368,11 @@
     fn new(seed: u64, rate: Rate, loads: &[u64], first: bool) -> Self {
         let rng = Rng::new(seed);
         let now = 100 * SEC;
-        let mut pools = Pools::default();
-        pools.begin(0, first, now, 0);
+        let mut pools = SharePools::default();
+        pools.begin_lease(0, first, now, 0);
         let front = |(i, l): (usize, &u64)| Front {
             id: (NodeId(i as u64 + 1), 1),
-            b: Bucket::first(rate, now + i as u64 * SEC, now + i as u64 * SEC),
+            b: ShareBucket::first_of_incarnation(rate, now + i as u64 * SEC, now + i as u64 * SEC),
             born: now + i as u64 * SEC,
             n: 0,
             sent: BTreeMap::new(),
@@ -415,8 +438,8 @@
                         if f.sent.get(&n).is_some_and(|t| t - f.off >= self.begun) {
                             let age = if self.planted == Planted::Old { age + 5 * SEC } else { age };
                             let idle = if self.planted == Planted::Idle { 5 * SEC } else { idle };
-                            self.pools.lives(0, by, &i.to_string(), age, now);
-                            self.pools.heard(0, &q, by, self.rate, idle, now);
+                            self.pools.record_alive(0, by, &i.to_string(), age, now);
+                            self.pools.record_request(0, &q, by, self.rate, idle, now);
                         }
                     }
                     let pools = match &mut self.old {
@@ -424,8 +447,8 @@
                         _ if old || now < self.mute => None,
                         _ => Some(&mut self.pools),
                     };
-                    let pool = pools.and_then(|pools| pools.pool(0, q.key, self.rate, now));
-                    let g = pool.and_then(|pool| pool.ask(by, n, &q, self.rate, nodes, now));
+                    let pool = pools.and_then(|pools| pools.pool(0, q.tenant_key, self.rate, now));
+                    let g = pool.and_then(|pool| pool.request(by, n, &q, self.rate, nodes, now));
                     if let Some(g) = g
                         && let Some(i) = self.fronts.iter().position(|f| f.id == by)
                     {
@@ -438,7 +461,7 @@
                         && f.cut <= now
                         && let Some(at) = f.sent.get(&n)
                     {
-                        f.b.answer(n, g, *at, now + f.off);
+                        f.b.apply_grant(n, g, *at, now + f.off);
                     }
                 }
             }
@@ -452,24 +475,24 @@
             let t = now + f.off;
             if hit < f.load {
                 match f.b.take(t) {
-                    Take::Took { window, .. } => {
+                    TakeOutcome::Taken { window, .. } => {
                         if self.loss > 0 && self.rng.chance(5) {
                             f.b.refund(window, t);
                         } else {
                             self.ran.push(now);
                         }
                     }
-                    Take::Dry { wait, more, .. } if more || wait < PATIENCE => {
-                        f.b.urge();
+                    TakeOutcome::RateExhausted { wait, may_get_more: more, .. } if more || wait < PATIENCE => {
+                        f.b.request_soon();
                         f.wait.push_back(now + PATIENCE);
                     }
                     _ => {
-                        f.b.urge();
+                        f.b.request_soon();
                         self.refused.push(now);
                     }
                 }
             }
-            while !f.wait.is_empty() && matches!(f.b.draw(1, t), Take::Took { .. }) {
+            while !f.wait.is_empty() && matches!(f.b.take_for_waiter(1, t), TakeOutcome::Taken { .. }) {
                 f.wait.pop_front();
                 self.ran.push(now);
             }
@@ -477,12 +500,12 @@
                 f.wait.pop_front();
                 self.refused.push(now);
             }
-            if f.b.due(true, t) {
+            if f.b.is_request_due(true, t) {
                 f.n += 1;
                 f.sent.insert(f.n, t);
                 let (by, n) = (f.id, f.n);
-                let told = (t - f.born, f.b.idle(t));
-                let q = f.b.ask(7, n, 0, t);
+                let told = (t - f.born, f.b.idle_for(t));
+                let q = f.b.make_request(7, n, 0, t);
                 let old = self.old.is_some() && self.rng.chance(30);
                 if self.fronts[i].cut > now {
                     continue;
@@ -492,7 +515,7 @@
         }
         if now.is_multiple_of(200 * MS) {
             let r = self.rate;
-            self.pools.sweep(|_| Some(r), now);
+            self.pools.expire(|_| Some(r), now);
         }
     }
 
@@ -504,8 +527,8 @@
             0 => {
                 // A holder is lost or frozen; its successor begins after its end.
                 self.mute = now + self.rng.below(2 * SEC);
-                let mut p = Pools::default();
-                p.begin(0, false, self.mute.max(now), 0);
+                let mut p = SharePools::default();
+                p.begin_lease(0, false, self.mute.max(now), 0);
                 let was = std::mem::replace(&mut self.pools, p);
                 self.old = Some((was, now + self.rng.below(self.mute.saturating_sub(now) + 1)));
             }
@@ -514,7 +537,7 @@
                 let f = &mut self.fronts[i];
                 f.id.1 += 1;
                 f.born = now + f.off;
-                f.b = Bucket::first(self.rate, f.born, f.born);
+                f.b = ShareBucket::first_of_incarnation(self.rate, f.born, f.born);
                 f.sent.clear();
             }
             3 => self.loss = self.rng.below(60),
@@ -544,7 +567,7 @@
             } else {
                 f.id.0.0 += 100;
                 f.born = now + f.off;
-                f.b = Bucket::first(self.rate, f.born, f.born);
+                f.b = ShareBucket::first_of_incarnation(self.rate, f.born, f.born);
                 f.sent.clear();
                 f.wait.clear();
             }
@@ -556,10 +579,11 @@
         v.retain(|_, l| now < l.1 + 20 * SEC);
         let seen = |l: &(NodeId, u64), i: usize| !blind || self.fronts[i].id != *l || self.fronts[i].cut <= now;
         let all = v.iter().filter(|l| seen(l.0, l.1.0));
-        let lives: Vec<_> = all.map(|(l, x)| Life { node_id: l.0, incarnation: l.1, addr: x.0.to_string() }).collect();
-        self.pools = Pools::default();
-        self.pools.begin(0, false, self.mute, 0);
-        self.pools.doubt(0, &lives);
+        let lives: Vec<_> =
+            all.map(|(l, x)| RegisteredIncarnation { node_id: l.0, incarnation: l.1, addr: x.0.to_string() }).collect();
+        self.pools = SharePools::default();
+        self.pools.begin_lease(0, false, self.mute, 0);
+        self.pools.set_suspects(0, &lives);
     }
 }
 
@@ -568,18 +592,18 @@
     let kind = seed % 3;
     let (rate, loads): (_, Vec<_>) = match kind {
         0 => {
-            let rate = Rate { milli: 5_000 + g.below(80_000), burst: 5_000 + g.below(80_000) };
+            let rate = Rate { milli_per_second: 5_000 + g.below(80_000), burst_milli: 5_000 + g.below(80_000) };
             (rate, (0..2 + g.below(6)).map(|_| 20_000 + g.below(100_000)).collect())
         }
         // Nodes live on what they are lent, and hold no share: what they look for is little, and the
         // burst is too small for a unit each. Often the holder alone loses power.
         1 => {
-            let rate = Rate { milli: 2_000 + g.below(3_000), burst: 8_000 + g.below(6_000) };
+            let rate = Rate { milli_per_second: 2_000 + g.below(3_000), burst_milli: 8_000 + g.below(6_000) };
             (rate, (0..5 + g.below(3)).map(|_| 1_000 + g.below(2_000)).collect())
         }
         // The burst is that of many seconds, and nobody is cut off.
         _ => {
-            let rate = Rate { milli: 2_000 + g.below(5_000), burst: 30_000 + g.below(30_000) };
+            let rate = Rate { milli_per_second: 2_000 + g.below(5_000), burst_milli: 30_000 + g.below(30_000) };
             (rate, (0..2 + g.below(6)).map(|_| 20_000 + g.below(100_000)).collect())
         }
     };
@@ -618,11 +642,11 @@
 
 #[test]
 fn the_unknown_ends_once_nobody_registered_is_in_doubt() {
-    let life = |n, incarnation, a: &str| Life { node_id: NodeId(n), incarnation, addr: a.into() };
+    let life = |n, incarnation, a: &str| RegisteredIncarnation { node_id: NodeId(n), incarnation, addr: a.into() };
     let (t, t1) = (SEC + 100 * MS, SEC + 600 * MS);
     type Word<'a> = (u64, u64, &'a str, bool);
     // Who answered: node, life, address, and whether its ask tells of the tenant.
-    let cases: &[(&str, &[Life], &[Word], bool)] = &[
+    let cases: &[(&str, &[RegisteredIncarnation], &[Word], bool)] = &[
         ("nobody is registered: time tells", &[], &[(9, 1, "a", true)], false),
         ("the one who is says what it holds", &[life(1, 1, "a")], &[(1, 1, "a", true)], true),
         ("it lives, and says nothing of this tenant", &[life(1, 1, "a")], &[(1, 1, "a", false)], false),
@@ -635,21 +659,21 @@
     ];
     for (name, lives, words, ends) in cases {
         for early in [true, false] {
-            let mut p = Pools::default();
-            p.begin(3, false, SEC, 0);
-            p.doubt(3, lives);
+            let mut p = SharePools::default();
+            p.begin_lease(3, false, SEC, 0);
+            p.set_suspects(3, lives);
             if early {
-                at(&mut p, 3, SEC).unwrap().ask((NodeId(50), 1), 1, &ask(0, 100, 0), R, 1, SEC);
+                at(&mut p, 3, SEC).unwrap().request((NodeId(50), 1), 1, &ask(0, 100, 0), R, 1, SEC);
             }
             for (n, incarnation, a, tells) in *words {
-                p.lives(3, (NodeId(*n), *incarnation), a, 0, t);
+                p.record_alive(3, (NodeId(*n), *incarnation), a, 0, t);
                 if *tells {
-                    p.heard(3, &ask(0, 0, 0), (NodeId(*n), *incarnation), R, 0, t);
+                    p.record_request(3, &ask(0, 0, 0), (NodeId(*n), *incarnation), R, 0, t);
                 }
             }
-            let g = at(&mut p, 3, t1).unwrap().ask((NodeId(60), 1), 1, &ask(0, 50_000, 99), R, 1, t1).unwrap();
+            let g = at(&mut p, 3, t1).unwrap().request((NodeId(60), 1), 1, &ask(0, 50_000, 99), R, 1, t1).unwrap();
             assert_eq!(g.share > 0, *ends, "{name}, {early}: {g:?}");
-            assert!(g.add <= 5_000, "{name}: only what came in since: {g:?}");
+            assert!(g.burst_milli <= 5_000, "{name}: only what came in since: {g:?}");
         }
     }
 }
@@ -657,12 +681,12 @@
 /// What a holder's pool has, in whole units, right after all who may hold a share were heard of.
 #[test]
 fn the_rate_went_on_while_it_is_proven_that_nobody_used_it() {
-    let life = |n, a: &str| Life { node_id: NodeId(n), incarnation: 1, addr: a.into() };
+    let life = |n, a: &str| RegisteredIncarnation { node_id: NodeId(n), incarnation: 1, addr: a.into() };
     /// Who answered: node, address, its age, and for how long it was idle if its ask tells of the tenant.
     type Word<'a> = (u64, &'a str, Micros, Option<Micros>);
     let (half, second) = (500 * MS, SEC);
     // Ten units a second, and clocks may run fast by a fiftieth.
-    let cases: &[(&str, &[Life], &[Word], u32)] = &[
+    let cases: &[(&str, &[RegisteredIncarnation], &[Word], u32)] = &[
         ("replaced half a second ago", &[life(1, "a")], &[(9, "a", half, None)], 4),
         ("replaced just now", &[life(1, "a")], &[(9, "a", 0, None)], 0),
         (
@@ -689,36 +713,37 @@
     let now = begun + 100 * MS;
     for (name, lives, words, want) in cases {
         for early in [true, false] {
-            let mut p = Pools::default();
-            p.begin(3, false, begun, 0);
-            p.doubt(3, lives);
+            let mut p = SharePools::default();
+            p.begin_lease(3, false, begun, 0);
+            p.set_suspects(3, lives);
             if early {
-                at(&mut p, 3, begun).unwrap().ask((NodeId(50), 1), 1, &ask(0, 100, 0), R, 1, begun);
+                at(&mut p, 3, begun).unwrap().request((NodeId(50), 1), 1, &ask(0, 100, 0), R, 1, begun);
             }
             for (n, a, age, idle) in *words {
-                p.lives(3, (NodeId(*n), 1), a, *age, now);
+                p.record_alive(3, (NodeId(*n), 1), a, *age, now);
                 if let Some(idle) = idle {
-                    p.heard(3, &ask(0, 0, 0), (NodeId(*n), 1), R, *idle, now);
+                    p.record_request(3, &ask(0, 0, 0), (NodeId(*n), 1), R, *idle, now);
                 }
             }
-            let g = at(&mut p, 3, now).unwrap().ask((NodeId(60), 1), 1, &ask(0, 0, 99), R, 1, now).unwrap();
-            assert_eq!(g.lend, *want, "{name}, {early}: {g:?}");
+            let g = at(&mut p, 3, now).unwrap().request((NodeId(60), 1), 1, &ask(0, 0, 99), R, 1, now).unwrap();
+            assert_eq!(g.loaned_units, *want, "{name}, {early}: {g:?}");
         }
     }
-    let slow = Rate { milli: 1_000, burst: 100_000 };
-    let mut p = Pools::default();
-    p.begin(3, false, begun, 0);
-    p.doubt(3, &[life(1, "a")]);
-    p.lives(3, (NodeId(9), 1), "a", 60 * SEC, now);
-    let g = p.pool(3, 7, slow, now).unwrap().ask((NodeId(60), 1), 1, &ask(0, 0, 99), slow, 1, now).unwrap();
-    assert_eq!(g.lend, 4, "a life that voters have forgotten may have used it before that");
+    let slow = Rate { milli_per_second: 1_000, burst_milli: 100_000 };
+    let mut p = SharePools::default();
+    p.begin_lease(3, false, begun, 0);
+    p.set_suspects(3, &[life(1, "a")]);
+    p.record_alive(3, (NodeId(9), 1), "a", 60 * SEC, now);
+    let g = p.pool(3, 7, slow, now).unwrap().request((NodeId(60), 1), 1, &ask(0, 0, 99), slow, 1, now).unwrap();
+    assert_eq!(g.loaned_units, 4, "a life that voters have forgotten may have used it before that");
 }
 
 /// Who lives and holds a share says so, and for how long: only what nobody held is credited, and only
 /// once what it holds is known not to be part of that.
 #[test]
 fn what_somebody_holds_is_not_credited() {
-    let lives = [(1, "a"), (2, "b")].map(|(n, a)| Life { node_id: NodeId(n), incarnation: 1, addr: a.into() });
+    let lives =
+        [(1, "a"), (2, "b")].map(|(n, a)| RegisteredIncarnation { node_id: NodeId(n), incarnation: 1, addr: a.into() });
     let (begun, now) = (100 * SEC, 100 * SEC + 100 * MS);
     // What both hold, what the first one said before without a mark, and whole units of ten a second.
     for (name, has, before, want) in [
@@ -729,20 +754,21 @@
         ("the first one gave up half of it", (250_000, 0), Some(500_000), 4),
         ("all", (500_000, 500_000), None, 0),
     ] {
-        let mut p = Pools::default();
-        p.begin(3, false, begun, 0);
-        p.doubt(3, &lives);
-        let give = |p: &mut Pools, by, n, q: ShareAsk| at(p, 3, now).unwrap().ask(by, n, &q, R, 9, now).unwrap();
+        let mut p = SharePools::default();
+        p.begin_lease(3, false, begun, 0);
+        p.set_suspects(3, &lives);
+        let give =
+            |p: &mut SharePools, by, n, q: ShareRequest| at(p, 3, now).unwrap().request(by, n, &q, R, 9, now).unwrap();
         if let Some(share) = before {
             give(&mut p, A, 1, ask(share, 0, 0));
         }
         for (by, share) in [(A, has.0), (B, has.1)] {
             let q = ask(share, 0, 0);
-            p.heard(3, &q, by, R, SEC, now);
+            p.record_request(3, &q, by, R, SEC, now);
             give(&mut p, by, 2, q);
         }
-        assert_eq!(give(&mut p, (NodeId(60), 1), 1, ask(0, 0, 99)).lend, want, "{name}");
-        assert_eq!(give(&mut p, (NodeId(60), 1), 2, ask(0, 0, 99)).lend, 0, "{name}: credited once");
+        assert_eq!(give(&mut p, (NodeId(60), 1), 1, ask(0, 0, 99)).loaned_units, want, "{name}");
+        assert_eq!(give(&mut p, (NodeId(60), 1), 2, ask(0, 0, 99)).loaned_units, 0, "{name}: credited once");
     }
 }
 
@@ -756,34 +782,38 @@
         ("a larger one", 500_000, given(600_000, 0), SEC),
         ("a smaller one", 500_000, given(400_000, 0), SEC),
         ("units", 0, given(0, 1), SEC),
-        ("a loan", 0, ShareGiven { lend: 1, ..given(0, 0) }, SEC),
+        ("a loan", 0, ShareGrant { loaned_units: 1, ..given(0, 0) }, SEC),
     ] {
-        let mut b = Bucket::first(R, SEC, SEC);
+        let mut b = ShareBucket::first_of_incarnation(R, SEC, SEC);
         if has > 0 {
-            b.ask(0, 1, 0, SEC + 500 * MS);
-            assert!(b.answer(1, given(has, 0), SEC + 500 * MS, SEC + 500 * MS), "{name}");
+            b.make_request(0, 1, 0, SEC + 500 * MS);
+            assert!(b.apply_grant(1, given(has, 0), SEC + 500 * MS, SEC + 500 * MS), "{name}");
         }
-        b.ask(0, 2, 0, second);
-        assert!(b.answer(2, g, second, second), "{name}");
-        assert_eq!(b.idle(3 * SEC), idle, "{name}");
+        b.make_request(0, 2, 0, second);
+        assert!(b.apply_grant(2, g, second, second), "{name}");
+        assert_eq!(b.idle_for(3 * SEC), idle, "{name}");
     }
     let mut b = bucket(500_000, 0, SEC);
-    assert_eq!(b.idle(SEC + LEASE + 300 * MS), 300 * MS, "its lease was over");
-    assert_eq!(Bucket::new(R, SEC).idle(SEC + 400 * MS), 0, "an earlier bucket of the tenant may have had units");
+    assert_eq!(b.idle_for(SEC + SHARE_LEASE + 300 * MS), 300 * MS, "its lease was over");
+    assert_eq!(
+        ShareBucket::new(R, SEC).idle_for(SEC + 400 * MS),
+        0,
+        "an earlier bucket of the tenant may have had units"
+    );
 }
 
 /// A tenant that a version takes out and a later one brings back may have been used in between.
 #[test]
 fn only_the_first_version_with_tenants_vouches_for_them() {
-    let plan = |t: &str| Plan::compile(1, t);
+    let plan = |t: &str| CompiledConfig::compile(1, t);
     let (one, two) = (r#"{"tenants":{"a":{"keys":[],"quota":{"rate":5,"burst":5}}}}"#, r#"{"tenants":{}}"#);
-    let s = sumacvale_core::quota::Slices::default();
-    s.rates.set(&plan(two), SEC);
-    s.rates.set(&plan(one), 3 * SEC);
-    assert_eq!(s.rates.idle("a", 4 * SEC), 3 * SEC, "since the start of the life");
-    s.rates.set(&plan(two), 5 * SEC);
-    s.rates.set(&plan(one), 6 * SEC);
-    assert_eq!(s.rates.idle("a", 7 * SEC), 500 * MS, "units of before may be used for half a second");
+    let s = sumacvale_core::quota::WindowSlices::default();
+    s.rates.apply_plan(&plan(two), SEC);
+    s.rates.apply_plan(&plan(one), 3 * SEC);
+    assert_eq!(s.rates.idle_for("a", 4 * SEC), 3 * SEC, "since the start of the life");
+    s.rates.apply_plan(&plan(two), 5 * SEC);
+    s.rates.apply_plan(&plan(one), 6 * SEC);
+    assert_eq!(s.rates.idle_for("a", 7 * SEC), 500 * MS, "units of before may be used for half a second");
 }
 
 #[test]
@@ -791,7 +821,7 @@
     let mut ran = 0;
     for seed in 0..150 {
         let mut g = Rng::new(seed);
-        let rate = Rate { milli: 500 + g.below(80_000), burst: 1_000 + g.below(80_000) };
+        let rate = Rate { milli_per_second: 500 + g.below(80_000), burst_milli: 1_000 + g.below(80_000) };
         let loads: Vec<_> = (0..1 + g.below(8)).map(|_| g.below(100_000)).collect();
         let mut t = Trial::new(seed, rate, &loads, seed % 2 == 0);
         t.loss = g.below(30);
@@ -813,7 +843,7 @@
 #[test]
 fn below_the_limit_nothing_is_refused_once_shares_follow_the_demand() {
     // Calls a second of each front, against 40 a second with 40 on top; refused of a thousand.
-    let rate = Rate { milli: 40_000, burst: 40_000 };
+    let rate = Rate { milli_per_second: 40_000, burst_milli: 40_000 };
     for (name, loads, most_of) in [
         ("evenly", [3_300; 6], 1),
         ("evenly at three quarters", [5_000; 6], 2),
@@ -839,7 +869,7 @@
 
 #[test]
 fn shares_follow_who_asks_beyond_the_limit() {
-    let rate = Rate { milli: 40_000, burst: 40_000 };
+    let rate = Rate { milli_per_second: 40_000, burst_milli: 40_000 };
     for (name, loads) in [
         ("two of four", [60_000, 60_000, 0, 0, 0, 0]),
         ("all", [30_000; 6]),
