--- a/crates/core/tests/recovery.rs
+++ b/crates/core/tests/recovery.rs
@@ -4,12 +4,12 @@
 
 use nodes::{addr, core, founded, me};
 use std::collections::BTreeMap;
-use sumacvale_core::agree::Kept;
-use sumacvale_core::base::{MS, Micros, NodeId, Rng, SEC, sha_hex};
-use sumacvale_core::node::{Effect, Event, Me, Node};
-use sumacvale_core::peer::{Frame, Msg};
-use sumacvale_core::quota::Take;
-use sumacvale_core::term::{DUTIES, duty};
+use sumacvale_core::base::{MS, Micros, NodeId, Rng, SEC, sha256_hex};
+use sumacvale_core::consensus::DurableState;
+use sumacvale_core::lease::{ROLE_COUNT, quota_role};
+use sumacvale_core::node::{Effect, Event, Node, NodeSettings};
+use sumacvale_core::protocol::{Frame, Message};
+use sumacvale_core::quota::TakeOutcome;
 
 const CORES: usize = 3;
 const ALL: usize = 9;
@@ -19,13 +19,13 @@
 /// A restarted node needs a greeting, a question and an answer, half a second apart each.
 const RECOVERY: Micros = 2_500 * MS;
 
-fn kept(i: usize) -> Kept {
-    let key = |t: usize| sha_hex(&t.to_le_bytes());
+fn kept(i: usize) -> DurableState {
+    let key = |t: usize| sha256_hex(&t.to_le_bytes());
     let tenant =
         |t: usize| format!("\"t{t}\":{{\"keys\":[\"sha256:{}\"],\"quota\":{{\"rate\":40,\"burst\":40}}}}", key(t));
     let tenants: Vec<_> = (0..TENANTS).map(tenant).collect();
     let body = format!("{{\"pools\":{{\"p\":{{}}}},\"matches\":{{}},\"tenants\":{{{}}}}}", tenants.join(","));
-    Kept { node_id: core(i).node_id, ..founded(CORES, body, 0) }
+    DurableState { node_id: core(i).node_id, ..founded(CORES, body, 0) }
 }
 
 /// Nodes in virtual time, joined by links that may lose frames.
@@ -33,7 +33,7 @@
     now: Micros,
     nodes: Vec<Option<Node>>,
     /// What the disk of each core holds.
-    disks: Vec<Kept>,
+    disks: Vec<DurableState>,
     lives: u64,
     sent: u64,
     wires: BTreeMap<(Micros, u64), (usize, usize, Frame)>,
@@ -75,8 +75,8 @@
         self.swallowing.retain(|(from, _), _| *from != i);
         let is_core = i < CORES;
         let node_id = if is_core { core(i).node_id } else { NodeId(1_000 + self.lives) };
-        let me = Me { node_id, first: false, ..me(i, CORES, self.lives) };
-        let kept = if is_core { self.disks[i].clone() } else { Kept::default() };
+        let me = NodeSettings { node_id, may_bootstrap: false, ..me(i, CORES, self.lives) };
+        let kept = if is_core { self.disks[i].clone() } else { DurableState::default() };
         self.nodes[i] = Some(Node::new(me, &kept, self.lives, self.now));
     }
 
@@ -95,7 +95,7 @@
                     self.joined.remove(&(i, j));
                     self.swallowing.remove(&(i, j));
                 }
-                Effect::Write { token, ops } => {
+                Effect::Write { token, writes: ops } => {
                     ops.iter().for_each(|op| self.disks[i].apply(op));
                     self.step(i, Event::Synced(token));
                 }
@@ -107,7 +107,7 @@
     /// Whether a frame arrives: one that is written into a connection whose other end is gone does not.
     fn arrives(&mut self, i: usize, j: usize) -> bool {
         if let Some(limit) = self.given_up_after {
-            let life = self.nodes[j].as_ref().map(|n| n.me.incarnation);
+            let life = self.nodes[j].as_ref().map(|n| n.settings.incarnation);
             if self.joined.get(&(i, j)).is_some_and(|w| Some(*w) != life) {
                 let since = *self.swallowing.entry((i, j)).or_insert(self.now);
                 if self.now < since + limit {
@@ -117,7 +117,7 @@
                 self.swallowing.remove(&(i, j));
             }
         }
-        let Some(life) = self.nodes[j].as_ref().map(|n| n.me.incarnation) else { return false };
+        let Some(life) = self.nodes[j].as_ref().map(|n| n.settings.incarnation) else { return false };
         let was = self.joined.insert((i, j), life);
         was.is_none_or(|w| w == life) && !(self.loses)(self.now, i, j)
     }
@@ -146,7 +146,7 @@
 
     /// The nodes that do not know all others.
     fn strangers(&self) -> Vec<usize> {
-        let knows = |n: &Node| n.ring.live(self.now).count();
+        let knows = |n: &Node| n.dissemination.peers.live(self.now).count();
         (0..ALL).filter(|i| self.nodes[*i].as_ref().is_none_or(|n| knows(n) < ALL)).collect()
     }
 }
@@ -154,8 +154,10 @@
 /// How long until every duty of quotas has a holder again, from now on.
 fn until_all_duties_are_held(n: &mut Net) -> Micros {
     let from = n.now;
-    let held = |n: &Net, d| (0..CORES).any(|i| n.nodes[i].as_ref().is_some_and(|c| c.terms.holds(d, n.now).is_some()));
-    while n.now < from + 5 * SEC && !(0..DUTIES).all(|d| held(n, d)) {
+    let held = |n: &Net, d| {
+        (0..CORES).any(|i| n.nodes[i].as_ref().is_some_and(|c| c.leases.held.valid_epoch(d, n.now).is_some()))
+    };
+    while n.now < from + 5 * SEC && !(0..ROLE_COUNT).all(|d| held(n, d)) {
         n.run(5 * MS);
     }
     n.now - from
@@ -201,11 +203,14 @@
         }
         // The first core holds nothing before the third was heard, and all of them do soon after.
         n.run(late * MS);
-        assert!((0..CORES).all(|i| n.nodes[i].as_ref().is_some_and(|c| c.book.quiet > n.now)), "all were to be heard");
+        assert!(
+            (0..CORES).all(|i| n.nodes[i].as_ref().is_some_and(|c| c.leases.grantor.fence_until > n.now)),
+            "all were to be heard"
+        );
         let t = until_all_duties_are_held(&mut n);
         assert!(t <= 400 * MS, "heard after {late} ms: duties held {} ms later", t / MS);
         assert!(
-            (0..CORES).all(|i| n.nodes[i].as_ref().is_some_and(|c| c.book.quiet <= n.now)),
+            (0..CORES).all(|i| n.nodes[i].as_ref().is_some_and(|c| c.leases.grantor.fence_until <= n.now)),
             "no voter is left quiet"
         );
     }
@@ -218,16 +223,23 @@
     let voter = core(1).node_id;
     let mut n = Net::new(|now, i, j| now > 100 * SEC + 35 * MS && i != j && j == 0);
     let ask = |n: &Net| {
-        let held = &n.nodes[0].as_ref().expect("it runs").terms.held;
-        held.iter().find_map(|(d, h)| h.ask.as_ref().map(|a| (*d, h.epoch, a.0, a.2.contains(&voter))))
+        let held = &n.nodes[0].as_ref().expect("it runs").leases.held.by_role;
+        held.iter().find_map(|(d, h)| h.open_request.as_ref().map(|a| (*d, h.epoch, a.0, a.2.contains(&voter))))
     };
     while ask(&n).is_none() && n.now < 101 * SEC {
         n.run(MS);
     }
     let (duty, epoch, number, _) = ask(&n).expect("it asks in vain");
-    let frame = |incarnation, msg| Frame { from: voter, to: core(0).node_id, incarnation, fleet: 7, sent: 0, msg };
-    let vote = Msg::TermYes { duty, epoch, n: number, rows: vec![], first: true, lives: vec![] };
-    n.step(0, Event::Frame(Box::new(frame(2, Msg::HoldsAsk { n: 5 }))));
+    let frame = |incarnation, msg| Frame {
+        from: voter,
+        to: core(0).node_id,
+        incarnation,
+        fleet_id: 7,
+        sent_at: 0,
+        message: msg,
+    };
+    let vote = Message::TermYes { duty, epoch, n: number, rows: vec![], first: true, lives: vec![] };
+    n.step(0, Event::Frame(Box::new(frame(2, Message::HoldsAsk { n: 5 }))));
     n.step(0, Event::Frame(Box::new(frame(1, vote))));
     let now = ask(&n).expect("still open");
     assert_eq!((now.0, now.2, now.3), (duty, number, false), "the vote of the former life was counted");
@@ -237,7 +249,7 @@
 fn unsettled(n: &Net) -> Vec<usize> {
     let takes = |i: usize, t: usize| {
         let node = n.nodes[i].as_ref().expect("it runs");
-        !matches!(node.slices.take(&format!("t{t}"), n.now), Take::Empty)
+        !matches!(node.quota.slices.take(&format!("t{t}"), n.now), TakeOutcome::Empty)
     };
     (CORES..ALL).filter(|i| !(0..TENANTS).all(|t| takes(*i, t))).collect()
 }
@@ -277,7 +289,7 @@
         let mut n = Net::new(move |now, i, j| silent && now > 105 * SEC && (i == 0 || j == 0));
         n.run(5 * SEC);
         let holds = |n: &Net, i: usize| {
-            (0..DUTIES).any(|d| n.nodes[i].as_ref().is_some_and(|c| c.terms.holds(d, n.now).is_some()))
+            (0..ROLE_COUNT).any(|d| n.nodes[i].as_ref().is_some_and(|c| c.leases.held.valid_epoch(d, n.now).is_some()))
         };
         assert!(holds(&n, 0), "rendezvous gives the first core some duty");
         let from = n.now;
@@ -288,7 +300,7 @@
         n.start(2);
         while n.now < from + 900 * MS {
             n.run(5 * MS);
-            let quiet = |i: usize| n.nodes[i].as_ref().is_some_and(|c| c.book.quiet > n.now);
+            let quiet = |i: usize| n.nodes[i].as_ref().is_some_and(|c| c.leases.grantor.fence_until > n.now);
             assert!(quiet(1) && quiet(2), "silent {silent}: {} ms after the holder's grant", (n.now - from) / MS);
         }
         n.run(2 * SEC);
@@ -359,7 +371,7 @@
         let served = |n: &Net| {
             let stamped = |i: usize| {
                 let node = n.nodes[i].as_ref().expect("it runs");
-                node.fresh.since(node.version()).is_some_and(|at| at >= from)
+                node.consensus.freshness.confirmed_at(node.version()).is_some_and(|at| at >= from)
             };
             (CORES..ALL).all(stamped) && unsettled(n).is_empty()
         };
@@ -394,16 +406,16 @@
 }
 
 fn cause(n: &Net, tenant: &str) -> Cause {
-    let duty = duty(tenant);
+    let duty = quota_role(tenant);
     let cores = || n.nodes[..CORES].iter().flatten();
-    let Some(holder) = cores().find(|c| c.terms.holds(duty, n.now).is_some()) else {
-        let voters = cores().filter(|c| c.book.quiet <= n.now).count();
+    let Some(holder) = cores().find(|c| c.leases.held.valid_epoch(duty, n.now).is_some()) else {
+        let voters = cores().filter(|c| c.leases.grantor.fence_until <= n.now).count();
         return if 2 * voters <= CORES { Cause::Quiet } else { Cause::Term };
     };
-    if holder.hands_out(duty, n.now).is_none() {
+    if holder.share_epoch(duty, n.now).is_none() {
         return Cause::Renewal;
     }
-    let pool = holder.pools.list().into_iter().find(|p| p.0 == sumacvale_core::quota::key(tenant));
+    let pool = holder.quota.share_pools.list().into_iter().find(|p| p.0 == sumacvale_core::quota::tenant_key(tenant));
     if pool.is_none_or(|p| p.2 > 0) { Cause::Unknown } else { Cause::Fill }
 }
 
@@ -435,11 +447,11 @@
         for (front, tenant, came) in std::mem::take(&mut self.waiting) {
             let now = n.now;
             let Some(node) = n.nodes[front].as_ref() else { continue };
-            match node.slices.rates.draw(&tenant, 1, now) {
-                Some(Take::Took { .. }) => self.ran.push((tenant, now)),
+            match node.quota.slices.rates.take_for_waiter(&tenant, 1, now) {
+                Some(TakeOutcome::Taken { .. }) => self.ran.push((tenant, now)),
                 _ if now >= came + PATIENCE => self.refused.push((came, cause(n, &tenant))),
                 _ => {
-                    n.step(front, Event::Need { tenant: tenant.clone(), waiting: 1 });
+                    n.step(front, Event::QuotaNeeded { tenant: tenant.clone(), waiting: 1 });
                     self.waiting.push((front, tenant, came));
                 }
             }
@@ -448,9 +460,9 @@
 
     fn call(&mut self, n: &Net, front: usize, tenant: String) {
         let node = n.nodes[front].as_ref().expect("it runs");
-        match node.slices.take(&tenant, n.now) {
-            Take::Took { .. } => self.ran.push((tenant, n.now)),
-            Take::Dry { wait, more, .. } if !more && wait > PATIENCE => {
+        match node.quota.slices.take(&tenant, n.now) {
+            TakeOutcome::Taken { .. } => self.ran.push((tenant, n.now)),
+            TakeOutcome::RateExhausted { wait, may_get_more: more, .. } if !more && wait > PATIENCE => {
                 self.refused.push((n.now, cause(n, &tenant)));
             }
             _ => self.waiting.push((front, tenant, n.now)),
--- a/crates/core/tests/routes.rs
+++ b/crates/core/tests/routes.rs
@@ -1,13 +1,13 @@
 //! Which match takes a call, and which of its pools.
 
-use sumacvale_core::config::{Plan, judge};
+use sumacvale_core::config::{CompiledConfig, validate};
 
-fn plan(matches: &str) -> Plan {
+fn plan(matches: &str) -> CompiledConfig {
     let t = format!("{{\"pools\":{{\"p\":{{}},\"q\":{{}},\"r\":{{}}}},\"matches\":{{{matches}}}}}");
-    judge(&t).unwrap_or_else(|e| panic!("{t}\n{e:?}"))
+    validate(&t).unwrap_or_else(|e| panic!("{t}\n{e:?}"))
 }
 
-fn named(p: &Plan, method: &str, host: &str, path: &str) -> String {
+fn named(p: &CompiledConfig, method: &str, host: &str, path: &str) -> String {
     p.find(method, host, path).map_or_else(String::new, |m| m.name.clone())
 }
 
@@ -48,7 +48,7 @@
 fn a_match_with_a_host_takes_no_calls_of_another() {
     let t = r#"{"pools":{"p":{}},"matches":{"m":{"host":"one.test","path":"/x","pool":"p"}}}"#;
     // Refused or kept, but never taken without effect.
-    let Ok(p) = judge(t) else { return };
+    let Ok(p) = validate(t) else { return };
     assert_eq!(named(&p, "POST", "one.test", "/x"), "m");
     assert_eq!(named(&p, "POST", "two.test", "/x"), "", "it names one.test");
 }
@@ -68,7 +68,7 @@
         let m = p.find("GET", "h", "/").expect("found");
         let mut got = [0; 3];
         for n in 0..round {
-            let i = ["p", "q", "r"].iter().position(|p| *p == m.draw(n)).expect("one of them");
+            let i = ["p", "q", "r"].iter().position(|p| *p == m.pool_for(n)).expect("one of them");
             got[i] += 1;
         }
         assert_eq!(got, want, "{split}");
@@ -78,5 +78,5 @@
     }
     let p = plan(r#""m":{"under":"/","pool":"q"}"#);
     let m = p.find("GET", "h", "/").expect("found");
-    assert!([0, 1, u64::MAX].iter().all(|n| m.draw(*n) == "q"));
+    assert!([0, 1, u64::MAX].iter().all(|n| m.pool_for(*n) == "q"));
 }
--- a/crates/core/tests/stream.rs
+++ b/crates/core/tests/stream.rs
@@ -1,7 +1,7 @@
 //! Streams of events: every line end, every split, every break.
 
 use sumacvale_core::base::Rng;
-use sumacvale_core::stream::{Broken, Pieces};
+use sumacvale_core::stream::{EventSplitter, StreamError};
 
 /// What a reader of the stream gets: the lines of each event that has any.
 fn read(b: &[u8]) -> Vec<Vec<String>> {
@@ -35,15 +35,15 @@
             let s = stream(0, 6, end, bom, &mut r);
             for strict in [false, true] {
                 for at in 0..s.len() {
-                    let mut p = Pieces::new(strict, None);
-                    let mut o = p.feed(&s[..at]).expect("reads").concat();
+                    let mut p = EventSplitter::new(strict, None);
+                    let mut o = p.push(&s[..at]).expect("reads").concat();
                     assert_eq!(read(&o), read(&s)[..read(&o).len()], "{end:?} {at}: only whole pieces");
-                    o.extend(p.feed(&s[at..]).expect("reads").concat());
+                    o.extend(p.push(&s[at..]).expect("reads").concat());
                     assert_eq!(o, s, "{end:?} {at}");
-                    assert!(p.clean());
+                    assert!(p.is_between_events());
                 }
-                let mut p = Pieces::new(strict, None);
-                let o: Vec<u8> = s.iter().flat_map(|b| p.feed(&[*b]).expect("reads").concat()).collect();
+                let mut p = EventSplitter::new(strict, None);
+                let o: Vec<u8> = s.iter().flat_map(|b| p.push(&[*b]).expect("reads").concat()).collect();
                 assert_eq!(o, s, "{end:?} byte by byte");
             }
         }
@@ -58,13 +58,13 @@
             let s = stream(0, 5, end, bom, &mut r);
             let whole = read(&stream(0, 5, "\n", false, &mut Rng::new(0)));
             for at in 0..=s.len() {
-                let mut p = Pieces::new(true, None);
-                let mut o = p.feed(&s[..at]).expect("reads").concat();
-                let from = p.from().expect("all pieces have numbers").map_or(0, |n| n + 1);
+                let mut p = EventSplitter::new(true, None);
+                let mut o = p.push(&s[..at]).expect("reads").concat();
+                let from = p.resume_point().expect("all pieces have numbers").map_or(0, |n| n + 1);
                 p.resume();
                 // A worker may begin a little before the piece that is due.
                 let rest = stream(from.saturating_sub(r.below(2)), 5, end, bom, &mut r);
-                o.extend(p.feed(&rest).expect("reads").concat());
+                o.extend(p.push(&rest).expect("reads").concat());
                 let data = |v: Vec<Vec<String>>| -> Vec<String> {
                     v.into_iter().flatten().filter(|l| l.starts_with("data")).collect()
                 };
@@ -87,25 +87,25 @@
         ("a number with a sign", "id: +1\ndata: a\n\n", None),
         ("a number of an event without data", "id: 7\n\n", Some(Some(7))),
     ] {
-        let mut p = Pieces::new(true, None);
-        p.feed(s.as_bytes()).expect(name);
-        assert_eq!(p.from(), from, "{name}");
+        let mut p = EventSplitter::new(true, None);
+        p.push(s.as_bytes()).expect(name);
+        assert_eq!(p.resume_point(), from, "{name}");
     }
-    assert_eq!(Pieces::new(false, None).from(), None, "the match does not allow it");
+    assert_eq!(EventSplitter::new(false, None).resume_point(), None, "the match does not allow it");
     for (name, s, want) in [
-        ("a gap", "id: 0\ndata: a\n\nid: 2\ndata: c\n\n", Broken::Gap { got: 2, want: 1 }),
-        ("a repeat", "id: 0\ndata: a\n\nid: 0\ndata: a\n\n", Broken::Gap { got: 0, want: 1 }),
-        ("a step back", "id: 3\ndata: a\n\nid: 2\ndata: a\n\n", Broken::Gap { got: 2, want: 4 }),
+        ("a gap", "id: 0\ndata: a\n\nid: 2\ndata: c\n\n", StreamError::EventGap { got: 2, want: 1 }),
+        ("a repeat", "id: 0\ndata: a\n\nid: 0\ndata: a\n\n", StreamError::EventGap { got: 0, want: 1 }),
+        ("a step back", "id: 3\ndata: a\n\nid: 2\ndata: a\n\n", StreamError::EventGap { got: 2, want: 4 }),
     ] {
-        assert_eq!(Pieces::new(true, None).feed(s.as_bytes()), Err(want), "{name} within one worker's stream");
-        assert!(Pieces::new(false, None).feed(s.as_bytes()).is_ok(), "{name} where nobody counts");
+        assert_eq!(EventSplitter::new(true, None).push(s.as_bytes()), Err(want), "{name} within one worker's stream");
+        assert!(EventSplitter::new(false, None).push(s.as_bytes()).is_ok(), "{name} where nobody counts");
     }
     // The downstream itself says what it had last: the stream goes on from there.
-    let mut p = Pieces::new(true, Some(3));
-    assert_eq!(p.feed(b"id: 3\ndata: a\n\nid: 4\ndata: b\n\n").expect("reads").concat(), b"id: 4\ndata: b\n\n");
+    let mut p = EventSplitter::new(true, Some(3));
+    assert_eq!(p.push(b"id: 3\ndata: a\n\nid: 4\ndata: b\n\n").expect("reads").concat(), b"id: 4\ndata: b\n\n");
     assert_eq!(
-        Pieces::new(true, Some(3)).feed(b"id: 5\ndata: a\n\n"),
-        Err(Broken::Gap { got: 5, want: 4 }),
+        EventSplitter::new(true, Some(3)).push(b"id: 5\ndata: a\n\n"),
+        Err(StreamError::EventGap { got: 5, want: 4 }),
         "what the downstream did not have is not skipped"
     );
 }
--- a/crates/core/tests/takeover.rs
+++ b/crates/core/tests/takeover.rs
@@ -5,8 +5,8 @@
 use fleet::{Fleet, address, core, decree, kept};
 use std::collections::BTreeMap;
 use sumacvale_core::base::{MS, NodeId, SEC};
-use sumacvale_core::peer::{Ballot, Grant, Msg, Peer};
-use sumacvale_core::term::{DUTIES, duty};
+use sumacvale_core::lease::{ROLE_COUNT, quota_role};
+use sumacvale_core::protocol::{Ballot, Message, PeerRecord, WindowGrant};
 
 const A: u64 = 1;
 const B: u64 = 2;
@@ -15,11 +15,11 @@
 const E: u64 = 5;
 
 fn ids(fleet: &Fleet, n: u64) -> Vec<u64> {
-    fleet.node(n).agree.cores().iter().map(|c| c.node_id.0).collect()
+    fleet.node(n).consensus.state.voters().iter().map(|c| c.node_id.0).collect()
 }
 
 fn duties_held(fleet: &Fleet, n: u64) -> Vec<u32> {
-    (0..DUTIES).filter(|d| fleet.node(n).terms.holds(*d, fleet.now).is_some()).collect()
+    (0..ROLE_COUNT).filter(|d| fleet.node(n).leases.held.valid_epoch(*d, fleet.now).is_some()).collect()
 }
 
 /// B was lost and replaced by D; A is lost before anyone took over what it granted with B.
@@ -28,7 +28,7 @@
     let second = decree(1, 1, &[A, B, C], &[A, C, D]);
     let mut fleet = Fleet::default();
     let mut c = kept(C, &[first, second.clone()], Some(0));
-    c.epochs = (0..DUTIES).map(|d| (d, 3)).collect();
+    c.epochs = (0..ROLE_COUNT).map(|d| (d, 3)).collect();
     fleet.start(C, c);
     fleet.start(D, kept(D, &[second], None));
     fleet
@@ -44,7 +44,7 @@
     };
     let replaced = fleet.run_until(10 * SEC, full);
     assert!(replaced.is_some(), "A is not replaced: the voters are still {:?}", ids(&fleet, C));
-    let granted = |f: &Fleet| [C, D, E].iter().map(|n| duties_held(f, *n).len()).sum::<usize>() == DUTIES as usize;
+    let granted = |f: &Fleet| [C, D, E].iter().map(|n| duties_held(f, *n).len()).sum::<usize>() == ROLE_COUNT as usize;
     let terms = fleet.run_until(20 * SEC, granted);
     assert!(terms.is_some(), "nobody holds the duties 20 s later");
     println!("replaced after {replaced:?} us, all duties held {terms:?} us later");
@@ -53,12 +53,12 @@
 #[test]
 fn a_later_set_outbids_epochs_that_it_knows_nothing_of() {
     let mut fleet = second_loss();
-    let all = |f: &Fleet| [C, D].iter().map(|n| duties_held(f, *n).len()).sum::<usize>() == DUTIES as usize;
+    let all = |f: &Fleet| [C, D].iter().map(|n| duties_held(f, *n).len()).sum::<usize>() == ROLE_COUNT as usize;
     assert!(fleet.run_until(20 * SEC, all).is_some(), "the duties are not held");
     // A and B may have granted any number of epochs that C never heard of.
     for n in [C, D] {
         for d in duties_held(&fleet, n) {
-            let epoch = fleet.node(n).terms.held[&d].epoch;
+            let epoch = fleet.node(n).leases.held.by_role[&d].epoch;
             assert!(epoch > 1_000_000, "duty {d} is held by epoch {epoch}: nodes that heard of a higher one refuse it");
         }
     }
@@ -76,34 +76,34 @@
     fleet.auto = false;
     fleet.start(C, kept(C, std::slice::from_ref(&second), Some(0)));
     fleet.start(D, kept(D, &[second], None));
-    let home = duty("home");
+    let home = quota_role("home");
     let holder = |f: &Fleet| [C, D].into_iter().find(|n| duties_held(f, *n).contains(&home));
     assert!(fleet.run_until(10 * SEC, |f| holder(f).is_some()).is_some(), "nobody holds the duty");
     let begin = fleet.now;
     let asks = |fleet: &mut Fleet, n| {
         let to = holder(fleet).expect("a holder");
         fleet.sent.clear();
-        fleet.tell(90, to, Msg::SliceAsk { n, tenant: "home".into(), want: 5, window: 7, returned: 0 });
+        fleet.tell(90, to, Message::SliceAsk { n, tenant: "home".into(), want: 5, window: 7, returned: 0 });
         fleet.run(200 * MS);
-        let said = fleet.sent.iter().map(|s| &s.1.msg);
-        let slice = |m: &Msg| if let Msg::Slice { window, .. } = m { Some(*window) } else { None };
-        (said.clone().find_map(slice), said.filter(|m| matches!(m, Msg::Spent { .. })).count())
+        let said = fleet.sent.iter().map(|s| &s.1.message);
+        let slice = |m: &Message| if let Message::Slice { window, .. } = m { Some(*window) } else { None };
+        (said.clone().find_map(slice), said.filter(|m| matches!(m, Message::Spent { .. })).count())
     };
     // The asker must be known, else nothing can be sent to it.
-    let front = Peer {
+    let front = PeerRecord {
         node_id: NodeId(90),
         incarnation: 1,
-        beat: 1,
+        heartbeat: 1,
         addr: address(90),
         admin: String::new(),
         zone: "z".into(),
-        core: false,
-        leaving: false,
+        is_core: false,
+        draining: false,
         version: 1,
     };
     for n in [C, D] {
         let rows = vec![front.clone()];
-        let gossip = Msg::Gossip { beats: vec![], rows, ask: vec![], reply: false, set: 0, pulse: vec![] };
+        let gossip = Message::Gossip { beats: vec![], rows, ask: vec![], reply: false, set: 0, pulse: vec![] };
         fleet.tell(90, n, gossip);
     }
     let (slice, spent) = asks(&mut fleet, 1);
@@ -119,7 +119,7 @@
     let mut fleet = second_loss();
     fleet.run(5 * SEC);
     for n in [C, D] {
-        let unknown = fleet.kept(n).lives.keys().any(|l| l.0 == NodeId::default());
+        let unknown = fleet.kept(n).registered.keys().any(|l| l.0 == NodeId::default());
         assert!(unknown, "{n} holds shares of lives that it never heard of for ended");
     }
 }
@@ -131,7 +131,7 @@
         // They were down when version 0 was decided, and were taught a later one.
         fleet.start(n, kept(n, &[decree(3, 0, &[], &[A, B, C])], None));
     }
-    let held = |f: &Fleet| [A, B].iter().map(|n| duties_held(f, *n).len()).sum::<usize>() == DUTIES as usize;
+    let held = |f: &Fleet| [A, B].iter().map(|n| duties_held(f, *n).len()).sum::<usize>() == ROLE_COUNT as usize;
     assert!(fleet.run_until(3 * SEC, held).is_some(), "both wait for each other");
 }
 
@@ -144,13 +144,13 @@
     fleet.start(A, kept(A, &[decree(0, 0, &[], &[A, B, E]), five.clone(), six.clone()], Some(5)));
     fleet.start(C, kept(C, &[five, six.clone()], None));
     fleet.start(D, kept(D, &[six], None));
-    let held = |f: &Fleet| [A, C, D].iter().map(|n| duties_held(f, *n).len()).sum::<usize>() == DUTIES as usize;
+    let held = |f: &Fleet| [A, C, D].iter().map(|n| duties_held(f, *n).len()).sum::<usize>() == ROLE_COUNT as usize;
     let t = fleet.run_until(3 * SEC, held);
     assert!(t.is_some(), "A alone can't hand over, C may not: nothing is granted");
 }
 
-fn handed(set: u64, rows: Vec<Grant>) -> Msg {
-    Msg::TakeoverReply { set, full: false, rows, lives: vec![] }
+fn handed(set: u64, rows: Vec<WindowGrant>) -> Message {
+    Message::TakeoverReply { set, full: false, rows, lives: vec![] }
 }
 
 /// Suspicion: a voice that knows only an older set counts as one of the set before. It does,
@@ -158,8 +158,8 @@
 #[test]
 fn a_voice_that_skipped_a_set_counts_and_no_grant_is_lost() {
     let six = decree(6, 6, &[A, B, C], &[A, C, D]);
-    let grant = Grant { tenant: "t".into(), window: 9, node_id: NodeId(90), granted_total: 7, age: 0 };
-    let takes_over = |voices: &[(u64, Vec<Grant>)]| {
+    let grant = WindowGrant { tenant: "t".into(), window: 9, node_id: NodeId(90), granted_total: 7, age: 0 };
+    let takes_over = |voices: &[(u64, Vec<WindowGrant>)]| {
         let mut fleet = Fleet::default();
         fleet.start(D, kept(D, std::slice::from_ref(&six), None));
         fleet.run(100 * MS);
@@ -167,7 +167,7 @@
             fleet.tell(*n, D, handed(6, rows.clone()));
         }
         let kept = fleet.kept(D).clone();
-        (kept.ready, kept.grants.into_values().map(|g| g.granted_total).collect::<Vec<_>>())
+        (kept.ready_set, kept.grants.into_values().map(|g| g.granted_total).collect::<Vec<_>>())
     };
     // C was taught the newest version only; A confirmed the grant together with B, which is lost.
     assert_eq!(takes_over(&[(C, vec![])]), (None, vec![]), "one voice of three");
@@ -182,14 +182,14 @@
     fleet.start(A, kept(A, &[decree(5, 5, &[], &[A, B, C])], Some(5)));
     fleet.run(100 * MS);
     fleet.stuck.insert(A);
-    fleet.tell(C, A, Msg::Learn { decrees: vec![six] });
+    fleet.tell(C, A, Message::Learn { decrees: vec![six] });
     fleet.sent.clear();
-    fleet.tell(D, A, Msg::TakeoverAsk { set: 6 });
-    let replies = |f: &Fleet| f.sent.iter().filter(|s| matches!(s.1.msg, Msg::TakeoverReply { .. })).count();
+    fleet.tell(D, A, Message::TakeoverAsk { set: 6 });
+    let replies = |f: &Fleet| f.sent.iter().filter(|s| matches!(s.1.message, Message::TakeoverReply { .. })).count();
     assert_eq!(replies(&fleet), 0, "after a loss of power it would act for the old set again");
     fleet.stuck.remove(&A);
     fleet.run(100 * MS);
-    fleet.tell(D, A, Msg::TakeoverAsk { set: 6 });
+    fleet.tell(D, A, Message::TakeoverAsk { set: 6 });
     assert!(replies(&fleet) > 0, "it hands over once the set is synced");
 }
 
@@ -211,13 +211,13 @@
     for n in [A, B] {
         held_before.insert(n, duties_held(&fleet, n));
     }
-    assert_eq!(held_before.values().map(Vec::len).sum::<usize>(), DUTIES as usize, "{held_before:?}");
-    let ballot = Ballot { n: 99, node_id: NodeId(C), life: 1 };
-    fleet.tell(C, A, Msg::Accept { ballot, decree: one.clone() });
+    assert_eq!(held_before.values().map(Vec::len).sum::<usize>(), ROLE_COUNT as usize, "{held_before:?}");
+    let ballot = Ballot { number: 99, node_id: NodeId(C), incarnation: 1 };
+    fleet.tell(C, A, Message::Accept { ballot, decree: one.clone() });
     fleet.stuck.insert(A);
     fleet.start(D, kept(D, &[], None));
-    fleet.tell(A, C, Msg::Learn { decrees: vec![one.clone()] });
-    fleet.tell(C, D, Msg::Learn { decrees: vec![one] });
+    fleet.tell(A, C, Message::Learn { decrees: vec![one.clone()] });
+    fleet.tell(C, D, Message::Learn { decrees: vec![one] });
     let mut later = 0;
     for _ in 0..800 {
         fleet.run(25 * MS);
@@ -231,7 +231,7 @@
         }
         later = duties_held(&fleet, C).len() + duties_held(&fleet, D).len();
     }
-    assert_eq!(later, DUTIES as usize, "the new set goes on by itself");
+    assert_eq!(later, ROLE_COUNT as usize, "the new set goes on by itself");
 }
 
 /// C holds duties by the votes of B and its own, and A never heard of them. B goes and is replaced by
@@ -252,7 +252,7 @@
     // A and B decided on the new set, and B's word is enough for A and D to take it over.
     fleet.part(&[A, B, D], &[C]);
     for n in [A, B, D] {
-        fleet.tell(C, n, Msg::Learn { decrees: vec![one.clone()] });
+        fleet.tell(C, n, Message::Learn { decrees: vec![one.clone()] });
     }
     for _ in 0..160 {
         let later: Vec<_> = [A, B, D].iter().flat_map(|n| duties_held(&fleet, *n)).collect();
@@ -261,7 +261,7 @@
         fleet.run(25 * MS);
     }
     let later: usize = [A, D].iter().map(|n| duties_held(&fleet, *n).len()).sum();
-    assert_eq!(later, DUTIES as usize, "the new set goes on");
+    assert_eq!(later, ROLE_COUNT as usize, "the new set goes on");
 }
 
 /// Where all voters but the lost one answer, the newcomer's vote is not needed, so nothing waits for it.
@@ -278,9 +278,9 @@
     fleet.stop(B);
     fleet.run(750 * MS);
     for n in [A, C, D] {
-        fleet.tell(B, n, Msg::Learn { decrees: vec![one.clone()] });
+        fleet.tell(B, n, Message::Learn { decrees: vec![one.clone()] });
     }
-    let all = |f: &Fleet| [A, C, D].iter().map(|n| duties_held(f, *n).len()).sum::<usize>() == DUTIES as usize;
+    let all = |f: &Fleet| [A, C, D].iter().map(|n| duties_held(f, *n).len()).sum::<usize>() == ROLE_COUNT as usize;
     // The terms of B end a second after its last renewal, at most.
     let took = fleet.run_until(4 * SEC, all).expect("all duties are held again");
     assert!(took <= 600 * MS, "duties were vacant for {took} us after the change");
@@ -292,12 +292,12 @@
     let zero = decree(0, 0, &[], &[A, B, C]);
     let mut fleet = Fleet::default();
     fleet.start_at(77, A, kept(77, &[], None));
-    fleet.tell(B, A, Msg::Learn { decrees: vec![zero] });
+    fleet.tell(B, A, Message::Learn { decrees: vec![zero] });
     fleet.sent.clear();
-    let ballot = Ballot { n: 5, node_id: NodeId(B), life: 1 };
-    fleet.tell(B, A, Msg::Prepare { instance: 1, ballot });
-    assert!(!fleet.sent.iter().any(|s| matches!(s.1.msg, Msg::Promise { .. })), "{:?}", fleet.sent);
-    assert!(fleet.node(A).agree.promised == Ballot::default());
+    let ballot = Ballot { number: 5, node_id: NodeId(B), incarnation: 1 };
+    fleet.tell(B, A, Message::Prepare { instance: 1, ballot });
+    assert!(!fleet.sent.iter().any(|s| matches!(s.1.message, Message::Promise { .. })), "{:?}", fleet.sent);
+    assert!(fleet.node(A).consensus.state.promised_ballot == Ballot::default());
     assert!(!fleet.node(A).voter());
 }
 
@@ -312,7 +312,7 @@
         fleet.stop(A);
         fleet.run(500 * MS);
         fleet.start_at(new, A, kept(new, &[], None));
-        let votes = |f: &Fleet| f.node(B).agree.votes(NodeId(new)) && f.node(A).voter();
+        let votes = |f: &Fleet| f.node(B).consensus.state.is_voter(NodeId(new)) && f.node(A).voter();
         let t = fleet.run_until(4 * SEC, votes);
         assert!(t.is_some(), "loss {i}: the voters are {:?}", ids(&fleet, B));
         assert_eq!(ids(&fleet, B).len(), 3);
@@ -326,20 +326,20 @@
     let one = decree(1, 1, &[A, B, C], &[A, C, D]);
     let ask = |fleet: &mut Fleet, epoch| {
         fleet.sent.clear();
-        fleet.tell(B, A, Msg::TermAsk { set: 0, duty: 0, epoch, n: 1, new: true });
-        fleet.sent.iter().any(|s| matches!(s.1.msg, Msg::TermYes { .. }))
+        fleet.tell(B, A, Message::TermAsk { set: 0, duty: 0, epoch, n: 1, new: true });
+        fleet.sent.iter().any(|s| matches!(s.1.message, Message::TermYes { .. }))
     };
     let mut fleet = Fleet::default();
     fleet.start(A, kept(A, &[zero], Some(0)));
     fleet.run(3 * SEC);
     assert!(ask(&mut fleet, 40), "it grants before");
     let mut other = one.clone();
-    (other.since, other.cores, other.old) = (0, vec![core(A), core(B), core(C)], vec![]);
-    let ballot = |n| Ballot { n, node_id: NodeId(C), life: 1 };
-    fleet.tell(C, A, Msg::Accept { ballot: ballot(9_000), decree: other });
+    (other.voters_since, other.voters, other.previous_voters) = (0, vec![core(A), core(B), core(C)], vec![]);
+    let ballot = |n| Ballot { number: n, node_id: NodeId(C), incarnation: 1 };
+    fleet.tell(C, A, Message::Accept { ballot: ballot(9_000), decree: other });
     fleet.run(2 * SEC);
     assert!(ask(&mut fleet, 50), "other changes stop nothing");
-    fleet.tell(C, A, Msg::Accept { ballot: ballot(9_000_000), decree: one });
+    fleet.tell(C, A, Message::Accept { ballot: ballot(9_000_000), decree: one });
     fleet.run(2 * SEC);
     assert!(!ask(&mut fleet, 60), "the set may have changed");
     fleet.restart(A);
@@ -352,26 +352,29 @@
 #[test]
 fn a_window_grows_no_longer_on_its_way_to_a_new_voter() {
     let six = decree(6, 6, &[A, B, C], &[A, C, D]);
-    let row =
-        |granted_total, age| vec![Grant { tenant: "t".into(), window: 9, node_id: NodeId(90), granted_total, age }];
+    let row = |granted_total, age| {
+        vec![WindowGrant { tenant: "t".into(), window: 9, node_id: NodeId(90), granted_total, age }]
+    };
     // The other voice knows of the window too, or knows nothing of it.
     for second in [row(7, 100 * MS), vec![]] {
         let mut fleet = Fleet::default();
         fleet.start(D, kept(D, std::slice::from_ref(&six), None));
         fleet.run(100 * MS);
         for n in [A, C] {
-            fleet.tell(n, D, Msg::Have { version: 6 });
+            fleet.tell(n, D, Message::Have { version: 6 });
         }
         fleet.tell_late(A, D, handed(6, row(3, 400 * MS)), 200 * MS);
         fleet.run(300 * MS);
         fleet.tell(C, D, handed(6, second));
         fleet.run(50 * MS);
         fleet.sent.clear();
-        fleet.tell(A, D, Msg::TakeoverAsk { set: 6 });
+        fleet.tell(A, D, Message::TakeoverAsk { set: 6 });
         let ages: Vec<_> = fleet
             .sent
             .iter()
-            .filter_map(|s| if let Msg::TakeoverReply { rows, .. } = &s.1.msg { Some(rows[0].age) } else { None })
+            .filter_map(
+                |s| if let Message::TakeoverReply { rows, .. } = &s.1.message { Some(rows[0].age) } else { None },
+            )
             .collect();
         assert_eq!(ages, [950 * MS], "400 told, 200 on the way, 300 and 50 since");
     }
@@ -384,24 +387,27 @@
         "matches":{"chat":{"path":"/v1/chat","pool":"llm","kind":"chat"}},
         "tenants":{"home":{"keys":["sha256:0000000000000000000000000000000000000000000000000000000000000000"]}}}"#
         .into();
-    let home = duty("home");
+    let home = quota_role("home");
     let mut fleet = Fleet::default();
     fleet.auto = false;
     fleet.start(A, kept(A, &[zero], Some(0)));
     let asked = |f: &Fleet| {
-        f.sent.iter().rev().find_map(|s| match s.1.msg {
-            Msg::TermAsk { duty, epoch, n, new: true, .. } if duty == home => Some((epoch, n)),
+        f.sent.iter().rev().find_map(|s| match s.1.message {
+            Message::TermAsk { duty, epoch, n, new: true, .. } if duty == home => Some((epoch, n)),
             _ => None,
         })
     };
-    fleet.tell(B, A, Msg::Have { version: 0 });
+    fleet.tell(B, A, Message::Have { version: 0 });
     for _ in 0..120 {
         // B confirms each round, so that A is in touch with a majority.
         fleet.run(25 * MS);
-        let seq =
-            fleet.sent.iter().rev().find_map(|s| if let Msg::Confirm { seq, .. } = s.1.msg { Some(seq) } else { None });
+        let seq = fleet
+            .sent
+            .iter()
+            .rev()
+            .find_map(|s| if let Message::Confirm { seq, .. } = s.1.message { Some(seq) } else { None });
         if let Some(seq) = seq {
-            fleet.tell(B, A, Msg::Confirmed { seq, version: 0, have: 0, ready: Some(0), pend: false });
+            fleet.tell(B, A, Message::Confirmed { seq, version: 0, have: 0, ready: Some(0), pend: false });
         }
         if asked(&fleet).is_some() {
             break;
@@ -414,19 +420,20 @@
 /// The windows of which the holder gives a slice when it is asked now.
 fn given(fleet: &mut Fleet) -> Vec<u64> {
     fleet.sent.clear();
-    fleet.tell(91, A, Msg::SliceAsk { n: 1, tenant: "home".into(), want: 1, window: 9, returned: 0 });
+    fleet.tell(91, A, Message::SliceAsk { n: 1, tenant: "home".into(), want: 1, window: 9, returned: 0 });
     let grants = fleet
         .sent
         .iter()
-        .filter_map(|s| if let Msg::Grants { rows, .. } = &s.1.msg { Some(rows[0].window) } else { None });
+        .filter_map(|s| if let Message::Grants { rows, .. } = &s.1.message { Some(rows[0].window) } else { None });
     grants.collect()
 }
 
 #[test]
 fn a_window_grows_no_longer_on_its_way_to_a_new_holder() {
     let (mut fleet, home, epoch, n) = asks_for_a_window();
-    let rows = vec![Grant { tenant: "home".into(), window: 9, node_id: NodeId(90), granted_total: 50, age: 900 * MS }];
-    let yes = Msg::TermYes { duty: home, epoch, n, rows, first: false, lives: vec![] };
+    let rows =
+        vec![WindowGrant { tenant: "home".into(), window: 9, node_id: NodeId(90), granted_total: 50, age: 900 * MS }];
+    let yes = Message::TermYes { duty: home, epoch, n, rows, first: false, lives: vec![] };
     fleet.tell_late(B, A, yes, 200 * MS);
     assert_eq!(duties_held(&fleet, A), [home]);
     let wins = given(&mut fleet);
@@ -441,10 +448,11 @@
 #[test]
 fn a_window_grows_no_longer_while_the_new_holder_waits_for_its_own_disk() {
     let (mut fleet, home, epoch, n) = asks_for_a_window();
-    let rows = vec![Grant { tenant: "home".into(), window: 9, node_id: NodeId(90), granted_total: 50, age: 850 * MS }];
-    fleet.tell(B, A, Msg::Grants { set: 0, duty: home, epoch: epoch - 1, n: 1, rows });
+    let rows =
+        vec![WindowGrant { tenant: "home".into(), window: 9, node_id: NodeId(90), granted_total: 50, age: 850 * MS }];
+    fleet.tell(B, A, Message::Grants { set: 0, duty: home, epoch: epoch - 1, n: 1, rows });
     fleet.stuck.insert(A);
-    fleet.tell(B, A, Msg::TermYes { duty: home, epoch, n, rows: vec![], first: false, lives: vec![] });
+    fleet.tell(B, A, Message::TermYes { duty: home, epoch, n, rows: vec![], first: false, lives: vec![] });
     fleet.run(200 * MS);
     assert!(duties_held(&fleet, A).is_empty(), "its own vote is not on its disk");
     fleet.stuck.clear();
--- a/crates/model/src/agreement.rs
+++ b/crates/model/src/agreement.rs
@@ -11,10 +11,10 @@
 use crate::judge::{Base, Judge};
 use crate::machine::{BIRTH, Given, Machine, VOTERS, change_id, core, document};
 use std::sync::Arc;
-use sumacvale_core::agree::Phase;
 use sumacvale_core::base::{ChangeId, MS, Micros, SEC};
+use sumacvale_core::consensus::Phase;
 use sumacvale_core::node::{Event, Scope, digest_of};
-use sumacvale_core::peer::{Ballot, Change, Fate, Frame, Msg};
+use sumacvale_core::protocol::{Ballot, Change, ChangeOutcome, Frame, Message};
 
 /// Longer than any round of a ballot, and than an acceptance may stay undecided.
 const TIMEOUT: Micros = SEC;
@@ -60,11 +60,11 @@
     pub fn document(base: u64, revision: u64, name: &str, to: &[usize]) -> Order {
         let body = document(revision, name);
         let id = change_id(&body);
-        Order { base, change: Change::Doc(body), id, to: to.to_vec(), after: None }
+        Order { base, change: Change::Document(body), id, to: to.to_vec(), after: None }
     }
 
     pub fn voters(base: u64, set: &[usize], to: &[usize]) -> Order {
-        let change = Change::Cores(set.iter().map(|i| core(*i)).collect());
+        let change = Change::Voters(set.iter().map(|i| core(*i)).collect());
         let id = change_id(&format!("voters {set:?}"));
         Order { base, change, id, to: to.to_vec(), after: None }
     }
@@ -72,7 +72,7 @@
     /// What its base means, by the kind of the change.
     fn built_on(&self) -> Base {
         match self.change {
-            Change::Cores(_) => Base::Voters(self.base),
+            Change::Voters(_) => Base::Voters(self.base),
             _ => Base::Document(self.base),
         }
     }
@@ -192,38 +192,38 @@
 }
 
 /// The frames that agreement consists of.
-fn counts(message: &Msg) -> bool {
+fn counts(message: &Message) -> bool {
     matches!(
         message,
-        Msg::Prepare { .. }
-            | Msg::Promise { .. }
-            | Msg::Refuse { .. }
-            | Msg::Accept { .. }
-            | Msg::Accepted { .. }
-            | Msg::Learn { .. }
-            | Msg::Have { .. }
+        Message::Prepare { .. }
+            | Message::Promise { .. }
+            | Message::Refuse { .. }
+            | Message::Accept { .. }
+            | Message::Accepted { .. }
+            | Message::Learn { .. }
+            | Message::Have { .. }
     )
 }
 
-fn asks(message: &Msg) -> bool {
-    matches!(message, Msg::Confirm { .. } | Msg::Confirmed { .. })
+fn asks(message: &Message) -> bool {
+    matches!(message, Message::Confirm { .. } | Message::Confirmed { .. })
 }
 
 impl Agreement {
     fn carry(&self, w: &mut World, i: usize, given: Given, questions: bool) -> Result<(), String> {
         for (to, frame) in given.frames {
-            let founds = self.founding && matches!(frame.msg, Msg::Found { .. });
-            let kept = founds || counts(&frame.msg) || (self.allowance.questions > 0 && asks(&frame.msg));
+            let founds = self.founding && matches!(frame.message, Message::Found { .. });
+            let kept = founds || counts(&frame.message) || (self.allowance.questions > 0 && asks(&frame.message));
             // Timers ask as well; only questions that are actions of their own go out.
-            let own = matches!(frame.msg, Msg::Confirm { .. }) && !questions;
+            let own = matches!(frame.message, Message::Confirm { .. }) && !questions;
             if !kept || own || to >= self.machines {
                 continue;
             }
-            w.judge.says(i, &frame.msg, &w.machines[i].kept)?;
-            if let Msg::Confirm { .. } = frame.msg {
+            w.judge.says(i, &frame.message, &w.machines[i].kept)?;
+            if let Message::Confirm { .. } = frame.message {
                 w.judge.asks(i, w.clocks[i]);
             }
-            let digest = digest_of(&(to, frame.from, frame.to, frame.incarnation, &frame.msg));
+            let digest = digest_of(&(to, frame.from, frame.to, frame.incarnation, &frame.message));
             w.wires.push(Wire { to, frame: Arc::new(frame), digest, again: false });
         }
         w.judge.machine(i, &w.machines[i].node)?;
@@ -241,15 +241,15 @@
         let disks_last = |i: usize| !self.slow_disks.contains(&i) && self.allowance.wipes == 0;
         let machines = &w.machines;
         w.wires.retain(|x| {
-            let agree = &machines[x.to].node.agree;
+            let agree = &machines[x.to].node.consensus.state;
             let runs = |ballot: Ballot, phase: Phase| {
                 agree.proposal.as_ref().is_some_and(|l| l.ballot == ballot && l.phase == phase)
             };
-            match &x.frame.msg {
-                Msg::Promise { ballot, .. } => runs(*ballot, Phase::Prepare),
-                Msg::Accepted { ballot, .. } => runs(*ballot, Phase::Accept),
-                Msg::Refuse { instance, .. } => !disks_last(x.to) || agree.version().is_none_or(|v| v < *instance),
-                Msg::Learn { decrees } => {
+            match &x.frame.message {
+                Message::Promise { ballot, .. } => runs(*ballot, Phase::Prepare),
+                Message::Accepted { ballot, .. } => runs(*ballot, Phase::Accept),
+                Message::Refuse { instance, .. } => !disks_last(x.to) || agree.version().is_none_or(|v| v < *instance),
+                Message::Learn { decrees } => {
                     !disks_last(x.to) || decrees.iter().any(|d| !agree.history.contains_key(&d.version))
                 }
                 _ => true,
@@ -257,13 +257,13 @@
         });
     }
 
-    fn answer(&self, w: &mut World, request: u64, fate: &Fate, now: Micros) -> Result<(), String> {
+    fn answer(&self, w: &mut World, request: u64, fate: &ChangeOutcome, now: Micros) -> Result<(), String> {
         let order = usize::try_from(request % 100).unwrap_or(0);
         let Some(o) = self.orders.get(order) else { return Ok(()) };
-        if matches!(fate, Fate::Done { .. }) {
+        if matches!(fate, ChangeOutcome::Committed { .. }) {
             w.sent[order].1 = true;
         }
-        if o.after.is_some() && matches!(fate, Fate::Stale { .. }) && !w.judge.outdated(o.base) {
+        if o.after.is_some() && matches!(fate, ChangeOutcome::Stale { .. }) && !w.judge.outdated(o.base) {
             return Err(format!("what stands on the newest is not refused: {:?} on {} is ({fate:?})", o.id, o.base));
         }
         w.judge.answered(o.id, o.built_on(), fate, now)
@@ -271,7 +271,7 @@
 
     fn step(&self, w: &mut World, i: usize, event: Event) -> Result<(), String> {
         let clock = w.clocks[i];
-        let question = matches!(event, Event::Tick) && w.machines[i].node.fresh.due == clock;
+        let question = matches!(event, Event::Tick) && w.machines[i].node.consensus.freshness.probe_due == clock;
         let mut given = Given::default();
         w.machines[i].step(event, clock, &mut given);
         if !self.slow_disks.contains(&i) {
@@ -332,16 +332,16 @@
             Action::Question { machine } => {
                 w.left.questions -= 1;
                 // Until its next question is due.
-                let due = w.machines[*machine].node.fresh.due;
+                let due = w.machines[*machine].node.consensus.freshness.probe_due;
                 w.clocks[*machine] = w.clocks[*machine].max(due);
                 if due < w.clocks[*machine] {
-                    Arc::make_mut(&mut w.machines[*machine].node).fresh.due = w.clocks[*machine];
+                    Arc::make_mut(&mut w.machines[*machine].node).consensus.freshness.probe_due = w.clocks[*machine];
                 }
                 self.step(w, *machine, Event::Tick)
             }
             Action::Yielded { machine } => {
                 w.left.yields -= 1;
-                w.clocks[*machine] = w.machines[*machine].node.agree.yields_until;
+                w.clocks[*machine] = w.machines[*machine].node.consensus.state.yields_until;
                 self.step(w, *machine, Event::Tick)
             }
             Action::Send { order, to } => {
@@ -356,9 +356,9 @@
 
     /// The place of the first frame under way that is of this kind.
     fn place(w: &World, kind: &str, from: usize, to: usize) -> Result<usize, String> {
-        let sender = w.machines[from].node.me.node_id;
+        let sender = w.machines[from].node.settings.node_id;
         let is = |x: &Wire| {
-            let name = format!("{:?}", x.frame.msg);
+            let name = format!("{:?}", x.frame.message);
             x.to == to && x.frame.from == sender && name.split(' ').next() == Some(kind)
         };
         w.wires.iter().position(is).ok_or(format!("the opening lacks its {kind} from {from} to {to}"))
@@ -393,7 +393,13 @@
     fn put(&self, w: &mut World, order: usize, to: usize, time: u64) -> Result<(), String> {
         let o = &self.orders[order];
         let req = time * 100 + order as u64;
-        let event = Event::Put { req, change_id: o.id, fresh: false, base: o.base, change: o.change.clone() };
+        let event = Event::SubmitChange {
+            request_id: req,
+            change_id: o.id,
+            is_first_send: false,
+            base: o.base,
+            change: o.change.clone(),
+        };
         self.step(w, to, event)
     }
 
@@ -474,7 +480,7 @@
         match action {
             Action::Arrive { place } | Action::Lose { place } | Action::Double { place } => {
                 let x = &w.wires[*place];
-                format!("{action:?}: to {} from {:?}: {:?}", x.to, x.frame.from, x.frame.msg)
+                format!("{action:?}: to {} from {:?}: {:?}", x.to, x.frame.from, x.frame.message)
             }
             _ => format!("{action:?}"),
         }
@@ -483,7 +489,7 @@
     fn actions(&self, w: &World) -> Vec<Action> {
         // That a machine has a version on its disk only lets others acknowledge and teach, and
         // does so the same in any order: it arrives first, unless it is lost.
-        let told = w.wires.iter().position(|x| matches!(x.frame.msg, Msg::Have { .. }));
+        let told = w.wires.iter().position(|x| matches!(x.frame.message, Message::Have { .. }));
         if let Some(place) = told {
             return match w.left.lost {
                 0 => vec![Action::Arrive { place }],
@@ -516,7 +522,7 @@
             if w.left.wipes > 0 && machine < VOTERS {
                 v.push(Action::Wipe { machine });
             }
-            let agree = &m.node.agree;
+            let agree = &m.node.consensus.state;
             let waits = agree.proposal.is_some() || agree.accepted.is_some() || !agree.pending_changes.is_empty();
             let founds = self.founding && m.node.version().is_none();
             if w.left.timeouts > 0 && (founds || waits && m.node.voter()) {
@@ -560,10 +566,11 @@
         if lost && w.machines.iter().filter(|m| m.node.voter()).count() < 2 {
             return Ok(());
         }
-        let newest = w.machines.iter().filter_map(|m| m.node.agree.last()).max_by_key(|d| d.version).cloned();
+        let newest =
+            w.machines.iter().filter_map(|m| m.node.consensus.state.newest()).max_by_key(|d| d.version).cloned();
         let newest = newest.ok_or("no machine holds a version")?;
         for (i, m) in w.machines.iter().enumerate() {
-            if m.node.agree.last() != Some(&newest) {
+            if m.node.consensus.state.newest() != Some(&newest) {
                 let held = m.node.version();
                 return Err(format!("all converge: machine {i} holds {held:?}, others version {}", newest.version));
             }
@@ -581,14 +588,19 @@
     fn takes_another(&self, w: &mut World, base: u64) -> Result<(), String> {
         let body = document(base + 1, "last");
         let i = (0..self.machines).find(|i| w.machines[*i].node.voter()).ok_or("no machine votes")?;
-        let event =
-            Event::Put { req: 99, change_id: change_id(&body), fresh: false, base, change: Change::Doc(body.clone()) };
+        let event = Event::SubmitChange {
+            request_id: 99,
+            change_id: change_id(&body),
+            is_first_send: false,
+            base,
+            change: Change::Document(body.clone()),
+        };
         let mut wires = Vec::new();
         self.give(w, i, event, &mut wires)?;
         w.wires = wires.into_iter().map(|(to, f)| Wire { to, frame: Arc::new(f), digest: 0, again: false }).collect();
         self.run(w, ANSWER)?;
-        let held = w.machines[i].node.agree.last().map(|d| d.body.clone());
-        let settled = w.machines.iter().filter(|m| m.kept.decrees.values().any(|d| d.body == body)).count();
+        let held = w.machines[i].node.consensus.state.newest().map(|d| d.body.clone());
+        let settled = w.machines.iter().filter(|m| m.kept.entries.values().any(|d| d.body == body)).count();
         if held.as_ref() != Some(&body) || settled < 2 {
             return Err(format!("a change is taken once all is well: it is on {settled} disks after 4 s"));
         }
--- a/crates/model/src/askers.rs
+++ b/crates/model/src/askers.rs
@@ -3,7 +3,7 @@
 use crate::machine::address;
 use std::collections::BTreeMap;
 use sumacvale_core::base::{MS, Micros, NodeId};
-use sumacvale_core::peer::{Frame, Msg, Peer};
+use sumacvale_core::protocol::{Frame, Message, PeerRecord};
 
 /// One tenant with a window that is longer than any run of a model.
 pub const CONFIGURATION: &str = r#"{"defaults":{"quota":{"calls":12,"window_ms":600000}},"pools":{"llm":{}},
@@ -59,20 +59,27 @@
         self.given.values().sum()
     }
 
-    fn frame(asker: usize, msg: Msg, now: Micros) -> Frame {
-        Frame { from: node_id(asker), to: NodeId::default(), incarnation: 1, fleet: FLEET, sent: now, msg }
+    fn frame(asker: usize, msg: Message, now: Micros) -> Frame {
+        Frame {
+            from: node_id(asker),
+            to: NodeId::default(),
+            incarnation: 1,
+            fleet_id: FLEET,
+            sent_at: now,
+            message: msg,
+        }
     }
 
-    fn row(&self, asker: usize) -> Peer {
-        Peer {
+    fn row(&self, asker: usize) -> PeerRecord {
+        PeerRecord {
             node_id: node_id(asker),
             incarnation: 1,
-            beat: self.beat,
+            heartbeat: self.beat,
             addr: address(FIRST_ADDRESS + asker),
             admin: String::new(),
             zone: "z".into(),
-            core: false,
-            leaving: false,
+            is_core: false,
+            draining: false,
             version: 0,
         }
     }
@@ -86,7 +93,8 @@
             for asker in 0..ASKERS {
                 for core in 0..cores {
                     let rows = vec![self.row(asker)];
-                    let gossip = Msg::Gossip { beats: vec![], rows, ask: vec![], reply: false, set: 0, pulse: vec![] };
+                    let gossip =
+                        Message::Gossip { beats: vec![], rows, ask: vec![], reply: false, set: 0, pulse: vec![] };
                     frames.push((core, Self::frame(asker, gossip, now)));
                 }
             }
@@ -99,7 +107,7 @@
             a.due = now + EVERY;
             a.number += 1;
             a.served = false;
-            let ask = Msg::SliceAsk { n: a.number, tenant: TENANT.into(), want: 1, window: 0, returned: 0 };
+            let ask = Message::SliceAsk { n: a.number, tenant: TENANT.into(), want: 1, window: 0, returned: 0 };
             frames.push((a.to, Self::frame(asker, ask, now)));
         }
         frames
@@ -107,7 +115,7 @@
 
     /// An asker hears a core. What it was given counts from here on.
     pub fn hears(&mut self, asker: usize, frame: &Frame, now: Micros) -> Result<(), String> {
-        let Msg::Slice { window, granted_total, .. } = &frame.msg else { return Ok(()) };
+        let Message::Slice { window, granted_total, .. } = &frame.message else { return Ok(()) };
         if let Some(a) = self.all.get_mut(asker) {
             a.served = true;
         }
--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -12,9 +12,9 @@
 use crate::machine::{BIRTH, Given, Machine, VOTERS, change_id, document};
 use std::collections::BTreeMap;
 use sumacvale_core::base::{MS, Micros, SEC};
+use sumacvale_core::lease::ROLE_COUNT;
 use sumacvale_core::node::{Event, Node, Scope, digest_of};
-use sumacvale_core::peer::{Change, Fate, Frame};
-use sumacvale_core::term::DUTIES;
+use sumacvale_core::protocol::{Change, ChangeOutcome, Frame};
 
 const ROUND: Micros = 25 * MS;
 /// How long machines know each other before the first choice.
@@ -201,9 +201,10 @@
 
     /// All voters of the newest set that any machine knows are up.
     fn voters_up(&self) -> bool {
-        let newest = self.machines.iter().filter_map(|m| m.node.agree.last()).max_by_key(|d| d.version);
-        let up = |node_id| (0..self.machines.len()).any(|i| self.up(i) && self.machines[i].node.me.node_id == node_id);
-        newest.is_some_and(|d| d.cores.iter().all(|c| up(c.node_id)))
+        let newest = self.machines.iter().filter_map(|m| m.node.consensus.state.newest()).max_by_key(|d| d.version);
+        let up =
+            |node_id| (0..self.machines.len()).any(|i| self.up(i) && self.machines[i].node.settings.node_id == node_id);
+        newest.is_some_and(|d| d.voters.iter().all(|c| up(c.node_id)))
     }
 
     fn nodes(&self) -> impl Iterator<Item = (usize, &Node)> + Clone {
@@ -219,7 +220,7 @@
             if to >= self.machines.len() || self.cut(i, to) {
                 continue;
             }
-            self.judge.says(i, &frame.msg, &self.machines[i].kept)?;
+            self.judge.says(i, &frame.message, &self.machines[i].kept)?;
             let late = if self.troubled(Kind::Held, i) { HELD } else { 0 };
             if self.troubled(Kind::Doubled, 0) {
                 self.wires.push((self.now + late + 3 * ROUND, to, frame.clone()));
@@ -240,7 +241,7 @@
         self.judge.machine(i, &self.machines[i].node)
     }
 
-    fn answer(&mut self, request: u64, fate: &Fate) -> Result<(), String> {
+    fn answer(&mut self, request: u64, fate: &ChangeOutcome) -> Result<(), String> {
         let k = usize::try_from(request % 10).unwrap_or(0);
         let o = &mut self.operators[k];
         if o.request != request {
@@ -249,12 +250,12 @@
         let Some((base, body)) = o.open.clone() else { return Ok(()) };
         self.judge.answered(change_id(&body), Base::Document(base), fate, self.now)?;
         match fate {
-            Fate::Done { .. } => {
+            ChangeOutcome::Committed { .. } => {
                 self.acknowledged_last = self.now;
                 o.open = None;
                 o.due = self.now + 300 * MS;
             }
-            Fate::Stale { .. } => {
+            ChangeOutcome::Stale { .. } => {
                 o.open = None;
                 o.due = self.now + 100 * MS;
             }
@@ -266,8 +267,13 @@
     /// Operators send what they want, and again what has no clear answer.
     fn operate(&mut self) -> Result<(), String> {
         for k in 0..self.operators.len() * usize::from(!self.quiet) {
-            let newest =
-                self.machines.iter().filter_map(|m| m.node.agree.last()).map(|d| d.revision).max().unwrap_or(0);
+            let newest = self
+                .machines
+                .iter()
+                .filter_map(|m| m.node.consensus.state.newest())
+                .map(|d| d.revision)
+                .max()
+                .unwrap_or(0);
             let o = &mut self.operators[k];
             if self.now < o.due {
                 continue;
@@ -284,8 +290,17 @@
             let (request, to) = (o.request, o.to % self.machines.len());
             let Some((base, body)) = o.open.clone() else { continue };
             if self.steps(to) {
-                let change = Change::Doc(body.clone());
-                self.step(to, Event::Put { req: request, change_id: change_id(&body), fresh: false, base, change })?;
+                let change = Change::Document(body.clone());
+                self.step(
+                    to,
+                    Event::SubmitChange {
+                        request_id: request,
+                        change_id: change_id(&body),
+                        is_first_send: false,
+                        base,
+                        change,
+                    },
+                )?;
             }
         }
         Ok(())
@@ -343,7 +358,7 @@
                 self.machines[i] = self.machines[i].wipe(self.now);
                 self.end(i, until);
             }
-            Kind::Leave => self.step(i, Event::Leave)?,
+            Kind::Leave => self.step(i, Event::Shutdown)?,
             _ => {
                 self.troubles.insert((kind, i), until);
             }
@@ -468,8 +483,8 @@
                 return Err(format!("all converge: machine {i} is not fresh"));
             }
         }
-        let held = |d: u32| live.iter().any(|i| w.machines[*i].node.terms.holds(d, w.now).is_some());
-        let vacant: Vec<_> = (0..DUTIES).filter(|d| !held(*d)).collect();
+        let held = |d: u32| live.iter().any(|i| w.machines[*i].node.leases.held.valid_epoch(d, w.now).is_some());
+        let vacant: Vec<_> = (0..ROLE_COUNT).filter(|d| !held(*d)).collect();
         if !vacant.is_empty() {
             return Err(format!("all converge: nobody holds the duties {vacant:?}"));
         }
--- a/crates/model/src/judge.rs
+++ b/crates/model/src/judge.rs
@@ -2,11 +2,11 @@
 //! nodes hold as decided, and what each says that it knows.
 
 use std::collections::{BTreeMap, BTreeSet};
-use sumacvale_core::agree::Kept;
 use sumacvale_core::base::{ChangeId, Micros, Version};
+use sumacvale_core::consensus::DurableState;
+use sumacvale_core::lease::ROLE_COUNT;
 use sumacvale_core::node::Node;
-use sumacvale_core::peer::{Core, Decree, Fate, Msg};
-use sumacvale_core::term::DUTIES;
+use sumacvale_core::protocol::{ChangeOutcome, LogEntry, Message, Voter};
 
 /// What a change is built on, by the rule of its kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -30,7 +30,7 @@
     /// The newest acknowledged versions and when they were acknowledged, on a common clock.
     acknowledged_at: Vec<(Micros, Version)>,
     /// The fleet and its first voters, as version 0 names them.
-    founded: Option<(u64, Vec<Core>)>,
+    founded: Option<(u64, Vec<Voter>)>,
 }
 
 /// Withdrawn keys are refused everywhere after this.
@@ -43,9 +43,9 @@
     }
 
     /// A node holds this as decided.
-    pub fn decided(&mut self, machine: usize, decree: &Decree) -> Result<(), String> {
+    pub fn decided(&mut self, machine: usize, decree: &LogEntry) -> Result<(), String> {
         if decree.version == 0 {
-            let founding = (decree.fleet, decree.cores.clone());
+            let founding = (decree.fleet_id, decree.voters.clone());
             let known = self.founded.get_or_insert_with(|| founding.clone());
             if *known != founding {
                 return Err(format!("one founding: machine {machine} holds {founding:?}, others {known:?}"));
@@ -66,7 +66,7 @@
     }
 
     /// A version that was not seen before is what operators were told of it and of the next one.
-    fn fits_acknowledged(&self, machine: usize, decree: &Decree) -> Result<(), String> {
+    fn fits_acknowledged(&self, machine: usize, decree: &LogEntry) -> Result<(), String> {
         for (base, (change, version)) in &self.acknowledged {
             if *version == decree.version && *change != decree.change_id {
                 return Err(format!(
@@ -81,9 +81,9 @@
     }
 
     /// An operator got an answer to a change that is built on `base`.
-    pub fn answered(&mut self, change: ChangeId, base: Base, fate: &Fate, now: Micros) -> Result<(), String> {
+    pub fn answered(&mut self, change: ChangeId, base: Base, fate: &ChangeOutcome, now: Micros) -> Result<(), String> {
         match fate {
-            Fate::Done { version } => {
+            ChangeOutcome::Committed { version } => {
                 if self.refused.contains(&change) {
                     return Err(format!("refused, then acknowledged: {change:?}"));
                 }
@@ -97,7 +97,7 @@
                 self.acknowledged_at.push((now, *version));
                 self.builds(base, *version)
             }
-            Fate::Stale { .. } | Fate::Invalid { .. } | Fate::Reused => {
+            ChangeOutcome::Stale { .. } | ChangeOutcome::Invalid { .. } | ChangeOutcome::IdReused => {
                 if self.acknowledged.values().any(|a| a.0 == change) {
                     return Err(format!("acknowledged, then refused: {change:?} ({fate:?})"));
                 }
@@ -107,7 +107,7 @@
                 self.refused.insert(change);
                 Ok(())
             }
-            Fate::NoMajority | Fate::Unknown | Fate::Told { .. } => Ok(()),
+            ChangeOutcome::NoQuorum | ChangeOutcome::Unknown | ChangeOutcome::Content { .. } => Ok(()),
         }
     }
 
@@ -134,17 +134,17 @@
     }
 
     /// What a machine says of its votes and versions stands on its disk.
-    pub fn says(&self, machine: usize, message: &Msg, kept: &Kept) -> Result<(), String> {
-        let held = kept.decrees.keys().next_back().copied().unwrap_or(0);
+    pub fn says(&self, machine: usize, message: &Message, kept: &DurableState) -> Result<(), String> {
+        let held = kept.entries.keys().next_back().copied().unwrap_or(0);
         let there = match message {
-            Msg::Promise { instance, ballot, .. } => {
+            Message::Promise { instance, ballot, .. } => {
                 held >= *instance || kept.promised.is_some_and(|p| p >= (*instance, *ballot))
             }
-            Msg::Accepted { instance, ballot } => {
+            Message::Accepted { instance, ballot } => {
                 held >= *instance || kept.accepted.as_ref().is_some_and(|a| (a.1.version, a.0) >= (*instance, *ballot))
             }
-            Msg::Have { version } => held >= *version,
-            Msg::Confirmed { have, .. } => held >= *have,
+            Message::Have { version } => held >= *version,
+            Message::Confirmed { have, .. } => held >= *have,
             _ => true,
         };
         if there {
@@ -161,10 +161,10 @@
 
     /// What holds of one machine after each of its steps.
     pub fn machine(&mut self, machine: usize, node: &Node) -> Result<(), String> {
-        for decree in node.agree.history.values().rev().take(4) {
+        for decree in node.consensus.state.history.values().rev().take(4) {
             self.decided(machine, decree)?;
         }
-        let Some((version, at)) = node.fresh.stamp else { return Ok(()) };
+        let Some((version, at)) = node.consensus.freshness.confirmed else { return Ok(()) };
         if let Some(newest) = self.asked.get(&(machine, at)).filter(|n| **n > version) {
             return Err(format!(
                 "nothing older is confirmed: machine {machine} had version {version} confirmed as newest by a \
@@ -178,13 +178,17 @@
 
     /// What holds of all machines at one time of a common clock.
     pub fn fleet<'a>(&self, nodes: impl Iterator<Item = (usize, &'a Node)> + Clone, now: Micros) -> Result<(), String> {
-        for duty in 0..DUTIES {
-            let holds = |n: &(usize, &'a Node)| n.1.terms.holds(duty, now).is_some();
+        for duty in 0..ROLE_COUNT {
+            let holds = |n: &(usize, &'a Node)| n.1.leases.held.valid_epoch(duty, now).is_some();
             let holders: Vec<_> = nodes.clone().filter(holds).map(|n| n.0).collect();
             if holders.len() > 1 {
                 let of = |n: &Node| {
-                    let held = n.terms.held.get(&duty).map(|h| (h.epoch, h.until));
-                    (n.agree.last().map(|d| d.since), held, n.book.rows.get(&duty).copied())
+                    let held = n.leases.held.by_role.get(&duty).map(|h| (h.epoch, h.expires_at));
+                    (
+                        n.consensus.state.newest().map(|d| d.voters_since),
+                        held,
+                        n.leases.grantor.granted.get(&duty).copied(),
+                    )
                 };
                 let all: Vec<_> = nodes.map(|(i, n)| (i, of(n))).collect();
                 return Err(format!(
@@ -210,7 +214,7 @@
     /// Every acknowledged change is the one that this node holds as its version.
     pub fn keeps(&self, machine: usize, node: &Node) -> Result<(), String> {
         for (change, version) in self.acknowledged.values() {
-            let held = node.agree.history.get(version);
+            let held = node.consensus.state.history.get(version);
             let newer = node.version().unwrap_or(0) >= *version;
             if !newer || held.is_some_and(|d| d.change_id != *change) {
                 return Err(format!(
--- a/crates/model/src/machine.rs
+++ b/crates/model/src/machine.rs
@@ -1,10 +1,10 @@
 //! One machine of a model: the core's own node, its clock, and a disk that syncs when told to.
 
 use std::sync::Arc;
-use sumacvale_core::agree::{Kept, Op};
 use sumacvale_core::base::{ChangeId, MS, Micros, NodeId, SEC, hash64};
-use sumacvale_core::node::{Effect, Event, Me, Node, Scope, digest_of};
-use sumacvale_core::peer::{Core, Decree, Fate, Frame};
+use sumacvale_core::consensus::{DurableState, DurableWrite};
+use sumacvale_core::node::{Effect, Event, Node, NodeSettings, Scope, digest_of};
+use sumacvale_core::protocol::{ChangeOutcome, Frame, LogEntry, Voter};
 
 /// The machines that vote at the start; the ones after them are spares.
 pub const VOTERS: usize = 3;
@@ -12,13 +12,13 @@
 pub const BIRTH: Micros = 100 * SEC;
 
 /// A write that the node was not told of as synced.
-pub type Write = (u64, Vec<Op>);
+pub type Write = (u64, Vec<DurableWrite>);
 
 #[derive(Clone)]
 pub struct Machine {
     pub index: usize,
     pub node: Arc<Node>,
-    pub kept: Arc<Kept>,
+    pub kept: Arc<DurableState>,
     pub unsynced: Arc<Vec<Write>>,
     /// How many lives this machine had.
     pub life: u64,
@@ -43,7 +43,7 @@
 #[derive(Default)]
 pub struct Given {
     pub frames: Vec<(usize, Frame)>,
-    pub answers: Vec<(u64, Fate)>,
+    pub answers: Vec<(u64, ChangeOutcome)>,
 }
 
 pub fn address(index: usize) -> String {
@@ -54,8 +54,8 @@
     NodeId((index as u64 + 1) << 48 | disk)
 }
 
-pub fn core(index: usize) -> Core {
-    Core { node_id: node_id(index, 0), addr: address(index) }
+pub fn core(index: usize) -> Voter {
+    Voter { node_id: node_id(index, 0), addr: address(index) }
 }
 
 pub fn document(revision: u64, name: &str) -> String {
@@ -67,23 +67,23 @@
 }
 
 /// What the disk of a machine holds in a fleet that was founded with so many voters.
-fn founded(index: usize, voters: usize, body: &str) -> Kept {
+fn founded(index: usize, voters: usize, body: &str) -> DurableState {
     let cores: Vec<_> = (0..voters).map(core).collect();
-    let founded = Decree {
+    let founded = LogEntry {
         version: 0,
         change_id: ChangeId(1),
-        fleet: 7,
-        since: 0,
-        old: vec![],
-        cores,
+        fleet_id: 7,
+        voters_since: 0,
+        previous_voters: vec![],
+        voters: cores,
         body: body.into(),
         revision: 0,
         patch: None,
-        packed: Vec::new(),
+        compressed: Vec::new(),
     };
     let ready = (index < voters).then_some(0);
-    let mut kept = Kept { ready, node_id: node_id(index, 0), ..Kept::default() };
-    kept.decrees.insert(0, founded);
+    let mut kept = DurableState { ready_set: ready, node_id: node_id(index, 0), ..DurableState::default() };
+    kept.entries.insert(0, founded);
     kept
 }
 
@@ -107,25 +107,25 @@
 
     /// A machine with an empty disk, which takes part in founding a fleet.
     pub fn unfounded(index: usize) -> Self {
-        let kept = Kept { node_id: node_id(index, 0), ..Kept::default() };
+        let kept = DurableState { node_id: node_id(index, 0), ..DurableState::default() };
         Machine::start(index, kept, Role { core: true, auto: false, first: true }, (1, 0), BIRTH)
     }
 
-    fn start(index: usize, kept: Kept, role: Role, (life, disk): (u64, u64), now: Micros) -> Self {
-        let me = Me {
+    fn start(index: usize, kept: DurableState, role: Role, (life, disk): (u64, u64), now: Micros) -> Self {
+        let me = NodeSettings {
             node_id: kept.node_id,
             incarnation: life,
             addr: address(index),
             admin: String::new(),
             zone: format!("z{}", index % 3),
             seeds: (0..VOTERS).map(address).collect(),
-            core: role.core,
-            read: sumacvale_core::config::judge,
-            first: role.first,
-            auto: role.auto,
-            lose: 1,
-            beat: 500 * MS,
-            to_cores: false,
+            is_core: role.core,
+            config_reader: sumacvale_core::config::validate,
+            may_bootstrap: role.first,
+            manages_voters: role.auto,
+            tolerated_losses: 1,
+            report_interval: 500 * MS,
+            reports_to_cores_only: false,
         };
         let seed = 1_000 * index as u64 + 10 * life + disk;
         let node = Node::new(me, &kept, seed, now);
@@ -155,14 +155,14 @@
     /// Its disk is lost: an empty one comes, with a node of another id.
     pub fn wipe(&self, now: Micros) -> Self {
         let disk = self.disk + 1;
-        let kept = Kept { node_id: node_id(self.index, disk), ..Kept::default() };
+        let kept = DurableState { node_id: node_id(self.index, disk), ..DurableState::default() };
         Machine::start(self.index, kept, self.role, (self.life + 1, disk), now)
     }
 
     /// The node of this machine alone: what its slices of quotas hold is copied as well.
     pub fn node_mut(&mut self) -> &mut Node {
         let node = Arc::make_mut(&mut self.node);
-        Arc::make_mut(&mut node.slices);
+        Arc::make_mut(&mut node.quota.slices);
         node
     }
 
@@ -175,9 +175,12 @@
                     let index = to.strip_prefix('n').and_then(|i| i.parse().ok());
                     given.frames.extend(index.map(|i| (i, *frame)));
                 }
-                Effect::Write { token, ops } => Arc::make_mut(&mut self.unsynced).push((token, ops)),
-                Effect::Answer { req, fate } => given.answers.push((req, fate)),
-                Effect::Reconnect { .. } | Effect::Heard { .. } | Effect::Show(_) | Effect::Wake { .. } => {}
+                Effect::Write { token, writes: ops } => Arc::make_mut(&mut self.unsynced).push((token, ops)),
+                Effect::CompleteChange { request_id: req, outcome: fate } => given.answers.push((req, fate)),
+                Effect::Reconnect { .. }
+                | Effect::AcknowledgeReport { .. }
+                | Effect::Publish(_)
+                | Effect::WakeTenant { .. } => {}
             }
         }
     }
--- a/crates/model/src/quota.rs
+++ b/crates/model/src/quota.rs
@@ -12,10 +12,10 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 use sumacvale_core::base::{MS, Micros, SEC};
+use sumacvale_core::lease::quota_role;
 use sumacvale_core::node::{Event, Scope, digest_of};
-use sumacvale_core::peer::{Frame, Msg};
-use sumacvale_core::quota::{LEASE, LOAN, Take, WHOLE};
-use sumacvale_core::term::duty;
+use sumacvale_core::protocol::{Frame, Message};
+use sumacvale_core::quota::{FULL_SHARE, LOAN_DURATION, SHARE_LEASE, TakeOutcome};
 
 const TENANT: &str = "home";
 /// Timers run so often while time passes.
@@ -24,7 +24,7 @@
 const WARM: Micros = 4 * SEC;
 /// A holder that began anew has a successor, which gives shares, and all windows and leases that
 /// it doesn't know of have ended, so long after the last fault.
-const SETTLES: Micros = 3 * SEC + 2 * LEASE;
+const SETTLES: Micros = 3 * SEC + 2 * SHARE_LEASE;
 /// A front that calls is given all that is left within so long.
 const ANSWER: Micros = 3 * SEC;
 /// A thousand thousandths of a call.
@@ -151,17 +151,17 @@
 }
 
 /// The frames whose order is explored.
-fn is_explored(message: &Msg) -> bool {
+fn is_explored(message: &Message) -> bool {
     matches!(
         message,
-        Msg::SliceAsk { .. }
-            | Msg::Slice { .. }
-            | Msg::Spent { .. }
-            | Msg::NotHolder { .. }
-            | Msg::Recall { .. }
-            | Msg::Return { .. }
-            | Msg::ShareAsk { .. }
-            | Msg::Shares { .. }
+        Message::SliceAsk { .. }
+            | Message::Slice { .. }
+            | Message::Spent { .. }
+            | Message::NotHolder { .. }
+            | Message::Recall { .. }
+            | Message::Return { .. }
+            | Message::ShareAsk { .. }
+            | Message::Shares { .. }
     )
 }
 
@@ -188,7 +188,7 @@
     }
 
     fn holder(&self) -> Option<usize> {
-        let holds = |m: &Machine| m.node.terms.holds(duty(TENANT), self.now).is_some();
+        let holds = |m: &Machine| m.node.leases.held.valid_epoch(quota_role(TENANT), self.now).is_some();
         self.machines.iter().position(holds)
     }
 
@@ -209,8 +209,8 @@
             if to >= self.machines.len() {
                 continue;
             }
-            if is_explored(&frame.msg) {
-                let digest = digest_of(&(to, frame.from, frame.to, frame.incarnation, frame.sent, &frame.msg));
+            if is_explored(&frame.message) {
+                let digest = digest_of(&(to, frame.from, frame.to, frame.incarnation, frame.sent_at, &frame.message));
                 self.wires.push(Wire { to, frame: Arc::new(frame), digest, again: false });
                 continue;
             }
@@ -223,15 +223,16 @@
         let cores = self.machines.len() - self.callers.len();
         let Some(front) = machine.checked_sub(cores) else { return };
         while self.callers[front].waiting > 0 {
-            let slices = &self.machines[machine].node_mut().slices;
-            let take = slices.rates.draw(TENANT, 1, self.now).unwrap_or_else(|| slices.take(TENANT, self.now));
+            let slices = &self.machines[machine].node_mut().quota.slices;
+            let take =
+                slices.rates.take_for_waiter(TENANT, 1, self.now).unwrap_or_else(|| slices.take(TENANT, self.now));
             match take {
-                Take::Took { window, .. } => {
+                TakeOutcome::Taken { window, .. } => {
                     self.callers[front].waiting -= 1;
                     self.callers[front].spent.push(Spent { at: self.now, window });
                 }
-                Take::Spent { .. } => self.callers[front].waiting = 0,
-                Take::Empty | Take::Dry { .. } => return,
+                TakeOutcome::WindowSpent { .. } => self.callers[front].waiting = 0,
+                TakeOutcome::Empty | TakeOutcome::RateExhausted { .. } => return,
             }
         }
     }
@@ -241,20 +242,23 @@
         let machine = self.front(front);
         let now = self.now;
         let waits = self.callers[front].waiting > 0;
-        let slices = &self.machines[machine].node_mut().slices;
-        let look =
-            if waits { slices.rates.look(TENANT, 1, now).unwrap_or(Take::Empty) } else { slices.take(TENANT, now) };
+        let slices = &self.machines[machine].node_mut().quota.slices;
+        let look = if waits {
+            slices.rates.peek(TENANT, 1, now).unwrap_or(TakeOutcome::Empty)
+        } else {
+            slices.take(TENANT, now)
+        };
         match look {
-            Take::Took { window, low, .. } => {
+            TakeOutcome::Taken { window, low, .. } => {
                 self.callers[front].spent.push(Spent { at: now, window });
                 if low {
-                    self.step(machine, Event::Need { tenant: TENANT.into(), waiting: 0 });
+                    self.step(machine, Event::QuotaNeeded { tenant: TENANT.into(), waiting: 0 });
                 }
             }
-            Take::Spent { .. } => {}
-            Take::Empty | Take::Dry { .. } => {
+            TakeOutcome::WindowSpent { .. } => {}
+            TakeOutcome::Empty | TakeOutcome::RateExhausted { .. } => {
                 self.callers[front].waiting += 1;
-                self.step(machine, Event::Need { tenant: TENANT.into(), waiting: 1 });
+                self.step(machine, Event::QuotaNeeded { tenant: TENANT.into(), waiting: 1 });
             }
         }
     }
@@ -266,7 +270,7 @@
             return;
         }
         let spent = self.callers[front].spent.remove(0);
-        self.machines[machine].node_mut().slices.refund(TENANT, spent.window);
+        self.machines[machine].node_mut().quota.slices.refund(TENANT, spent.window);
         self.serve(machine);
     }
 
@@ -291,7 +295,7 @@
         for front in 0..self.callers.len() {
             let waiting = self.callers[front].waiting;
             if waiting > 0 {
-                self.step(self.front(front), Event::Need { tenant: TENANT.into(), waiting });
+                self.step(self.front(front), Event::QuotaNeeded { tenant: TENANT.into(), waiting });
             }
         }
     }
@@ -330,7 +334,7 @@
             Opening::Hold { time } => self.hold(limit, time)?,
             Opening::Unrun { front } => self.unrun(front),
             Opening::Arrive { kind } => {
-                let is_kind = |x: &Wire| format!("{:?}", x.frame.msg).starts_with(kind);
+                let is_kind = |x: &Wire| format!("{:?}", x.frame.message).starts_with(kind);
                 let place = self.wires.iter().position(is_kind);
                 let place = place.ok_or_else(|| format!("the opening finds no frame {kind}"))?;
                 let wire = self.wires.remove(place);
@@ -350,13 +354,13 @@
 
     fn held(&self) -> impl Iterator<Item = Held> {
         (0..self.callers.len()).flat_map(|front| {
-            let rows = self.machines[self.front(front)].node.slices.list();
+            let rows = self.machines[self.front(front)].node.quota.slices.list();
             rows.into_iter().map(|(_, window, got, returned, free)| Held { window, got, returned, free })
         })
     }
 
     fn lent(&self) -> Option<Lent> {
-        let rows = self.machines[self.holder()?].node.ledger.list();
+        let rows = self.machines[self.holder()?].node.quota.window_ledger.list();
         let row = rows.into_iter().find(|r| r.0 == TENANT)?;
         Some(Lent { window: row.1, granted: row.2, returned: row.3 })
     }
@@ -403,7 +407,7 @@
 
     /// What a front was lent of a window it holds, spent or returned.
     fn judge_slice(&self, front: usize) -> Result<(), String> {
-        let rows = self.machines[self.front(front)].node.slices.list();
+        let rows = self.machines[self.front(front)].node.quota.slices.list();
         for (_, window, got, returned, free) in rows {
             let spent = self.callers[front].spent.iter().filter(|s| s.window == window).count() as u64;
             if spent + returned + free > got {
@@ -418,10 +422,10 @@
 
     fn judge_rate(&self, rate: u64, burst: u64) -> Result<(), String> {
         let shares: u64 = (0..self.callers.len())
-            .flat_map(|front| self.machines[self.front(front)].node.slices.rates.list())
+            .flat_map(|front| self.machines[self.front(front)].node.quota.slices.rates.list())
             .map(|row| u64::from(row.1))
             .sum();
-        if shares > u64::from(WHOLE) {
+        if shares > u64::from(FULL_SHARE) {
             return Err(format!("all shares are one at most: {shares} millionths are held"));
         }
         let mut times: Vec<_> = self.callers.iter().flat_map(|c| &c.spent).map(|s| s.at).collect();
@@ -430,7 +434,7 @@
             let spent = (times.len() - place) as u64 * CALL;
             let last = times.last().copied().unwrap_or(*from);
             // What is lent counts as spent when it is lent, up to so long before.
-            let within = burst * CALL + rate * CALL * (last - from + LOAN) / SEC;
+            let within = burst * CALL + rate * CALL * (last - from + LOAN_DURATION) / SEC;
             if spent > within {
                 return Err(format!(
                     "no interval sees more than burst and rate: {spent} thousandths of calls in {} ms, {within} may be",
@@ -519,7 +523,7 @@
     fn digest(&self, w: &World) -> u64 {
         let machines: Vec<_> = w.machines.iter().map(Machine::digest).collect();
         let fronts = &w.machines[self.cores..];
-        let slices: Vec<_> = fronts.iter().map(|m| digest_of(&m.node.slices)).collect();
+        let slices: Vec<_> = fronts.iter().map(|m| digest_of(&m.node.quota.slices)).collect();
         let wires: Vec<_> = w.wires.iter().map(|x| (x.digest, x.again)).collect();
         digest_of(&((w.now, machines, slices, wires), (&w.callers, w.left, w.unheard)))
     }
@@ -528,7 +532,7 @@
         let what = match action {
             Action::Arrive { place } | Action::Lose { place } | Action::Double { place } => {
                 let wire = &w.wires[*place];
-                format!("{action:?}: to {}, {:?}", wire.to, wire.frame.msg)
+                format!("{action:?}: to {}, {:?}", wire.to, wire.frame.message)
             }
             _ => format!("{action:?}"),
         };
--- a/crates/model/tests/judge.rs
+++ b/crates/model/tests/judge.rs
@@ -3,26 +3,26 @@
 use sumacvale_checker::judge::{Base, Judge};
 use sumacvale_checker::machine::core;
 use sumacvale_core::base::{ChangeId, Version};
-use sumacvale_core::peer::{Decree, Fate};
+use sumacvale_core::protocol::{ChangeOutcome, LogEntry};
 
 const FOUNDING: ChangeId = ChangeId(1);
 const FIRST: ChangeId = ChangeId(2);
 const SECOND: ChangeId = ChangeId(3);
 
 /// A version of a change, and the number of the document that is in force with it.
-fn decree(version: Version, change_id: ChangeId, revision: u64) -> Decree {
+fn decree(version: Version, change_id: ChangeId, revision: u64) -> LogEntry {
     let cores = (0..3).map(core).collect();
-    Decree {
+    LogEntry {
         version,
         change_id,
-        fleet: 7,
-        since: 0,
-        old: Vec::new(),
-        cores,
+        fleet_id: 7,
+        voters_since: 0,
+        previous_voters: Vec::new(),
+        voters: cores,
         body: String::new(),
         revision,
         patch: None,
-        packed: Vec::new(),
+        compressed: Vec::new(),
     }
 }
 
@@ -36,7 +36,7 @@
 }
 
 fn acknowledge(judge: &mut Judge, change: ChangeId, base: Base, version: Version) -> Result<(), String> {
-    judge.answered(change, base, &Fate::Done { version }, 0)
+    judge.answered(change, base, &ChangeOutcome::Committed { version }, 0)
 }
 
 fn assert_breaks(result: Result<(), String>, rule: &str) {
--- a/crates/node/src/admin/config.rs
+++ b/crates/node/src/admin/config.rs
@@ -8,9 +8,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 use sumacvale_core::base::{ChangeId, NodeId, Version};
-use sumacvale_core::config::check::Trouble;
-use sumacvale_core::config::{effective as settings, judge};
-use sumacvale_core::peer::{Change, Core, Fate};
+use sumacvale_core::config::check::ConfigError;
+use sumacvale_core::config::{effective as settings, validate};
+use sumacvale_core::protocol::{Change, ChangeOutcome, Voter};
 use viz::{Request, RequestExt, Response, StatusCode, header};
 
 const LARGE: usize = 4 << 20;
@@ -24,7 +24,7 @@
             Ok(None) => break,
             Ok(Some(Ok(d))) if b.len() + d.len() <= most => b.extend_from_slice(&d),
             Ok(Some(Ok(_))) => {
-                let t = [Trouble::TooLarge { at: String::new(), is: most + 1, most }];
+                let t = [ConfigError::TooLarge { at: String::new(), is: most + 1, most }];
                 return Err(listed(StatusCode::UNPROCESSABLE_ENTITY, &t));
             }
             _ => {
@@ -36,10 +36,10 @@
             }
         }
     }
-    String::from_utf8(b).map_err(|_| listed(StatusCode::BAD_REQUEST, &[Trouble::NotJson("it is not UTF-8".into())]))
+    String::from_utf8(b).map_err(|_| listed(StatusCode::BAD_REQUEST, &[ConfigError::NotJson("it is not UTF-8".into())]))
 }
 
-fn listed(s: StatusCode, v: &[Trouble]) -> Response {
+fn listed(s: StatusCode, v: &[ConfigError]) -> Response {
     let ts: Vec<_> = v
         .iter()
         .take(200)
@@ -63,14 +63,14 @@
 /// The newest tree and its version. With `?local=true` the one that this node holds, which may
 /// be older.
 pub async fn get(h: Arc<Shared>, r: Request) -> Response {
-    if h.view.load().decree.is_none() {
+    if h.view.load().entry.is_none() {
         return trouble(
             StatusCode::SERVICE_UNAVAILABLE,
             "no_version",
             "this node has learned no version yet; wait until /readyz says ready",
         );
     }
-    let held = if asked(&r, "local") { h.view.load().decree.clone() } else { newest_version(&h).await };
+    let held = if asked(&r, "local") { h.view.load().entry.clone() } else { newest_version(&h).await };
     let Some(d) = held else {
         return trouble(
             StatusCode::SERVICE_UNAVAILABLE,
@@ -122,15 +122,15 @@
     r.uri().query().is_some_and(|q| q.split('&').any(on))
 }
 
-fn told(f: Fate, c: ChangeId) -> Response {
+fn told(f: ChangeOutcome, c: ChangeId) -> Response {
     match f {
-        Fate::Done { version } => {
+        ChangeOutcome::Committed { version } => {
             let mut r =
                 json(StatusCode::OK, format!("{{\"state\":\"decided\",\"version\":{version},\"change\":\"{c}\"}}"));
             etag(&mut r, version);
             r
         }
-        Fate::Stale { version } => {
+        ChangeOutcome::Stale { version } => {
             let mut r = json(
                 StatusCode::PRECONDITION_FAILED,
                 format!(
@@ -140,22 +140,22 @@
             etag(&mut r, version);
             r
         }
-        Fate::NoMajority => trouble(
+        ChangeOutcome::NoQuorum => trouble(
             StatusCode::SERVICE_UNAVAILABLE,
             "no_majority",
             "no majority of the cores can be reached; nothing was changed, try again later",
         ),
-        Fate::Unknown => json(
+        ChangeOutcome::Unknown => json(
             StatusCode::GATEWAY_TIMEOUT,
             format!(
                 "{{\"code\":\"unknown\",\"state\":\"unknown\",\"remedy\":\"the change may still be decided: ask /v1/changes/{c} or send it again with the same Change-Id and base\",\"change\":\"{c}\"}}"
             ),
         ),
-        Fate::Reused => {
+        ChangeOutcome::IdReused => {
             trouble(StatusCode::CONFLICT, "change_id", "this Change-Id stands for another change; send a new one")
         }
-        Fate::Invalid { why } => trouble(StatusCode::UNPROCESSABLE_ENTITY, "invalid", &why),
-        Fate::Told { text } => json(StatusCode::OK, text),
+        ChangeOutcome::Invalid { reason: why } => trouble(StatusCode::UNPROCESSABLE_ENTITY, "invalid", &why),
+        ChangeOutcome::Content { text } => json(StatusCode::OK, text),
     }
 }
 
@@ -173,8 +173,8 @@
         Ok(x) => x,
         Err(r) => return r,
     };
-    if let Err(v) = judge(&s) {
-        let state = if matches!(v.first(), Some(Trouble::NotJson(_))) {
+    if let Err(v) = validate(&s) {
+        let state = if matches!(v.first(), Some(ConfigError::NotJson(_))) {
             StatusCode::BAD_REQUEST
         } else {
             StatusCode::UNPROCESSABLE_ENTITY
@@ -186,7 +186,7 @@
         return if version == b {
             json(StatusCode::OK, format!("{{\"state\":\"valid\",\"version\":{version}}}"))
         } else {
-            told(Fate::Stale { version }, c)
+            told(ChangeOutcome::Stale { version }, c)
         };
     }
     told(ask(&h, (c, fresh), b, Change::Tree(s)).await, c)
@@ -194,7 +194,7 @@
 
 /// The versions that the fleet holds.
 pub async fn history(h: Arc<Shared>, _: Request) -> Response {
-    told(ask(&h, (ChangeId(0), false), 0, Change::History).await, ChangeId(0))
+    told(ask(&h, (ChangeId(0), false), 0, Change::ReadHistory).await, ChangeId(0))
 }
 
 /// What became of a change.
@@ -203,11 +203,11 @@
         return trouble(StatusCode::BAD_REQUEST, "change_id", "a change id has 16 hex digits");
     };
     let b = r.uri().query().and_then(|q| q.split('&').find_map(|x| x.strip_prefix("base=")?.parse::<Version>().ok()));
-    match ask(&h, (c, false), b.unwrap_or(Version::MAX), Change::Look).await {
-        Fate::Stale { version } => {
+    match ask(&h, (c, false), b.unwrap_or(Version::MAX), Change::QueryOutcome).await {
+        ChangeOutcome::Stale { version } => {
             json(StatusCode::OK, format!("{{\"state\":\"lost\",\"version\":{version},\"change\":\"{c}\"}}"))
         }
-        Fate::Unknown => json(
+        ChangeOutcome::Unknown => json(
             StatusCode::OK,
             format!(
                 "{{\"state\":\"unknown\",\"remedy\":\"not decided so far; add ?base=N with its base for a final word once a later version is decided\",\"change\":\"{c}\"}}"
@@ -221,10 +221,10 @@
 pub async fn effective(h: Arc<Shared>, r: Request) -> Response {
     let (s, n) = (r.param::<String>("sort").unwrap_or_default(), r.param::<String>("name").unwrap_or_default());
     let v = h.view.load();
-    match settings(&v.plan, &s, &n) {
+    match settings(&v.config, &s, &n) {
         Some(t) => {
             let mut r = json(StatusCode::OK, t);
-            etag(&mut r, v.plan.version);
+            etag(&mut r, v.config.version);
             r
         }
         None => trouble(
@@ -238,11 +238,11 @@
 /// The voters.
 pub async fn cores(h: Arc<Shared>, _: Request) -> Response {
     let v = h.view.load();
-    let Some(d) = &v.decree else {
+    let Some(d) = &v.entry else {
         return trouble(StatusCode::SERVICE_UNAVAILABLE, "no_version", "this node has learned no version yet");
     };
     let cs: Vec<_> =
-        d.cores.iter().map(|c| format!("{{\"id\":\"{}\",\"peer\":{}}}", c.node_id, quote(&c.addr))).collect();
+        d.voters.iter().map(|c| format!("{{\"id\":\"{}\",\"peer\":{}}}", c.node_id, quote(&c.addr))).collect();
     let mut r = json(StatusCode::OK, format!("[{}]", cs.join(",")));
     etag(&mut r, d.version);
     r
@@ -255,20 +255,20 @@
         Err(r) => return r,
     };
     let Ok(v) = sonic_rs::from_str::<Value>(&s) else {
-        return listed(StatusCode::BAD_REQUEST, &[Trouble::NotJson("send a list of cores".into())]);
+        return listed(StatusCode::BAD_REQUEST, &[ConfigError::NotJson("send a list of cores".into())]);
     };
     let mut cs = Vec::new();
     let one = |x: &Value| {
         let node_id = NodeId::parse(x.pointer(["id"])?.as_str()?)?;
         let addr = x.pointer(["peer"])?.as_str()?.to_owned();
         addr.parse::<std::net::SocketAddr>().ok()?;
-        Some(Core { node_id, addr })
+        Some(Voter { node_id, addr })
     };
     for (i, x) in v.as_array().into_iter().flat_map(|a| a.iter()).enumerate() {
         match one(x) {
             Some(c) => cs.push(c),
             None => {
-                let t = Trouble::Wrong {
+                let t = ConfigError::Wrong {
                     at: format!("/{i}"),
                     is: x.to_string(),
                     want: "{\"id\": 16 hex digits, \"peer\": IP:PORT} as /v1/nodes shows".into(),
@@ -277,5 +277,5 @@
             }
         }
     }
-    told(ask(&h, (c, fresh), b, Change::Cores(cs)).await, c)
+    told(ask(&h, (c, fresh), b, Change::Voters(cs)).await, c)
 }
--- a/crates/node/src/admin/door.rs
+++ b/crates/node/src/admin/door.rs
@@ -6,7 +6,7 @@
 use crate::shared::Shared;
 use std::future::Future;
 use std::sync::Arc;
-use sumacvale_core::base::sha_hex;
+use sumacvale_core::base::sha256_hex;
 use viz::{Request, Response, Result, Router, StatusCode, header};
 
 /// The token's hash is looked up; the token itself is kept nowhere.
@@ -15,7 +15,7 @@
         .get(header::AUTHORIZATION)
         .and_then(|v| v.to_str().ok())
         .and_then(|s| s.strip_prefix("Bearer "))
-        .is_some_and(|t| hashes.contains(&sha_hex(t.trim().as_bytes())))
+        .is_some_and(|t| hashes.contains(&sha256_hex(t.trim().as_bytes())))
 }
 
 fn live(_: &Shared) -> Response {
--- a/crates/node/src/admin/metrics.rs
+++ b/crates/node/src/admin/metrics.rs
@@ -4,7 +4,7 @@
 use crate::shared::Shared;
 use std::fmt::Write;
 use std::sync::atomic::Ordering;
-use sumacvale_core::call::{COUNT_HELP, ENDS, Reason, Refusals, Times};
+use sumacvale_core::call::{BUCKET_BOUNDS, COUNT_HELP, LatencyHistogram, RejectionCounters, RejectionReason};
 use viz::{Response, StatusCode};
 
 /// All metrics of this node.
@@ -13,11 +13,11 @@
     let mut put = |n: &str, t: &str, v: u64, help: &str| {
         let _ = writeln!(s, "# HELP sumacvale_{n} {}\n# TYPE sumacvale_{n} {t}\nsumacvale_{n} {v}", help.trim());
     };
-    for ((n, v), (_, d)) in h.floor.counts.list().into_iter().zip(COUNT_HELP) {
+    for ((n, v), (_, d)) in h.floor.counters.list().into_iter().zip(COUNT_HELP) {
         put(&format!("{n}_total"), "counter", v, d);
     }
     let v = h.view.load();
-    for (n, c, d) in &v.counts {
+    for (n, c, d) in &v.counters {
         put(&format!("{n}_total"), "counter", *c, d);
     }
     let l = |a: &std::sync::atomic::AtomicU64| a.load(Ordering::Relaxed);
@@ -33,46 +33,46 @@
     put("fresh", "gauge", u64::from(h.fresh(&v)), "Whether this node may admit calls.");
     put("workers", "gauge", v.workers.len() as u64, "Workers that take calls.");
     put("nodes", "gauge", v.nodes.iter().filter(|n| n.1).count() as u64, "Nodes that are here.");
-    put("in_flight", "gauge", h.floor.loads.own(), "Calls at workers.");
-    let (places, units) = h.floor.waiting();
+    put("in_flight", "gauge", h.floor.worker_loads.total_in_flight(), "Calls at workers.");
+    let (places, units) = h.floor.queue_lengths();
     put("waiting", "gauge", places, "Calls that wait for a place.");
     put("waiting_units", "gauge", units, "Calls that wait for a unit of their quota.");
-    put("bodies_held", "gauge", h.floor.bodies.used() as u64, "Bytes of bodies held at once.");
-    put("terms", "gauge", v.terms.len() as u64, "Duties held.");
-    refusals(&mut s, &h.floor.refusals);
+    put("bodies_held", "gauge", h.floor.body_budget.used() as u64, "Bytes of bodies held at once.");
+    put("terms", "gauge", v.held_leases.len() as u64, "Duties held.");
+    refusals(&mut s, &h.floor.rejections);
     let _ =
         writeln!(s, "# HELP sumacvale_share_ppm Share of a tenant's rate held here.\n# TYPE sumacvale_share_ppm gauge");
     for (t, share, _) in h.floor.slices.rates.list() {
         let _ = writeln!(s, "sumacvale_share_ppm{{tenant={}}} {share}", quote(&t));
     }
     let f = &h.floor;
-    times(&mut s, "first_seconds", "From a call's head to the head of its response.", &f.firsts);
-    times(&mut s, "unit_seconds", "From a call's head to its unit of the quota.", &f.units_after);
-    times(&mut s, "place_seconds", "From a call's head to its place at a worker.", &f.places_after);
+    times(&mut s, "first_seconds", "From a call's head to the head of its response.", &f.time_to_first_byte);
+    times(&mut s, "unit_seconds", "From a call's head to its unit of the quota.", &f.quota_wait);
+    times(&mut s, "place_seconds", "From a call's head to its place at a worker.", &f.slot_wait);
     text(StatusCode::OK, s)
 }
 
 /// One counter for each reason, those of nought too, so that they can be watched from the start.
-fn refusals(s: &mut String, refusals: &Refusals) {
+fn refusals(s: &mut String, refusals: &RejectionCounters) {
     let help = "Calls that got an answer of this node's own, by reason.";
     let _ = writeln!(s, "# HELP sumacvale_refused_total {help}\n# TYPE sumacvale_refused_total counter");
-    for reason in Reason::ALL {
+    for reason in RejectionReason::ALL {
         let count = refusals.get(*reason);
         let _ = writeln!(s, "sumacvale_refused_total{{reason=\"{}\"}} {count}", reason.name());
     }
 }
 
 /// One histogram, by the kinds of traffic.
-fn times(s: &mut String, n: &str, help: &str, t: &Times) {
+fn times(s: &mut String, n: &str, help: &str, t: &LatencyHistogram) {
     let secs = |us: u64| format!("{}.{:06}", us / 1_000_000, us % 1_000_000);
     let _ = writeln!(s, "# HELP sumacvale_{n} {help}\n# TYPE sumacvale_{n} histogram");
-    for x in t.list() {
+    for x in t.snapshot() {
         let k = x.kind;
-        for (e, c) in ENDS.iter().zip(&x.upto) {
+        for (e, c) in BUCKET_BOUNDS.iter().zip(&x.cumulative) {
             let _ = writeln!(s, "sumacvale_{n}_bucket{{kind=\"{k}\",le=\"{}\"}} {c}", secs(*e));
         }
-        let _ = writeln!(s, "sumacvale_{n}_bucket{{kind=\"{k}\",le=\"+Inf\"}} {}", x.all);
+        let _ = writeln!(s, "sumacvale_{n}_bucket{{kind=\"{k}\",le=\"+Inf\"}} {}", x.count);
         let _ = writeln!(s, "sumacvale_{n}_sum{{kind=\"{k}\"}} {}", secs(x.sum));
-        let _ = writeln!(s, "sumacvale_{n}_count{{kind=\"{k}\"}} {}", x.all);
+        let _ = writeln!(s, "sumacvale_{n}_count{{kind=\"{k}\"}} {}", x.count);
     }
 }
--- a/crates/node/src/admin/nodes.rs
+++ b/crates/node/src/admin/nodes.rs
@@ -5,7 +5,7 @@
 use crate::shared::Shared;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
-use sumacvale_core::peer::Row;
+use sumacvale_core::protocol::WorkerReport;
 use viz::{Request, Response, StatusCode};
 
 fn join(v: impl Iterator<Item = String>) -> String {
@@ -14,17 +14,17 @@
 
 fn node_list(h: &Shared) -> String {
     let v = h.view.load();
-    let cs = v.decree.as_ref().map(|d| d.cores.clone()).unwrap_or_default();
+    let cs = v.entry.as_ref().map(|d| d.voters.clone()).unwrap_or_default();
     join(v.nodes.iter().map(|(p, alive)| {
         format!(
             "{{\"id\":\"{}\",\"peer\":{},\"admin\":{},\"zone\":{},\"core\":{},\"votes\":{},\"alive\":{alive},\"leaving\":{},\"version\":{}}}",
-            p.node_id, quote(&p.addr), quote(&p.admin), quote(&p.zone), p.core,
-            cs.iter().any(|c| c.node_id == p.node_id), p.leaving, p.version,
+            p.node_id, quote(&p.addr), quote(&p.admin), quote(&p.zone), p.is_core,
+            cs.iter().any(|c| c.node_id == p.node_id), p.draining, p.version,
         )
     }))
 }
 
-fn worker_list(rows: &[Row]) -> String {
+fn worker_list(rows: &[WorkerReport]) -> String {
     join(rows.iter().map(|r| {
         format!(
             "{{\"id\":{},\"addr\":{},\"pool\":{},\"zone\":{},\"incarnation\":{},\"seq\":{},\"slots\":{},\"busy\":{}}}",
@@ -70,12 +70,12 @@
 /// All that this node believes, for comparison with another.
 pub async fn beliefs(h: Arc<Shared>, _: Request) -> Response {
     let v = h.view.load();
-    let age = v.fresh.map_or("null".into(), |t| (clock::now().saturating_sub(t) / 1_000).to_string());
-    let d = v.decree.as_ref();
+    let age = v.confirmed_at.map_or("null".into(), |t| (clock::now().saturating_sub(t) / 1_000).to_string());
+    let d = v.entry.as_ref();
     let cores = join(
-        d.iter().flat_map(|d| &d.cores).map(|c| format!("{{\"id\":\"{}\",\"peer\":{}}}", c.node_id, quote(&c.addr))),
+        d.iter().flat_map(|d| &d.voters).map(|c| format!("{{\"id\":\"{}\",\"peer\":{}}}", c.node_id, quote(&c.addr))),
     );
-    let terms = join(v.terms.iter().map(|(d, e)| format!("{{\"duty\":{d},\"epoch\":{e}}}")));
+    let terms = join(v.held_leases.iter().map(|(d, e)| format!("{{\"duty\":{d},\"epoch\":{e}}}")));
     let grants =
         join(v.grants.iter().map(|(t, w, c, r)| {
             format!("{{\"tenant\":{},\"window\":{w},\"granted\":{c},\"returned\":{r}}}", quote(t))
@@ -91,8 +91,8 @@
             .iter()
             .map(|(t, s, f)| format!("{{\"tenant\":{},\"share_ppm\":{s},\"free\":{f}}}", quote(t))),
     );
-    let held = join(v.pools.iter().map(|(k, held, dark)| {
-        let t = v.plan.tenants.keys().find(|t| sumacvale_core::quota::key(t) == *k).map_or("", String::as_str);
+    let held = join(v.share_pools.iter().map(|(k, held, dark)| {
+        let t = v.config.tenants.keys().find(|t| sumacvale_core::quota::tenant_key(t) == *k).map_or("", String::as_str);
         format!("{{\"tenant\":{},\"held_ppm\":{held},\"unknown_ppm\":{dark}}}", quote(t))
     }));
     let size = |n: &str, s: (usize, usize)| format!("\"{n}\":{{\"hits\":{},\"misses\":{}}}", s.0, s.1);
@@ -102,7 +102,7 @@
         size("routes", h.floor.caches.routes.size()),
     ]
     .join(",");
-    let fleet = d.map_or(0, |d| d.fleet);
+    let fleet = d.map_or(0, |d| d.fleet_id);
     json(
         StatusCode::OK,
         format!(
--- a/crates/node/src/admin/report.rs
+++ b/crates/node/src/admin/report.rs
@@ -5,7 +5,7 @@
 use sonic_rs::{JsonValueTrait, Value};
 use std::net::SocketAddr;
 use std::sync::Arc;
-use sumacvale_core::peer::Row;
+use sumacvale_core::protocol::WorkerReport;
 use viz::{Request, Response, StatusCode};
 
 const LARGE: usize = 16 << 10;
@@ -22,7 +22,7 @@
             return trouble(StatusCode::UNPROCESSABLE_ENTITY, "report", &format!("{at}: must be {want}"));
         }
     };
-    if row.drain {
+    if row.draining {
         return drains(&h, row).await;
     }
     if h.inbox.try_send(Command::Report(row)).is_err() {
@@ -37,7 +37,7 @@
 
 /// A worker relies on it that no more calls come once its drain was taken, so that is said only
 /// when a majority of the cores knows it.
-async fn drains(h: &Shared, row: Row) -> Response {
+async fn drains(h: &Shared, row: WorkerReport) -> Response {
     if crate::ops::beat(h, row).await {
         return json(StatusCode::ACCEPTED, "{\"ok\":true}".into());
     }
@@ -50,7 +50,7 @@
 
 type Bad = (&'static str, &'static str);
 
-fn row(b: &str) -> Result<Row, Bad> {
+fn row(b: &str) -> Result<WorkerReport, Bad> {
     let v: Value = sonic_rs::from_str(b).map_err(|_| ("", "one JSON object"))?;
     let text = |k: &'static str| {
         v.pointer([k])
@@ -61,7 +61,7 @@
     };
     let num = |k: &'static str| v.pointer([k]).and_then(|x| x.as_u64()).ok_or((k, "a whole number"));
     let small = |k: &'static str| num(k).and_then(|n| u32::try_from(n).map_err(|_| (k, "a small whole number")));
-    let r = Row {
+    let r = WorkerReport {
         worker_id: text("id")?,
         incarnation: num("incarnation")?,
         seq: num("seq")?,
@@ -70,12 +70,12 @@
         zone: text("zone")?,
         slots: small("slots")?,
         busy: small("busy")?,
-        drain: match v.pointer(["draining"]) {
+        draining: match v.pointer(["draining"]) {
             None => false,
             Some(x) => x.as_bool().ok_or(("draining", "true or false"))?,
         },
-        cold: 0,
-        gone: false,
+        warm_up_left: 0,
+        removed: false,
         age: 0,
     };
     if r.addr.parse::<SocketAddr>().is_err() {
--- a/crates/node/src/brain/mod.rs
+++ b/crates/node/src/brain/mod.rs
@@ -8,9 +8,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 use sumacvale_core::base::{MS, NodeId, Version};
-use sumacvale_core::call::RefusalLog;
+use sumacvale_core::call::RejectionLog;
 use sumacvale_core::node::{Effect, Event, Node};
-use sumacvale_core::peer::{Fate, Frame, pack};
+use sumacvale_core::protocol::{ChangeOutcome, Frame, encode_frame};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot, watch};
 
@@ -26,13 +26,13 @@
 }
 
 struct Open {
-    waits: HashMap<u64, oneshot::Sender<Fate>>,
+    waits: HashMap<u64, oneshot::Sender<ChangeOutcome>>,
     tells: HashMap<u64, oneshot::Sender<bool>>,
     n: u64,
     links: Links,
-    workers: Arc<Vec<sumacvale_core::peer::Row>>,
+    workers: Arc<Vec<sumacvale_core::protocol::WorkerReport>>,
     known: HashMap<NodeId, bool>,
-    refusals: RefusalLog,
+    refusals: RejectionLog,
 }
 
 const TICK: Duration = Duration::from_millis(25);
@@ -52,7 +52,7 @@
             links: Links::new(self.tally.clone()),
             workers: Arc::default(),
             known: HashMap::new(),
-            refusals: RefusalLog::default(),
+            refusals: RejectionLog::default(),
         };
         let mut t = tokio::time::interval(TICK);
         t.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -68,15 +68,15 @@
                     Some(Command::Told { row, back }) => {
                         o.n += 1;
                         o.tells.insert(o.n, back);
-                        Event::Told { req: o.n, row }
+                        Event::ReportWithAck { request_id: o.n, report: row }
                     }
-                    Some(Command::Need { tenant, waiting }) => Event::Need { tenant, waiting },
-                    Some(Command::Leave) => Event::Leave,
-                    Some(Command::Seeds(s)) => Event::Seeds(s),
+                    Some(Command::Need { tenant, waiting }) => Event::QuotaNeeded { tenant, waiting },
+                    Some(Command::Leave) => Event::Shutdown,
+                    Some(Command::Seeds(s)) => Event::SeedsChanged(s),
                     Some(Command::Put { change_id, fresh, base, change, back }) => {
                         o.n += 1;
                         o.waits.insert(o.n, back);
-                        Event::Put { req: o.n, change_id, fresh, base, change }
+                        Event::SubmitChange { request_id: o.n, change_id, is_first_send: fresh, base, change }
                     }
                 },
             };
@@ -85,7 +85,7 @@
             if tick {
                 self.log_refusals(&mut o.refusals);
                 for (tenant, waiting) in self.shared.sweep() {
-                    self.step(Event::Need { tenant, waiting }, &mut o);
+                    self.step(Event::QuotaNeeded { tenant, waiting }, &mut o);
                 }
             }
         }
@@ -99,35 +99,41 @@
 
     fn carry(&mut self, e: Effect, o: &mut Open) {
         match e {
-            Effect::Send { to, frame } => match pack(&frame) {
+            Effect::Send { to, frame } => match encode_frame(&frame) {
                 Ok(b) => {
-                    let far = self.node.ring.seen.values().any(|s| s.p.addr == to && s.p.zone != self.node.me.zone);
+                    let far = self
+                        .node
+                        .dissemination
+                        .peers
+                        .entries
+                        .values()
+                        .any(|s| s.record.addr == to && s.record.zone != self.node.settings.zone);
                     o.links.send(&to, b, far);
                 }
                 Err(e) => tracing::error!(trouble = %e, "a frame was not sent"),
             },
             Effect::Reconnect { to } => o.links.reconnect(&to),
-            Effect::Write { token, ops } => {
+            Effect::Write { token, writes: ops } => {
                 if let Some(d) = &self.disk {
                     let _ = d.send(Job { token, ops });
                 }
             }
-            Effect::Answer { req, fate } => {
+            Effect::CompleteChange { request_id: req, outcome: fate } => {
                 if let Some(b) = o.waits.remove(&req) {
                     let _ = b.send(fate);
                 }
             }
-            Effect::Heard { req, ok } => {
+            Effect::AcknowledgeReport { request_id: req, is_accepted: ok } => {
                 if let Some(b) = o.tells.remove(&req) {
                     let _ = b.send(ok);
                 }
             }
-            Effect::Wake { tenant } => {
-                for r in self.shared.floor.refill(&tenant, clock::now()) {
+            Effect::WakeTenant { tenant } => {
+                for r in self.shared.floor.serve_quota_queue(&tenant, clock::now()) {
                     self.shared.ring(r);
                 }
             }
-            Effect::Show(v) => {
+            Effect::Publish(v) => {
                 let before = *self.version.borrow();
                 let news = !Arc::ptr_eq(&o.workers, &v.workers);
                 let version = v.version;
@@ -139,7 +145,7 @@
                     let _ = self.version.send(version);
                 }
                 if news {
-                    for p in self.node.plan.pools.keys() {
+                    for p in self.node.config.pools.keys() {
                         self.shared.floor.caches.routes.delete(p);
                     }
                     self.shared.sweep();
@@ -149,11 +155,11 @@
     }
 
     /// Once a second while calls are refused: how many, by reason, and what this node stands on.
-    fn log_refusals(&self, log: &mut RefusalLog) {
+    fn log_refusals(&self, log: &mut RejectionLog) {
         let now = clock::now();
-        let Some(counts) = log.line(&self.shared.floor.refusals, now) else { return };
+        let Some(counts) = log.line(&self.shared.floor.rejections, now) else { return };
         let view = self.shared.view.load();
-        let stamp_age_ms = view.fresh.map(|at| now.saturating_sub(at) / MS);
+        let stamp_age_ms = view.confirmed_at.map(|at| now.saturating_sub(at) / MS);
         let (workers, version) = (view.workers.len(), view.version);
         tracing::warn!(%counts, ?version, ?stamp_age_ms, workers, "calls are refused");
     }
@@ -171,7 +177,8 @@
         if o.known.len() > v.nodes.len() {
             o.known.retain(|n, _| v.nodes.iter().any(|x| x.0.node_id == *n));
         }
-        let ids = |ws: &[sumacvale_core::peer::Row]| ws.iter().map(|r| r.worker_id.clone()).collect::<Vec<_>>();
+        let ids =
+            |ws: &[sumacvale_core::protocol::WorkerReport]| ws.iter().map(|r| r.worker_id.clone()).collect::<Vec<_>>();
         if !Arc::ptr_eq(&o.workers, &v.workers) {
             let (a, b) = (ids(&o.workers), ids(&v.workers));
             for w in b.iter().filter(|w| !a.contains(w)) {
--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -2,8 +2,8 @@
 //! platform, plugged in here. A dialect decides nothing.
 
 use sumacvale_core::base::Micros;
-use sumacvale_core::call::back_after;
-use sumacvale_core::config::{Reader, judge};
+use sumacvale_core::call::spread_retry_after;
+use sumacvale_core::config::{Reader, validate};
 
 /// The names of heads, in small letters; none is not spoken.
 #[derive(Debug)]
@@ -61,6 +61,6 @@
         load: Some("x-load"),
     },
     host: false,
-    back: |t, id| back_after(t, id).div_ceil(1_000_000).to_string(),
-    read: judge,
+    back: |t, id| spread_retry_after(t, id).div_ceil(1_000_000).to_string(),
+    read: validate,
 };
--- a/crates/node/src/disk/database.rs
+++ b/crates/node/src/disk/database.rs
@@ -7,9 +7,9 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::time::Duration;
-use sumacvale_core::agree::{DIGESTS, Kept, Op, history_floor};
 use sumacvale_core::base::{Incarnation, NodeId, Version, hash64};
-use sumacvale_core::peer::{Ballot, Core, Decree, Digest, Grant};
+use sumacvale_core::consensus::{DurableState, DurableWrite, MAX_DIGESTS, lowest_kept_version};
+use sumacvale_core::protocol::{Ballot, EntryDigest, LogEntry, Voter, WindowGrant};
 
 const MARK: i32 = 0x5355_4D41;
 const FORM: i64 = 1;
@@ -72,12 +72,12 @@
 #[derive(Encode, Decode)]
 struct Said {
     ballot: Ballot,
-    decree: Decree,
+    decree: LogEntry,
 }
 
 #[derive(Encode, Decode)]
 struct Pledge {
-    cores: Vec<Core>,
+    cores: Vec<Voter>,
 }
 
 fn seal<T: Encode<musli::mode::Binary>>(t: &T) -> Result<Vec<u8>, rusqlite::Error> {
@@ -134,7 +134,7 @@
 impl Database {
     /// As `open`, but waits for a disk that is full or in trouble: a core that has not counted its
     /// new life can't vote yet, and one that ended would only start again.
-    pub fn open_when_writable(dir: &Path, new: NodeId) -> Result<(Database, Kept, Incarnation), Damaged> {
+    pub fn open_when_writable(dir: &Path, new: NodeId) -> Result<(Database, DurableState, Incarnation), Damaged> {
         let mut told = false;
         loop {
             match Database::open(dir, new) {
@@ -156,7 +156,7 @@
     }
 
     /// Opens the folder, or makes it where it is empty; the life counts starts.
-    pub fn open(dir: &Path, new: NodeId) -> Result<(Database, Kept, Incarnation), Damaged> {
+    pub fn open(dir: &Path, new: NodeId) -> Result<(Database, DurableState, Incarnation), Damaged> {
         let at = dir.display().to_string();
         if !folder::prepare(dir)? {
             folder::create(dir, |draft| make(draft, new))?;
@@ -178,7 +178,7 @@
         )?;
         let k = b.load()?;
         b.remember_all(&k)?;
-        b.sizes = k.decrees.values().map(|d| (d.version, d.body.len())).collect();
+        b.sizes = k.entries.values().map(|d| (d.version, d.body.len())).collect();
         let life = b.count_life()?;
         Ok((b, k, life))
     }
@@ -193,12 +193,12 @@
     }
 
     /// Folders of earlier releases hold versions without digests.
-    fn remember_all(&mut self, k: &Kept) -> Result<(), Damaged> {
+    fn remember_all(&mut self, k: &DurableState) -> Result<(), Damaged> {
         let held: i64 = self.db.query_row("SELECT COUNT(*) FROM digest", [], |r| r.get(0))?;
         if held > 0 || k.digests.is_empty() {
             return Ok(());
         }
-        self.commit([Op::Digests(k.digests.rows().to_vec())].iter())
+        self.commit([DurableWrite::Digests(k.digests.as_slice().to_vec())].iter())
     }
 
     fn lock(&mut self) -> Result<(), Damaged> {
@@ -249,31 +249,31 @@
         musli::wire::from_slice(d).map_err(|_| bad())
     }
 
-    fn load(&self) -> Result<Kept, Damaged> {
+    fn load(&self) -> Result<DurableState, Damaged> {
         let id = |b: Vec<u8>| b.try_into().map(u64::from_be_bytes).map(NodeId);
         let torn = || Damaged::Broken(self.at.clone(), "a member id is torn".into());
         let (b, ready): (Vec<u8>, Option<i64>) =
             self.db.query_row("SELECT nid, ready FROM meta", [], |r| Ok((r.get(0)?, r.get(1)?)))?;
-        let mut k = Kept {
+        let mut k = DurableState {
             node_id: id(b).map_err(|_| torn())?,
-            ready: ready.and_then(|r| u64::try_from(r).ok()),
-            ..Kept::default()
+            ready_set: ready.and_then(|r| u64::try_from(r).ok()),
+            ..DurableState::default()
         };
         let mut q = self.db.prepare("SELECT body FROM decree ORDER BY ver")?;
         for b in q.query_map([], |r| r.get::<_, Vec<u8>>(0))? {
-            let d: Decree = self.unseal(&b?, "a version")?;
+            let d: LogEntry = self.unseal(&b?, "a version")?;
             let torn = || Damaged::Broken(self.at.clone(), "a version can't be unpacked".into());
-            let d = d.unpacked().ok_or_else(torn)?;
-            k.decrees.insert(d.version, d);
+            let d = d.decompress().ok_or_else(torn)?;
+            k.entries.insert(d.version, d);
         }
         let mut q = self.db.prepare("SELECT body FROM digest ORDER BY ver")?;
         let mut digests = Vec::new();
         for b in q.query_map([], |r| r.get::<_, Vec<u8>>(0))? {
-            digests.push(self.unseal::<Digest>(&b?, "a digest")?);
+            digests.push(self.unseal::<EntryDigest>(&b?, "a digest")?);
         }
-        k.digests.extend(digests);
+        k.digests.insert_all(digests);
         // Folders of releases before it hold versions without digests.
-        k.digests.extend(k.decrees.values().map(Digest::of).collect::<Vec<_>>());
+        k.digests.insert_all(k.entries.values().map(EntryDigest::of).collect::<Vec<_>>());
         let blob = |w: &str| -> Result<Option<Vec<u8>>, rusqlite::Error> {
             self.db.query_row("SELECT body FROM vote WHERE what = ?1", [w], |r| r.get(0)).optional()
         };
@@ -284,11 +284,11 @@
         if let Some(b) = blob("accept")? {
             let v: Said = self.unseal(&b, "the acceptance")?;
             let torn = || Damaged::Broken(self.at.clone(), "the acceptance can't be unpacked".into());
-            k.accepted = Some((v.ballot, v.decree.unpacked().ok_or_else(torn)?));
+            k.accepted = Some((v.ballot, v.decree.decompress().ok_or_else(torn)?));
         }
         if let Some(b) = blob("pledge")? {
             let v: Pledge = self.unseal(&b, "the pledge")?;
-            k.pledge = v.cores;
+            k.bootstrap_vote = v.cores;
         }
         let mut q = self.db.prepare("SELECT duty, epoch FROM epoch")?;
         for r in q.query_map([], |r| Ok((r.get::<_, u32>(0)?, r.get::<_, i64>(1)?)))? {
@@ -305,24 +305,24 @@
             let u = |n: i64| u64::try_from(n).unwrap_or(0);
             k.grants.insert(
                 (tenant.clone(), node_id),
-                Grant { tenant, window: u(window), node_id, granted_total: u(granted_total), age: 0 },
+                WindowGrant { tenant, window: u(window), node_id, granted_total: u(granted_total), age: 0 },
             );
         }
         let mut q = self.db.prepare("SELECT nid, inc, addr FROM life")?;
         let rs = q.query_map([], |r| Ok((r.get::<_, Vec<u8>>(0)?, r.get::<_, i64>(1)?, r.get::<_, String>(2)?)))?;
         for r in rs {
             let (n, incarnation, addr) = r?;
-            k.lives.insert((id(n).map_err(|_| torn())?, incarnation.cast_unsigned()), addr);
+            k.registered.insert((id(n).map_err(|_| torn())?, incarnation.cast_unsigned()), addr);
         }
         Ok(k)
     }
 
     /// Writes all of it or nothing, and returns when the disk has it.
-    pub fn commit<'a>(&mut self, ops: impl Iterator<Item = &'a Op>) -> Result<(), Damaged> {
+    pub fn commit<'a>(&mut self, ops: impl Iterator<Item = &'a DurableWrite>) -> Result<(), Damaged> {
         let i = |n: u64| i64::try_from(n).unwrap_or(i64::MAX);
         let mut sizes = self.sizes.clone();
         let t = self.db.transaction()?;
-        let remember = |d: &Digest| -> Result<(), Damaged> {
+        let remember = |d: &EntryDigest| -> Result<(), Damaged> {
             t.prepare_cached("INSERT OR IGNORE INTO digest VALUES (?1, ?2)")?
                 .execute(params![i(d.version), seal(d)?])?;
             Ok(())
@@ -333,45 +333,45 @@
         };
         for o in ops {
             match o {
-                Op::Pledge(p) => put("pledge", seal(&Pledge { cores: p.clone() })?)?,
-                Op::Promise { instance, ballot } => {
+                DurableWrite::BootstrapVote(p) => put("pledge", seal(&Pledge { cores: p.clone() })?)?,
+                DurableWrite::Promise { instance, ballot } => {
                     put("promise", seal(&Vote { instance: *instance, ballot: *ballot })?)?
                 }
-                Op::Accept { ballot, decree } => {
-                    put("accept", seal(&Said { ballot: *ballot, decree: decree.alone() })?)?
+                DurableWrite::Accept { ballot, entry: decree } => {
+                    put("accept", seal(&Said { ballot: *ballot, decree: decree.self_contained() })?)?
                 }
-                Op::Decide(d) => {
-                    remember(&Digest::of(d))?;
+                DurableWrite::Commit(d) => {
+                    remember(&EntryDigest::of(d))?;
                     t.prepare_cached("INSERT OR REPLACE INTO decree VALUES (?1, ?2)")?
-                        .execute(params![i(d.version), seal(&d.alone())?])?;
+                        .execute(params![i(d.version), seal(&d.self_contained())?])?;
                     sizes.insert(d.version, d.body.len());
-                    let floor = history_floor(sizes.iter().rev().map(|(v, n)| (*v, *n)));
+                    let floor = lowest_kept_version(sizes.iter().rev().map(|(v, n)| (*v, *n)));
                     sizes.retain(|v, _| *v >= floor);
                     t.prepare_cached("DELETE FROM decree WHERE ver < ?1")?.execute([i(floor)])?;
                     t.prepare_cached("DELETE FROM digest WHERE ver <= (SELECT MAX(ver) FROM digest) - ?1")?
-                        .execute([i(DIGESTS as u64)])?;
+                        .execute([i(MAX_DIGESTS as u64)])?;
                 }
-                Op::Digests(rows) => rows.iter().try_for_each(remember)?,
-                Op::Epoch { duty, epoch } => {
+                DurableWrite::Digests(rows) => rows.iter().try_for_each(remember)?,
+                DurableWrite::Epoch { role: duty, epoch } => {
                     t.prepare_cached("INSERT OR REPLACE INTO epoch VALUES (?1, ?2)")?
                         .execute(params![duty, i(*epoch)])?;
                 }
-                Op::Ready(v) => {
+                DurableWrite::Ready(v) => {
                     t.prepare_cached("UPDATE meta SET ready = ?1")?.execute(params![i(*v)])?;
                 }
-                Op::Enroll(ls) => {
+                DurableWrite::Register(ls) => {
                     let mut q = t.prepare_cached("INSERT OR REPLACE INTO life VALUES (?1, ?2, ?3)")?;
                     for l in ls {
                         q.execute(params![l.node_id.0.to_be_bytes(), l.incarnation.cast_signed(), l.addr])?;
                     }
                 }
-                Op::Retire(ls) => {
+                DurableWrite::Deregister(ls) => {
                     let mut q = t.prepare_cached("DELETE FROM life WHERE nid = ?1 AND inc = ?2")?;
                     for (node_id, incarnation) in ls {
                         q.execute(params![node_id.0.to_be_bytes(), incarnation.cast_signed()])?;
                     }
                 }
-                Op::Grant(g) => {
+                DurableWrite::Grant(g) => {
                     t.prepare_cached("DELETE FROM quota WHERE tenant = ?1 AND win < ?2")?
                         .execute(params![g.tenant, i(g.window)])?;
                     t.prepare_cached("INSERT OR REPLACE INTO quota VALUES (?1, ?2, ?3, ?4)")?.execute(params![
--- a/crates/node/src/disk/writer.rs
+++ b/crates/node/src/disk/writer.rs
@@ -5,13 +5,13 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Duration;
-use sumacvale_core::agree::Op;
+use sumacvale_core::consensus::DurableWrite;
 
 /// Writes that are synced together.
 #[derive(Debug)]
 pub struct Job {
     pub token: u64,
-    pub ops: Vec<Op>,
+    pub ops: Vec<DurableWrite>,
 }
 
 /// The thread that alone touches the disk.
--- a/crates/node/src/front/answer.rs
+++ b/crates/node/src/front/answer.rs
@@ -1,17 +1,17 @@
 //! The router's own answers to calls.
 
 use crate::dialect::Dialect;
-use sumacvale_core::call::{Answer, back_after};
+use sumacvale_core::call::{LocalResponse, spread_retry_after};
 use viz::{Body, Response, StatusCode, header};
 
 /// An answer in the words of a dialect.
-pub fn response(d: &Dialect, a: &Answer, id: &str) -> Response {
-    let back = a.back.map(|t| back_after(t, id));
+pub fn response(d: &Dialect, a: &LocalResponse, id: &str) -> Response {
+    let back = a.retry_after.map(|t| spread_retry_after(t, id));
     let mut s = format!(
         "{{\"code\":\"{}\",\"remedy\":{},\"ran\":\"{}\",\"call\":{}",
         a.code,
         sonic_rs::to_string(&a.remedy).unwrap_or_default(),
-        a.ran.name(),
+        a.execution.name(),
         sonic_rs::to_string(id).unwrap_or_default(),
     );
     if let Some(t) = back {
@@ -23,9 +23,9 @@
     let h = r.headers_mut();
     h.insert(header::CONTENT_TYPE, header::HeaderValue::from_static("application/json"));
     if let Some(k) = d.heads.ran {
-        h.insert(k, header::HeaderValue::from_static(a.ran.name()));
+        h.insert(k, header::HeaderValue::from_static(a.execution.name()));
     }
-    if let Some(v) = a.back.and_then(|t| header::HeaderValue::from_str(&(d.back)(t, id)).ok()) {
+    if let Some(v) = a.retry_after.and_then(|t| header::HeaderValue::from_str(&(d.back)(t, id)).ok()) {
         h.insert(header::RETRY_AFTER, v);
     }
     if let Ok(v) = header::HeaderValue::from_str(id) {
--- a/crates/node/src/front/carrier.rs
+++ b/crates/node/src/front/carrier.rs
@@ -15,9 +15,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 use sumacvale_core::base::{MS, Micros};
-use sumacvale_core::call::{Bad, Effect, Event, Head, Held, Life};
-use sumacvale_core::place::Place;
-use sumacvale_core::tries::Spot;
+use sumacvale_core::call::{BodyError, BodyReservation, CallMachine, Effect, Event, RequestHead};
+use sumacvale_core::placement::Endpoint;
+use sumacvale_core::retry::FailurePoint;
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 use viz::{Body, Response};
@@ -26,7 +26,7 @@
 
 /// What the outside came to.
 enum Done {
-    Read(Result<Bytes, Bad>, Held),
+    Read(Result<Bytes, BodyError>, BodyReservation),
     Opened(Result<Line<Open>, Shut>),
     Sent(Result<(hyper::Response<Incoming>, Line<Busy>), Failed>),
 }
@@ -42,15 +42,15 @@
 pub struct Carrier {
     h: Arc<Shared>,
     n: u64,
-    life: Life,
+    life: CallMachine,
     ask: Ask,
     todo: VecDeque<Effect>,
     events: mpsc::UnboundedReceiver<Event>,
     version: watch::Receiver<Option<u64>>,
     body: Option<Body>,
-    held: Option<Held>,
+    held: Option<BodyReservation>,
     bytes: Bytes,
-    at: Option<Place>,
+    at: Option<Endpoint>,
     line: Option<Line<Open>>,
     /// A kept connection had ended, so the next one is a new one.
     fresh: bool,
@@ -94,8 +94,8 @@
 
 impl Carrier {
     /// A task for the call with this number.
-    pub fn new(h: Arc<Shared>, n: u64, head: Head, ask: Ask, body: Body) -> Self {
-        let life = Life::new(n, head, h.view.load_full(), clock::now());
+    pub fn new(h: Arc<Shared>, n: u64, head: RequestHead, ask: Ask, body: Body) -> Self {
+        let life = CallMachine::new(n, head, h.view.load_full(), clock::now());
         let events = h.call_events.subscribe(n);
         let version = h.version.clone();
         Carrier {
@@ -121,12 +121,12 @@
 
     /// Up to the head of a response, which may go on passing pieces after it.
     pub async fn run(mut self) -> Response {
-        self.step(Event::Turn);
+        self.step(Event::Wake);
         loop {
             while let Some(e) = self.todo.pop_front() {
                 match e {
-                    Effect::Answer(a) => return answer::response(self.h.dialect, &a, &self.ask.id),
-                    Effect::Begin => return self.begin().await,
+                    Effect::Respond(a) => return answer::response(self.h.dialect, &a, &self.ask.id),
+                    Effect::ForwardHead => return self.begin().await,
                     e => self.carry(e),
                 }
             }
@@ -156,13 +156,13 @@
     }
 
     async fn next(&mut self) -> Option<Item> {
-        if self.todo.is_empty() && self.life.over() {
+        if self.todo.is_empty() && self.life.is_finished() {
             return None;
         }
         loop {
             while let Some(e) = self.todo.pop_front() {
                 match e {
-                    Effect::Pass(b) => {
+                    Effect::ForwardChunk(b) => {
                         let Some(n) = &mut self.owed else { return Some(Ok(b)) };
                         *n = n.saturating_sub(b.len() as u64);
                         if *n > 0 {
@@ -197,8 +197,8 @@
         let out = self.h.step(|cx| self.life.step(e, cx));
         for e in out {
             match e {
-                Effect::Ring(r) => self.h.ring(r),
-                Effect::Need { tenant, waiting } => {
+                Effect::Wake(r) => self.h.ring(r),
+                Effect::RequestUnits { tenant, waiting } => {
                     let _ = self.h.inbox.try_send(Command::Need { tenant, waiting });
                 }
                 e => self.todo.push_back(e),
@@ -209,29 +209,29 @@
     fn carry(&mut self, e: Effect) {
         let h = self.h.clone();
         match e {
-            Effect::Read { most } => {
+            Effect::ReadBody { max_bytes: most } => {
                 let b = self.body.take().unwrap_or_default();
-                let mut held = h.floor.bodies.hold();
+                let mut held = h.floor.body_budget.reserve();
                 self.doing = Doing::Work(Box::pin(async move {
                     let r = body::read(b, most, &mut held).await;
                     Done::Read(r, held)
                 }));
             }
-            Effect::Open(p) => {
+            Effect::Connect(p) => {
                 let l = Line::to(Target { addr: p.addr, worker_id: p.worker_id.clone(), incarnation: p.incarnation });
                 let want = Want {
                     fresh: std::mem::take(&mut self.fresh),
-                    once: self.life.who().is_none_or(|w| !w.m.repeat),
+                    once: self.life.route().is_none_or(|w| !w.matched.idempotent),
                     cap: h.limits.worker_conns(),
                 };
                 self.at = Some(p);
                 self.doing = Doing::Work(Box::pin(async move { Done::Opened(l.open(&h.upstreams, want).await) }));
             }
-            Effect::Send { after, window, until, urgency } => {
-                let tenant = self.life.who().map_or("", |w| &w.tenant.name).to_owned();
+            Effect::Send { last_event_id: after, window, deadline: until, urgency } => {
+                let tenant = self.life.route().map_or("", |w| &w.tenant.name).to_owned();
                 let req = self.at.as_ref().and_then(|p| {
                     if p.zone != h.env.zone {
-                        h.floor.counts.far_bytes.more(self.bytes.len() as u64);
+                        h.floor.counters.far_bytes.add(self.bytes.len() as u64);
                     }
                     let left = (until != Micros::MAX).then(|| until.saturating_sub(clock::now()) / MS);
                     let t = heads::Attempt { to: p, tenant: &tenant, after, window, left, urgency };
@@ -252,14 +252,14 @@
 
     /// Awaits whatever comes first of all that can happen to this call.
     async fn event(&mut self) -> Event {
-        let due = self.life.due(&self.h.view.load());
-        let (minds, flows) = (self.life.minds(), self.life.flows());
+        let due = self.life.next_wake(&self.h.view.load());
+        let (minds, flows) = (self.life.wants_new_view(), self.life.is_streaming());
         let done = tokio::select! {
             biased;
-            Ok(()) = self.version.changed(), if minds => return Event::Turn,
+            Ok(()) = self.version.changed(), if minds => return Event::Wake,
             Some(e) = self.events.recv(), if !flows => return e,
             e = outside(&mut self.doing) => e,
-            () = self.nap.until(due) => return Event::Turn,
+            () = self.nap.until(due) => return Event::Wake,
         };
         match done {
             Ok(e) => e,
@@ -279,15 +279,17 @@
             }
             Done::Opened(Ok(l)) => {
                 self.line = Some(l);
-                Event::Opened
+                Event::Connected
+            }
+            Done::Opened(Err(Shut::Full)) => Event::AttemptFailed(FailurePoint::Declined),
+            Done::Opened(Err(Shut::Io(_))) | Done::Sent(Err(Failed::Refused)) => {
+                Event::AttemptFailed(FailurePoint::Connect)
             }
-            Done::Opened(Err(Shut::Full)) => Event::Lost(Spot::Declined),
-            Done::Opened(Err(Shut::Io(_))) | Done::Sent(Err(Failed::Refused)) => Event::Lost(Spot::Connect),
             Done::Sent(Err(Failed::Unsent)) => {
                 self.fresh = true;
-                Event::Unsent
+                Event::NotSent
             }
-            Done::Sent(Err(Failed::Lost)) => Event::Lost(Spot::Sent),
+            Done::Sent(Err(Failed::Lost)) => Event::AttemptFailed(FailurePoint::Sent),
             Done::Sent(Ok((r, l))) => {
                 let reply = heads::reply(&self.h.dialect.heads, &r, &self.ask);
                 let (p, b) = r.into_parts();
@@ -306,10 +308,10 @@
         Doing::Flow(b, _) => loop {
             match b.next().await {
                 None => return Ok(Event::End),
-                Some(Err(_)) => return Ok(Event::Broke),
+                Some(Err(_)) => return Ok(Event::BodyAborted),
                 Some(Ok(f)) => {
                     if let Ok(b) = f.into_data() {
-                        return Ok(Event::Piece(b));
+                        return Ok(Event::Chunk(b));
                     }
                 }
             }
@@ -319,7 +321,7 @@
 
 impl Drop for Carrier {
     fn drop(&mut self) {
-        self.step(Event::Left);
+        self.step(Event::ClientGone);
         self.h.call_events.unsubscribe(self.n);
         // What was rung before that is given back by the life, which is over.
         while let Ok(e) = self.events.try_recv() {
--- a/crates/node/src/front/heads.rs
+++ b/crates/node/src/front/heads.rs
@@ -6,8 +6,8 @@
 use hyper::body::Incoming;
 use smallvec::SmallVec;
 use sumacvale_core::base::{MS, hash64};
-use sumacvale_core::call::{Head, Reply};
-use sumacvale_core::place::Place;
+use sumacvale_core::call::{RequestHead, ResponseHead};
+use sumacvale_core::placement::Endpoint;
 use viz::{Method, Response, header, header::HeaderMap, header::HeaderValue};
 
 const HOP: [&str; 9] = [
@@ -59,27 +59,27 @@
 }
 
 /// What the core needs to know of a call.
-pub fn head(d: &Heads, m: &Method, u: &hyper::Uri, h: &HeaderMap) -> Head {
+pub fn head(d: &Heads, m: &Method, u: &hyper::Uri, h: &HeaderMap) -> RequestHead {
     let tokens = by(h, d.tokens).and_then(|s| {
         let (a, b) = s.split_once(',')?;
         Some((a.trim().parse().ok()?, b.trim().parse().ok()?))
     });
-    Head {
+    RequestHead {
         method: m.as_str().to_owned(),
         host: text(h, "host").map(host).unwrap_or_default(),
         path: u.path().to_owned(),
         query: u.query().map(str::to_owned),
-        key: text(h, "authorization").and_then(|s| s.strip_prefix("Bearer ")).map(str::to_owned),
-        after: text(h, "last-event-id").and_then(|s| s.trim().parse().ok()),
-        left: by(h, d.left).and_then(|s| s.trim().parse::<u64>().ok()).map(|n| n.saturating_mul(MS)),
-        parts: by(h, d.parts).map(parts).unwrap_or_default(),
+        api_key: text(h, "authorization").and_then(|s| s.strip_prefix("Bearer ")).map(str::to_owned),
+        last_event_id: text(h, "last-event-id").and_then(|s| s.trim().parse().ok()),
+        time_left: by(h, d.left).and_then(|s| s.trim().parse::<u64>().ok()).map(|n| n.saturating_mul(MS)),
+        prompt_parts: by(h, d.parts).map(parts).unwrap_or_default(),
         tokens: tokens.unwrap_or_default(),
     }
 }
 
 /// What is said of one attempt.
 pub struct Attempt<'a> {
-    pub to: &'a Place,
+    pub to: &'a Endpoint,
     pub tenant: &'a str,
     pub after: Option<u64>,
     pub window: u64,
@@ -159,7 +159,7 @@
 
 /// What the head of a worker's answer comes to. Only one that names its request is believed
 /// where it says that it did not run; where answers bear seals, each must name its request.
-pub fn reply(d: &Heads, r: &hyper::Response<Incoming>, ask: &Ask) -> Reply {
+pub fn reply(d: &Heads, r: &hyper::Response<Incoming>, ask: &Ask) -> ResponseHead {
     let h = r.headers();
     let status = r.status().as_u16();
     let named = names(d, h, &ask.id);
@@ -172,12 +172,12 @@
     // A success that says that it did not run is spoiled, whichever of the two is true.
     let contradicts = success && says_not;
     let misdirected = status == 421 && d.worker.is_some();
-    Reply {
+    ResponseHead {
         status,
-        sse: text(h, "content-type").is_some_and(|s| s.starts_with("text/event-stream")),
-        bounded: bounded(&ask.method, status, h),
-        unrun: named == Some(true) && !success && (says_not || misdirected),
-        other: named == Some(false) || anonymous || unsealed || no_answer || contradicts,
+        is_event_stream: text(h, "content-type").is_some_and(|s| s.starts_with("text/event-stream")),
+        has_definite_end: bounded(&ask.method, status, h),
+        not_run: named == Some(true) && !success && (says_not || misdirected),
+        is_foreign: named == Some(false) || anonymous || unsealed || no_answer || contradicts,
         load: by(h, d.load).and_then(load),
     }
 }
--- a/crates/node/src/front/serve.rs
+++ b/crates/node/src/front/serve.rs
@@ -5,7 +5,7 @@
 use crate::shared::Shared;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
-use sumacvale_core::call::{Answer, Reason};
+use sumacvale_core::call::{LocalResponse, RejectionReason};
 use viz::{Request, Response, header, header::HeaderValue};
 
 /// Takes one call from its head to the head of its response.
@@ -15,7 +15,7 @@
     let id = heads::call_id(&h.dialect.heads, &p.headers).unwrap_or_else(|| format!("{}-{n}", h.node_id));
     let mut res = if p.version < hyper::Version::HTTP_11 {
         // It could not tell a broken response from a whole one.
-        answer::response(h.dialect, &Answer::new(Reason::HttpVersion, "send HTTP/1.1"), &id)
+        answer::response(h.dialect, &LocalResponse::new(RejectionReason::HttpVersion, "send HTTP/1.1"), &id)
     } else {
         let head = heads::head(&h.dialect.heads, &p.method, &p.uri, &p.headers);
         let target = p.uri.path_and_query().map_or_else(|| "/".into(), ToString::to_string);
--- a/crates/node/src/import.rs
+++ b/crates/node/src/import.rs
@@ -2,7 +2,7 @@
 
 use openapiv3::{OpenAPI, Operation, ReferenceOr};
 use serde_json::{Map, Value, json};
-use sumacvale_core::config::judge;
+use sumacvale_core::config::validate;
 
 /// A tree with the pool and a match for each operation, and what was left out.
 pub fn import(text: &str, pool: &str) -> Result<(String, Vec<String>), String> {
@@ -25,7 +25,7 @@
     }
     let tree = json!({ "pools": { pool: {} }, "matches": ms });
     let s = serde_json::to_string_pretty(&tree).map_err(|e| e.to_string())?;
-    judge(&s).map_err(|v| v.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))?;
+    validate(&s).map_err(|v| v.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))?;
     Ok((s, out))
 }
 
--- a/crates/node/src/link/inbound.rs
+++ b/crates/node/src/link/inbound.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
-use sumacvale_core::peer::{Frame, Garbled, LARGE, unpack};
+use sumacvale_core::protocol::{Frame, FrameError, MAX_FRAME_BYTES, decode_frame};
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
@@ -40,7 +40,7 @@
     let mut peer_is_known = false;
     loop {
         let n = s.read_u32_le().await? as usize;
-        if n > LARGE {
+        if n > MAX_FRAME_BYTES {
             return Err(bad(format!("a frame of {n} bytes")));
         }
         buf.clear();
@@ -55,12 +55,12 @@
                 .map_err(|_| bad("a frame that does not end".into()))??;
             left -= part;
         }
-        match unpack(&buf) {
+        match decode_frame(&buf) {
             Ok(f) => {
                 peer_is_known = true;
                 got(f).await;
             }
-            Err(e @ Garbled::Unread(_)) if peer_is_known => skip_unread(t, &e),
+            Err(e @ FrameError::Undecodable(_)) if peer_is_known => skip_unread(t, &e),
             Err(e) => return Err(bad(e.to_string())),
         }
         if buf.capacity() > 1 << 20 {
@@ -71,7 +71,7 @@
 
 /// A peer of another release may send messages that this one has no word for: the frame is whole,
 /// so the ones behind it are read.
-fn skip_unread(t: &Tally, e: &Garbled) {
+fn skip_unread(t: &Tally, e: &FrameError) {
     if t.unread.fetch_add(1, Ordering::Relaxed) == 0 {
         tracing::warn!(trouble = %e, "skipped a peer's frame; later ones are only counted");
     }
--- a/crates/node/src/ops.rs
+++ b/crates/node/src/ops.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use sumacvale_core::base::{ChangeId, MS, Micros, hash64};
 use sumacvale_core::config::Patch;
-use sumacvale_core::peer::{Change, Decree, Fate, Row, UNNUMBERED};
+use sumacvale_core::protocol::{Change, ChangeOutcome, LogEntry, UNNUMBERED_INCARNATION, WorkerReport};
 use tokio::sync::oneshot;
 
 /// How long a version that others confirmed may take to arrive here.
@@ -14,25 +14,25 @@
 const LOOK: Duration = Duration::from_millis(10);
 
 /// Hands a change or a question to the node, and waits for its end.
-pub async fn ask(h: &Shared, (change_id, fresh): (ChangeId, bool), base: u64, change: Change) -> Fate {
+pub async fn ask(h: &Shared, (change_id, fresh): (ChangeId, bool), base: u64, change: Change) -> ChangeOutcome {
     let (tx, rx) = oneshot::channel();
     if h.inbox.send(Command::Put { change_id, fresh, base, change, back: tx }).await.is_err() {
-        return Fate::NoMajority;
+        return ChangeOutcome::NoQuorum;
     }
-    rx.await.unwrap_or(Fate::Unknown)
+    rx.await.unwrap_or(ChangeOutcome::Unknown)
 }
 
 /// A whole document, built on the one with number `base`. The same document is the same change.
-pub async fn put(h: &Shared, base: u64, body: String) -> Fate {
+pub async fn put(h: &Shared, base: u64, body: String) -> ChangeOutcome {
     if let Err(v) = (h.dialect.read)(&body) {
-        return Fate::Invalid { why: v.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ") };
+        return ChangeOutcome::Invalid { reason: v.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ") };
     }
     let change_id = ChangeId(hash64(body.as_bytes()).max(1));
-    ask(h, (change_id, false), base, Change::Doc(body)).await
+    ask(h, (change_id, false), base, Change::Document(body)).await
 }
 
 /// Changes to single items of the document with number `base`. The same patch is the same change.
-pub async fn patch(h: &Shared, base: u64, patch: Patch) -> Fate {
+pub async fn patch(h: &Shared, base: u64, patch: Patch) -> ChangeOutcome {
     let [a, b, c, d, e, f, g, i, ..] = patch.hash();
     let change_id = ChangeId(u64::from_be_bytes([a, b, c, d, e, f, g, i]).max(1));
     ask(h, (change_id, false), base, Change::Patch(patch)).await
@@ -40,21 +40,21 @@
 
 /// The newest document: nothing that was acknowledged before this call is missing in it.
 pub async fn newest(h: &Shared) -> Option<String> {
-    match ask(h, (ChangeId(0), false), 0, Change::Newest).await {
-        Fate::Told { text } => Some(text),
+    match ask(h, (ChangeId(0), false), 0, Change::ReadNewest).await {
+        ChangeOutcome::Content { text } => Some(text),
         _ => None,
     }
 }
 
 /// The newest version, once this node holds it; nothing that was acknowledged before this call is
 /// missing in it.
-pub async fn newest_version(h: &Shared) -> Option<Arc<Decree>> {
+pub async fn newest_version(h: &Shared) -> Option<Arc<LogEntry>> {
     let from = clock::now();
     let body = newest(h).await?;
     while clock::now() < from + HOLD {
         let v = h.view.load_full();
-        let confirmed = v.fresh.is_some_and(|t| t >= from);
-        if let Some(d) = v.decree.clone().filter(|d| confirmed || d.body == body) {
+        let confirmed = v.confirmed_at.is_some_and(|t| t >= from);
+        if let Some(d) = v.entry.clone().filter(|d| confirmed || d.body == body) {
             return Some(d);
         }
         tokio::time::sleep(LOOK).await;
@@ -63,14 +63,14 @@
 }
 
 /// A worker says who it is and how it is; true once that counts wherever calls are taken.
-pub async fn beat(h: &Shared, row: Row) -> bool {
+pub async fn beat(h: &Shared, row: WorkerReport) -> bool {
     let (back, rx) = oneshot::channel();
     h.inbox.try_send(Command::Told { row, back }).is_ok() && rx.await.unwrap_or(false)
 }
 
 /// A worker has ended in order.
 pub async fn leave(h: &Shared, id: &str) -> bool {
-    beat(h, Row::left(id, UNNUMBERED)).await
+    beat(h, WorkerReport::removal(id, UNNUMBERED_INCARNATION)).await
 }
 
 /// Whether callers may be handed to this node.
@@ -82,7 +82,7 @@
         Err("draining")
     } else if !h.fresh(&v) {
         Err("not fresh")
-    } else if !v.ready(clock::now()) {
+    } else if !v.is_ready(clock::now()) {
         Err("not all workers heard of yet")
     } else {
         Ok(())
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -13,7 +13,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
 use sumacvale_core::base::{NodeId, SEC};
-use sumacvale_core::node::{Me, Node};
+use sumacvale_core::node::{Node, NodeSettings};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 use viz::Router;
@@ -73,7 +73,7 @@
     let seed = random()?;
     let (stx, synced) = mpsc::unbounded_channel();
     let (mut disk, mut kept, mut incarnation, mut node_id) =
-        (None, sumacvale_core::agree::Kept::default(), 1, NodeId(seed));
+        (None, sumacvale_core::consensus::DurableState::default(), 1, NodeId(seed));
     if let Some(d) = &env.data {
         let (b, k, life) = Database::open_when_writable(d, node_id).map_err(|e| (2, e.to_string()))?;
         (kept, incarnation, node_id) = (k.clone(), life, k.node_id);
@@ -83,20 +83,20 @@
         .map_err(|e| (1, format!("no thread for the disk: {e}")))?;
         disk = Some(desk);
     }
-    let me = Me {
+    let me = NodeSettings {
         node_id,
         incarnation,
         addr: env.peer.to_string(),
         admin: env.admin.to_string(),
         zone: env.zone.clone(),
         seeds: env.seeds.iter().map(ToString::to_string).collect(),
-        core: env.data.is_some(),
-        read: dialect.read,
-        first: env.members.first,
-        auto: env.members.auto,
-        lose: env.members.lose,
-        beat: env.beat,
-        to_cores: env.to_cores,
+        is_core: env.data.is_some(),
+        config_reader: dialect.read,
+        may_bootstrap: env.members.first,
+        manages_voters: env.members.auto,
+        tolerated_losses: env.members.lose,
+        report_interval: env.beat,
+        reports_to_cores_only: env.to_cores,
     };
     // The node tells how long it has had its address for itself: its life begins once it has.
     let peer =
@@ -117,8 +117,9 @@
     let (itx, inbox) = mpsc::channel(4096);
     let (vtx, vrx) = watch::channel(None);
     let tally = Arc::new(Tally::default());
-    let mut floor = sumacvale_core::call::Floor::new(&env.zone, env.waitlist, env.bodies, node.slices.clone());
-    floor.engines = sumacvale_core::place::Engines::new(seed);
+    let mut floor =
+        sumacvale_core::call::SharedCallState::new(&env.zone, env.waitlist, env.bodies, node.quota.slices.clone());
+    floor.engines = sumacvale_core::placement::EngineModels::new(seed);
     let shared = Arc::new(Shared {
         node_id: node_id.to_string(),
         view: arc_swap::ArcSwap::default(),
@@ -193,7 +194,7 @@
 
 /// A core that leaves waits until what it holds is on the disks of a majority without it.
 async fn may_end(h: &Shared) {
-    while !h.view.load().may_end {
+    while !h.view.load().may_stop {
         tokio::time::sleep(MAY_END_EVERY).await;
     }
 }
--- a/crates/node/src/shared/state.rs
+++ b/crates/node/src/shared/state.rs
@@ -12,19 +12,19 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64};
 use sumacvale_core::base::{ChangeId, Version};
-use sumacvale_core::call::{Cx, Floor, Own, Ring};
+use sumacvale_core::call::{SharedCallState, StepContext, ThreadCaches, Wakeup};
 use sumacvale_core::node::View;
-use sumacvale_core::peer::{Change, Fate, Row};
+use sumacvale_core::protocol::{Change, ChangeOutcome, WorkerReport};
 use tokio::sync::{mpsc, oneshot, watch};
 
 /// What the data plane and operators tell the node.
 #[derive(Debug)]
 pub enum Command {
-    Report(Row),
+    Report(WorkerReport),
     /// The settings name other seeds.
     Seeds(Vec<String>),
     Told {
-        row: Row,
+        row: WorkerReport,
         back: oneshot::Sender<bool>,
     },
     Put {
@@ -32,7 +32,7 @@
         fresh: bool,
         base: Version,
         change: Change,
-        back: oneshot::Sender<Fate>,
+        back: oneshot::Sender<ChangeOutcome>,
     },
     Need {
         tenant: String,
@@ -51,7 +51,7 @@
     pub node_id: String,
     pub view: ArcSwap<View>,
     pub inbox: mpsc::Sender<Command>,
-    pub floor: Floor,
+    pub floor: SharedCallState,
     pub call_events: CallEvents,
     pub upstreams: Upstreams,
     pub limits: Arc<Limits>,
@@ -65,13 +65,13 @@
 }
 
 thread_local! {
-    static OWN: RefCell<Own> = RefCell::default();
+    static OWN: RefCell<ThreadCaches> = RefCell::default();
 }
 
 impl Shared {
     /// Whether calls may be admitted by this view.
     pub fn fresh(&self, v: &View) -> bool {
-        v.admits(clock::now())
+        v.may_admit(clock::now())
     }
 
     /// Whether this process was told to stop.
@@ -80,20 +80,26 @@
     }
 
     /// Lets `f` see the floor, this thread's own layers, the newest picture and the time.
-    pub fn step<R>(&self, f: impl FnOnce(&mut Cx) -> R) -> R {
+    pub fn step<R>(&self, f: impl FnOnce(&mut StepContext) -> R) -> R {
         let view = self.view.load();
         OWN.with(|o| {
             let own = &mut o.borrow_mut();
-            f(&mut Cx { floor: &self.floor, own, view: &view, now: clock::now(), clock: &clock::now })
+            f(&mut StepContext {
+                shared: &self.floor,
+                thread_caches: own,
+                view: &view,
+                now: clock::now(),
+                clock: &clock::now,
+            })
         })
     }
 
     /// Tells a call what came for it; what nobody hears goes to who waits next.
-    pub fn ring(&self, r: Ring) {
+    pub fn ring(&self, r: Wakeup) {
         let mut all = vec![r];
-        while let Some(Ring { call, of, event }) = all.pop() {
+        while let Some(Wakeup { call_id: call, queue: of, event }) = all.pop() {
             if let Err(event) = self.call_events.ring(call, event) {
-                all.extend(self.step(|cx| Floor::undo(Ring { call, of, event }, cx)));
+                all.extend(self.step(|cx| SharedCallState::reclaim(Wakeup { call_id: call, queue: of, event }, cx)));
             }
         }
     }
@@ -104,7 +110,7 @@
         self.upstreams
             .sweep(|w, incarnation| v.workers.iter().any(|r| r.worker_id == w && r.incarnation == incarnation));
         drop(v);
-        let (rs, need) = self.step(Floor::sweep);
+        let (rs, need) = self.step(SharedCallState::expire_waiters);
         for r in rs {
             self.ring(r);
         }
--- a/crates/node/tests/answers/front.rs
+++ b/crates/node/tests/answers/front.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64};
 use sumacvale_core::base::SEC;
-use sumacvale_core::call::Floor;
-use sumacvale_core::config::Plan;
+use sumacvale_core::call::SharedCallState;
+use sumacvale_core::config::CompiledConfig;
 use sumacvale_core::node::View;
-use sumacvale_core::peer::Row;
+use sumacvale_core::protocol::WorkerReport;
 use sumacvale_node::dialect::{Dialect, Heads};
 use sumacvale_node::env::Env;
 use sumacvale_node::shared::{CallEvents, Shared};
@@ -32,7 +32,7 @@
         seal,
         load: None,
     };
-    Dialect { heads, host: false, back: seconds, read: sumacvale_core::config::judge }
+    Dialect { heads, host: false, back: seconds, read: sumacvale_core::config::validate }
 }
 
 fn seconds(_: u64, _: &str) -> String {
@@ -72,8 +72,8 @@
     _keep: (watch::Sender<bool>, watch::Sender<Option<u64>>, mpsc::Receiver<sumacvale_node::shared::Command>),
 }
 
-fn row(n: usize, addr: SocketAddr, seq: u64) -> Row {
-    Row {
+fn row(n: usize, addr: SocketAddr, seq: u64) -> WorkerReport {
+    WorkerReport {
         worker_id: format!("w{n}"),
         incarnation: 1,
         seq,
@@ -82,9 +82,9 @@
         zone: "z".into(),
         slots: 8,
         busy: 0,
-        drain: false,
-        cold: 0,
-        gone: false,
+        draining: false,
+        warm_up_left: 0,
+        removed: false,
         age: 0,
     }
 }
@@ -99,7 +99,7 @@
             node_id: "n".into(),
             view: arc_swap::ArcSwap::default(),
             inbox,
-            floor: Floor::new("z", 8, 64 << 20, Arc::default()),
+            floor: SharedCallState::new("z", 8, 64 << 20, Arc::default()),
             call_events: CallEvents::default(),
             upstreams: sumacvale_node::upstream::Upstreams::default(),
             limits: Arc::default(),
@@ -124,13 +124,13 @@
     pub fn report(&self, seq: u64, patience: u64) {
         let rows = self.workers.iter().enumerate().map(|(n, a)| row(n, *a, seq)).collect();
         let tree = TREE.replace("PATIENCE", &patience.to_string());
-        let plan = Arc::new(Plan::compile(1, &tree));
-        assert_eq!(plan.matches.len(), 4, "{:?}", sumacvale_core::config::judge(&tree));
+        let plan = Arc::new(CompiledConfig::compile(1, &tree));
+        assert_eq!(plan.matches.len(), 4, "{:?}", sumacvale_core::config::validate(&tree));
         let fresh = Some(clock::now() + 3_600 * SEC);
         self.shared.view.store(Arc::new(View {
             version: Some(1),
-            fresh,
-            plan,
+            confirmed_at: fresh,
+            config: plan,
             workers: Arc::new(rows),
             ..View::default()
         }));
@@ -140,7 +140,7 @@
     /// Second tries are paid for.
     pub fn pay(&self) {
         for _ in 0..50 {
-            self.shared.floor.budget.first();
+            self.shared.floor.retry_budget.deposit();
         }
     }
 
--- a/crates/node/tests/clock.rs
+++ b/crates/node/tests/clock.rs
@@ -4,10 +4,10 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
 use std::time::{Duration, Instant, SystemTime};
-use sumacvale_core::agree::Kept;
 use sumacvale_core::base::{ChangeId, MS, Micros, NodeId, SEC};
-use sumacvale_core::node::{Effect, Event, Me, Node};
-use sumacvale_core::peer::{Change, Core, Decree, Fate};
+use sumacvale_core::consensus::DurableState;
+use sumacvale_core::node::{Effect, Event, Node, NodeSettings};
+use sumacvale_core::protocol::{Change, ChangeOutcome, LogEntry, Voter};
 use sumacvale_node::clock;
 
 /// By how many seconds the time of day is off, and how often it was read.
@@ -56,44 +56,44 @@
 
 /// A fleet of one core: each order needs its own vote, synced and counted.
 fn lone_core(now: Micros) -> Node {
-    let me = Me {
-        read: sumacvale_core::config::judge,
-        first: true,
-        auto: false,
-        lose: 1,
+    let me = NodeSettings {
+        config_reader: sumacvale_core::config::validate,
+        may_bootstrap: true,
+        manages_voters: false,
+        tolerated_losses: 1,
         node_id: NodeId(1),
         incarnation: 1,
         addr: "10.0.0.1:7000".into(),
         admin: String::new(),
         zone: "z0".into(),
         seeds: vec!["10.0.0.1:7000".into()],
-        core: true,
-        beat: 500 * MS,
-        to_cores: false,
+        is_core: true,
+        report_interval: 500 * MS,
+        reports_to_cores_only: false,
     };
-    let cores = vec![Core { node_id: NodeId(1), addr: me.addr.clone() }];
-    let decree = Decree {
+    let cores = vec![Voter { node_id: NodeId(1), addr: me.addr.clone() }];
+    let decree = LogEntry {
         version: 0,
         change_id: ChangeId(1),
-        fleet: 7,
-        since: 0,
-        old: vec![],
-        cores,
+        fleet_id: 7,
+        voters_since: 0,
+        previous_voters: vec![],
+        voters: cores,
         body: "{}".into(),
         revision: 0,
         patch: None,
-        packed: Vec::new(),
+        compressed: Vec::new(),
     };
-    let mut kept = Kept { node_id: NodeId(1), ready: Some(0), ..Kept::default() };
-    kept.decrees.insert(0, decree);
+    let mut kept = DurableState { node_id: NodeId(1), ready_set: Some(0), ..DurableState::default() };
+    kept.entries.insert(0, decree);
     Node::new(me, &kept, 1, now)
 }
 
-fn step(node: &mut Node, event: Event, fates: &mut Vec<Fate>) {
+fn step(node: &mut Node, event: Event, fates: &mut Vec<ChangeOutcome>) {
     for effect in node.step(event, clock::now()) {
         match effect {
             Effect::Write { token, .. } => step(node, Event::Synced(token), fates),
-            Effect::Answer { fate, .. } => fates.push(fate),
+            Effect::CompleteChange { outcome: fate, .. } => fates.push(fate),
             _ => {}
         }
     }
@@ -123,7 +123,7 @@
         let change_id = ChangeId(100 + order);
         step(
             &mut node,
-            Event::Put { req: order, change_id, fresh: true, base, change: Change::Tree(body) },
+            Event::SubmitChange { request_id: order, change_id, is_first_send: true, base, change: Change::Tree(body) },
             &mut fates,
         );
         let waits = Instant::now();
@@ -132,7 +132,7 @@
             std::thread::yield_now();
             assert!(waits.elapsed() < Duration::from_mins(1), "no answer after a step of {seconds} s");
         }
-        assert_eq!(fates[n], Fate::Done { version: order }, "after a step of {seconds} s");
+        assert_eq!(fates[n], ChangeOutcome::Committed { version: order }, "after a step of {seconds} s");
     }
     assert_eq!(READS.load(Ordering::SeqCst), reads, "nothing in the core or its time source read the time of day");
     STEP.store(0, Ordering::SeqCst);
--- a/crates/node/tests/disk.rs
+++ b/crates/node/tests/disk.rs
@@ -4,9 +4,9 @@
 use std::os::unix::process::CommandExt;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
-use sumacvale_core::agree::{DIGESTS, HISTORY_BYTES, Kept, Op};
 use sumacvale_core::base::{ChangeId, NodeId};
-use sumacvale_core::peer::{Ballot, Core, Decree, Digest, Grant, Life};
+use sumacvale_core::consensus::{DurableState, DurableWrite, MAX_DIGESTS, MAX_HISTORY_BYTES};
+use sumacvale_core::protocol::{Ballot, EntryDigest, LogEntry, RegisteredIncarnation, Voter, WindowGrant};
 use sumacvale_node::disk::{Damaged, Database, DiskWriter, Job};
 
 struct Dir(PathBuf);
@@ -26,45 +26,53 @@
     }
 }
 
-fn decree(version: u64) -> Decree {
-    let c = |n| Core { node_id: NodeId(n), addr: format!("10.0.0.{n}:1") };
-    Decree {
+fn decree(version: u64) -> LogEntry {
+    let c = |n| Voter { node_id: NodeId(n), addr: format!("10.0.0.{n}:1") };
+    LogEntry {
         version,
         change_id: ChangeId(version + 7),
-        fleet: 9,
-        since: 0,
-        old: vec![],
-        cores: vec![c(1), c(2)],
+        fleet_id: 9,
+        voters_since: 0,
+        previous_voters: vec![],
+        voters: vec![c(1), c(2)],
         body: format!("{{\"n\":{version}}}"),
         revision: version * 3,
         patch: None,
-        packed: Vec::new(),
+        compressed: Vec::new(),
     }
 }
 
-fn ops() -> Vec<Op> {
-    let ballot = Ballot { n: 3, node_id: NodeId(u64::MAX), life: 2 };
+fn ops() -> Vec<DurableWrite> {
+    let ballot = Ballot { number: 3, node_id: NodeId(u64::MAX), incarnation: 2 };
     let grant = |window, node_id, granted_total| {
-        Op::Grant(Grant { tenant: "t".into(), window, node_id: NodeId(node_id), granted_total, age: 0 })
+        DurableWrite::Grant(WindowGrant { tenant: "t".into(), window, node_id: NodeId(node_id), granted_total, age: 0 })
     };
     let mut v = vec![
-        Op::Pledge(decree(0).cores),
-        Op::Promise { instance: 1, ballot },
-        Op::Accept { ballot, decree: decree(1) },
+        DurableWrite::BootstrapVote(decree(0).voters),
+        DurableWrite::Promise { instance: 1, ballot },
+        DurableWrite::Accept { ballot, entry: decree(1) },
     ];
-    v.extend((0..80).map(|n| Op::Decide(decree(n))));
-    v.extend([Op::Epoch { duty: 3, epoch: 5 }, Op::Epoch { duty: 3, epoch: 6 }, Op::Ready(0)]);
+    v.extend((0..80).map(|n| DurableWrite::Commit(decree(n))));
+    v.extend([
+        DurableWrite::Epoch { role: 3, epoch: 5 },
+        DurableWrite::Epoch { role: 3, epoch: 6 },
+        DurableWrite::Ready(0),
+    ]);
     v.extend([grant(1, 1, 4), grant(1, 2, 5), grant(2, 1, 1), grant(2, 1, 3)]);
-    let life = |node_id, incarnation| Life { node_id: NodeId(node_id), incarnation, addr: format!("a{node_id}:1") };
-    v.push(Op::Enroll(vec![life(1, 1), life(2, u64::MAX), life(2, 3)]));
-    v.push(Op::Retire(vec![(NodeId(2), 3), (NodeId(9), 1)]));
+    let life = |node_id, incarnation| RegisteredIncarnation {
+        node_id: NodeId(node_id),
+        incarnation,
+        addr: format!("a{node_id}:1"),
+    };
+    v.push(DurableWrite::Register(vec![life(1, 1), life(2, u64::MAX), life(2, 3)]));
+    v.push(DurableWrite::Deregister(vec![(NodeId(2), 3), (NodeId(9), 1)]));
     v
 }
 
 #[test]
 fn the_disk_and_the_simulated_disk_keep_the_same() {
     let d = Dir::new("same");
-    let mut want = Kept { node_id: NodeId(77), ..Kept::default() };
+    let mut want = DurableState { node_id: NodeId(77), ..DurableState::default() };
     let (mut b, k, life) = Database::open(&d.0, NodeId(77)).expect("opens");
     assert_eq!((k, life), (want.clone(), 1));
     for o in ops() {
@@ -103,7 +111,7 @@
 fn no_flipped_byte_is_taken_for_what_was_written() {
     let d = Dir::new("flip");
     let f = d.0.join("state.db");
-    let mut want = Kept { node_id: NodeId(77), ..Kept::default() };
+    let mut want = DurableState { node_id: NodeId(77), ..DurableState::default() };
     let (mut b, ..) = Database::open(&d.0, NodeId(77)).expect("opens");
     for o in ops() {
         want.apply(&o);
@@ -122,8 +130,8 @@
         match Database::open(&d.0, NodeId(1)) {
             Err(_) => refused += 1,
             Ok((_, k, _)) => {
-                let same = (&k.decrees, &k.promised, &k.accepted, &k.pledge)
-                    == (&want.decrees, &want.promised, &want.accepted, &want.pledge);
+                let same = (&k.entries, &k.promised, &k.accepted, &k.bootstrap_vote)
+                    == (&want.entries, &want.promised, &want.accepted, &want.bootstrap_vote);
                 assert!(same, "byte {i}: read as something else");
             }
         }
@@ -181,7 +189,7 @@
         db.execute_batch("ROLLBACK; PRAGMA journal_mode=WAL;").expect("goes back");
         old
     };
-    let mut want = Kept { node_id: NodeId(77), ..Kept::default() };
+    let mut want = DurableState { node_id: NodeId(77), ..DurableState::default() };
     let (mut b, ..) = Database::open(&d.0, NodeId(1)).expect("opens");
     b.commit(ops().iter()).expect("commits");
     ops().iter().for_each(|o| want.apply(o));
@@ -191,22 +199,22 @@
     assert_eq!(k, want);
 }
 
-fn large(version: u64) -> Decree {
-    Decree { body: "x".repeat(4 << 20), ..decree(version) }
+fn large(version: u64) -> LogEntry {
+    LogEntry { body: "x".repeat(4 << 20), ..decree(version) }
 }
 
 #[test]
 fn the_folder_stays_small_however_large_versions_are() {
     let d = Dir::new("large");
     let (mut b, ..) = Database::open(&d.0, NodeId(5)).expect("opens");
-    let ballot = Ballot { n: 3, node_id: NodeId(2), life: 2 };
+    let ballot = Ballot { number: 3, node_id: NodeId(2), incarnation: 2 };
     let mut most = 0;
-    let mut want = Kept { node_id: NodeId(5), ..Kept::default() };
+    let mut want = DurableState { node_id: NodeId(5), ..DurableState::default() };
     for version in 0..30 {
         let each = [
-            Op::Promise { instance: version, ballot },
-            Op::Accept { ballot, decree: large(version) },
-            Op::Decide(large(version)),
+            DurableWrite::Promise { instance: version, ballot },
+            DurableWrite::Accept { ballot, entry: large(version) },
+            DurableWrite::Commit(large(version)),
         ];
         for o in &each {
             b.commit([o].into_iter()).expect("commits");
@@ -214,9 +222,9 @@
             most = most.max(on_disk(&d.0));
         }
     }
-    let bodies: usize = want.decrees.values().map(|d| d.body.len()).sum();
+    let bodies: usize = want.entries.values().map(|d| d.body.len()).sum();
     println!("30 versions of 4 MiB: {bodies} bytes of bodies kept, {most} bytes of files at most");
-    assert!(bodies <= HISTORY_BYTES, "{bodies}");
+    assert!(bodies <= MAX_HISTORY_BYTES, "{bodies}");
     assert!(most <= 56 << 20, "{most}");
     drop(b);
     let (_, k, _) = Database::open(&d.0, NodeId(5)).expect("opens again");
@@ -228,22 +236,22 @@
 fn twenty_thousand_versions_are_remembered_in_a_few_megabytes() {
     let d = Dir::new("digests");
     let (mut b, ..) = Database::open(&d.0, NodeId(5)).expect("opens");
-    let all: Vec<_> = (0..DIGESTS as u64 + 500).map(|v| Digest::of(&decree(v))).collect();
+    let all: Vec<_> = (0..MAX_DIGESTS as u64 + 500).map(|v| EntryDigest::of(&decree(v))).collect();
     for piece in all.chunks(500) {
-        b.commit([Op::Digests(piece.to_vec())].iter()).expect("commits");
+        b.commit([DurableWrite::Digests(piece.to_vec())].iter()).expect("commits");
     }
-    let last = decree(DIGESTS as u64 + 500);
-    b.commit([Op::Decide(last.clone())].iter()).expect("commits");
+    let last = decree(MAX_DIGESTS as u64 + 500);
+    b.commit([DurableWrite::Commit(last.clone())].iter()).expect("commits");
     drop(b);
     let from = std::time::Instant::now();
     let (_, k, _) = Database::open(&d.0, NodeId(5)).expect("opens again");
     let (took, bytes) = (from.elapsed(), on_disk(&d.0));
     println!("{} digests: {bytes} bytes of files, read in {} ms", k.digests.len(), took.as_millis());
-    assert_eq!(k.digests.len(), DIGESTS);
-    assert_eq!(k.digests.rows().last(), Some(&Digest::of(&last)));
+    assert_eq!(k.digests.len(), MAX_DIGESTS);
+    assert_eq!(k.digests.as_slice().last(), Some(&EntryDigest::of(&last)));
     assert!(k.digests.get(500).is_none() && k.digests.get(501).is_some(), "the oldest go first");
     assert!(bytes <= 8 << 20, "{bytes}");
-    assert!(std::mem::size_of::<Digest>() * DIGESTS <= 2 << 20);
+    assert!(std::mem::size_of::<EntryDigest>() * MAX_DIGESTS <= 2 << 20);
 }
 
 fn limit_files(pid: libc::pid_t, bytes: u64) {
@@ -277,9 +285,9 @@
     limit_files(0, 10 << 20);
     let (done, synced) = std::sync::mpsc::channel();
     let w = DiskWriter::open(b, move |t| done.send(t).expect("heard")).expect("starts");
-    let mut want = Kept { node_id: NodeId(5), ..Kept::default() };
+    let mut want = DurableState { node_id: NodeId(5), ..DurableState::default() };
     for token in 0..6 {
-        let op = Op::Decide(large(token));
+        let op = DurableWrite::Commit(large(token));
         want.apply(&op);
         w.tx.send(Job { token, ops: vec![op] }).expect("takes it");
     }
--- a/crates/node/tests/golden_records/main.rs
+++ b/crates/node/tests/golden_records/main.rs
@@ -23,9 +23,9 @@
 use rusqlite::Connection;
 use rusqlite::types::Value;
 use std::path::{Path, PathBuf};
-use sumacvale_core::agree::{Kept, Op};
 use sumacvale_core::base::NodeId;
-use sumacvale_core::peer::{Decree, Grant};
+use sumacvale_core::consensus::{DurableState, DurableWrite};
+use sumacvale_core::protocol::{LogEntry, WindowGrant};
 use sumacvale_node::disk::Database;
 use values::{ballot, body_decree, core, digest, full_decree, grant, life};
 
@@ -44,35 +44,35 @@
 ];
 
 /// A decree that came by a patch; the disk keeps its body beside the patch, and no packed form.
-fn decree_with_patch() -> Decree {
-    Decree { version: 1_102, packed: Vec::new(), ..full_decree() }
+fn decree_with_patch() -> LogEntry {
+    LogEntry { version: 1_102, compressed: Vec::new(), ..full_decree() }
 }
 
 /// Writes of every kind that leave something on the disk.
-fn operations() -> Vec<Op> {
+fn operations() -> Vec<DurableWrite> {
     vec![
-        Op::Pledge(vec![core(11), core(12)]),
-        Op::Promise { instance: 4_001, ballot: ballot(4_002) },
-        Op::Accept { ballot: ballot(4_003), decree: Decree { version: 1_103, ..decree_with_patch() } },
-        Op::Decide(body_decree()),
-        Op::Decide(decree_with_patch()),
-        Op::Digests(vec![digest(1)]),
-        Op::Epoch { duty: 4_004, epoch: 4_005 },
-        Op::Grant(grant_on_disk(1)),
-        Op::Grant(grant_on_disk(2)),
-        Op::Ready(4_006),
-        Op::Enroll(vec![life(1), life(2)]),
+        DurableWrite::BootstrapVote(vec![core(11), core(12)]),
+        DurableWrite::Promise { instance: 4_001, ballot: ballot(4_002) },
+        DurableWrite::Accept { ballot: ballot(4_003), entry: LogEntry { version: 1_103, ..decree_with_patch() } },
+        DurableWrite::Commit(body_decree()),
+        DurableWrite::Commit(decree_with_patch()),
+        DurableWrite::Digests(vec![digest(1)]),
+        DurableWrite::Epoch { role: 4_004, epoch: 4_005 },
+        DurableWrite::Grant(grant_on_disk(1)),
+        DurableWrite::Grant(grant_on_disk(2)),
+        DurableWrite::Ready(4_006),
+        DurableWrite::Register(vec![life(1), life(2)]),
     ]
 }
 
 /// The disk doesn't keep the age of a grant.
-fn grant_on_disk(number: u64) -> Grant {
-    Grant { age: 0, ..grant(number) }
+fn grant_on_disk(number: u64) -> WindowGrant {
+    WindowGrant { age: 0, ..grant(number) }
 }
 
 /// What a core finds on its disk after these writes.
-fn expected() -> Kept {
-    let mut kept = Kept { node_id: NODE, ..Kept::default() };
+fn expected() -> DurableState {
+    let mut kept = DurableState { node_id: NODE, ..DurableState::default() };
     operations().iter().for_each(|operation| kept.apply(operation));
     kept
 }
@@ -103,7 +103,7 @@
     GoldenFolder::in_crate(env!("CARGO_MANIFEST_DIR"), "tests/golden_records/records")
 }
 
-fn read_database(folder: &Path) -> Kept {
+fn read_database(folder: &Path) -> DurableState {
     let (_, kept, _) = Database::open(folder, NodeId(1)).expect("opens the database");
     kept
 }
@@ -187,18 +187,18 @@
 
 /// The name of a kind of write. The compiler asks for a new one here; then add it to `operations`
 /// and raise the count above.
-fn kind(operation: &Op) -> &'static str {
+fn kind(operation: &DurableWrite) -> &'static str {
     match operation {
-        Op::Pledge(_) => "pledge",
-        Op::Promise { .. } => "promise",
-        Op::Accept { .. } => "accept",
-        Op::Decide(_) => "decide",
-        Op::Digests(_) => "digests",
-        Op::Epoch { .. } => "epoch",
-        Op::Grant(_) => "grant",
-        Op::Ready(_) => "ready",
-        Op::Enroll(_) => "enroll",
+        DurableWrite::BootstrapVote(_) => "pledge",
+        DurableWrite::Promise { .. } => "promise",
+        DurableWrite::Accept { .. } => "accept",
+        DurableWrite::Commit(_) => "decide",
+        DurableWrite::Digests(_) => "digests",
+        DurableWrite::Epoch { .. } => "epoch",
+        DurableWrite::Grant(_) => "grant",
+        DurableWrite::Ready(_) => "ready",
+        DurableWrite::Register(_) => "enroll",
         // It only removes what an enrollment left.
-        Op::Retire(_) => "retire",
+        DurableWrite::Deregister(_) => "retire",
     }
 }
--- a/crates/node/tests/links.rs
+++ b/crates/node/tests/links.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use sumacvale_core::base::NodeId;
-use sumacvale_core::peer::{Frame, Msg, WIRE, pack};
+use sumacvale_core::protocol::{Frame, Message, PROTOCOL_VERSION, encode_frame};
 use sumacvale_node::link::{Links, Tally, WAITING_MOST, listen};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -41,8 +41,9 @@
 }
 
 fn frame(n: u64) -> Vec<u8> {
-    let msg = Msg::SliceAsk { n, tenant: "t".into(), want: 2, window: 3, returned: 4 };
-    pack(&Frame { from: NodeId(1), to: NodeId(2), incarnation: 3, fleet: 4, sent: 5, msg }).expect("packs")
+    let msg = Message::SliceAsk { n, tenant: "t".into(), want: 2, window: 3, returned: 4 };
+    encode_frame(&Frame { from: NodeId(1), to: NodeId(2), incarnation: 3, fleet_id: 4, sent_at: 5, message: msg })
+        .expect("packs")
 }
 
 /// A frame of this form whose content no release has a word for.
@@ -50,7 +51,7 @@
     let mut bytes = frame(9);
     let kept = bytes.len() / 2;
     bytes.truncate(kept);
-    assert!(sumacvale_core::peer::unpack(&bytes).is_err() && bytes[0] == WIRE);
+    assert!(sumacvale_core::protocol::decode_frame(&bytes).is_err() && bytes[0] == PROTOCOL_VERSION);
     bytes
 }
 
@@ -63,7 +64,7 @@
     let got = Rc::new(RefCell::new(Vec::new()));
     let sink = got.clone();
     let take = async move |f: Frame| {
-        if let Msg::SliceAsk { n, .. } = f.msg {
+        if let Message::SliceAsk { n, .. } = f.message {
             sink.borrow_mut().push(n);
         }
     };
@@ -89,7 +90,7 @@
 async fn what_a_known_peer_says_in_words_of_another_release_is_skipped() {
     let set = tokio::task::LocalSet::new();
     set.run_until(async {
-        let other_form = vec![WIRE + 1, 1, 2, 3];
+        let other_form = vec![PROTOCOL_VERSION + 1, 1, 2, 3];
         for (name, frames, closed, asks, skipped) in [
             ("a frame of another release", vec![frame(1), unreadable(), frame(2)], false, vec![1, 2], 1),
             ("several", vec![frame(1), unreadable(), unreadable(), frame(2)], false, vec![1, 2], 2),
--- a/crates/node/tests/old_data_folder.rs
+++ b/crates/node/tests/old_data_folder.rs
@@ -12,11 +12,13 @@
 use rusqlite::{Connection, OpenFlags};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
-use sumacvale_core::agree::{Digests, Kept, Op};
 use sumacvale_core::base::{ChangeId, MS, NodeId, SEC, hash64};
-use sumacvale_core::config::{Item, ListPatch, Patch, judge};
-use sumacvale_core::node::{Effect, Event, Me, Node};
-use sumacvale_core::peer::{Ballot, Core, Decree, Digest, Frame, Grant, Life, Msg};
+use sumacvale_core::config::{Item, ListPatch, Patch, validate};
+use sumacvale_core::consensus::{DigestLog, DurableState, DurableWrite};
+use sumacvale_core::node::{Effect, Event, Node, NodeSettings};
+use sumacvale_core::protocol::{
+    Ballot, EntryDigest, Frame, LogEntry, Message, RegisteredIncarnation, Voter, WindowGrant,
+};
 use sumacvale_node::disk::Database;
 
 /// The folder that was checked in.
@@ -39,7 +41,7 @@
 const NEWEST_SET: u64 = 6;
 const NEWEST_VERSION: u64 = 7;
 /// The vote for the version after the newest.
-const VOTE: Ballot = Ballot { n: 5, node_id: SECOND_CORE, life: 4 };
+const VOTE: Ballot = Ballot { number: 5, node_id: SECOND_CORE, incarnation: 4 };
 
 /// The packed body of the newest version. Another release of the packing library may pack the same
 /// body into other bytes, so those of the fixture are told by their hash.
@@ -99,40 +101,40 @@
     }
 }
 
-fn core(node_id: NodeId, host: u8) -> Core {
-    Core { node_id, addr: format!("10.0.0.{host}:7000") }
+fn core(node_id: NodeId, host: u8) -> Voter {
+    Voter { node_id, addr: format!("10.0.0.{host}:7000") }
 }
 
-fn first_voters() -> Vec<Core> {
+fn first_voters() -> Vec<Voter> {
     vec![core(REPLACED_CORE, 1), core(SECOND_CORE, 2), core(THIS_CORE, 4)]
 }
 
-fn newest_voters() -> Vec<Core> {
+fn newest_voters() -> Vec<Voter> {
     vec![core(SECOND_CORE, 2), core(THIRD_CORE, 3), core(THIS_CORE, 4)]
 }
 
 /// A log entry decided by the first voters.
-fn early_version(version: u64, change_id: u64, revision: u64, body: String) -> Decree {
-    Decree {
+fn early_version(version: u64, change_id: u64, revision: u64, body: String) -> LogEntry {
+    LogEntry {
         version,
         change_id: ChangeId(change_id),
-        fleet: FLEET,
-        since: 0,
-        old: vec![],
-        cores: first_voters(),
+        fleet_id: FLEET,
+        voters_since: 0,
+        previous_voters: vec![],
+        voters: first_voters(),
         body,
         revision,
         patch: None,
-        packed: Vec::new(),
+        compressed: Vec::new(),
     }
 }
 
 /// A log entry decided since the voters changed.
-fn late_version(version: u64, change_id: u64, revision: u64, body: String) -> Decree {
-    Decree {
-        since: NEWEST_SET,
-        old: first_voters(),
-        cores: newest_voters(),
+fn late_version(version: u64, change_id: u64, revision: u64, body: String) -> LogEntry {
+    LogEntry {
+        voters_since: NEWEST_SET,
+        previous_voters: first_voters(),
+        voters: newest_voters(),
         ..early_version(version, change_id, revision, body)
     }
 }
@@ -163,35 +165,41 @@
 }
 
 /// The decided versions whose bodies the folder holds; none in packed form.
-fn decided_versions() -> [Decree; 5] {
+fn decided_versions() -> [LogEntry; 5] {
     let before_patch = list_document(22, "{\"name\":\"row-0\",\"what\":0}");
     let after_patch = list_document(23, "{\"name\":\"row-0\",\"what\":1000}");
     [
         early_version(3, 103, 21, "{\"revision\":21,\"pools\":{\"p\":{}}}".into()),
         early_version(4, 104, 22, before_patch),
-        Decree { patch: Some(patch()), ..early_version(5, 105, 23, after_patch.clone()) },
-        Decree { patch: Some(Patch::unchanged()), ..late_version(NEWEST_SET, 106, 23, after_patch) },
+        LogEntry { patch: Some(patch()), ..early_version(5, 105, 23, after_patch.clone()) },
+        LogEntry { patch: Some(Patch::unchanged()), ..late_version(NEWEST_SET, 106, 23, after_patch) },
         late_version(NEWEST_VERSION, 107, 31, tree(31)),
     ]
 }
 
 /// What this core accepted and has not heard to be decided.
-fn accepted_version() -> Decree {
+fn accepted_version() -> LogEntry {
     late_version(8, 108, 32, "{\"revision\":32,\"pools\":{\"q\":{}}}".into())
 }
 
-fn digest(version: u64, change_id: u64, since: u64, revision: u64, content: &str) -> Digest {
+fn digest(version: u64, change_id: u64, since: u64, revision: u64, content: &str) -> EntryDigest {
     let byte = |n: usize| u8::from_str_radix(&content[2 * n..2 * n + 2], 16).expect("two hexadecimal digits");
-    Digest { version, change_id: ChangeId(change_id), since, revision, content: std::array::from_fn(byte) }
+    EntryDigest {
+        version,
+        change_id: ChangeId(change_id),
+        voters_since: since,
+        revision,
+        content: std::array::from_fn(byte),
+    }
 }
 
 /// The digests of versions that were decided before the oldest whose body is held.
-fn early_digests() -> [Digest; 2] {
+fn early_digests() -> [EntryDigest; 2] {
     [digest(1, 101, 0, 19, &"a1".repeat(32)), digest(2, 102, 0, 20, &"b2".repeat(32))]
 }
 
 /// The digests of the versions whose bodies are held.
-fn late_digests() -> [Digest; 5] {
+fn late_digests() -> [EntryDigest; 5] {
     [
         digest(3, 103, 0, 21, "624a6c6493af95fc226638316f95307768fb730a5b620a517873da07a727001d"),
         digest(4, 104, 0, 22, "ff7e4e4256edade9d9343039d99164c4751e1ae16ef0cc35b1ff1accc95aad99"),
@@ -201,63 +209,66 @@
     ]
 }
 
-fn grant(tenant: &str, node_id: NodeId, window: u64, granted_total: u64) -> Grant {
-    Grant { tenant: tenant.into(), window, node_id, granted_total, age: 0 }
+fn grant(tenant: &str, node_id: NodeId, window: u64, granted_total: u64) -> WindowGrant {
+    WindowGrant { tenant: tenant.into(), window, node_id, granted_total, age: 0 }
 }
 
-fn life(node_id: NodeId, incarnation: u64, addr: &str) -> Life {
-    Life { node_id, incarnation, addr: addr.into() }
+fn life(node_id: NodeId, incarnation: u64, addr: &str) -> RegisteredIncarnation {
+    RegisteredIncarnation { node_id, incarnation, addr: addr.into() }
 }
 
 /// All writes that made the folder, in their order. Some take back what an earlier one wrote.
-fn writes() -> Vec<Op> {
+fn writes() -> Vec<DurableWrite> {
     let mut writes = vec![
-        Op::Pledge(first_voters()),
-        Op::Digests(early_digests().to_vec()),
-        Op::Promise { instance: 3, ballot: Ballot { n: 1, node_id: REPLACED_CORE, life: 1 } },
-        Op::Accept { ballot: Ballot { n: 1, node_id: REPLACED_CORE, life: 1 }, decree: decided_versions()[0].clone() },
+        DurableWrite::BootstrapVote(first_voters()),
+        DurableWrite::Digests(early_digests().to_vec()),
+        DurableWrite::Promise { instance: 3, ballot: Ballot { number: 1, node_id: REPLACED_CORE, incarnation: 1 } },
+        DurableWrite::Accept {
+            ballot: Ballot { number: 1, node_id: REPLACED_CORE, incarnation: 1 },
+            entry: decided_versions()[0].clone(),
+        },
     ];
-    writes.extend(decided_versions().map(|version| Op::Decide(version.packed())));
+    writes.extend(decided_versions().map(|version| DurableWrite::Commit(version.compress())));
     writes.extend([
-        Op::Promise { instance: 8, ballot: VOTE },
-        Op::Accept { ballot: VOTE, decree: accepted_version() },
-        Op::Ready(0),
-        Op::Ready(NEWEST_SET),
-        Op::Epoch { duty: 0, epoch: 3 },
-        Op::Epoch { duty: 0, epoch: (NEWEST_SET << 24) + 2 },
-        Op::Epoch { duty: 7, epoch: (NEWEST_SET << 24) + 1 },
-        Op::Grant(grant("alpha", FRONT, 900, 50)),
-        Op::Grant(grant("alpha", THIS_CORE, 901, 7)),
-        Op::Grant(grant("alpha", FRONT, 901, 12)),
-        Op::Grant(grant("alpha", FRONT, 901, 20)),
-        Op::Grant(grant("gamma", SECOND_CORE, 5, 1)),
-        Op::Enroll(vec![
+        DurableWrite::Promise { instance: 8, ballot: VOTE },
+        DurableWrite::Accept { ballot: VOTE, entry: accepted_version() },
+        DurableWrite::Ready(0),
+        DurableWrite::Ready(NEWEST_SET),
+        DurableWrite::Epoch { role: 0, epoch: 3 },
+        DurableWrite::Epoch { role: 0, epoch: (NEWEST_SET << 24) + 2 },
+        DurableWrite::Epoch { role: 7, epoch: (NEWEST_SET << 24) + 1 },
+        DurableWrite::Grant(grant("alpha", FRONT, 900, 50)),
+        DurableWrite::Grant(grant("alpha", THIS_CORE, 901, 7)),
+        DurableWrite::Grant(grant("alpha", FRONT, 901, 12)),
+        DurableWrite::Grant(grant("alpha", FRONT, 901, 20)),
+        DurableWrite::Grant(grant("gamma", SECOND_CORE, 5, 1)),
+        DurableWrite::Register(vec![
             life(FRONT, 1, "10.0.1.1:7000"),
             life(FRONT, u64::MAX, "10.0.1.1:7001"),
             life(NodeId(44), 3, "10.0.1.2:7000"),
         ]),
-        Op::Retire(vec![(FRONT, 1)]),
+        DurableWrite::Deregister(vec![(FRONT, 1)]),
     ]);
     writes
 }
 
 /// What the folder holds, by hand and not by the writes; the packed bytes are left out.
-fn expected() -> Kept {
-    let mut digests = Digests::default();
-    digests.extend(early_digests());
-    digests.extend(late_digests());
+fn expected() -> DurableState {
+    let mut digests = DigestLog::default();
+    digests.insert_all(early_digests());
+    digests.insert_all(late_digests());
     let grants = [grant("alpha", THIS_CORE, 901, 7), grant("alpha", FRONT, 901, 20), grant("gamma", SECOND_CORE, 5, 1)];
-    Kept {
+    DurableState {
         node_id: THIS_CORE,
-        pledge: first_voters(),
-        decrees: decided_versions().into_iter().map(|version| (version.version, version)).collect(),
+        bootstrap_vote: first_voters(),
+        entries: decided_versions().into_iter().map(|version| (version.version, version)).collect(),
         digests,
         promised: Some((8, VOTE)),
         accepted: Some((VOTE, accepted_version())),
         epochs: BTreeMap::from([(0, 100_663_298), (7, 100_663_297)]),
         grants: grants.into_iter().map(|grant| ((grant.tenant.clone(), grant.node_id), grant)).collect(),
-        ready: Some(6),
-        lives: BTreeMap::from([
+        ready_set: Some(6),
+        registered: BTreeMap::from([
             ((FRONT, u64::MAX), "10.0.1.1:7001".to_owned()),
             ((NodeId(44), 3), "10.0.1.2:7000".to_owned()),
         ]),
@@ -280,10 +291,10 @@
 }
 
 /// The same without the packed bytes, and these bytes by version.
-fn without_packed(mut kept: Kept) -> (Kept, BTreeMap<u64, Vec<u8>>) {
+fn without_packed(mut kept: DurableState) -> (DurableState, BTreeMap<u64, Vec<u8>>) {
     let mut packed = BTreeMap::new();
-    for (version, decree) in &mut kept.decrees {
-        let bytes = std::mem::take(&mut decree.packed);
+    for (version, decree) in &mut kept.entries {
+        let bytes = std::mem::take(&mut decree.compressed);
         if !bytes.is_empty() {
             packed.insert(*version, bytes);
         }
@@ -292,33 +303,33 @@
 }
 
 /// The settings with which the core starts.
-fn settings(node_id: NodeId, incarnation: u64) -> Me {
-    Me {
+fn settings(node_id: NodeId, incarnation: u64) -> NodeSettings {
+    NodeSettings {
         node_id,
         incarnation,
         addr: "10.0.0.4:7000".into(),
         admin: String::new(),
         zone: "z".into(),
         seeds: vec![],
-        core: true,
-        read: judge,
-        first: false,
-        auto: false,
-        lose: 1,
-        beat: 1_200 * MS,
-        to_cores: true,
+        is_core: true,
+        config_reader: validate,
+        may_bootstrap: false,
+        manages_voters: false,
+        tolerated_losses: 1,
+        report_interval: 1_200 * MS,
+        reports_to_cores_only: true,
     }
 }
 
 /// Hands the node a message from the second core. Returns what the node answers to that core,
 /// and the version that it shows to those who take calls, if it shows a new picture.
-fn ask(node: &mut Node, msg: Msg) -> (Vec<Msg>, Option<u64>) {
-    let frame = Frame { from: SECOND_CORE, to: THIS_CORE, incarnation: 4, fleet: FLEET, sent: SEC, msg };
+fn ask(node: &mut Node, msg: Message) -> (Vec<Message>, Option<u64>) {
+    let frame = Frame { from: SECOND_CORE, to: THIS_CORE, incarnation: 4, fleet_id: FLEET, sent_at: SEC, message: msg };
     let (mut answers, mut shown) = (Vec::new(), None);
     for effect in node.step(Event::Frame(Box::new(frame)), SEC) {
         match effect {
-            Effect::Send { frame, .. } if frame.to == SECOND_CORE => answers.push(frame.msg),
-            Effect::Show(view) => shown = view.version,
+            Effect::Send { frame, .. } if frame.to == SECOND_CORE => answers.push(frame.message),
+            Effect::Publish(view) => shown = view.version,
             _ => {}
         }
     }
@@ -364,24 +375,27 @@
     let (_database, kept, incarnation) = Database::open(&folder.0, NodeId(1)).expect("opens the old folder");
     let mut node = Node::new(settings(kept.node_id, incarnation), &kept, 5, SEC);
     assert_eq!(node.version(), Some(NEWEST_VERSION));
-    assert!(node.voter() && node.ready(), "it is a voter and took over the grants of the voters before");
-    assert_eq!((node.plan.version, node.plan.revision, node.plan.pools.len()), (7, 31, 300));
-    assert_eq!(node.plan.tenants.keys().collect::<Vec<_>>(), ["alpha", "beta"]);
-    assert!(node.plan.find("GET", "any.test", "/x/y").is_some(), "calls are routed by the plan");
-    assert_eq!(node.agree.pledge, first_voters());
-    assert_eq!((node.agree.promised, node.agree.accepted.clone()), (VOTE, Some((VOTE, accepted_version()))));
-    assert_eq!(node.agree.digests, expected().digests);
-    assert_eq!(node.book.epochs, expected().epochs);
+    assert!(node.voter() && node.is_ready(), "it is a voter and took over the grants of the voters before");
+    assert_eq!((node.config.version, node.config.revision, node.config.pools.len()), (7, 31, 300));
+    assert_eq!(node.config.tenants.keys().collect::<Vec<_>>(), ["alpha", "beta"]);
+    assert!(node.config.find("GET", "any.test", "/x/y").is_some(), "calls are routed by the plan");
+    assert_eq!(node.consensus.state.bootstrap_vote, first_voters());
+    assert_eq!(
+        (node.consensus.state.promised_ballot, node.consensus.state.accepted.clone()),
+        (VOTE, Some((VOTE, accepted_version())))
+    );
+    assert_eq!(node.consensus.state.digests, expected().digests);
+    assert_eq!(node.leases.grantor.epochs, expected().epochs);
 
     // A lower ballot is refused by the vote that is on the disk.
-    let lower = Ballot { n: 4, ..VOTE };
-    let (answers, shown) = ask(&mut node, Msg::Prepare { instance: 8, ballot: lower });
-    assert!(answers.contains(&Msg::Refuse { instance: 8, ballot: VOTE }), "{answers:?}");
+    let lower = Ballot { number: 4, ..VOTE };
+    let (answers, shown) = ask(&mut node, Message::Prepare { instance: 8, ballot: lower });
+    assert!(answers.contains(&Message::Refuse { instance: 8, ballot: VOTE }), "{answers:?}");
     assert_eq!(shown, Some(NEWEST_VERSION));
 
     // A core that takes over is told all grants and all registered lives.
-    let (answers, _) = ask(&mut node, Msg::TakeoverAsk { set: NEWEST_SET });
-    let told = Msg::TakeoverReply {
+    let (answers, _) = ask(&mut node, Message::TakeoverAsk { set: NEWEST_SET });
+    let told = Message::TakeoverReply {
         set: NEWEST_SET,
         full: true,
         rows: expected().grants.into_values().collect(),
@@ -396,21 +410,21 @@
     let (mut database, ..) = Database::open(&folder.0, NodeId(1)).expect("opens the old folder");
     let new_grant = grant("beta", FRONT, 2, 4);
     let new_writes = [
-        Op::Decide(accepted_version()),
-        Op::Grant(new_grant.clone()),
-        Op::Epoch { duty: 3, epoch: 100_663_300 },
-        Op::Enroll(vec![life(NodeId(55), 1, "10.0.1.3:7000")]),
+        DurableWrite::Commit(accepted_version()),
+        DurableWrite::Grant(new_grant.clone()),
+        DurableWrite::Epoch { role: 3, epoch: 100_663_300 },
+        DurableWrite::Register(vec![life(NodeId(55), 1, "10.0.1.3:7000")]),
     ];
     database.commit(new_writes.iter()).expect("writes");
     drop(database);
 
     let (_database, kept, incarnation) = Database::open(&folder.0, NodeId(1)).expect("opens again");
     let mut want = expected();
-    want.decrees.insert(8, accepted_version());
-    want.digests.extend([Digest::of(&accepted_version())]);
+    want.entries.insert(8, accepted_version());
+    want.digests.insert_all([EntryDigest::of(&accepted_version())]);
     want.grants.insert(("beta".into(), FRONT), new_grant);
     want.epochs.insert(3, 100_663_300);
-    want.lives.insert((NodeId(55), 1), "10.0.1.3:7000".into());
+    want.registered.insert((NodeId(55), 1), "10.0.1.3:7000".into());
     assert_eq!(incarnation, 3);
     assert_eq!(without_packed(kept).0, want);
 }
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -122,11 +122,11 @@
       "/v1/slots/{id}":{"get":{"responses":{}}},
       "/v1/draft":{"post":{"operationId":"draft","responses":{},"x-kind":"draft","x-resume":true}}}}"#;
     let (s, out) = sumacvale_node::import::import(api, "app").expect("imports");
-    let p = sumacvale_core::config::judge(&s).expect("a good tree");
+    let p = sumacvale_core::config::validate(&s).expect("a good tree");
     let m = p.find("GET", "", "/v1/slots").expect("a match");
-    assert!(m.name == "slots" && m.repeat && m.pool == "app");
-    assert!(p.find("POST", "", "/v1/slots").is_some_and(|m| m.name == "post-v1-slots" && !m.repeat));
-    assert!(p.find("POST", "", "/v1/draft").is_some_and(|m| m.resume));
+    assert!(m.name == "slots" && m.idempotent && m.pool == "app");
+    assert!(p.find("POST", "", "/v1/slots").is_some_and(|m| m.name == "post-v1-slots" && !m.idempotent));
+    assert!(p.find("POST", "", "/v1/draft").is_some_and(|m| m.resumable));
     assert!(p.find("GET", "", "/v1/slots/7").is_some_and(|m| m.path == "/v1/slots/{id}"));
     assert!(p.find("GET", "", "/v1/slots/7/no").is_none() && p.find("PUT", "", "/v1/slots/7").is_none());
     assert!(p.matches.len() == 4 && out.is_empty(), "{out:?}");
