--- a/crates/testbed/src/engines/drive.rs
+++ b/crates/testbed/src/engines/drive.rs
@@ -4,10 +4,12 @@
 use super::worker::{Came, Seq, Worker};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
-use sumacvale_core::base::{MS, Micros, Rng, hash64, rdv};
-use sumacvale_core::config::Placement;
-use sumacvale_core::peer::Row;
-use sumacvale_core::place::{Ask, Engines, Loads, Outcome, Scene, Table};
+use sumacvale_core::base::{MS, Micros, Rng, hash64, rendezvous_weight};
+use sumacvale_core::config::PlacementWeights;
+use sumacvale_core::placement::{
+    CallOutcome, EngineModels, PlacementContext, PlacementTable, PromptRequest, WorkerLoads,
+};
+use sumacvale_core::protocol::WorkerReport;
 
 /// How a front chooses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,7 +44,7 @@
 pub struct Case {
     pub shape: Shape,
     pub way: Way,
-    pub set: Placement,
+    pub set: PlacementWeights,
     pub seed: u64,
     pub seconds: u64,
     pub load: f64,
@@ -54,7 +56,11 @@
 
 impl Case {
     pub fn new(shape: Shape, way: Way, seed: u64) -> Self {
-        let set = Placement { memory: shape.engine.memory, event: shape.engine.stride, ..Placement::default() };
+        let set = PlacementWeights {
+            kv_cache_tokens: shape.engine.memory,
+            tokens_per_event: shape.engine.stride,
+            ..PlacementWeights::default()
+        };
         Case { shape, way, set, seed, seconds: 34, load: 1.0, lose: false, hot: 0.0, burst: 1.0 }
     }
 }
@@ -80,8 +86,8 @@
 
 struct Front {
     zone: usize,
-    e: Engines,
-    l: Loads,
+    e: EngineModels,
+    l: WorkerLoads,
     /// Own calls, and what each worker last said of others.
     own: Vec<(u32, u32)>,
 }
@@ -91,7 +97,7 @@
     calls: Vec<Call>,
     ws: Vec<Worker>,
     fs: Vec<Front>,
-    table: Table,
+    table: PlacementTable,
     seen: Vec<Seen>,
     rng: Rng,
     q: BinaryHeap<Reverse<(Micros, u64, Ev)>>,
@@ -110,14 +116,14 @@
     let fs = (0..s.fronts)
         .map(|i| Front {
             zone: i % s.zones,
-            e: Engines::new(c.seed * 1000 + i as u64),
-            l: Loads::default(),
+            e: EngineModels::new(c.seed * 1000 + i as u64),
+            l: WorkerLoads::default(),
             own: vec![(0, 0); s.workers],
         })
         .collect();
     let seen = calls.iter().map(|_| Seen::default()).collect();
     let mut w = World {
-        table: Table::default(),
+        table: PlacementTable::default(),
         rng: Rng::new(c.seed ^ 77),
         c: c.clone(),
         calls,
@@ -153,10 +159,10 @@
 }
 
 impl World {
-    fn known(&self) -> Table {
+    fn known(&self) -> PlacementTable {
         let rs: Vec<_> = (0..self.ws.len())
             .filter(|i| !self.ws[*i].gone)
-            .map(|i| Row {
+            .map(|i| WorkerReport {
                 worker_id: worker_id(i),
                 pool: "p".into(),
                 addr: format!("10.0.0.1:{}", 1_000 + i),
@@ -165,13 +171,13 @@
                 seq: self.n,
                 slots: self.c.shape.engine.slots as u32,
                 busy: 0,
-                drain: false,
-                cold: 0,
-                gone: false,
+                draining: false,
+                warm_up_left: 0,
+                removed: false,
                 age: 0,
             })
             .collect();
-        Table::new(rs.iter())
+        PlacementTable::new(rs.iter())
     }
 
     fn at(&mut self, t: Micros, e: Ev) {
@@ -201,7 +207,7 @@
                     call: i,
                     urgency: c.ask.urgency,
                     came: 0,
-                    due: c.at + c.ask.left,
+                    due: c.at + c.ask.time_left,
                     chain: c.ask.chain().iter().map(|l| (l.key, l.tokens)).collect(),
                     unread: c.ask.tokens() as u32,
                     made: 0,
@@ -226,22 +232,22 @@
                 let (f, w, n) = self.of(i);
                 let x = &mut self.fs[f];
                 x.own[w].1 = (r + q).saturating_sub(x.own[w].0);
-                x.e.first("p", &worker_id(w), n, now);
-                x.e.heard("p", &worker_id(w), r, q, now);
+                x.e.record_first_token("p", &worker_id(w), n, now);
+                x.e.record_load("p", &worker_id(w), r, q, now);
             }
-            Ev::Due(i) if !self.seen[i].done => self.over(i, Outcome::Failed, now),
+            Ev::Due(i) if !self.seen[i].done => self.over(i, CallOutcome::Failed, now),
             Ev::Due(_) => {}
-            Ev::End(i) => self.over(i, Outcome::Done, now),
+            Ev::End(i) => self.over(i, CallOutcome::Done, now),
             Ev::Declined(i) => {
                 let w = self.seen[i].worker;
-                self.over(i, Outcome::Declined, now);
+                self.over(i, CallOutcome::Declined, now);
                 self.again(i, w, now);
             }
             Ev::Broke(i) => {
                 let (f, w, _) = self.of(i);
-                self.over(i, Outcome::Failed, now);
-                if let Some(p) = self.table.places.iter().find(|p| p.worker_id == worker_id(w)) {
-                    self.fs[f].l.bad(&p.worker_id, p.incarnation, p.seq);
+                self.over(i, CallOutcome::Failed, now);
+                if let Some(p) = self.table.endpoints.iter().find(|p| p.worker_id == worker_id(w)) {
+                    self.fs[f].l.mark_failed(&p.worker_id, p.incarnation, p.seq);
                 }
                 if self.seen[i].first.is_none() {
                     self.again(i, w, now);
@@ -306,7 +312,7 @@
         }
     }
 
-    fn over(&mut self, i: usize, o: Outcome, now: Micros) {
+    fn over(&mut self, i: usize, o: CallOutcome, now: Micros) {
         let (f, w, n) = self.of(i);
         let s = &mut self.seen[i];
         if s.over == s.tries {
@@ -315,7 +321,7 @@
         s.over = s.tries;
         let x = &mut self.fs[f];
         x.own[w].0 = x.own[w].0.saturating_sub(1);
-        x.e.end("p", &worker_id(w), n, o, now);
+        x.e.record_end("p", &worker_id(w), n, o, now);
     }
 
     fn again(&mut self, i: usize, w: usize, now: Micros) {
@@ -333,48 +339,48 @@
             self.seen[i].refused = true;
             return;
         };
-        let p = &self.table.places[k];
+        let p = &self.table.endpoints[k];
         let w: usize = p.worker_id[1..].parse().unwrap_or(0);
         let x = &mut self.fs[f];
         x.own[w].0 += 1;
         let s = &mut self.seen[i];
-        s.ticket = x.e.begin("p", p, &self.calls[i].ask, &self.c.set, now);
+        s.ticket = x.e.record_start("p", p, &self.calls[i].ask, &self.c.set, now);
         self.ns = (self.ns.0 + begin.elapsed().as_nanos() as u64, self.ns.1 + 1);
         s.worker = w;
         s.tries += 1;
         s.far |= x.zone != self.ws[w].zone;
         let d = self.link(f, w);
         self.at(now + d, Ev::There(i, w));
-        let due = self.calls[i].at + self.calls[i].ask.left;
+        let due = self.calls[i].at + self.calls[i].ask.time_left;
         self.at(due.max(now), Ev::Due(i));
     }
 
     fn choose(&mut self, i: usize, f: usize, now: Micros) -> Option<usize> {
         let (a, x, t) = (&self.calls[i].ask, &self.fs[f], &self.table);
         let (zone, skip) = (format!("z{}", x.zone), &self.seen[i].skip);
-        let ok = |k: &usize| !skip.contains(&t.places[*k].worker_id) && !x.l.failed(&t.places[*k]);
-        let near = |k: usize| t.places[k].zone == zone;
-        let of = |k: usize| t.places[k].worker_id[1..].parse::<usize>().unwrap_or(0);
+        let ok = |k: &usize| !skip.contains(&t.endpoints[*k].worker_id) && !x.l.has_failed(&t.endpoints[*k]);
+        let near = |k: usize| t.endpoints[k].zone == zone;
+        let of = |k: usize| t.endpoints[k].worker_id[1..].parse::<usize>().unwrap_or(0);
         let key = a.chain().iter().rev().nth(1).map_or(0, |l| l.key);
         match self.c.way {
             Way::Place => {
-                let s = Scene { pool: "p", zone: &zone, set: &self.c.set, skip, now };
+                let s = PlacementContext { pool: "p", zone: &zone, weights: &self.c.set, excluded: skip, now };
                 x.e.choose(t, a, &s, &x.l)
             }
             Way::Ring => {
-                let load: Vec<_> = (0..t.places.len())
+                let load: Vec<_> = (0..t.endpoints.len())
                     .map(|k| if ok(&k) { x.own[of(k)].0 + x.own[of(k)].1 } else { u32::MAX })
                     .collect();
                 t.nominate(key, &zone, &load, skip)
             }
-            Way::Least => (0..t.places.len()).filter(ok).min_by_key(|k| {
+            Way::Least => (0..t.endpoints.len()).filter(ok).min_by_key(|k| {
                 let o = x.own[of(*k)];
-                (!near(*k), o.0 + o.1, rdv(now, t.places[*k].worker_id.as_bytes()))
+                (!near(*k), o.0 + o.1, rendezvous_weight(now, t.endpoints[*k].worker_id.as_bytes()))
             }),
-            Way::Hash => (0..t.places.len())
+            Way::Hash => (0..t.endpoints.len())
                 .filter(ok)
                 .max_by_key(|k| (near(*k), hash64(&[key.to_le_bytes(), (of(*k) as u64).to_le_bytes()].concat()))),
-            Way::Oracle => (0..t.places.len())
+            Way::Oracle => (0..t.endpoints.len())
                 .filter(ok)
                 .filter(|k| !self.ws[of(*k)].gone)
                 .map(|k| (k, self.exact(a, of(k), !near(k))))
@@ -384,7 +390,7 @@
     }
 
     /// The same cost as in `sumacvale-core`, by what is really so.
-    fn exact(&self, a: &Ask, w: usize, far: bool) -> f64 {
+    fn exact(&self, a: &PromptRequest, w: usize, far: bool) -> f64 {
         let (x, e) = (&self.ws[w], &self.c.shape.engine);
         let chain: Vec<_> = a.chain().iter().map(|l| (l.key, l.tokens)).collect();
         let unread = a.tokens() as f64 - f64::from(x.has(&chain));
@@ -394,15 +400,15 @@
         let (r, q) = x.load();
         let over = (f64::from(r + q) + 1.0 - e.slots as f64).max(0.0);
         let t = each * (x.ahead(a.urgency) + unread) + over * 1.5e6 / e.slots as f64 + 8_000.0;
-        let y = t / a.aim as f64;
-        let pause = |n: f64| (each * n / a.gap as f64 - 0.5).clamp(0.0, 1.0);
+        let y = t / a.latency_target as f64;
+        let pause = |n: f64| (each * n / a.max_stream_gap as f64 - 0.5).clamp(0.0, 1.0);
         let pct = |n: u32| f64::from(n) / 100.0;
         0.15 * y
             + 2.0 * (y - 0.5).max(0.0).powi(2)
             + 0.02 * unread * each / 1e5 * (1.0 + f64::from(r) / 8.0)
             + 0.1 * f64::from(r) * (pause(x.ahead(9) + unread) - pause(x.ahead(9)))
             + 0.05 * f64::from(r + q) / e.slots as f64
-            + pct(self.c.set.reread) * 0.006 * again / 1e3
-            + if far { pct(self.c.set.near) * 0.009 * f64::from(a.bytes) / 1e3 } else { 0.0 }
+            + pct(self.c.set.prefix_affinity) * 0.006 * again / 1e3
+            + if far { pct(self.c.set.zone_locality) * 0.009 * f64::from(a.bytes) / 1e3 } else { 0.0 }
     }
 }
--- a/crates/testbed/src/engines/traffic.rs
+++ b/crates/testbed/src/engines/traffic.rs
@@ -1,6 +1,6 @@
 use super::shape::{Kind, Shape};
 use sumacvale_core::base::{MS, Micros, Rng};
-use sumacvale_core::place::Ask;
+use sumacvale_core::placement::PromptRequest;
 
 /// One call as a client sends it.
 #[derive(Clone, Debug)]
@@ -8,13 +8,13 @@
     pub at: Micros,
     pub kind: usize,
     pub front: usize,
-    pub ask: Ask,
+    pub ask: PromptRequest,
     pub tokens_out: u32,
 }
 
 /// From 0 up to 1.
 fn unit(r: &mut Rng) -> f64 {
-    (r.draw() >> 11) as f64 / (1u64 << 53) as f64
+    (r.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
 
 fn normal(r: &mut Rng) -> f64 {
@@ -35,7 +35,7 @@
 /// A shared part: its size belongs to it and doesn't change.
 fn part(id: u64, d: (f64, f64, f64), seed: u64) -> (u64, u32) {
     let mut r = Rng::new(id ^ seed.wrapping_mul(0x9E37));
-    (r.draw(), size(d, &mut r) as u32)
+    (r.next_u64(), size(d, &mut r) as u32)
 }
 
 pub struct Plan {
@@ -72,7 +72,7 @@
 fn one(s: &Shape, k: usize, d: &Kind, at: Micros, hot: bool, seed: u64, r: &mut Rng) -> Call {
     let of = (k as u64 + 1) << 32;
     let sub = if hot { 0 } else { skewed(d.subjects, r) };
-    let own = (r.draw(), size(d.own, r) as u32);
+    let own = (r.next_u64(), size(d.own, r) as u32);
     let parts = [part(of | (sub % d.heads), d.head, seed), part(of | (1 << 24) | sub, d.subject, seed), own];
     let out = (size(d.pieces, r) * f64::from(s.engine.stride)) as u32;
     Call {
@@ -80,13 +80,13 @@
         kind: k,
         // Clients are not spread evenly over the fronts.
         front: (r.below(s.fronts as u64 * 5).max(r.below(s.fronts as u64 * 5)) / 5) as usize,
-        ask: Ask {
+        ask: PromptRequest {
             route: k as u64,
             parts: parts.into_iter().collect(),
-            out: out * 3 / 2,
-            aim: d.aim_ms * MS,
-            gap: s.gap_ms * MS,
-            left: d.left_ms * MS,
+            max_output_tokens: out * 3 / 2,
+            latency_target: d.aim_ms * MS,
+            max_stream_gap: s.gap_ms * MS,
+            time_left: d.left_ms * MS,
             urgency: d.urgency,
             bytes: d.bytes + 800 + out / s.engine.stride * 65,
         },
--- a/crates/testbed/src/fleet/nodes.rs
+++ b/crates/testbed/src/fleet/nodes.rs
@@ -4,7 +4,7 @@
 use std::process::Stdio;
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
-use sumacvale_core::base::sha_hex;
+use sumacvale_core::base::sha256_hex;
 use tokio::process::{Child, Command};
 
 /// The sizes of a deployment of the brief.
@@ -150,8 +150,8 @@
             n.admin(),
             n.front(),
             seeds.join(","),
-            sha_hex(b"operator-token"),
-            sha_hex(b"worker-token"),
+            sha256_hex(b"operator-token"),
+            sha256_hex(b"worker-token"),
         )
     }
 
--- a/crates/testbed/src/fleet/traffic.rs
+++ b/crates/testbed/src/fleet/traffic.rs
@@ -2,7 +2,7 @@
 use crate::standin::{Caller, Http, Outcome};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use sumacvale_core::base::{Rng, sha_hex};
+use sumacvale_core::base::{Rng, sha256_hex};
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
@@ -17,8 +17,11 @@
 pub fn tree(s: Shape, extra: usize, without: &[usize]) -> String {
     let ts: Vec<_> = (0..s.tenants)
         .map(|i| {
-            let ks =
-                if without.contains(&i) { String::new() } else { format!("\"sha256:{}\"", sha_hex(key(i).as_bytes())) };
+            let ks = if without.contains(&i) {
+                String::new()
+            } else {
+                format!("\"sha256:{}\"", sha256_hex(key(i).as_bytes()))
+            };
             let w = if i < 2 { 3 } else { 1 };
             format!("\"t{i}\":{{\"keys\":[{ks}],\"weight\":{w}}}")
         })
--- a/crates/testbed/src/hollow/load.rs
+++ b/crates/testbed/src/hollow/load.rs
@@ -1,12 +1,12 @@
 use super::Shape;
-use sumacvale_core::base::{MS, sha_hex};
-use sumacvale_core::peer::Row;
+use sumacvale_core::base::{MS, sha256_hex};
+use sumacvale_core::protocol::WorkerReport;
 
 /// The configuration of `n` changes ago is told from this one by one tenant's weight.
 pub fn tree(s: &Shape, n: u64) -> String {
     let t = |i: u64| {
         let w = if i == 0 { n % 90 + 1 } else { 1 };
-        let k = sha_hex(format!("key-t{i}").as_bytes());
+        let k = sha256_hex(format!("key-t{i}").as_bytes());
         format!("\"t{i}\":{{\"keys\":[\"sha256:{k}\"],\"weight\":{w}}}")
     };
     let m = |i: u64| {
@@ -28,8 +28,8 @@
 }
 
 /// What a worker says of itself at its n-th beat.
-pub fn row(s: &Shape, k: u64, n: u64) -> Row {
-    Row {
+pub fn row(s: &Shape, k: u64, n: u64) -> WorkerReport {
+    WorkerReport {
         worker_id: format!("worker-{k:06}"),
         incarnation: 1_000,
         seq: n,
@@ -38,9 +38,9 @@
         zone: zone(s, k / s.pools.max(1)),
         slots: 48,
         busy: u32::try_from((k + n * 7) % 48).unwrap_or(0),
-        drain: false,
-        cold: 0,
-        gone: false,
+        draining: false,
+        warm_up_left: 0,
+        removed: false,
         age: 0,
     }
 }
--- a/crates/testbed/src/hollow/tally.rs
+++ b/crates/testbed/src/hollow/tally.rs
@@ -1,24 +1,27 @@
-use sumacvale_core::peer::Msg;
+use sumacvale_core::protocol::Message;
 
 /// Messages by what they are for.
 pub const GROUPS: [&str; 9] =
     ["gossip", "freshness", "news", "reports", "terms", "grants", "slices", "agreement", "forward"];
 
-pub fn group(m: &Msg) -> usize {
+pub fn group(m: &Message) -> usize {
     match m {
-        Msg::Gossip { .. } => 0,
-        Msg::Confirm { .. } | Msg::Confirmed { .. } => 1,
-        Msg::Ask { .. } | Msg::Tell { .. } => 2,
-        Msg::Reports { .. } => 3,
-        Msg::TermAsk { .. } | Msg::TermYes { .. } | Msg::TermNo { .. } => 4,
-        Msg::Grants { .. } | Msg::GrantsOk { .. } | Msg::TakeoverAsk { .. } | Msg::TakeoverReply { .. } => 5,
-        Msg::SliceAsk { .. }
-        | Msg::Slice { .. }
-        | Msg::Spent { .. }
-        | Msg::NotHolder { .. }
-        | Msg::Recall { .. }
-        | Msg::Return { .. } => 6,
-        Msg::Forward { .. } | Msg::Forwarded { .. } => 8,
+        Message::Gossip { .. } => 0,
+        Message::Confirm { .. } | Message::Confirmed { .. } => 1,
+        Message::Ask { .. } | Message::Tell { .. } => 2,
+        Message::Reports { .. } => 3,
+        Message::TermAsk { .. } | Message::TermYes { .. } | Message::TermNo { .. } => 4,
+        Message::Grants { .. }
+        | Message::GrantsOk { .. }
+        | Message::TakeoverAsk { .. }
+        | Message::TakeoverReply { .. } => 5,
+        Message::SliceAsk { .. }
+        | Message::Slice { .. }
+        | Message::Spent { .. }
+        | Message::NotHolder { .. }
+        | Message::Recall { .. }
+        | Message::Return { .. } => 6,
+        Message::Forward { .. } | Message::Forwarded { .. } => 8,
         _ => 7,
     }
 }
--- a/crates/testbed/src/hollow/world.rs
+++ b/crates/testbed/src/hollow/world.rs
@@ -6,11 +6,11 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::sync::Arc;
 use std::time::Instant;
-use sumacvale_core::agree::Kept;
 use sumacvale_core::base::{ChangeId, MS, Micros, NodeId, Rng, SEC, Version};
-use sumacvale_core::node::{Effect, Event, Me, Node, View};
-use sumacvale_core::peer::{Change, Core, Decree, Fate, Frame, pack, unpack};
-use sumacvale_core::quota::Take;
+use sumacvale_core::consensus::DurableState;
+use sumacvale_core::node::{Effect, Event, Node, NodeSettings, View};
+use sumacvale_core::protocol::{Change, ChangeOutcome, Frame, LogEntry, Voter, decode_frame, encode_frame};
+use sumacvale_core::quota::TakeOutcome;
 
 const TICK: Micros = 25 * MS;
 /// One way: within a zone, between zones, between regions.
@@ -87,19 +87,19 @@
     fn new(s: Shape) -> World {
         let mut rng = Rng::new(s.seed);
         let addr = |i: u64| format!("10.{}.{}.{}:7000", i % s.zones.max(1), i / 250, i % 250 + 1);
-        let node_ids: Vec<_> = (0..s.nodes).map(|_| NodeId(rng.draw().max(1))).collect();
-        let cores: Vec<_> = (0..s.voters).map(|i| Core { node_id: node_ids[ix(i)], addr: addr(i) }).collect();
-        let decree = Decree {
+        let node_ids: Vec<_> = (0..s.nodes).map(|_| NodeId(rng.next_u64().max(1))).collect();
+        let cores: Vec<_> = (0..s.voters).map(|i| Voter { node_id: node_ids[ix(i)], addr: addr(i) }).collect();
+        let decree = LogEntry {
             version: 0,
             change_id: ChangeId(0),
-            fleet: 7,
-            since: 0,
-            old: Vec::new(),
-            cores,
+            fleet_id: 7,
+            voters_since: 0,
+            previous_voters: Vec::new(),
+            voters: cores,
             body: tree(&s, 0),
             revision: 0,
             patch: None,
-            packed: Vec::new(),
+            compressed: Vec::new(),
         };
         let mut w = World {
             s,
@@ -121,27 +121,27 @@
         };
         for i in 0..s.nodes {
             let core = i < s.cores;
-            let me = Me {
+            let me = NodeSettings {
                 node_id: node_ids[ix(i)],
                 incarnation: 1,
                 addr: addr(i),
                 admin: addr(i),
                 zone: zone(&s, i),
                 seeds: (0..s.voters.min(3)).map(addr).collect(),
-                core,
-                read: sumacvale_core::config::judge,
-                first: true,
-                auto: false,
-                lose: 1,
-                beat: 500 * MS,
-                to_cores: false,
+                is_core: core,
+                config_reader: sumacvale_core::config::validate,
+                may_bootstrap: true,
+                manages_voters: false,
+                tolerated_losses: 1,
+                report_interval: 500 * MS,
+                reports_to_cores_only: false,
             };
-            let mut kept = Kept { node_id: node_ids[ix(i)], ..Kept::default() };
+            let mut kept = DurableState { node_id: node_ids[ix(i)], ..DurableState::default() };
             if core {
-                kept.decrees.insert(0, decree.clone());
-                kept.ready = Some(0);
+                kept.entries.insert(0, decree.clone());
+                kept.ready_set = Some(0);
             }
-            let seed = w.rng.draw();
+            let seed = w.rng.next_u64();
             w.at.insert(me.addr.clone(), ix(i));
             w.bodies.push(Body {
                 node: Node::new(me, &kept, seed, w.now),
@@ -205,28 +205,28 @@
                 self.bodies[i].tally.writes += 1;
                 self.push(self.now + SYNC, Happen::Synced(i, token));
             }
-            Effect::Answer { fate, .. } => {
-                if !matches!(fate, Fate::Done { .. }) {
+            Effect::CompleteChange { outcome: fate, .. } => {
+                if !matches!(fate, ChangeOutcome::Committed { .. }) {
                     self.stale += 1;
                 }
             }
-            Effect::Heard { .. } | Effect::Reconnect { .. } => {}
-            Effect::Show(v) => self.bodies[i].view = Some(v),
-            Effect::Wake { tenant } => self.wake(i, &tenant),
+            Effect::AcknowledgeReport { .. } | Effect::Reconnect { .. } => {}
+            Effect::Publish(v) => self.bodies[i].view = Some(v),
+            Effect::WakeTenant { tenant } => self.wake(i, &tenant),
         }
     }
 
     fn send(&mut self, i: usize, to: &str, f: &Frame) {
         let Some(j) = self.at.get(to).copied() else { return };
         let t = Instant::now();
-        let Ok(b) = pack(f) else { return };
+        let Ok(b) = encode_frame(f) else { return };
         let took = ns(t);
         // Four bytes of length go before each frame on a link.
         let n = b.len() as u64 + 4;
         let (zone, region) = (self.bodies[j].zone, self.bodies[j].region);
         let x = &mut self.bodies[i];
         x.tally.wire_ns += took;
-        let o = &mut x.tally.out[group(&f.msg)];
+        let o = &mut x.tally.out[group(&f.message)];
         o.0 += 1;
         o.1 += n;
         let lat = if region != x.region {
@@ -247,7 +247,7 @@
         let now = self.now;
         let b = &mut self.bodies[i];
         let Some(v) = b.waits.get_mut(t) else { return };
-        while !v.is_empty() && matches!(b.node.slices.take(t, now), Take::Took { .. }) {
+        while !v.is_empty() && matches!(b.node.quota.slices.take(t, now), TakeOutcome::Taken { .. }) {
             v.remove(0);
             self.served += 1;
         }
@@ -269,7 +269,7 @@
         });
         self.gave_up += gone;
         for (tenant, waiting) in ts.into_iter().filter(|t| t.1 > 0) {
-            self.step(i, Event::Need { tenant, waiting });
+            self.step(i, Event::QuotaNeeded { tenant, waiting });
         }
     }
 
@@ -283,21 +283,21 @@
             let t = format!("t{}", self.rng.below(self.s.tenants));
             let now = self.now;
             let b = &mut self.bodies[i];
-            let waiting = match b.node.slices.take(&t, now) {
-                Take::Took { low, .. } => {
+            let waiting = match b.node.quota.slices.take(&t, now) {
+                TakeOutcome::Taken { low, .. } => {
                     self.served += 1;
                     if !low {
                         continue;
                     }
                     0
                 }
-                Take::Empty | Take::Spent { .. } | Take::Dry { .. } => {
+                TakeOutcome::Empty | TakeOutcome::WindowSpent { .. } | TakeOutcome::RateExhausted { .. } => {
                     let v = b.waits.entry(t.clone()).or_default();
                     v.push(now + GIVE_UP);
                     v.len() as u64
                 }
             };
-            self.step(i, Event::Need { tenant: t, waiting });
+            self.step(i, Event::QuotaNeeded { tenant: t, waiting });
         }
         self.push(self.now + 10 * MS, Happen::Call);
     }
@@ -306,17 +306,20 @@
         let i = ix(self.rng.below(self.s.voters));
         if let Some(base) = self.bodies[i].node.version() {
             self.changed += 1;
-            let change_id = ChangeId(self.rng.draw().max(1));
+            let change_id = ChangeId(self.rng.next_u64().max(1));
             let change = Change::Tree(tree(&self.s, self.changed));
             self.puts.entry(base + 1).or_insert((self.now, 0));
-            self.step(i, Event::Put { req: self.changed, change_id, fresh: true, base, change });
+            self.step(
+                i,
+                Event::SubmitChange { request_id: self.changed, change_id, is_first_send: true, base, change },
+            );
         }
         self.push(self.now + 1_000 * SEC / self.s.changes, Happen::Change);
     }
 
     fn beat(&mut self, k: u64, n: u64) {
         let r = row(&self.s, k, n);
-        let near: Vec<usize> = (0..ix(self.s.cores)).filter(|i| self.bodies[*i].node.me.zone == r.zone).collect();
+        let near: Vec<usize> = (0..ix(self.s.cores)).filter(|i| self.bodies[*i].node.settings.zone == r.zone).collect();
         let i = if near.is_empty() {
             ix(self.rng.below(self.s.cores))
         } else {
@@ -342,7 +345,7 @@
                 }
                 Happen::Frame(j, b) => {
                     let t = Instant::now();
-                    let f = unpack(&b);
+                    let f = decode_frame(&b);
                     let y = &mut self.bodies[j].tally;
                     y.wire_ns += ns(t);
                     y.inn.0 += 1;
@@ -365,9 +368,9 @@
         if b.node.voter() {
             return Role::Core;
         }
-        let (me, z) = (b.node.me.node_id, &b.node.me.zone);
-        let home = |s: &str| b.node.ring.homes(s, z, self.now).contains(&me);
-        if home("config") || b.node.plan.pools.keys().any(|p| home(p)) { Role::Home } else { Role::Other }
+        let (me, z) = (b.node.settings.node_id, &b.node.settings.zone);
+        let home = |s: &str| b.node.dissemination.peers.home_nodes(s, z, self.now).contains(&me);
+        if home("config") || b.node.config.pools.keys().any(|p| home(p)) { Role::Home } else { Role::Other }
     }
 }
 
@@ -384,8 +387,8 @@
     w.run(end + s.secs * SEC);
     let roles: Vec<_> = (0..w.bodies.len()).map(|i| w.role(i)).collect();
     let now = w.now;
-    let workers = w.bodies.iter().map(|b| b.node.news.live(now).count() as u64).min().unwrap_or(0);
-    let nodes = w.bodies.iter().map(|b| b.node.ring.live(now).count() as u64).min().unwrap_or(0);
+    let workers = w.bodies.iter().map(|b| b.node.dissemination.workers.live(now).count() as u64).min().unwrap_or(0);
+    let nodes = w.bodies.iter().map(|b| b.node.dissemination.peers.live(now).count() as u64).min().unwrap_or(0);
     let body = tree(&s, 0).len() as u64;
     let World { bodies, spread, stale, calls, served, gave_up, what, .. } = w;
     drop(what);
--- a/crates/testbed/src/lookups.rs
+++ b/crates/testbed/src/lookups.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 use sumacvale_core::base::{Micros, Rng, Version};
-use sumacvale_core::cache::{Ctx, L1, L2, Opts, Step, Ttl, get};
+use sumacvale_core::cache::{CacheOptions, L1, L2, LookupContext, Step, Ttl, get};
 
 /// Lookups by layer (L1, L2, fetch), and nanoseconds for each lookup on a thread.
 pub struct Cost {
@@ -15,7 +15,7 @@
 /// Eight tenants, two of them with over half of the calls, and `strange` percent of
 /// keys that nobody has; a version changes after every `turn` lookups.
 pub fn run(threads: u64, each: u64, strange: u64, turn: u64) -> Cost {
-    let o = Opts::default();
+    let o = CacheOptions::default();
     let l2 = Arc::new(L2::<Arc<u64>>::new(o.clone()));
     let ts: Vec<_> = (0..threads)
         .map(|t| {
@@ -36,7 +36,7 @@
     Cost { by, ns: ns / threads.max(1), held: l2.size() }
 }
 
-fn one(t: u64, each: u64, strange: u64, turn: u64, l2: &L2<Arc<u64>>, o: &Opts) -> ([u64; 3], u64) {
+fn one(t: u64, each: u64, strange: u64, turn: u64, l2: &L2<Arc<u64>>, o: &CacheOptions) -> ([u64; 3], u64) {
     let mut l1 = L1::new(o);
     let mut r = Rng::new(t + 1);
     let known: Vec<String> = (0..8).map(|i| format!("{i:064x}")).collect();
@@ -45,14 +45,14 @@
     for n in 0..each {
         let fresh;
         let k = if r.chance(strange) {
-            fresh = format!("{:064x}", r.draw());
+            fresh = format!("{:064x}", r.next_u64());
             &fresh
         } else {
             let i = if r.chance(55) { r.below(2) } else { r.below(8) };
             &known[usize::try_from(i).unwrap_or(0)]
         };
         // A call a millisecond on each thread.
-        let c = Ctx { now: n * 1_000 as Micros, version: (n / turn) as Version };
+        let c = LookupContext { now: n * 1_000 as Micros, version: (n / turn) as Version };
         l1.update(&l2.log, || c.now);
         loop {
             match get(&mut l1, l2, k, c) {
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,5 +1,5 @@
 use getopts::Options;
-use sumacvale_core::config::Placement;
+use sumacvale_core::config::PlacementWeights;
 use sumacvale_testbed::bounds::Bound;
 use sumacvale_testbed::engines;
 use sumacvale_testbed::fleet::{Shape, rehearse};
@@ -107,7 +107,12 @@
                 c.hot = num("hot", 0) as f64 / 100.0;
                 c.burst = num("burst", 100) as f64 / 100.0;
                 c.lose = m.opt_present("lose");
-                c.set = Placement { near: pct("near"), reread: pct("reread"), spread: pct("spread"), ..c.set };
+                c.set = PlacementWeights {
+                    zone_locality: pct("near"),
+                    prefix_affinity: pct("reread"),
+                    load_spread: pct("spread"),
+                    ..c.set
+                };
                 engines::run(&c).print(way.name());
             }
             false
--- a/crates/testbed/src/sim/check.rs
+++ b/crates/testbed/src/sim/check.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeMap;
 use sumacvale_core::base::{ChangeId, Micros, SEC, Version};
-use sumacvale_core::peer::Decree;
+use sumacvale_core::protocol::LogEntry;
 
 /// One thing that must never happen, and did.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Check {
     pub breaches: Vec<Breach>,
-    pub chosen: BTreeMap<Version, Decree>,
+    pub chosen: BTreeMap<Version, LogEntry>,
     pub acks: Vec<Ack>,
     pub refused: Vec<ChangeId>,
     /// When each version was first held by anyone.
@@ -40,7 +40,7 @@
     }
 
     /// A node holds this as decided.
-    pub fn holds(&mut self, who: &str, d: &Decree, at: Micros) {
+    pub fn holds(&mut self, who: &str, d: &LogEntry, at: Micros) {
         match self.chosen.get(&d.version) {
             Some(o) if o == d => {}
             Some(o) => {
--- a/crates/testbed/src/sim/control/cuts.rs
+++ b/crates/testbed/src/sim/control/cuts.rs
@@ -61,7 +61,7 @@
                 world.kill(slot);
                 self.at(mid, Act::Begin(slot));
             } else if world.alive(slot) {
-                world.step(slot, Event::Seeds(seeds.clone()));
+                world.step(slot, Event::SeedsChanged(seeds.clone()));
             }
         }
     }
--- a/crates/testbed/src/sim/control/leaving.rs
+++ b/crates/testbed/src/sim/control/leaving.rs
@@ -46,7 +46,7 @@
         leaver.asked = world.now;
         let row = world.row(leaver.worker);
         if let Some(i) = to.or_else(|| core(world)).filter(|i| world.alive(*i)) {
-            world.step(i, Event::Told { req: self.calls, row });
+            world.step(i, Event::ReportWithAck { request_id: self.calls, report: row });
         }
     }
 
--- a/crates/testbed/src/sim/control/losses.rs
+++ b/crates/testbed/src/sim/control/losses.rs
@@ -120,7 +120,7 @@
 
     pub(super) fn tell_to_stop(&mut self, world: &mut World, slot: usize) {
         world.say(format!("{} is told to stop", world.slots[slot].addr));
-        world.step(slot, Event::Leave);
+        world.step(slot, Event::Shutdown);
         let kill = world.now + GRACE;
         self.at(world.now + NOTICE, Act::Stop { slot, kill });
     }
@@ -128,7 +128,7 @@
     /// Ends once what it holds is held elsewhere.
     pub(super) fn stop(&mut self, world: &mut World, slot: usize, kill: Micros) {
         let s = &world.slots[slot];
-        let waits = s.node.as_ref().is_some_and(|n| !n.may_end(s.clock(world.now)));
+        let waits = s.node.as_ref().is_some_and(|n| !n.may_stop(s.clock(world.now)));
         if waits && world.now < kill {
             return self.at(world.now + MAY_END_EVERY, Act::Stop { slot, kill });
         }
--- a/crates/testbed/src/sim/cutoff/answers.rs
+++ b/crates/testbed/src/sim/cutoff/answers.rs
@@ -5,7 +5,7 @@
 use super::seen::Caller;
 use super::{CORES, Driver};
 use sumacvale_core::base::{MS, Micros, SEC};
-use sumacvale_core::peer::Fate;
+use sumacvale_core::protocol::ChangeOutcome;
 
 /// A caller that hears nothing for so long goes on to another node.
 const SILENCE: Micros = SEC;
@@ -26,9 +26,9 @@
         }
     }
 
-    pub(super) fn was_read(&mut self, req: u64, o: &Open, fate: Fate) {
+    pub(super) fn was_read(&mut self, req: u64, o: &Open, fate: ChangeOutcome) {
         let newest = self.readers.remove(&req).unwrap_or(0);
-        let Fate::Told { text } = fate else {
+        let ChangeOutcome::Content { text } = fate else {
             return self.ended(o, Some(false));
         };
         self.ended(o, Some(true));
@@ -38,11 +38,11 @@
         }
     }
 
-    pub(super) fn was_ordered(&mut self, o: &Open, fate: Fate) {
+    pub(super) fn was_ordered(&mut self, o: &Open, fate: ChangeOutcome) {
         let now = self.world.now;
         let Some((base, number, body)) = self.operators[o.by].order.clone() else { return };
         match fate {
-            Fate::Done { .. } => {
+            ChangeOutcome::Committed { .. } => {
                 self.ended(o, Some(true));
                 if self.acked.iter().any(|a| a.0 == base && a.2 != body) {
                     self.breach(format!("two documents on {base} were acknowledged"));
@@ -51,12 +51,12 @@
                 self.acted = o.core;
                 self.seen.acknowledged += 1;
             }
-            Fate::Stale { .. } => {
+            ChangeOutcome::Stale { .. } => {
                 self.ended(o, None);
                 self.refused.insert(body);
                 self.seen.refused += 1;
             }
-            Fate::NoMajority | Fate::Unknown => {
+            ChangeOutcome::NoQuorum | ChangeOutcome::Unknown => {
                 self.ended(o, Some(false));
                 return self.again(o.by, now);
             }
--- a/crates/testbed/src/sim/cutoff/callers.rs
+++ b/crates/testbed/src/sim/cutoff/callers.rs
@@ -2,7 +2,7 @@
 
 use super::seen::Caller;
 use sumacvale_core::base::{Micros, hash64};
-use sumacvale_core::peer::{Row, UNNUMBERED};
+use sumacvale_core::protocol::{UNNUMBERED_INCARNATION, WorkerReport};
 
 /// A call under way.
 #[derive(Clone, Debug)]
@@ -46,18 +46,18 @@
         Reporter { id, core, number: 0, state: State::Ready, due: now, tries: 0 }
     }
 
-    pub(super) fn row(&mut self) -> Row {
+    pub(super) fn row(&mut self) -> WorkerReport {
         self.number += 1;
-        Row {
+        WorkerReport {
             worker_id: self.id.clone(),
-            incarnation: UNNUMBERED,
+            incarnation: UNNUMBERED_INCARNATION,
             seq: self.number,
             addr: format!("10.8.0.1:{}", 1_000 + hash64(self.id.as_bytes()) % 60_000),
             pool: "p".into(),
             zone: "z0".into(),
             slots: 4,
-            drain: self.state == State::Drains,
-            ..Row::default()
+            draining: self.state == State::Drains,
+            ..WorkerReport::default()
         }
     }
 }
--- a/crates/testbed/src/sim/cutoff/calls.rs
+++ b/crates/testbed/src/sim/cutoff/calls.rs
@@ -5,7 +5,7 @@
 use super::{BEAT, CORES, Driver};
 use sumacvale_core::base::{ChangeId, MS, Micros, hash64};
 use sumacvale_core::node::Event;
-use sumacvale_core::peer::{Change, Row, UNNUMBERED};
+use sumacvale_core::protocol::{Change, UNNUMBERED_INCARNATION, WorkerReport};
 
 impl Driver {
     pub(super) fn call(&mut self, caller: Caller, by: usize, core: usize) -> u64 {
@@ -19,11 +19,11 @@
         let req = self.call(Caller::Read, 0, core);
         let newest = self.acked.iter().map(|a| a.1).max().unwrap_or(0);
         self.readers.insert(req, newest);
-        self.put(core, req, ChangeId(0), 0, Change::Newest);
+        self.put(core, req, ChangeId(0), 0, Change::ReadNewest);
     }
 
     pub(super) fn put(&mut self, core: usize, req: u64, change_id: ChangeId, base: u64, change: Change) {
-        self.world.step(core, Event::Put { req, change_id, fresh: false, base, change });
+        self.world.step(core, Event::SubmitChange { request_id: req, change_id, is_first_send: false, base, change });
     }
 
     pub(super) fn operators(&mut self, now: Micros) {
@@ -42,7 +42,7 @@
             let Some((base, _, body)) = self.operators[by].order.clone() else { continue };
             let core = usize::try_from(self.world.rng.below(CORES as u64)).unwrap_or(0);
             let req = self.call(Caller::Order, by, core);
-            self.put(core, req, ChangeId(hash64(body.as_bytes()).max(1)), base, Change::Doc(body));
+            self.put(core, req, ChangeId(hash64(body.as_bytes()).max(1)), base, Change::Document(body));
         }
     }
 
@@ -61,10 +61,10 @@
             let (caller, row) = match r.state {
                 State::Ready => (Caller::Beat, row),
                 State::Drains => (Caller::Drain, row),
-                State::Leaves => (Caller::Leave, Row::left(&row.worker_id, UNNUMBERED)),
+                State::Leaves => (Caller::Leave, WorkerReport::removal(&row.worker_id, UNNUMBERED_INCARNATION)),
             };
             let req = self.call(caller, by, core);
-            self.world.step(core, Event::Told { req, row });
+            self.world.step(core, Event::ReportWithAck { request_id: req, report: row });
         }
     }
 }
--- a/crates/testbed/src/sim/cutoff/judge.rs
+++ b/crates/testbed/src/sim/cutoff/judge.rs
@@ -76,7 +76,7 @@
         let newest = self.acked.iter().map(|a| a.1).max().unwrap_or(0);
         let decided: BTreeSet<String> = self.world.check.chosen.values().map(|d| d.body.clone()).collect();
         for (i, s) in self.world.slots.iter().enumerate() {
-            let held = s.node.as_ref().and_then(|n| n.agree.last()).map_or(0, |d| d.revision);
+            let held = s.node.as_ref().and_then(|n| n.consensus.state.newest()).map_or(0, |d| d.revision);
             if held < newest {
                 self.seen.breaches.push(Breach(format!("node {i} holds {held} in the end, acknowledged {newest}")));
             }
--- a/crates/testbed/src/sim/disk.rs
+++ b/crates/testbed/src/sim/disk.rs
@@ -2,8 +2,8 @@
 //! full disk refuses each write until there is room, as the node's disk thread meets it.
 
 use std::collections::VecDeque;
-use sumacvale_core::agree::{Kept, Op};
 use sumacvale_core::base::{MS, Micros, Rng};
+use sumacvale_core::consensus::{DurableState, DurableWrite};
 
 /// How soon the node's disk thread tries a refused write again, and a start on a full disk.
 pub const RETRY: Micros = 200 * MS;
@@ -11,8 +11,8 @@
 /// A disk that keeps what was synced and may lose the rest.
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
-    pub kept: Kept,
-    queue: VecDeque<(u64, Vec<Op>, Micros)>,
+    pub kept: DurableState,
+    queue: VecDeque<(u64, Vec<DurableWrite>, Micros)>,
     /// No write ends before this.
     pub stuck: Micros,
     pub slow: Micros,
@@ -27,7 +27,7 @@
 
 impl Disk {
     /// Takes a write in; the moment at which it will be on the disk.
-    pub fn write(&mut self, token: u64, ops: Vec<Op>, now: Micros, r: &mut Rng) -> Micros {
+    pub fn write(&mut self, token: u64, ops: Vec<DurableWrite>, now: Micros, r: &mut Rng) -> Micros {
         let lat = MS / 2 + r.below(3 * MS) + if self.slow > now { r.below(300 * MS) } else { 0 };
         let at = (now + lat).max(self.last + 1).max(self.stuck);
         self.last = at;
--- a/crates/testbed/src/sim/documents.rs
+++ b/crates/testbed/src/sim/documents.rs
@@ -1,7 +1,7 @@
 //! The configurations that operators of a simulated fleet send, and the quotas that these give.
 
 use std::collections::BTreeMap;
-use sumacvale_core::base::{MS, Micros, SEC, sha_hex};
+use sumacvale_core::base::{MS, Micros, SEC, sha256_hex};
 
 pub const QUOTA: u64 = 60;
 pub const WINDOW: Micros = SEC;
@@ -17,7 +17,7 @@
 pub const WAIT: Micros = 2 * SEC;
 
 fn hash(t: &str) -> String {
-    sha_hex(format!("key-{t}").as_bytes())
+    sha256_hex(format!("key-{t}").as_bytes())
 }
 
 /// Whether a configuration has the key that comes and goes.
--- a/crates/testbed/src/sim/drive.rs
+++ b/crates/testbed/src/sim/drive.rs
@@ -232,7 +232,8 @@
         if !n.is_fresh(s.clock(now)) {
             continue;
         }
-        let ws: Vec<_> = n.news.live(s.clock(now)).map(|r| (r.worker_id.clone(), r.incarnation)).collect();
+        let ws: Vec<_> =
+            n.dissemination.workers.live(s.clock(now)).map(|r| (r.worker_id.clone(), r.incarnation)).collect();
         let v = n.version().unwrap_or(0);
         let a = s.addr.clone();
         w.check.admits(&a, v, now);
--- a/crates/testbed/src/sim/event.rs
+++ b/crates/testbed/src/sim/event.rs
@@ -2,7 +2,7 @@
 
 use super::worker::{Back, Sending};
 use bytes::Bytes;
-use sumacvale_core::call::{Event as CallEvent, Ring};
+use sumacvale_core::call::{Event as CallEvent, Wakeup};
 
 /// One thing that happens: machines by slot, processes by slot and life.
 #[derive(Debug)]
@@ -25,7 +25,7 @@
     Turn(usize, u64, u64),
     Leave(usize, u64, u64),
     Body(usize, u64, u64, Bytes),
-    Bell(usize, u64, Ring),
+    Bell(usize, u64, Wakeup),
     Try(Back, CallEvent),
     Arrive(usize, Sending),
     Work(usize, u64),
--- a/crates/testbed/src/sim/hall.rs
+++ b/crates/testbed/src/sim/hall.rs
@@ -4,13 +4,13 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use sumacvale_core::base::Micros;
-use sumacvale_core::call::{Floor, Life, Own};
+use sumacvale_core::call::{CallMachine, SharedCallState, ThreadCaches};
 use sumacvale_core::node::View;
 
 /// A call that has not ended.
 #[derive(Debug)]
 pub struct Alive {
-    pub(super) life: Life,
+    pub(super) life: CallMachine,
     pub(super) want: Want,
     pub(super) at: Micros,
     pub(super) first: Option<Micros>,
@@ -31,14 +31,14 @@
 /// The data plane of one process.
 #[derive(Debug)]
 pub struct Hall {
-    pub floor: Arc<Floor>,
-    pub own: Own,
+    pub floor: Arc<SharedCallState>,
+    pub own: ThreadCaches,
     pub view: Arc<View>,
     pub lives: BTreeMap<u64, Box<Alive>>,
 }
 
 impl Hall {
-    pub fn new(floor: Floor) -> Self {
-        Hall { floor: Arc::new(floor), own: Own::default(), view: Arc::default(), lives: BTreeMap::new() }
+    pub fn new(floor: SharedCallState) -> Self {
+        Hall { floor: Arc::new(floor), own: ThreadCaches::default(), view: Arc::default(), lives: BTreeMap::new() }
     }
 }
--- a/crates/testbed/src/sim/judge.rs
+++ b/crates/testbed/src/sim/judge.rs
@@ -4,7 +4,7 @@
 use super::worker::Ran;
 use std::collections::{BTreeMap, BTreeSet};
 use sumacvale_core::base::{Micros, Version};
-use sumacvale_core::tries;
+use sumacvale_core::retry;
 
 /// What the runs and responses of one world are judged by.
 #[derive(Clone, Debug, Default)]
@@ -68,7 +68,7 @@
     }
     match &o.seen {
         Seen::Whole if rs.is_empty() => out.push(format!("call {c} got a success that no worker gave")),
-        Seen::Refused { ran: tries::Ran::No, code, .. } if !rs.is_empty() => {
+        Seen::Refused { ran: retry::Execution::NotRun, code, .. } if !rs.is_empty() => {
             out.push(format!("call {c} was refused as not run ({code}) and ran {} times", rs.len()));
         }
         Seen::Refused { status: 429 | 503, back: false, code, .. } => {
--- a/crates/testbed/src/sim/lives.rs
+++ b/crates/testbed/src/sim/lives.rs
@@ -8,24 +8,24 @@
 use bytes::Bytes;
 use std::sync::Arc;
 use sumacvale_core::base::MS;
-use sumacvale_core::call::{Cx, Effect, Event, Floor, Head, Life, Ring};
+use sumacvale_core::call::{CallMachine, Effect, Event, RequestHead, SharedCallState, StepContext, Wakeup};
 use sumacvale_core::node::{Event as NodeEvent, View};
-use sumacvale_core::tries::Spot;
+use sumacvale_core::retry::FailurePoint;
 
 impl World {
     /// Somebody calls a front; the number of the call.
     pub fn call(&mut self, i: usize, want: Want) -> u64 {
         self.calls += 1;
         let call = self.calls;
-        let head = Head {
+        let head = RequestHead {
             method: "POST".into(),
             path: want.path.into(),
-            key: Some(format!("key-{}", want.tenant)),
-            ..Head::default()
+            api_key: Some(format!("key-{}", want.tenant)),
+            ..RequestHead::default()
         };
         let at = self.slots[i].clock(self.now);
         let h = &mut self.slots[i].hall;
-        let life = Life::new(call, head, h.view.clone(), at);
+        let life = CallMachine::new(call, head, h.view.clone(), at);
         if let Some(t) = want.leaves {
             let (t, life) = (self.now + t, self.slots[i].life);
             self.push(t, Happen::Leave(i, life, call));
@@ -44,40 +44,41 @@
         let version = h.view.version != v.version;
         h.view = v;
         if news {
-            for p in h.view.plan.pools.keys() {
+            for p in h.view.config.pools.keys() {
                 h.floor.caches.routes.delete(p);
             }
             self.sweep(i);
         }
         if version {
-            let ns: Vec<_> = self.slots[i].hall.lives.iter().filter(|x| x.1.life.minds()).map(|x| *x.0).collect();
+            let ns: Vec<_> =
+                self.slots[i].hall.lives.iter().filter(|x| x.1.life.wants_new_view()).map(|x| *x.0).collect();
             for n in ns {
-                self.live(i, n, Event::Turn);
+                self.live(i, n, Event::Wake);
             }
         }
     }
 
-    fn with<R>(&mut self, i: usize, f: impl FnOnce(&mut Cx) -> R) -> R {
+    fn with<R>(&mut self, i: usize, f: impl FnOnce(&mut StepContext) -> R) -> R {
         let now = self.slots[i].clock(self.now);
         let h = &mut self.slots[i].hall;
         let clock = || now;
-        f(&mut Cx { floor: &h.floor, own: &mut h.own, view: &h.view, now, clock: &clock })
+        f(&mut StepContext { shared: &h.floor, thread_caches: &mut h.own, view: &h.view, now, clock: &clock })
     }
 
     pub(super) fn sweep(&mut self, i: usize) {
-        let (rs, need) = self.with(i, Floor::sweep);
+        let (rs, need) = self.with(i, SharedCallState::expire_waiters);
         self.rings(i, rs);
         for (tenant, waiting) in need {
-            self.step(i, NodeEvent::Need { tenant, waiting });
+            self.step(i, NodeEvent::QuotaNeeded { tenant, waiting });
         }
     }
 
     pub(super) fn refill(&mut self, i: usize, tenant: &str) {
-        let rs = self.with(i, |cx| cx.floor.refill(tenant, cx.now));
+        let rs = self.with(i, |cx| cx.shared.serve_quota_queue(tenant, cx.now));
         self.rings(i, rs);
     }
 
-    fn rings(&mut self, i: usize, rs: Vec<Ring>) {
+    fn rings(&mut self, i: usize, rs: Vec<Wakeup>) {
         let life = self.slots[i].life;
         for r in rs {
             // Between the bell and who hears it other things happen.
@@ -86,11 +87,11 @@
         }
     }
 
-    pub(super) fn bell(&mut self, i: usize, r: Ring) {
-        if self.slots[i].hall.lives.contains_key(&r.call) {
-            self.live(i, r.call, r.event);
+    pub(super) fn bell(&mut self, i: usize, r: Wakeup) {
+        if self.slots[i].hall.lives.contains_key(&r.call_id) {
+            self.live(i, r.call_id, r.event);
         } else {
-            let rs = self.with(i, |cx| Floor::undo(r, cx));
+            let rs = self.with(i, |cx| SharedCallState::reclaim(r, cx));
             self.rings(i, rs);
         }
     }
@@ -99,7 +100,7 @@
     pub fn platform(&mut self) {
         for s in &mut self.slots {
             let up = s.node.is_some() && s.frozen <= self.now;
-            s.ready = up && s.hall.view.ready(s.clock(self.now));
+            s.ready = up && s.hall.view.is_ready(s.clock(self.now));
         }
     }
 
@@ -114,32 +115,37 @@
     /// Gives one event to a call and carries its effects out.
     pub(super) fn live(&mut self, i: usize, n: u64, e: Event) {
         let Some(mut a) = self.slots[i].hall.lives.remove(&n) else { return };
-        let left = matches!(e, Event::Left);
+        let left = matches!(e, Event::ClientGone);
         let out = self.with(i, |cx| a.life.step(e, cx));
         let mut seen = left.then_some(Seen::Left);
         let mut needs = Vec::new();
         for e in out {
             match e {
-                Effect::Read { .. } => {
+                Effect::ReadBody { .. } => {
                     let b = format!("{{\"prompt\":\"prefix {}\"}}", a.want.prefix);
                     let t = self.now + self.rng.below(2 * MS);
                     self.push(t, Happen::Body(i, self.slots[i].life, n, Bytes::from(b)));
                 }
-                Effect::Need { tenant, waiting } => needs.push((tenant, waiting)),
-                Effect::Open(p) => self.open(i, n, &mut a, p.addr),
-                Effect::Send { after, window, .. } => self.sent(i, n, &a, after, window),
+                Effect::RequestUnits { tenant, waiting } => needs.push((tenant, waiting)),
+                Effect::Connect(p) => self.open(i, n, &mut a, p.addr),
+                Effect::Send { last_event_id: after, window, .. } => self.sent(i, n, &a, after, window),
                 Effect::Close => self.close(i, n, &mut a),
-                Effect::Begin => {
+                Effect::ForwardHead => {
                     a.first = Some(self.now);
                     self.accepted = Some((i, self.now));
                 }
-                Effect::Pass(b) => a.body.extend_from_slice(&b),
+                Effect::ForwardChunk(b) => a.body.extend_from_slice(&b),
                 Effect::End => seen = Some(Seen::Whole),
                 Effect::Abort(_) => seen = Some(Seen::Broken),
-                Effect::Answer(x) => {
-                    seen = Some(Seen::Refused { status: x.status, code: x.code, ran: x.ran, back: x.back.is_some() });
+                Effect::Respond(x) => {
+                    seen = Some(Seen::Refused {
+                        status: x.status,
+                        code: x.code,
+                        ran: x.execution,
+                        back: x.retry_after.is_some(),
+                    });
                 }
-                Effect::Ring(r) => self.rings(i, vec![r]),
+                Effect::Wake(r) => self.rings(i, vec![r]),
             }
         }
         if let Some(seen) = seen {
@@ -147,7 +153,7 @@
             self.ended(i, n, *a, seen);
         } else {
             let s = &self.slots[i];
-            if let Some(d) = a.life.due(&s.hall.view) {
+            if let Some(d) = a.life.next_wake(&s.hall.view) {
                 let t = s.when(d).max(self.now + MS);
                 if t != a.turn {
                     a.turn = t;
@@ -158,7 +164,7 @@
             self.slots[i].hall.lives.insert(n, a);
         }
         for (tenant, waiting) in needs {
-            self.step(i, NodeEvent::Need { tenant, waiting });
+            self.step(i, NodeEvent::QuotaNeeded { tenant, waiting });
         }
     }
 
@@ -179,7 +185,7 @@
         if w.mode(self.now) == Mode::Dark {
             return;
         }
-        let e = if w.up { Event::Opened } else { Event::Lost(Spot::Connect) };
+        let e = if w.up { Event::Connected } else { Event::AttemptFailed(FailurePoint::Connect) };
         let t = self.now + 2 * self.lat(i, k);
         self.push(t, Happen::Try(b, e));
     }
@@ -201,7 +207,7 @@
 
     /// The process is gone: its downstreams and its workers see their connections end.
     pub(super) fn drop_calls(&mut self, i: usize) {
-        let c = &self.slots[i].hall.floor.counts;
+        let c = &self.slots[i].hall.floor.counters;
         self.tries.0 += c.tries_first.get();
         self.tries.1 += c.tries_second.get();
         self.resumed += c.resumed.get();
--- a/crates/testbed/src/sim/machines.rs
+++ b/crates/testbed/src/sim/machines.rs
@@ -6,8 +6,8 @@
 use super::slot::{Slot, Slow};
 use super::world::{TICK, World};
 use sumacvale_core::base::{MS, Micros, NodeId, SEC};
-use sumacvale_core::call::Floor;
-use sumacvale_core::node::{Me, Node};
+use sumacvale_core::call::SharedCallState;
+use sumacvale_core::node::{Node, NodeSettings};
 
 impl World {
     pub fn address(&mut self) -> String {
@@ -89,8 +89,8 @@
             return self.push(self.now + RETRY, Happen::Room(i, life));
         }
         let seeds = if self.first { self.seeds() } else { self.drawn(i) };
-        let seed = self.rng.draw();
-        let fresh = NodeId(self.rng.draw().max(1));
+        let seed = self.rng.next_u64();
+        let fresh = NodeId(self.rng.next_u64().max(1));
         let now = self.now;
         let s = &mut self.slots[i];
         s.life += 1;
@@ -98,27 +98,27 @@
             s.disk.kept.node_id = fresh;
         }
         let node_id = if s.core { s.disk.kept.node_id } else { fresh };
-        let me = Me {
+        let me = NodeSettings {
             node_id,
             incarnation: s.life,
             addr: s.addr.clone(),
             admin: String::new(),
             zone: s.zone.clone(),
             seeds,
-            core: s.core,
-            read: sumacvale_core::config::judge,
-            first: self.first,
-            auto: self.lose > 0,
-            lose: self.lose.max(1),
-            beat: self.beat,
-            to_cores: self.beat > 500 * MS,
+            is_core: s.core,
+            config_reader: sumacvale_core::config::validate,
+            may_bootstrap: self.first,
+            manages_voters: self.lose > 0,
+            tolerated_losses: self.lose.max(1),
+            report_interval: self.beat,
+            reports_to_cores_only: self.beat > 500 * MS,
         };
         s.frozen = 0;
         s.pend.clear();
         s.shown = None;
         let kept = if s.core { s.disk.kept.clone() } else { Default::default() };
         let n = Node::new(me, &kept, seed, s.clock(now));
-        s.hall = Hall::new(Floor::new(&s.zone, 256, 64 << 20, n.slices.clone()));
+        s.hall = Hall::new(SharedCallState::new(&s.zone, 256, 64 << 20, n.quota.slices.clone()));
         s.node = Some(n);
         let life = s.life;
         let d = self.rng.below(TICK);
--- a/crates/testbed/src/sim/moves.rs
+++ b/crates/testbed/src/sim/moves.rs
@@ -118,7 +118,7 @@
     /// Whether a core that was told to stop still waits for what it holds to be held elsewhere.
     fn stays(&self, w: &World, i: usize) -> bool {
         let s = &w.slots[i];
-        let waits = s.node.as_ref().is_some_and(|n| !n.may_end(s.clock(w.now)));
+        let waits = s.node.as_ref().is_some_and(|n| !n.may_stop(s.clock(w.now)));
         waits && self.told.get(&i).is_some_and(|t| w.now < t + GRACE)
     }
 
@@ -140,7 +140,7 @@
                     let end = now + if term || before { 300 * MS + w.rng.below(SEC) } else { 0 };
                     let join = if before { now } else { end + w.rng.below(2 * SEC) };
                     if term {
-                        w.step(i, Event::Leave);
+                        w.step(i, Event::Shutdown);
                         self.told.insert(i, now);
                     }
                     w.leaving.insert(i);
@@ -234,8 +234,8 @@
         }
         let Some(at) = self.last.filter(|_| self.acts.is_empty()) else { return };
         let live: BTreeSet<_> =
-            w.slots.iter().filter(|s| s.core).filter_map(|s| s.node.as_ref().map(|n| n.me.node_id)).collect();
-        let cores = w.check.chosen.values().next_back().map(|d| d.cores.clone()).unwrap_or_default();
+            w.slots.iter().filter(|s| s.core).filter_map(|s| s.node.as_ref().map(|n| n.settings.node_id)).collect();
+        let cores = w.check.chosen.values().next_back().map(|d| d.voters.clone()).unwrap_or_default();
         if !self.set && cores.len() == 2 * w.lose as usize + 1 && cores.iter().all(|c| live.contains(&c.node_id)) {
             self.set = true;
             self.voted.push(now - at);
@@ -246,9 +246,9 @@
             self.again.push(now - at);
         }
         let newest = w.check.chosen.keys().next_back().copied();
-        let ready = |c: &sumacvale_core::peer::Core| {
-            let mut nodes = w.slots.iter().filter_map(|s| s.node.as_ref()).filter(|n| n.me.node_id == c.node_id);
-            nodes.any(|n| n.version() == newest && n.ready())
+        let ready = |c: &sumacvale_core::protocol::Voter| {
+            let mut nodes = w.slots.iter().filter_map(|s| s.node.as_ref()).filter(|n| n.settings.node_id == c.node_id);
+            nodes.any(|n| n.version() == newest && n.is_ready())
         };
         if !self.whole && self.set && cores.iter().all(ready) {
             self.whole = true;
@@ -275,6 +275,7 @@
 fn stands(w: &World, s: &super::slot::Slot) -> String {
     let Some(n) = &s.node else { return s.addr.clone() };
     let gone = |a: &String| w.slots.iter().any(|s| s.addr == *a && s.gone);
-    let list: Vec<String> = n.me.seeds.iter().map(|a| format!("{a}{}", if gone(a) { " (gone)" } else { "" })).collect();
+    let list: Vec<String> =
+        n.settings.seeds.iter().map(|a| format!("{a}{}", if gone(a) { " (gone)" } else { "" })).collect();
     format!("{} version {:?} list {list:?}", s.addr, n.version())
 }
--- a/crates/testbed/src/sim/ops.rs
+++ b/crates/testbed/src/sim/ops.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use sumacvale_core::base::{ChangeId, MS, Micros, SEC, Version};
 use sumacvale_core::node::Event;
-use sumacvale_core::peer::{Change, Core, Fate};
+use sumacvale_core::protocol::{Change, ChangeOutcome, Voter};
 
 /// One change that an operator waits for.
 #[derive(Clone, Debug)]
@@ -47,7 +47,13 @@
     fn send(&mut self, w: &mut World, i: usize, a: Ask) {
         self.n += 1;
         let n = self.n;
-        let e = Event::Put { req: n, change_id: a.change_id, fresh: !a.again, base: a.base, change: a.change.clone() };
+        let e = Event::SubmitChange {
+            request_id: n,
+            change_id: a.change_id,
+            is_first_send: !a.again,
+            base: a.base,
+            change: a.change.clone(),
+        };
         self.open.insert(n, a);
         w.step(i, e);
     }
@@ -61,7 +67,7 @@
         let pick = |w: &mut World| up[usize::try_from(w.rng.below(up.len() as u64)).unwrap_or(0)];
         let (i, j) = (pick(w), pick(w));
         let Some(base) = w.slots[i].node.as_ref().and_then(|n| n.version()) else { return };
-        let change_id = ChangeId(w.rng.draw().max(1));
+        let change_id = ChangeId(w.rng.next_u64().max(1));
         let change = Change::Tree(tree(self.n, w.tenants, w.grown, w.rates));
         let now = w.now;
         self.send(
@@ -73,22 +79,22 @@
 
     /// Puts the machine in slot `i` in the place of the core `old`.
     pub fn replace(&mut self, w: &mut World, i: usize) -> bool {
-        let Some(new) = w.slots[i].node.as_ref().map(|n| n.me.node_id) else { return false };
+        let Some(new) = w.slots[i].node.as_ref().map(|n| n.settings.node_id) else { return false };
         let addr = w.slots[i].addr.clone();
         let Some(j) = (0..w.slots.len()).find(|j| *j != i && w.alive(*j) && w.slots[*j].core) else { return false };
-        let Some(d) = w.slots[j].node.as_ref().and_then(|n| n.agree.last().cloned()) else { return false };
-        if d.cores.iter().any(|c| c.node_id == new) {
+        let Some(d) = w.slots[j].node.as_ref().and_then(|n| n.consensus.state.newest().cloned()) else { return false };
+        if d.voters.iter().any(|c| c.node_id == new) {
             return true;
         }
         let live: Vec<_> = w.slots.iter().filter(|s| s.core).map(|s| s.disk.kept.node_id).collect();
-        let mut cs: Vec<Core> = d.cores.iter().filter(|c| live.contains(&c.node_id)).cloned().collect();
-        cs.push(Core { node_id: new, addr });
-        let change_id = ChangeId(w.rng.draw().max(1));
+        let mut cs: Vec<Voter> = d.voters.iter().filter(|c| live.contains(&c.node_id)).cloned().collect();
+        cs.push(Voter { node_id: new, addr });
+        let change_id = ChangeId(w.rng.next_u64().max(1));
         let now = w.now;
         let a = Ask {
             change_id,
             base: d.version,
-            change: Change::Cores(cs),
+            change: Change::Voters(cs),
             asked: now,
             due: now + 7 * SEC,
             again: false,
@@ -110,29 +116,29 @@
             let Some(a) = self.open.remove(&n) else { continue };
             self.judge(w, &a, &f);
             match f {
-                Fate::Done { version } => {
+                ChangeOutcome::Committed { version } => {
                     self.done += 1;
                     w.check.ack(Ack { change_id: a.change_id, base: a.base, version, asked: a.asked, at: now });
                     self.seen.insert(version, now);
                 }
-                Fate::Stale { .. } if !a.again => {
+                ChangeOutcome::Stale { .. } if !a.again => {
                     self.stale += 1;
                     w.check.refuse(a.change_id, now);
                 }
-                Fate::Stale { .. } => self.stale += 1,
-                Fate::NoMajority if !a.again => {
+                ChangeOutcome::Stale { .. } => self.stale += 1,
+                ChangeOutcome::NoQuorum if !a.again => {
                     self.none += 1;
                     w.check.refuse(a.change_id, now);
                 }
-                Fate::Invalid { .. } => {
+                ChangeOutcome::Invalid { .. } => {
                     self.none += 1;
                     w.check.refuse(a.change_id, now);
                 }
-                Fate::Unknown => {
+                ChangeOutcome::Unknown => {
                     self.unknown += 1;
                     self.again(w, a);
                 }
-                Fate::NoMajority | Fate::Reused | Fate::Told { .. } => self.none += 1,
+                ChangeOutcome::NoQuorum | ChangeOutcome::IdReused | ChangeOutcome::Content { .. } => self.none += 1,
             }
         }
         let late: Vec<_> = self.open.iter().filter(|x| x.1.due < now).map(|x| *x.0).collect();
@@ -146,11 +152,13 @@
 
     /// Notes a refusal that nothing called for: these changes are valid and their ids are new, so
     /// only the want of a majority may be a reason.
-    fn judge(&mut self, w: &World, a: &Ask, fate: &Fate) {
+    fn judge(&mut self, w: &World, a: &Ask, fate: &ChangeOutcome) {
         let needless = match fate {
-            Fate::Done { .. } | Fate::Stale { .. } | Fate::Unknown => false,
-            Fate::NoMajority => self.touch.needless(a.slot, a.sent),
-            Fate::Invalid { .. } | Fate::Reused | Fate::Told { .. } => !matches!(a.change, Change::Cores(_)),
+            ChangeOutcome::Committed { .. } | ChangeOutcome::Stale { .. } | ChangeOutcome::Unknown => false,
+            ChangeOutcome::NoQuorum => self.touch.needless(a.slot, a.sent),
+            ChangeOutcome::Invalid { .. } | ChangeOutcome::IdReused | ChangeOutcome::Content { .. } => {
+                !matches!(a.change, Change::Voters(_))
+            }
         };
         if needless {
             let (addr, now) = (&w.slots[a.slot].addr, w.now);
--- a/crates/testbed/src/sim/orders/answers.rs
+++ b/crates/testbed/src/sim/orders/answers.rs
@@ -5,7 +5,7 @@
 use crate::sim::check::{Ack, Breach};
 use crate::sim::world::World;
 use sumacvale_core::base::MS;
-use sumacvale_core::peer::Fate;
+use sumacvale_core::protocol::ChangeOutcome;
 
 /// Bases of documents are told apart from versions that other operators build on.
 const DOCUMENT_BASE: u64 = 1 << 40;
@@ -16,7 +16,7 @@
             std::mem::take(&mut world.answers).into_iter().partition(|a| a.0 > FIRST_CALL);
         world.answers = others;
         for (n, fate) in mine {
-            if matches!(fate, Fate::Done { .. }) {
+            if matches!(fate, ChangeOutcome::Committed { .. }) {
                 self.said_done = Some(world.now);
             }
             if world.rng.chance(self.habits.lost) {
@@ -34,21 +34,21 @@
         }
     }
 
-    fn answer(&mut self, world: &mut World, index: usize, slot: usize, fate: Fate) {
+    fn answer(&mut self, world: &mut World, index: usize, slot: usize, fate: ChangeOutcome) {
         let now = world.now;
         let order = &mut self.orders[index];
         let (change_id, base) = (order.change_id(), order.base);
         match fate {
-            Fate::Done { version } if order.bad => {
+            ChangeOutcome::Committed { version } if order.bad => {
                 order.taken = true;
                 breach(world, format!("{now}: a bad document on number {base} was taken as version {version}"));
             }
-            Fate::Invalid { .. } if order.bad => {
+            ChangeOutcome::Invalid { .. } if order.bad => {
                 self.refused += u64::from(!order.refused);
                 order.refused = true;
                 world.check.refuse(change_id, now);
             }
-            Fate::Done { version } => {
+            ChangeOutcome::Committed { version } => {
                 if !order.taken {
                     self.took.push(now - order.asked);
                 }
@@ -60,13 +60,13 @@
                 self.acknowledged = Some((slot, now));
                 self.leader = Some(slot);
             }
-            Fate::Stale { .. } => {
+            ChangeOutcome::Stale { .. } => {
                 order.refused = true;
                 world.check.refuse(change_id, now);
                 self.read(world, false);
             }
-            Fate::Unknown | Fate::NoMajority => {
-                order.pinned = order.pinned.filter(|p| p.hard || matches!(fate, Fate::Unknown));
+            ChangeOutcome::Unknown | ChangeOutcome::NoQuorum => {
+                order.pinned = order.pinned.filter(|p| p.hard || matches!(fate, ChangeOutcome::Unknown));
                 self.again(index, now);
             }
             f => {
@@ -76,8 +76,8 @@
         }
     }
 
-    fn was_read(&mut self, world: &mut World, newest: u64, last: bool, fate: Fate) {
-        let Fate::Told { text } = fate else { return };
+    fn was_read(&mut self, world: &mut World, newest: u64, last: bool, fate: ChangeOutcome) {
+        let ChangeOutcome::Content { text } = fate else { return };
         self.reads += 1;
         let revision = revision(&text);
         if revision < newest {
--- a/crates/testbed/src/sim/orders/sending.rs
+++ b/crates/testbed/src/sim/orders/sending.rs
@@ -6,7 +6,7 @@
 use crate::sim::world::World;
 use sumacvale_core::base::{ChangeId, MS, Micros, SEC};
 use sumacvale_core::node::Event;
-use sumacvale_core::peer::Change;
+use sumacvale_core::protocol::Change;
 
 /// A call without an answer for so long is sent to another node.
 const SILENCE: Micros = SEC;
@@ -74,9 +74,14 @@
         self.last_call += 1;
         self.calls.insert(self.last_call, Call::Put { order: index, slot, due: now + SILENCE });
         self.sent = Some((slot, now));
-        let change = Change::Doc(order.body.clone());
-        let event =
-            Event::Put { req: self.last_call, change_id: order.change_id(), fresh: false, base: order.base, change };
+        let change = Change::Document(order.body.clone());
+        let event = Event::SubmitChange {
+            request_id: self.last_call,
+            change_id: order.change_id(),
+            is_first_send: false,
+            base: order.base,
+            change,
+        };
         // A machine that stands still answers nothing.
         if world.alive(slot) {
             world.step(slot, event);
@@ -89,7 +94,13 @@
         self.calls.insert(self.last_call, Call::Read { slot, newest: self.newest, due: world.now + SILENCE, last });
         world.step(
             slot,
-            Event::Put { req: self.last_call, change_id: ChangeId(0), fresh: false, base: 0, change: Change::Newest },
+            Event::SubmitChange {
+                request_id: self.last_call,
+                change_id: ChangeId(0),
+                is_first_send: false,
+                base: 0,
+                change: Change::ReadNewest,
+            },
         );
     }
 }
--- a/crates/testbed/src/sim/outcome.rs
+++ b/crates/testbed/src/sim/outcome.rs
@@ -2,7 +2,7 @@
 
 use super::responses::body;
 use sumacvale_core::base::Micros;
-use sumacvale_core::tries::Ran;
+use sumacvale_core::retry::Execution;
 
 /// What a downstream asks for.
 #[derive(Clone, Debug)]
@@ -22,7 +22,7 @@
     Refused {
         status: u16,
         code: &'static str,
-        ran: Ran,
+        ran: Execution,
         back: bool,
     },
     /// The node went away.
--- a/crates/testbed/src/sim/recovery.rs
+++ b/crates/testbed/src/sim/recovery.rs
@@ -14,7 +14,7 @@
     w.run(w.now + 8 * SEC);
     for s in &w.slots {
         let f = &s.hall.floor;
-        let held = (f.loads.own(), f.waiting(), s.hall.lives.len());
+        let held = (f.worker_loads.total_in_flight(), f.queue_lengths(), s.hall.lives.len());
         if s.node.is_some() && held != (0, (0, 0), 0) {
             let t = format!("{} holds {held:?} (places, waits, calls) when all calls have ended", s.addr);
             w.check.breaches.push(Breach(t));
--- a/crates/testbed/src/sim/slot.rs
+++ b/crates/testbed/src/sim/slot.rs
@@ -4,7 +4,7 @@
 use super::event::Happen;
 use super::hall::Hall;
 use sumacvale_core::base::{Micros, Version};
-use sumacvale_core::call::Floor;
+use sumacvale_core::call::SharedCallState;
 use sumacvale_core::node::Node;
 
 /// A machine gets so small a part of each period.
@@ -69,6 +69,6 @@
     }
 
     pub(super) fn empty(zone: &str) -> Hall {
-        Hall::new(Floor::new(zone, 256, 64 << 20, std::sync::Arc::default()))
+        Hall::new(SharedCallState::new(zone, 256, 64 << 20, std::sync::Arc::default()))
     }
 }
--- a/crates/testbed/src/sim/steps.rs
+++ b/crates/testbed/src/sim/steps.rs
@@ -6,7 +6,7 @@
 use sumacvale_core::base::Micros;
 use sumacvale_core::call::Event as CallEvent;
 use sumacvale_core::node::{Effect, Event};
-use sumacvale_core::peer::unpack;
+use sumacvale_core::protocol::decode_frame;
 
 impl World {
     /// Gives one event to a node and carries its effects out.
@@ -27,7 +27,7 @@
                     self.check.moves(&s.addr, a, b, now);
                 }
                 s.shown = v;
-                let ds: Vec<_> = n.agree.history.values().cloned().collect();
+                let ds: Vec<_> = n.consensus.state.history.values().cloned().collect();
                 for d in ds {
                     self.check.holds(&s.addr, &d, now);
                 }
@@ -38,16 +38,16 @@
     fn carry(&mut self, i: usize, e: Effect) {
         match e {
             Effect::Send { to, frame } => self.send(i, &to, *frame),
-            Effect::Write { token, ops } => {
+            Effect::Write { token, writes: ops } => {
                 let now = self.now;
                 let at = self.slots[i].disk.write(token, ops, now, &mut self.rng);
                 let life = self.slots[i].life;
                 self.push(at, Happen::Land(i, life));
             }
-            Effect::Answer { req, fate } => self.answers.push((req, fate)),
-            Effect::Wake { tenant } => self.refill(i, &tenant),
-            Effect::Heard { req, ok } => self.heard.push((req, ok)),
-            Effect::Show(v) => self.show(i, v),
+            Effect::CompleteChange { request_id: req, outcome: fate } => self.answers.push((req, fate)),
+            Effect::WakeTenant { tenant } => self.refill(i, &tenant),
+            Effect::AcknowledgeReport { request_id: req, is_accepted: ok } => self.heard.push((req, ok)),
+            Effect::Publish(v) => self.show(i, v),
             Effect::Reconnect { to } => {
                 if let Some(j) = self.slot_of(&to) {
                     self.connections.reconnect(i, j);
@@ -94,7 +94,7 @@
                     self.push(self.now + TICK, Happen::Tick(i, life));
                 }
                 Happen::Frame { to: i, bytes, .. } => {
-                    if let Ok(f) = unpack(&bytes) {
+                    if let Ok(f) = decode_frame(&bytes) {
                         self.step(i, Event::Frame(Box::new(f)));
                     }
                 }
@@ -113,10 +113,10 @@
                 Happen::Turn(i, life, n) if lives(self, i, life) => {
                     if let Some(a) = self.slots[i].hall.lives.get_mut(&n) {
                         a.turned();
-                        self.live(i, n, CallEvent::Turn);
+                        self.live(i, n, CallEvent::Wake);
                     }
                 }
-                Happen::Leave(i, life, n) if lives(self, i, life) => self.live(i, n, CallEvent::Left),
+                Happen::Leave(i, life, n) if lives(self, i, life) => self.live(i, n, CallEvent::ClientGone),
                 Happen::Body(i, life, n, b) if lives(self, i, life) => self.live(i, n, CallEvent::Body(Ok(b))),
                 Happen::Bell(i, life, r) if lives(self, i, life) => self.bell(i, r),
                 Happen::Try(b, e) if lives(self, b.slot, b.life) => self.heard(b, e),
@@ -127,7 +127,7 @@
                     self.thaw(i);
                 }
                 Happen::Room(i, life) => self.look_for_room(i, life),
-                Happen::Call(i, life, n) if lives(self, i, life) => self.live(i, n, CallEvent::Turn),
+                Happen::Call(i, life, n) if lives(self, i, life) => self.live(i, n, CallEvent::Wake),
                 Happen::Arrive(k, s) => self.arrive(k, s),
                 Happen::Work(k, n) => self.work(k, n),
                 _ => {}
--- a/crates/testbed/src/sim/touch.rs
+++ b/crates/testbed/src/sim/touch.rs
@@ -51,8 +51,8 @@
 /// The voters of the newest version that run and exchange messages with a majority of them.
 fn centres(w: &World) -> Vec<usize> {
     let Some(newest) = w.check.chosen.values().next_back() else { return Vec::new() };
-    let voters: BTreeSet<NodeId> = newest.cores.iter().map(|c| c.node_id).collect();
-    let votes = |i: &usize| w.slots[*i].node.as_ref().is_some_and(|n| voters.contains(&n.me.node_id));
+    let voters: BTreeSet<NodeId> = newest.voters.iter().map(|c| c.node_id).collect();
+    let votes = |i: &usize| w.slots[*i].node.as_ref().is_some_and(|n| voters.contains(&n.settings.node_id));
     let running: Vec<usize> = (0..w.slots.len()).filter(|i| w.alive(*i) && votes(i)).collect();
     let reached = |i: usize| running.iter().filter(|j| w.linked(i, **j)).count();
     running.iter().copied().filter(|i| reached(*i) * 2 > voters.len()).collect()
@@ -61,6 +61,6 @@
 /// The cores whose addresses this machine has from its operator's list or from a version.
 fn known(w: &World, i: usize) -> Vec<usize> {
     let Some(n) = &w.slots[i].node else { return Vec::new() };
-    let voters = n.agree.cores().iter().map(|c| &c.addr);
-    n.me.seeds.iter().chain(voters).filter_map(|a| w.slot_of(a)).filter(|j| w.slots[*j].core).collect()
+    let voters = n.consensus.state.voters().iter().map(|c| &c.addr);
+    n.settings.seeds.iter().chain(voters).filter_map(|a| w.slot_of(a)).filter(|j| w.slots[*j].core).collect()
 }
--- a/crates/testbed/src/sim/wires.rs
+++ b/crates/testbed/src/sim/wires.rs
@@ -3,7 +3,7 @@
 use super::event::Happen;
 use super::world::World;
 use sumacvale_core::base::{MS, Micros, SEC};
-use sumacvale_core::peer::{Frame, pack};
+use sumacvale_core::protocol::{Frame, encode_frame};
 
 /// What waits for a connection is dropped when it is older.
 const QUEUED_MOST: Micros = SEC;
@@ -58,11 +58,11 @@
 
     pub(super) fn send(&mut self, i: usize, to: &str, f: Frame) {
         let Some(j) = self.slot_of(to) else { return };
-        let Ok(b) = pack(&f) else { return };
+        let Ok(b) = encode_frame(&f) else { return };
         self.frames += 1;
         self.bytes += b.len() as u64;
         if self.slots[i].zone != self.slots[j].zone {
-            let t = format!("{:?}", f.msg);
+            let t = format!("{:?}", f.message);
             let k = t.split([' ', '{']).next().unwrap_or("").to_owned();
             let e = self.far.entry(k).or_default();
             e.0 += 1;
--- a/crates/testbed/src/sim/workers.rs
+++ b/crates/testbed/src/sim/workers.rs
@@ -6,10 +6,10 @@
 use super::world::World;
 use bytes::Bytes;
 use sumacvale_core::base::{MS, Micros};
-use sumacvale_core::call::{Event, Reply};
+use sumacvale_core::call::{Event, ResponseHead};
 use sumacvale_core::node::Event as NodeEvent;
-use sumacvale_core::peer::Row;
-use sumacvale_core::tries::Spot;
+use sumacvale_core::protocol::WorkerReport;
+use sumacvale_core::retry::FailurePoint;
 
 /// Each third worker may be lured.
 const LURED: usize = 3;
@@ -31,7 +31,7 @@
     pub fn crash(&mut self, k: usize) {
         self.workers[k].up = false;
         for (_, r) in std::mem::take(&mut self.workers[k].runs) {
-            let e = if r.head { Event::Broke } else { Event::Lost(Spot::Sent) };
+            let e = if r.head { Event::BodyAborted } else { Event::AttemptFailed(FailurePoint::Sent) };
             self.back(k, r.to, e);
         }
     }
@@ -45,13 +45,13 @@
             return;
         }
         if !w.up || s.incarnation != w.incarnation {
-            return self.back(k, s.to, Event::Lost(Spot::Sent));
+            return self.back(k, s.to, Event::AttemptFailed(FailurePoint::Sent));
         }
         if mode == Mode::Reset && s.to.no % 2 == 1 {
-            return self.back(k, s.to, Event::Unsent);
+            return self.back(k, s.to, Event::NotSent);
         }
         if mode == Mode::Decline || w.runs.len() >= SLOTS as usize {
-            let r = Reply { status: 503, bounded: true, unrun: true, ..Reply::default() };
+            let r = ResponseHead { status: 503, has_definite_end: true, not_run: true, ..ResponseHead::default() };
             return self.back(k, s.to, Event::Head(r));
         }
         let from = s.after.map_or(0, |n| n + 1);
@@ -73,7 +73,7 @@
             Mode::Hang => {}
             Mode::Mute => {
                 self.workers[k].runs.remove(&n);
-                self.back(k, s.to, Event::Lost(Spot::Sent));
+                self.back(k, s.to, Event::AttemptFailed(FailurePoint::Sent));
             }
             _ => {
                 let t = now + 2 * MS + self.rng.below(10 * MS);
@@ -95,17 +95,26 @@
         if !r.head {
             r.head = true;
             let bounded = r.mode != Mode::Bare;
-            self.back(k, r.to, Event::Head(Reply { status: 200, sse: of > 0, bounded, ..Reply::default() }));
+            self.back(
+                k,
+                r.to,
+                Event::Head(ResponseHead {
+                    status: 200,
+                    is_event_stream: of > 0,
+                    has_definite_end: bounded,
+                    ..ResponseHead::default()
+                }),
+            );
         } else if of == 0 && r.next == 0 {
             r.next = 1;
             let mut s = body(r.to.call, r.path, 0);
             if r.mode == Mode::Cut {
                 s.truncate(4);
             }
-            self.back(k, r.to, Event::Piece(Bytes::from(s)));
+            self.back(k, r.to, Event::Chunk(Bytes::from(s)));
             again = MS;
         } else if r.mode == Mode::Cut && (of == 0 || (r.half && r.next > 2)) {
-            return self.back(k, r.to, Event::Broke);
+            return self.back(k, r.to, Event::BodyAborted);
         } else if r.mode == Mode::Bare && r.next > 1 {
             return self.back(k, r.to, Event::End);
         } else if r.next < of {
@@ -114,12 +123,12 @@
             // Some pieces come in two parts; what breaks, breaks between them.
             if !r.half && (r.mode == Mode::Cut || self.rng.chance(20)) {
                 r.half = true;
-                self.back(k, r.to, Event::Piece(Bytes::from(s[..9].to_owned())));
+                self.back(k, r.to, Event::Chunk(Bytes::from(s[..9].to_owned())));
                 again = 5 * MS;
             } else {
                 let s = if std::mem::take(&mut r.half) { s[9..].to_owned() } else { s };
                 r.next = at + 1;
-                self.back(k, r.to, Event::Piece(Bytes::from(s)));
+                self.back(k, r.to, Event::Chunk(Bytes::from(s)));
             }
         } else {
             return self.back(k, r.to, Event::End);
@@ -134,10 +143,10 @@
     }
 
     /// What a worker says of itself now.
-    pub(super) fn row(&mut self, k: usize) -> Row {
+    pub(super) fn row(&mut self, k: usize) -> WorkerReport {
         let w = &mut self.workers[k];
         w.seq += 1;
-        Row {
+        WorkerReport {
             worker_id: w.id.clone(),
             incarnation: w.incarnation,
             seq: w.seq,
@@ -146,9 +155,9 @@
             zone: w.zone.clone(),
             slots: SLOTS,
             busy: u32::try_from(w.runs.len()).unwrap_or(SLOTS),
-            drain: w.drain,
-            cold: 0,
-            gone: false,
+            draining: w.drain,
+            warm_up_left: 0,
+            removed: false,
             age: 0,
         }
     }
--- a/crates/testbed/src/sim/world.rs
+++ b/crates/testbed/src/sim/world.rs
@@ -11,7 +11,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use sumacvale_core::base::{MS, Micros, Rng, SEC};
-use sumacvale_core::peer::Fate;
+use sumacvale_core::protocol::ChangeOutcome;
 
 /// Machines, wires, disks and what happens next, all drawn from one seed.
 pub struct World {
@@ -20,7 +20,7 @@
     pub slots: Vec<Slot>,
     pub workers: Vec<Worker>,
     pub check: Check,
-    pub answers: Vec<(u64, Fate)>,
+    pub answers: Vec<(u64, ChangeOutcome)>,
     /// Pairs of machines between which nothing passes, until when.
     pub cuts: BTreeMap<(usize, usize), Micros>,
     /// Pairs of machines between which what is sent comes when the stall ends.
--- a/crates/testbed/tests/repairs.rs
+++ b/crates/testbed/tests/repairs.rs
@@ -89,7 +89,7 @@
     w.kill(3);
     w.start(3);
     let list = vec![w.slots[0].addr.clone()];
-    w.slots[3].node.as_mut().expect("it runs").me.seeds = list;
+    w.slots[3].node.as_mut().expect("it runs").settings.seeds = list;
     run_on(&mut w, &mut touch, until - 2 * NEXT);
     assert!(!touch.needless(3, until - 3 * NEXT));
     run_on(&mut w, &mut touch, until + 2 * SEC);
--- a/crates/testbed/tests/sim.rs
+++ b/crates/testbed/tests/sim.rs
@@ -1,10 +1,10 @@
 //! The brief's rules under each failure it names, in virtual time from fixed seeds.
 
 use std::collections::BTreeMap;
-use sumacvale_core::agree::Op;
 use sumacvale_core::base::{ChangeId, MS, NodeId, Rng, SEC};
-use sumacvale_core::peer::{Core, Decree};
-use sumacvale_core::tries;
+use sumacvale_core::consensus::DurableWrite;
+use sumacvale_core::protocol::{LogEntry, Voter};
+use sumacvale_core::retry;
 use sumacvale_testbed::sim::{
     Ack, Check, Day, Disk, Law, Orderly, Outcome, Profile, Ran, Run, Seen, Summary, Want, judge, run,
 };
@@ -167,19 +167,19 @@
     assert_eq!((a.frames, a.bytes, a.taken, a.trace), (b.frames, b.bytes, b.taken, b.trace));
 }
 
-fn decree(version: u64, change_id: u64) -> Decree {
-    let cores = vec![Core { node_id: NodeId(1), addr: "a".into() }];
-    Decree {
+fn decree(version: u64, change_id: u64) -> LogEntry {
+    let cores = vec![Voter { node_id: NodeId(1), addr: "a".into() }];
+    LogEntry {
         version,
         change_id: ChangeId(change_id),
-        fleet: 1,
-        since: 0,
-        old: vec![],
-        cores,
+        fleet_id: 1,
+        voters_since: 0,
+        previous_voters: vec![],
+        voters: cores,
         body: "{}".into(),
         revision: 0,
         patch: None,
-        packed: Vec::new(),
+        compressed: Vec::new(),
     }
 }
 
@@ -292,7 +292,7 @@
 
 #[test]
 fn the_judge_of_calls_sees_a_planted_breach() {
-    let no = |code, back| Seen::Refused { status: 503, code, ran: tries::Ran::No, back };
+    let no = |code, back| Seen::Refused { status: 503, code, ran: retry::Execution::NotRun, back };
     let whole: String = (0..10).map(|k| format!("id: {k}\ndata: call 1 piece {k} of 10\n\n")).collect();
     let part = &whole[..60];
     let other = whole.replace("call 1", "call 2");
@@ -459,7 +459,7 @@
 #[test]
 fn a_full_disk_refuses_each_write_and_takes_them_in_order_once_there_is_room() {
     let mut r = Rng::new(1);
-    let epoch = |epoch| vec![Op::Epoch { duty: 1, epoch }];
+    let epoch = |epoch| vec![DurableWrite::Epoch { role: 1, epoch }];
     let mut disk = Disk::default();
     disk.write(1, epoch(1), 0, &mut r);
     assert_eq!(disk.land(10 * MS), Some(1));
--- a/crates/testbed/tests/trials.rs
+++ b/crates/testbed/tests/trials.rs
@@ -2,7 +2,7 @@
 
 use hyper::Method;
 use std::time::{Duration, Instant};
-use sumacvale_core::base::sha_hex;
+use sumacvale_core::base::sha256_hex;
 use sumacvale_testbed::fleet::{Fleet, Shape, caller, change, judge, key, known, ready, tree, trial, want};
 use sumacvale_testbed::standin::{Log, Mode, Seen, Worker, ask, text};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -567,7 +567,7 @@
         }
         for i in 0..5 {
             let l = f.log(i);
-            for secret in ["operator-token", "worker-token", &key(0), &sha_hex(key(0).as_bytes())] {
+            for secret in ["operator-token", "worker-token", &key(0), &sha256_hex(key(0).as_bytes())] {
                 want(!l.contains(secret), format!("the log of node {i} holds {secret}"))?;
             }
         }
