--- a/crates/model/src/agreement.rs
+++ b/crates/checker/src/agreement.rs
@@ -14,7 +14,7 @@
 use sumacvale_core::base::{ChangeId, MS, Micros, SEC};
 use sumacvale_core::consensus::Phase;
 use sumacvale_core::node::{Event, Scope, digest_of};
-use sumacvale_core::protocol::{Ballot, Change, ChangeOutcome, Frame, Message};
+use sumacvale_core::protocol::{Ballot, Change, ChangeOutcome, ConsensusMessage, Frame, MembershipMessage, Message};
 
 /// Longer than any round of a ballot, and than an acceptance may stay undecided.
 const TIMEOUT: Micros = SEC;
@@ -195,32 +195,38 @@
 fn counts(message: &Message) -> bool {
     matches!(
         message,
-        Message::Prepare { .. }
-            | Message::Promise { .. }
-            | Message::Refuse { .. }
-            | Message::Accept { .. }
-            | Message::Accepted { .. }
-            | Message::Learn { .. }
-            | Message::Have { .. }
+        Message::Consensus(ConsensusMessage::Prepare { .. })
+            | Message::Consensus(ConsensusMessage::Promise { .. })
+            | Message::Consensus(ConsensusMessage::Reject { .. })
+            | Message::Consensus(ConsensusMessage::Accept { .. })
+            | Message::Consensus(ConsensusMessage::Accepted { .. })
+            | Message::Consensus(ConsensusMessage::Replicate { .. })
+            | Message::Consensus(ConsensusMessage::Synced { .. })
     )
 }
 
 fn asks(message: &Message) -> bool {
-    matches!(message, Message::Confirm { .. } | Message::Confirmed { .. })
+    matches!(
+        message,
+        Message::Consensus(ConsensusMessage::FreshnessProbe { .. })
+            | Message::Consensus(ConsensusMessage::FreshnessReply { .. })
+    )
 }
 
 impl Agreement {
     fn carry(&self, w: &mut World, i: usize, given: Given, questions: bool) -> Result<(), String> {
         for (to, frame) in given.frames {
-            let founds = self.founding && matches!(frame.message, Message::Found { .. });
+            let founds =
+                self.founding && matches!(frame.message, Message::Membership(MembershipMessage::Bootstrap { .. }));
             let kept = founds || counts(&frame.message) || (self.allowance.questions > 0 && asks(&frame.message));
             // Timers ask as well; only questions that are actions of their own go out.
-            let own = matches!(frame.message, Message::Confirm { .. }) && !questions;
+            let own =
+                matches!(frame.message, Message::Consensus(ConsensusMessage::FreshnessProbe { .. })) && !questions;
             if !kept || own || to >= self.machines {
                 continue;
             }
             w.judge.says(i, &frame.message, &w.machines[i].kept)?;
-            if let Message::Confirm { .. } = frame.message {
+            if let Message::Consensus(ConsensusMessage::FreshnessProbe { .. }) = frame.message {
                 w.judge.asks(i, w.clocks[i]);
             }
             let digest = digest_of(&(to, frame.from, frame.to, frame.incarnation, &frame.message));
@@ -246,10 +252,12 @@
                 agree.proposal.as_ref().is_some_and(|l| l.ballot == ballot && l.phase == phase)
             };
             match &x.frame.message {
-                Message::Promise { ballot, .. } => runs(*ballot, Phase::Prepare),
-                Message::Accepted { ballot, .. } => runs(*ballot, Phase::Accept),
-                Message::Refuse { instance, .. } => !disks_last(x.to) || agree.version().is_none_or(|v| v < *instance),
-                Message::Learn { decrees } => {
+                Message::Consensus(ConsensusMessage::Promise { ballot, .. }) => runs(*ballot, Phase::Prepare),
+                Message::Consensus(ConsensusMessage::Accepted { ballot, .. }) => runs(*ballot, Phase::Accept),
+                Message::Consensus(ConsensusMessage::Reject { instance, .. }) => {
+                    !disks_last(x.to) || agree.version().is_none_or(|v| v < *instance)
+                }
+                Message::Consensus(ConsensusMessage::Replicate { entries: decrees }) => {
                     !disks_last(x.to) || decrees.iter().any(|d| !agree.history.contains_key(&d.version))
                 }
                 _ => true,
@@ -357,10 +365,7 @@
     /// The place of the first frame under way that is of this kind.
     fn place(w: &World, kind: &str, from: usize, to: usize) -> Result<usize, String> {
         let sender = w.machines[from].node.settings.node_id;
-        let is = |x: &Wire| {
-            let name = format!("{:?}", x.frame.message);
-            x.to == to && x.frame.from == sender && name.split(' ').next() == Some(kind)
-        };
+        let is = |x: &Wire| x.to == to && x.frame.from == sender && x.frame.message.name() == kind;
         w.wires.iter().position(is).ok_or(format!("the opening lacks its {kind} from {from} to {to}"))
     }
 
@@ -489,7 +494,8 @@
     fn actions(&self, w: &World) -> Vec<Action> {
         // That a machine has a version on its disk only lets others acknowledge and teach, and
         // does so the same in any order: it arrives first, unless it is lost.
-        let told = w.wires.iter().position(|x| matches!(x.frame.message, Message::Have { .. }));
+        let told =
+            w.wires.iter().position(|x| matches!(x.frame.message, Message::Consensus(ConsensusMessage::Synced { .. })));
         if let Some(place) = told {
             return match w.left.lost {
                 0 => vec![Action::Arrive { place }],
--- a/crates/model/src/askers.rs
+++ b/crates/checker/src/askers.rs
@@ -3,7 +3,7 @@
 use crate::machine::address;
 use std::collections::BTreeMap;
 use sumacvale_core::base::{MS, Micros, NodeId};
-use sumacvale_core::protocol::{Frame, Message, PeerRecord};
+use sumacvale_core::protocol::{DisseminationMessage, Frame, Message, PeerRecord, QuotaMessage};
 
 /// One tenant with a window that is longer than any run of a model.
 pub const CONFIGURATION: &str = r#"{"defaults":{"quota":{"calls":12,"window_ms":600000}},"pools":{"llm":{}},
@@ -93,8 +93,14 @@
             for asker in 0..ASKERS {
                 for core in 0..cores {
                     let rows = vec![self.row(asker)];
-                    let gossip =
-                        Message::Gossip { beats: vec![], rows, ask: vec![], reply: false, set: 0, pulse: vec![] };
+                    let gossip = Message::Dissemination(DisseminationMessage::Gossip {
+                        heartbeats: vec![],
+                        records: rows,
+                        unknown_nodes: vec![],
+                        wants_reply: false,
+                        incarnation_set: 0,
+                        compact_heartbeats: vec![],
+                    });
                     frames.push((core, Self::frame(asker, gossip, now)));
                 }
             }
@@ -107,7 +113,13 @@
             a.due = now + EVERY;
             a.number += 1;
             a.served = false;
-            let ask = Message::SliceAsk { n: a.number, tenant: TENANT.into(), want: 1, window: 0, returned: 0 };
+            let ask = Message::Quota(QuotaMessage::SliceRequest {
+                request_id: a.number,
+                tenant: TENANT.into(),
+                wanted_units: 1,
+                window: 0,
+                returned: 0,
+            });
             frames.push((a.to, Self::frame(asker, ask, now)));
         }
         frames
@@ -115,7 +127,9 @@
 
     /// An asker hears a core. What it was given counts from here on.
     pub fn hears(&mut self, asker: usize, frame: &Frame, now: Micros) -> Result<(), String> {
-        let Message::Slice { window, granted_total, .. } = &frame.message else { return Ok(()) };
+        let Message::Quota(QuotaMessage::SliceGranted { window, granted_total, .. }) = &frame.message else {
+            return Ok(());
+        };
         if let Some(a) = self.all.get_mut(asker) {
             a.served = true;
         }
--- a/crates/model/src/judge.rs
+++ b/crates/checker/src/judge.rs
@@ -6,7 +6,7 @@
 use sumacvale_core::consensus::DurableState;
 use sumacvale_core::lease::ROLE_COUNT;
 use sumacvale_core::node::Node;
-use sumacvale_core::protocol::{ChangeOutcome, LogEntry, Message, Voter};
+use sumacvale_core::protocol::{ChangeOutcome, ConsensusMessage, LogEntry, Message, Voter};
 
 /// What a change is built on, by the rule of its kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -137,14 +137,14 @@
     pub fn says(&self, machine: usize, message: &Message, kept: &DurableState) -> Result<(), String> {
         let held = kept.entries.keys().next_back().copied().unwrap_or(0);
         let there = match message {
-            Message::Promise { instance, ballot, .. } => {
+            Message::Consensus(ConsensusMessage::Promise { instance, ballot, .. }) => {
                 held >= *instance || kept.promised.is_some_and(|p| p >= (*instance, *ballot))
             }
-            Message::Accepted { instance, ballot } => {
+            Message::Consensus(ConsensusMessage::Accepted { instance, ballot }) => {
                 held >= *instance || kept.accepted.as_ref().is_some_and(|a| (a.1.version, a.0) >= (*instance, *ballot))
             }
-            Message::Have { version } => held >= *version,
-            Message::Confirmed { have, .. } => held >= *have,
+            Message::Consensus(ConsensusMessage::Synced { version }) => held >= *version,
+            Message::Consensus(ConsensusMessage::FreshnessReply { synced_version: have, .. }) => held >= *have,
             _ => true,
         };
         if there {
--- a/crates/model/src/planted.rs
+++ b/crates/checker/src/planted.rs
@@ -68,13 +68,13 @@
 /// Copies the sources that the checker consists of.
 pub fn copy_sources(from: &Path, to: &Path) -> Result<(), String> {
     let _ = fs::remove_dir_all(to);
-    for part in ["crates/core", "crates/model"] {
+    for part in ["crates/core", "crates/checker"] {
         copy(&from.join(part), &to.join(part)).map_err(|e| format!("{part}: {e}"))?;
     }
     let manifest = fs::read_to_string(from.join("Cargo.toml")).map_err(|e| format!("Cargo.toml: {e}"))?;
     let alone: Vec<_> = manifest
         .lines()
-        .map(|l| if l.starts_with("members") { "members = [\"crates/core\", \"crates/model\"]" } else { l })
+        .map(|l| if l.starts_with("members") { "members = [\"crates/core\", \"crates/checker\"]" } else { l })
         .collect();
     fs::write(to.join("Cargo.toml"), alone.join("\n")).map_err(|e| format!("Cargo.toml: {e}"))?;
     fs::copy(from.join("Cargo.lock"), to.join("Cargo.lock")).map_err(|e| format!("Cargo.lock: {e}"))?;
@@ -103,7 +103,7 @@
 /// Plants each fault in turn, runs its bounds and prints what caught it; false if one wasn't.
 pub fn run(only: &[String], seconds: u64, threads: u64) -> Result<bool, String> {
     let root = root();
-    let faults = read(&fs::read_to_string(root.join("crates/model/planted.txt")).map_err(|e| e.to_string())?);
+    let faults = read(&fs::read_to_string(root.join("crates/checker/planted.txt")).map_err(|e| e.to_string())?);
     let scratch = root.join("target/planted");
     let sources = scratch.join("sources");
     copy_sources(&root, &sources)?;
@@ -123,7 +123,7 @@
     println!("| fault | guard | caught by | what broke | states | steps | seconds |\n|---|---|---|---|---|---|---|");
     let mut all = true;
     for fault in faults.iter().filter(|f| only.is_empty() || only.contains(&f.name)) {
-        all &= try_fault(fault, &scratch.join("target/release/model"), seconds, threads);
+        all &= try_fault(fault, &scratch.join("target/release/checker"), seconds, threads);
     }
     Ok(all)
 }
--- a/crates/model/src/quota.rs
+++ b/crates/checker/src/quota.rs
@@ -14,7 +14,7 @@
 use sumacvale_core::base::{MS, Micros, SEC};
 use sumacvale_core::lease::quota_role;
 use sumacvale_core::node::{Event, Scope, digest_of};
-use sumacvale_core::protocol::{Frame, Message};
+use sumacvale_core::protocol::{Frame, Message, QuotaMessage};
 use sumacvale_core::quota::{FULL_SHARE, LOAN_DURATION, SHARE_LEASE, TakeOutcome};
 
 const TENANT: &str = "home";
@@ -154,14 +154,14 @@
 fn is_explored(message: &Message) -> bool {
     matches!(
         message,
-        Message::SliceAsk { .. }
-            | Message::Slice { .. }
-            | Message::Spent { .. }
-            | Message::NotHolder { .. }
-            | Message::Recall { .. }
-            | Message::Return { .. }
-            | Message::ShareAsk { .. }
-            | Message::Shares { .. }
+        Message::Quota(QuotaMessage::SliceRequest { .. })
+            | Message::Quota(QuotaMessage::SliceGranted { .. })
+            | Message::Quota(QuotaMessage::WindowSpent { .. })
+            | Message::Quota(QuotaMessage::NotLeaseHolder { .. })
+            | Message::Quota(QuotaMessage::RecallSlice { .. })
+            | Message::Quota(QuotaMessage::ReturnSlice { .. })
+            | Message::Quota(QuotaMessage::ShareRequests { .. })
+            | Message::Quota(QuotaMessage::ShareGrants { .. })
     )
 }
 
@@ -334,7 +334,7 @@
             Opening::Hold { time } => self.hold(limit, time)?,
             Opening::Unrun { front } => self.unrun(front),
             Opening::Arrive { kind } => {
-                let is_kind = |x: &Wire| format!("{:?}", x.frame.message).starts_with(kind);
+                let is_kind = |x: &Wire| x.frame.message.name() == kind;
                 let place = self.wires.iter().position(is_kind);
                 let place = place.ok_or_else(|| format!("the opening finds no frame {kind}"))?;
                 let wire = self.wires.remove(place);
--- a/crates/model/src/scenarios.rs
+++ b/crates/checker/src/scenarios.rs
@@ -80,7 +80,7 @@
 fn seeds_speak(heard: &[(usize, usize)]) -> Vec<Opening> {
     let mut steps: Vec<_> = (0..3).map(|machine| Opening::Turn { machine }).collect();
     for (from, to) in [(0, 1), (0, 2), (1, 0), (1, 2), (2, 0), (2, 1)] {
-        let kind = "Found";
+        let kind = "Bootstrap";
         steps.push(match heard.contains(&(from, to)) {
             true => Opening::Arrive { kind, from, to },
             false => Opening::Lose { kind, from, to },
@@ -104,8 +104,8 @@
 fn one_unheard() -> Vec<Opening> {
     let mut steps = seeds_speak(&[(1, 0), (2, 0), (0, 1), (2, 1), (0, 2)]);
     steps.push(Opening::Turn { machine: 0 });
-    steps.push(Opening::Lose { kind: "Found", from: 0, to: 1 });
-    steps.push(Opening::Lose { kind: "Found", from: 0, to: 2 });
+    steps.push(Opening::Lose { kind: "Bootstrap", from: 0, to: 1 });
+    steps.push(Opening::Lose { kind: "Bootstrap", from: 0, to: 2 });
     steps.push(Opening::Wipe { machine: 1 });
     steps
 }
@@ -311,10 +311,10 @@
         Unrun { front: first },
         Calls { front: second, count: 2 },
         Hold { time: 50 * MS },
-        Arrive { kind: "SliceAsk" },
-        Arrive { kind: "Slice " },
-        Arrive { kind: "SliceAsk" },
-        Arrive { kind: "Recall" },
+        Arrive { kind: "SliceRequest" },
+        Arrive { kind: "SliceGranted" },
+        Arrive { kind: "SliceRequest" },
+        Arrive { kind: "RecallSlice" },
         Hold { time: 350 * MS },
     ];
     // The same where the holder has ended and has a successor.
--- a/crates/model/tests/bounds.rs
+++ b/crates/checker/tests/bounds.rs
@@ -43,7 +43,7 @@
 
 #[test]
 fn every_planted_fault_still_finds_its_guard() {
-    let text = std::fs::read_to_string(planted::root().join("crates/model/planted.txt")).expect("the list is there");
+    let text = std::fs::read_to_string(planted::root().join("crates/checker/planted.txt")).expect("the list is there");
     let faults = planted::read(&text);
     assert!(faults.len() >= 33);
     let copy = std::env::temp_dir().join(format!("sumacvale-planted-{}", std::process::id()));
--- a/crates/core/src/call/context.rs
+++ b/crates/core/src/call/context.rs
@@ -1,6 +1,6 @@
 use super::body_budget::BodyBudget;
 use super::caches::{Caches, ThreadCaches};
-use super::counters::Counts;
+use super::counters::CallCounters;
 use super::holdings::ReservedSlot;
 use super::latency::LatencyHistogram;
 use super::queue_entries::{SlotWaiter, TenantQueue};
@@ -26,7 +26,7 @@
     pub engines: EngineModels,
     pub caches: Caches,
     pub retry_budget: RetryBudget,
-    pub counters: Counts,
+    pub counters: CallCounters,
     /// Calls that ended with an answer of this node's own, by reason.
     pub rejections: RejectionCounters,
     /// From the call's head to the head of its response, to its unit, and to its place.
@@ -58,7 +58,7 @@
             engines: EngineModels::default(),
             caches: Caches::default(),
             retry_budget: RetryBudget::default(),
-            counters: Counts::default(),
+            counters: CallCounters::default(),
             rejections: RejectionCounters::default(),
             time_to_first_byte: LatencyHistogram::default(),
             quota_wait: LatencyHistogram::default(),
--- a/crates/core/src/call/counters.rs
+++ b/crates/core/src/call/counters.rs
@@ -18,15 +18,15 @@
     }
 }
 
-macro_rules! counts {
+macro_rules! counters {
     ($($(#[doc = $d:literal])* $n:ident,)*) => {
         /// Counters of the data plane; they only grow.
         #[derive(Debug, Default)]
-        pub struct Counts { $($(#[doc = $d])* pub $n: Counter,)* }
+        pub struct CallCounters { $($(#[doc = $d])* pub $n: Counter,)* }
 
         pub const HELP_TEXTS: &[(&str, &str)] = &[$((stringify!($n), concat!($($d),*)),)*];
 
-        impl Counts {
+        impl CallCounters {
             pub fn list(&self) -> Vec<(&'static str, u64)> {
                 vec![$((stringify!($n), self.$n.get()),)*]
             }
@@ -34,33 +34,33 @@
     };
 }
 
-counts! {
+counters! {
     /// Calls read.
     calls,
-    /// Calls that a worker's answer was passed on for, whole.
+    /// Calls whose response was passed on completely.
     served,
-    /// First tries sent to workers.
-    tries_first,
-    /// Second tries sent to workers.
-    tries_second,
-    /// Second tries that neither the kind of trouble nor the budget allowed.
-    tries_denied,
-    /// Places given up before anything was sent, since the worker had gone.
-    reseated,
-    /// Units that ended before their call could be sent.
-    units_ended,
+    /// First attempts sent to workers.
+    attempts_first,
+    /// Retries sent to workers.
+    retries,
+    /// Retries that the kind of failure, the limit or the retry budget did not allow.
+    retries_denied,
+    /// Slots released before anything was sent, since the worker was gone.
+    slots_reassigned,
+    /// Quota units that expired before their call could be sent.
+    units_expired,
     /// Streams resumed at another worker.
-    resumed,
-    /// Answers that broke off visibly.
-    broken,
+    streams_resumed,
+    /// Responses that were aborted visibly.
+    streams_aborted,
     /// Streams cut because their key was withdrawn.
-    cut_revoked,
-    /// Calls whose downstream went away before the answer.
-    left,
+    streams_cut_on_revoke,
+    /// Calls whose client went away before the response.
+    clients_gone,
     /// Calls sent to a worker in another zone.
-    far,
-    /// Bytes of calls and answers that crossed zones.
-    far_bytes,
+    cross_zone_calls,
+    /// Bytes of calls and responses that crossed zones.
+    cross_zone_bytes,
     /// Cache lookups answered by the thread's own layer.
     cache_l1,
     /// Cache lookups answered by the shared layer.
--- a/crates/core/src/call/machine.rs
+++ b/crates/core/src/call/machine.rs
@@ -84,7 +84,7 @@
             }
             (at, Event::ClientGone) => {
                 if !matches!(at, CallState::Received(_)) {
-                    cx.shared.counters.left.increment();
+                    cx.shared.counters.clients_gone.increment();
                 }
                 abandon(at, cx, &mut out);
                 Ok(CallState::Finished)
--- a/crates/core/src/call/steps/attempt.rs
+++ b/crates/core/src/call/steps/attempt.rs
@@ -35,7 +35,7 @@
         return placement::end(c.map_state(|p| p.granted), a, cx, out);
     }
     if !cx.view.accepts_calls(&c.state.slot) {
-        cx.shared.counters.reseated.increment();
+        cx.shared.counters.slots_reassigned.increment();
         out.push(Effect::Close);
         release(&c.state.slot, cx, out);
         return placement::take(c.map_state(|p| p.granted), cx, out);
@@ -44,7 +44,7 @@
     let granted = &mut c.state.granted;
     if !granted.request.attempts.unit_used && cx.now >= granted.unit.expires_at {
         // The unit's window is over: it is spent, and the call needs one of the new window.
-        cx.shared.counters.units_ended.increment();
+        cx.shared.counters.units_expired.increment();
         if !quota::take_anew(granted, cx) {
             out.push(Effect::Close);
             release(&c.state.slot, cx, out);
@@ -85,12 +85,12 @@
     let n = &cx.shared.counters;
     if t.sent == 0 {
         cx.shared.retry_budget.deposit();
-        n.tries_first.increment();
+        n.attempts_first.increment();
     } else {
-        n.tries_second.increment();
+        n.retries.increment();
     }
     if s.endpoint.zone != cx.shared.zone {
-        n.far.increment();
+        n.cross_zone_calls.increment();
     }
     t.sent += 1;
 }
@@ -129,7 +129,7 @@
             lost(part(c), FailurePoint::Sent, true, cx, out)
         }
         Event::Wake if c.state.granted.request.route.is_revoked(cx) => {
-            cx.shared.counters.cut_revoked.increment();
+            cx.shared.counters.streams_cut_on_revoke.increment();
             out.push(Effect::Close);
             release(&c.state.slot, cx, out);
             let mut c = c.map_state(|s| s.granted);
@@ -174,7 +174,7 @@
         let a = LocalResponse::new(RejectionReason::WorkerTrouble, "the stream could not go on elsewhere");
         return placement::end(c.map_state(|s| s.granted), a, cx, out);
     }
-    cx.shared.counters.resumed.increment();
+    cx.shared.counters.streams_resumed.increment();
     Ok(streaming::go_on(c, r, cx))
 }
 
@@ -217,7 +217,7 @@
     if n == RetryDecision::Retry {
         return placement::take(c, cx, out);
     }
-    cx.shared.counters.tries_denied.increment();
+    cx.shared.counters.retries_denied.increment();
     placement::end(c, trouble(s, slow), cx, out)
 }
 
@@ -246,7 +246,7 @@
     };
     let left = c.state.request.attempts.sent < m.max_attempts && cx.now < c.state.request.route.deadline;
     if !ok || !left || !cx.shared.retry_budget.withdraw() {
-        cx.shared.counters.tries_denied.increment();
+        cx.shared.counters.retries_denied.increment();
         return placement::end(c, trouble(FailurePoint::Body, false), cx, out);
     }
     let mut c = c;
--- a/crates/core/src/call/steps/placement.rs
+++ b/crates/core/src/call/steps/placement.rs
@@ -149,7 +149,7 @@
 ) -> StepResult<CallState> {
     drop_unit(&call.state, cx, out);
     if call.state.stream.is_some() {
-        cx.shared.counters.broken.increment();
+        cx.shared.counters.streams_aborted.increment();
         out.push(Effect::Abort(answer.code));
         return Ok(CallState::Finished);
     }
--- a/crates/core/src/call/steps/streaming.rs
+++ b/crates/core/src/call/steps/streaming.rs
@@ -55,7 +55,7 @@
             let f = &mut c.state.stream;
             f.idle_deadline = cx.now + c.state.granted.request.route.stream_idle_timeout();
             if c.state.slot.endpoint.zone != cx.shared.zone {
-                cx.shared.counters.far_bytes.add(b.len() as u64);
+                cx.shared.counters.cross_zone_bytes.add(b.len() as u64);
             }
             let v: Vec<Bytes> = match &mut f.events {
                 None => vec![b],
@@ -80,7 +80,7 @@
         }
         Event::End | Event::BodyAborted | Event::AttemptFailed(_) => broke(c, cx, out),
         Event::Wake if c.state.granted.request.route.is_revoked(cx) => {
-            cx.shared.counters.cut_revoked.increment();
+            cx.shared.counters.streams_cut_on_revoke.increment();
             abort(c, "the key was withdrawn", cx, out)
         }
         Event::Wake if cx.now >= c.state.stream.idle_deadline => broke(c, cx, out),
@@ -101,7 +101,7 @@
 
 fn abort(c: Call<Streaming>, why: &'static str, cx: &mut StepContext, out: &mut Effects) -> StepResult<CallState> {
     release(&c.state.slot, cx, out);
-    cx.shared.counters.broken.increment();
+    cx.shared.counters.streams_aborted.increment();
     out.push(Effect::Close);
     out.push(Effect::Abort(why));
     Ok(CallState::Finished)
--- a/crates/core/src/node/consensus/acceptor.rs
+++ b/crates/core/src/node/consensus/acceptor.rs
@@ -3,7 +3,7 @@
 use crate::base::{MS, Micros, NodeId, Version};
 use crate::consensus::DurableWrite;
 use crate::node::Node;
-use crate::protocol::{Ballot, LogEntry, Message};
+use crate::protocol::{Ballot, ConsensusMessage, LogEntry, Message};
 
 /// After a vote for another's ballot none is begun here for so long. The proposer needs one write
 /// on a majority's disks until it goes on; where disks take as long as the rests between ballots,
@@ -20,7 +20,11 @@
         }
         if instance > v + 1 {
             // Only what is on disk may be counted towards an acknowledgement.
-            self.send(by, Message::Have { version: self.consensus.synced_version.unwrap_or(0) }, now);
+            self.send(
+                by,
+                Message::Consensus(ConsensusMessage::Synced { version: self.consensus.synced_version.unwrap_or(0) }),
+                now,
+            );
             return false;
         }
         self.voter() && !self.is_disk_behind()
@@ -33,7 +37,7 @@
         }
         let top = self.consensus.state.promised_ballot;
         if ballot < top {
-            self.send(by, Message::Refuse { instance, ballot: top }, now);
+            self.send(by, Message::Consensus(ConsensusMessage::Reject { instance, ballot: top }), now);
             return false;
         }
         self.consensus.state.promised_ballot = ballot;
@@ -49,7 +53,8 @@
         }
         let accepted = self.consensus.state.accepted.clone();
         let accepted = accepted.map(|(ballot, d)| (ballot, d.without_body()));
-        let then = self.send_effect(by, Message::Promise { instance, ballot, accepted }, now);
+        let then =
+            self.send_effect(by, Message::Consensus(ConsensusMessage::Promise { instance, ballot, accepted }), now);
         self.persist(vec![DurableWrite::Promise { instance, ballot }], then.into_iter().collect());
     }
 
@@ -63,7 +68,7 @@
             self.consensus.state.accepted_at = now;
         }
         self.consensus.state.accepted = Some((ballot, decree.clone()));
-        let then = self.send_effect(by, Message::Accepted { instance, ballot }, now);
+        let then = self.send_effect(by, Message::Consensus(ConsensusMessage::Accepted { instance, ballot }), now);
         self.persist(
             vec![DurableWrite::Promise { instance, ballot }, DurableWrite::Accept { ballot, entry: decree }],
             then.into_iter().collect(),
--- a/crates/core/src/node/consensus/digest_sync.rs
+++ b/crates/core/src/node/consensus/digest_sync.rs
@@ -3,7 +3,7 @@
 use crate::base::{MS, Micros, NodeId, SEC, Version};
 use crate::consensus::DurableWrite;
 use crate::node::Node;
-use crate::protocol::{EntryDigest, Message};
+use crate::protocol::{ConsensusMessage, EntryDigest, Message};
 
 /// How many digests one message brings: under 50 KB.
 const PIECE: usize = 500;
@@ -38,7 +38,7 @@
         let Some(peer) = live.get(self.consensus.digest_sync.turn % live.len().max(1)).copied() else { return };
         self.consensus.digest_sync.due = now + AGAIN;
         self.consensus.digest_sync.turn += 1;
-        self.send(peer, Message::DigestAsk { from, to }, now);
+        self.send(peer, Message::Consensus(ConsensusMessage::DigestRequest { from, to }), now);
     }
 
     fn other_voters(&self) -> Vec<NodeId> {
@@ -47,7 +47,7 @@
 
     pub(in crate::node) fn on_digest_request(&mut self, by: NodeId, from: Version, to: Version, now: Micros) {
         let rows = self.consensus.state.digests.chunk(from, to, PIECE);
-        self.send(by, Message::Digests { from, to, rows }, now);
+        self.send(by, Message::Consensus(ConsensusMessage::DigestReply { from, to, digests: rows }), now);
     }
 
     pub(in crate::node) fn on_digest_reply(
@@ -72,7 +72,7 @@
         self.consensus.digest_sync.empty = 0;
         if let Some((from, to)) = self.consensus.state.digests.newest_gap() {
             self.consensus.digest_sync.due = now + AGAIN;
-            self.send(by, Message::DigestAsk { from, to }, now);
+            self.send(by, Message::Consensus(ConsensusMessage::DigestRequest { from, to }), now);
         }
     }
 }
--- a/crates/core/src/node/consensus/forwarding.rs
+++ b/crates/core/src/node/consensus/forwarding.rs
@@ -5,7 +5,7 @@
 use crate::consensus::Requester;
 use crate::node::dissemination::QUORUM_TIMEOUT;
 use crate::node::{Effect, Node};
-use crate::protocol::{Change, ChangeOutcome, Message};
+use crate::protocol::{Change, ChangeOutcome, ConsensusMessage, Message};
 use std::collections::BTreeSet;
 
 /// After so long another voter is asked, though the one that was asked is heard.
@@ -130,7 +130,17 @@
             f.asked_again.insert(voter);
         }
         let (change_id, fresh) = (f.change_id, f.fresh && first);
-        self.send(voter, Message::Forward { n: req, change_id, fresh, base: f.base, change: f.change.clone() }, now);
+        self.send(
+            voter,
+            Message::Consensus(ConsensusMessage::Forward {
+                request_id: req,
+                change_id,
+                is_first_send: fresh,
+                base: f.base,
+                change: f.change.clone(),
+            }),
+            now,
+        );
     }
 
     /// The voter to ask: the nearest one first, then one that was heard since the call came and
@@ -161,7 +171,11 @@
         if self.voter() {
             self.accept_change(Requester::Peer { node_id: by, request_id: n }, change_id, base, change, now);
         } else {
-            self.send(by, Message::Forwarded { n, fate: ChangeOutcome::NoQuorum }, now);
+            self.send(
+                by,
+                Message::Consensus(ConsensusMessage::ForwardReply { request_id: n, outcome: ChangeOutcome::NoQuorum }),
+                now,
+            );
         }
     }
 
--- a/crates/core/src/node/consensus/freshness.rs
+++ b/crates/core/src/node/consensus/freshness.rs
@@ -5,7 +5,7 @@
 use crate::consensus::is_majority;
 use crate::freshness;
 use crate::node::Node;
-use crate::protocol::Message;
+use crate::protocol::{ConsensusMessage, Message};
 use std::collections::BTreeSet;
 
 impl Node {
@@ -22,7 +22,7 @@
         self.consensus.freshness.open_probes.retain(|_, r| now.saturating_sub(r.0) < 2 * SEC);
         self.consensus.freshness.open_probes.insert(seq, (now, version, BTreeSet::new()));
         self.record_probe(seq, now);
-        self.broadcast_to_voters(&Message::Confirm { seq, version }, now);
+        self.broadcast_to_voters(&Message::Consensus(ConsensusMessage::FreshnessProbe { seq, version }), now);
     }
 
     /// A node without a vote asks the voters whether they hear it, while its callers wait.
@@ -33,7 +33,7 @@
         self.consensus.freshness.last_probe += 1;
         let (seq, version) = (self.consensus.freshness.last_probe, self.version().unwrap_or(0));
         self.record_probe(seq, now);
-        self.broadcast_to_voters(&Message::Confirm { seq, version }, now);
+        self.broadcast_to_voters(&Message::Consensus(ConsensusMessage::FreshnessProbe { seq, version }), now);
     }
 
     pub(in crate::node) fn on_freshness_probe(&mut self, by: NodeId, seq: u64, version: Version, now: Micros) {
@@ -46,7 +46,17 @@
         }
         let have = self.consensus.synced_version.unwrap_or(0);
         let pend = self.consensus.state.accepted.is_some();
-        self.send(by, Message::Confirmed { seq, version: v, have, ready: self.membership.synced_ready_set, pend }, now);
+        self.send(
+            by,
+            Message::Consensus(ConsensusMessage::FreshnessReply {
+                seq,
+                version: v,
+                synced_version: have,
+                ready_set: self.membership.synced_ready_set,
+                has_accepted: pend,
+            }),
+            now,
+        );
     }
 
     pub(in crate::node) fn on_freshness_reply(
@@ -78,7 +88,7 @@
             let at = *at;
             self.consensus.freshness.open_probes.remove(&seq);
             self.consensus.freshness.confirm(v, at);
-            self.counters.confirms += 1;
+            self.counters.freshness_confirmed += 1;
             self.publisher.is_dirty = true;
         }
     }
--- a/crates/core/src/node/consensus/learner.rs
+++ b/crates/core/src/node/consensus/learner.rs
@@ -4,7 +4,7 @@
 use crate::config::CompiledConfig;
 use crate::consensus::{DurableWrite, is_majority};
 use crate::node::{Effect, Node};
-use crate::protocol::{LogEntry, Message};
+use crate::protocol::{ConsensusMessage, LogEntry, MembershipMessage, Message};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
@@ -30,12 +30,12 @@
             }
             return;
         }
-        self.counters.versions += 1;
+        self.counters.versions_applied += 1;
         if self.voter_set() != set {
             self.on_voters_changed(voted, voters, now);
         }
         if before.is_none_or(|v| d.version > v + 1) {
-            self.counters.digests += 1;
+            self.counters.snapshots_applied += 1;
         }
         self.config = Arc::new(CompiledConfig::parse_with(self.settings.config_reader, d.version, &d.body));
         self.quota.slices.rates.apply_plan(&self.config, now);
@@ -52,13 +52,19 @@
             if !to.contains(&self.settings.node_id) {
                 to.push(self.settings.node_id);
             }
-            let then: Vec<Effect> =
-                to.into_iter().filter_map(|n| self.send_effect(n, Message::Have { version }, now)).collect();
+            let then: Vec<Effect> = to
+                .into_iter()
+                .filter_map(|n| self.send_effect(n, Message::Consensus(ConsensusMessage::Synced { version }), now))
+                .collect();
             let mut ops = vec![DurableWrite::Commit(d)];
             let mut then = then;
             if version == 0 {
                 ops.push(DurableWrite::Ready(0));
-                then.extend(self.send_effect(self.settings.node_id, Message::Ready { set: 0 }, now));
+                then.extend(self.send_effect(
+                    self.settings.node_id,
+                    Message::Membership(MembershipMessage::Ready { voter_set: 0 }),
+                    now,
+                ));
             }
             self.persist(ops, then);
         } else {
@@ -76,7 +82,11 @@
         let whole = self.restore_bodies(decrees);
         if whole.last().map(|d| d.version) != newest && self.settings.is_core {
             // It came as a patch of one that this core does not hold.
-            self.send(by, Message::Have { version: self.consensus.synced_version.unwrap_or(0) }, now);
+            self.send(
+                by,
+                Message::Consensus(ConsensusMessage::Synced { version: self.consensus.synced_version.unwrap_or(0) }),
+                now,
+            );
         }
         // The newest comes into force at once; those before it only fill the history.
         for d in whole.into_iter().rev() {
@@ -130,7 +140,7 @@
             *first = whole.self_contained();
         }
         if !decrees.is_empty() {
-            self.send(to, Message::Learn { decrees }, now);
+            self.send(to, Message::Consensus(ConsensusMessage::Replicate { entries: decrees }), now);
         }
     }
 
--- a/crates/core/src/node/consensus/mod.rs
+++ b/crates/core/src/node/consensus/mod.rs
@@ -16,9 +16,11 @@
 
 pub use proposer::MAX_BODY_BYTES;
 
-use crate::base::Version;
+use super::{Envelope, Node};
+use crate::base::{Micros, Version};
 use crate::consensus::{ConsensusState, DurableState};
 use crate::freshness::Freshness;
+use crate::protocol::ConsensusMessage;
 use std::collections::BTreeMap;
 
 /// What a node keeps for the agreement on versions.
@@ -54,3 +56,39 @@
         }
     }
 }
+
+impl Node {
+    /// Handles a message of the agreement on versions.
+    pub(super) fn on_consensus_message(&mut self, envelope: &Envelope, message: ConsensusMessage, now: Micros) {
+        let by = envelope.from;
+        match message {
+            ConsensusMessage::Prepare { instance, ballot } => self.on_prepare(by, instance, ballot, now),
+            ConsensusMessage::Promise { instance, ballot, accepted } => {
+                self.on_promise(by, instance, ballot, accepted, now)
+            }
+            ConsensusMessage::Reject { instance, ballot } => self.on_reject(instance, ballot, now),
+            ConsensusMessage::Accept { ballot, entry: decree } => self.on_accept(by, ballot, decree, now),
+            ConsensusMessage::Accepted { instance, ballot } => self.on_accepted(by, instance, ballot, now),
+            ConsensusMessage::Replicate { entries: decrees } => self.on_replicate(by, decrees, now),
+            ConsensusMessage::Synced { version } => self.on_synced_version(by, version, now),
+            ConsensusMessage::FreshnessProbe { seq, version } => self.on_freshness_probe(by, seq, version, now),
+            ConsensusMessage::FreshnessReply {
+                seq,
+                version,
+                synced_version: have,
+                ready_set: ready,
+                has_accepted: pend,
+            } => {
+                self.on_freshness_reply(by, seq, version, (have, ready), pend, now);
+            }
+            ConsensusMessage::Forward { request_id: n, change_id, is_first_send: fresh, base, change } => {
+                self.on_forward(by, n, (change_id, fresh), base, change, now)
+            }
+            ConsensusMessage::ForwardReply { request_id: n, outcome: fate } => self.on_forwarded(by, n, fate, now),
+            ConsensusMessage::DigestRequest { from, to } => self.on_digest_request(by, from, to, now),
+            ConsensusMessage::DigestReply { from, to, digests: rows } => {
+                self.on_digest_reply(by, (from, to), rows, now)
+            }
+        }
+    }
+}
--- a/crates/core/src/node/consensus/proposer.rs
+++ b/crates/core/src/node/consensus/proposer.rs
@@ -4,7 +4,7 @@
 use crate::config::{CompiledConfig, ConfigError, Patch};
 use crate::consensus::{ChangeStatus, PendingChange, Phase, Proposal, Requester, is_majority};
 use crate::node::{Effect, Node};
-use crate::protocol::{Ballot, Change, ChangeOutcome, LogEntry, Message, Voter};
+use crate::protocol::{Ballot, Change, ChangeOutcome, ConsensusMessage, LogEntry, Message, Voter};
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
 
@@ -177,7 +177,11 @@
     pub(in crate::node) fn complete_change(&mut self, to: Requester, fate: ChangeOutcome, now: Micros) {
         match to {
             Requester::Local(req) => self.outbox.push(Effect::CompleteChange { request_id: req, outcome: fate }),
-            Requester::Peer { node_id, request_id: n } => self.send(node_id, Message::Forwarded { n, fate }, now),
+            Requester::Peer { node_id, request_id: n } => self.send(
+                node_id,
+                Message::Consensus(ConsensusMessage::ForwardReply { request_id: n, outcome: fate }),
+                now,
+            ),
             Requester::Internal => {}
         }
     }
@@ -248,7 +252,7 @@
             value: None,
             deadline: due,
         });
-        self.broadcast_to_voters(&Message::Prepare { instance, ballot }, now);
+        self.broadcast_to_voters(&Message::Consensus(ConsensusMessage::Prepare { instance, ballot }), now);
     }
 
     pub(in crate::node) fn broadcast_to_voters(&mut self, m: &Message, now: Micros) {
@@ -309,7 +313,10 @@
             l.value = Some(decree.clone());
             l.deadline = now + ROUND * 2;
         }
-        self.broadcast_to_voters(&Message::Accept { ballot, decree: decree.without_body() }, now);
+        self.broadcast_to_voters(
+            &Message::Consensus(ConsensusMessage::Accept { ballot, entry: decree.without_body() }),
+            now,
+        );
     }
 
     fn new_entry(&self, instance: Version, now: Micros) -> Option<LogEntry> {
@@ -350,7 +357,7 @@
     pub(in crate::node) fn on_reject(&mut self, instance: Version, ballot: Ballot, now: Micros) {
         let Some(l) = &self.consensus.state.proposal else { return };
         if l.instance == instance && ballot > l.ballot {
-            self.counters.ballots_outbid += 1;
+            self.counters.ballots_preempted += 1;
             self.consensus.state.ballot_number = self.consensus.state.ballot_number.max(ballot.number);
             self.back_off(now);
         }
@@ -372,7 +379,7 @@
         to.remove(&self.settings.node_id);
         self.apply_entry(d.clone(), now);
         for n in to {
-            self.send(n, Message::Learn { decrees: vec![d.without_body()] }, now);
+            self.send(n, Message::Consensus(ConsensusMessage::Replicate { entries: vec![d.without_body()] }), now);
         }
     }
 
--- a/crates/core/src/node/counters.rs
+++ b/crates/core/src/node/counters.rs
@@ -1,6 +1,6 @@
 //! Counters for the metrics of a node.
 
-macro_rules! counts {
+macro_rules! counters {
     ($($(#[doc = $d:literal])* $n:ident,)*) => {
         /// Counters of the control plane; they only grow.
         #[derive(Clone, Debug, Default)]
@@ -15,67 +15,67 @@
     };
 }
 
-counts! {
+counters! {
     /// Frames taken from other nodes.
     frames_in,
     /// Frames sent to other nodes.
     frames_out,
-    /// Peers heard in a new life, so that connections to the former one were opened anew.
+    /// Peers heard in a new incarnation, so that connections to the former one were opened anew.
     peers_restarted,
     /// Frames of another fleet that were dropped.
     frames_foreign,
     /// Ballots begun here.
     ballots,
-    /// Ballots that met a higher one.
-    ballots_outbid,
-    /// Versions learned.
-    versions,
-    /// Digests (whole states) taken.
-    digests,
-    /// Freshness rounds that a majority confirmed.
-    confirms,
+    /// Ballots that lost against a higher one.
+    ballots_preempted,
+    /// Versions of the configuration applied.
+    versions_applied,
+    /// Versions applied that left out earlier ones, so that a snapshot was taken.
+    snapshots_applied,
+    /// Freshness probes that a majority confirmed.
+    freshness_confirmed,
     /// Reports of workers applied.
     reports,
     /// Reports that were older than what was known.
-    reports_old,
-    /// Reports from an ended life of a worker.
+    reports_outdated,
+    /// Reports from an ended incarnation of a worker.
     reports_ended,
     /// Reports that claimed to be from the future.
     reports_future,
     /// Reports of other nodes dropped because their age could not be known.
     reports_unaged,
-    /// Workers' ends spread at once from here.
-    ends,
-    /// Words of workers not acknowledged, because too few could know them.
-    unheard,
-    /// Terms won.
-    terms_won,
-    /// Sets of voters taken over with nobody to take over from.
-    takeovers_alone,
-    /// Terms refused by another core.
-    terms_refused,
-    /// Messages of a holder that a newer term fences off.
-    fenced,
-    /// Slices given as a holder.
-    slices_given,
-    /// Asks answered with a spent window.
-    slices_spent,
+    /// Removals of workers that were first reported to this node.
+    removals_started,
+    /// Reports of workers that were not acknowledged, since no majority of the voters was in contact.
+    reports_unacknowledged,
+    /// Leases won.
+    leases_won,
+    /// Sets of voters taken over after a time-out, with nobody to take over from.
+    takeovers_by_timeout,
+    /// Lease requests that another core rejected.
+    leases_rejected,
+    /// Messages of a former lease holder that a newer epoch fenced off.
+    messages_fenced,
+    /// Slices granted as a lease holder.
+    slices_granted,
+    /// Slice requests answered with a spent window.
+    windows_spent,
     /// Recalls sent for idle slices.
-    recalls,
+    slices_recalled,
     /// Shares of a rate that grew, as a holder.
     shares_grown,
     /// Shares of a rate that shrank, as a holder.
     shares_shrunk,
     /// Shares of a rate renewed unchanged, as a holder.
     shares_renewed,
-    /// Asks for shares that this node sent.
-    share_asks,
-    /// Asks for shares that nobody answered in time.
-    share_asks_mute,
+    /// Requests for shares that this node sent.
+    share_requests,
+    /// Requests for shares that timed out.
+    share_requests_timed_out,
     /// Calls of operators forwarded to a core.
     forwarded,
     /// Changes of voters proposed here without an operator.
-    members_changed,
-    /// Founding pledges that did not agree.
-    founding_split,
+    voter_changes_proposed,
+    /// Bootstrap votes that did not agree.
+    bootstrap_split,
 }
--- a/crates/core/src/node/dissemination/gossip.rs
+++ b/crates/core/src/node/dissemination/gossip.rs
@@ -3,7 +3,7 @@
 use crate::base::{MS, Micros, NodeId, SEC};
 use crate::node::Node;
 use crate::peers;
-use crate::protocol::{Heartbeat, Message, PeerRecord};
+use crate::protocol::{DisseminationMessage, Heartbeat, Message, PeerRecord};
 
 /// Every so many beats one node is drawn among all, so that parted halves meet again.
 const FAR_EVERY: u64 = 4;
@@ -63,8 +63,14 @@
             if !known {
                 let rows = vec![self.own_record()];
                 let set = self.dissemination.peers.incarnation_set(now);
-                let m =
-                    Message::Gossip { beats: Vec::new(), rows, ask: Vec::new(), reply: true, set, pulse: Vec::new() };
+                let m = Message::Dissemination(DisseminationMessage::Gossip {
+                    heartbeats: Vec::new(),
+                    records: rows,
+                    unknown_nodes: Vec::new(),
+                    wants_reply: true,
+                    incarnation_set: set,
+                    compact_heartbeats: Vec::new(),
+                });
                 self.send_to_address(&s, m, now);
             }
         }
@@ -90,7 +96,18 @@
             (b, r, Vec::new())
         };
         if reply || !(beats.is_empty() && rows.is_empty() && ask.is_empty() && pulse.is_empty()) {
-            self.send(to, Message::Gossip { beats, rows, ask, reply, set, pulse }, now);
+            self.send(
+                to,
+                Message::Dissemination(DisseminationMessage::Gossip {
+                    heartbeats: beats,
+                    records: rows,
+                    unknown_nodes: ask,
+                    wants_reply: reply,
+                    incarnation_set: set,
+                    compact_heartbeats: pulse,
+                }),
+                now,
+            );
         }
     }
 
--- a/crates/core/src/node/dissemination/mod.rs
+++ b/crates/core/src/node/dissemination/mod.rs
@@ -19,8 +19,10 @@
 
 pub(in crate::node) use contact::QUORUM_TIMEOUT;
 
+use super::{Envelope, Node};
 use crate::base::Micros;
 use crate::peers::PeerTable;
+use crate::protocol::DisseminationMessage;
 use crate::workers::WorkerTable;
 
 /// What a node keeps of other nodes and of workers.
@@ -56,3 +58,63 @@
         }
     }
 }
+
+impl Node {
+    /// Handles a message of gossip, of workers or of clocks.
+    pub(super) fn on_dissemination_message(&mut self, envelope: &Envelope, message: DisseminationMessage, now: Micros) {
+        let by = envelope.from;
+        match message {
+            DisseminationMessage::Gossip {
+                heartbeats: beats,
+                records: rows,
+                unknown_nodes: ask,
+                wants_reply: reply,
+                incarnation_set: set,
+                compact_heartbeats: pulse,
+            } => {
+                if envelope.is_greeting {
+                    self.on_greeting(by);
+                }
+                self.on_gossip(by, (&beats, &rows), &ask, reply, (set, &pulse), now);
+            }
+            DisseminationMessage::Subscribe {
+                seq,
+                next_version: version,
+                from_index: idx,
+                incarnation: of,
+                topics: svcs,
+            } => self.on_subscribe(by, seq, version, idx, of, svcs, now),
+            DisseminationMessage::Update {
+                request_seq: ask,
+                answered_after: since,
+                confirmed_age: stamp,
+                version,
+                preceding: before,
+                entry: decree,
+                change_index: idx,
+                is_complete: whole,
+                reports: rows,
+            } => {
+                self.apply_update_entries(before, decree, now);
+                self.on_update(
+                    envelope.incarnation_of_sender(),
+                    (ask, since, stamp),
+                    version,
+                    (idx, whole),
+                    &rows,
+                    now,
+                );
+            }
+            DisseminationMessage::Removals { reports: rows } => self.on_removals(by, &rows, envelope.delay, now),
+            DisseminationMessage::RemovalsReceived { keys } => self.on_removals_received(by, &keys, now),
+            DisseminationMessage::RemovalsKnownByAll { keys } => self.on_removals_known_by_all(&keys),
+            DisseminationMessage::Reports { reports: rows } => {
+                self.on_reports(envelope.incarnation_of_sender(), envelope.sent_at, &rows, now)
+            }
+            DisseminationMessage::ClockRequest { request_id: n } => self.on_clock_request(by, n, now),
+            DisseminationMessage::ClockReply { request_id: n } => {
+                self.on_clock_reply(envelope.incarnation_of_sender(), n, envelope.sent_at, now)
+            }
+        }
+    }
+}
--- a/crates/core/src/node/dissemination/peer_clocks.rs
+++ b/crates/core/src/node/dissemination/peer_clocks.rs
@@ -4,7 +4,7 @@
 
 use crate::base::{Incarnation, MS, Micros, NodeId, SEC};
 use crate::node::Node;
-use crate::protocol::{Message, WorkerReport};
+use crate::protocol::{DisseminationMessage, Message, WorkerReport};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// A question that has no answer is sent again after this.
@@ -119,11 +119,11 @@
         if p.asked.len() > MOST_ASKED {
             p.asked.pop_front();
         }
-        self.send(peer, Message::ClockAsk { n }, now);
+        self.send(peer, Message::Dissemination(DisseminationMessage::ClockRequest { request_id: n }), now);
     }
 
     pub(in crate::node) fn on_clock_request(&mut self, by: NodeId, n: u64, now: Micros) {
-        self.send(by, Message::ClockReply { n }, now);
+        self.send(by, Message::Dissemination(DisseminationMessage::ClockReply { request_id: n }), now);
     }
 
     /// The peer's clock showed `sent` after this node asked.
--- a/crates/core/src/node/dissemination/peer_incarnations.rs
+++ b/crates/core/src/node/dissemination/peer_incarnations.rs
@@ -7,7 +7,7 @@
 use crate::base::{Incarnation, NodeId};
 use crate::node::{Effect, Node};
 use crate::peers::PeerTable;
-use crate::protocol::{Frame, Message};
+use crate::protocol::{DisseminationMessage, Frame, Message};
 use std::collections::BTreeMap;
 
 /// The life that was last heard of each peer, and the peer that was last heard at each address.
@@ -62,7 +62,9 @@
     /// Where the sender of a frame listens, by its own word or as it was known, and whether it is a core.
     fn address_of_sender(&self, f: &Frame) -> Option<(String, bool)> {
         let own_row = match &f.message {
-            Message::Gossip { rows, .. } => rows.iter().find(|p| p.node_id == f.from),
+            Message::Dissemination(DisseminationMessage::Gossip { records: rows, .. }) => {
+                rows.iter().find(|p| p.node_id == f.from)
+            }
             _ => None,
         };
         let known = || self.dissemination.peers.entries.get(&f.from).map(|s| &s.record);
--- a/crates/core/src/node/dissemination/removals.rs
+++ b/crates/core/src/node/dissemination/removals.rs
@@ -5,7 +5,7 @@
 use crate::base::{Micros, NodeId};
 use crate::consensus::is_majority;
 use crate::node::{Effect, Node};
-use crate::protocol::{Message, RemovalKey, WorkerReport};
+use crate::protocol::{DisseminationMessage, Message, RemovalKey, WorkerReport};
 use crate::workers::removals::{AGAIN, GIVE_UP_AFTER, PATIENCE};
 use std::collections::BTreeMap;
 
@@ -58,7 +58,7 @@
     }
 
     fn acknowledge_report(&mut self, req: u64, ok: bool) {
-        self.counters.unheard += u64::from(!ok);
+        self.counters.reports_unacknowledged += u64::from(!ok);
         self.emit(Effect::AcknowledgeReport { request_id: req, is_accepted: ok });
     }
 
@@ -67,7 +67,7 @@
         let Some(key) = self.dissemination.workers.entries.get(worker_id).map(|e| e.report.removal_key()) else {
             return;
         };
-        self.counters.ends += 1;
+        self.counters.removals_started += 1;
         self.dissemination.workers.removals.start(&key, now, now);
         self.tick_removals(now);
     }
@@ -135,12 +135,16 @@
             self.acknowledge_report(req, ok);
         }
         for (n, rows) in to {
-            self.send(n, Message::Ends { rows }, now);
+            self.send(n, Message::Dissemination(DisseminationMessage::Removals { reports: rows }), now);
         }
         if !done.is_empty() {
             self.on_removals_known_by_all(&done);
             for n in live.iter().filter(|n| n.1) {
-                self.send(n.0, Message::EndsDone { keys: done.clone() }, now);
+                self.send(
+                    n.0,
+                    Message::Dissemination(DisseminationMessage::RemovalsKnownByAll { keys: done.clone() }),
+                    now,
+                );
             }
         }
     }
@@ -156,7 +160,7 @@
                 e.known_by.insert(by);
             }
         }
-        self.send(by, Message::EndsOk { keys }, now);
+        self.send(by, Message::Dissemination(DisseminationMessage::RemovalsReceived { keys }), now);
     }
 
     pub(in crate::node) fn on_removals_received(&mut self, by: NodeId, keys: &[RemovalKey], now: Micros) {
--- a/crates/core/src/node/dissemination/reports.rs
+++ b/crates/core/src/node/dissemination/reports.rs
@@ -2,7 +2,7 @@
 
 use crate::base::{Incarnation, MS, Micros, NodeId};
 use crate::node::Node;
-use crate::protocol::{Message, UNNUMBERED_INCARNATION, WorkerReport};
+use crate::protocol::{DisseminationMessage, Message, UNNUMBERED_INCARNATION, WorkerReport};
 use crate::workers::MergeOutcome;
 use crate::workers::removals::TAKE_OVER_AFTER;
 use std::collections::BTreeMap;
@@ -66,7 +66,7 @@
                 self.counters.reports += 1;
                 self.publisher.is_dirty = true;
             }
-            MergeOutcome::Outdated => self.counters.reports_old += 1,
+            MergeOutcome::Outdated => self.counters.reports_outdated += 1,
             MergeOutcome::EndedIncarnation => self.counters.reports_ended += 1,
             MergeOutcome::FromFuture => self.counters.reports_future += 1,
         }
@@ -135,7 +135,7 @@
             }
         }
         for (n, rows) in to {
-            self.send(n, Message::Reports { rows }, now);
+            self.send(n, Message::Dissemination(DisseminationMessage::Reports { reports: rows }), now);
         }
     }
 }
--- a/crates/core/src/node/dissemination/updates.rs
+++ b/crates/core/src/node/dissemination/updates.rs
@@ -3,7 +3,7 @@
 use crate::base::{Incarnation, MS, Micros, NodeId, SEC, Version, rendezvous_weight};
 use crate::freshness;
 use crate::node::Node;
-use crate::protocol::{LogEntry, Message, WorkerReport};
+use crate::protocol::{DisseminationMessage, LogEntry, Message, WorkerReport};
 use crate::workers::{Subscriber, Upstream};
 use std::collections::BTreeMap;
 
@@ -89,7 +89,17 @@
             }
             let (idx, of) = (u.change_index, u.incarnation);
             let version = version.map_or(0, |v| v + 1);
-            self.send(n, Message::Ask { seq, version, idx, of, svcs }, now);
+            self.send(
+                n,
+                Message::Dissemination(DisseminationMessage::Subscribe {
+                    seq,
+                    next_version: version,
+                    from_index: idx,
+                    incarnation: of,
+                    topics: svcs,
+                }),
+                now,
+            );
         }
     }
 
@@ -128,17 +138,17 @@
         let (before, decree) =
             if conf && s.next_version < next { self.entries_after(held) } else { (Vec::new(), None) };
         let stamp = self.consensus.freshness.confirmed_at(mine).filter(|_| conf).map(|t| now.saturating_sub(t));
-        let m = Message::Tell {
-            ask: s.request_seq,
-            since: now.saturating_sub(s.subscribed_at),
-            stamp,
+        let m = Message::Dissemination(DisseminationMessage::Update {
+            request_seq: s.request_seq,
+            answered_after: now.saturating_sub(s.subscribed_at),
+            confirmed_age: stamp,
             version: mine.unwrap_or(0),
-            before,
-            decree,
-            idx: self.dissemination.workers.change_index,
-            whole: now >= self.workers_complete_at(),
-            rows,
-        };
+            preceding: before,
+            entry: decree,
+            change_index: self.dissemination.workers.change_index,
+            is_complete: now >= self.workers_complete_at(),
+            reports: rows,
+        });
         let idx = self.dissemination.workers.change_index;
         if let Some(s) = self.dissemination.workers.subscribers.get_mut(&to) {
             s.sent_index = idx;
--- a/crates/core/src/node/lease/holder.rs
+++ b/crates/core/src/node/lease/holder.rs
@@ -4,7 +4,7 @@
 use crate::consensus::{DurableWrite, is_majority};
 use crate::lease::{LEASE_DURATION, LeaseDecision, RENEW_AFTER, ROLE_COUNT, epoch_base, quota_role};
 use crate::node::Node;
-use crate::protocol::{Message, RegisteredIncarnation, WindowGrant};
+use crate::protocol::{LeaseMessage, Message, RegisteredIncarnation, WindowGrant};
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
@@ -63,7 +63,13 @@
             }
             h.open_request = Some((n, now, BTreeSet::new()));
             let (epoch, new) = (h.epoch, h.is_new_epoch);
-            let m = Message::TermAsk { set: self.voter_set(), duty: d, epoch, n, new };
+            let m = Message::Lease(LeaseMessage::Request {
+                voter_set: self.voter_set(),
+                role: d,
+                epoch,
+                request_id: n,
+                is_new_epoch: new,
+            });
             // A vote of its own is given last, so that asking in vain locks nobody out.
             let me = self.settings.node_id;
             let to: Vec<_> = self.consensus.state.voters().iter().map(|c| c.node_id).collect();
@@ -94,13 +100,24 @@
         }
         match self.leases.grantor.request(d, by, epoch, new, now) {
             LeaseDecision::Rejected { epoch, holder, remaining: left } => {
-                self.send(by, Message::TermNo { duty: d, epoch, n, holder, left }, now);
+                self.send(
+                    by,
+                    Message::Lease(LeaseMessage::Rejected { role: d, epoch, request_id: n, holder, remaining: left }),
+                    now,
+                );
             }
             LeaseDecision::Granted { is_new_epoch: write } => {
                 let rows = if write { self.grants_of(|t| quota_role(t) == d, now) } else { Vec::new() };
                 let first = !self.leases.grantor.previously_held.contains(&d);
                 let lives = if write { self.registered_incarnations() } else { Vec::new() };
-                let m = Message::TermYes { duty: d, epoch, n, rows, first, lives };
+                let m = Message::Lease(LeaseMessage::Granted {
+                    role: d,
+                    epoch,
+                    request_id: n,
+                    grants: rows,
+                    has_no_predecessor: first,
+                    registered: lives,
+                });
                 if write {
                     let then = self.send_effect(by, m, now).into_iter().collect();
                     self.persist(vec![DurableWrite::Epoch { role: d, epoch }], then);
@@ -138,7 +155,17 @@
             let mut with = got.clone();
             if h.is_new_epoch && with.insert(me) && is_majority(&cores, &with) {
                 let set = self.voter_set();
-                self.send(me, Message::TermAsk { set, duty: d, epoch, n, new: true }, now);
+                self.send(
+                    me,
+                    Message::Lease(LeaseMessage::Request {
+                        voter_set: set,
+                        role: d,
+                        epoch,
+                        request_id: n,
+                        is_new_epoch: true,
+                    }),
+                    now,
+                );
             }
             return;
         }
@@ -158,7 +185,7 @@
         let rows = std::mem::take(&mut h.inherited_grants);
         let lives = std::mem::take(&mut h.registered);
         let (first, set) = (h.has_no_predecessor, self.voter_set());
-        self.counters.terms_won += 1;
+        self.counters.leases_won += 1;
         self.leases.held.holder_hints.insert(d, self.settings.node_id);
         let ts: Vec<_> =
             self.quota.window_ledger.list().into_iter().map(|x| x.0).filter(|t| quota_role(t) == d).collect();
@@ -189,7 +216,7 @@
         if h.open_request.as_ref().is_none_or(|a| a.0 != n) {
             return;
         }
-        self.counters.terms_refused += 1;
+        self.counters.leases_rejected += 1;
         h.highest_epoch = h.highest_epoch.max(epoch);
         if holder != NodeId::default() && holder != self.settings.node_id {
             self.leases.held.holder_hints.insert(d, holder);
--- a/crates/core/src/node/lease/mod.rs
+++ b/crates/core/src/node/lease/mod.rs
@@ -6,9 +6,11 @@
 mod holder;
 mod startup_fence;
 
+use super::{Envelope, Node};
 use crate::base::Micros;
 use crate::consensus::DurableState;
 use crate::lease::{HeldLeases, LEASE_DURATION, LeaseGrantor, quota_role};
+use crate::protocol::LeaseMessage;
 use std::collections::BTreeMap;
 
 /// What a node keeps for leases, as a holder and as a voter.
@@ -42,3 +44,34 @@
         }
     }
 }
+
+impl Node {
+    /// Handles a message about leases.
+    pub(super) fn on_lease_message(&mut self, envelope: &Envelope, message: LeaseMessage, now: Micros) {
+        let by = envelope.from;
+        match message {
+            LeaseMessage::Request { voter_set: set, role: duty, epoch, request_id: n, is_new_epoch: new } => {
+                self.on_lease_request(by, set, (duty, epoch, new), n, now)
+            }
+            LeaseMessage::Granted {
+                role: duty,
+                epoch,
+                request_id: n,
+                grants: rows,
+                has_no_predecessor: first,
+                registered: lives,
+            } => {
+                if !self.is_former_incarnation(envelope.incarnation_of_sender()) {
+                    self.on_lease_granted(by, duty, epoch, n, (rows, first, lives), envelope.delay, now);
+                }
+            }
+            LeaseMessage::Rejected { role: duty, epoch, request_id: n, holder, remaining: left } => {
+                self.on_lease_rejected(duty, epoch, n, holder, left, now)
+            }
+            LeaseMessage::HeldLeasesQuery { query_id: n } => {
+                self.on_held_leases_query(envelope.incarnation_of_sender(), n, now)
+            }
+            LeaseMessage::NoHeldLeases { query_id: n } => self.on_no_held_leases(by, n, now),
+        }
+    }
+}
--- a/crates/core/src/node/lease/startup_fence.rs
+++ b/crates/core/src/node/lease/startup_fence.rs
@@ -6,7 +6,7 @@
 
 use crate::base::{Incarnation, MS, Micros, NodeId};
 use crate::node::Node;
-use crate::protocol::Message;
+use crate::protocol::{LeaseMessage, Message};
 use std::collections::{BTreeMap, BTreeSet};
 
 const AGAIN: Micros = 50 * MS;
@@ -51,7 +51,7 @@
         }
         holders.retain(|core| !self.leases.startup_fence.idle.contains(core));
         for core in holders {
-            self.send(core, Message::HoldsAsk { n }, now);
+            self.send(core, Message::Lease(LeaseMessage::HeldLeasesQuery { query_id: n }), now);
         }
     }
 
@@ -67,7 +67,7 @@
                 votes.remove(&by.0);
             }
         }
-        self.send(by.0, Message::HoldsNone { n }, now);
+        self.send(by.0, Message::Lease(LeaseMessage::NoHeldLeases { query_id: n }), now);
     }
 
     /// Whether this voter has asked since then in a newer life, which relies on the former votes
--- a/crates/core/src/node/membership/bootstrap.rs
+++ b/crates/core/src/node/membership/bootstrap.rs
@@ -3,7 +3,7 @@
 use crate::base::{ChangeId, MS, Micros, NodeId, SEC, Version, hash64};
 use crate::consensus::DurableWrite;
 use crate::node::Node;
-use crate::protocol::{LogEntry, Message, Voter};
+use crate::protocol::{ConsensusMessage, LogEntry, MembershipMessage, Message, Voter};
 
 const EVERY: Micros = 300 * MS;
 
@@ -23,12 +23,12 @@
             return;
         }
         self.membership.bootstrap_due = now + EVERY;
-        let msg = Message::Found {
-            me: self.as_voter(),
+        let msg = Message::Membership(MembershipMessage::Bootstrap {
+            sender: self.as_voter(),
             version: None,
-            pledge: self.synced_bootstrap_vote(),
-            first: self.settings.may_bootstrap,
-        };
+            vote: self.synced_bootstrap_vote(),
+            may_bootstrap: self.settings.may_bootstrap,
+        });
         let mut to = self.settings.seeds.clone();
         to.extend(self.dissemination.peers.live(now).filter(|p| p.is_core).map(|p| p.addr.clone()));
         to.sort_unstable();
@@ -53,7 +53,11 @@
         if self.version().is_some() {
             if by != self.settings.node_id && version.is_none() {
                 let decrees = self.consensus.state.newest_self_contained().into_iter().collect();
-                self.send_to_address(&core.addr.clone(), Message::Learn { decrees }, now);
+                self.send_to_address(
+                    &core.addr.clone(),
+                    Message::Consensus(ConsensusMessage::Replicate { entries: decrees }),
+                    now,
+                );
             }
             return;
         }
@@ -80,7 +84,7 @@
             return;
         }
         if self.consensus.state.bootstrap_vote != set {
-            self.counters.founding_split += 1;
+            self.counters.bootstrap_split += 1;
             return;
         }
         if self.membership.bootstrap_peers.values().all(|h| h.pledge == set) {
--- a/crates/core/src/node/membership/mod.rs
+++ b/crates/core/src/node/membership/mod.rs
@@ -9,8 +9,10 @@
 pub(in crate::node) mod takeover;
 pub mod voters;
 
+use super::{Envelope, Node};
 use crate::base::{Micros, Version};
 use crate::consensus::DurableState;
+use crate::protocol::MembershipMessage;
 use std::collections::BTreeMap;
 
 /// What a node keeps for the set of voters.
@@ -44,3 +46,24 @@
         }
     }
 }
+
+impl Node {
+    /// Handles a message about the set of voters.
+    pub(super) fn on_membership_message(&mut self, envelope: &Envelope, message: MembershipMessage, now: Micros) {
+        let by = envelope.from;
+        match message {
+            MembershipMessage::Bootstrap { sender: me, version, vote: pledge, may_bootstrap: first } => {
+                self.on_bootstrap(by, me, version, (pledge, first), now)
+            }
+            MembershipMessage::TakeoverRequest { voter_set: set } => self.on_takeover_request(by, set, now),
+            MembershipMessage::TakeoverReply { voter_set: set, is_complete: full, grants: rows, registered: lives } => {
+                self.on_takeover_reply(by, set, full, (rows, lives), envelope.delay, now);
+            }
+            MembershipMessage::Register { voter_set: set, request_id: n, incarnations: rows } => {
+                self.on_register(by, set, n, rows, now)
+            }
+            MembershipMessage::Registered { voter_set: set, request_id: n } => self.on_registered(by, set, n, now),
+            MembershipMessage::Ready { voter_set: set } => self.on_ready(by, set),
+        }
+    }
+}
--- a/crates/core/src/node/membership/registrations.rs
+++ b/crates/core/src/node/membership/registrations.rs
@@ -4,7 +4,7 @@
 use crate::consensus::{DurableState, DurableWrite, is_majority};
 use crate::node::Node;
 use crate::node::quota::ShareRequests;
-use crate::protocol::{LeaseClaim, Message, RegisteredIncarnation};
+use crate::protocol::{LeaseClaim, MembershipMessage, Message, QuotaMessage, RegisteredIncarnation};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A holder relies on a registration for so long after it asked for it.
@@ -129,7 +129,15 @@
         self.membership.registrations.open.insert(n, Open { at: now, set, rows: ids, got: BTreeSet::new() });
         let to: Vec<_> = self.consensus.state.voters().iter().map(|c| c.node_id).collect();
         for c in to {
-            self.send(c, Message::Enroll { set, n, rows: rows.clone() }, now);
+            self.send(
+                c,
+                Message::Membership(MembershipMessage::Register {
+                    voter_set: set,
+                    request_id: n,
+                    incarnations: rows.clone(),
+                }),
+                now,
+            );
         }
     }
 
@@ -155,7 +163,7 @@
         for l in old.iter().chain(&new) {
             kept.insert((l.node_id, l.incarnation), (l.addr.clone(), now));
         }
-        let m = Message::Enrolled { set, n };
+        let m = Message::Membership(MembershipMessage::Registered { voter_set: set, request_id: n });
         if !new.is_empty() {
             let then = self.send_effect(by, m, now).into_iter().collect();
             self.persist(vec![DurableWrite::Register(new)], then);
@@ -217,7 +225,7 @@
             }
         }
         for (a, marks) in to {
-            self.send_to_address(&a, Message::Probe { marks }, now);
+            self.send_to_address(&a, Message::Quota(QuotaMessage::ShareProbe { claims: marks }), now);
         }
     }
 
@@ -234,7 +242,7 @@
         }
         let to: Vec<_> = self.dissemination.peers.live(now).filter(|p| !p.is_core).map(|p| p.node_id).collect();
         for n in to {
-            self.send(n, Message::Probe { marks: marks.clone() }, now);
+            self.send(n, Message::Quota(QuotaMessage::ShareProbe { claims: marks.clone() }), now);
         }
         self.membership.registrations.probed = 0;
     }
--- a/crates/core/src/node/membership/takeover.rs
+++ b/crates/core/src/node/membership/takeover.rs
@@ -29,7 +29,7 @@
 use crate::lease::{LEASE_DURATION, epoch_base};
 use crate::node::Node;
 use crate::peers::FAILURE_TIMEOUT;
-use crate::protocol::{Message, RegisteredIncarnation, WindowGrant};
+use crate::protocol::{MembershipMessage, Message, RegisteredIncarnation, WindowGrant};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How often those who can hand over are asked.
@@ -126,7 +126,7 @@
         }
         self.membership.takeover.due = now + ASK_EVERY;
         for n in all {
-            self.send(n, Message::TakeoverAsk { set }, now);
+            self.send(n, Message::Membership(MembershipMessage::TakeoverRequest { voter_set: set }), now);
         }
     }
 
@@ -142,7 +142,16 @@
         }
         let rows = self.grants_of(|_| true, now);
         let lives = self.registered_incarnations();
-        self.send(by, Message::TakeoverReply { set, full, rows, lives }, now);
+        self.send(
+            by,
+            Message::Membership(MembershipMessage::TakeoverReply {
+                voter_set: set,
+                is_complete: full,
+                grants: rows,
+                registered: lives,
+            }),
+            now,
+        );
     }
 
     /// Whether a majority of the newest set took over what was granted before.
@@ -191,7 +200,7 @@
     /// Nobody is left to take over from. All windows of now count as spent, and of the rates
     /// all counts as held that is not heard of: by a life that nobody can prove dead.
     fn take_over_alone(&mut self, now: Micros) {
-        self.counters.takeovers_alone += 1;
+        self.counters.takeovers_by_timeout += 1;
         let window = epoch_base(self.voter_set());
         let spent = |(t, quota): (&String, &Limit)| match quota {
             Limit::Window(q) => Some(WindowGrant {
@@ -218,7 +227,10 @@
         self.record_registrations(&ops, now);
         ops.push(DurableWrite::Ready(set));
         let to: Vec<_> = self.consensus.state.voters().iter().map(|c| c.node_id).collect();
-        let then = to.into_iter().filter_map(|n| self.send_effect(n, Message::Ready { set }, now)).collect();
+        let then = to
+            .into_iter()
+            .filter_map(|n| self.send_effect(n, Message::Membership(MembershipMessage::Ready { voter_set: set }), now))
+            .collect();
         self.persist(ops, then);
         self.membership.ready_set = Some(set);
     }
--- a/crates/core/src/node/membership/voters.rs
+++ b/crates/core/src/node/membership/voters.rs
@@ -4,7 +4,7 @@
 use crate::consensus::{PendingChange, Requester, is_majority};
 use crate::node::Node;
 use crate::peers::{FAILURE_TIMEOUT, PeerEntry};
-use crate::protocol::{Change, Message, Voter};
+use crate::protocol::{Change, ConsensusMessage, Message, Voter};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A voter ranked later proposes so much later for each rank.
@@ -216,7 +216,7 @@
         };
         if now >= self.consensus.freshness.probe_due {
             self.consensus.freshness.probe_due = now + ASK_TO_END;
-            self.broadcast_to_voters(&Message::Confirm { seq: 0, version }, now);
+            self.broadcast_to_voters(&Message::Consensus(ConsensusMessage::FreshnessProbe { seq: 0, version }), now);
         }
     }
 
@@ -252,7 +252,7 @@
         if open || !self.is_taken_over() || now < since + proposal_delay(self.settings.node_id, &seats, version) {
             return;
         }
-        self.counters.members_changed += 1;
+        self.counters.voter_changes_proposed += 1;
         let change_id = ChangeId(self.rng.next_u64().max(1));
         let change = Change::Voters(set);
         let due = now + PATIENCE;
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -33,6 +33,7 @@
 use crate::consensus::DurableState;
 use crate::lease::LEASE_DURATION;
 use crate::protocol::Voter;
+use dispatch::Envelope;
 use std::sync::Arc;
 
 /// All that a node knows.
--- a/crates/core/src/node/outbox.rs
+++ b/crates/core/src/node/outbox.rs
@@ -3,7 +3,7 @@
 use super::{Effect, Node};
 use crate::base::{Micros, NodeId};
 use crate::consensus::DurableWrite;
-use crate::protocol::{Frame, Message};
+use crate::protocol::{ConsensusMessage, Frame, Message};
 use std::collections::VecDeque;
 
 /// How many bytes may wait for the disk before a core takes in no further votes and versions.
@@ -96,7 +96,7 @@
 fn body_bytes(effect: &Effect) -> usize {
     match effect {
         Effect::Send { frame, .. } => match &frame.message {
-            Message::Promise { accepted: Some((_, entry)), .. } => entry.body.len(),
+            Message::Consensus(ConsensusMessage::Promise { accepted: Some((_, entry)), .. }) => entry.body.len(),
             _ => 0,
         },
         _ => 0,
--- a/crates/core/src/node/quota/mod.rs
+++ b/crates/core/src/node/quota/mod.rs
@@ -8,10 +8,11 @@
 
 pub(in crate::node) use shares::ShareRequests;
 
+use super::{Envelope, Node};
 use crate::base::{Micros, NodeId};
 use crate::config::CompiledConfig;
 use crate::consensus::DurableState;
-use crate::protocol::WindowGrant;
+use crate::protocol::{QuotaMessage, WindowGrant};
 use crate::quota::{SharePools, WindowLedger, WindowSlices};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -53,3 +54,46 @@
         }
     }
 }
+
+impl Node {
+    /// Handles a message about quotas.
+    pub(super) fn on_quota_message(&mut self, envelope: &Envelope, message: QuotaMessage, now: Micros) {
+        let by = envelope.from;
+        match message {
+            QuotaMessage::ReplicateGrants { voter_set: set, role: duty, epoch, request_id: n, grants: rows } => {
+                self.on_replicate_grants(by, set, duty, epoch, n, rows, envelope.delay, now)
+            }
+            QuotaMessage::GrantsSynced { role: duty, epoch, request_id: n } => {
+                self.on_grants_synced(by, duty, epoch, n, now)
+            }
+            QuotaMessage::SliceRequest { request_id: n, tenant, wanted_units: want, window, returned } => {
+                self.on_slice_request(by, n, &tenant, want, (window, returned), now)
+            }
+            QuotaMessage::SliceGranted { request_id: n, tenant, window, granted_total, remaining: left, epoch } => {
+                self.on_slice_granted(n, &tenant, window, granted_total, left, epoch)
+            }
+            QuotaMessage::WindowSpent { request_id: n, tenant, window, remaining: left } => {
+                self.on_window_spent(n, &tenant, (window, left), envelope.delay, now)
+            }
+            QuotaMessage::NotLeaseHolder { request_id: n, tenant, holder } => {
+                self.on_not_lease_holder(by, n, &tenant, holder, now)
+            }
+            QuotaMessage::RecallSlice { tenant, window, epoch } => {
+                self.on_recall_slice(by, &tenant, window, epoch, now)
+            }
+            QuotaMessage::ReturnSlice { tenant, window, returned } => {
+                self.on_return_slice(by, &tenant, window, returned, now)
+            }
+            QuotaMessage::ShareProbe { claims: marks } => self.on_share_probe(by, &marks, now),
+            QuotaMessage::ShareProbeReply { addr, claims: marks, age } => {
+                self.on_share_probe_reply(envelope.incarnation_of_sender(), &addr, &marks, age, now)
+            }
+            QuotaMessage::ShareRequests { request_id: n, requests: rows, claims: marks, idle_for: idle } => {
+                self.on_share_requests(envelope.incarnation_of_sender(), ShareRequests { n, rows, idle, marks }, now)
+            }
+            QuotaMessage::ShareGrants { request_id: n, grants: rows, claims: marks } => {
+                self.on_share_grants(by, n, &rows, &marks, now)
+            }
+        }
+    }
+}
--- a/crates/core/src/node/quota/shares.rs
+++ b/crates/core/src/node/quota/shares.rs
@@ -4,7 +4,7 @@
 use crate::config::{Limit, Rate};
 use crate::lease::quota_role;
 use crate::node::{Effect, Node};
-use crate::protocol::{LeaseClaim, Message, ShareGrant, ShareRequest};
+use crate::protocol::{LeaseClaim, Message, QuotaMessage, ShareGrant, ShareRequest};
 use crate::quota::{AGAIN, tenant_key};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -101,16 +101,25 @@
                 Some(LeaseClaim { role: *d, voter_set: set, epoch, holder: NodeId::default() })
             })
             .collect();
-        self.counters.share_asks += 1;
+        self.counters.share_requests += 1;
         self.quota.share_client.open.insert(n, Open { to, at: now, late: false, rows: ts });
-        self.send(to, Message::ShareAsk { n, rows, marks, idle }, now);
+        self.send(
+            to,
+            Message::Quota(QuotaMessage::ShareRequests {
+                request_id: n,
+                requests: rows,
+                claims: marks,
+                idle_for: idle,
+            }),
+            now,
+        );
     }
 
     /// Who holds some duties wants to know at once what this node holds of their tenants.
     pub(in crate::node) fn on_share_probe(&mut self, by: NodeId, marks: &[LeaseClaim], now: Micros) {
         let addr = self.settings.addr.clone();
         let age = now.saturating_sub(self.clock.started_at);
-        self.send(by, Message::Probed { addr, marks: marks.to_vec(), age }, now);
+        self.send(by, Message::Quota(QuotaMessage::ShareProbeReply { addr, claims: marks.to_vec(), age }), now);
         let mut ds = BTreeSet::new();
         for m in marks {
             let top = self.quota.share_client.top.entry(m.role).or_default();
@@ -145,7 +154,7 @@
             let Some(o) = self.quota.share_client.open.get_mut(&n) else { continue };
             o.late = true;
             let (to, rows) = (o.to, o.rows.clone());
-            self.counters.share_asks_mute += 1;
+            self.counters.share_requests_timed_out += 1;
             let ds: BTreeSet<_> = rows.iter().map(|t| quota_role(t)).collect();
             for d in ds {
                 if self.share_holder(d) == Some(to) {
@@ -229,7 +238,7 @@
             given.push(g);
         }
         let marks = out.into_values().collect();
-        self.send(by.0, Message::Shares { n, rows: given, marks }, now);
+        self.send(by.0, Message::Quota(QuotaMessage::ShareGrants { request_id: n, grants: given, claims: marks }), now);
     }
 
     pub(in crate::node) fn on_share_grants(
--- a/crates/core/src/node/quota/windows.rs
+++ b/crates/core/src/node/quota/windows.rs
@@ -5,7 +5,7 @@
 use crate::consensus::{DurableWrite, is_majority};
 use crate::lease::{LEASE_DURATION, quota_role};
 use crate::node::{Effect, Node};
-use crate::protocol::{Message, WindowGrant};
+use crate::protocol::{Message, QuotaMessage, WindowGrant};
 use crate::quota::{LedgerAction, SliceRequest};
 use std::collections::{BTreeSet, VecDeque};
 
@@ -107,7 +107,17 @@
             t.to_owned(),
             PendingSliceRequest { n, earlier, to, at: now, waiting: 0, hops, idle: false, next: false },
         );
-        self.send(to, Message::SliceAsk { n, tenant: t.to_owned(), want, window, returned }, now);
+        self.send(
+            to,
+            Message::Quota(QuotaMessage::SliceRequest {
+                request_id: n,
+                tenant: t.to_owned(),
+                wanted_units: want,
+                window,
+                returned,
+            }),
+            now,
+        );
     }
 
     pub(in crate::node) fn on_slice_request(
@@ -123,7 +133,11 @@
         if self.leases.held.valid_epoch(d, now).is_none() {
             let row = self.leases.grantor.granted.get(&d).filter(|r| r.2 > now && r.0 != self.settings.node_id);
             let holder = row.map(|r| r.0).unwrap_or_default();
-            self.send(by, Message::NotHolder { n, tenant: t.to_owned(), holder }, now);
+            self.send(
+                by,
+                Message::Quota(QuotaMessage::NotLeaseHolder { request_id: n, tenant: t.to_owned(), holder }),
+                now,
+            );
             return;
         }
         let Some(q) = self.window_quota(t) else { return };
@@ -166,14 +180,27 @@
             match x {
                 LedgerAction::Grant { request_id: n, grant: g, remaining: left } => gives.push((n, g, left)),
                 LedgerAction::Recall { to, window } => {
-                    self.counters.recalls += 1;
+                    self.counters.slices_recalled += 1;
                     for n in to {
-                        self.send(n, Message::Recall { tenant: t.to_owned(), window, epoch }, now);
+                        self.send(
+                            n,
+                            Message::Quota(QuotaMessage::RecallSlice { tenant: t.to_owned(), window, epoch }),
+                            now,
+                        );
                     }
                 }
                 LedgerAction::Spent { node_id, request_id: n, window, remaining: left } => {
-                    self.counters.slices_spent += 1;
-                    self.send(node_id, Message::Spent { n, tenant: t.to_owned(), window, left }, now);
+                    self.counters.windows_spent += 1;
+                    self.send(
+                        node_id,
+                        Message::Quota(QuotaMessage::WindowSpent {
+                            request_id: n,
+                            tenant: t.to_owned(),
+                            window,
+                            remaining: left,
+                        }),
+                        now,
+                    );
                 }
             }
         }
@@ -184,7 +211,16 @@
         let n = self.next_request_id();
         self.quota.pending_grants.insert(n, PendingGrants { duty: d, epoch, at: now, got: BTreeSet::new(), gives });
         let set = self.voter_set();
-        self.broadcast_to_voters(&Message::Grants { set, duty: d, epoch, n, rows }, now);
+        self.broadcast_to_voters(
+            &Message::Quota(QuotaMessage::ReplicateGrants {
+                voter_set: set,
+                role: d,
+                epoch,
+                request_id: n,
+                grants: rows,
+            }),
+            now,
+        );
     }
 
     /// Takes a grant into the rows that a successor will read; true if it is news.
@@ -238,7 +274,7 @@
             return;
         }
         if self.leases.grantor.is_fenced(d, epoch) {
-            self.counters.fenced += 1;
+            self.counters.messages_fenced += 1;
             return;
         }
         for g in &mut rows {
@@ -249,7 +285,8 @@
             return;
         }
         rows.retain(|g| self.record_grant(g, now));
-        let then = self.send_effect(by, Message::GrantsOk { duty: d, epoch, n }, now);
+        let then =
+            self.send_effect(by, Message::Quota(QuotaMessage::GrantsSynced { role: d, epoch, request_id: n }), now);
         let ops = rows.into_iter().map(DurableWrite::Grant).collect();
         self.persist(ops, then.into_iter().collect());
     }
@@ -270,11 +307,18 @@
         }
         let late = now.saturating_sub(o.at);
         for (n, g, left) in o.gives {
-            self.counters.slices_given += 1;
+            self.counters.slices_granted += 1;
             let left = left.saturating_sub(late);
             self.send(
                 g.node_id,
-                Message::Slice { n, tenant: g.tenant, window: g.window, granted_total: g.granted_total, left, epoch },
+                Message::Quota(QuotaMessage::SliceGranted {
+                    request_id: n,
+                    tenant: g.tenant,
+                    window: g.window,
+                    granted_total: g.granted_total,
+                    remaining: left,
+                    epoch,
+                }),
                 now,
             );
         }
@@ -301,7 +345,7 @@
     ) {
         let d = quota_role(t);
         if self.leases.grantor.is_fenced(d, epoch) {
-            self.counters.fenced += 1;
+            self.counters.messages_fenced += 1;
             return;
         }
         // The holder counts a slice as this node's whenever it comes, so a late one is taken too.
@@ -359,10 +403,10 @@
 
     pub(in crate::node) fn on_recall_slice(&mut self, by: NodeId, t: &str, window: u64, epoch: u64, now: Micros) {
         if self.leases.grantor.is_fenced(quota_role(t), epoch) {
-            self.counters.fenced += 1;
+            self.counters.messages_fenced += 1;
             return;
         }
         let returned = self.quota.slices.return_idle(t, window, now).unwrap_or(0);
-        self.send(by, Message::Return { tenant: t.to_owned(), window, returned }, now);
+        self.send(by, Message::Quota(QuotaMessage::ReturnSlice { tenant: t.to_owned(), window, returned }), now);
     }
 }
--- a/crates/core/src/protocol/mod.rs
+++ b/crates/core/src/protocol/mod.rs
@@ -1,10 +1,28 @@
 //! What nodes say to each other.
+//!
+//! [`Frame`] is the unit on the wire. Its [`Message`] belongs to one of five concerns, each with an enum
+//! of its own in the module of its name. The bytes of each message are fixed by golden files in
+//! `tests/golden`.
 
 mod compression;
+mod consensus;
 mod digest;
+mod dissemination;
+mod entry;
 mod frame;
+mod lease;
+mod membership;
 mod message;
+mod quota;
 
+pub use consensus::{Ballot, Change, ChangeOutcome, ConsensusMessage};
 pub use digest::EntryDigest;
+pub use dissemination::{
+    DisseminationMessage, Heartbeat, PeerRecord, RemovalKey, UNNUMBERED_INCARNATION, WorkerReport,
+};
+pub use entry::{LogEntry, Voter};
 pub use frame::{Frame, FrameError, MAX_FRAME_BYTES, PROTOCOL_VERSION, decode_frame, encode_frame};
-pub use message::*;
+pub use lease::LeaseMessage;
+pub use membership::{MembershipMessage, RegisteredIncarnation};
+pub use message::Message;
+pub use quota::{LeaseClaim, QuotaMessage, ShareGrant, ShareRequest, WindowGrant};
--- a/crates/core/tests/ballots.rs
+++ b/crates/core/tests/ballots.rs
@@ -5,7 +5,7 @@
 use fleet::{Fleet, decree, kept};
 use sumacvale_core::base::{ChangeId, MS, NodeId, SEC};
 use sumacvale_core::node::Event;
-use sumacvale_core::protocol::{Ballot, Change, Message};
+use sumacvale_core::protocol::{Ballot, Change, ConsensusMessage, Message};
 
 /// Three voters with version 1, of which the third does not run: the test speaks for it.
 fn two_of_three() -> Fleet {
@@ -32,13 +32,16 @@
 
 /// How many ballots this voter began since.
 fn begun(f: &Fleet, since: usize) -> usize {
-    f.sent[since..].iter().filter(|(m, x)| *m == 1 && matches!(x.message, Message::Prepare { .. })).count()
+    f.sent[since..]
+        .iter()
+        .filter(|(m, x)| *m == 1 && matches!(x.message, Message::Consensus(ConsensusMessage::Prepare { .. })))
+        .count()
 }
 
 #[test]
 fn a_voter_begins_no_ballot_while_that_of_another_is_under_way() {
     let mut f = two_of_three();
-    f.tell(3, 1, Message::Prepare { instance: 2, ballot: of_another(50) });
+    f.tell(3, 1, Message::Consensus(ConsensusMessage::Prepare { instance: 2, ballot: of_another(50) }));
     let since = f.sent.len();
     change(&mut f, 1);
     f.run(350 * MS);
@@ -46,7 +49,7 @@
 
     // The other goes on to its second step, which takes a write as well.
     let next = decree(2, 0, &[], &[1, 2, 3]);
-    f.tell(3, 1, Message::Accept { ballot: of_another(50), decree: next });
+    f.tell(3, 1, Message::Consensus(ConsensusMessage::Accept { ballot: of_another(50), entry: next }));
     f.run(350 * MS);
     assert_eq!(begun(&f, since), 0, "it outbid a ballot in its second step");
     // The change still waits, and is refused once the other's version is known.
@@ -58,7 +61,7 @@
 #[test]
 fn a_ballot_that_comes_to_nothing_holds_nobody_up_for_long() {
     let mut f = two_of_three();
-    f.tell(3, 1, Message::Prepare { instance: 2, ballot: of_another(50) });
+    f.tell(3, 1, Message::Consensus(ConsensusMessage::Prepare { instance: 2, ballot: of_another(50) }));
     let since = f.sent.len();
     f.run(100 * MS);
     change(&mut f, 1);
@@ -69,8 +72,8 @@
 #[test]
 fn once_the_version_is_known_the_next_ballot_may_begin() {
     let mut f = two_of_three();
-    f.tell(3, 1, Message::Prepare { instance: 2, ballot: of_another(50) });
-    f.tell(3, 1, Message::Learn { decrees: vec![decree(2, 0, &[], &[1, 2, 3])] });
+    f.tell(3, 1, Message::Consensus(ConsensusMessage::Prepare { instance: 2, ballot: of_another(50) }));
+    f.tell(3, 1, Message::Consensus(ConsensusMessage::Replicate { entries: vec![decree(2, 0, &[], &[1, 2, 3])] }));
     assert_eq!(f.node(1).version(), Some(2));
     let since = f.sent.len();
     change(&mut f, 2);
--- a/crates/core/tests/cutoff.rs
+++ b/crates/core/tests/cutoff.rs
@@ -7,7 +7,7 @@
 use sumacvale_core::base::{ChangeId, MS, Micros, Rng, SEC, hash64};
 use sumacvale_core::consensus::DurableState;
 use sumacvale_core::node::{Effect, Event, Node};
-use sumacvale_core::protocol::{Change, ChangeOutcome, Frame, Message, WorkerReport};
+use sumacvale_core::protocol::{Change, ChangeOutcome, ConsensusMessage, Frame, Message, WorkerReport};
 
 /// What is said of a call in the end.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -568,7 +568,10 @@
         let mut n = Net::new(seed, cores, 1);
         let req = n.call(front, Caller::Order);
         let casts = |n: &Net| {
-            n.wires.values().find(|w| matches!(w.2.message, Message::Accept { .. }) && w.0 != w.1).map(|w| w.0)
+            n.wires
+                .values()
+                .find(|w| matches!(w.2.message, Message::Consensus(ConsensusMessage::Accept { .. })) && w.0 != w.1)
+                .map(|w| w.0)
         };
         let end = n.now + SEC;
         while casts(&n).is_none() && n.now < end {
--- a/crates/core/tests/documents/main.rs
+++ b/crates/core/tests/documents/main.rs
@@ -14,7 +14,9 @@
 use sumacvale_core::config::check::ConfigError;
 use sumacvale_core::consensus::{DurableWrite, MAX_HISTORY_BYTES};
 use sumacvale_core::node::{Effect, Event, MAX_BODY_BYTES, MAX_UNSYNCED_BYTES, Node, NodeSettings};
-use sumacvale_core::protocol::{Change, ChangeOutcome, Frame, Message, PeerRecord};
+use sumacvale_core::protocol::{
+    Change, ChangeOutcome, ConsensusMessage, DisseminationMessage, Frame, Message, PeerRecord,
+};
 
 #[test]
 fn documents_build_on_one_another_by_their_own_numbers() {
@@ -271,7 +273,7 @@
     let grown = |r| doc(r, "a") + &" ".repeat(300_000);
     n.many(5, 20, grown);
     // It learns the newest version and hears nothing of what it skipped.
-    n.mute = vec!["Digests"];
+    n.mute = vec!["DigestReply"];
     n.wipe(2);
     n.run(4 * SEC);
     for revision in 1..=5 {
@@ -293,7 +295,13 @@
     let change_id = ChangeId(hash64(body.as_bytes()).max(1));
     n.cut.push(0);
     // The front came here first; this core can't reach the others.
-    let msg = Message::Forward { n: 9, change_id, fresh: true, base: 0, change: Change::Document(body.clone()) };
+    let msg = Message::Consensus(ConsensusMessage::Forward {
+        request_id: 9,
+        change_id,
+        is_first_send: true,
+        base: 0,
+        change: Change::Document(body.clone()),
+    });
     let frame = Frame {
         from: core(FRONT).node_id,
         to: core(0).node_id,
@@ -307,7 +315,7 @@
     assert_eq!(n.put_soon(1, 0, &body), "done");
     assert_eq!(n.put_soon(1, 2, &doc(4, "b")), "done");
     let newest = n.nodes[1].consensus.state.newest().expect("has a version").clone();
-    let msg = Message::Learn { decrees: vec![newest] };
+    let msg = Message::Consensus(ConsensusMessage::Replicate { entries: vec![newest] });
     let frame = Frame {
         from: core(1).node_id,
         to: core(0).node_id,
@@ -350,9 +358,9 @@
         n.run(MS);
     }
     let caught = n.now - from;
-    let old: Vec<_> = n.sent.iter().filter(|s| s.0 == 2).map(|s| s.1.clone()).collect();
-    let acts = ["Prepare", "Promise", "Accept", "Accepted", "Learn", "TakeoverReply", "TermYes"];
-    assert!(!old.iter().any(|k| acts.contains(&k.as_str())), "acted on old state: {old:?}");
+    let old: Vec<_> = n.sent.iter().filter(|s| s.0 == 2).map(|s| s.1).collect();
+    let acts = ["Prepare", "Promise", "Accept", "Accepted", "Replicate", "TakeoverReply", "LeaseGranted"];
+    assert!(!old.iter().any(|k| acts.contains(k)), "acted on old state: {old:?}");
     assert!(caught <= SEC, "{} ms until it held the newest version", caught / MS);
     assert_eq!(n.put_soon(2, 0, &large(1)), "done");
     assert_eq!(n.put_soon(2, 250, &large(251)), "done", "one that it never heard of");
@@ -464,10 +472,23 @@
     };
     for i in 0..ASKERS {
         let rows = vec![peer(i)];
-        let msg = Message::Gossip { beats: vec![], rows, ask: vec![], reply: false, set: 0, pulse: vec![] };
+        let msg = Message::Dissemination(DisseminationMessage::Gossip {
+            heartbeats: vec![],
+            records: rows,
+            unknown_nodes: vec![],
+            wants_reply: false,
+            incarnation_set: 0,
+            compact_heartbeats: vec![],
+        });
         let f = frame(&n, peer(i).node_id, msg);
         n.step(0, Event::Frame(Box::new(f)));
-        let ask = Message::Ask { seq: 1, version: 1, idx: 0, of: 0, svcs: vec!["config".into()] };
+        let ask = Message::Dissemination(DisseminationMessage::Subscribe {
+            seq: 1,
+            next_version: 1,
+            from_index: 0,
+            incarnation: 0,
+            topics: vec!["config".into()],
+        });
         let f = frame(&n, peer(i).node_id, ask);
         n.step(0, Event::Frame(Box::new(f)));
     }
--- a/crates/core/tests/documents/net.rs
+++ b/crates/core/tests/documents/net.rs
@@ -5,7 +5,9 @@
 use sumacvale_core::base::{ChangeId, MS, Micros, NodeId, Rng, SEC, hash64};
 use sumacvale_core::consensus::{DurableState, DurableWrite};
 use sumacvale_core::node::{Effect, Event, Node, NodeSettings};
-use sumacvale_core::protocol::{Change, ChangeOutcome, Frame, LogEntry, Message, Voter};
+use sumacvale_core::protocol::{
+    Change, ChangeOutcome, ConsensusMessage, DisseminationMessage, Frame, LogEntry, Message, Voter,
+};
 
 pub const CORES: usize = 3;
 /// A front, which hands changes on.
@@ -36,22 +38,23 @@
     /// Bytes of versions told to askers, by the teller and the moment.
     pub told: BTreeMap<(usize, Micros), usize>,
     /// Every message that was sent: by whom, its kind, and the answer that it brings.
-    pub sent: Vec<(usize, String, Option<ChangeOutcome>)>,
+    pub sent: Vec<(usize, &'static str, Option<ChangeOutcome>)>,
     /// Bytes of versions and changes that went to other machines.
     pub bytes: usize,
 }
 
-fn kind(m: &Message) -> String {
-    format!("{m:?}").split([' ', '{']).next().unwrap_or_default().to_owned()
-}
-
 /// The bytes of versions and changes in a message.
 fn bytes(msg: &Message) -> usize {
     match msg {
-        Message::Promise { accepted: Some((_, decree)), .. } | Message::Accept { decree, .. } => decree.size(),
-        Message::Learn { decrees } => decrees.iter().map(LogEntry::size).sum(),
-        Message::Tell { before, decree, .. } => before.iter().chain(decree).map(LogEntry::size).sum(),
-        Message::Forward { change, .. } => change.size(),
+        Message::Consensus(ConsensusMessage::Promise { accepted: Some((_, decree)), .. })
+        | Message::Consensus(ConsensusMessage::Accept { entry: decree, .. }) => decree.size(),
+        Message::Consensus(ConsensusMessage::Replicate { entries: decrees }) => {
+            decrees.iter().map(LogEntry::size).sum()
+        }
+        Message::Dissemination(DisseminationMessage::Update { preceding: before, entry: decree, .. }) => {
+            before.iter().chain(decree).map(LogEntry::size).sum()
+        }
+        Message::Consensus(ConsensusMessage::Forward { change, .. }) => change.size(),
         _ => 0,
     }
 }
@@ -97,26 +100,24 @@
         for e in self.nodes[i].step(e, now) {
             match e {
                 Effect::Send { to, frame } => {
-                    if let Message::Tell { decree: Some(d), .. } = &frame.message {
+                    if let Message::Dissemination(DisseminationMessage::Update { entry: Some(d), .. }) = &frame.message
+                    {
                         *self.told.entry((i, now)).or_default() += d.size();
                     }
                     let Some(j) = (0..ALL).find(|j| addr(*j) == to) else { continue };
                     if i != j {
                         self.bytes += bytes(&frame.message);
                     }
-                    let answer =
-                        if let Message::Forwarded { fate, .. } = &frame.message { Some(fate.clone()) } else { None };
-                    if !matches!(frame.message, Message::Gossip { .. }) {
-                        // The name alone: a large body is not written out.
-                        let name = match &frame.message {
-                            Message::Accept { .. } => "Accept".into(),
-                            Message::Learn { .. } => "Learn".into(),
-                            Message::Promise { .. } => "Promise".into(),
-                            Message::Tell { .. } => "Tell".into(),
-                            Message::Forward { .. } => "Forward".into(),
-                            m => kind(m),
-                        };
-                        let lost = self.mute.contains(&name.as_str());
+                    let answer = if let Message::Consensus(ConsensusMessage::ForwardReply { outcome: fate, .. }) =
+                        &frame.message
+                    {
+                        Some(fate.clone())
+                    } else {
+                        None
+                    };
+                    if !matches!(frame.message, Message::Dissemination(DisseminationMessage::Gossip { .. })) {
+                        let name = frame.message.name();
+                        let lost = self.mute.contains(&name);
                         self.sent.push((i, name, answer));
                         if lost {
                             continue;
--- a/crates/core/tests/golden/variants.rs
+++ b/crates/core/tests/golden/variants.rs
@@ -1,6 +1,9 @@
 //! The names of the variants that need golden files.
 
-use sumacvale_core::protocol::{Change, ChangeOutcome, Message};
+use sumacvale_core::protocol::{
+    Change, ChangeOutcome, ConsensusMessage, DisseminationMessage, LeaseMessage, MembershipMessage, Message,
+    QuotaMessage,
+};
 
 /// Makes a function that names the variant of a value, and the list of all these names.
 ///
@@ -19,51 +22,79 @@
     };
 }
 
-name_variants!(Message, message_name, MESSAGE_NAMES, {
-    Gossip => "gossip",
-    Found => "found",
+/// The name of a message's variant, and so of its golden file.
+pub fn message_name(message: &Message) -> &'static str {
+    match message {
+        Message::Consensus(message) => consensus_name(message),
+        Message::Membership(message) => membership_name(message),
+        Message::Lease(message) => lease_name(message),
+        Message::Quota(message) => quota_name(message),
+        Message::Dissemination(message) => dissemination_name(message),
+    }
+}
+
+/// The names of all messages, of all concerns.
+pub fn message_names() -> Vec<&'static str> {
+    [CONSENSUS_NAMES, MEMBERSHIP_NAMES, LEASE_NAMES, QUOTA_NAMES, DISSEMINATION_NAMES].concat()
+}
+
+name_variants!(ConsensusMessage, consensus_name, CONSENSUS_NAMES, {
     Prepare => "prepare",
     Promise => "promise",
-    Refuse => "refuse",
+    Reject => "refuse",
     Accept => "accept",
     Accepted => "accepted",
-    Learn => "learn",
-    Have => "have",
-    Confirm => "confirm",
-    Confirmed => "confirmed",
-    Ask => "ask",
-    Tell => "tell",
-    Reports => "reports",
-    Ends => "ends",
-    EndsOk => "ends_ok",
-    EndsDone => "ends_done",
-    TermAsk => "term_ask",
-    TermYes => "term_yes",
-    TermNo => "term_no",
-    Grants => "grants",
-    GrantsOk => "grants_ok",
-    TakeoverAsk => "takeover_ask",
-    TakeoverReply => "takeover_reply",
-    SliceAsk => "slice_ask",
-    Slice => "slice",
-    Spent => "spent",
-    NotHolder => "not_holder",
-    Recall => "recall",
-    Return => "return",
+    Replicate => "learn",
+    Synced => "have",
+    FreshnessProbe => "confirm",
+    FreshnessReply => "confirmed",
     Forward => "forward",
-    Forwarded => "forwarded",
+    ForwardReply => "forwarded",
+    DigestRequest => "digest_ask",
+    DigestReply => "digests",
+});
+
+name_variants!(MembershipMessage, membership_name, MEMBERSHIP_NAMES, {
+    Bootstrap => "found",
+    TakeoverRequest => "takeover_ask",
+    TakeoverReply => "takeover_reply",
     Ready => "ready",
-    Enroll => "enroll",
-    Enrolled => "enrolled",
-    Probe => "probe",
-    Probed => "probed",
-    ShareAsk => "share_ask",
-    Shares => "shares",
-    DigestAsk => "digest_ask",
-    Digests => "digests",
-    HoldsAsk => "holds_ask",
-    HoldsNone => "holds_none",
-    ClockAsk => "clock_ask",
+    Register => "enroll",
+    Registered => "enrolled",
+});
+
+name_variants!(LeaseMessage, lease_name, LEASE_NAMES, {
+    Request => "term_ask",
+    Granted => "term_yes",
+    Rejected => "term_no",
+    HeldLeasesQuery => "holds_ask",
+    NoHeldLeases => "holds_none",
+});
+
+name_variants!(QuotaMessage, quota_name, QUOTA_NAMES, {
+    ReplicateGrants => "grants",
+    GrantsSynced => "grants_ok",
+    SliceRequest => "slice_ask",
+    SliceGranted => "slice",
+    WindowSpent => "spent",
+    NotLeaseHolder => "not_holder",
+    RecallSlice => "recall",
+    ReturnSlice => "return",
+    ShareProbe => "probe",
+    ShareProbeReply => "probed",
+    ShareRequests => "share_ask",
+    ShareGrants => "shares",
+});
+
+name_variants!(DisseminationMessage, dissemination_name, DISSEMINATION_NAMES, {
+    Gossip => "gossip",
+    Subscribe => "ask",
+    Update => "tell",
+    Reports => "reports",
+    Removals => "ends",
+    RemovalsReceived => "ends_ok",
+    RemovalsKnownByAll => "ends_done",
+    ClockRequest => "clock_ask",
     ClockReply => "clock_reply",
 });
 
@@ -77,7 +108,7 @@
     ReadNewest => "newest",
 });
 
-name_variants!(ChangeOutcome, fate_name, FATE_NAMES, {
+name_variants!(ChangeOutcome, outcome_name, OUTCOME_NAMES, {
     Committed => "done",
     Stale => "stale",
     NoQuorum => "no_majority",
--- a/crates/core/tests/leaving.rs
+++ b/crates/core/tests/leaving.rs
@@ -5,7 +5,7 @@
 use fleet::{Fleet, decree, kept};
 use sumacvale_core::base::{MS, NodeId, SEC};
 use sumacvale_core::node::Event;
-use sumacvale_core::protocol::{Ballot, Message};
+use sumacvale_core::protocol::{Ballot, ConsensusMessage, Message};
 
 const A: u64 = 1;
 const B: u64 = 2;
@@ -69,7 +69,11 @@
     let mut fleet = three();
     fleet.stuck.insert(C);
     for (from, to) in [(B, A), (A, B), (A, C)] {
-        fleet.tell(from, to, Message::Learn { decrees: vec![decree(1, 0, &[], &[A, B, C])] });
+        fleet.tell(
+            from,
+            to,
+            Message::Consensus(ConsensusMessage::Replicate { entries: vec![decree(1, 0, &[], &[A, B, C])] }),
+        );
     }
     leave(&mut fleet, A);
     fleet.run(SEC);
@@ -104,7 +108,7 @@
     fleet.part(&[A], &[B, C]);
     let one = decree(1, 0, &[], &[A, B, C]);
     let ballot = Ballot { number: 9_000, node_id: NodeId(B), incarnation: 1 };
-    fleet.tell(B, A, Message::Accept { ballot, decree: one });
+    fleet.tell(B, A, Message::Consensus(ConsensusMessage::Accept { ballot, entry: one }));
     leave(&mut fleet, A);
     fleet.run(200 * MS);
     assert!(!may_end(&fleet, A), "it may be one of the two that decided it");
--- a/crates/core/tests/life/stage.rs
+++ b/crates/core/tests/life/stage.rs
@@ -334,7 +334,7 @@
         assert!(s.life.is_finished(), "{name}: is not over");
         assert_eq!((s.held().0, s.held().1), (0, (0, 0)), "{name}: places and waits");
         assert_eq!(s.held().2, left, "{name}: units left");
-        let (one, two) = (s.floor.counters.tries_first.get(), s.floor.counters.tries_second.get());
+        let (one, two) = (s.floor.counters.attempts_first.get(), s.floor.counters.retries.get());
         assert!(one <= 1 && two <= 1, "{name}: {one} first and {two} second tries");
     }
 }
--- a/crates/core/tests/life/tries.rs
+++ b/crates/core/tests/life/tries.rs
@@ -421,7 +421,7 @@
     let again =
         vec![(E(Event::NotSent), "open again"), (E(Event::Connected), "send win 1"), (E(Event::ClientGone), "")];
     run("not written", &mut s, then(again));
-    assert_eq!((s.floor.counters.tries_first.get(), s.floor.counters.tries_second.get()), (1, 0));
+    assert_eq!((s.floor.counters.attempts_first.get(), s.floor.counters.retries.get()), (1, 0));
 }
 
 /// Each worker reports anew that it has room, and the waitlists are looked through.
@@ -479,6 +479,6 @@
         assert_eq!((s.held().0, s.held().1), (0, (0, 0)), "{name}: places and waits");
         assert_eq!(s.held().2, units, "{name}: units left");
         let counts = &s.floor.counters;
-        assert_eq!((counts.tries_first.get(), counts.tries_second.get()), tries, "{name}: tries");
+        assert_eq!((counts.attempts_first.get(), counts.retries.get()), tries, "{name}: tries");
     }
 }
--- a/crates/core/tests/machines.rs
+++ b/crates/core/tests/machines.rs
@@ -5,7 +5,9 @@
 use sumacvale_core::config::{Kind, WindowQuota};
 use sumacvale_core::lease::{HOLDER_MARGIN, HeldLease, LEASE_DURATION, LeaseDecision, LeaseGrantor};
 use sumacvale_core::placement::{PlacementTable, WorkerLoads};
-use sumacvale_core::protocol::{Frame, FrameError, Message, WindowGrant, WorkerReport, decode_frame, encode_frame};
+use sumacvale_core::protocol::{
+    Frame, FrameError, Message, QuotaMessage, WindowGrant, WorkerReport, decode_frame, encode_frame,
+};
 use sumacvale_core::queue::FairQueue;
 use sumacvale_core::quota::{LedgerAction, SliceRequest, TakeOutcome, WindowLedger, WindowSlices};
 use sumacvale_core::retry::{Execution, FailurePoint, RetryBudget, RetryDecision, decide};
@@ -351,7 +353,13 @@
         incarnation: 3,
         fleet_id: 4,
         sent_at: 5,
-        message: Message::SliceAsk { n: 1, tenant: "t".into(), want: 2, window: 3, returned: 4 },
+        message: Message::Quota(QuotaMessage::SliceRequest {
+            request_id: 1,
+            tenant: "t".into(),
+            wanted_units: 2,
+            window: 3,
+            returned: 4,
+        }),
     };
     let b = encode_frame(&f).expect("packs");
     assert_eq!(decode_frame(&b), Ok(f));
--- a/crates/core/tests/news.rs
+++ b/crates/core/tests/news.rs
@@ -340,7 +340,7 @@
     let mut n = Net::new();
     n.tell(0, 1, drain("a", 1));
     n.run(100 * MS);
-    let ends = |n: &Net| n.nodes.iter().flatten().map(|n| n.counters.ends).sum::<u64>();
+    let ends = |n: &Net| n.nodes.iter().flatten().map(|n| n.counters.removals_started).sum::<u64>();
     let was = ends(&n);
     for k in 2..6 {
         n.tell(usize::try_from(k).unwrap_or(0) % 3, k, drain("a", k));
--- a/crates/core/tests/recovery.rs
+++ b/crates/core/tests/recovery.rs
@@ -8,7 +8,7 @@
 use sumacvale_core::consensus::DurableState;
 use sumacvale_core::lease::{ROLE_COUNT, quota_role};
 use sumacvale_core::node::{Effect, Event, Node, NodeSettings};
-use sumacvale_core::protocol::{Frame, Message};
+use sumacvale_core::protocol::{Frame, LeaseMessage, Message};
 use sumacvale_core::quota::TakeOutcome;
 
 const CORES: usize = 3;
@@ -238,8 +238,15 @@
         sent_at: 0,
         message: msg,
     };
-    let vote = Message::TermYes { duty, epoch, n: number, rows: vec![], first: true, lives: vec![] };
-    n.step(0, Event::Frame(Box::new(frame(2, Message::HoldsAsk { n: 5 }))));
+    let vote = Message::Lease(LeaseMessage::Granted {
+        role: duty,
+        epoch,
+        request_id: number,
+        grants: vec![],
+        has_no_predecessor: true,
+        registered: vec![],
+    });
+    n.step(0, Event::Frame(Box::new(frame(2, Message::Lease(LeaseMessage::HeldLeasesQuery { query_id: 5 })))));
     n.step(0, Event::Frame(Box::new(frame(1, vote))));
     let now = ask(&n).expect("still open");
     assert_eq!((now.0, now.2, now.3), (duty, number, false), "the vote of the former life was counted");
--- a/crates/core/tests/ring.rs
+++ b/crates/core/tests/ring.rs
@@ -5,7 +5,9 @@
 use sumacvale_core::consensus::DurableState;
 use sumacvale_core::node::{Effect, Event, Node, NodeSettings};
 use sumacvale_core::peers::{FAILURE_TIMEOUT, PeerTable};
-use sumacvale_core::protocol::{Frame, Heartbeat, Message, PeerRecord, decode_frame, encode_frame};
+use sumacvale_core::protocol::{
+    DisseminationMessage, Frame, Heartbeat, Message, PeerRecord, decode_frame, encode_frame,
+};
 
 fn peer(n: u64, incarnation: u64, beat: u64, version: u64) -> PeerRecord {
     let s = String::new();
@@ -277,7 +279,14 @@
     let frame = |m| Frame { from: NodeId(1), to: NodeId(2), incarnation: 1, fleet_id: 1, sent_at: 1, message: m };
     let gossip = |n: usize| {
         let pulse = vec![200; n];
-        frame(Message::Gossip { beats: Vec::new(), rows: Vec::new(), ask: Vec::new(), reply: true, set: 1, pulse })
+        frame(Message::Dissemination(DisseminationMessage::Gossip {
+            heartbeats: Vec::new(),
+            records: Vec::new(),
+            unknown_nodes: Vec::new(),
+            wants_reply: true,
+            incarnation_set: 1,
+            compact_heartbeats: pulse,
+        }))
     };
     let size = |n| encode_frame(&gossip(n)).expect("a frame").len();
     assert_eq!(size(264) - size(200), 64, "bytes go as bytes");
--- a/crates/core/tests/slices.rs
+++ b/crates/core/tests/slices.rs
@@ -7,7 +7,7 @@
 use sumacvale_core::base::{MS, Micros, NodeId, SEC};
 use sumacvale_core::config::{CompiledConfig, WindowQuota};
 use sumacvale_core::node::Event;
-use sumacvale_core::protocol::Message;
+use sumacvale_core::protocol::{ConsensusMessage, Message, QuotaMessage};
 use sumacvale_core::quota::{LedgerAction, SliceRequest, TakeOutcome, WindowLedger, WindowSlices};
 
 const QUOTA: WindowQuota = WindowQuota { calls: 60, window: SEC };
@@ -146,11 +146,13 @@
 }
 
 fn newest_ask(fleet: &Fleet) -> Option<(u64, u64)> {
-    fleet
-        .sent
-        .iter()
-        .rev()
-        .find_map(|(_, f)| if let Message::SliceAsk { n, .. } = f.message { Some((f.to.0, n)) } else { None })
+    fleet.sent.iter().rev().find_map(|(_, f)| {
+        if let Message::Quota(QuotaMessage::SliceRequest { request_id: n, .. }) = f.message {
+            Some((f.to.0, n))
+        } else {
+            None
+        }
+    })
 }
 
 #[test]
@@ -164,8 +166,13 @@
         (123 * MS, 161 * MS, false),
     ] {
         let (mut fleet, holder, n) = asker();
-        fleet.tell(holder, ASKER, Message::Have { version: 0 });
-        let spent = Message::Spent { n, tenant: TENANT.into(), window: 24, left };
+        fleet.tell(holder, ASKER, Message::Consensus(ConsensusMessage::Synced { version: 0 }));
+        let spent = Message::Quota(QuotaMessage::WindowSpent {
+            request_id: n,
+            tenant: TENANT.into(),
+            window: 24,
+            remaining: left,
+        });
         fleet.tell_late(holder, ASKER, spent, late);
         let now = fleet.now;
         let takes = fleet.node(ASKER).quota.slices.take(TENANT, now);
@@ -185,21 +192,28 @@
 fn units_of_an_ask_that_came_twice_are_heard_of() {
     for answer_between in [false, true] {
         let (mut fleet, holder, n) = asker();
-        fleet.tell(holder, ASKER, Message::Have { version: 0 });
-        let slice = |granted_total| Message::Slice {
-            n,
-            tenant: TENANT.into(),
-            window: 1,
-            granted_total,
-            left: 500 * MS,
-            epoch: 1,
+        fleet.tell(holder, ASKER, Message::Consensus(ConsensusMessage::Synced { version: 0 }));
+        let slice = |granted_total| {
+            Message::Quota(QuotaMessage::SliceGranted {
+                request_id: n,
+                tenant: TENANT.into(),
+                window: 1,
+                granted_total,
+                remaining: 500 * MS,
+                epoch: 1,
+            })
         };
         fleet.tell(holder, ASKER, slice(1));
         if answer_between {
             let now = fleet.now;
             fleet.step(ASKER, Event::QuotaNeeded { tenant: TENANT.into(), waiting: 1 });
             let newer = newest_ask(&fleet).expect("it asked").1;
-            let spent = Message::Spent { n: newer, tenant: TENANT.into(), window: 1, left: 500 * MS };
+            let spent = Message::Quota(QuotaMessage::WindowSpent {
+                request_id: newer,
+                tenant: TENANT.into(),
+                window: 1,
+                remaining: 500 * MS,
+            });
             fleet.tell(holder, ASKER, spent);
             assert_eq!(fleet.now, now);
         }
--- a/crates/core/tests/takeover.rs
+++ b/crates/core/tests/takeover.rs
@@ -6,7 +6,10 @@
 use std::collections::BTreeMap;
 use sumacvale_core::base::{MS, NodeId, SEC};
 use sumacvale_core::lease::{ROLE_COUNT, quota_role};
-use sumacvale_core::protocol::{Ballot, Message, PeerRecord, WindowGrant};
+use sumacvale_core::protocol::{
+    Ballot, ConsensusMessage, DisseminationMessage, LeaseMessage, MembershipMessage, Message, PeerRecord, QuotaMessage,
+    WindowGrant,
+};
 
 const A: u64 = 1;
 const B: u64 = 2;
@@ -83,11 +86,26 @@
     let asks = |fleet: &mut Fleet, n| {
         let to = holder(fleet).expect("a holder");
         fleet.sent.clear();
-        fleet.tell(90, to, Message::SliceAsk { n, tenant: "home".into(), want: 5, window: 7, returned: 0 });
+        fleet.tell(
+            90,
+            to,
+            Message::Quota(QuotaMessage::SliceRequest {
+                request_id: n,
+                tenant: "home".into(),
+                wanted_units: 5,
+                window: 7,
+                returned: 0,
+            }),
+        );
         fleet.run(200 * MS);
         let said = fleet.sent.iter().map(|s| &s.1.message);
-        let slice = |m: &Message| if let Message::Slice { window, .. } = m { Some(*window) } else { None };
-        (said.clone().find_map(slice), said.filter(|m| matches!(m, Message::Spent { .. })).count())
+        let slice = |m: &Message| {
+            if let Message::Quota(QuotaMessage::SliceGranted { window, .. }) = m { Some(*window) } else { None }
+        };
+        (
+            said.clone().find_map(slice),
+            said.filter(|m| matches!(m, Message::Quota(QuotaMessage::WindowSpent { .. }))).count(),
+        )
     };
     // The asker must be known, else nothing can be sent to it.
     let front = PeerRecord {
@@ -103,7 +121,14 @@
     };
     for n in [C, D] {
         let rows = vec![front.clone()];
-        let gossip = Message::Gossip { beats: vec![], rows, ask: vec![], reply: false, set: 0, pulse: vec![] };
+        let gossip = Message::Dissemination(DisseminationMessage::Gossip {
+            heartbeats: vec![],
+            records: rows,
+            unknown_nodes: vec![],
+            wants_reply: false,
+            incarnation_set: 0,
+            compact_heartbeats: vec![],
+        });
         fleet.tell(90, n, gossip);
     }
     let (slice, spent) = asks(&mut fleet, 1);
@@ -150,7 +175,12 @@
 }
 
 fn handed(set: u64, rows: Vec<WindowGrant>) -> Message {
-    Message::TakeoverReply { set, full: false, rows, lives: vec![] }
+    Message::Membership(MembershipMessage::TakeoverReply {
+        voter_set: set,
+        is_complete: false,
+        grants: rows,
+        registered: vec![],
+    })
 }
 
 /// Suspicion: a voice that knows only an older set counts as one of the set before. It does,
@@ -182,14 +212,19 @@
     fleet.start(A, kept(A, &[decree(5, 5, &[], &[A, B, C])], Some(5)));
     fleet.run(100 * MS);
     fleet.stuck.insert(A);
-    fleet.tell(C, A, Message::Learn { decrees: vec![six] });
+    fleet.tell(C, A, Message::Consensus(ConsensusMessage::Replicate { entries: vec![six] }));
     fleet.sent.clear();
-    fleet.tell(D, A, Message::TakeoverAsk { set: 6 });
-    let replies = |f: &Fleet| f.sent.iter().filter(|s| matches!(s.1.message, Message::TakeoverReply { .. })).count();
+    fleet.tell(D, A, Message::Membership(MembershipMessage::TakeoverRequest { voter_set: 6 }));
+    let replies = |f: &Fleet| {
+        f.sent
+            .iter()
+            .filter(|s| matches!(s.1.message, Message::Membership(MembershipMessage::TakeoverReply { .. })))
+            .count()
+    };
     assert_eq!(replies(&fleet), 0, "after a loss of power it would act for the old set again");
     fleet.stuck.remove(&A);
     fleet.run(100 * MS);
-    fleet.tell(D, A, Message::TakeoverAsk { set: 6 });
+    fleet.tell(D, A, Message::Membership(MembershipMessage::TakeoverRequest { voter_set: 6 }));
     assert!(replies(&fleet) > 0, "it hands over once the set is synced");
 }
 
@@ -213,11 +248,11 @@
     }
     assert_eq!(held_before.values().map(Vec::len).sum::<usize>(), ROLE_COUNT as usize, "{held_before:?}");
     let ballot = Ballot { number: 99, node_id: NodeId(C), incarnation: 1 };
-    fleet.tell(C, A, Message::Accept { ballot, decree: one.clone() });
+    fleet.tell(C, A, Message::Consensus(ConsensusMessage::Accept { ballot, entry: one.clone() }));
     fleet.stuck.insert(A);
     fleet.start(D, kept(D, &[], None));
-    fleet.tell(A, C, Message::Learn { decrees: vec![one.clone()] });
-    fleet.tell(C, D, Message::Learn { decrees: vec![one] });
+    fleet.tell(A, C, Message::Consensus(ConsensusMessage::Replicate { entries: vec![one.clone()] }));
+    fleet.tell(C, D, Message::Consensus(ConsensusMessage::Replicate { entries: vec![one] }));
     let mut later = 0;
     for _ in 0..800 {
         fleet.run(25 * MS);
@@ -252,7 +287,7 @@
     // A and B decided on the new set, and B's word is enough for A and D to take it over.
     fleet.part(&[A, B, D], &[C]);
     for n in [A, B, D] {
-        fleet.tell(C, n, Message::Learn { decrees: vec![one.clone()] });
+        fleet.tell(C, n, Message::Consensus(ConsensusMessage::Replicate { entries: vec![one.clone()] }));
     }
     for _ in 0..160 {
         let later: Vec<_> = [A, B, D].iter().flat_map(|n| duties_held(&fleet, *n)).collect();
@@ -278,7 +313,7 @@
     fleet.stop(B);
     fleet.run(750 * MS);
     for n in [A, C, D] {
-        fleet.tell(B, n, Message::Learn { decrees: vec![one.clone()] });
+        fleet.tell(B, n, Message::Consensus(ConsensusMessage::Replicate { entries: vec![one.clone()] }));
     }
     let all = |f: &Fleet| [A, C, D].iter().map(|n| duties_held(f, *n).len()).sum::<usize>() == ROLE_COUNT as usize;
     // The terms of B end a second after its last renewal, at most.
@@ -292,11 +327,15 @@
     let zero = decree(0, 0, &[], &[A, B, C]);
     let mut fleet = Fleet::default();
     fleet.start_at(77, A, kept(77, &[], None));
-    fleet.tell(B, A, Message::Learn { decrees: vec![zero] });
+    fleet.tell(B, A, Message::Consensus(ConsensusMessage::Replicate { entries: vec![zero] }));
     fleet.sent.clear();
     let ballot = Ballot { number: 5, node_id: NodeId(B), incarnation: 1 };
-    fleet.tell(B, A, Message::Prepare { instance: 1, ballot });
-    assert!(!fleet.sent.iter().any(|s| matches!(s.1.message, Message::Promise { .. })), "{:?}", fleet.sent);
+    fleet.tell(B, A, Message::Consensus(ConsensusMessage::Prepare { instance: 1, ballot }));
+    assert!(
+        !fleet.sent.iter().any(|s| matches!(s.1.message, Message::Consensus(ConsensusMessage::Promise { .. }))),
+        "{:?}",
+        fleet.sent
+    );
     assert!(fleet.node(A).consensus.state.promised_ballot == Ballot::default());
     assert!(!fleet.node(A).voter());
 }
@@ -326,8 +365,12 @@
     let one = decree(1, 1, &[A, B, C], &[A, C, D]);
     let ask = |fleet: &mut Fleet, epoch| {
         fleet.sent.clear();
-        fleet.tell(B, A, Message::TermAsk { set: 0, duty: 0, epoch, n: 1, new: true });
-        fleet.sent.iter().any(|s| matches!(s.1.message, Message::TermYes { .. }))
+        fleet.tell(
+            B,
+            A,
+            Message::Lease(LeaseMessage::Request { voter_set: 0, role: 0, epoch, request_id: 1, is_new_epoch: true }),
+        );
+        fleet.sent.iter().any(|s| matches!(s.1.message, Message::Lease(LeaseMessage::Granted { .. })))
     };
     let mut fleet = Fleet::default();
     fleet.start(A, kept(A, &[zero], Some(0)));
@@ -336,10 +379,10 @@
     let mut other = one.clone();
     (other.voters_since, other.voters, other.previous_voters) = (0, vec![core(A), core(B), core(C)], vec![]);
     let ballot = |n| Ballot { number: n, node_id: NodeId(C), incarnation: 1 };
-    fleet.tell(C, A, Message::Accept { ballot: ballot(9_000), decree: other });
+    fleet.tell(C, A, Message::Consensus(ConsensusMessage::Accept { ballot: ballot(9_000), entry: other }));
     fleet.run(2 * SEC);
     assert!(ask(&mut fleet, 50), "other changes stop nothing");
-    fleet.tell(C, A, Message::Accept { ballot: ballot(9_000_000), decree: one });
+    fleet.tell(C, A, Message::Consensus(ConsensusMessage::Accept { ballot: ballot(9_000_000), entry: one }));
     fleet.run(2 * SEC);
     assert!(!ask(&mut fleet, 60), "the set may have changed");
     fleet.restart(A);
@@ -361,20 +404,24 @@
         fleet.start(D, kept(D, std::slice::from_ref(&six), None));
         fleet.run(100 * MS);
         for n in [A, C] {
-            fleet.tell(n, D, Message::Have { version: 6 });
+            fleet.tell(n, D, Message::Consensus(ConsensusMessage::Synced { version: 6 }));
         }
         fleet.tell_late(A, D, handed(6, row(3, 400 * MS)), 200 * MS);
         fleet.run(300 * MS);
         fleet.tell(C, D, handed(6, second));
         fleet.run(50 * MS);
         fleet.sent.clear();
-        fleet.tell(A, D, Message::TakeoverAsk { set: 6 });
+        fleet.tell(A, D, Message::Membership(MembershipMessage::TakeoverRequest { voter_set: 6 }));
         let ages: Vec<_> = fleet
             .sent
             .iter()
-            .filter_map(
-                |s| if let Message::TakeoverReply { rows, .. } = &s.1.message { Some(rows[0].age) } else { None },
-            )
+            .filter_map(|s| {
+                if let Message::Membership(MembershipMessage::TakeoverReply { grants, .. }) = &s.1.message {
+                    Some(grants[0].age)
+                } else {
+                    None
+                }
+            })
             .collect();
         assert_eq!(ages, [950 * MS], "400 told, 200 on the way, 300 and 50 since");
     }
@@ -391,23 +438,38 @@
     let mut fleet = Fleet::default();
     fleet.auto = false;
     fleet.start(A, kept(A, &[zero], Some(0)));
-    let asked = |f: &Fleet| {
-        f.sent.iter().rev().find_map(|s| match s.1.message {
-            Message::TermAsk { duty, epoch, n, new: true, .. } if duty == home => Some((epoch, n)),
-            _ => None,
-        })
-    };
-    fleet.tell(B, A, Message::Have { version: 0 });
+    let asked =
+        |f: &Fleet| {
+            f.sent.iter().rev().find_map(|s| match s.1.message {
+                Message::Lease(LeaseMessage::Request {
+                    role: duty, epoch, request_id: n, is_new_epoch: true, ..
+                }) if duty == home => Some((epoch, n)),
+                _ => None,
+            })
+        };
+    fleet.tell(B, A, Message::Consensus(ConsensusMessage::Synced { version: 0 }));
     for _ in 0..120 {
         // B confirms each round, so that A is in touch with a majority.
         fleet.run(25 * MS);
-        let seq = fleet
-            .sent
-            .iter()
-            .rev()
-            .find_map(|s| if let Message::Confirm { seq, .. } = s.1.message { Some(seq) } else { None });
+        let seq = fleet.sent.iter().rev().find_map(|s| {
+            if let Message::Consensus(ConsensusMessage::FreshnessProbe { seq, .. }) = s.1.message {
+                Some(seq)
+            } else {
+                None
+            }
+        });
         if let Some(seq) = seq {
-            fleet.tell(B, A, Message::Confirmed { seq, version: 0, have: 0, ready: Some(0), pend: false });
+            fleet.tell(
+                B,
+                A,
+                Message::Consensus(ConsensusMessage::FreshnessReply {
+                    seq,
+                    version: 0,
+                    synced_version: 0,
+                    ready_set: Some(0),
+                    has_accepted: false,
+                }),
+            );
         }
         if asked(&fleet).is_some() {
             break;
@@ -420,11 +482,24 @@
 /// The windows of which the holder gives a slice when it is asked now.
 fn given(fleet: &mut Fleet) -> Vec<u64> {
     fleet.sent.clear();
-    fleet.tell(91, A, Message::SliceAsk { n: 1, tenant: "home".into(), want: 1, window: 9, returned: 0 });
-    let grants = fleet
-        .sent
-        .iter()
-        .filter_map(|s| if let Message::Grants { rows, .. } = &s.1.message { Some(rows[0].window) } else { None });
+    fleet.tell(
+        91,
+        A,
+        Message::Quota(QuotaMessage::SliceRequest {
+            request_id: 1,
+            tenant: "home".into(),
+            wanted_units: 1,
+            window: 9,
+            returned: 0,
+        }),
+    );
+    let grants = fleet.sent.iter().filter_map(|s| {
+        if let Message::Quota(QuotaMessage::ReplicateGrants { grants, .. }) = &s.1.message {
+            Some(grants[0].window)
+        } else {
+            None
+        }
+    });
     grants.collect()
 }
 
@@ -433,7 +508,14 @@
     let (mut fleet, home, epoch, n) = asks_for_a_window();
     let rows =
         vec![WindowGrant { tenant: "home".into(), window: 9, node_id: NodeId(90), granted_total: 50, age: 900 * MS }];
-    let yes = Message::TermYes { duty: home, epoch, n, rows, first: false, lives: vec![] };
+    let yes = Message::Lease(LeaseMessage::Granted {
+        role: home,
+        epoch,
+        request_id: n,
+        grants: rows,
+        has_no_predecessor: false,
+        registered: vec![],
+    });
     fleet.tell_late(B, A, yes, 200 * MS);
     assert_eq!(duties_held(&fleet, A), [home]);
     let wins = given(&mut fleet);
@@ -450,9 +532,30 @@
     let (mut fleet, home, epoch, n) = asks_for_a_window();
     let rows =
         vec![WindowGrant { tenant: "home".into(), window: 9, node_id: NodeId(90), granted_total: 50, age: 850 * MS }];
-    fleet.tell(B, A, Message::Grants { set: 0, duty: home, epoch: epoch - 1, n: 1, rows });
+    fleet.tell(
+        B,
+        A,
+        Message::Quota(QuotaMessage::ReplicateGrants {
+            voter_set: 0,
+            role: home,
+            epoch: epoch - 1,
+            request_id: 1,
+            grants: rows,
+        }),
+    );
     fleet.stuck.insert(A);
-    fleet.tell(B, A, Message::TermYes { duty: home, epoch, n, rows: vec![], first: false, lives: vec![] });
+    fleet.tell(
+        B,
+        A,
+        Message::Lease(LeaseMessage::Granted {
+            role: home,
+            epoch,
+            request_id: n,
+            grants: vec![],
+            has_no_predecessor: false,
+            registered: vec![],
+        }),
+    );
     fleet.run(200 * MS);
     assert!(duties_held(&fleet, A).is_empty(), "its own vote is not on its disk");
     fleet.stuck.clear();
--- a/crates/node/src/admin/metrics.rs
+++ b/crates/node/src/admin/metrics.rs
@@ -22,12 +22,17 @@
     }
     let l = |a: &std::sync::atomic::AtomicU64| a.load(Ordering::Relaxed);
     put("peer_bytes_total", "counter", l(&h.tally.bytes_out), "Bytes sent to other nodes.");
-    put("peer_far_bytes_total", "counter", l(&h.tally.bytes_far), "Bytes sent to nodes of other zones.");
-    put("peer_garbled_total", "counter", l(&h.tally.garbled), "Peer connections closed for what came on them.");
-    put("peer_unread_total", "counter", l(&h.tally.unread), "Peers' frames skipped, as this release can't read them.");
-    put("peer_dropped_total", "counter", l(&h.tally.dropped), "Frames dropped for want of room or for age.");
+    put("peer_cross_zone_bytes_total", "counter", l(&h.tally.bytes_far), "Bytes sent to nodes of other zones.");
+    put("peer_invalid_frames_total", "counter", l(&h.tally.garbled), "Peer connections closed for what came on them.");
+    put(
+        "peer_skipped_frames_total",
+        "counter",
+        l(&h.tally.unread),
+        "Peers' frames skipped, as this release can't read them.",
+    );
+    put("peer_dropped_frames_total", "counter", l(&h.tally.dropped), "Frames dropped for want of room or for age.");
     if let Some(d) = &h.disk_troubles {
-        put("disk_troubles_total", "counter", l(d), "Writes that the disk refused.");
+        put("disk_errors_total", "counter", l(d), "Writes that the disk refused.");
     }
     put("version", "gauge", v.version.unwrap_or(0), "Version of the configuration in force.");
     put("fresh", "gauge", u64::from(h.fresh(&v)), "Whether this node may admit calls.");
@@ -35,10 +40,10 @@
     put("nodes", "gauge", v.nodes.iter().filter(|n| n.1).count() as u64, "Nodes that are here.");
     put("in_flight", "gauge", h.floor.worker_loads.total_in_flight(), "Calls at workers.");
     let (places, units) = h.floor.queue_lengths();
-    put("waiting", "gauge", places, "Calls that wait for a place.");
-    put("waiting_units", "gauge", units, "Calls that wait for a unit of their quota.");
-    put("bodies_held", "gauge", h.floor.body_budget.used() as u64, "Bytes of bodies held at once.");
-    put("terms", "gauge", v.held_leases.len() as u64, "Duties held.");
+    put("queued_for_slot", "gauge", places, "Calls that wait for a slot at a worker.");
+    put("queued_for_quota", "gauge", units, "Calls that wait for a unit of their quota.");
+    put("body_bytes", "gauge", h.floor.body_budget.used() as u64, "Bytes of bodies held at once.");
+    put("leases_held", "gauge", v.held_leases.len() as u64, "Leases held by this node.");
     refusals(&mut s, &h.floor.rejections);
     let _ =
         writeln!(s, "# HELP sumacvale_share_ppm Share of a tenant's rate held here.\n# TYPE sumacvale_share_ppm gauge");
@@ -46,19 +51,24 @@
         let _ = writeln!(s, "sumacvale_share_ppm{{tenant={}}} {share}", quote(&t));
     }
     let f = &h.floor;
-    times(&mut s, "first_seconds", "From a call's head to the head of its response.", &f.time_to_first_byte);
-    times(&mut s, "unit_seconds", "From a call's head to its unit of the quota.", &f.quota_wait);
-    times(&mut s, "place_seconds", "From a call's head to its place at a worker.", &f.slot_wait);
+    times(
+        &mut s,
+        "time_to_first_byte_seconds",
+        "From the head of a call to the head of its response.",
+        &f.time_to_first_byte,
+    );
+    times(&mut s, "quota_wait_seconds", "From the head of a call to its unit of the quota.", &f.quota_wait);
+    times(&mut s, "slot_wait_seconds", "From the head of a call to its slot at a worker.", &f.slot_wait);
     text(StatusCode::OK, s)
 }
 
 /// One counter for each reason, those of nought too, so that they can be watched from the start.
 fn refusals(s: &mut String, refusals: &RejectionCounters) {
     let help = "Calls that got an answer of this node's own, by reason.";
-    let _ = writeln!(s, "# HELP sumacvale_refused_total {help}\n# TYPE sumacvale_refused_total counter");
+    let _ = writeln!(s, "# HELP sumacvale_rejected_total {help}\n# TYPE sumacvale_rejected_total counter");
     for reason in RejectionReason::ALL {
         let count = refusals.get(*reason);
-        let _ = writeln!(s, "sumacvale_refused_total{{reason=\"{}\"}} {count}", reason.name());
+        let _ = writeln!(s, "sumacvale_rejected_total{{reason=\"{}\"}} {count}", reason.name());
     }
 }
 
--- a/crates/node/src/front/carrier.rs
+++ b/crates/node/src/front/carrier.rs
@@ -231,7 +231,7 @@
                 let tenant = self.life.route().map_or("", |w| &w.tenant.name).to_owned();
                 let req = self.at.as_ref().and_then(|p| {
                     if p.zone != h.env.zone {
-                        h.floor.counters.far_bytes.add(self.bytes.len() as u64);
+                        h.floor.counters.cross_zone_bytes.add(self.bytes.len() as u64);
                     }
                     let left = (until != Micros::MAX).then(|| until.saturating_sub(clock::now()) / MS);
                     let t = heads::Attempt { to: p, tenant: &tenant, after, window, left, urgency };
--- a/crates/node/tests/links.rs
+++ b/crates/node/tests/links.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use sumacvale_core::base::NodeId;
-use sumacvale_core::protocol::{Frame, Message, PROTOCOL_VERSION, encode_frame};
+use sumacvale_core::protocol::{Frame, Message, PROTOCOL_VERSION, QuotaMessage, encode_frame};
 use sumacvale_node::link::{Links, Tally, WAITING_MOST, listen};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -41,7 +41,13 @@
 }
 
 fn frame(n: u64) -> Vec<u8> {
-    let msg = Message::SliceAsk { n, tenant: "t".into(), want: 2, window: 3, returned: 4 };
+    let msg = Message::Quota(QuotaMessage::SliceRequest {
+        request_id: n,
+        tenant: "t".into(),
+        wanted_units: 2,
+        window: 3,
+        returned: 4,
+    });
     encode_frame(&Frame { from: NodeId(1), to: NodeId(2), incarnation: 3, fleet_id: 4, sent_at: 5, message: msg })
         .expect("packs")
 }
@@ -64,7 +70,7 @@
     let got = Rc::new(RefCell::new(Vec::new()));
     let sink = got.clone();
     let take = async move |f: Frame| {
-        if let Message::SliceAsk { n, .. } = f.message {
+        if let Message::Quota(QuotaMessage::SliceRequest { request_id: n, .. }) = f.message {
             sink.borrow_mut().push(n);
         }
     };
--- a/crates/node/tests/old_data_folder.rs
+++ b/crates/node/tests/old_data_folder.rs
@@ -17,7 +17,8 @@
 use sumacvale_core::consensus::{DigestLog, DurableState, DurableWrite};
 use sumacvale_core::node::{Effect, Event, Node, NodeSettings};
 use sumacvale_core::protocol::{
-    Ballot, EntryDigest, Frame, LogEntry, Message, RegisteredIncarnation, Voter, WindowGrant,
+    Ballot, ConsensusMessage, EntryDigest, Frame, LogEntry, MembershipMessage, Message, RegisteredIncarnation, Voter,
+    WindowGrant,
 };
 use sumacvale_node::disk::Database;
 
@@ -389,18 +390,22 @@
 
     // A lower ballot is refused by the vote that is on the disk.
     let lower = Ballot { number: 4, ..VOTE };
-    let (answers, shown) = ask(&mut node, Message::Prepare { instance: 8, ballot: lower });
-    assert!(answers.contains(&Message::Refuse { instance: 8, ballot: VOTE }), "{answers:?}");
+    let (answers, shown) = ask(&mut node, Message::Consensus(ConsensusMessage::Prepare { instance: 8, ballot: lower }));
+    assert!(
+        answers.contains(&Message::Consensus(ConsensusMessage::Reject { instance: 8, ballot: VOTE })),
+        "{answers:?}"
+    );
     assert_eq!(shown, Some(NEWEST_VERSION));
 
     // A core that takes over is told all grants and all registered lives.
-    let (answers, _) = ask(&mut node, Message::TakeoverAsk { set: NEWEST_SET });
-    let told = Message::TakeoverReply {
-        set: NEWEST_SET,
-        full: true,
-        rows: expected().grants.into_values().collect(),
-        lives: vec![life(NodeId(44), 3, "10.0.1.2:7000"), life(FRONT, u64::MAX, "10.0.1.1:7001")],
-    };
+    let (answers, _) =
+        ask(&mut node, Message::Membership(MembershipMessage::TakeoverRequest { voter_set: NEWEST_SET }));
+    let told = Message::Membership(MembershipMessage::TakeoverReply {
+        voter_set: NEWEST_SET,
+        is_complete: true,
+        grants: expected().grants.into_values().collect(),
+        registered: vec![life(NodeId(44), 3, "10.0.1.2:7000"), life(FRONT, u64::MAX, "10.0.1.1:7001")],
+    });
     assert!(answers.contains(&told), "{answers:?}");
 }
 
--- a/crates/testbed/src/fleet/report.rs
+++ b/crates/testbed/src/fleet/report.rs
@@ -57,8 +57,8 @@
         println!(
             "  for each call: processor {} us, bytes between zones {} of calls and {} of control",
             self.cpu * 1_000 / n,
-            get("far_bytes") / n,
-            get("peer_far_bytes") / n
+            get("cross_zone_bytes") / n,
+            get("peer_cross_zone_bytes") / n
         );
         if std::env::var_os("TESTBED_SLOW").is_some() {
             for o in self.seen.iter().filter(|o| matches!(o.seen, Seen::Refused { status: 503, .. })) {
--- a/crates/testbed/src/fleet/script.rs
+++ b/crates/testbed/src/fleet/script.rs
@@ -224,7 +224,7 @@
     let ran = log.all();
     let r = revoked.as_ref().map(|x| (x.0.as_str(), x.1));
     findings.extend(judge(&seen, &ran, r));
-    let (one, two) = (sums.get("tries_first").copied().unwrap_or(0), sums.get("tries_second").copied().unwrap_or(0));
+    let (one, two) = (sums.get("attempts_first").copied().unwrap_or(0), sums.get("retries").copied().unwrap_or(0));
     if two * 4 > one + 40 {
         findings.push(Finding(format!("{two} second tries for {one} first ones")));
     }
--- a/crates/testbed/src/hollow/tally.rs
+++ b/crates/testbed/src/hollow/tally.rs
@@ -1,4 +1,6 @@
-use sumacvale_core::protocol::Message;
+use sumacvale_core::protocol::{
+    ConsensusMessage, DisseminationMessage, LeaseMessage, MembershipMessage, Message, QuotaMessage,
+};
 
 /// Messages by what they are for.
 pub const GROUPS: [&str; 9] =
@@ -6,22 +8,27 @@
 
 pub fn group(m: &Message) -> usize {
     match m {
-        Message::Gossip { .. } => 0,
-        Message::Confirm { .. } | Message::Confirmed { .. } => 1,
-        Message::Ask { .. } | Message::Tell { .. } => 2,
-        Message::Reports { .. } => 3,
-        Message::TermAsk { .. } | Message::TermYes { .. } | Message::TermNo { .. } => 4,
-        Message::Grants { .. }
-        | Message::GrantsOk { .. }
-        | Message::TakeoverAsk { .. }
-        | Message::TakeoverReply { .. } => 5,
-        Message::SliceAsk { .. }
-        | Message::Slice { .. }
-        | Message::Spent { .. }
-        | Message::NotHolder { .. }
-        | Message::Recall { .. }
-        | Message::Return { .. } => 6,
-        Message::Forward { .. } | Message::Forwarded { .. } => 8,
+        Message::Dissemination(DisseminationMessage::Gossip { .. }) => 0,
+        Message::Consensus(ConsensusMessage::FreshnessProbe { .. })
+        | Message::Consensus(ConsensusMessage::FreshnessReply { .. }) => 1,
+        Message::Dissemination(DisseminationMessage::Subscribe { .. })
+        | Message::Dissemination(DisseminationMessage::Update { .. }) => 2,
+        Message::Dissemination(DisseminationMessage::Reports { .. }) => 3,
+        Message::Lease(LeaseMessage::Request { .. })
+        | Message::Lease(LeaseMessage::Granted { .. })
+        | Message::Lease(LeaseMessage::Rejected { .. }) => 4,
+        Message::Quota(QuotaMessage::ReplicateGrants { .. })
+        | Message::Quota(QuotaMessage::GrantsSynced { .. })
+        | Message::Membership(MembershipMessage::TakeoverRequest { .. })
+        | Message::Membership(MembershipMessage::TakeoverReply { .. }) => 5,
+        Message::Quota(QuotaMessage::SliceRequest { .. })
+        | Message::Quota(QuotaMessage::SliceGranted { .. })
+        | Message::Quota(QuotaMessage::WindowSpent { .. })
+        | Message::Quota(QuotaMessage::NotLeaseHolder { .. })
+        | Message::Quota(QuotaMessage::RecallSlice { .. })
+        | Message::Quota(QuotaMessage::ReturnSlice { .. }) => 6,
+        Message::Consensus(ConsensusMessage::Forward { .. })
+        | Message::Consensus(ConsensusMessage::ForwardReply { .. }) => 8,
         _ => 7,
     }
 }
--- a/crates/testbed/src/sim/lives.rs
+++ b/crates/testbed/src/sim/lives.rs
@@ -208,11 +208,11 @@
     /// The process is gone: its downstreams and its workers see their connections end.
     pub(super) fn drop_calls(&mut self, i: usize) {
         let c = &self.slots[i].hall.floor.counters;
-        self.tries.0 += c.tries_first.get();
-        self.tries.1 += c.tries_second.get();
-        self.resumed += c.resumed.get();
-        self.reseated += c.reseated.get();
-        self.units_ended += c.units_ended.get();
+        self.tries.0 += c.attempts_first.get();
+        self.tries.1 += c.retries.get();
+        self.resumed += c.streams_resumed.get();
+        self.reseated += c.slots_reassigned.get();
+        self.units_ended += c.units_expired.get();
         for (n, mut a) in std::mem::take(&mut self.slots[i].hall.lives) {
             self.close(i, n, &mut a);
             self.ended(i, n, *a, Seen::Dropped);
--- a/crates/testbed/src/sim/summary.rs
+++ b/crates/testbed/src/sim/summary.rs
@@ -55,7 +55,7 @@
     pub serving: Option<Micros>,
     pub frames: u64,
     pub bytes: u64,
-    pub far: BTreeMap<String, (u64, u64)>,
+    pub far: BTreeMap<&'static str, (u64, u64)>,
     /// What the operator and the troubles of the control side came to.
     pub control: Option<Orderly>,
     pub trace: Vec<String>,
--- a/crates/testbed/src/sim/wires.rs
+++ b/crates/testbed/src/sim/wires.rs
@@ -62,9 +62,7 @@
         self.frames += 1;
         self.bytes += b.len() as u64;
         if self.slots[i].zone != self.slots[j].zone {
-            let t = format!("{:?}", f.message);
-            let k = t.split([' ', '{']).next().unwrap_or("").to_owned();
-            let e = self.far.entry(k).or_default();
+            let e = self.far.entry(f.message.name()).or_default();
             e.0 += 1;
             e.1 += b.len() as u64;
         }
--- a/crates/testbed/src/sim/world.rs
+++ b/crates/testbed/src/sim/world.rs
@@ -37,7 +37,7 @@
     pub frames: u64,
     pub bytes: u64,
     /// Frames and bytes between zones by the kind of message.
-    pub far: BTreeMap<String, (u64, u64)>,
+    pub far: BTreeMap<&'static str, (u64, u64)>,
     pub trace: Vec<String>,
     /// What workers ran and what downstreams saw.
     pub ran: Vec<Ran>,
--- a/crates/testbed/tests/connections.rs
+++ b/crates/testbed/tests/connections.rs
@@ -107,12 +107,12 @@
         }
         let m = f.metrics(3).await;
         let count = |k: &str| m.iter().find(|x| x.0 == k).map_or(0, |x| x.1);
-        want(count("sumacvale_served_total") == 6 && count("sumacvale_left_total") == 0, format!("{m:?}"))?;
+        want(count("sumacvale_served_total") == 6 && count("sumacvale_clients_gone_total") == 0, format!("{m:?}"))?;
         let (_, t) = f.admin(3, Method::GET, "/metrics", &[], "").await?;
         let p = prometheus_parse::Scrape::parse(t.lines().map(|l| Ok(l.to_owned()))).map_err(|e| e.to_string())?;
         let first = |kind: &str| {
             p.samples.iter().find_map(|s| match &s.value {
-                prometheus_parse::Value::Histogram(h) if s.metric == "sumacvale_first_seconds" => {
+                prometheus_parse::Value::Histogram(h) if s.metric == "sumacvale_time_to_first_byte_seconds" => {
                     (s.labels.get("kind") == Some(kind)).then(|| h.last().map_or(0.0, |b| b.count))
                 }
                 _ => None,
--- a/crates/testbed/tests/trials.rs
+++ b/crates/testbed/tests/trials.rs
@@ -141,7 +141,12 @@
         }
         let mut n = 0;
         for i in 0..5 {
-            n += f.metrics(i).await.into_iter().find(|x| x.0 == "sumacvale_peer_garbled_total").map_or(0, |x| x.1);
+            n += f
+                .metrics(i)
+                .await
+                .into_iter()
+                .find(|x| x.0 == "sumacvale_peer_invalid_frames_total")
+                .map_or(0, |x| x.1);
         }
         want(n == 60, format!("{n} of 60 counted"))?;
         f.all_ready(Duration::from_secs(2)).await?;
@@ -197,7 +202,8 @@
                 all.push(o);
             }
         }
-        let resumed = f.metrics(3).await.into_iter().find(|x| x.0 == "sumacvale_resumed_total").map_or(0, |x| x.1);
+        let resumed =
+            f.metrics(3).await.into_iter().find(|x| x.0 == "sumacvale_streams_resumed_total").map_or(0, |x| x.1);
         want(resumed > 0, "nothing was resumed")?;
         // A whole pool goes dark in the middle of its runs.
         let c = caller(&f, "/v1/draft", 0);
@@ -420,7 +426,7 @@
         }
         let t = Instant::now();
         loop {
-            let n = f.metrics(0).await.into_iter().find(|x| x.0 == "sumacvale_disk_troubles_total").map_or(0, |x| x.1);
+            let n = f.metrics(0).await.into_iter().find(|x| x.0 == "sumacvale_disk_errors_total").map_or(0, |x| x.1);
             if n > 0 {
                 break;
             }
