--- a/crates/core/src/node/consensus/acceptor.rs
+++ b/crates/core/src/node/consensus/acceptor.rs
@@ -1,77 +1,78 @@
-//! A voter: promises and acceptances of ballots.
+//! The acceptor of the Paxos instances: it promises and accepts ballots.
+//!
+//! An acceptor answers no ballot below one that it promised, and a promise reports the accepted entry of the
+//! highest ballot (Lamport, Paxos Made Simple, §2.2, phases 1b and 2b). Both replies are sent only once they
+//! are synced to disk. A core that is behind, has no vote, or has too many unsynced bytes does not vote.
 
 use crate::base::{MS, Micros, NodeId, Version};
 use crate::consensus::DurableWrite;
 use crate::node::Node;
 use crate::protocol::{Ballot, ConsensusMessage, LogEntry, Message};
 
-/// After a vote for another's ballot none is begun here for so long. The proposer needs one write
-/// on a majority's disks until it goes on; where disks take as long as the rests between ballots,
-/// proposers would outbid one another without end.
-const YIELD: Micros = 400 * MS;
+/// How long this core starts no ballot of its own after a vote for another proposer's, in microseconds.
+///
+/// The proposer needs one write on the disks of a majority before its next phase; where disks take as long
+/// as the backoff between ballots, proposers would pre-empt each other without end.
+const YIELD_TIMEOUT: Micros = 400 * MS;
 
 impl Node {
-    /// Whether this core may vote on `instance`; if not, the asker learns why.
-    fn may_vote(&mut self, by: NodeId, instance: Version, now: Micros) -> bool {
-        let Some(v) = self.version() else { return false };
-        if instance <= v {
-            self.replicate_to(by, instance - 1, now);
+    /// Whether this core may vote on `instance`. If one of the two cores is behind, it is brought up to date.
+    fn may_vote(&mut self, proposer: NodeId, instance: Version, now: Micros) -> bool {
+        let Some(version) = self.version() else { return false };
+        if instance <= version {
+            self.replicate_to(proposer, instance - 1, now);
             return false;
         }
-        if instance > v + 1 {
-            // Only what is on disk may be counted towards an acknowledgement.
-            self.send(
-                by,
-                Message::Consensus(ConsensusMessage::Synced { version: self.consensus.synced_version.unwrap_or(0) }),
-                now,
-            );
+        if instance > version + 1 {
+            self.report_synced_version(proposer, now);
             return false;
         }
         self.voter() && !self.is_disk_behind()
     }
 
-    /// Takes the ballot if this core may vote and promised no higher one.
-    fn try_promise(&mut self, by: NodeId, instance: Version, ballot: Ballot, now: Micros) -> bool {
-        if instance == 0 || !self.may_vote(by, instance, now) {
+    /// Promises the ballot if this core may vote and has promised no higher one; else rejects it.
+    fn try_promise(&mut self, proposer: NodeId, instance: Version, ballot: Ballot, now: Micros) -> bool {
+        if instance == 0 || !self.may_vote(proposer, instance, now) {
             return false;
         }
-        let top = self.consensus.state.promised_ballot;
-        if ballot < top {
-            self.send(by, Message::Consensus(ConsensusMessage::Reject { instance, ballot: top }), now);
+        let promised = self.consensus.state.promised_ballot;
+        if ballot < promised {
+            self.send_consensus(proposer, ConsensusMessage::Reject { instance, ballot: promised }, now);
             return false;
         }
         self.consensus.state.promised_ballot = ballot;
-        if by != self.settings.node_id {
-            self.consensus.state.yields_until = now + YIELD;
+        if proposer != self.settings.node_id {
+            self.consensus.state.yields_until = now + YIELD_TIMEOUT;
         }
         true
     }
 
-    pub(in crate::node) fn on_prepare(&mut self, by: NodeId, instance: Version, ballot: Ballot, now: Micros) {
-        if !self.try_promise(by, instance, ballot, now) {
+    /// Handles a `Prepare`: promises the ballot and reports the entry that was accepted, if any.
+    pub(super) fn on_prepare(&mut self, proposer: NodeId, instance: Version, ballot: Ballot, now: Micros) {
+        if !self.try_promise(proposer, instance, ballot, now) {
             return;
         }
         let accepted = self.consensus.state.accepted.clone();
-        let accepted = accepted.map(|(ballot, d)| (ballot, d.without_body()));
-        let then =
-            self.send_effect(by, Message::Consensus(ConsensusMessage::Promise { instance, ballot, accepted }), now);
-        self.persist(vec![DurableWrite::Promise { instance, ballot }], then.into_iter().collect());
+        let accepted = accepted.map(|(accepted_ballot, entry)| (accepted_ballot, entry.without_body()));
+        let promise = Message::Consensus(ConsensusMessage::Promise { instance, ballot, accepted });
+        let reply = self.send_effect(proposer, promise, now);
+        self.persist(vec![DurableWrite::Promise { instance, ballot }], reply.into_iter().collect());
     }
 
-    pub(in crate::node) fn on_accept(&mut self, by: NodeId, ballot: Ballot, decree: LogEntry, now: Micros) {
-        let instance = decree.version;
-        if !self.try_promise(by, instance, ballot, now) {
+    /// Handles an `Accept`: accepts the entry unless a higher ballot was promised.
+    pub(super) fn on_accept(&mut self, proposer: NodeId, ballot: Ballot, entry: LogEntry, now: Micros) {
+        let instance = entry.version;
+        if !self.try_promise(proposer, instance, ballot, now) {
             return;
         }
-        let Some(decree) = self.consensus.state.restore_body(decree) else { return };
+        let Some(entry) = self.consensus.state.restore_body(entry) else { return };
         if self.consensus.state.accepted.is_none() {
             self.consensus.state.accepted_at = now;
         }
-        self.consensus.state.accepted = Some((ballot, decree.clone()));
-        let then = self.send_effect(by, Message::Consensus(ConsensusMessage::Accepted { instance, ballot }), now);
-        self.persist(
-            vec![DurableWrite::Promise { instance, ballot }, DurableWrite::Accept { ballot, entry: decree }],
-            then.into_iter().collect(),
-        );
+        self.consensus.state.accepted = Some((ballot, entry.clone()));
+        let accepted = Message::Consensus(ConsensusMessage::Accepted { instance, ballot });
+        let reply = self.send_effect(proposer, accepted, now);
+        let writes = vec![DurableWrite::Promise { instance, ballot }, DurableWrite::Accept { ballot, entry }];
+        self.persist(writes, reply.into_iter().collect());
     }
 }
--- a/crates/core/src/node/consensus/digest_sync.rs
+++ b/crates/core/src/node/consensus/digest_sync.rs
@@ -1,78 +1,110 @@
-//! Cores hand one another the digests of versions that they skipped, in pieces.
+//! Synchronization of the digests of versions that a core skipped: they are fetched from other voters.
+//!
+//! A core requests its newest gap from the live voters in turn, one chunk after the other. If no voter has
+//! any digest of the gap, the core does not request that gap again for [`UNAVAILABLE_BACKOFF`].
 
 use crate::base::{MS, Micros, NodeId, SEC, Version};
 use crate::consensus::DurableWrite;
 use crate::node::Node;
-use crate::protocol::{ConsensusMessage, EntryDigest, Message};
+use crate::protocol::{ConsensusMessage, EntryDigest};
 
-/// How many digests one message brings: under 50 KB.
-const PIECE: usize = 500;
-/// When what was asked for is asked for again.
-const AGAIN: Micros = 200 * MS;
-/// How long nothing is asked once no core could tell more.
-const PAUSE: Micros = 5 * SEC;
+/// How many digests one message has at most: under 50 KB.
+const MAX_CHUNK_DIGESTS: usize = 500;
+/// When an unanswered request is repeated, in microseconds.
+const RETRY_INTERVAL: Micros = 200 * MS;
+/// How long a gap that no voter can fill is not requested again, in microseconds.
+const UNAVAILABLE_BACKOFF: Micros = 5 * SEC;
 
-/// How far a core has come in asking for what it lacks.
+/// A gap in the digests that no voter could fill.
+#[derive(Clone, Copy, Debug)]
+struct UnavailableGap {
+    /// The lowest version of the gap.
+    from: Version,
+    /// The highest version of the gap.
+    to: Version,
+    /// When the gap may be requested again.
+    retry_at: Micros,
+}
+
+/// The progress of a core in fetching the digests that it misses.
 #[derive(Clone, Copy, Debug, Default)]
 pub(in crate::node) struct DigestSync {
-    due: Micros,
-    /// The core that is asked next.
-    turn: usize,
-    /// How many cores in a row had nothing.
-    empty: usize,
-    /// What no core could tell, and until when it isn't asked for again.
-    barren: Option<((Version, Version), Micros)>,
+    /// When the next request may be sent.
+    request_due: Micros,
+    /// Counts the requests; it selects the voter for the next one.
+    request_count: usize,
+    /// How many replies in a row brought nothing new.
+    empty_replies: usize,
+    /// The gap that no voter could fill when it was last requested.
+    unavailable: Option<UnavailableGap>,
+}
+
+impl DigestSync {
+    /// Whether this gap could not be filled lately.
+    fn is_unavailable(&self, from: Version, to: Version, now: Micros) -> bool {
+        self.unavailable.is_some_and(|gap| gap.from == from && gap.to == to && now < gap.retry_at)
+    }
+
+    /// Notes a reply that brought nothing new; once every other voter has sent one, the gap is unavailable.
+    fn record_empty_reply(&mut self, from: Version, to: Version, other_voters: usize, now: Micros) {
+        self.empty_replies += 1;
+        if self.empty_replies >= other_voters {
+            self.empty_replies = 0;
+            self.unavailable = Some(UnavailableGap { from, to, retry_at: now + UNAVAILABLE_BACKOFF });
+        }
+    }
 }
 
 impl Node {
+    /// Requests the digests of the newest gap when that is due.
     pub(in crate::node) fn tick_digest_sync(&mut self, now: Micros) {
-        if !self.settings.is_core || now < self.consensus.digest_sync.due {
+        if !self.settings.is_core || now < self.consensus.digest_sync.request_due {
             return;
         }
         let Some((from, to)) = self.consensus.state.digests.newest_gap() else { return };
-        if self.consensus.digest_sync.barren.is_some_and(|(gap, until)| gap == (from, to) && now < until) {
+        if self.consensus.digest_sync.is_unavailable(from, to, now) {
             return;
         }
-        let others = self.other_voters();
-        let live: Vec<_> = others.iter().copied().filter(|n| self.dissemination.peers.is_alive(*n, now)).collect();
-        let Some(peer) = live.get(self.consensus.digest_sync.turn % live.len().max(1)).copied() else { return };
-        self.consensus.digest_sync.due = now + AGAIN;
-        self.consensus.digest_sync.turn += 1;
-        self.send(peer, Message::Consensus(ConsensusMessage::DigestRequest { from, to }), now);
+        let is_alive = |voter: &NodeId| self.dissemination.peers.is_alive(*voter, now);
+        let live: Vec<_> = self.other_voters().filter(is_alive).collect();
+        let index = self.consensus.digest_sync.request_count % live.len().max(1);
+        let Some(voter) = live.get(index).copied() else { return };
+        self.consensus.digest_sync.request_count += 1;
+        self.request_digests(voter, from, to, now);
     }
 
-    fn other_voters(&self) -> Vec<NodeId> {
-        self.consensus.state.voters().iter().map(|c| c.node_id).filter(|n| *n != self.settings.node_id).collect()
+    fn request_digests(&mut self, voter: NodeId, from: Version, to: Version, now: Micros) {
+        self.consensus.digest_sync.request_due = now + RETRY_INTERVAL;
+        self.send_consensus(voter, ConsensusMessage::DigestRequest { from, to }, now);
     }
 
-    pub(in crate::node) fn on_digest_request(&mut self, by: NodeId, from: Version, to: Version, now: Micros) {
-        let rows = self.consensus.state.digests.chunk(from, to, PIECE);
-        self.send(by, Message::Consensus(ConsensusMessage::DigestReply { from, to, digests: rows }), now);
+    /// Handles a request for the digests of the versions `from` to `to`.
+    pub(super) fn on_digest_request(&mut self, by: NodeId, from: Version, to: Version, now: Micros) {
+        let digests = self.consensus.state.digests.chunk(from, to, MAX_CHUNK_DIGESTS);
+        self.send_consensus(by, ConsensusMessage::DigestReply { from, to, digests }, now);
     }
 
-    pub(in crate::node) fn on_digest_reply(
+    /// Handles the digests that another voter has of the versions `from` to `to`.
+    pub(super) fn on_digest_reply(
         &mut self,
         by: NodeId,
-        (from, to): (Version, Version),
-        rows: Vec<EntryDigest>,
+        from: Version,
+        to: Version,
+        digests: Vec<EntryDigest>,
         now: Micros,
     ) {
         let Some(newest) = self.version().filter(|_| self.settings.is_core) else { return };
-        let asked = |d: &EntryDigest| (from..=to).contains(&d.version) && d.version < newest;
-        let fresh = self.consensus.state.digests.insert_all(rows.into_iter().filter(asked));
-        if fresh.is_empty() {
-            self.consensus.digest_sync.empty += 1;
-            if self.consensus.digest_sync.empty >= self.other_voters().len() {
-                self.consensus.digest_sync.empty = 0;
-                self.consensus.digest_sync.barren = Some(((from, to), now + PAUSE));
-            }
+        let is_requested = |digest: &EntryDigest| (from..=to).contains(&digest.version) && digest.version < newest;
+        let inserted = self.consensus.state.digests.insert_all(digests.into_iter().filter(is_requested));
+        if inserted.is_empty() {
+            let other_voters = self.other_voters().count();
+            self.consensus.digest_sync.record_empty_reply(from, to, other_voters, now);
             return;
         }
-        self.persist(vec![DurableWrite::Digests(fresh)], Vec::new());
-        self.consensus.digest_sync.empty = 0;
+        self.persist(vec![DurableWrite::Digests(inserted)], Vec::new());
+        self.consensus.digest_sync.empty_replies = 0;
         if let Some((from, to)) = self.consensus.state.digests.newest_gap() {
-            self.consensus.digest_sync.due = now + AGAIN;
-            self.send(by, Message::Consensus(ConsensusMessage::DigestRequest { from, to }), now);
+            self.request_digests(by, from, to, now);
         }
     }
 }
--- a/crates/core/src/node/consensus/forwarding.rs
+++ b/crates/core/src/node/consensus/forwarding.rs
@@ -1,215 +1,209 @@
-//! Changes and questions of operators at a node that has no vote: handed on to a voter.
+//! Forwarding of changes and reads from nodes without a vote to a voter.
+//!
+//! A request goes to the nearest voter first, and to another one when that one declines or does not reply.
+//! The caller is told that nothing was proposed only if every voter that was sent the request has declined
+//! it, each after a single send; otherwise the outcome is unknown when the request is given up.
 
-use super::proposer::PATIENCE;
-use crate::base::{ChangeId, MS, Micros, NodeId, Version};
+use super::admission::SubmittedChange;
+use super::outcomes::CHANGE_TIMEOUT;
+use crate::base::{MS, Micros, NodeId};
 use crate::consensus::Requester;
 use crate::node::dissemination::QUORUM_TIMEOUT;
 use crate::node::{Effect, Node};
-use crate::protocol::{Change, ChangeOutcome, ConsensusMessage, Message};
+use crate::protocol::{Change, ChangeOutcome, ConsensusMessage};
 use std::collections::BTreeSet;
 
-/// After so long another voter is asked, though the one that was asked is heard.
-const AGAIN: Micros = 1_200 * MS;
-/// A voter that answers nothing for so long is taken for out of reach.
-const SILENT: Micros = 250 * MS;
-/// Beyond a voter's own patience.
-const MARGIN: Micros = 1_500 * MS;
+/// After this time the request goes to another voter though the last one still replies to probes, in
+/// microseconds.
+const RESEND_INTERVAL: Micros = 1_200 * MS;
+/// A voter that replies to nothing for so long is taken to be unreachable, in microseconds.
+const SILENCE_TIMEOUT: Micros = 250 * MS;
+/// How much longer than a voter's own time-out the request is kept here, in microseconds.
+const FORWARD_MARGIN: Micros = 1_500 * MS;
 
-/// A change that a core must settle for this node.
+/// The last send of a forwarded request.
+#[derive(Clone, Copy, Debug)]
+struct LastSend {
+    voter: NodeId,
+    sent_at: Micros,
+}
+
+/// A change or read that a voter must complete for a caller at this node.
 #[derive(Clone, Debug)]
 pub(in crate::node) struct Forward {
-    change_id: ChangeId,
-    /// Nobody can have sent this change id before.
-    fresh: bool,
-    base: Version,
-    change: Change,
-    /// When its caller came.
+    submitted: SubmittedChange,
+    /// When the request was received, in microseconds of this node's clock.
     pub since: Micros,
-    due: Micros,
-    again: Micros,
-    /// The voter that was asked last, and when.
-    asked: Option<(NodeId, Micros)>,
-    /// Voters that were asked and have not said that nothing was sent.
-    open: BTreeSet<NodeId>,
+    /// When the request is given up.
+    deadline: Micros,
+    /// When the request is sent again, also if the last voter is reachable.
+    resend_at: Micros,
+    last_send: Option<LastSend>,
+    /// Voters that were sent the request and have not declined it. Invariant: a subset of `tried`.
+    undeclined: BTreeSet<NodeId>,
+    /// Voters that were sent the request.
     tried: BTreeSet<NodeId>,
-    /// Voters that were asked more than once. What one of them says is about its last ask: it may
-    /// have sent the change for an earlier one, also in a former life that it knows nothing of.
-    asked_again: BTreeSet<NodeId>,
+    /// Voters that were sent the request more than once. If one of them declines, that is about the last
+    /// send only: it may have proposed the change after an earlier one, also in an earlier incarnation of
+    /// which it remembers nothing. Invariant: a subset of `tried`.
+    sent_repeatedly: BTreeSet<NodeId>,
 }
 
 impl Forward {
-    fn new(change_id: ChangeId, fresh: bool, base: Version, change: Change, now: Micros) -> Self {
+    fn new(submitted: SubmittedChange, now: Micros) -> Self {
         Forward {
-            change_id,
-            fresh,
-            base,
-            change,
+            submitted,
             since: now,
-            due: now + PATIENCE + MARGIN,
-            again: now,
-            asked: None,
-            open: BTreeSet::new(),
+            deadline: now + CHANGE_TIMEOUT + FORWARD_MARGIN,
+            resend_at: now,
+            last_send: None,
+            undeclined: BTreeSet::new(),
             tried: BTreeSet::new(),
-            asked_again: BTreeSet::new(),
+            sent_repeatedly: BTreeSet::new(),
         }
     }
 
-    /// What its caller is told when it is given up: that nothing was sent only if each voter that
-    /// was asked said so of its one ask.
-    fn given_up(&self) -> ChangeOutcome {
-        let unsent = self.open.is_empty() && self.asked_again.is_empty();
-        if unsent || self.change.is_read() { ChangeOutcome::NoQuorum } else { ChangeOutcome::Unknown }
+    /// The outcome when the request is given up.
+    fn abandoned_outcome(&self) -> ChangeOutcome {
+        let is_unproposed = self.undeclined.is_empty() && self.sent_repeatedly.is_empty();
+        if is_unproposed || self.submitted.change.is_read() { ChangeOutcome::NoQuorum } else { ChangeOutcome::Unknown }
+    }
+
+    /// Notes that the request is sent to this voter now, and gives the message.
+    fn send_to(&mut self, voter: NodeId, request_id: u64, now: Micros) -> ConsensusMessage {
+        self.resend_at = now + RESEND_INTERVAL;
+        self.last_send = Some(LastSend { voter, sent_at: now });
+        self.undeclined.insert(voter);
+        let is_first_voter = self.tried.is_empty();
+        if !self.tried.insert(voter) {
+            self.sent_repeatedly.insert(voter);
+        }
+        let SubmittedChange { change_id, is_first_send, base, change } = self.submitted.clone();
+        let is_first_send = is_first_send && is_first_voter;
+        ConsensusMessage::Forward { request_id, change_id, is_first_send, base, change }
     }
 }
 
 impl Node {
-    /// Takes a change or a question of a caller at this node.
-    pub(in crate::node) fn submit_change(
-        &mut self,
-        req: u64,
-        (change_id, fresh): (ChangeId, bool),
-        base: Version,
-        change: Change,
-        now: Micros,
-    ) {
+    /// Handles a change or read of a caller at this node.
+    pub(in crate::node) fn submit_change(&mut self, request_id: u64, submitted: SubmittedChange, now: Micros) {
         if self.voter() {
-            self.accept_change(Requester::Local(req), (change_id, fresh), base, change, now);
+            self.accept_change(Requester::Local(request_id), submitted, now);
             return;
         }
         self.counters.forwarded += 1;
-        self.consensus.forwards.insert(req, Forward::new(change_id, fresh, base, change, now));
+        self.consensus.forwards.insert(request_id, Forward::new(submitted, now));
         self.tick_forward(now);
     }
 
-    fn accept_change(&mut self, from: Requester, id: (ChangeId, bool), base: Version, change: Change, now: Micros) {
-        if change == Change::ReadNewest {
-            self.read_newest(from, now);
+    fn accept_change(&mut self, requester: Requester, submitted: SubmittedChange, now: Micros) {
+        if submitted.change == Change::ReadNewest {
+            self.read_newest(requester, now);
         } else {
-            self.add_pending_change(from, id, base, change, now);
+            self.admit_change(requester, submitted, now);
         }
     }
 
+    /// Gives up the forwarded requests that cannot be completed in time, and sends the others on.
     pub(in crate::node) fn tick_forward(&mut self, now: Micros) {
-        for (req, mut f) in std::mem::take(&mut self.consensus.forwards) {
-            if now >= f.due || self.is_forward_cut_off(&f, now) {
-                self.outbox.push(Effect::CompleteChange { request_id: req, outcome: f.given_up() });
+        for (request_id, mut forward) in std::mem::take(&mut self.consensus.forwards) {
+            if now >= forward.deadline || self.is_forward_cut_off(&forward, now) {
+                self.complete_forward(request_id, forward.abandoned_outcome());
                 continue;
             }
-            self.forward_to_voter(req, &mut f, now);
-            self.consensus.forwards.insert(req, f);
+            self.forward_to_voter(request_id, &mut forward, now);
+            self.consensus.forwards.insert(request_id, forward);
         }
     }
 
-    /// Whether no voter has said anything since the call came, or none is there to be asked.
-    fn is_forward_cut_off(&self, f: &Forward, now: Micros) -> bool {
-        let waited = now.saturating_sub(f.since);
+    fn complete_forward(&mut self, request_id: u64, outcome: ChangeOutcome) {
+        self.outbox.push(Effect::CompleteChange { request_id, outcome });
+    }
+
+    /// Whether no voter has replied to anything since the request came, or no core is known.
+    fn is_forward_cut_off(&self, forward: &Forward, now: Micros) -> bool {
+        let waited = now.saturating_sub(forward.since);
         let voters = self.consensus.state.voters();
         if voters.is_empty() {
             return waited >= QUORUM_TIMEOUT && self.nearest_core(now, 0).is_none();
         }
-        let heard = voters.iter().any(|c| self.has_core_replied(c.node_id, f.since));
-        let silent = voters.iter().all(|c| self.is_core_silent(c.node_id, f.since, QUORUM_TIMEOUT, now));
-        waited >= QUORUM_TIMEOUT && (!heard || silent)
+        let any_replied = voters.iter().any(|voter| self.has_core_replied(voter.node_id, forward.since));
+        let all_silent =
+            voters.iter().all(|voter| self.is_core_silent(voter.node_id, forward.since, QUORUM_TIMEOUT, now));
+        waited >= QUORUM_TIMEOUT && (!any_replied || all_silent)
     }
 
-    /// Asks a voter, or the next one where the last one said no or nothing.
-    fn forward_to_voter(&mut self, req: u64, f: &mut Forward, now: Micros) {
-        let silent = f.asked.is_some_and(|(node_id, at)| self.is_core_silent(node_id, at, SILENT, now));
-        if now < f.again && !silent {
+    /// Sends the request to a voter, or to the next one where the last one declined or is silent.
+    fn forward_to_voter(&mut self, request_id: u64, forward: &mut Forward, now: Micros) {
+        let is_silent =
+            forward.last_send.is_some_and(|last| self.is_core_silent(last.voter, last.sent_at, SILENCE_TIMEOUT, now));
+        if now < forward.resend_at && !is_silent {
             return;
         }
-        let Some(voter) = self.next_voter(f, now) else { return };
-        if silent && now < f.again && f.tried.contains(&voter) {
+        let Some(voter) = self.next_voter(forward, now) else { return };
+        if is_silent && now < forward.resend_at && forward.tried.contains(&voter) {
             return;
         }
-        f.again = now + AGAIN;
-        f.asked = Some((voter, now));
-        f.open.insert(voter);
-        let first = f.tried.is_empty();
-        if !f.tried.insert(voter) {
-            f.asked_again.insert(voter);
-        }
-        let (change_id, fresh) = (f.change_id, f.fresh && first);
-        self.send(
-            voter,
-            Message::Consensus(ConsensusMessage::Forward {
-                request_id: req,
-                change_id,
-                is_first_send: fresh,
-                base: f.base,
-                change: f.change.clone(),
-            }),
-            now,
-        );
+        let message = forward.send_to(voter, request_id, now);
+        self.send_consensus(voter, message, now);
     }
 
-    /// The voter to ask: the nearest one first, then one that was heard since the call came and
-    /// was not asked yet.
-    fn next_voter(&self, f: &Forward, now: Micros) -> Option<NodeId> {
+    /// The voter for the next send: the nearest core first, then a live voter that was not tried yet,
+    /// preferably one that has replied since the request came; then any live voter in the same order.
+    fn next_voter(&self, forward: &Forward, now: Micros) -> Option<NodeId> {
         let nearest = self.nearest_core(now, 0)?;
-        if f.tried.is_empty() {
+        if forward.tried.is_empty() {
             return Some(nearest);
         }
-        let voters: Vec<_> =
-            self.consensus.state.voters().iter().map(|c| c.node_id).filter(|n| *n != self.settings.node_id).collect();
-        let live = |n: &&NodeId| self.dissemination.peers.is_alive(**n, now);
-        let heard = |n: &&NodeId| self.has_core_replied(**n, f.since);
-        let untried = voters.iter().filter(live).filter(|n| !f.tried.contains(n));
-        let best = untried.clone().find(heard).or(untried.clone().next());
-        best.or(voters.iter().filter(live).find(heard)).or(voters.iter().find(live)).copied()
+        let is_alive = |voter: &NodeId| self.dissemination.peers.is_alive(*voter, now);
+        let has_replied = |voter: &&NodeId| self.has_core_replied(**voter, forward.since);
+        let live: Vec<NodeId> = self.other_voters().filter(is_alive).collect();
+        let mut untried = live.iter().filter(|voter| !forward.tried.contains(voter));
+        let best_untried = untried.clone().find(has_replied).or(untried.next());
+        best_untried.or_else(|| live.iter().find(has_replied)).or(live.first()).copied()
     }
 
-    pub(in crate::node) fn on_forward(
-        &mut self,
-        by: NodeId,
-        n: u64,
-        change_id: (ChangeId, bool),
-        base: Version,
-        change: Change,
-        now: Micros,
-    ) {
+    /// Handles a request that another node has forwarded; a node without a vote declines it.
+    pub(super) fn on_forward(&mut self, by: NodeId, request_id: u64, submitted: SubmittedChange, now: Micros) {
         if self.voter() {
-            self.accept_change(Requester::Peer { node_id: by, request_id: n }, change_id, base, change, now);
+            self.accept_change(Requester::Peer { node_id: by, request_id }, submitted, now);
         } else {
-            self.send(
-                by,
-                Message::Consensus(ConsensusMessage::ForwardReply { request_id: n, outcome: ChangeOutcome::NoQuorum }),
-                now,
-            );
+            let declined = ConsensusMessage::ForwardReply { request_id, outcome: ChangeOutcome::NoQuorum };
+            self.send_consensus(by, declined, now);
         }
     }
 
-    pub(in crate::node) fn on_forwarded(&mut self, by: NodeId, n: u64, fate: ChangeOutcome, now: Micros) {
-        let Some(f) = self.consensus.forwards.get_mut(&n) else { return };
-        match fate {
-            ChangeOutcome::NoQuorum => self.on_forward_declined(by, n, now),
-            ChangeOutcome::Unknown if !f.change.is_read() => {}
-            fate => {
-                self.consensus.forwards.remove(&n);
-                self.outbox.push(Effect::CompleteChange { request_id: n, outcome: fate });
+    /// Handles a voter's reply to a forwarded request.
+    pub(super) fn on_forward_reply(&mut self, by: NodeId, request_id: u64, outcome: ChangeOutcome, now: Micros) {
+        let Some(forward) = self.consensus.forwards.get(&request_id) else { return };
+        match outcome {
+            ChangeOutcome::NoQuorum => self.on_forward_declined(by, request_id, now),
+            ChangeOutcome::Unknown if !forward.submitted.change.is_read() => {}
+            outcome => {
+                self.consensus.forwards.remove(&request_id);
+                self.complete_forward(request_id, outcome);
             }
         }
     }
 
-    /// A voter has sent nothing for this change: once all that live have said so, its caller
-    /// is told.
-    fn on_forward_declined(&mut self, by: NodeId, n: u64, now: Micros) {
-        let Some(mut f) = self.consensus.forwards.remove(&n) else { return };
-        f.open.remove(&by);
-        f.again = now;
-        let untried = |c: &NodeId| {
-            *c != self.settings.node_id && !f.tried.contains(c) && self.dissemination.peers.is_alive(*c, now)
-        };
-        let more = self.consensus.state.voters().iter().any(|c| untried(&c.node_id));
-        if f.open.is_empty() && !more {
-            self.outbox.push(Effect::CompleteChange { request_id: n, outcome: f.given_up() });
+    /// Handles a voter that has proposed nothing for this request. Once all that were sent the request have
+    /// declined it and no other live voter is left, the caller is told.
+    fn on_forward_declined(&mut self, by: NodeId, request_id: u64, now: Micros) {
+        let Some(mut forward) = self.consensus.forwards.remove(&request_id) else { return };
+        forward.undeclined.remove(&by);
+        forward.resend_at = now;
+        let is_untried =
+            |voter: NodeId| !forward.tried.contains(&voter) && self.dissemination.peers.is_alive(voter, now);
+        let has_untried = self.other_voters().any(is_untried);
+        if forward.undeclined.is_empty() && !has_untried {
+            self.complete_forward(request_id, forward.abandoned_outcome());
             return;
         }
-        if more {
-            self.forward_to_voter(n, &mut f, now);
+        if has_untried {
+            self.forward_to_voter(request_id, &mut forward, now);
         } else {
-            f.again = now + AGAIN;
+            forward.resend_at = now + RESEND_INTERVAL;
         }
-        self.consensus.forwards.insert(n, f);
+        self.consensus.forwards.insert(request_id, forward);
     }
 }
--- a/crates/core/src/node/consensus/freshness.rs
+++ b/crates/core/src/node/consensus/freshness.rs
@@ -1,93 +1,108 @@
-//! Rounds of confirmations: a voter asks all voters whether anything newer than its version
-//! was voted for. A majority of "no" makes the version fresh as of the moment of the question.
+//! Freshness probes: a voter asks all voters whether they know anything newer than its version.
+//!
+//! If a majority holds the same version and has accepted no entry for the next one, the version is confirmed
+//! as the newest as of the moment when the probe was sent. Probes go out at a fixed interval, and sooner while
+//! callers wait or the majority does not reply.
 
 use crate::base::{Micros, NodeId, SEC, Version};
 use crate::consensus::is_majority;
-use crate::freshness;
+use crate::freshness::{self, OpenProbe};
 use crate::node::Node;
 use crate::protocol::{ConsensusMessage, Message};
-use std::collections::BTreeSet;
+
+/// How long replies to a freshness probe are counted, in microseconds.
+const PROBE_TIMEOUT: Micros = 2 * SEC;
+
+/// A voter's reply to a freshness probe.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct FreshnessReply {
+    /// The sequence number of the probe.
+    pub seq: u64,
+    /// The newest version that the voter holds.
+    pub version: Version,
+    /// The newest version that is synced to the voter's disk.
+    pub synced_version: Version,
+    /// The set of voters that the voter has taken over, as far as that is synced to its disk.
+    pub ready_set: Option<Version>,
+    /// Whether the voter has accepted an entry for the next version.
+    pub has_accepted: bool,
+}
 
 impl Node {
-    /// Begins a round when one is due: regularly, and sooner while callers wait for it or the
-    /// majority is silent.
+    /// Sends a freshness probe when one is due.
     pub(in crate::node) fn tick_freshness(&mut self, now: Micros) {
         if !self.voter() || now < self.consensus.freshness.probe_due.min(self.next_probe_at(now)) {
             return;
         }
         let Some(version) = self.version() else { return };
-        self.consensus.freshness.probe_due = now + freshness::EVERY;
-        self.consensus.freshness.last_probe += 1;
-        let seq = self.consensus.freshness.last_probe;
-        self.consensus.freshness.open_probes.retain(|_, r| now.saturating_sub(r.0) < 2 * SEC);
-        self.consensus.freshness.open_probes.insert(seq, (now, version, BTreeSet::new()));
-        self.record_probe(seq, now);
-        self.broadcast_to_voters(&Message::Consensus(ConsensusMessage::FreshnessProbe { seq, version }), now);
+        let freshness = &mut self.consensus.freshness;
+        freshness.probe_due = now + freshness::EVERY;
+        freshness.last_probe += 1;
+        let seq = freshness.last_probe;
+        freshness.open_probes.retain(|_, probe| now.saturating_sub(probe.sent_at) < PROBE_TIMEOUT);
+        freshness.open_probes.insert(seq, OpenProbe::new(version, now));
+        self.send_freshness_probe(seq, version, now);
     }
 
-    /// A node without a vote asks the voters whether they hear it, while its callers wait.
+    /// Sends a probe from a node without a vote while its callers wait, to learn which voters it reaches.
     pub(in crate::node) fn tick_contact_probe(&mut self, now: Micros) {
         if self.voter() || !self.has_waiting_callers() || now < self.next_probe_at(now) {
             return;
         }
         self.consensus.freshness.last_probe += 1;
-        let (seq, version) = (self.consensus.freshness.last_probe, self.version().unwrap_or(0));
+        let seq = self.consensus.freshness.last_probe;
+        self.send_freshness_probe(seq, self.version().unwrap_or(0), now);
+    }
+
+    fn send_freshness_probe(&mut self, seq: u64, version: Version, now: Micros) {
         self.record_probe(seq, now);
         self.broadcast_to_voters(&Message::Consensus(ConsensusMessage::FreshnessProbe { seq, version }), now);
     }
 
-    pub(in crate::node) fn on_freshness_probe(&mut self, by: NodeId, seq: u64, version: Version, now: Micros) {
-        let Some(v) = self.version() else { return };
+    /// Handles a freshness probe; a prober that is behind is sent the later entries too.
+    pub(super) fn on_freshness_probe(&mut self, by: NodeId, seq: u64, version: Version, now: Micros) {
+        let Some(newest) = self.version() else { return };
         if !self.settings.is_core {
             return;
         }
-        if v > version {
+        if newest > version {
             self.replicate_to(by, version, now);
         }
-        let have = self.consensus.synced_version.unwrap_or(0);
-        let pend = self.consensus.state.accepted.is_some();
-        self.send(
-            by,
-            Message::Consensus(ConsensusMessage::FreshnessReply {
-                seq,
-                version: v,
-                synced_version: have,
-                ready_set: self.membership.synced_ready_set,
-                has_accepted: pend,
-            }),
-            now,
-        );
+        let reply = ConsensusMessage::FreshnessReply {
+            seq,
+            version: newest,
+            synced_version: self.consensus.synced_version.unwrap_or(0),
+            ready_set: self.membership.synced_ready_set,
+            has_accepted: self.consensus.state.accepted.is_some(),
+        };
+        self.send_consensus(by, reply, now);
     }
 
-    pub(in crate::node) fn on_freshness_reply(
-        &mut self,
-        by: NodeId,
-        seq: u64,
-        version: Version,
-        (have, ready): (Version, Option<Version>),
-        pend: bool,
-        now: Micros,
-    ) {
-        self.record_probe_reply(by, seq, now);
-        if let Some(r) = ready {
-            self.on_ready(by, r);
+    /// Handles a voter's reply to a freshness probe.
+    pub(super) fn on_freshness_reply(&mut self, by: NodeId, reply: FreshnessReply, now: Micros) {
+        self.record_probe_reply(by, reply.seq, now);
+        if let Some(ready_set) = reply.ready_set {
+            self.on_ready(by, ready_set);
         }
-        let e = self.consensus.state.synced_versions.entry(by).or_insert(have);
-        *e = (*e).max(have);
-        let Some(v) = self.version() else { return };
-        if version < v && by != self.settings.node_id {
-            self.replicate_to(by, version, now);
+        self.record_synced_version(by, reply.synced_version);
+        let Some(newest) = self.version() else { return };
+        if reply.version < newest && by != self.settings.node_id {
+            self.replicate_to(by, reply.version, now);
         }
-        let cores = self.consensus.state.voters().to_vec();
-        let Some((at, of, got)) = self.consensus.freshness.open_probes.get_mut(&seq) else { return };
-        if *of != v || version != v || pend {
+        self.count_confirmation(by, &reply, newest);
+    }
+
+    /// Counts a reply towards the confirmation of the newest version; a majority confirms it.
+    fn count_confirmation(&mut self, by: NodeId, reply: &FreshnessReply, newest: Version) {
+        let Some(probe) = self.consensus.freshness.open_probes.get_mut(&reply.seq) else { return };
+        if probe.version != newest || reply.version != newest || reply.has_accepted {
             return;
         }
-        got.insert(by);
-        if is_majority(&cores, got) {
-            let at = *at;
-            self.consensus.freshness.open_probes.remove(&seq);
-            self.consensus.freshness.confirm(v, at);
+        probe.confirmed_by.insert(by);
+        if is_majority(self.consensus.state.voters(), &probe.confirmed_by) {
+            let sent_at = probe.sent_at;
+            self.consensus.freshness.open_probes.remove(&reply.seq);
+            self.consensus.freshness.confirm(newest, sent_at);
             self.counters.freshness_confirmed += 1;
             self.publisher.is_dirty = true;
         }
--- a/crates/core/src/node/consensus/learner.rs
+++ b/crates/core/src/node/consensus/learner.rs
@@ -1,4 +1,8 @@
-//! Versions that were decided: told, taught to those who lack them, kept.
+//! The learner of the Paxos instances: decided entries are applied here and replicated to others.
+//!
+//! An entry counts as committed once a majority of the voters that it names has it synced to disk. A node
+//! that is behind receives the entries that it misses, or the newest alone where these are too many. While
+//! too many bytes wait for the disk, a core applies nothing; it is sent the entries again later.
 
 use crate::base::{Micros, NodeId, Version};
 use crate::config::CompiledConfig;
@@ -8,68 +12,40 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// How many bytes of older versions are taught along with the newest.
-const TAUGHT_MOST: usize = 2 << 20;
+/// How many bytes of older entries are replicated along with the newest one.
+const MAX_REPLICATED_BYTES: usize = 2 << 20;
 
 impl Node {
-    /// A version that was decided comes into force here.
-    pub(in crate::node) fn apply_entry(&mut self, d: LogEntry, now: Micros) {
-        if self.fleet_id() != 0 && self.fleet_id() != d.fleet_id {
+    /// Applies a decided entry: its version comes into force on this node.
+    pub(in crate::node) fn apply_entry(&mut self, entry: LogEntry, now: Micros) {
+        if self.fleet_id() != 0 && self.fleet_id() != entry.fleet_id {
             self.counters.frames_foreign += 1;
             return;
         }
         if self.settings.is_core && self.is_disk_behind() {
             return;
         }
-        let before = self.version();
-        let (set, voters) = (self.voter_set(), self.consensus.state.voters().len());
-        let voted = self.voter();
-        if !self.consensus.state.apply(d.clone()) {
-            if self.settings.is_core && self.consensus.state.backfill(&d) {
-                self.persist(vec![DurableWrite::Commit(d)], Vec::new());
-            }
+        let previous_version = self.version();
+        let previous_voter_set = self.voter_set();
+        let previous_voter_count = self.consensus.state.voters().len();
+        let was_voter = self.voter();
+        if !self.consensus.state.apply(entry.clone()) {
+            self.backfill_entry(entry);
             return;
         }
         self.counters.versions_applied += 1;
-        if self.voter_set() != set {
-            self.on_voters_changed(voted, voters, now);
+        if self.voter_set() != previous_voter_set {
+            self.on_voters_changed(was_voter, previous_voter_count, now);
         }
-        if before.is_none_or(|v| d.version > v + 1) {
+        if previous_version.is_none_or(|previous| entry.version > previous + 1) {
             self.counters.snapshots_applied += 1;
         }
-        self.config = Arc::new(CompiledConfig::parse_with(self.settings.config_reader, d.version, &d.body));
-        self.quota.slices.rates.apply_plan(&self.config, now);
-        self.publisher.is_dirty = true;
-        let version = d.version;
+        self.compile_config(&entry, now);
         if self.settings.is_core {
-            if d.version == 0 {
-                self.membership.ready_set = Some(0);
-            }
-            let mut to: Vec<_> = d.voters.iter().map(|c| c.node_id).collect();
-            // Voters must know a newcomer before they can admit it.
-            self.dissemination.peers.gossip_due =
-                if to.contains(&self.settings.node_id) { self.dissemination.peers.gossip_due } else { now };
-            if !to.contains(&self.settings.node_id) {
-                to.push(self.settings.node_id);
-            }
-            let then: Vec<Effect> = to
-                .into_iter()
-                .filter_map(|n| self.send_effect(n, Message::Consensus(ConsensusMessage::Synced { version }), now))
-                .collect();
-            let mut ops = vec![DurableWrite::Commit(d)];
-            let mut then = then;
-            if version == 0 {
-                ops.push(DurableWrite::Ready(0));
-                then.extend(self.send_effect(
-                    self.settings.node_id,
-                    Message::Membership(MembershipMessage::Ready { voter_set: 0 }),
-                    now,
-                ));
-            }
-            self.persist(ops, then);
+            self.persist_commit(entry, now);
         } else {
             self.consensus.state.drop_history();
-            self.consensus.synced_version = Some(version);
+            self.consensus.synced_version = Some(entry.version);
         }
         self.push_versions(now);
         if !self.voter() {
@@ -77,77 +53,139 @@
         }
     }
 
-    pub(in crate::node) fn on_replicate(&mut self, by: NodeId, decrees: Vec<LogEntry>, now: Micros) {
-        let newest = decrees.last().map(|d| d.version);
-        let whole = self.restore_bodies(decrees);
-        if whole.last().map(|d| d.version) != newest && self.settings.is_core {
-            // It came as a patch of one that this core does not hold.
-            self.send(
-                by,
-                Message::Consensus(ConsensusMessage::Synced { version: self.consensus.synced_version.unwrap_or(0) }),
-                now,
-            );
+    /// Adds an entry that is not newer than the newest one to the history of a core.
+    fn backfill_entry(&mut self, entry: LogEntry) {
+        if self.settings.is_core && self.consensus.state.backfill(&entry) {
+            self.persist(vec![DurableWrite::Commit(entry)], Vec::new());
+        }
+    }
+
+    /// Compiles the configuration of the entry that was just applied.
+    fn compile_config(&mut self, entry: &LogEntry, now: Micros) {
+        let config = CompiledConfig::parse_with(self.settings.config_reader, entry.version, &entry.body);
+        self.config = Arc::new(config);
+        self.quota.slices.rates.apply_plan(&self.config, now);
+        self.publisher.is_dirty = true;
+    }
+
+    /// Writes an applied entry to disk; once it is synced, the voters and this core itself are told.
+    fn persist_commit(&mut self, entry: LogEntry, now: Micros) {
+        let version = entry.version;
+        if version == 0 {
+            self.membership.ready_set = Some(0);
+        }
+        let mut receivers: Vec<_> = entry.voters.iter().map(|voter| voter.node_id).collect();
+        if !receivers.contains(&self.settings.node_id) {
+            // Voters must know a new core before they can admit it.
+            self.dissemination.peers.gossip_due = now;
+            receivers.push(self.settings.node_id);
+        }
+        let synced = |node_id| (node_id, Message::Consensus(ConsensusMessage::Synced { version }));
+        let mut replies: Vec<Effect> = receivers
+            .into_iter()
+            .map(synced)
+            .filter_map(|(receiver, message)| self.send_effect(receiver, message, now))
+            .collect();
+        let mut writes = vec![DurableWrite::Commit(entry)];
+        if version == 0 {
+            writes.push(DurableWrite::Ready(0));
+            let ready = Message::Membership(MembershipMessage::Ready { voter_set: 0 });
+            replies.extend(self.send_effect(self.settings.node_id, ready, now));
+        }
+        self.persist(writes, replies);
+    }
+
+    /// Handles decided entries, the oldest first.
+    pub(super) fn on_replicate(&mut self, by: NodeId, entries: Vec<LogEntry>, now: Micros) {
+        let newest = entries.last().map(|entry| entry.version);
+        let restored = self.restore_bodies(entries);
+        if restored.last().map(|entry| entry.version) != newest && self.settings.is_core {
+            // The newest entry came as a patch of one that this core does not hold.
+            self.report_synced_version(by, now);
         }
         // The newest comes into force at once; those before it only fill the history.
-        for d in whole.into_iter().rev() {
-            self.apply_entry(d, now);
+        for entry in restored.into_iter().rev() {
+            self.apply_entry(entry, now);
         }
     }
 
-    /// Versions whole, in their order, each made from the one before it where it came as a patch;
-    /// those that can't be made are left out.
-    pub(in crate::node) fn restore_bodies(&self, decrees: Vec<LogEntry>) -> Vec<LogEntry> {
-        let mut whole: Vec<LogEntry> = Vec::with_capacity(decrees.len());
-        for d in decrees {
-            let before = whole.last().filter(|w| w.version + 1 == d.version);
-            let restored = match before {
-                Some(before) => d.with_body_from(before),
-                None => self.consensus.state.restore_body(d),
+    /// Entries with their bodies, in the same order, each restored from the one before it where it came as a
+    /// patch. Entries that cannot be restored are left out.
+    pub(in crate::node) fn restore_bodies(&self, entries: Vec<LogEntry>) -> Vec<LogEntry> {
+        let mut restored: Vec<LogEntry> = Vec::with_capacity(entries.len());
+        for entry in entries {
+            let previous = restored.last().filter(|previous| previous.version + 1 == entry.version);
+            let with_body = match previous {
+                Some(previous) => entry.with_body_from(previous),
+                None => self.consensus.state.restore_body(entry),
             };
-            whole.extend(restored);
+            restored.extend(with_body);
         }
-        whole
+        restored
+    }
+
+    /// Reports the newest version that is synced to this node's disk. No newer one may be reported: the
+    /// receiver counts the report towards the commit of that version.
+    pub(super) fn report_synced_version(&mut self, receiver: NodeId, now: Micros) {
+        let version = self.consensus.synced_version.unwrap_or(0);
+        self.send_consensus(receiver, ConsensusMessage::Synced { version }, now);
+    }
+
+    /// Notes the newest version that a node has on its disk.
+    pub(super) fn record_synced_version(&mut self, node_id: NodeId, version: Version) {
+        let recorded = self.consensus.state.synced_versions.entry(node_id).or_insert(version);
+        *recorded = (*recorded).max(version);
     }
 
-    pub(in crate::node) fn on_synced_version(&mut self, by: NodeId, version: Version, now: Micros) {
-        let e = self.consensus.state.synced_versions.entry(by).or_insert(version);
-        *e = (*e).max(version);
+    /// Handles the report of the newest version that a node has on its disk; a node that is behind is sent
+    /// the later entries.
+    pub(super) fn on_synced_version(&mut self, by: NodeId, version: Version, now: Micros) {
+        self.record_synced_version(by, version);
         if by == self.settings.node_id {
             self.consensus.synced_version = self.consensus.synced_version.max(Some(version));
-        } else if self.version().is_some_and(|v| v > version) {
+        } else if self.version().is_some_and(|newest| newest > version) {
             self.replicate_to(by, version, now);
         }
     }
 
-    /// The versions after `version`, or the newest alone where too many are missing.
-    pub(in crate::node) fn replicate_to(&mut self, to: NodeId, version: Version, now: Micros) {
-        let mut bytes = 0;
+    /// Sends the entries after `version`, or the newest alone where too many are missing.
+    pub(in crate::node) fn replicate_to(&mut self, receiver: NodeId, version: Version, now: Micros) {
+        let entries = self.later_entries(version);
+        if !entries.is_empty() {
+            self.send_consensus(receiver, ConsensusMessage::Replicate { entries }, now);
+        }
+    }
+
+    /// The entries after `version` as far as [`MAX_REPLICATED_BYTES`] allows, the newest in any case; the
+    /// oldest first. An entry goes as a patch where the receiver holds the one before it.
+    fn later_entries(&self, version: Version) -> Vec<LogEntry> {
+        let history = &self.consensus.state.history;
         let newest = self.version();
-        // What comes right after another one that is held there is told as a patch.
-        let held = |v: Version| v == version + 1 || self.consensus.state.history.contains_key(&(v - 1));
-        let told = |d: &LogEntry| if held(d.version) { d.without_body() } else { d.self_contained() };
-        let room = |d: &LogEntry| {
-            bytes += d.size();
-            Some(d.version) == newest || bytes <= TAUGHT_MOST
+        let is_previous_known =
+            |entry: &LogEntry| entry.version == version + 1 || history.contains_key(&(entry.version - 1));
+        let to_wire =
+            |entry: &LogEntry| if is_previous_known(entry) { entry.without_body() } else { entry.self_contained() };
+        let mut bytes = 0;
+        let fits = |entry: &LogEntry| {
+            bytes += entry.size();
+            Some(entry.version) == newest || bytes <= MAX_REPLICATED_BYTES
         };
-        let mut decrees: Vec<_> =
-            self.consensus.state.history.range(version + 1..).rev().map(|x| told(x.1)).take_while(room).collect();
-        decrees.reverse();
-        // The first of those that had room has nothing before it.
-        if let Some(first) = decrees.first_mut().filter(|d| d.version > version + 1)
-            && let Some(whole) = self.consensus.state.history.get(&first.version)
+        let newest_first = history.range(version + 1..).rev();
+        let mut entries: Vec<_> = newest_first.map(|(_, entry)| to_wire(entry)).take_while(fits).collect();
+        entries.reverse();
+        // Where older entries did not fit, the receiver does not hold the one before the first.
+        if let Some(first) = entries.first_mut().filter(|entry| entry.version > version + 1)
+            && let Some(full) = history.get(&first.version)
         {
-            *first = whole.self_contained();
-        }
-        if !decrees.is_empty() {
-            self.send(to, Message::Consensus(ConsensusMessage::Replicate { entries: decrees }), now);
+            *first = full.self_contained();
         }
+        entries
     }
 
-    /// Whether a majority of the cores that the newest version names has it on disk.
+    /// Whether a majority of the voters of the newest version has this version on disk.
     pub(in crate::node) fn is_committed(&self, version: Version) -> bool {
-        let got: BTreeSet<NodeId> =
-            self.consensus.state.synced_versions.iter().filter(|x| *x.1 >= version).map(|x| *x.0).collect();
-        is_majority(self.consensus.state.voters(), &got)
+        let synced = self.consensus.state.synced_versions.iter().filter(|(_, synced)| **synced >= version);
+        let holders: BTreeSet<NodeId> = synced.map(|(node_id, _)| *node_id).collect();
+        is_majority(self.consensus.state.voters(), &holders)
     }
 }
--- a/crates/core/src/node/consensus/mod.rs
+++ b/crates/core/src/node/consensus/mod.rs
@@ -1,29 +1,36 @@
 //! Agreement on versions of the configuration: one Paxos instance a version.
 //!
-//! [`acceptor`] votes on ballots, [`proposer`] runs them for the changes that wait, and [`learner`] applies
-//! and replicates what was decided. [`freshness`] confirms with a majority that the newest version here is
-//! the newest of all, [`reader`] answers linearizable reads by that, and [`forwarding`] hands the changes
-//! of callers at nodes without a vote to a voter. [`digest_sync`] fetches the digests of versions that
-//! this node skipped.
+//! [`acceptor`], [`proposer`] and [`learner`] are the three roles of Lamport, Paxos Made Simple, §2:
+//! acceptors vote on ballots, proposers run ballots for the changes that wait, and learners apply and
+//! replicate what was decided. [`admission`] and [`validation`] decide which changes wait, and [`outcomes`]
+//! replies to their requesters. [`freshness`] confirms with a majority that the newest version here is the
+//! newest of all, [`reader`] completes linearizable reads by that, and [`forwarding`] sends the changes of
+//! callers at nodes without a vote to a voter. [`digest_sync`] fetches the digests of versions that this
+//! node skipped.
 
 mod acceptor;
+mod admission;
 mod digest_sync;
 mod forwarding;
 mod freshness;
 mod learner;
+mod outcomes;
 mod proposer;
 mod reader;
+mod validation;
 
-pub use proposer::MAX_BODY_BYTES;
+pub(in crate::node) use admission::SubmittedChange;
+pub use validation::MAX_BODY_BYTES;
 
 use super::{Envelope, Node};
-use crate::base::{Micros, Version};
+use crate::base::{Micros, NodeId, Version};
 use crate::consensus::{ConsensusState, DurableState};
 use crate::freshness::Freshness;
-use crate::protocol::ConsensusMessage;
+use crate::protocol::{ConsensusMessage, Message};
+use freshness::FreshnessReply;
 use std::collections::BTreeMap;
 
-/// What a node keeps for the agreement on versions.
+/// The state of a node for the agreement on versions.
 #[derive(Clone, Debug)]
 pub struct Consensus {
     /// The votes of this node, the versions that it knows, and its own proposal.
@@ -32,17 +39,20 @@
     pub freshness: Freshness,
     /// The newest version that is synced to this node's disk (on a front: that it holds).
     ///
-    /// Only this version is reported to other voters, as they count it towards an acknowledgement.
+    /// Invariant: at most the newest version in `state`. Only this version is reported to other voters, as
+    /// they count the report towards the commit.
     pub(in crate::node) synced_version: Option<Version>,
-    /// Changes that were handed to a voter, by the request that waits for each.
+    /// Changes and reads that were forwarded to a voter, by the identifier of the caller's request.
     pub(in crate::node) forwards: BTreeMap<u64, forwarding::Forward>,
-    /// Reads that wait until the newest version is confirmed.
+    /// Reads that wait until the newest version is confirmed, in the order of their arrival.
     pub(in crate::node) reads: Vec<reader::Read>,
+    /// The progress in fetching the digests of versions that this node skipped.
     pub(in crate::node) digest_sync: digest_sync::DigestSync,
 }
 
 impl Consensus {
-    /// The state after a start, by what the disk holds; `first_probe` numbers the first freshness probe.
+    /// The state after a start from what the disk holds; the first freshness probe has the sequence number
+    /// after `first_probe`.
     pub(super) fn new(durable: &DurableState, first_probe: u64) -> Self {
         let state = ConsensusState::new(durable);
         let synced_version = state.version();
@@ -58,37 +68,44 @@
 }
 
 impl Node {
+    /// Sends a message of the agreement on versions.
+    fn send_consensus(&mut self, receiver: NodeId, message: ConsensusMessage, now: Micros) {
+        self.send(receiver, Message::Consensus(message), now);
+    }
+
+    /// The voters of the newest version other than this node, in their order.
+    fn other_voters(&self) -> impl Iterator<Item = NodeId> {
+        let voters = self.consensus.state.voters().iter().map(|voter| voter.node_id);
+        voters.filter(|node_id| *node_id != self.settings.node_id)
+    }
+
     /// Handles a message of the agreement on versions.
     pub(super) fn on_consensus_message(&mut self, envelope: &Envelope, message: ConsensusMessage, now: Micros) {
         let by = envelope.from;
         match message {
             ConsensusMessage::Prepare { instance, ballot } => self.on_prepare(by, instance, ballot, now),
             ConsensusMessage::Promise { instance, ballot, accepted } => {
-                self.on_promise(by, instance, ballot, accepted, now)
+                self.on_promise(by, instance, ballot, accepted, now);
             }
             ConsensusMessage::Reject { instance, ballot } => self.on_reject(instance, ballot, now),
-            ConsensusMessage::Accept { ballot, entry: decree } => self.on_accept(by, ballot, decree, now),
+            ConsensusMessage::Accept { ballot, entry } => self.on_accept(by, ballot, entry, now),
             ConsensusMessage::Accepted { instance, ballot } => self.on_accepted(by, instance, ballot, now),
-            ConsensusMessage::Replicate { entries: decrees } => self.on_replicate(by, decrees, now),
+            ConsensusMessage::Replicate { entries } => self.on_replicate(by, entries, now),
             ConsensusMessage::Synced { version } => self.on_synced_version(by, version, now),
             ConsensusMessage::FreshnessProbe { seq, version } => self.on_freshness_probe(by, seq, version, now),
-            ConsensusMessage::FreshnessReply {
-                seq,
-                version,
-                synced_version: have,
-                ready_set: ready,
-                has_accepted: pend,
-            } => {
-                self.on_freshness_reply(by, seq, version, (have, ready), pend, now);
+            ConsensusMessage::FreshnessReply { seq, version, synced_version, ready_set, has_accepted } => {
+                let reply = FreshnessReply { seq, version, synced_version, ready_set, has_accepted };
+                self.on_freshness_reply(by, reply, now);
             }
-            ConsensusMessage::Forward { request_id: n, change_id, is_first_send: fresh, base, change } => {
-                self.on_forward(by, n, (change_id, fresh), base, change, now)
+            ConsensusMessage::Forward { request_id, change_id, is_first_send, base, change } => {
+                let submitted = SubmittedChange { change_id, is_first_send, base, change };
+                self.on_forward(by, request_id, submitted, now);
             }
-            ConsensusMessage::ForwardReply { request_id: n, outcome: fate } => self.on_forwarded(by, n, fate, now),
-            ConsensusMessage::DigestRequest { from, to } => self.on_digest_request(by, from, to, now),
-            ConsensusMessage::DigestReply { from, to, digests: rows } => {
-                self.on_digest_reply(by, (from, to), rows, now)
+            ConsensusMessage::ForwardReply { request_id, outcome } => {
+                self.on_forward_reply(by, request_id, outcome, now);
             }
+            ConsensusMessage::DigestRequest { from, to } => self.on_digest_request(by, from, to, now),
+            ConsensusMessage::DigestReply { from, to, digests } => self.on_digest_reply(by, from, to, digests, now),
         }
     }
 }
--- a/crates/core/src/node/consensus/reader.rs
+++ b/crates/core/src/node/consensus/reader.rs
@@ -1,48 +1,78 @@
-//! Reading the newest configuration: nothing that was acknowledged before the question is
-//! missing in the answer.
+//! Reads of the configuration, its history and the outcomes of changes.
 //!
-//! A voter answers once a majority has confirmed, on a question sent after the reader came,
-//! that nothing newer was voted for. Other nodes hand the question on to a voter.
+//! A read of the newest configuration is linearizable: its reply lacks nothing that was acknowledged before
+//! the read came. A voter replies once a majority has confirmed, on a freshness probe sent after the read
+//! came, that nothing newer was accepted. Nodes without a vote forward the read to a voter.
 
+use super::admission::SubmittedChange;
 use crate::base::{MS, Micros};
 use crate::consensus::Requester;
 use crate::node::Node;
-use crate::protocol::ChangeOutcome;
+use crate::protocol::{ChangeOutcome, LogEntry};
 
-/// The longest that a reader waits, also while a newer version is being decided.
-const PATIENCE: Micros = 900 * MS;
+/// How long a read waits at most, also while a newer version is being decided, in microseconds.
+const READ_TIMEOUT: Micros = 900 * MS;
 
-/// Somebody who waits for the newest configuration.
+/// A read of the newest configuration that waits for its confirmation.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::node) struct Read {
-    from: Requester,
+    requester: Requester,
+    /// When the read was received, in microseconds of this node's clock.
     pub since: Micros,
 }
 
 impl Node {
-    /// Takes a question for the newest configuration, as a voter.
-    pub(in crate::node) fn read_newest(&mut self, from: Requester, now: Micros) {
-        self.consensus.reads.push(Read { from, since: now });
+    /// Handles a read of the newest configuration, as a voter.
+    pub(super) fn read_newest(&mut self, requester: Requester, now: Micros) {
+        self.consensus.reads.push(Read { requester, since: now });
         self.tick_freshness(now);
     }
 
-    /// Answers readers whose configuration is confirmed, and sends away those for whom that
-    /// can't be.
+    /// Replies to the reads whose configuration is confirmed, and to those that cannot be confirmed in time.
     pub(in crate::node) fn complete_reads(&mut self, now: Micros) {
         if self.consensus.reads.is_empty() {
             return;
         }
-        let confirmed = self.consensus.freshness.confirmed_at(self.version());
-        for r in std::mem::take(&mut self.consensus.reads) {
-            let newest = self.consensus.state.newest().filter(|_| confirmed.is_some_and(|t| t >= r.since));
-            if let Some(d) = newest {
-                let text = d.body.clone();
-                self.complete_change(r.from, ChangeOutcome::Content { text }, now);
-            } else if !self.voter() || self.should_redirect(r.since, now) || now >= r.since + PATIENCE {
-                self.complete_change(r.from, ChangeOutcome::NoQuorum, now);
+        let confirmed_at = self.consensus.freshness.confirmed_at(self.version());
+        for read in std::mem::take(&mut self.consensus.reads) {
+            let is_confirmed = confirmed_at.is_some_and(|confirmed_at| confirmed_at >= read.since);
+            let newest = self.consensus.state.newest().filter(|_| is_confirmed);
+            if let Some(entry) = newest {
+                let text = entry.body.clone();
+                self.complete_change(read.requester, ChangeOutcome::Content { text }, now);
+            } else if !self.voter() || self.should_redirect(read.since, now) || now >= read.since + READ_TIMEOUT {
+                self.complete_change(read.requester, ChangeOutcome::NoQuorum, now);
             } else {
-                self.consensus.reads.push(r);
+                self.consensus.reads.push(read);
             }
         }
     }
+
+    /// The outcome of an earlier change, as far as it is known here.
+    pub(super) fn query_outcome(&self, query: &SubmittedChange) -> ChangeOutcome {
+        let state = &self.consensus.state;
+        match (state.outcome_of(query.change_id), self.version()) {
+            (Some(outcome), _) => outcome,
+            (None, Some(version)) if state.is_superseded(&query.change, query.base) => ChangeOutcome::Stale { version },
+            _ => ChangeOutcome::Unknown,
+        }
+    }
+
+    /// The entries of the history as JSON, the newest first.
+    pub fn history_json(&self) -> String {
+        let entries: Vec<_> = self.consensus.state.history.values().rev().map(entry_json).collect();
+        format!("[{}]", entries.join(","))
+    }
+}
+
+/// One entry of the history as JSON.
+fn entry_json(entry: &LogEntry) -> String {
+    let voters: Vec<_> = entry.voters.iter().map(|voter| format!("\"{}\"", voter.node_id)).collect();
+    format!(
+        "{{\"version\":{},\"change\":\"{}\",\"bytes\":{},\"cores\":[{}]}}",
+        entry.version,
+        entry.change_id,
+        entry.body.len(),
+        voters.join(",")
+    )
 }
--- a/crates/core/src/node/dispatch.rs
+++ b/crates/core/src/node/dispatch.rs
@@ -1,5 +1,6 @@
 //! The way in: each event goes to the part that it concerns.
 
+use super::consensus::SubmittedChange;
 use super::{Effect, Event, Node};
 use crate::base::{Incarnation, MS, Micros, NodeId, SEC};
 use crate::protocol::{Frame, Message};
@@ -45,8 +46,9 @@
                 self.on_report(&r, now);
             }
             Event::ReportWithAck { request_id: req, report: row } => self.on_report_with_ack(req, &row, now),
-            Event::SubmitChange { request_id: req, change_id, is_first_send: fresh, base, change } => {
-                self.submit_change(req, (change_id, fresh), base, change, now)
+            Event::SubmitChange { request_id, change_id, is_first_send, base, change } => {
+                let submitted = SubmittedChange { change_id, is_first_send, base, change };
+                self.submit_change(request_id, submitted, now)
             }
             Event::QuotaNeeded { tenant, waiting } => self.on_quota_needed(&tenant, waiting, now),
             Event::SeedsChanged(s) => self.settings.seeds = s,
