--- a/crates/compare/src/compare.rs
+++ b/crates/compare/src/compare.rs
@@ -1,4 +1,4 @@
-use crate::belief::Belief;
+use crate::state_report::StateReport;
 use std::collections::BTreeMap;
 
 /// One thing that two nodes see differently.
@@ -10,9 +10,9 @@
     pub why: &'static str,
 }
 
-pub fn compare(a: &Belief, b: &Belief) -> Vec<Differs> {
+pub fn compare(a: &StateReport, b: &StateReport) -> Vec<Differs> {
     let mut out = Vec::new();
-    let stale = |x: &Belief| x.one("fresh") != "true";
+    let stale = |x: &StateReport| x.one("fresh") != "true";
     let late = stale(a) || stale(b);
     let mut one = |k: &str, why| {
         let (x, y) = (a.one(k), b.one(k));
@@ -101,7 +101,7 @@
 }
 
 /// A duty has one holder: two that both claim it are told.
-fn terms(out: &mut Vec<Differs>, a: &Belief, b: &Belief) {
+fn terms(out: &mut Vec<Differs>, a: &StateReport, b: &StateReport) {
     let (x, y) = (a.rows("terms", "duty", "epoch"), b.rows("terms", "duty", "epoch"));
     lists_both(
         out,
@@ -115,9 +115,9 @@
 #[cfg(test)]
 mod tests {
     use super::compare;
-    use crate::belief::Belief;
+    use crate::state_report::StateReport;
 
-    fn of(more: &str) -> Belief {
+    fn of(more: &str) -> StateReport {
         let base = r#""id":"a","fleet":"f","version":3,"change":"c","fresh":true,"cores":[],"nodes":[{"id":"n","alive":true}],"workers":[],"terms":[],"grants":[]"#;
         let mut s = format!("{{{base}}}");
         for kv in more.split(';').filter(|x| !x.is_empty()) {
@@ -125,7 +125,7 @@
             assert!(s.contains(from), "{from}");
             s = s.replace(from, to);
         }
-        Belief::read(s.as_bytes()).expect("reads")
+        StateReport::read(s.as_bytes()).expect("reads")
     }
 
     #[test]
--- a/crates/compare/src/take.rs
+++ b/crates/compare/src/fetch.rs
@@ -1,4 +1,4 @@
-use crate::belief::Belief;
+use crate::state_report::StateReport;
 use http_body_util::{BodyExt, Empty};
 use hyper::Request;
 use hyper::body::Bytes;
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// Asks a node for all that it believes.
-pub async fn take(at: &str, token: &str) -> Result<Belief, String> {
+pub async fn take(at: &str, token: &str) -> Result<StateReport, String> {
     let c = Client::builder(TokioExecutor::new()).build_http::<Empty<Bytes>>();
     let r = Request::get(format!("http://{at}/v1/beliefs"))
         .header("authorization", format!("Bearer {token}"))
@@ -18,7 +18,7 @@
         let s = r.status().as_u16();
         let b = r.into_body().collect().await.map_err(|e| e.to_string())?.to_bytes();
         match s {
-            200 => Belief::read(&b),
+            200 => StateReport::read(&b),
             401 => Err("the token is not an operator's there; use one whose hash stands in its settings".into()),
             _ => Err(format!("answered {s}; is this the admin address of an sumacvale?")),
         }
--- a/crates/compare/src/main.rs
+++ b/crates/compare/src/main.rs
@@ -1,8 +1,8 @@
 //! Compares what two nodes believe and says why they differ.
 
-mod belief;
 mod compare;
-mod take;
+mod fetch;
+mod state_report;
 
 use getopts::Options;
 
@@ -66,7 +66,7 @@
 }
 
 async fn go(at: &[String], token: &str, all: bool) -> i32 {
-    let first = match take::take(&at[0], token).await {
+    let first = match fetch::take(&at[0], token).await {
         Ok(b) => b,
         Err(e) => {
             eprintln!("sumacvale-compare: {}: {e}", at[0]);
@@ -76,7 +76,7 @@
     let others: Vec<String> = if all { first.others() } else { vec![at[1].clone()] };
     let mut code = 0;
     for o in others {
-        let c = match take::take(&o, token).await {
+        let c = match fetch::take(&o, token).await {
             Ok(b) => {
                 let d = compare::compare(&first, &b);
                 if d.is_empty() {
--- a/crates/compare/src/belief.rs
+++ b/crates/compare/src/state_report.rs
@@ -2,18 +2,18 @@
 use std::collections::BTreeMap;
 
 /// What one node believes, as it told it.
-pub struct Belief {
+pub struct StateReport {
     v: Value,
 }
 
-impl Belief {
-    pub fn read(b: &[u8]) -> Result<Belief, String> {
+impl StateReport {
+    pub fn read(b: &[u8]) -> Result<StateReport, String> {
         let v: Value = sonic_rs::from_slice(b)
             .map_err(|_| "its answer can't be read; use the sumacvale-compare of its release".to_owned())?;
         if v.pointer(["nodes"]).is_none() {
             return Err("its answer holds no nodes; use the sumacvale-compare of its release".into());
         }
-        Ok(Belief { v })
+        Ok(StateReport { v })
     }
 
     pub fn one(&self, k: &str) -> String {
--- a/crates/node/src/admin/config.rs
+++ b/crates/node/src/admin/config.rs
@@ -1,7 +1,7 @@
 //! Orders to change the configuration, and reads of it.
 
-use super::say::{json, quote, trouble};
-use crate::ops::{ask, newest_version};
+use super::responses::{json, quote, trouble};
+use crate::ops::{newest_version, submit_change};
 use crate::shared::Shared;
 use futures::StreamExt;
 use sonic_rs::{JsonContainerTrait, JsonValueTrait, Value};
@@ -189,12 +189,12 @@
             told(ChangeOutcome::Stale { version }, c)
         };
     }
-    told(ask(&h, (c, fresh), b, Change::Tree(s)).await, c)
+    told(submit_change(&h, (c, fresh), b, Change::Tree(s)).await, c)
 }
 
 /// The versions that the fleet holds.
 pub async fn history(h: Arc<Shared>, _: Request) -> Response {
-    told(ask(&h, (ChangeId(0), false), 0, Change::ReadHistory).await, ChangeId(0))
+    told(submit_change(&h, (ChangeId(0), false), 0, Change::ReadHistory).await, ChangeId(0))
 }
 
 /// What became of a change.
@@ -203,7 +203,7 @@
         return trouble(StatusCode::BAD_REQUEST, "change_id", "a change id has 16 hex digits");
     };
     let b = r.uri().query().and_then(|q| q.split('&').find_map(|x| x.strip_prefix("base=")?.parse::<Version>().ok()));
-    match ask(&h, (c, false), b.unwrap_or(Version::MAX), Change::QueryOutcome).await {
+    match submit_change(&h, (c, false), b.unwrap_or(Version::MAX), Change::QueryOutcome).await {
         ChangeOutcome::Stale { version } => {
             json(StatusCode::OK, format!("{{\"state\":\"lost\",\"version\":{version},\"change\":\"{c}\"}}"))
         }
@@ -277,5 +277,5 @@
             }
         }
     }
-    told(ask(&h, (c, fresh), b, Change::Voters(cs)).await, c)
+    told(submit_change(&h, (c, fresh), b, Change::Voters(cs)).await, c)
 }
--- a/crates/node/src/admin/metrics.rs
+++ b/crates/node/src/admin/metrics.rs
@@ -1,6 +1,6 @@
 //! Metrics in the text format of Prometheus.
 
-use super::say::{quote, text};
+use super::responses::{quote, text};
 use crate::shared::Shared;
 use std::fmt::Write;
 use std::sync::atomic::Ordering;
@@ -13,7 +13,7 @@
     let mut put = |n: &str, t: &str, v: u64, help: &str| {
         let _ = writeln!(s, "# HELP sumacvale_{n} {}\n# TYPE sumacvale_{n} {t}\nsumacvale_{n} {v}", help.trim());
     };
-    for ((n, v), (_, d)) in h.floor.counters.list().into_iter().zip(COUNT_HELP) {
+    for ((n, v), (_, d)) in h.call_state.counters.list().into_iter().zip(COUNT_HELP) {
         put(&format!("{n}_total"), "counter", v, d);
     }
     let v = h.view.load();
@@ -21,36 +21,51 @@
         put(&format!("{n}_total"), "counter", *c, d);
     }
     let l = |a: &std::sync::atomic::AtomicU64| a.load(Ordering::Relaxed);
-    put("peer_bytes_total", "counter", l(&h.tally.bytes_out), "Bytes sent to other nodes.");
-    put("peer_cross_zone_bytes_total", "counter", l(&h.tally.bytes_far), "Bytes sent to nodes of other zones.");
-    put("peer_invalid_frames_total", "counter", l(&h.tally.garbled), "Peer connections closed for what came on them.");
+    put("peer_bytes_total", "counter", l(&h.link_counters.bytes_sent), "Bytes sent to other nodes.");
+    put(
+        "peer_cross_zone_bytes_total",
+        "counter",
+        l(&h.link_counters.cross_zone_bytes_sent),
+        "Bytes sent to nodes of other zones.",
+    );
+    put(
+        "peer_invalid_frames_total",
+        "counter",
+        l(&h.link_counters.invalid_frames),
+        "Peer connections closed for what came on them.",
+    );
     put(
         "peer_skipped_frames_total",
         "counter",
-        l(&h.tally.unread),
+        l(&h.link_counters.skipped_frames),
         "Peers' frames skipped, as this release can't read them.",
     );
-    put("peer_dropped_frames_total", "counter", l(&h.tally.dropped), "Frames dropped for want of room or for age.");
-    if let Some(d) = &h.disk_troubles {
+    put(
+        "peer_dropped_frames_total",
+        "counter",
+        l(&h.link_counters.dropped_frames),
+        "Frames dropped for want of room or for age.",
+    );
+    if let Some(d) = &h.disk_error_count {
         put("disk_errors_total", "counter", l(d), "Writes that the disk refused.");
     }
     put("version", "gauge", v.version.unwrap_or(0), "Version of the configuration in force.");
-    put("fresh", "gauge", u64::from(h.fresh(&v)), "Whether this node may admit calls.");
+    put("fresh", "gauge", u64::from(h.may_admit(&v)), "Whether this node may admit calls.");
     put("workers", "gauge", v.workers.len() as u64, "Workers that take calls.");
     put("nodes", "gauge", v.nodes.iter().filter(|n| n.1).count() as u64, "Nodes that are here.");
-    put("in_flight", "gauge", h.floor.worker_loads.total_in_flight(), "Calls at workers.");
-    let (places, units) = h.floor.queue_lengths();
+    put("in_flight", "gauge", h.call_state.worker_loads.total_in_flight(), "Calls at workers.");
+    let (places, units) = h.call_state.queue_lengths();
     put("queued_for_slot", "gauge", places, "Calls that wait for a slot at a worker.");
     put("queued_for_quota", "gauge", units, "Calls that wait for a unit of their quota.");
-    put("body_bytes", "gauge", h.floor.body_budget.used() as u64, "Bytes of bodies held at once.");
+    put("body_bytes", "gauge", h.call_state.body_budget.used() as u64, "Bytes of bodies held at once.");
     put("leases_held", "gauge", v.held_leases.len() as u64, "Leases held by this node.");
-    refusals(&mut s, &h.floor.rejections);
+    refusals(&mut s, &h.call_state.rejections);
     let _ =
         writeln!(s, "# HELP sumacvale_share_ppm Share of a tenant's rate held here.\n# TYPE sumacvale_share_ppm gauge");
-    for (t, share, _) in h.floor.slices.rates.list() {
+    for (t, share, _) in h.call_state.slices.rates.list() {
         let _ = writeln!(s, "sumacvale_share_ppm{{tenant={}}} {share}", quote(&t));
     }
-    let f = &h.floor;
+    let f = &h.call_state;
     times(
         &mut s,
         "time_to_first_byte_seconds",
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -1,11 +1,11 @@
 //! What operators, workers and probes can ask of a node.
 
 mod config;
-mod door;
 mod metrics;
 mod nodes;
 mod report;
-mod say;
+mod responses;
+mod routes;
 
 pub use config::body;
-pub use door::{admin, downstream};
+pub use routes::{admin, downstream};
--- a/crates/node/src/admin/nodes.rs
+++ b/crates/node/src/admin/nodes.rs
@@ -1,6 +1,6 @@
 //! Lists of nodes and workers, and draining of this node.
 
-use super::say::{json, quote};
+use super::responses::{json, quote};
 use crate::clock;
 use crate::shared::Shared;
 use std::sync::Arc;
@@ -46,7 +46,7 @@
 }
 
 fn rest(h: &Shared, on: bool) -> Response {
-    if h.resting.swap(on, Ordering::AcqRel) != on {
+    if h.operator_draining.swap(on, Ordering::AcqRel) != on {
         tracing::info!(draining = on, "an operator changed whether this node is ready");
     }
     json(StatusCode::OK, format!("{{\"draining\":{on}}}"))
@@ -80,11 +80,11 @@
         join(v.grants.iter().map(|(t, w, c, r)| {
             format!("{{\"tenant\":{},\"window\":{w},\"granted\":{c},\"returned\":{r}}}", quote(t))
         }));
-    let slices = join(h.floor.slices.list().iter().map(|(t, w, g, r, f)| {
+    let slices = join(h.call_state.slices.list().iter().map(|(t, w, g, r, f)| {
         format!("{{\"tenant\":{},\"window\":{w},\"granted\":{g},\"returned\":{r},\"free\":{f}}}", quote(t))
     }));
     let shares = join(
-        h.floor
+        h.call_state
             .slices
             .rates
             .list()
@@ -97,9 +97,9 @@
     }));
     let size = |n: &str, s: (usize, usize)| format!("\"{n}\":{{\"hits\":{},\"misses\":{}}}", s.0, s.1);
     let cache = [
-        size("keys", h.floor.caches.keys.size()),
-        size("quotas", h.floor.caches.quotas.size()),
-        size("routes", h.floor.caches.routes.size()),
+        size("keys", h.call_state.caches.keys.size()),
+        size("quotas", h.call_state.caches.quotas.size()),
+        size("routes", h.call_state.caches.routes.size()),
     ]
     .join(",");
     let fleet = d.map_or(0, |d| d.fleet_id);
@@ -108,12 +108,12 @@
         format!(
             "{{\"id\":\"{}\",\"zone\":{},\"fleet\":\"{fleet:016x}\",\"version\":{},\"change\":{},\"stamp_age_ms\":{age},\"fresh\":{},\"votes\":{},\"stopping\":{},\"cores\":{cores},\"nodes\":{},\"workers\":{},\"terms\":{terms},\"grants\":{grants},\"slices\":{slices},\"shares\":{shares},\"pools\":{held},\"cache\":{{{cache}}}}}",
             h.node_id,
-            quote(&h.env.zone),
+            quote(&h.settings.zone),
             v.version.map_or("null".into(), |n| n.to_string()),
             d.map_or("null".into(), |d| format!("\"{}\"", d.change_id)),
-            h.fresh(&v),
+            h.may_admit(&v),
             v.voter,
-            h.stopping(),
+            h.is_stopping(),
             node_list(&h),
             worker_list(&v.workers),
         ),
--- a/crates/node/src/admin/report.rs
+++ b/crates/node/src/admin/report.rs
@@ -1,6 +1,6 @@
 //! Reports of workers.
 
-use super::say::{json, trouble};
+use super::responses::{json, trouble};
 use crate::shared::{Command, Shared};
 use sonic_rs::{JsonValueTrait, Value};
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
     if row.draining {
         return drains(&h, row).await;
     }
-    if h.inbox.try_send(Command::Report(row)).is_err() {
+    if h.commands.try_send(Command::Report(row)).is_err() {
         return trouble(
             StatusCode::SERVICE_UNAVAILABLE,
             "busy",
@@ -38,7 +38,7 @@
 /// A worker relies on it that no more calls come once its drain was taken, so that is said only
 /// when a majority of the cores knows it.
 async fn drains(h: &Shared, row: WorkerReport) -> Response {
-    if crate::ops::beat(h, row).await {
+    if crate::ops::report_worker(h, row).await {
         return json(StatusCode::ACCEPTED, "{\"ok\":true}".into());
     }
     trouble(
--- a/crates/node/src/admin/door.rs
+++ b/crates/node/src/admin/routes.rs
@@ -1,6 +1,6 @@
 //! The routes of both listeners, and who may use them.
 
-use super::say::{text, trouble};
+use super::responses::{text, trouble};
 use super::{config, metrics, nodes, report};
 use crate::front;
 use crate::shared::Shared;
@@ -23,7 +23,7 @@
 }
 
 fn ready(h: &Shared) -> Response {
-    match crate::ops::ready(h) {
+    match crate::ops::readiness(h) {
         Ok(()) => text(StatusCode::OK, "ready\n".into()),
         Err(why) => text(StatusCode::SERVICE_UNAVAILABLE, format!("{why}\n")),
     }
@@ -50,7 +50,7 @@
     move |r: Request| {
         let h = h.clone();
         Box::pin(async move {
-            if !allowed(&r, &h.env.operators) {
+            if !allowed(&r, &h.settings.operator_token_hashes) {
                 return Ok(trouble(
                     StatusCode::UNAUTHORIZED,
                     "token",
@@ -84,7 +84,7 @@
         .post("/v1/report", move |r: Request| {
             let h = w.clone();
             async move {
-                if !allowed(&r, &h.env.workers) {
+                if !allowed(&r, &h.settings.worker_token_hashes) {
                     return Ok::<_, viz::Error>(trouble(
                         StatusCode::UNAUTHORIZED,
                         "token",
--- a/crates/node/src/brain/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -1,8 +1,8 @@
 //! The thread that steps the node: frames, timers, writes and pictures.
 
 use crate::clock;
-use crate::disk::Job;
-use crate::link::{Links, Tally, listen};
+use crate::disk::WriteJob;
+use crate::link::{LinkCounters, OutboundLinks, listen};
 use crate::shared::{Command, Shared};
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -20,16 +20,16 @@
     pub shared: Arc<Shared>,
     pub inbox: mpsc::Receiver<Command>,
     pub synced: mpsc::UnboundedReceiver<u64>,
-    pub disk: Option<std::sync::mpsc::Sender<Job>>,
+    pub disk: Option<std::sync::mpsc::Sender<WriteJob>>,
     pub version: watch::Sender<Option<Version>>,
-    pub tally: Arc<Tally>,
+    pub tally: Arc<LinkCounters>,
 }
 
 struct Open {
     waits: HashMap<u64, oneshot::Sender<ChangeOutcome>>,
     tells: HashMap<u64, oneshot::Sender<bool>>,
     n: u64,
-    links: Links,
+    links: OutboundLinks,
     workers: Arc<Vec<sumacvale_core::protocol::WorkerReport>>,
     known: HashMap<NodeId, bool>,
     refusals: RejectionLog,
@@ -49,7 +49,7 @@
             waits: HashMap::new(),
             tells: HashMap::new(),
             n: 0,
-            links: Links::new(self.tally.clone()),
+            links: OutboundLinks::new(self.tally.clone()),
             workers: Arc::default(),
             known: HashMap::new(),
             refusals: RejectionLog::default(),
@@ -65,15 +65,15 @@
                 i = self.inbox.recv() => match i {
                     None => return,
                     Some(Command::Report(r)) => Event::Report(r),
-                    Some(Command::Told { row, back }) => {
+                    Some(Command::ReportWithAck { report: row, reply: back }) => {
                         o.n += 1;
                         o.tells.insert(o.n, back);
                         Event::ReportWithAck { request_id: o.n, report: row }
                     }
-                    Some(Command::Need { tenant, waiting }) => Event::QuotaNeeded { tenant, waiting },
-                    Some(Command::Leave) => Event::Shutdown,
-                    Some(Command::Seeds(s)) => Event::SeedsChanged(s),
-                    Some(Command::Put { change_id, fresh, base, change, back }) => {
+                    Some(Command::QuotaNeeded { tenant, waiting }) => Event::QuotaNeeded { tenant, waiting },
+                    Some(Command::Shutdown) => Event::Shutdown,
+                    Some(Command::SeedsChanged(s)) => Event::SeedsChanged(s),
+                    Some(Command::SubmitChange { change_id, is_first_send: fresh, base, change, reply: back }) => {
                         o.n += 1;
                         o.waits.insert(o.n, back);
                         Event::SubmitChange { request_id: o.n, change_id, is_first_send: fresh, base, change }
@@ -84,7 +84,7 @@
             self.step(e, &mut o);
             if tick {
                 self.log_refusals(&mut o.refusals);
-                for (tenant, waiting) in self.shared.sweep() {
+                for (tenant, waiting) in self.shared.expire_waiters() {
                     self.step(Event::QuotaNeeded { tenant, waiting }, &mut o);
                 }
             }
@@ -115,7 +115,7 @@
             Effect::Reconnect { to } => o.links.reconnect(&to),
             Effect::Write { token, writes: ops } => {
                 if let Some(d) = &self.disk {
-                    let _ = d.send(Job { token, ops });
+                    let _ = d.send(WriteJob { token, writes: ops });
                 }
             }
             Effect::CompleteChange { request_id: req, outcome: fate } => {
@@ -129,8 +129,8 @@
                 }
             }
             Effect::WakeTenant { tenant } => {
-                for r in self.shared.floor.serve_quota_queue(&tenant, clock::now()) {
-                    self.shared.ring(r);
+                for r in self.shared.call_state.serve_quota_queue(&tenant, clock::now()) {
+                    self.shared.deliver_wakeup(r);
                 }
             }
             Effect::Publish(v) => {
@@ -146,9 +146,9 @@
                 }
                 if news {
                     for p in self.node.config.pools.keys() {
-                        self.shared.floor.caches.routes.delete(p);
+                        self.shared.call_state.caches.routes.delete(p);
                     }
-                    self.shared.sweep();
+                    self.shared.expire_waiters();
                 }
             }
         }
@@ -157,7 +157,7 @@
     /// Once a second while calls are refused: how many, by reason, and what this node stands on.
     fn log_refusals(&self, log: &mut RejectionLog) {
         let now = clock::now();
-        let Some(counts) = log.line(&self.shared.floor.rejections, now) else { return };
+        let Some(counts) = log.line(&self.shared.call_state.rejections, now) else { return };
         let view = self.shared.view.load();
         let stamp_age_ms = view.confirmed_at.map(|at| now.saturating_sub(at) / MS);
         let (workers, version) = (view.workers.len(), view.version);
--- a/crates/node/src/disk/database.rs
+++ b/crates/node/src/disk/database.rs
@@ -20,29 +20,29 @@
 
 /// Why a folder of data can't be used.
 #[derive(Debug, Display, thiserror::Error)]
-pub enum Damaged {
+pub enum DiskError {
     /// {0}: can't be used: {1}; mend the folder's rights or its disk
-    Folder(String, String),
+    UnusableFolder(String, String),
     /// {0}: holds other files and no state.db; name an empty folder or the right one
-    Foreign(String),
+    ForeignFolder(String),
     /// {0}: is not a data folder of sumacvale, or of another form ({1}); name the right folder, or use the release that wrote it
-    Form(String, String),
+    UnsupportedFormat(String, String),
     /// {0}: is damaged ({1}); move the folder away, start with an empty one, and admit this machine as a new core
-    Broken(String, String),
+    Corrupt(String, String),
     /// {0}: is in use by another process; stop that one, or name another folder
     InUse(String),
     /// the disk failed: {0}; free some room or replace the disk
-    Sql(#[from] rusqlite::Error),
+    Sqlite(#[from] rusqlite::Error),
     /// {0}: takes no writes now ({1}); free some room or replace the disk
     Unwritable(String, String),
 }
 
-impl Damaged {
+impl DiskError {
     /// Whether the disk may get over it by itself.
-    pub fn passes(&self) -> bool {
+    pub fn is_transient(&self) -> bool {
         match self {
-            Damaged::Unwritable(..) => true,
-            Damaged::Sql(e) => passes(e),
+            DiskError::Unwritable(..) => true,
+            DiskError::Sqlite(e) => passes(e),
             _ => false,
         }
     }
@@ -111,7 +111,7 @@
 ///   granted to that node in it.
 ///
 /// Two more tables are made in [`Database::open`].
-fn make(file: &Path, node_id: NodeId) -> Result<(), Damaged> {
+fn make(file: &Path, node_id: NodeId) -> Result<(), DiskError> {
     let mut db = Connection::open(file)?;
     db.execute_batch("PRAGMA journal_mode=WAL; PRAGMA synchronous=FULL;")?;
     let t = db.transaction()?;
@@ -128,17 +128,17 @@
     // All of it goes from the log into the file.
     let busy: i64 = db.query_row("PRAGMA wal_checkpoint(TRUNCATE)", [], |r| r.get(0))?;
     db.close().map_err(|(_, e)| e)?;
-    if busy == 0 { Ok(()) } else { Err(Damaged::Unwritable(file.display().to_string(), "the log stays".into())) }
+    if busy == 0 { Ok(()) } else { Err(DiskError::Unwritable(file.display().to_string(), "the log stays".into())) }
 }
 
 impl Database {
     /// As `open`, but waits for a disk that is full or in trouble: a core that has not counted its
     /// new life can't vote yet, and one that ended would only start again.
-    pub fn open_when_writable(dir: &Path, new: NodeId) -> Result<(Database, DurableState, Incarnation), Damaged> {
+    pub fn open_when_writable(dir: &Path, new: NodeId) -> Result<(Database, DurableState, Incarnation), DiskError> {
         let mut told = false;
         loop {
             match Database::open(dir, new) {
-                Err(e) if e.passes() => {
+                Err(e) if e.is_transient() => {
                     if !told {
                         tracing::error!(trouble = %e, "the disk takes no writes; this core waits for it and does not vote");
                     }
@@ -156,12 +156,12 @@
     }
 
     /// Opens the folder, or makes it where it is empty; the life counts starts.
-    pub fn open(dir: &Path, new: NodeId) -> Result<(Database, DurableState, Incarnation), Damaged> {
+    pub fn open(dir: &Path, new: NodeId) -> Result<(Database, DurableState, Incarnation), DiskError> {
         let at = dir.display().to_string();
         if !folder::prepare(dir)? {
             folder::create(dir, |draft| make(draft, new))?;
         }
-        let db = Connection::open(dir.join(folder::FILE))?;
+        let db = Connection::open(dir.join(folder::DATABASE_FILE))?;
         let mut b = Database { db, at, sizes: BTreeMap::new() };
         b.lock()?;
         b.judge()?;
@@ -185,7 +185,7 @@
 
     /// The number of this start. Read within a transaction of its own: where a statement that
     /// returns a row commits by itself, nobody hears that the commit failed.
-    fn count_life(&mut self) -> Result<Incarnation, Damaged> {
+    fn count_life(&mut self) -> Result<Incarnation, DiskError> {
         let t = self.db.transaction()?;
         let life: i64 = t.query_row("UPDATE meta SET life = life + 1 RETURNING life", [], |r| r.get(0))?;
         t.commit()?;
@@ -193,7 +193,7 @@
     }
 
     /// Folders of earlier releases hold versions without digests.
-    fn remember_all(&mut self, k: &DurableState) -> Result<(), Damaged> {
+    fn remember_all(&mut self, k: &DurableState) -> Result<(), DiskError> {
         let held: i64 = self.db.query_row("SELECT COUNT(*) FROM digest", [], |r| r.get(0))?;
         if held > 0 || k.digests.is_empty() {
             return Ok(());
@@ -201,37 +201,42 @@
         self.commit([DurableWrite::Digests(k.digests.as_slice().to_vec())].iter())
     }
 
-    fn lock(&mut self) -> Result<(), Damaged> {
+    fn lock(&mut self) -> Result<(), DiskError> {
         let r = self.db.execute_batch(&format!(
             "PRAGMA locking_mode=EXCLUSIVE; PRAGMA journal_mode=WAL; PRAGMA synchronous=FULL; PRAGMA busy_timeout=0;
              PRAGMA journal_size_limit={LOG_BYTES}; BEGIN IMMEDIATE; COMMIT;"
         ));
         r.map_err(|e| match e.sqlite_error_code() {
             Some(rusqlite::ErrorCode::DatabaseBusy | rusqlite::ErrorCode::DatabaseLocked) => {
-                Damaged::InUse(self.at.clone())
+                DiskError::InUse(self.at.clone())
             }
-            Some(rusqlite::ErrorCode::NotADatabase) => Damaged::Form(self.at.clone(), "no SQLite file".into()),
-            Some(rusqlite::ErrorCode::DatabaseCorrupt) => Damaged::Broken(self.at.clone(), e.to_string()),
-            _ => Damaged::Sql(e),
+            Some(rusqlite::ErrorCode::NotADatabase) => {
+                DiskError::UnsupportedFormat(self.at.clone(), "no SQLite file".into())
+            }
+            Some(rusqlite::ErrorCode::DatabaseCorrupt) => DiskError::Corrupt(self.at.clone(), e.to_string()),
+            _ => DiskError::Sqlite(e),
         })
     }
 
-    fn judge(&self) -> Result<(), Damaged> {
+    fn judge(&self) -> Result<(), DiskError> {
         let bad = |e: rusqlite::Error| match passes(&e) {
-            true => Damaged::Sql(e),
-            false => Damaged::Broken(self.at.clone(), e.to_string()),
+            true => DiskError::Sqlite(e),
+            false => DiskError::Corrupt(self.at.clone(), e.to_string()),
         };
         let mark: i32 = self.db.query_row("PRAGMA application_id", [], |r| r.get(0)).map_err(bad)?;
         if mark != MARK {
-            return Err(Damaged::Form(self.at.clone(), "not marked as sumacvale's".into()));
+            return Err(DiskError::UnsupportedFormat(self.at.clone(), "not marked as sumacvale's".into()));
         }
         let ok: String = self.db.query_row("PRAGMA integrity_check", [], |r| r.get(0)).map_err(bad)?;
         if ok != "ok" {
-            return Err(Damaged::Broken(self.at.clone(), ok));
+            return Err(DiskError::Corrupt(self.at.clone(), ok));
         }
         let form: i64 = self.db.query_row("SELECT form FROM meta", [], |r| r.get(0)).map_err(bad)?;
         if form != FORM {
-            return Err(Damaged::Form(self.at.clone(), format!("form {form}, this release knows {FORM}")));
+            return Err(DiskError::UnsupportedFormat(
+                self.at.clone(),
+                format!("form {form}, this release knows {FORM}"),
+            ));
         }
         Ok(())
     }
@@ -240,8 +245,8 @@
         &self,
         b: &[u8],
         what: &str,
-    ) -> Result<T, Damaged> {
-        let bad = || Damaged::Broken(self.at.clone(), format!("{what} does not match its check sum"));
+    ) -> Result<T, DiskError> {
+        let bad = || DiskError::Corrupt(self.at.clone(), format!("{what} does not match its check sum"));
         let (d, h) = b.split_at_checked(b.len().saturating_sub(8)).ok_or_else(bad)?;
         if h != hash64(d).to_le_bytes() {
             return Err(bad());
@@ -249,9 +254,9 @@
         musli::wire::from_slice(d).map_err(|_| bad())
     }
 
-    fn load(&self) -> Result<DurableState, Damaged> {
+    fn load(&self) -> Result<DurableState, DiskError> {
         let id = |b: Vec<u8>| b.try_into().map(u64::from_be_bytes).map(NodeId);
-        let torn = || Damaged::Broken(self.at.clone(), "a member id is torn".into());
+        let torn = || DiskError::Corrupt(self.at.clone(), "a member id is torn".into());
         let (b, ready): (Vec<u8>, Option<i64>) =
             self.db.query_row("SELECT nid, ready FROM meta", [], |r| Ok((r.get(0)?, r.get(1)?)))?;
         let mut k = DurableState {
@@ -262,7 +267,7 @@
         let mut q = self.db.prepare("SELECT body FROM decree ORDER BY ver")?;
         for b in q.query_map([], |r| r.get::<_, Vec<u8>>(0))? {
             let d: LogEntry = self.unseal(&b?, "a version")?;
-            let torn = || Damaged::Broken(self.at.clone(), "a version can't be unpacked".into());
+            let torn = || DiskError::Corrupt(self.at.clone(), "a version can't be unpacked".into());
             let d = d.decompress().ok_or_else(torn)?;
             k.entries.insert(d.version, d);
         }
@@ -283,7 +288,7 @@
         }
         if let Some(b) = blob("accept")? {
             let v: Said = self.unseal(&b, "the acceptance")?;
-            let torn = || Damaged::Broken(self.at.clone(), "the acceptance can't be unpacked".into());
+            let torn = || DiskError::Corrupt(self.at.clone(), "the acceptance can't be unpacked".into());
             k.accepted = Some((v.ballot, v.decree.decompress().ok_or_else(torn)?));
         }
         if let Some(b) = blob("pledge")? {
@@ -318,16 +323,16 @@
     }
 
     /// Writes all of it or nothing, and returns when the disk has it.
-    pub fn commit<'a>(&mut self, ops: impl Iterator<Item = &'a DurableWrite>) -> Result<(), Damaged> {
+    pub fn commit<'a>(&mut self, ops: impl Iterator<Item = &'a DurableWrite>) -> Result<(), DiskError> {
         let i = |n: u64| i64::try_from(n).unwrap_or(i64::MAX);
         let mut sizes = self.sizes.clone();
         let t = self.db.transaction()?;
-        let remember = |d: &EntryDigest| -> Result<(), Damaged> {
+        let remember = |d: &EntryDigest| -> Result<(), DiskError> {
             t.prepare_cached("INSERT OR IGNORE INTO digest VALUES (?1, ?2)")?
                 .execute(params![i(d.version), seal(d)?])?;
             Ok(())
         };
-        let put = |w: &str, b: Vec<u8>| -> Result<(), Damaged> {
+        let put = |w: &str, b: Vec<u8>| -> Result<(), DiskError> {
             t.prepare_cached("INSERT OR REPLACE INTO vote VALUES (?1, ?2)")?.execute(params![w, b])?;
             Ok(())
         };
--- a/crates/node/src/disk/mod.rs
+++ b/crates/node/src/disk/mod.rs
@@ -4,7 +4,7 @@
 mod folder;
 mod writer;
 
-pub(crate) use folder::{PROBE, failed};
+pub(crate) use folder::{PROBE_FILE, folder_error};
 
-pub use database::{Damaged, Database};
-pub use writer::{DiskWriter, Job};
+pub use database::{Database, DiskError};
+pub use writer::{DiskWriter, WriteJob};
--- a/crates/node/src/disk/writer.rs
+++ b/crates/node/src/disk/writer.rs
@@ -9,22 +9,22 @@
 
 /// Writes that are synced together.
 #[derive(Debug)]
-pub struct Job {
+pub struct WriteJob {
     pub token: u64,
-    pub ops: Vec<DurableWrite>,
+    pub writes: Vec<DurableWrite>,
 }
 
 /// The thread that alone touches the disk.
 pub struct DiskWriter {
-    pub tx: Sender<Job>,
-    pub troubles: Arc<AtomicU64>,
+    pub jobs: Sender<WriteJob>,
+    pub error_count: Arc<AtomicU64>,
 }
 
 impl DiskWriter {
     /// Writes in order, many jobs in one commit; what fails is tried again, and
     /// nobody is told before it is synced.
     pub fn open(mut base: Database, done: impl Fn(u64) + Send + 'static) -> std::io::Result<DiskWriter> {
-        let (tx, rx): (Sender<Job>, Receiver<Job>) = channel();
+        let (tx, rx): (Sender<WriteJob>, Receiver<WriteJob>) = channel();
         let troubles = Arc::new(AtomicU64::new(0));
         let t = troubles.clone();
         let work = move || {
@@ -37,7 +37,7 @@
                 }
                 let token = js.last().map_or(0, |j| j.token);
                 let mut bad = false;
-                while let Err(e) = base.commit(js.iter().flat_map(|j| j.ops.iter())) {
+                while let Err(e) = base.commit(js.iter().flat_map(|j| j.writes.iter())) {
                     t.fetch_add(1, Ordering::Relaxed);
                     if !bad {
                         tracing::error!(trouble = %e, "the disk takes no writes; this core does not vote until it does");
@@ -56,6 +56,6 @@
                 crate::fall("the disk thread ended");
             }
         })?;
-        Ok(DiskWriter { tx, troubles })
+        Ok(DiskWriter { jobs: tx, error_count: troubles })
     }
 }
--- a/crates/node/src/front/carrier.rs
+++ b/crates/node/src/front/call_task.rs
@@ -1,10 +1,12 @@
 //! The task that carries one call: it does what the core's life of the call wants done.
 
-use super::heads::{self, Ask};
-use super::{answer, body};
+use super::headers::{self, ClientRequest};
+use super::{body, local_response};
 use crate::clock;
 use crate::shared::{Command, Shared};
-use crate::upstream::{Busy, Failed, Line, Open, Shut, Target, Want};
+use crate::upstream::{
+    ConnectError, Connected, ConnectionRequirements, Responding, SendError, Target, UpstreamConnection,
+};
 use bytes::Bytes;
 use futures::StreamExt;
 use http_body_util::BodyStream;
@@ -25,25 +27,25 @@
 type Item = Result<Bytes, std::io::Error>;
 
 /// What the outside came to.
-enum Done {
+enum IoOutcome {
     Read(Result<Bytes, BodyError>, BodyReservation),
-    Opened(Result<Line<Open>, Shut>),
-    Sent(Result<(hyper::Response<Incoming>, Line<Busy>), Failed>),
+    Opened(Result<UpstreamConnection<Connected>, ConnectError>),
+    Sent(Result<(hyper::Response<Incoming>, UpstreamConnection<Responding>), SendError>),
 }
 
 /// What this call waits for outside.
-enum Doing {
+enum PendingIo {
     Nothing,
-    Work(Pin<Box<dyn Future<Output = Done> + Send>>),
-    Flow(BodyStream<Incoming>, Line<Busy>),
+    Work(Pin<Box<dyn Future<Output = IoOutcome> + Send>>),
+    Flow(BodyStream<Incoming>, UpstreamConnection<Responding>),
 }
 
 /// One call with all that it holds outside; whatever it holds inside goes back when this goes.
-pub struct Carrier {
+pub struct CallTask {
     h: Arc<Shared>,
     n: u64,
     life: CallMachine,
-    ask: Ask,
+    ask: ClientRequest,
     todo: VecDeque<Effect>,
     events: mpsc::UnboundedReceiver<Event>,
     version: watch::Receiver<Option<u64>>,
@@ -51,24 +53,24 @@
     held: Option<BodyReservation>,
     bytes: Bytes,
     at: Option<Endpoint>,
-    line: Option<Line<Open>>,
+    line: Option<UpstreamConnection<Connected>>,
     /// A kept connection had ended, so the next one is a new one.
     fresh: bool,
     head: Option<hyper::http::response::Parts>,
     /// How much of a body of known length is still due. Nobody asks for more after that.
     owed: Option<u64>,
-    doing: Doing,
-    nap: Nap,
+    doing: PendingIo,
+    nap: CallTimer,
 }
 
 /// The one timer of a call. It is set anew only where the moment comes earlier, or has passed.
 #[derive(Default)]
-struct Nap {
+struct CallTimer {
     at: Option<Micros>,
     z: Option<Pin<Box<tokio::time::Sleep>>>,
 }
 
-impl Nap {
+impl CallTimer {
     async fn until(&mut self, due: Option<Micros>) {
         let Some(t) = due else { return std::future::pending().await };
         loop {
@@ -92,13 +94,13 @@
     }
 }
 
-impl Carrier {
+impl CallTask {
     /// A task for the call with this number.
-    pub fn new(h: Arc<Shared>, n: u64, head: RequestHead, ask: Ask, body: Body) -> Self {
+    pub fn new(h: Arc<Shared>, n: u64, head: RequestHead, ask: ClientRequest, body: Body) -> Self {
         let life = CallMachine::new(n, head, h.view.load_full(), clock::now());
         let events = h.call_events.subscribe(n);
-        let version = h.version.clone();
-        Carrier {
+        let version = h.published_version.clone();
+        CallTask {
             n,
             life,
             ask,
@@ -113,8 +115,8 @@
             fresh: false,
             head: None,
             owed: None,
-            doing: Doing::Nothing,
-            nap: Nap::default(),
+            doing: PendingIo::Nothing,
+            nap: CallTimer::default(),
             h,
         }
     }
@@ -125,7 +127,7 @@
         loop {
             while let Some(e) = self.todo.pop_front() {
                 match e {
-                    Effect::Respond(a) => return answer::response(self.h.dialect, &a, &self.ask.id),
+                    Effect::Respond(a) => return local_response::response(self.h.adapter, &a, &self.ask.call_id),
                     Effect::ForwardHead => return self.begin().await,
                     e => self.carry(e),
                 }
@@ -138,9 +140,9 @@
     async fn begin(mut self) -> Response {
         let mut r = Response::new(Body::empty());
         if let Some(p) = self.head.take() {
-            heads::pass(&self.h.dialect.heads, &p, &self.ask.id, &mut r);
+            headers::pass(&self.h.adapter.headers, &p, &self.ask.call_id, &mut r);
         }
-        self.owed = heads::length(r.headers());
+        self.owed = headers::length(r.headers());
         if self.owed == Some(0) {
             let _ = self.next().await;
             return r;
@@ -176,13 +178,13 @@
                         };
                     }
                     Effect::End => {
-                        if let Doing::Flow(_, l) = std::mem::replace(&mut self.doing, Doing::Nothing) {
+                        if let PendingIo::Flow(_, l) = std::mem::replace(&mut self.doing, PendingIo::Nothing) {
                             l.keep(&self.h.upstreams);
                         }
                         return None;
                     }
                     Effect::Abort(why) => {
-                        tracing::debug!(call = %self.ask.id, why, "a response broke off");
+                        tracing::debug!(call = %self.ask.call_id, why, "a response broke off");
                         return Some(Err(std::io::Error::other(why)));
                     }
                     e => self.carry(e),
@@ -194,12 +196,12 @@
     }
 
     fn step(&mut self, e: Event) {
-        let out = self.h.step(|cx| self.life.step(e, cx));
+        let out = self.h.with_step_context(|cx| self.life.step(e, cx));
         for e in out {
             match e {
-                Effect::Wake(r) => self.h.ring(r),
+                Effect::Wake(r) => self.h.deliver_wakeup(r),
                 Effect::RequestUnits { tenant, waiting } => {
-                    let _ = self.h.inbox.try_send(Command::Need { tenant, waiting });
+                    let _ = self.h.commands.try_send(Command::QuotaNeeded { tenant, waiting });
                 }
                 e => self.todo.push_back(e),
             }
@@ -211,40 +213,45 @@
         match e {
             Effect::ReadBody { max_bytes: most } => {
                 let b = self.body.take().unwrap_or_default();
-                let mut held = h.floor.body_budget.reserve();
-                self.doing = Doing::Work(Box::pin(async move {
+                let mut held = h.call_state.body_budget.reserve();
+                self.doing = PendingIo::Work(Box::pin(async move {
                     let r = body::read(b, most, &mut held).await;
-                    Done::Read(r, held)
+                    IoOutcome::Read(r, held)
                 }));
             }
             Effect::Connect(p) => {
-                let l = Line::to(Target { addr: p.addr, worker_id: p.worker_id.clone(), incarnation: p.incarnation });
-                let want = Want {
-                    fresh: std::mem::take(&mut self.fresh),
-                    once: self.life.route().is_none_or(|w| !w.matched.idempotent),
-                    cap: h.limits.worker_conns(),
+                let l = UpstreamConnection::to(Target {
+                    addr: p.addr,
+                    worker_id: p.worker_id.clone(),
+                    incarnation: p.incarnation,
+                });
+                let want = ConnectionRequirements {
+                    must_be_new: std::mem::take(&mut self.fresh),
+                    is_non_idempotent: self.life.route().is_none_or(|w| !w.matched.idempotent),
+                    max_connections: h.connection_limits.max_worker_connections(),
                 };
                 self.at = Some(p);
-                self.doing = Doing::Work(Box::pin(async move { Done::Opened(l.open(&h.upstreams, want).await) }));
+                self.doing =
+                    PendingIo::Work(Box::pin(async move { IoOutcome::Opened(l.open(&h.upstreams, want).await) }));
             }
             Effect::Send { last_event_id: after, window, deadline: until, urgency } => {
                 let tenant = self.life.route().map_or("", |w| &w.tenant.name).to_owned();
                 let req = self.at.as_ref().and_then(|p| {
-                    if p.zone != h.env.zone {
-                        h.floor.counters.cross_zone_bytes.add(self.bytes.len() as u64);
+                    if p.zone != h.settings.zone {
+                        h.call_state.counters.cross_zone_bytes.add(self.bytes.len() as u64);
                     }
                     let left = (until != Micros::MAX).then(|| until.saturating_sub(clock::now()) / MS);
-                    let t = heads::Attempt { to: p, tenant: &tenant, after, window, left, urgency };
-                    heads::request(h.dialect, &self.ask, &t, self.bytes.clone())
+                    let t = headers::Attempt { to: p, tenant: &tenant, after, window, left, urgency };
+                    headers::request(h.adapter, &self.ask, &t, self.bytes.clone())
                 });
                 self.doing = match (req, self.line.take()) {
-                    (Some(r), Some(l)) => Doing::Work(Box::pin(async move { Done::Sent(l.send(r).await) })),
-                    _ => Doing::Work(Box::pin(std::future::ready(Done::Sent(Err(Failed::Refused))))),
+                    (Some(r), Some(l)) => PendingIo::Work(Box::pin(async move { IoOutcome::Sent(l.send(r).await) })),
+                    _ => PendingIo::Work(Box::pin(std::future::ready(IoOutcome::Sent(Err(SendError::NotSent))))),
                 };
             }
             Effect::Close => {
                 self.line = None;
-                self.doing = Doing::Nothing;
+                self.doing = PendingIo::Nothing;
             }
             _ => {}
         }
@@ -267,45 +274,45 @@
         }
     }
 
-    fn done(&mut self, d: Done) -> Event {
-        self.doing = Doing::Nothing;
+    fn done(&mut self, d: IoOutcome) -> Event {
+        self.doing = PendingIo::Nothing;
         match d {
-            Done::Read(r, held) => {
+            IoOutcome::Read(r, held) => {
                 self.held = Some(held);
                 if let Ok(b) = &r {
                     self.bytes = b.clone();
                 }
                 Event::Body(r)
             }
-            Done::Opened(Ok(l)) => {
+            IoOutcome::Opened(Ok(l)) => {
                 self.line = Some(l);
                 Event::Connected
             }
-            Done::Opened(Err(Shut::Full)) => Event::AttemptFailed(FailurePoint::Declined),
-            Done::Opened(Err(Shut::Io(_))) | Done::Sent(Err(Failed::Refused)) => {
+            IoOutcome::Opened(Err(ConnectError::LimitReached)) => Event::AttemptFailed(FailurePoint::Declined),
+            IoOutcome::Opened(Err(ConnectError::Io(_))) | IoOutcome::Sent(Err(SendError::NotSent)) => {
                 Event::AttemptFailed(FailurePoint::Connect)
             }
-            Done::Sent(Err(Failed::Unsent)) => {
+            IoOutcome::Sent(Err(SendError::StaleConnection)) => {
                 self.fresh = true;
                 Event::NotSent
             }
-            Done::Sent(Err(Failed::Lost)) => Event::AttemptFailed(FailurePoint::Sent),
-            Done::Sent(Ok((r, l))) => {
-                let reply = heads::reply(&self.h.dialect.heads, &r, &self.ask);
+            IoOutcome::Sent(Err(SendError::MaybeSent)) => Event::AttemptFailed(FailurePoint::Sent),
+            IoOutcome::Sent(Ok((r, l))) => {
+                let reply = headers::reply(&self.h.adapter.headers, &r, &self.ask);
                 let (p, b) = r.into_parts();
                 self.head = Some(p);
-                self.doing = Doing::Flow(BodyStream::new(b), l);
+                self.doing = PendingIo::Flow(BodyStream::new(b), l);
                 Event::Head(reply)
             }
         }
     }
 }
 
-async fn outside(d: &mut Doing) -> Result<Event, Done> {
+async fn outside(d: &mut PendingIo) -> Result<Event, IoOutcome> {
     match d {
-        Doing::Nothing => std::future::pending().await,
-        Doing::Work(f) => Err(f.await),
-        Doing::Flow(b, _) => loop {
+        PendingIo::Nothing => std::future::pending().await,
+        PendingIo::Work(f) => Err(f.await),
+        PendingIo::Flow(b, _) => loop {
             match b.next().await {
                 None => return Ok(Event::End),
                 Some(Err(_)) => return Ok(Event::BodyAborted),
@@ -319,7 +326,7 @@
     }
 }
 
-impl Drop for Carrier {
+impl Drop for CallTask {
     fn drop(&mut self) {
         self.step(Event::ClientGone);
         self.h.call_events.unsubscribe(self.n);
--- a/crates/node/src/front/heads.rs
+++ b/crates/node/src/front/headers.rs
@@ -1,6 +1,6 @@
 //! Heads of calls, read by a dialect.
 
-use crate::dialect::{Dialect, Heads};
+use crate::protocol_adapter::{HeaderNames, ProtocolAdapter};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -23,11 +23,11 @@
 ];
 
 /// What every try of one call has in common.
-pub struct Ask {
-    pub id: String,
+pub struct ClientRequest {
+    pub call_id: String,
     pub method: Method,
     pub target: String,
-    pub heads: HeaderMap,
+    pub headers: HeaderMap,
 }
 
 fn text<'a>(h: &'a HeaderMap, k: &str) -> Option<&'a str> {
@@ -39,8 +39,8 @@
 }
 
 /// The id that the caller gave the call.
-pub fn call_id(d: &Heads, h: &HeaderMap) -> Option<String> {
-    text(h, d.id).filter(|s| !s.is_empty() && s.len() <= 128).map(str::to_owned)
+pub fn call_id(d: &HeaderNames, h: &HeaderMap) -> Option<String> {
+    text(h, d.request_id).filter(|s| !s.is_empty() && s.len() <= 128).map(str::to_owned)
 }
 
 fn parts(s: &str) -> SmallVec<[(u64, u32); 4]> {
@@ -59,8 +59,8 @@
 }
 
 /// What the core needs to know of a call.
-pub fn head(d: &Heads, m: &Method, u: &hyper::Uri, h: &HeaderMap) -> RequestHead {
-    let tokens = by(h, d.tokens).and_then(|s| {
+pub fn head(d: &HeaderNames, m: &Method, u: &hyper::Uri, h: &HeaderMap) -> RequestHead {
+    let tokens = by(h, d.token_counts).and_then(|s| {
         let (a, b) = s.split_once(',')?;
         Some((a.trim().parse().ok()?, b.trim().parse().ok()?))
     });
@@ -71,8 +71,8 @@
         query: u.query().map(str::to_owned),
         api_key: text(h, "authorization").and_then(|s| s.strip_prefix("Bearer ")).map(str::to_owned),
         last_event_id: text(h, "last-event-id").and_then(|s| s.trim().parse().ok()),
-        time_left: by(h, d.left).and_then(|s| s.trim().parse::<u64>().ok()).map(|n| n.saturating_mul(MS)),
-        prompt_parts: by(h, d.parts).map(parts).unwrap_or_default(),
+        time_left: by(h, d.time_left).and_then(|s| s.trim().parse::<u64>().ok()).map(|n| n.saturating_mul(MS)),
+        prompt_parts: by(h, d.prompt_parts).map(parts).unwrap_or_default(),
         tokens: tokens.unwrap_or_default(),
     }
 }
@@ -89,17 +89,22 @@
 }
 
 /// The request for one worker: the caller's, without its key, and who it is for.
-pub fn request(d: &Dialect, a: &Ask, t: &Attempt, body: Bytes) -> Option<hyper::Request<Full<Bytes>>> {
-    let n = &d.heads;
+pub fn request(
+    d: &ProtocolAdapter,
+    a: &ClientRequest,
+    t: &Attempt,
+    body: Bytes,
+) -> Option<hyper::Request<Full<Bytes>>> {
+    let n = &d.headers;
     let mut b = hyper::Request::builder().method(a.method.clone()).uri(&a.target);
-    b = match a.heads.get(header::HOST).filter(|_| d.host) {
+    b = match a.headers.get(header::HOST).filter(|_| d.preserves_host) {
         Some(h) => b.header(header::HOST, h),
         None => b.header(header::HOST, t.to.addr.to_string()),
     };
-    let named = a.heads.get(header::CONNECTION).and_then(|v| v.to_str().ok()).unwrap_or("").to_ascii_lowercase();
+    let named = a.headers.get(header::CONNECTION).and_then(|v| v.to_str().ok()).unwrap_or("").to_ascii_lowercase();
     let one = |k: &str| named.split(',').any(|x| x.trim() == k);
-    let ours = [Some(n.id), Some(n.tenant), n.window, n.worker, n.left, n.urgency];
-    for (k, v) in &a.heads {
+    let ours = [Some(n.request_id), Some(n.tenant), n.quota_window, n.worker, n.time_left, n.urgency];
+    for (k, v) in &a.headers {
         let k = k.as_str();
         let skip = HOP.contains(&k)
             || t.after.is_some() && k == "last-event-id"
@@ -110,17 +115,17 @@
             b = b.header(k, v);
         }
     }
-    b = b.header(n.id, &a.id);
+    b = b.header(n.request_id, &a.call_id);
     if !t.tenant.is_empty() {
         b = b.header(n.tenant, t.tenant);
     }
-    if let Some(k) = n.window {
+    if let Some(k) = n.quota_window {
         b = b.header(k, t.window);
     }
     if let Some(k) = n.worker {
         b = b.header(k, &t.to.worker_id);
     }
-    if let (Some(k), Some(l)) = (n.left, t.left) {
+    if let (Some(k), Some(l)) = (n.time_left, t.left) {
         b = b.header(k, l);
     }
     if let (Some(k), Some(u)) = (n.urgency, t.urgency) {
@@ -138,8 +143,8 @@
 }
 
 /// Whether an answer names this request and no other; none if it names none.
-fn names(d: &Heads, h: &HeaderMap, id: &str) -> Option<bool> {
-    let mut all = h.get_all(d.id).iter().peekable();
+fn names(d: &HeaderNames, h: &HeaderMap, id: &str) -> Option<bool> {
+    let mut all = h.get_all(d.request_id).iter().peekable();
     all.peek()?;
     Some(all.all(|v| v.to_str().ok() == Some(id)))
 }
@@ -159,16 +164,16 @@
 
 /// What the head of a worker's answer comes to. Only one that names its request is believed
 /// where it says that it did not run; where answers bear seals, each must name its request.
-pub fn reply(d: &Heads, r: &hyper::Response<Incoming>, ask: &Ask) -> ResponseHead {
+pub fn reply(d: &HeaderNames, r: &hyper::Response<Incoming>, ask: &ClientRequest) -> ResponseHead {
     let h = r.headers();
     let status = r.status().as_u16();
-    let named = names(d, h, &ask.id);
+    let named = names(d, h, &ask.call_id);
     let success = (200..300).contains(&status);
-    let anonymous = d.seal.is_some() && named.is_none();
-    let unsealed = success && d.seal.is_some_and(|k| !h.contains_key(k));
+    let anonymous = d.worker_seal.is_some() && named.is_none();
+    let unsealed = success && d.worker_seal.is_some_and(|k| !h.contains_key(k));
     // The library skips the other heads of status 1xx, and nobody asked to switch protocols.
     let no_answer = status < 200;
-    let says_not = text(h, d.unrun.0).is_some_and(|v| d.unrun.1.is_none_or(|w| v == w));
+    let says_not = text(h, d.not_run.0).is_some_and(|v| d.not_run.1.is_none_or(|w| v == w));
     // A success that says that it did not run is spoiled, whichever of the two is true.
     let contradicts = success && says_not;
     let misdirected = status == 421 && d.worker.is_some();
@@ -178,7 +183,7 @@
         has_definite_end: bounded(&ask.method, status, h),
         not_run: named == Some(true) && !success && (says_not || misdirected),
         is_foreign: named == Some(false) || anonymous || unsealed || no_answer || contradicts,
-        load: by(h, d.load).and_then(load),
+        load: by(h, d.worker_load).and_then(load),
     }
 }
 
@@ -189,7 +194,7 @@
 }
 
 /// The worker's head as the downstream gets it.
-pub fn pass(d: &Heads, p: &hyper::http::response::Parts, id: &str, to: &mut Response) {
+pub fn pass(d: &HeaderNames, p: &hyper::http::response::Parts, id: &str, to: &mut Response) {
     *to.status_mut() = p.status;
     for (k, v) in &p.headers {
         if !HOP.contains(&k.as_str()) {
@@ -202,10 +207,10 @@
     if let Some(n) = length(&p.headers).filter(|_| told) {
         to.headers_mut().insert(header::CONTENT_LENGTH, n.into());
     }
-    if let Some(k) = d.ran {
+    if let Some(k) = d.execution {
         to.headers_mut().insert(k, HeaderValue::from_static("yes"));
     }
     if let Ok(v) = HeaderValue::from_str(id) {
-        to.headers_mut().insert(d.id, v);
+        to.headers_mut().insert(d.request_id, v);
     }
 }
--- a/crates/node/src/front/answer.rs
+++ b/crates/node/src/front/local_response.rs
@@ -1,11 +1,11 @@
 //! The router's own answers to calls.
 
-use crate::dialect::Dialect;
+use crate::protocol_adapter::ProtocolAdapter;
 use sumacvale_core::call::{LocalResponse, spread_retry_after};
 use viz::{Body, Response, StatusCode, header};
 
 /// An answer in the words of a dialect.
-pub fn response(d: &Dialect, a: &LocalResponse, id: &str) -> Response {
+pub fn response(d: &ProtocolAdapter, a: &LocalResponse, id: &str) -> Response {
     let back = a.retry_after.map(|t| spread_retry_after(t, id));
     let mut s = format!(
         "{{\"code\":\"{}\",\"remedy\":{},\"ran\":\"{}\",\"call\":{}",
@@ -22,14 +22,14 @@
     *r.status_mut() = StatusCode::from_u16(a.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let h = r.headers_mut();
     h.insert(header::CONTENT_TYPE, header::HeaderValue::from_static("application/json"));
-    if let Some(k) = d.heads.ran {
+    if let Some(k) = d.headers.execution {
         h.insert(k, header::HeaderValue::from_static(a.execution.name()));
     }
-    if let Some(v) = a.retry_after.and_then(|t| header::HeaderValue::from_str(&(d.back)(t, id)).ok()) {
+    if let Some(v) = a.retry_after.and_then(|t| header::HeaderValue::from_str(&(d.format_retry_after)(t, id)).ok()) {
         h.insert(header::RETRY_AFTER, v);
     }
     if let Ok(v) = header::HeaderValue::from_str(id) {
-        h.insert(d.heads.id, v);
+        h.insert(d.headers.request_id, v);
     }
     r
 }
--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -1,9 +1,9 @@
 //! Carries the life of a call out: reads, opens, sends and passes what it says.
 
-mod answer;
 mod body;
-mod carrier;
-mod heads;
+mod call_task;
+mod headers;
+mod local_response;
 mod serve;
 
 pub use serve::serve;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,18 +1,18 @@
 //! `sumacvale`: sockets, files and timers round the core.
 
 pub mod admin;
-pub mod brain;
 pub mod clock;
-pub mod dialect;
+pub mod control;
 pub mod disk;
-pub mod env;
 pub mod front;
 pub mod import;
 pub mod link;
 pub mod net;
 pub mod ops;
+pub mod protocol_adapter;
 pub mod run;
 pub mod serve;
+pub mod settings;
 pub mod shared;
 pub mod upstream;
 pub mod watched;
--- a/crates/node/src/link/inbound.rs
+++ b/crates/node/src/link/inbound.rs
@@ -1,6 +1,6 @@
 //! Frames that other nodes send to this one.
 
-use super::Tally;
+use super::LinkCounters;
 use crate::net;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -11,7 +11,7 @@
 use tokio::sync::Semaphore;
 
 /// Takes frames from any node; what is no frame ends its connection and no other.
-pub async fn listen(l: TcpListener, t: Arc<Tally>, got: impl AsyncFn(Frame) + Clone + 'static) {
+pub async fn listen(l: TcpListener, t: Arc<LinkCounters>, got: impl AsyncFn(Frame) + Clone + 'static) {
     let room = Arc::new(Semaphore::new(1024));
     loop {
         let Ok(p) = room.clone().acquire_owned().await else { return };
@@ -25,16 +25,16 @@
             if let Err(e) = read(s, &t, got).await
                 && e.kind() == std::io::ErrorKind::InvalidData
             {
-                t.garbled.fetch_add(1, Ordering::Relaxed);
+                t.invalid_frames.fetch_add(1, Ordering::Relaxed);
                 tracing::warn!(%from, trouble = %e, "closed a peer connection");
             }
         });
     }
 }
 
-async fn read(mut s: TcpStream, t: &Tally, got: impl AsyncFn(Frame)) -> std::io::Result<()> {
+async fn read(mut s: TcpStream, t: &LinkCounters, got: impl AsyncFn(Frame)) -> std::io::Result<()> {
     net::tune(&s, net::PEER);
-    t.connects.fetch_add(1, Ordering::Relaxed);
+    t.accepted_connections.fetch_add(1, Ordering::Relaxed);
     let bad = |e: String| std::io::Error::new(std::io::ErrorKind::InvalidData, e);
     let mut buf = Vec::new();
     let mut peer_is_known = false;
@@ -71,8 +71,8 @@
 
 /// A peer of another release may send messages that this one has no word for: the frame is whole,
 /// so the ones behind it are read.
-fn skip_unread(t: &Tally, e: &FrameError) {
-    if t.unread.fetch_add(1, Ordering::Relaxed) == 0 {
+fn skip_unread(t: &LinkCounters, e: &FrameError) {
+    if t.skipped_frames.fetch_add(1, Ordering::Relaxed) == 0 {
         tracing::warn!(trouble = %e, "skipped a peer's frame; later ones are only counted");
     }
 }
--- a/crates/node/src/link/outbound.rs
+++ b/crates/node/src/link/outbound.rs
@@ -1,6 +1,6 @@
 //! Frames to other nodes.
 
-use super::Tally;
+use super::LinkCounters;
 use crate::net;
 use bytes::BytesMut;
 use std::collections::HashMap;
@@ -22,7 +22,7 @@
 const BATCH: usize = 64 << 10;
 
 /// How many bytes may wait for all nodes together before large frames are dropped.
-pub const WAITING_MOST: usize = 48 << 20;
+pub const MAX_QUEUED_BYTES: usize = 48 << 20;
 /// Smaller frames, such as those by which nodes know each other alive, are never dropped for it.
 const SMALL: usize = 64 << 10;
 
@@ -53,31 +53,31 @@
 }
 
 /// Connections to other nodes, one for each address, opened when needed.
-pub struct Links {
+pub struct OutboundLinks {
     to: HashMap<String, Link>,
-    tally: Arc<Tally>,
+    tally: Arc<LinkCounters>,
     waiting: Arc<AtomicUsize>,
 }
 
-impl Links {
+impl OutboundLinks {
     /// No connections yet.
-    pub fn new(tally: Arc<Tally>) -> Self {
-        Links { to: HashMap::new(), tally, waiting: Arc::default() }
+    pub fn new(tally: Arc<LinkCounters>) -> Self {
+        OutboundLinks { to: HashMap::new(), tally, waiting: Arc::default() }
     }
 
     /// The bytes of all frames that wait.
-    pub fn waiting(&self) -> usize {
+    pub fn queued_bytes(&self) -> usize {
         self.waiting.load(Ordering::Relaxed)
     }
 
     /// Never waits: what finds no room is dropped, as on a broken wire.
     pub fn send(&mut self, to: &str, b: Vec<u8>, far: bool) {
-        self.tally.bytes_out.fetch_add(b.len() as u64 + 4, Ordering::Relaxed);
+        self.tally.bytes_sent.fetch_add(b.len() as u64 + 4, Ordering::Relaxed);
         if far {
-            self.tally.bytes_far.fetch_add(b.len() as u64 + 4, Ordering::Relaxed);
+            self.tally.cross_zone_bytes_sent.fetch_add(b.len() as u64 + 4, Ordering::Relaxed);
         }
-        if b.len() > SMALL && self.waiting() + b.len() > WAITING_MOST {
-            self.tally.dropped.fetch_add(1, Ordering::Relaxed);
+        if b.len() > SMALL && self.queued_bytes() + b.len() > MAX_QUEUED_BYTES {
+            self.tally.dropped_frames.fetch_add(1, Ordering::Relaxed);
             return;
         }
         let mut b = Item::new(b, &self.waiting);
@@ -85,7 +85,7 @@
             match link.queue.try_send(b) {
                 Ok(()) => return,
                 Err(mpsc::error::TrySendError::Full(_)) => {
-                    self.tally.dropped.fetch_add(1, Ordering::Relaxed);
+                    self.tally.dropped_frames.fetch_add(1, Ordering::Relaxed);
                     return;
                 }
                 Err(mpsc::error::TrySendError::Closed(x)) => b = x,
@@ -114,12 +114,12 @@
     /// The oldest one that was taken out and not yet put into a write.
     next: Option<Item>,
     buf: BytesMut,
-    tally: Arc<Tally>,
+    tally: Arc<LinkCounters>,
 }
 
 impl Queue {
     fn drop_one(&self) {
-        self.tally.dropped.fetch_add(1, Ordering::Relaxed);
+        self.tally.dropped_frames.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Leaves out what nobody needs any more; the rest stays.
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,38 +1,44 @@
 //! The program `sumacvale`.
 
 use sumacvale_node::admin;
-use sumacvale_node::dialect::OWN;
-use sumacvale_node::env::{Asked, ask};
-use sumacvale_node::run::{Setup, log, run};
+use sumacvale_node::protocol_adapter::STANDARD_ADAPTER;
+use sumacvale_node::run::{NodeSetup, init_logging, run};
+use sumacvale_node::settings::{CommandLineAction, parse_command_line};
 
 fn main() {
     let args: Vec<String> = std::env::args().skip(1).collect();
-    let code = match ask(&args) {
-        Asked::Say(s) => {
+    let code = match parse_command_line(&args) {
+        CommandLineAction::Print(s) => {
             println!("{s}");
             0
         }
-        Asked::Import(s, out) => {
+        CommandLineAction::Import(s, out) => {
             println!("{s}");
             for o in out {
                 eprintln!("left out: {o}");
             }
             0
         }
-        Asked::Checked(_) => {
+        CommandLineAction::Checked(_) => {
             println!("the settings are good");
             0
         }
-        Asked::Wrong(v) => {
+        CommandLineAction::Invalid(v) => {
             for t in v {
                 eprintln!("sumacvale: {t}");
             }
             2
         }
-        Asked::Run(e) => {
-            log();
+        CommandLineAction::Run(e) => {
+            init_logging();
             let callers = admin::downstream;
-            match run(Setup { env: *e, dialect: &OWN, callers, doors: Vec::new(), again: None }) {
+            match run(NodeSetup {
+                settings: *e,
+                adapter: &STANDARD_ADAPTER,
+                caller_routes: callers,
+                extra_listeners: Vec::new(),
+                reload: None,
+            }) {
                 Ok(()) => 0,
                 Err((c, t)) => {
                     eprintln!("sumacvale: {t}");
--- a/crates/node/src/ops.rs
+++ b/crates/node/src/ops.rs
@@ -14,33 +14,42 @@
 const LOOK: Duration = Duration::from_millis(10);
 
 /// Hands a change or a question to the node, and waits for its end.
-pub async fn ask(h: &Shared, (change_id, fresh): (ChangeId, bool), base: u64, change: Change) -> ChangeOutcome {
+pub async fn submit_change(
+    h: &Shared,
+    (change_id, fresh): (ChangeId, bool),
+    base: u64,
+    change: Change,
+) -> ChangeOutcome {
     let (tx, rx) = oneshot::channel();
-    if h.inbox.send(Command::Put { change_id, fresh, base, change, back: tx }).await.is_err() {
+    if h.commands
+        .send(Command::SubmitChange { change_id, is_first_send: fresh, base, change, reply: tx })
+        .await
+        .is_err()
+    {
         return ChangeOutcome::NoQuorum;
     }
     rx.await.unwrap_or(ChangeOutcome::Unknown)
 }
 
 /// A whole document, built on the one with number `base`. The same document is the same change.
-pub async fn put(h: &Shared, base: u64, body: String) -> ChangeOutcome {
-    if let Err(v) = (h.dialect.read)(&body) {
+pub async fn put_document(h: &Shared, base: u64, body: String) -> ChangeOutcome {
+    if let Err(v) = (h.adapter.config_reader)(&body) {
         return ChangeOutcome::Invalid { reason: v.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ") };
     }
     let change_id = ChangeId(hash64(body.as_bytes()).max(1));
-    ask(h, (change_id, false), base, Change::Document(body)).await
+    submit_change(h, (change_id, false), base, Change::Document(body)).await
 }
 
 /// Changes to single items of the document with number `base`. The same patch is the same change.
-pub async fn patch(h: &Shared, base: u64, patch: Patch) -> ChangeOutcome {
+pub async fn patch_document(h: &Shared, base: u64, patch: Patch) -> ChangeOutcome {
     let [a, b, c, d, e, f, g, i, ..] = patch.hash();
     let change_id = ChangeId(u64::from_be_bytes([a, b, c, d, e, f, g, i]).max(1));
-    ask(h, (change_id, false), base, Change::Patch(patch)).await
+    submit_change(h, (change_id, false), base, Change::Patch(patch)).await
 }
 
 /// The newest document: nothing that was acknowledged before this call is missing in it.
-pub async fn newest(h: &Shared) -> Option<String> {
-    match ask(h, (ChangeId(0), false), 0, Change::ReadNewest).await {
+pub async fn read_newest(h: &Shared) -> Option<String> {
+    match submit_change(h, (ChangeId(0), false), 0, Change::ReadNewest).await {
         ChangeOutcome::Content { text } => Some(text),
         _ => None,
     }
@@ -50,7 +59,7 @@
 /// missing in it.
 pub async fn newest_version(h: &Shared) -> Option<Arc<LogEntry>> {
     let from = clock::now();
-    let body = newest(h).await?;
+    let body = read_newest(h).await?;
     while clock::now() < from + HOLD {
         let v = h.view.load_full();
         let confirmed = v.confirmed_at.is_some_and(|t| t >= from);
@@ -63,24 +72,24 @@
 }
 
 /// A worker says who it is and how it is; true once that counts wherever calls are taken.
-pub async fn beat(h: &Shared, row: WorkerReport) -> bool {
+pub async fn report_worker(h: &Shared, row: WorkerReport) -> bool {
     let (back, rx) = oneshot::channel();
-    h.inbox.try_send(Command::Told { row, back }).is_ok() && rx.await.unwrap_or(false)
+    h.commands.try_send(Command::ReportWithAck { report: row, reply: back }).is_ok() && rx.await.unwrap_or(false)
 }
 
 /// A worker has ended in order.
-pub async fn leave(h: &Shared, id: &str) -> bool {
-    beat(h, WorkerReport::removal(id, UNNUMBERED_INCARNATION)).await
+pub async fn remove_worker(h: &Shared, id: &str) -> bool {
+    report_worker(h, WorkerReport::removal(id, UNNUMBERED_INCARNATION)).await
 }
 
 /// Whether callers may be handed to this node.
-pub fn ready(h: &Shared) -> Result<(), &'static str> {
+pub fn readiness(h: &Shared) -> Result<(), &'static str> {
     let v = h.view.load();
-    if h.stopping() {
+    if h.is_stopping() {
         Err("stopping")
-    } else if h.resting.load(std::sync::atomic::Ordering::Acquire) {
+    } else if h.operator_draining.load(std::sync::atomic::Ordering::Acquire) {
         Err("draining")
-    } else if !h.fresh(&v) {
+    } else if !h.may_admit(&v) {
         Err("not fresh")
     } else if !v.is_ready(clock::now()) {
         Err("not all workers heard of yet")
@@ -90,6 +99,6 @@
 }
 
 /// A request of a caller.
-pub async fn serve(h: Arc<Shared>, r: viz::Request) -> viz::Response {
+pub async fn serve_call(h: Arc<Shared>, r: viz::Request) -> viz::Response {
     crate::front::serve(h, r).await
 }
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -1,10 +1,10 @@
 //! A node from its settings to its end.
 
-use crate::brain::Brain;
-use crate::dialect::Dialect;
+use crate::control::Brain;
 use crate::disk::{Database, DiskWriter};
-use crate::env::Env;
-use crate::link::Tally;
+use crate::link::LinkCounters;
+use crate::protocol_adapter::ProtocolAdapter;
+use crate::settings::Settings;
 use crate::shared::{CallEvents, Command, Shared};
 use crate::{admin, clock, serve};
 use std::net::SocketAddr;
@@ -33,27 +33,27 @@
 }
 
 /// What a listener serves.
-pub type Door = fn(&Arc<Shared>) -> Router;
+pub type RouterFactory = fn(&Arc<Shared>) -> Router;
 
 /// Settings that are read anew while the node runs.
-pub struct Again {
+pub struct SettingsReload {
     pub file: PathBuf,
-    pub read: fn() -> Option<Env>,
+    pub read: fn() -> Option<Settings>,
 }
 
 /// All that a node needs to run.
-pub struct Setup {
-    pub env: Env,
-    pub dialect: &'static Dialect,
+pub struct NodeSetup {
+    pub settings: Settings,
+    pub adapter: &'static ProtocolAdapter,
     /// What callers come to.
-    pub callers: Door,
+    pub caller_routes: RouterFactory,
     /// Further listeners, open until the node ends.
-    pub doors: Vec<(SocketAddr, Door)>,
-    pub again: Option<Again>,
+    pub extra_listeners: Vec<(SocketAddr, RouterFactory)>,
+    pub reload: Option<SettingsReload>,
 }
 
 /// Logs go to standard error.
-pub fn log() {
+pub fn init_logging() {
     tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
         .with_ansi(false)
@@ -63,8 +63,9 @@
 }
 
 /// Runs a node until it is told to stop.
-pub fn run(s: Setup) -> Result<(), Stop> {
-    let Setup { env, dialect, callers, doors, again } = s;
+pub fn run(s: NodeSetup) -> Result<(), Stop> {
+    let NodeSetup { settings: env, adapter: dialect, caller_routes: callers, extra_listeners: doors, reload: again } =
+        s;
     // A file that may not grow is a trouble of the disk, which is told and tried again.
     // SAFETY: ignoring a signal touches no memory of ours.
     unsafe {
@@ -74,7 +75,7 @@
     let (stx, synced) = mpsc::unbounded_channel();
     let (mut disk, mut kept, mut incarnation, mut node_id) =
         (None, sumacvale_core::consensus::DurableState::default(), 1, NodeId(seed));
-    if let Some(d) = &env.data {
+    if let Some(d) = &env.data_folder {
         let (b, k, life) = Database::open_when_writable(d, node_id).map_err(|e| (2, e.to_string()))?;
         (kept, incarnation, node_id) = (k.clone(), life, k.node_id);
         let desk = DiskWriter::open(b, move |t| {
@@ -86,59 +87,69 @@
     let me = NodeSettings {
         node_id,
         incarnation,
-        addr: env.peer.to_string(),
-        admin: env.admin.to_string(),
+        addr: env.peer_addr.to_string(),
+        admin: env.admin_addr.to_string(),
         zone: env.zone.clone(),
         seeds: env.seeds.iter().map(ToString::to_string).collect(),
-        is_core: env.data.is_some(),
-        config_reader: dialect.read,
-        may_bootstrap: env.members.first,
-        manages_voters: env.members.auto,
-        tolerated_losses: env.members.lose,
-        report_interval: env.beat,
-        reports_to_cores_only: env.to_cores,
+        is_core: env.data_folder.is_some(),
+        config_reader: dialect.config_reader,
+        may_bootstrap: env.membership.may_bootstrap,
+        manages_voters: env.membership.manages_voters,
+        tolerated_losses: env.membership.tolerated_losses,
+        report_interval: env.report_interval,
+        reports_to_cores_only: env.reports_to_cores_only,
     };
     // The node tells how long it has had its address for itself: its life begins once it has.
     let peer =
-        std::net::TcpListener::bind(env.peer).and_then(|l| l.set_nonblocking(true).map(|()| l)).map_err(|e| {
-            (1, format!("/peer: {} can't be opened: {e}; choose an address of this machine that is free", env.peer))
+        std::net::TcpListener::bind(env.peer_addr).and_then(|l| l.set_nonblocking(true).map(|()| l)).map_err(|e| {
+            (
+                1,
+                format!(
+                    "/peer: {} can't be opened: {e}; choose an address of this machine that is free",
+                    env.peer_addr
+                ),
+            )
         })?;
     let node = Node::new(me, &kept, random()?, clock::now());
     let rt = tokio::runtime::Builder::new_multi_thread()
-        .worker_threads(env.threads)
+        .worker_threads(env.worker_threads)
         .thread_name("calls")
         .enable_all()
         .build()
         .map_err(|e| (1, format!("no threads: {e}")))?;
-    let al = bind(&rt, env.admin, "admin")?;
-    let dl = env.downstream.map(|a| bind(&rt, a, "downstream")).transpose()?;
+    let al = bind(&rt, env.admin_addr, "admin")?;
+    let dl = env.downstream_addr.map(|a| bind(&rt, a, "downstream")).transpose()?;
     let doors: Vec<_> = doors.into_iter().map(|(a, d)| Ok((bind(&rt, a, "doors")?, d))).collect::<Result<_, Stop>>()?;
 
     let (itx, inbox) = mpsc::channel(4096);
     let (vtx, vrx) = watch::channel(None);
-    let tally = Arc::new(Tally::default());
-    let mut floor =
-        sumacvale_core::call::SharedCallState::new(&env.zone, env.waitlist, env.bodies, node.quota.slices.clone());
+    let tally = Arc::new(LinkCounters::default());
+    let mut floor = sumacvale_core::call::SharedCallState::new(
+        &env.zone,
+        env.max_queued_calls,
+        env.max_body_bytes,
+        node.quota.slices.clone(),
+    );
     floor.engines = sumacvale_core::placement::EngineModels::new(seed);
     let shared = Arc::new(Shared {
         node_id: node_id.to_string(),
         view: arc_swap::ArcSwap::default(),
-        inbox: itx,
-        floor,
+        commands: itx,
+        call_state: floor,
         call_events: CallEvents::default(),
-        upstreams: crate::upstream::Upstreams::default(),
-        limits: Arc::default(),
-        tally: tally.clone(),
-        disk_troubles: disk.as_ref().map(|d| d.troubles.clone()),
+        upstreams: crate::upstream::UpstreamPool::default(),
+        connection_limits: Arc::default(),
+        link_counters: tally.clone(),
+        disk_error_count: disk.as_ref().map(|d| d.error_count.clone()),
         stopping: AtomicBool::new(false),
-        resting: AtomicBool::new(false),
-        version: vrx,
-        calls: AtomicU64::new(0),
-        env,
-        dialect,
+        operator_draining: AtomicBool::new(false),
+        published_version: vrx,
+        next_call_id: AtomicU64::new(0),
+        settings: env,
+        adapter: dialect,
     });
-    tracing::info!(node = %node_id, zone = %shared.env.zone, core = shared.env.data.is_some(), "sumacvale starts");
-    let brain = Brain { node, shared: shared.clone(), inbox, synced, disk: disk.map(|d| d.tx), version: vtx, tally };
+    tracing::info!(node = %node_id, zone = %shared.settings.zone, core = shared.settings.data_folder.is_some(), "sumacvale starts");
+    let brain = Brain { node, shared: shared.clone(), inbox, synced, disk: disk.map(|d| d.jobs), version: vtx, tally };
     std::thread::Builder::new()
         .name("control".into())
         .spawn(move || {
@@ -161,12 +172,12 @@
 }
 
 /// Reads the settings anew when told to, and when the file has changed.
-async fn follow(h: Arc<Shared>, a: Again) -> std::io::Result<()> {
+async fn follow(h: Arc<Shared>, a: SettingsReload) -> std::io::Result<()> {
     use tokio::signal::unix::{SignalKind, signal};
     let mut hup = signal(SignalKind::hangup())?;
     let state = |p: &std::path::Path| std::fs::metadata(p).and_then(|m| Ok((m.modified()?, m.len()))).ok();
     let mut was = state(&a.file);
-    let mut seeds = h.env.seeds.clone();
+    let mut seeds = h.settings.seeds.clone();
     loop {
         tokio::select! {
             _ = hup.recv() => {}
@@ -184,7 +195,7 @@
         if e.seeds != seeds {
             tracing::info!(seeds = ?e.seeds, "the settings name other seeds");
             seeds = e.seeds;
-            let _ = h.inbox.send(Command::Seeds(seeds.iter().map(ToString::to_string).collect())).await;
+            let _ = h.commands.send(Command::SeedsChanged(seeds.iter().map(ToString::to_string).collect())).await;
         }
     }
 }
@@ -202,9 +213,9 @@
 async fn live(
     h: Arc<Shared>,
     al: TcpListener,
-    dl: Option<(TcpListener, Door)>,
-    doors: Vec<(TcpListener, Door)>,
-    again: Option<Again>,
+    dl: Option<(TcpListener, RouterFactory)>,
+    doors: Vec<(TcpListener, RouterFactory)>,
+    again: Option<SettingsReload>,
 ) -> Result<(), Stop> {
     use tokio::signal::unix::{SignalKind, signal};
     let no = |e: std::io::Error| (1, format!("signals can't be heard: {e}"));
@@ -212,11 +223,18 @@
     let mut int = signal(SignalKind::interrupt()).map_err(no)?;
     let (stx, srx) = watch::channel(false);
     let (atx, arx) = watch::channel(false);
-    let mut rest = vec![tokio::spawn(serve::run(al, admin::admin(&h), h.env.conns, h.limits.clone(), arx.clone()))];
-    rest.extend(
-        doors.into_iter().map(|(l, d)| tokio::spawn(serve::run(l, d(&h), h.env.conns, h.limits.clone(), arx.clone()))),
-    );
-    let d = dl.map(|(l, d)| tokio::spawn(serve::run(l, d(&h), h.env.conns, h.limits.clone(), srx)));
+    let mut rest = vec![tokio::spawn(serve::run(
+        al,
+        admin::admin(&h),
+        h.settings.max_connections,
+        h.connection_limits.clone(),
+        arx.clone(),
+    ))];
+    rest.extend(doors.into_iter().map(|(l, d)| {
+        tokio::spawn(serve::run(l, d(&h), h.settings.max_connections, h.connection_limits.clone(), arx.clone()))
+    }));
+    let d = dl
+        .map(|(l, d)| tokio::spawn(serve::run(l, d(&h), h.settings.max_connections, h.connection_limits.clone(), srx)));
     if let Some(a) = again {
         tokio::spawn(follow(h.clone(), a));
     }
@@ -227,18 +245,18 @@
     let begin = tokio::time::Instant::now();
     tracing::info!("stopping: not ready from now on");
     h.stopping.store(true, Ordering::Release);
-    let _ = h.inbox.send(Command::Leave).await;
+    let _ = h.commands.send(Command::Shutdown).await;
     // Who serves no callers has told its peers, and that is all.
-    let notice = if d.is_some() { h.env.notice } else { h.env.notice.min(SEC / 4) };
+    let notice = if d.is_some() { h.settings.drain_notice } else { h.settings.drain_notice.min(SEC / 4) };
     tokio::time::sleep(Duration::from_micros(notice)).await;
     tracing::info!("stopping: the listener closes, calls that were read go on");
     let _ = stx.send(true);
-    let grace = Duration::from_micros(h.env.grace.max(SEC / 10));
+    let grace = Duration::from_micros(h.settings.shutdown_grace.max(SEC / 10));
     let clean = match d {
         Some(d) => tokio::time::timeout(grace, d).await.is_ok(),
         None => true,
     };
-    let most = begin + Duration::from_micros(h.env.notice) + grace;
+    let most = begin + Duration::from_micros(h.settings.drain_notice) + grace;
     if tokio::time::timeout_at(most, may_end(&h)).await.is_err() {
         tracing::warn!("stopped before a majority without this core held what it holds; start another core first");
     }
--- a/crates/node/src/serve/state.rs
+++ b/crates/node/src/serve/connection_state.rs
@@ -1,6 +1,6 @@
 //! What connections of clients are at.
 
-use super::Limits;
+use super::ConnectionLimits;
 use crate::clock;
 use crate::watched::Watch;
 use bytes::Bytes;
@@ -17,19 +17,19 @@
 
 /// What a connection of a client is at, and since when.
 #[derive(Debug)]
-pub struct At {
+pub struct ConnectionState {
     is: AtomicU8,
     since: AtomicU64,
     pub eof: AtomicBool,
 }
 
-impl Default for At {
+impl Default for ConnectionState {
     fn default() -> Self {
-        At { is: IDLE.into(), since: clock::now().into(), eof: AtomicBool::new(false) }
+        ConnectionState { is: IDLE.into(), since: clock::now().into(), eof: AtomicBool::new(false) }
     }
 }
 
-impl At {
+impl ConnectionState {
     fn enter(&self, s: u8) {
         self.since.store(clock::now(), Ordering::Relaxed);
         self.is.store(s, Ordering::Release);
@@ -41,19 +41,19 @@
     }
 
     /// When to look again, or nothing when its time is over.
-    pub fn due(&self, l: &Limits, now: Micros) -> Option<Micros> {
+    pub fn due(&self, l: &ConnectionLimits, now: Micros) -> Option<Micros> {
         let since = self.since.load(Ordering::Relaxed);
         let may = match self.is.load(Ordering::Acquire) {
-            IDLE => since + l.idle(),
-            HEAD => since + l.head_wait(),
-            _ => return Some(now + l.idle().min(l.head_wait())),
+            IDLE => since + l.idle_timeout(),
+            HEAD => since + l.header_timeout(),
+            _ => return Some(now + l.idle_timeout().min(l.header_timeout())),
         };
         // An idle one may begin a head at any time.
-        (now < may).then_some(may.min(now + l.idle().min(l.head_wait())))
+        (now < may).then_some(may.min(now + l.idle_timeout().min(l.header_timeout())))
     }
 }
 
-impl Watch for Arc<At> {
+impl Watch for Arc<ConnectionState> {
     fn after_read(&self, bytes: usize) {
         if bytes == 0 {
             self.eof.store(true, Ordering::Relaxed);
@@ -64,25 +64,25 @@
 }
 
 /// A response's body; when it goes, its connection is idle.
-pub struct Out {
+pub struct TrackedBody {
     b: viz::Body,
-    at: Arc<At>,
+    at: Arc<ConnectionState>,
 }
 
-impl Out {
+impl TrackedBody {
     /// A body on the connection with this state.
-    pub fn new(b: viz::Body, at: Arc<At>) -> Self {
-        Out { b, at }
+    pub fn new(b: viz::Body, at: Arc<ConnectionState>) -> Self {
+        TrackedBody { b, at }
     }
 }
 
-impl Drop for Out {
+impl Drop for TrackedBody {
     fn drop(&mut self) {
         self.at.enter(IDLE);
     }
 }
 
-impl Body for Out {
+impl Body for TrackedBody {
     type Data = Bytes;
     type Error = <viz::Body as Body>::Error;
 
--- a/crates/node/src/serve/mod.rs
+++ b/crates/node/src/serve/mod.rs
@@ -1,17 +1,17 @@
 //! Listeners for HTTP, closed without dropping what was read.
 
-mod limits;
-mod state;
+mod connection_limits;
+mod connection_state;
 
-pub use limits::Limits;
+pub use connection_limits::ConnectionLimits;
 
 use crate::watched::Watched;
 use crate::{clock, net};
+use connection_state::{ConnectionState, TrackedBody};
 use futures::TryFutureExt;
 use hyper::server::conn::http1;
 use hyper::service::{Service, service_fn};
 use hyper_util::rt::TokioIo;
-use state::{At, Out};
 use std::future::poll_fn;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 use viz::{Responder, Router, Tree};
 
 /// Serves until `stop` turns true, then finishes the calls that were read.
-pub async fn run(l: TcpListener, r: Router, conns: usize, lim: Arc<Limits>, mut stop: watch::Receiver<bool>) {
+pub async fn run(l: TcpListener, r: Router, conns: usize, lim: Arc<ConnectionLimits>, mut stop: watch::Receiver<bool>) {
     let tree = Arc::new(Tree::from(r));
     let room = Arc::new(Semaphore::new(conns));
     let (done, mut all) = mpsc::channel::<()>(1);
@@ -57,16 +57,16 @@
     let _ = all.recv().await;
 }
 
-async fn talk(s: TcpStream, r: Responder<SocketAddr>, lim: &Limits, mut stop: watch::Receiver<bool>) {
+async fn talk(s: TcpStream, r: Responder<SocketAddr>, lim: &ConnectionLimits, mut stop: watch::Receiver<bool>) {
     net::tune(&s, net::CLIENT);
-    let at = Arc::new(At::default());
+    let at = Arc::new(ConnectionState::default());
     let says = service_fn(|q| {
         at.busy();
         let at = at.clone();
-        r.call(q).map_ok(move |r| r.map(|b| Out::new(b, at)))
+        r.call(q).map_ok(move |r| r.map(|b| TrackedBody::new(b, at)))
     });
     let mut c = http1::Builder::new()
-        .max_buf_size(lim.head_bytes())
+        .max_buf_size(lim.max_header_bytes())
         .serve_connection(TokioIo::new(Watched::new(s, at.clone())), says);
     // One timer for a connection, however many requests it has.
     let late = async {
--- a/crates/node/src/env/args.rs
+++ b/crates/node/src/settings/args.rs
@@ -1,6 +1,6 @@
 //! The command line.
 
-use super::read::{Env, Flags, Trouble, read};
+use super::read::{Settings, SettingsError, SettingsOverrides, read};
 use getopts::Options;
 
 /// What `--help` prints.
@@ -13,13 +13,13 @@
 
 /// What the command line asks for.
 #[derive(Debug)]
-pub enum Asked {
-    Run(Box<Env>),
-    Checked(Box<Env>),
-    Say(String),
+pub enum CommandLineAction {
+    Run(Box<Settings>),
+    Checked(Box<Settings>),
+    Print(String),
     /// A tree to print, and what was left out of it.
     Import(String, Vec<String>),
-    Wrong(Vec<Trouble>),
+    Invalid(Vec<SettingsError>),
 }
 
 fn options() -> Options {
@@ -40,30 +40,30 @@
 }
 
 /// What the command line asks for.
-pub fn ask(args: &[String]) -> Asked {
+pub fn parse_command_line(args: &[String]) -> CommandLineAction {
     let o = options();
     let m = match o.parse(args) {
         Ok(m) => m,
-        Err(e) => return Asked::Wrong(vec![Trouble::Flag(e.to_string())]),
+        Err(e) => return CommandLineAction::Invalid(vec![SettingsError::Flag(e.to_string())]),
     };
     if m.opt_present("help") {
-        return Asked::Say(o.usage(HELP));
+        return CommandLineAction::Print(o.usage(HELP));
     }
     if m.opt_present("version") {
-        return Asked::Say(format!("sumacvale {}", env!("CARGO_PKG_VERSION")));
+        return CommandLineAction::Print(format!("sumacvale {}", env!("CARGO_PKG_VERSION")));
     }
     if let Some(f) = m.free.first() {
-        return Asked::Wrong(vec![Trouble::Flag(format!("unexpected word {f}"))]);
+        return CommandLineAction::Invalid(vec![SettingsError::Flag(format!("unexpected word {f}"))]);
     }
     if let Some(p) = m.opt_str("import") {
         let pool = m.opt_str("pool").unwrap_or_else(|| "app".into());
         let r = std::fs::read_to_string(&p).map_err(|e| e.to_string()).and_then(|s| crate::import::import(&s, &pool));
         return match r {
-            Ok((s, out)) => Asked::Import(s, out),
-            Err(why) => Asked::Wrong(vec![Trouble::Import { file: p, why }]),
+            Ok((s, out)) => CommandLineAction::Import(s, out),
+            Err(why) => CommandLineAction::Invalid(vec![SettingsError::Import { file: p, why }]),
         };
     }
-    let f = Flags {
+    let f = SettingsOverrides {
         peer: m.opt_str("peer"),
         admin: m.opt_str("admin"),
         downstream: m.opt_str("downstream"),
@@ -75,12 +75,12 @@
         None => None,
         Some(p) => match std::fs::read_to_string(&p) {
             Ok(s) => Some(s),
-            Err(e) => return Asked::Wrong(vec![Trouble::File { file: p, why: e.to_string() }]),
+            Err(e) => return CommandLineAction::Invalid(vec![SettingsError::File { file: p, why: e.to_string() }]),
         },
     };
     match read(text.as_deref(), &f) {
-        Err(v) => Asked::Wrong(v),
-        Ok(e) if m.opt_present("check") => Asked::Checked(Box::new(e)),
-        Ok(e) => Asked::Run(Box::new(e)),
+        Err(v) => CommandLineAction::Invalid(v),
+        Ok(e) if m.opt_present("check") => CommandLineAction::Checked(Box::new(e)),
+        Ok(e) => CommandLineAction::Run(Box::new(e)),
     }
 }
--- a/crates/node/src/env/read.rs
+++ b/crates/node/src/settings/read.rs
@@ -1,6 +1,6 @@
 //! Settings from a file and the command line, checked.
 
-use crate::disk::{PROBE, failed};
+use crate::disk::{PROBE_FILE, folder_error};
 use displaydoc::Display;
 use sonic_rs::{JsonContainerTrait, JsonValueTrait, Value};
 use std::net::SocketAddr;
@@ -10,89 +10,89 @@
 
 /// What this node was set to, checked as a whole before anything opens.
 #[derive(Clone, Debug)]
-pub struct Env {
-    pub peer: SocketAddr,
-    pub admin: SocketAddr,
+pub struct Settings {
+    pub peer_addr: SocketAddr,
+    pub admin_addr: SocketAddr,
     /// Where callers come; none on a node that serves control alone.
-    pub downstream: Option<SocketAddr>,
+    pub downstream_addr: Option<SocketAddr>,
     pub zone: String,
     pub seeds: Vec<SocketAddr>,
-    pub data: Option<PathBuf>,
-    pub members: Members,
-    pub operators: Vec<String>,
-    pub workers: Vec<String>,
+    pub data_folder: Option<PathBuf>,
+    pub membership: MembershipSettings,
+    pub operator_token_hashes: Vec<String>,
+    pub worker_token_hashes: Vec<String>,
     /// How often each worker reports, and whether to cores only.
-    pub beat: Micros,
-    pub to_cores: bool,
+    pub report_interval: Micros,
+    pub reports_to_cores_only: bool,
     /// How long readiness is refused before the listener closes.
-    pub notice: Micros,
+    pub drain_notice: Micros,
     /// How long calls that were read may take after that.
-    pub grace: Micros,
-    pub threads: usize,
-    pub waitlist: usize,
-    pub conns: usize,
+    pub shutdown_grace: Micros,
+    pub worker_threads: usize,
+    pub max_queued_calls: usize,
+    pub max_connections: usize,
     /// How many bytes of bodies are held at once.
-    pub bodies: usize,
+    pub max_body_bytes: usize,
 }
 
-impl Default for Env {
+impl Default for Settings {
     fn default() -> Self {
         let none = SocketAddr::from(([127, 0, 0, 1], 0));
-        Env {
-            peer: none,
-            admin: none,
-            downstream: None,
+        Settings {
+            peer_addr: none,
+            admin_addr: none,
+            downstream_addr: None,
             zone: String::new(),
             seeds: Vec::new(),
-            data: None,
-            members: Members::default(),
-            operators: Vec::new(),
-            workers: Vec::new(),
-            beat: 500 * MS,
-            to_cores: false,
-            notice: 2_000 * MS,
-            grace: 25_000 * MS,
-            threads: 1,
-            waitlist: 256,
-            conns: 2_048,
-            bodies: 256 << 20,
+            data_folder: None,
+            membership: MembershipSettings::default(),
+            operator_token_hashes: Vec::new(),
+            worker_token_hashes: Vec::new(),
+            report_interval: 500 * MS,
+            reports_to_cores_only: false,
+            drain_notice: 2_000 * MS,
+            shutdown_grace: 25_000 * MS,
+            worker_threads: 1,
+            max_queued_calls: 256,
+            max_connections: 2_048,
+            max_body_bytes: 256 << 20,
         }
     }
 }
 
-impl Env {
+impl Settings {
     /// Parts the time that a stop may take: callers go elsewhere first, then calls end.
-    pub fn stops_within(&mut self, t: Micros) {
-        self.notice = (t * 3 / 10).min(2_400 * MS);
-        self.grace = (t - self.notice).saturating_sub((t / 16).max(300 * MS));
+    pub fn set_shutdown_budget(&mut self, t: Micros) {
+        self.drain_notice = (t * 3 / 10).min(2_400 * MS);
+        self.shutdown_grace = (t - self.drain_notice).saturating_sub((t / 16).max(300 * MS));
     }
 
     /// Of the memory of this process a quarter may be bodies.
-    pub fn holds(&mut self, memory: usize) {
-        self.bodies = memory / 4;
+    pub fn set_memory_limit(&mut self, memory: usize) {
+        self.max_body_bytes = memory / 4;
     }
 }
 
 /// How cores come to be members, and how many of them vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Members {
+pub struct MembershipSettings {
     /// Cores replace lost voters themselves.
-    pub auto: bool,
+    pub manages_voters: bool,
     /// How many machines with disks may be lost at once.
-    pub lose: u32,
+    pub tolerated_losses: u32,
     /// Whether this node may take part in founding a fleet.
-    pub first: bool,
+    pub may_bootstrap: bool,
 }
 
-impl Default for Members {
+impl Default for MembershipSettings {
     fn default() -> Self {
-        Members { auto: false, lose: 1, first: true }
+        MembershipSettings { manages_voters: false, tolerated_losses: 1, may_bootstrap: true }
     }
 }
 
 /// Settings that the command line may give in the place of the file.
 #[derive(Debug, Default)]
-pub struct Flags {
+pub struct SettingsOverrides {
     pub peer: Option<String>,
     pub admin: Option<String>,
     pub downstream: Option<String>,
@@ -103,7 +103,7 @@
 
 /// What is wrong with the settings, and what to do.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
-pub enum Trouble {
+pub enum SettingsError {
     /// command line: {0}; see sumacvale --help
     Flag(String),
     /// --env {file}: {why}; name a file that can be read
@@ -150,7 +150,7 @@
 
 struct Src<'a> {
     v: Option<Value>,
-    out: &'a mut Vec<Trouble>,
+    out: &'a mut Vec<SettingsError>,
 }
 
 impl Src<'_> {
@@ -159,7 +159,7 @@
     }
 
     fn wrong(&mut self, at: &str, is: &str, want: &str) {
-        self.out.push(Trouble::Wrong { at: at.into(), is: is.into(), want: want.into() });
+        self.out.push(SettingsError::Wrong { at: at.into(), is: is.into(), want: want.into() });
     }
 
     fn text(&mut self, k: &str, flag: Option<&String>) -> Option<(String, String)> {
@@ -179,7 +179,7 @@
     fn addr(&mut self, k: &str, flag: Option<&String>) -> Option<SocketAddr> {
         let Some((at, s)) = self.text(k, flag) else {
             if self.raw(k).is_none() {
-                self.out.push(Trouble::Missing { at: format!("/{k}") });
+                self.out.push(SettingsError::Missing { at: format!("/{k}") });
             }
             return None;
         };
@@ -214,8 +214,8 @@
         })
     }
 
-    fn members(&mut self) -> Members {
-        let mut m = Members::default();
+    fn members(&mut self) -> MembershipSettings {
+        let mut m = MembershipSettings::default();
         let Some(v) = self.raw("members").cloned() else { return m };
         let Some(o) = v.as_object() else {
             self.wrong("/members", &v.to_string(), "object such as {\"auto\": true, \"lose\": 1, \"first\": false}");
@@ -224,13 +224,13 @@
         for (k, x) in o {
             let at = format!("/members/{k}");
             match k {
-                "auto" => m.auto = self.flag(&at, x, m.auto),
-                "first" => m.first = self.flag(&at, x, m.first),
+                "auto" => m.manages_voters = self.flag(&at, x, m.manages_voters),
+                "first" => m.may_bootstrap = self.flag(&at, x, m.may_bootstrap),
                 "lose" => match x.as_u64().and_then(|n| u32::try_from(n).ok()).filter(|n| (1..=4).contains(n)) {
-                    Some(n) => m.lose = n,
+                    Some(n) => m.tolerated_losses = n,
                     None => self.wrong(&at, &x.to_string(), "whole number from 1 to 4"),
                 },
-                _ => self.out.push(Trouble::Unknown { at, known: "auto, lose, first".into() }),
+                _ => self.out.push(SettingsError::Unknown { at, known: "auto, lose, first".into() }),
             }
         }
         m
@@ -259,7 +259,7 @@
 }
 
 /// The settings, or all that is wrong with them.
-pub fn read(text: Option<&str>, f: &Flags) -> Result<Env, Vec<Trouble>> {
+pub fn read(text: Option<&str>, f: &SettingsOverrides) -> Result<Settings, Vec<SettingsError>> {
     let mut out = Vec::new();
     let mut v = None;
     if let Some(s) = text {
@@ -267,17 +267,17 @@
         if bad.is_empty() {
             v = sonic_rs::from_str::<Value>(s).ok();
         }
-        out.extend(bad.iter().map(|t| Trouble::Shape(t.to_string())));
+        out.extend(bad.iter().map(|t| SettingsError::Shape(t.to_string())));
         if let Some(o) = v.as_ref() {
             match o.as_object() {
                 None => {
-                    out.push(Trouble::Shape("it is no object; write one JSON object".into()));
+                    out.push(SettingsError::Shape("it is no object; write one JSON object".into()));
                     v = None;
                 }
                 Some(o) => {
                     for (k, _) in o {
                         if !KNOWN.contains(&k) {
-                            out.push(Trouble::Unknown { at: format!("/{k}"), known: KNOWN.join(", ") });
+                            out.push(SettingsError::Unknown { at: format!("/{k}"), known: KNOWN.join(", ") });
                         }
                     }
                 }
@@ -296,7 +296,7 @@
         Some((_, z)) => Some(z),
         None => {
             if s.raw("zone").is_none() {
-                s.out.push(Trouble::Missing { at: "/zone".into() });
+                s.out.push(SettingsError::Missing { at: "/zone".into() });
             }
             None
         }
@@ -327,52 +327,52 @@
         for (x, y, n, m) in [(p, a, "/admin", "/peer"), (p, d, "/downstream", "/peer"), (a, d, "/downstream", "/admin")]
         {
             if x == y {
-                out.push(Trouble::Same { at: n.into(), other: m.into() });
+                out.push(SettingsError::Same { at: n.into(), other: m.into() });
             }
         }
     }
     if operators.is_empty()
-        && !out.iter().any(|t| matches!(t, Trouble::Wrong { at, .. } if at.starts_with("/operators")))
+        && !out.iter().any(|t| matches!(t, SettingsError::Wrong { at, .. } if at.starts_with("/operators")))
     {
-        out.push(Trouble::Missing { at: "/operators".into() });
+        out.push(SettingsError::Missing { at: "/operators".into() });
     }
     let data = data.and_then(|(at, d)| match folder(Path::new(&d)) {
         Ok(p) => Some(p),
         Err(why) => {
-            out.push(Trouble::Data { at, why });
+            out.push(SettingsError::Data { at, why });
             None
         }
     });
     match (peer, admin, downstream, zone) {
-        (Some(peer), Some(admin), Some(downstream), Some(zone)) if out.is_empty() => Ok(Env {
-            peer,
-            admin,
-            downstream: Some(downstream),
+        (Some(peer), Some(admin), Some(downstream), Some(zone)) if out.is_empty() => Ok(Settings {
+            peer_addr: peer,
+            admin_addr: admin,
+            downstream_addr: Some(downstream),
             zone,
             seeds,
-            data,
-            members,
-            operators,
-            workers,
-            beat,
-            to_cores,
-            notice,
-            grace,
-            threads,
-            waitlist,
-            conns,
-            bodies,
+            data_folder: data,
+            membership: members,
+            operator_token_hashes: operators,
+            worker_token_hashes: workers,
+            report_interval: beat,
+            reports_to_cores_only: to_cores,
+            drain_notice: notice,
+            shutdown_grace: grace,
+            worker_threads: threads,
+            max_queued_calls: waitlist,
+            max_connections: conns,
+            max_body_bytes: bodies,
         }),
         _ => Err(out),
     }
 }
 
-fn seeds(s: &mut Src, f: &Flags) -> Vec<SocketAddr> {
+fn seeds(s: &mut Src, f: &SettingsOverrides) -> Vec<SocketAddr> {
     let mut named: Vec<(String, String)> = f.seeds.iter().map(|x| ("--seed".to_owned(), x.clone())).collect();
     if named.is_empty() {
         match s.raw("seeds").cloned() {
             None => {
-                s.out.push(Trouble::Missing { at: "/seeds".into() });
+                s.out.push(SettingsError::Missing { at: "/seeds".into() });
                 return Vec::new();
             }
             Some(v) => match v.as_array() {
@@ -389,13 +389,13 @@
         }
     }
     if named.is_empty() || named.len() > 3 {
-        s.out.push(Trouble::Seeds { at: "/seeds".into(), is: named.len() });
+        s.out.push(SettingsError::Seeds { at: "/seeds".into(), is: named.len() });
     }
     let mut o: Vec<SocketAddr> = Vec::new();
     for (at, t) in named {
         if let Some(a) = s.addr_of(&at, &t) {
             if o.contains(&a) {
-                s.out.push(Trouble::Twice { at });
+                s.out.push(SettingsError::Twice { at });
             } else {
                 o.push(a);
             }
@@ -418,11 +418,11 @@
     if !p.is_dir() {
         return Err(format!("{shown} is no folder; name one"));
     }
-    let t = p.join(PROBE);
+    let t = p.join(PROBE_FILE);
     match std::fs::File::create(&t).and_then(|_| std::fs::remove_file(&t)) {
         Ok(()) => Ok(p.to_owned()),
         // A disk that is full or in trouble is waited for at the start; the settings are good.
-        Err(e) if failed(p, &e).passes() => Ok(p.to_owned()),
+        Err(e) if folder_error(p, &e).is_transient() => Ok(p.to_owned()),
         Err(e) => Err(format!("{shown} can't be written: {e}; mend its rights or its disk")),
     }
 }
--- a/crates/node/src/shared/call_events.rs
+++ b/crates/node/src/shared/call_events.rs
@@ -38,7 +38,7 @@
     }
 
     /// Gives the event back where nobody hears it any more.
-    pub fn ring(&self, n: u64, e: Event) -> Result<(), Event> {
+    pub fn deliver(&self, n: u64, e: Event) -> Result<(), Event> {
         match self.at(n).get(&n) {
             Some(tx) => tx.send(e).map_err(|x| x.0),
             None => Err(e),
--- a/crates/node/src/shared/mod.rs
+++ b/crates/node/src/shared/mod.rs
@@ -4,4 +4,4 @@
 mod state;
 
 pub use call_events::CallEvents;
-pub use state::{Command, Mark, Shared};
+pub use state::{Command, PublishedVersion, Shared};
--- a/crates/node/src/shared/state.rs
+++ b/crates/node/src/shared/state.rs
@@ -2,11 +2,11 @@
 
 use super::call_events::CallEvents;
 use crate::clock;
-use crate::dialect::Dialect;
-use crate::env::Env;
-use crate::link::Tally;
-use crate::serve::Limits;
-use crate::upstream::Upstreams;
+use crate::link::LinkCounters;
+use crate::protocol_adapter::ProtocolAdapter;
+use crate::serve::ConnectionLimits;
+use crate::settings::Settings;
+use crate::upstream::UpstreamPool;
 use arc_swap::ArcSwap;
 use std::cell::RefCell;
 use std::sync::Arc;
@@ -22,46 +22,46 @@
 pub enum Command {
     Report(WorkerReport),
     /// The settings name other seeds.
-    Seeds(Vec<String>),
-    Told {
-        row: WorkerReport,
-        back: oneshot::Sender<bool>,
+    SeedsChanged(Vec<String>),
+    ReportWithAck {
+        report: WorkerReport,
+        reply: oneshot::Sender<bool>,
     },
-    Put {
+    SubmitChange {
         change_id: ChangeId,
-        fresh: bool,
+        is_first_send: bool,
         base: Version,
         change: Change,
-        back: oneshot::Sender<ChangeOutcome>,
+        reply: oneshot::Sender<ChangeOutcome>,
     },
-    Need {
+    QuotaNeeded {
         tenant: String,
         waiting: u64,
     },
-    Leave,
+    Shutdown,
 }
 
 /// What a watcher of versions sees.
-pub type Mark = Option<Version>;
+pub type PublishedVersion = Option<Version>;
 
 /// All that one process shares, passed down by reference.
 pub struct Shared {
-    pub env: Env,
-    pub dialect: &'static Dialect,
+    pub settings: Settings,
+    pub adapter: &'static ProtocolAdapter,
     pub node_id: String,
     pub view: ArcSwap<View>,
-    pub inbox: mpsc::Sender<Command>,
-    pub floor: SharedCallState,
+    pub commands: mpsc::Sender<Command>,
+    pub call_state: SharedCallState,
     pub call_events: CallEvents,
-    pub upstreams: Upstreams,
-    pub limits: Arc<Limits>,
-    pub tally: Arc<Tally>,
-    pub disk_troubles: Option<Arc<AtomicU64>>,
+    pub upstreams: UpstreamPool,
+    pub connection_limits: Arc<ConnectionLimits>,
+    pub link_counters: Arc<LinkCounters>,
+    pub disk_error_count: Option<Arc<AtomicU64>>,
     pub stopping: AtomicBool,
     /// An operator lets this node run empty: it serves on and is not ready.
-    pub resting: AtomicBool,
-    pub version: watch::Receiver<Mark>,
-    pub calls: AtomicU64,
+    pub operator_draining: AtomicBool,
+    pub published_version: watch::Receiver<PublishedVersion>,
+    pub next_call_id: AtomicU64,
 }
 
 thread_local! {
@@ -70,22 +70,22 @@
 
 impl Shared {
     /// Whether calls may be admitted by this view.
-    pub fn fresh(&self, v: &View) -> bool {
+    pub fn may_admit(&self, v: &View) -> bool {
         v.may_admit(clock::now())
     }
 
     /// Whether this process was told to stop.
-    pub fn stopping(&self) -> bool {
+    pub fn is_stopping(&self) -> bool {
         self.stopping.load(std::sync::atomic::Ordering::Acquire)
     }
 
     /// Lets `f` see the floor, this thread's own layers, the newest picture and the time.
-    pub fn step<R>(&self, f: impl FnOnce(&mut StepContext) -> R) -> R {
+    pub fn with_step_context<R>(&self, f: impl FnOnce(&mut StepContext) -> R) -> R {
         let view = self.view.load();
         OWN.with(|o| {
             let own = &mut o.borrow_mut();
             f(&mut StepContext {
-                shared: &self.floor,
+                shared: &self.call_state,
                 thread_caches: own,
                 view: &view,
                 now: clock::now(),
@@ -95,24 +95,28 @@
     }
 
     /// Tells a call what came for it; what nobody hears goes to who waits next.
-    pub fn ring(&self, r: Wakeup) {
+    pub fn deliver_wakeup(&self, r: Wakeup) {
         let mut all = vec![r];
         while let Some(Wakeup { call_id: call, queue: of, event }) = all.pop() {
-            if let Err(event) = self.call_events.ring(call, event) {
-                all.extend(self.step(|cx| SharedCallState::reclaim(Wakeup { call_id: call, queue: of, event }, cx)));
+            if let Err(event) = self.call_events.deliver(call, event) {
+                all.extend(
+                    self.with_step_context(|cx| {
+                        SharedCallState::reclaim(Wakeup { call_id: call, queue: of, event }, cx)
+                    }),
+                );
             }
         }
     }
 
     /// Looks through the waitlists; the tenants for which units should be fetched.
-    pub fn sweep(&self) -> Vec<(String, u64)> {
+    pub fn expire_waiters(&self) -> Vec<(String, u64)> {
         let v = self.view.load();
         self.upstreams
-            .sweep(|w, incarnation| v.workers.iter().any(|r| r.worker_id == w && r.incarnation == incarnation));
+            .evict_expired(|w, incarnation| v.workers.iter().any(|r| r.worker_id == w && r.incarnation == incarnation));
         drop(v);
-        let (rs, need) = self.step(SharedCallState::expire_waiters);
+        let (rs, need) = self.with_step_context(SharedCallState::expire_waiters);
         for r in rs {
-            self.ring(r);
+            self.deliver_wakeup(r);
         }
         need
     }
--- a/crates/node/src/upstream/line.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -1,9 +1,9 @@
 //! One connection to a worker from its naming to the end of an answer.
 
-use super::pool::Upstreams;
+use super::keep_alive::KeepAliveHints;
+use super::pool::UpstreamPool;
 use super::socket::{self, Sender, SocketWatch};
 use super::target::Target;
-use super::told::Told;
 use crate::net;
 use bytes::Bytes;
 use futures::FutureExt;
@@ -20,18 +20,18 @@
 
 /// A connection to a worker; its state tells how far it has come.
 #[derive(Debug)]
-pub struct Line<S> {
+pub struct UpstreamConnection<S> {
     to: Target,
     state: S,
 }
 
 /// Only its target is known.
 #[derive(Debug)]
-pub struct Named;
+pub struct Unconnected;
 
 /// It stands and nothing was sent on it.
 #[derive(Debug)]
-pub struct Open {
+pub struct Connected {
     tx: Sender,
     watch: Arc<SocketWatch>,
     old: bool,
@@ -39,86 +39,92 @@
 
 /// A request was sent on it and the head of an answer came.
 #[derive(Debug)]
-pub struct Busy {
+pub struct Responding {
     tx: Sender,
     watch: Arc<SocketWatch>,
-    told: Told,
+    told: KeepAliveHints,
 }
 
 /// What a request asks of its connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Want {
+pub struct ConnectionRequirements {
     /// No kept one: one that was kept had ended.
-    pub fresh: bool,
+    pub must_be_new: bool,
     /// The request can't be repeated, so only one that was busy a moment ago will do.
-    pub once: bool,
+    pub is_non_idempotent: bool,
     /// How many connections this node may have to the worker, nought for any number.
-    pub cap: usize,
+    pub max_connections: usize,
 }
 
 /// Why there is no connection; nothing was sent.
 #[derive(Debug)]
-pub enum Shut {
+pub enum ConnectError {
     /// This node's part of the worker's connections is in use, which is no fault of the worker's.
-    Full,
+    LimitReached,
     Io(std::io::Error),
 }
 
 /// How a send failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failed {
+pub enum SendError {
     /// A connection that was kept had ended: nothing was written on it.
-    Unsent,
+    StaleConnection,
     /// Nothing was written, though the connection is new.
-    Refused,
+    NotSent,
     /// It may have been read.
-    Lost,
+    MaybeSent,
 }
 
 fn micros(t: Micros) -> Duration {
     Duration::from_micros(t)
 }
 
-impl Line<Named> {
+impl UpstreamConnection<Unconnected> {
     /// A connection to this life of a worker, not yet made.
     pub fn to(to: Target) -> Self {
-        Line { to, state: Named }
+        UpstreamConnection { to, state: Unconnected }
     }
 
     /// Takes a connection that was kept and is quiet, or makes one.
-    pub async fn open(self, w: &Upstreams, want: Want) -> Result<Line<Open>, Shut> {
+    pub async fn open(
+        self,
+        w: &UpstreamPool,
+        want: ConnectionRequirements,
+    ) -> Result<UpstreamConnection<Connected>, ConnectError> {
         let to = self.to;
         let gate = w.gate(&to);
-        let cap = if want.cap == 0 { usize::MAX } else { want.cap };
+        let cap = if want.max_connections == 0 { usize::MAX } else { want.max_connections };
         let mut end = None;
         let slot = loop {
             let room = gate.room.notified();
             tokio::pin!(room);
             // It hears what comes free from here on.
             room.as_mut().enable();
-            while let Some((mut tx, watch)) = (!want.fresh).then(|| w.take(&to, want.once)).flatten() {
+            while let Some((mut tx, watch)) =
+                (!want.must_be_new).then(|| w.reuse_idle(&to, want.is_non_idempotent)).flatten()
+            {
                 let ok = match tx.ready().now_or_never() {
                     Some(r) => r.is_ok(),
                     None => matches!(timeout(micros(2_000), tx.ready()).await, Ok(Ok(()))),
                 };
                 if ok {
-                    return Ok(Line { to, state: Open { tx, watch, old: true } });
+                    return Ok(UpstreamConnection { to, state: Connected { tx, watch, old: true } });
                 }
             }
             if let Some(s) = gate.enter(cap) {
                 break s;
             }
             // Those left are too old for this request; one makes room for a new one.
-            w.give_up(&to);
-            let end = *end.get_or_insert_with(|| Instant::now() + micros(w.timeouts.wait));
+            w.close_oldest_idle(&to);
+            let end = *end.get_or_insert_with(|| Instant::now() + micros(w.timeouts.permit_wait));
             if timeout_at(end, room).await.is_err() {
-                return Err(Shut::Full);
+                return Err(ConnectError::LimitReached);
             }
         };
-        let no = |e| Shut::Io(std::io::Error::other(e));
+        let no = |e| ConnectError::Io(std::io::Error::other(e));
         let s = match timeout(micros(w.timeouts.connect), TcpStream::connect(to.addr)).await {
-            Ok(s) => s.map_err(Shut::Io)?,
-            Err(_) => return Err(Shut::Io(std::io::ErrorKind::TimedOut.into())),
+            Ok(s) => s.map_err(ConnectError::Io)?,
+            Err(_) => return Err(ConnectError::Io(std::io::ErrorKind::TimedOut.into())),
         };
         net::tune(&s, net::WORKER);
         let (s, watch) = socket::watch(s, slot);
@@ -126,37 +132,46 @@
         tokio::spawn(async move {
             let _ = c.await;
         });
-        Ok(Line { to, state: Open { tx, watch, old: false } })
+        Ok(UpstreamConnection { to, state: Connected { tx, watch, old: false } })
     }
 }
 
-impl Line<Open> {
+impl UpstreamConnection<Connected> {
     /// Whether this connection had been used before.
     pub fn old(&self) -> bool {
         self.state.old
     }
 
     /// Sends a request and waits for the head of its answer.
-    pub async fn send(mut self, r: Request<Full<Bytes>>) -> Result<(Response<Incoming>, Line<Busy>), Failed> {
-        let gone = if self.state.old { Failed::Unsent } else { Failed::Refused };
+    pub async fn send(
+        mut self,
+        r: Request<Full<Bytes>>,
+    ) -> Result<(Response<Incoming>, UpstreamConnection<Responding>), SendError> {
+        let gone = if self.state.old { SendError::StaleConnection } else { SendError::NotSent };
         if self.state.old {
             self.state.watch.request_begins();
         }
         match self.state.tx.try_send_request(r).await {
             Ok(r) => {
-                let told = Told::read(r.version(), r.headers());
-                Ok((r, Line { to: self.to, state: Busy { tx: self.state.tx, watch: self.state.watch, told } }))
+                let told = KeepAliveHints::from_headers(r.version(), r.headers());
+                Ok((
+                    r,
+                    UpstreamConnection {
+                        to: self.to,
+                        state: Responding { tx: self.state.tx, watch: self.state.watch, told },
+                    },
+                ))
             }
             Err(mut e) => {
-                Err(if e.take_message().is_some() || self.state.watch.withheld() { gone } else { Failed::Lost })
+                Err(if e.take_message().is_some() || self.state.watch.withheld() { gone } else { SendError::MaybeSent })
             }
         }
     }
 }
 
-impl Line<Busy> {
+impl UpstreamConnection<Responding> {
     /// The response ended properly: the next call may use this connection.
-    pub fn keep(self, w: &Upstreams) {
-        w.keep(&self.to, self.state.told, self.state.tx, self.state.watch);
+    pub fn keep(self, w: &UpstreamPool) {
+        w.return_idle(&self.to, self.state.told, self.state.tx, self.state.watch);
     }
 }
--- a/crates/node/src/upstream/gate.rs
+++ b/crates/node/src/upstream/gate.rs
@@ -6,7 +6,7 @@
 
 /// How many connections one life has from here, also those being made.
 #[derive(Debug, Default)]
-pub struct Gate {
+pub struct ConnectionGate {
     open: AtomicUsize,
     /// Rung when one closes or comes free.
     pub room: Notify,
@@ -14,23 +14,23 @@
 
 /// One of a gate's connections, until it is dropped.
 #[derive(Debug)]
-pub struct Slot(Arc<Gate>);
+pub struct ConnectionPermit(Arc<ConnectionGate>);
 
-impl Gate {
+impl ConnectionGate {
     /// How many there are, also those being made.
     pub fn count(&self) -> usize {
         self.open.load(Ordering::Acquire)
     }
 
     /// One more, unless there are `cap`.
-    pub fn enter(self: &Arc<Self>, cap: usize) -> Option<Slot> {
+    pub fn enter(self: &Arc<Self>, cap: usize) -> Option<ConnectionPermit> {
         let more = |n: usize| (n < cap).then_some(n + 1);
         self.open.fetch_update(Ordering::AcqRel, Ordering::Acquire, more).ok()?;
-        Some(Slot(self.clone()))
+        Some(ConnectionPermit(self.clone()))
     }
 }
 
-impl Drop for Slot {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.0.open.fetch_sub(1, Ordering::AcqRel);
         self.0.room.notify_one();
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -1,9 +1,9 @@
 //! Connections to workers that were used and may be used again.
 
-use super::gate::Gate;
+use super::gate::ConnectionGate;
+use super::keep_alive::{KeepAliveHints, safe_idle_time};
 use super::socket::{Sender, SocketWatch};
 use super::target::Target;
-use super::told::{Told, safe};
 use crate::clock;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,16 +19,16 @@
     /// How long a connection may take to stand.
     pub connect: Micros,
     /// How long one is kept where the worker tells nothing.
-    pub untold: Micros,
+    pub default_idle: Micros,
     /// How long one may have been idle that takes a request which can't be repeated.
-    pub once: Micros,
+    pub non_idempotent_idle: Micros,
     /// How long a request waits for a connection when there are as many as may be.
-    pub wait: Micros,
+    pub permit_wait: Micros,
 }
 
 impl Default for Timeouts {
     fn default() -> Self {
-        Timeouts { connect: 300 * MS, untold: 4 * SEC, once: 600 * MS, wait: 20 * MS }
+        Timeouts { connect: 300 * MS, default_idle: 4 * SEC, non_idempotent_idle: 600 * MS, permit_wait: 20 * MS }
     }
 }
 
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 struct Host {
     target: Target,
-    gate: Arc<Gate>,
+    gate: Arc<ConnectionGate>,
     /// How long this life says that it keeps idle connections.
     told: Option<Micros>,
     kept: Vec<Kept>,
@@ -53,21 +53,21 @@
 
 /// Connections that were used and may be used again, by the life of a worker.
 #[derive(Debug, Default)]
-pub struct Upstreams {
+pub struct UpstreamPool {
     by: [Mutex<HashMap<SocketAddr, Host>>; SHARDS],
     pub timeouts: Timeouts,
     swept: std::sync::atomic::AtomicU64,
 }
 
 /// This node's part of the connections that a worker takes from all callers.
-pub fn part(all: usize, fronts: usize) -> usize {
+pub fn connection_share(all: usize, fronts: usize) -> usize {
     (all / fronts.max(1)).max(2)
 }
 
-impl Upstreams {
+impl UpstreamPool {
     /// Nothing is kept yet.
     pub fn new(timeouts: Timeouts) -> Self {
-        Upstreams { timeouts, ..Upstreams::default() }
+        UpstreamPool { timeouts, ..UpstreamPool::default() }
     }
 
     fn at(&self, a: &SocketAddr) -> MutexGuard<'_, HashMap<SocketAddr, Host>> {
@@ -90,15 +90,16 @@
     }
 
     /// How many connections this life has from here.
-    pub(super) fn gate(&self, w: &Target) -> Arc<Gate> {
+    pub(super) fn gate(&self, w: &Target) -> Arc<ConnectionGate> {
         self.with(w, |h| h.gate.clone())
     }
 
     /// The one used last that may be used now.
-    pub(super) fn take(&self, w: &Target, once: bool) -> Option<(Sender, Arc<SocketWatch>)> {
+    pub(super) fn reuse_idle(&self, w: &Target, once: bool) -> Option<(Sender, Arc<SocketWatch>)> {
         let now = clock::now();
         self.with(w, |h| {
-            let fit = |k: &Kept| now < k.until && !(once && now.saturating_sub(k.since) >= self.timeouts.once);
+            let fit =
+                |k: &Kept| now < k.until && !(once && now.saturating_sub(k.since) >= self.timeouts.non_idempotent_idle);
             while h.kept.last().is_some_and(fit) {
                 let k = h.kept.pop()?;
                 if !k.tx.is_closed() && k.watch.quiet() {
@@ -110,7 +111,7 @@
     }
 
     /// Gives up the one idle longest, so that a new one may be made.
-    pub(super) fn give_up(&self, w: &Target) {
+    pub(super) fn close_oldest_idle(&self, w: &Target) {
         self.with(w, |h| {
             if !h.kept.is_empty() {
                 h.kept.remove(0);
@@ -119,14 +120,14 @@
     }
 
     /// Keeps a connection whose answer ended properly, unless that said that it ends.
-    pub(super) fn keep(&self, w: &Target, t: Told, tx: Sender, watch: Arc<SocketWatch>) {
+    pub(super) fn return_idle(&self, w: &Target, t: KeepAliveHints, tx: Sender, watch: Arc<SocketWatch>) {
         let now = clock::now();
         let mut g = self.at(&w.addr);
         let Some(h) = g.get_mut(&w.addr).filter(|h| h.target == *w) else { return };
-        h.told = t.idle.or(h.told);
+        h.told = t.idle_timeout.or(h.told);
         let room = h.gate.clone();
-        if !t.close {
-            let until = now + h.told.map_or(self.timeouts.untold, safe);
+        if !t.closes {
+            let until = now + h.told.map_or(self.timeouts.default_idle, safe_idle_time);
             h.kept.retain(|k| now < k.until && !k.tx.is_closed());
             h.kept.push(Kept { since: now, until, tx, watch });
         }
@@ -135,14 +136,14 @@
     }
 
     /// How many are kept and how many are open to this life.
-    pub fn held(&self, w: &Target) -> (usize, usize) {
+    pub fn connection_counts(&self, w: &Target) -> (usize, usize) {
         let g = self.at(&w.addr);
         let h = g.get(&w.addr).filter(|h| h.target == *w);
         h.map_or((0, 0), |h| (h.kept.len(), h.gate.count()))
     }
 
     /// Closes what has been idle for too long, and forgets lives that are not `here`.
-    pub fn sweep(&self, here: impl Fn(&str, u64) -> bool) {
+    pub fn evict_expired(&self, here: impl Fn(&str, u64) -> bool) {
         let now = clock::now();
         if now.saturating_sub(self.swept.load(Ordering::Relaxed)) < SEC / 2 {
             return;
--- a/crates/node/src/upstream/socket.rs
+++ b/crates/node/src/upstream/socket.rs
@@ -1,6 +1,6 @@
 //! The socket of a connection to a worker, and a look at it from outside its task.
 
-use super::gate::Slot;
+use super::gate::ConnectionPermit;
 use crate::net;
 use crate::watched::{Watch, Watched};
 use bytes::Bytes;
@@ -66,11 +66,11 @@
 /// What looks on at a connection to a worker, which counts among that worker's until it closes.
 pub struct WorkerWatch {
     shared: Arc<SocketWatch>,
-    _slot: Slot,
+    _slot: ConnectionPermit,
 }
 
 /// Wraps a connection, which takes up `slot` until it closes.
-pub fn watch(stream: TcpStream, slot: Slot) -> (Watched<WorkerWatch>, Arc<SocketWatch>) {
+pub fn watch(stream: TcpStream, slot: ConnectionPermit) -> (Watched<WorkerWatch>, Arc<SocketWatch>) {
     let shared = Arc::new(SocketWatch::new(stream.as_raw_fd()));
     (Watched::new(stream, WorkerWatch { shared: shared.clone(), _slot: slot }), shared)
 }
--- a/crates/node/tests/answers/front.rs
+++ b/crates/node/tests/answers/front.rs
@@ -8,8 +8,8 @@
 use sumacvale_core::config::CompiledConfig;
 use sumacvale_core::node::View;
 use sumacvale_core::protocol::WorkerReport;
-use sumacvale_node::dialect::{Dialect, Heads};
-use sumacvale_node::env::Env;
+use sumacvale_node::protocol_adapter::{HeaderNames, ProtocolAdapter};
+use sumacvale_node::settings::Settings;
 use sumacvale_node::shared::{CallEvents, Shared};
 use sumacvale_node::{admin, clock, serve};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -17,22 +17,27 @@
 use tokio::sync::{mpsc, watch};
 
 /// Names of heads; where answers bear seals, each names its request too.
-const fn dialect(seal: Option<&'static str>) -> Dialect {
-    let heads = Heads {
-        id: "x-call-id",
+const fn dialect(seal: Option<&'static str>) -> ProtocolAdapter {
+    let heads = HeaderNames {
+        request_id: "x-call-id",
         tenant: "x-tenant",
-        window: None,
+        quota_window: None,
         worker: Some("x-worker"),
-        left: None,
+        time_left: None,
         urgency: None,
-        parts: None,
-        tokens: None,
-        ran: None,
-        unrun: ("x-not-run", None),
-        seal,
-        load: None,
+        prompt_parts: None,
+        token_counts: None,
+        execution: None,
+        not_run: ("x-not-run", None),
+        worker_seal: seal,
+        worker_load: None,
     };
-    Dialect { heads, host: false, back: seconds, read: sumacvale_core::config::validate }
+    ProtocolAdapter {
+        headers: heads,
+        preserves_host: false,
+        format_retry_after: seconds,
+        config_reader: sumacvale_core::config::validate,
+    }
 }
 
 fn seconds(_: u64, _: &str) -> String {
@@ -40,10 +45,10 @@
 }
 
 /// Each answer names its request, and what ran bears a seal.
-pub static SEALED: Dialect = dialect(Some("x-seal"));
+pub static SEALED: ProtocolAdapter = dialect(Some("x-seal"));
 
 /// Workers need not name the request that they answer.
-pub static LOOSE: Dialect = dialect(None);
+pub static LOOSE: ProtocolAdapter = dialect(None);
 
 /// Four kinds of routes. `PATIENCE` is how long an answer may be silent.
 const TREE: &str = r#"{
@@ -90,25 +95,25 @@
 }
 
 impl Front {
-    pub async fn start(dialect: &'static Dialect, workers: &[SocketAddr]) -> std::io::Result<Self> {
+    pub async fn start(dialect: &'static ProtocolAdapter, workers: &[SocketAddr]) -> std::io::Result<Self> {
         let (inbox, commands) = mpsc::channel(1_000);
         let (version, seen) = watch::channel(Some(1));
         let shared = Arc::new(Shared {
-            env: Env { zone: "z".into(), ..Env::default() },
-            dialect,
+            settings: Settings { zone: "z".into(), ..Settings::default() },
+            adapter: dialect,
             node_id: "n".into(),
             view: arc_swap::ArcSwap::default(),
-            inbox,
-            floor: SharedCallState::new("z", 8, 64 << 20, Arc::default()),
+            commands: inbox,
+            call_state: SharedCallState::new("z", 8, 64 << 20, Arc::default()),
             call_events: CallEvents::default(),
-            upstreams: sumacvale_node::upstream::Upstreams::default(),
-            limits: Arc::default(),
-            tally: Arc::default(),
-            disk_troubles: None,
+            upstreams: sumacvale_node::upstream::UpstreamPool::default(),
+            connection_limits: Arc::default(),
+            link_counters: Arc::default(),
+            disk_error_count: None,
             stopping: AtomicBool::new(false),
-            resting: AtomicBool::new(false),
-            version: seen,
-            calls: AtomicU64::new(0),
+            operator_draining: AtomicBool::new(false),
+            published_version: seen,
+            next_call_id: AtomicU64::new(0),
         });
         let l = TcpListener::bind("127.0.0.1:0").await?;
         let at = l.local_addr()?;
@@ -134,13 +139,13 @@
             workers: Arc::new(rows),
             ..View::default()
         }));
-        self.shared.floor.caches.routes.delete("p");
+        self.shared.call_state.caches.routes.delete("p");
     }
 
     /// Second tries are paid for.
     pub fn pay(&self) {
         for _ in 0..50 {
-            self.shared.floor.retry_budget.deposit();
+            self.shared.call_state.retry_budget.deposit();
         }
     }
 
--- a/crates/node/tests/answers/main.rs
+++ b/crates/node/tests/answers/main.rs
@@ -10,7 +10,7 @@
 use std::fmt::Write;
 use std::sync::Arc;
 use std::time::Duration;
-use sumacvale_node::dialect::Dialect;
+use sumacvale_node::protocol_adapter::ProtocolAdapter;
 use ways::{Request, Way, body};
 use worker::{Arrival, Cue, Script};
 
@@ -92,7 +92,7 @@
 }
 
 impl Stage {
-    async fn new(dialect: &'static Dialect) -> Res<Stage> {
+    async fn new(dialect: &'static ProtocolAdapter) -> Res<Stage> {
         let (script, cue) = Script::new();
         let front = Front::start(dialect, &[worker::start(&script)?, worker::start(&script)?]).await?;
         let client = front.client().await?;
--- a/crates/node/tests/disk.rs
+++ b/crates/node/tests/disk.rs
@@ -7,7 +7,7 @@
 use sumacvale_core::base::{ChangeId, NodeId};
 use sumacvale_core::consensus::{DurableState, DurableWrite, MAX_DIGESTS, MAX_HISTORY_BYTES};
 use sumacvale_core::protocol::{Ballot, EntryDigest, LogEntry, RegisteredIncarnation, Voter, WindowGrant};
-use sumacvale_node::disk::{Damaged, Database, DiskWriter, Job};
+use sumacvale_node::disk::{Database, DiskError, DiskWriter, WriteJob};
 
 struct Dir(PathBuf);
 
@@ -94,17 +94,20 @@
 fn folders_that_are_in_use_foreign_or_damaged_are_refused() {
     let d = Dir::new("use");
     let (b, ..) = Database::open(&d.0, NodeId(5)).expect("opens");
-    assert!(matches!(Database::open(&d.0, NodeId(6)), Err(Damaged::InUse(_))));
+    assert!(matches!(Database::open(&d.0, NodeId(6)), Err(DiskError::InUse(_))));
     drop(b);
     let d = Dir::new("foreign");
     std::fs::write(d.0.join("letters.txt"), "x").expect("writes");
-    assert!(matches!(Database::open(&d.0, NodeId(5)), Err(Damaged::Foreign(_))));
+    assert!(matches!(Database::open(&d.0, NodeId(5)), Err(DiskError::ForeignFolder(_))));
     let d = Dir::new("other");
     std::fs::write(d.0.join("state.db"), vec![7; 5_000]).expect("writes");
-    assert!(matches!(Database::open(&d.0, NodeId(5)), Err(Damaged::Form(..))));
+    assert!(matches!(Database::open(&d.0, NodeId(5)), Err(DiskError::UnsupportedFormat(..))));
     let d = Dir::new("empty");
     std::fs::write(d.0.join("state.db"), b"").expect("writes");
-    assert!(matches!(Database::open(&d.0, NodeId(5)), Err(Damaged::Form(..))), "a file that lost all is no new folder");
+    assert!(
+        matches!(Database::open(&d.0, NodeId(5)), Err(DiskError::UnsupportedFormat(..))),
+        "a file that lost all is no new folder"
+    );
 }
 
 #[test]
@@ -289,9 +292,9 @@
     for token in 0..6 {
         let op = DurableWrite::Commit(large(token));
         want.apply(&op);
-        w.tx.send(Job { token, ops: vec![op] }).expect("takes it");
+        w.jobs.send(WriteJob { token, writes: vec![op] }).expect("takes it");
     }
-    while w.troubles.load(std::sync::atomic::Ordering::Relaxed) < 3 {
+    while w.error_count.load(std::sync::atomic::Ordering::Relaxed) < 3 {
         std::thread::yield_now();
     }
     assert!(synced.try_iter().all(|t| t < 5), "nothing is named as synced that is not");
@@ -302,7 +305,7 @@
     let k = loop {
         match Database::open(&d.0, NodeId(5)) {
             Ok((_, k, _)) => break k,
-            Err(Damaged::InUse(_)) => std::thread::yield_now(),
+            Err(DiskError::InUse(_)) => std::thread::yield_now(),
             Err(e) => panic!("{e}"),
         }
     };
--- a/crates/node/tests/links.rs
+++ b/crates/node/tests/links.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::Ordering;
 use sumacvale_core::base::NodeId;
 use sumacvale_core::protocol::{Frame, Message, PROTOCOL_VERSION, QuotaMessage, encode_frame};
-use sumacvale_node::link::{Links, Tally, WAITING_MOST, listen};
+use sumacvale_node::link::{LinkCounters, MAX_QUEUED_BYTES, OutboundLinks, listen};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
@@ -20,22 +20,22 @@
         for _ in 0..4 {
             nodes.push(tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port"));
         }
-        let tally = Arc::new(Tally::default());
-        let mut links = Links::new(tally.clone());
+        let tally = Arc::new(LinkCounters::default());
+        let mut links = OutboundLinks::new(tally.clone());
         let mut most = 0;
         for _ in 0..20 {
             for node in &nodes {
                 links.send(&node.local_addr().expect("bound").to_string(), vec![0; 4 << 20], false);
-                most = most.max(links.waiting());
+                most = most.max(links.queued_bytes());
             }
             tokio::task::yield_now().await;
         }
-        println!("{most} bytes waited at most, {} frames were dropped", tally.dropped.load(Ordering::Relaxed));
-        assert!(most <= WAITING_MOST, "{most}");
+        println!("{most} bytes waited at most, {} frames were dropped", tally.dropped_frames.load(Ordering::Relaxed));
+        assert!(most <= MAX_QUEUED_BYTES, "{most}");
         // Nodes still hear that this one lives.
-        let dropped = tally.dropped.load(Ordering::Relaxed);
+        let dropped = tally.dropped_frames.load(Ordering::Relaxed);
         links.send(&nodes[0].local_addr().expect("bound").to_string(), vec![0; 100], false);
-        assert!(dropped > 0 && dropped == tally.dropped.load(Ordering::Relaxed));
+        assert!(dropped > 0 && dropped == tally.dropped_frames.load(Ordering::Relaxed));
     })
     .await;
 }
@@ -66,7 +66,7 @@
 async fn heard(frames: &[Vec<u8>]) -> (bool, Vec<u64>, u64) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let to = listener.local_addr().expect("bound");
-    let tally = Arc::new(Tally::default());
+    let tally = Arc::new(LinkCounters::default());
     let got = Rc::new(RefCell::new(Vec::new()));
     let sink = got.clone();
     let take = async move |f: Frame| {
@@ -88,8 +88,8 @@
     let _ = peer.read_to_end(&mut rest).await;
     server.abort();
     let all = got.borrow().clone();
-    let garbled = tally.garbled.load(Ordering::Relaxed);
-    (garbled > 0, all, tally.unread.load(Ordering::Relaxed))
+    let garbled = tally.invalid_frames.load(Ordering::Relaxed);
+    (garbled > 0, all, tally.skipped_frames.load(Ordering::Relaxed))
 }
 
 #[tokio::test]
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,7 +1,9 @@
 //! The command line and the settings: every trouble is listed before anything opens.
 
 use std::process::Command;
-use sumacvale_node::env::{Asked, Flags, Members, Trouble, ask, read};
+use sumacvale_node::settings::{
+    CommandLineAction, MembershipSettings, SettingsError, SettingsOverrides, parse_command_line, read,
+};
 
 const GOOD: &str = r#"{"peer":"127.0.0.1:7000","admin":"127.0.0.1:7001","downstream":"127.0.0.1:7002","zone":"z1",
  "seeds":["127.0.0.1:7000","127.0.0.2:7000","127.0.0.3:7000"],
@@ -14,7 +16,7 @@
 }
 
 fn troubles(s: &str) -> Vec<String> {
-    match read(Some(s), &Flags::default()) {
+    match read(Some(s), &SettingsOverrides::default()) {
         Ok(_) => Vec::new(),
         Err(v) => v.iter().map(ToString::to_string).collect(),
     }
@@ -93,26 +95,31 @@
 
 #[test]
 fn one_to_three_seeds_and_what_members_do() {
-    let get = |s: &str| read(Some(s), &Flags::default()).expect("good");
+    let get = |s: &str| read(Some(s), &SettingsOverrides::default()).expect("good");
     for n in 1..=3 {
         let few: Vec<_> = SEEDS.split(',').take(n).collect();
         assert_eq!(get(&GOOD.replacen(SEEDS, &few.join(","), 1)).seeds.len(), n);
     }
-    assert_eq!(get(GOOD).members, Members { auto: false, lose: 1, first: true });
-    let m = get(&with("{\"auto\":true,\"lose\":2,\"first\":false}")).members;
-    assert_eq!(m, Members { auto: true, lose: 2, first: false });
+    assert_eq!(
+        get(GOOD).membership,
+        MembershipSettings { manages_voters: false, tolerated_losses: 1, may_bootstrap: true }
+    );
+    let m = get(&with("{\"auto\":true,\"lose\":2,\"first\":false}")).membership;
+    assert_eq!(m, MembershipSettings { manages_voters: true, tolerated_losses: 2, may_bootstrap: false });
 }
 
 #[test]
 fn flags_go_before_the_file() {
-    let f = Flags {
+    let f = SettingsOverrides {
         zone: Some("z9".into()),
         seeds: vec!["127.0.0.9:1".into(), "127.0.0.9:2".into(), "127.0.0.9:3".into()],
-        ..Flags::default()
+        ..SettingsOverrides::default()
     };
     let e = read(Some(GOOD), &f).expect("good");
     assert_eq!((e.zone.as_str(), e.seeds[2].port()), ("z9", 3));
-    assert!(matches!(ask(&["--nonsense".into()]), Asked::Wrong(v) if matches!(v[..], [Trouble::Flag(_)])));
+    assert!(
+        matches!(parse_command_line(&["--nonsense".into()]), CommandLineAction::Invalid(v) if matches!(v[..], [SettingsError::Flag(_)]))
+    );
 }
 
 #[test]
--- a/crates/node/tests/upstream.rs
+++ b/crates/node/tests/upstream.rs
@@ -9,7 +9,10 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
-use sumacvale_node::upstream::{Failed, Line, Shut, Target, Timeouts, Told, Upstreams, Want, part, safe};
+use sumacvale_node::upstream::{
+    ConnectError, ConnectionRequirements, KeepAliveHints, SendError, Target, Timeouts, UpstreamConnection,
+    UpstreamPool, connection_share, safe_idle_time,
+};
 
 type Res = Result<(), Box<dyn std::error::Error>>;
 
@@ -125,14 +128,19 @@
 }
 
 /// One request, and whether its connection had been used before.
-async fn call(w: &Upstreams, to: &Target, want: Want, path: &str) -> Result<(bool, String), String> {
-    let l = Line::to(to.clone()).open(w, want).await.map_err(|e| match e {
-        Shut::Full => "full".to_owned(),
-        Shut::Io(e) => e.to_string(),
+async fn call(
+    w: &UpstreamPool,
+    to: &Target,
+    want: ConnectionRequirements,
+    path: &str,
+) -> Result<(bool, String), String> {
+    let l = UpstreamConnection::to(to.clone()).open(w, want).await.map_err(|e| match e {
+        ConnectError::LimitReached => "full".to_owned(),
+        ConnectError::Io(e) => e.to_string(),
     })?;
     let old = l.old();
     let q = hyper::Request::get(path).header("host", "x").body(Full::new(Bytes::new())).map_err(|e| e.to_string())?;
-    let (r, l) = l.send(q).await.map_err(|e: Failed| format!("{e:?}"))?;
+    let (r, l) = l.send(q).await.map_err(|e: SendError| format!("{e:?}"))?;
     let b = r.into_body().collect().await.map_err(|_| "broke".to_owned())?.to_bytes();
     l.keep(w);
     Ok((old, String::from_utf8_lossy(&b).into_owned()))
@@ -143,8 +151,10 @@
     rt.block_on(async { tokio::time::timeout(Duration::from_secs(20), f).await? })
 }
 
-const ONCE: Want = Want { fresh: false, once: true, cap: 0 };
-const MANY: Want = Want { fresh: false, once: false, cap: 0 };
+const ONCE: ConnectionRequirements =
+    ConnectionRequirements { must_be_new: false, is_non_idempotent: true, max_connections: 0 };
+const MANY: ConnectionRequirements =
+    ConnectionRequirements { must_be_new: false, is_non_idempotent: false, max_connections: 0 };
 
 #[test]
 fn a_kept_connection_is_used_only_when_it_is_sure() -> Res {
@@ -153,7 +163,7 @@
     let table = [
         (Act::Whole, false, MANY, true),
         (Act::Whole, false, ONCE, true),
-        (Act::Whole, false, Want { fresh: true, ..MANY }, false),
+        (Act::Whole, false, ConnectionRequirements { must_be_new: true, ..MANY }, false),
         (Act::Keeps(5), false, ONCE, true),
         (Act::Keeps(0), false, MANY, false),
         (Act::SaysClose, false, MANY, false),
@@ -166,7 +176,7 @@
     for (act, word, want, same) in table {
         rt(async {
             let s = Standin::new(&[act])?;
-            let (w, to) = (Upstreams::default(), s.target("a", 1));
+            let (w, to) = (UpstreamPool::default(), s.target("a", 1));
             let one = call(&w, &to, MANY, "/1").await?;
             assert_eq!(one, (false, "/1".into()), "{act:?}");
             if word {
@@ -188,13 +198,13 @@
     for act in [Act::Late, Act::Ends] {
         rt(async {
             let s = Standin::new(&[act])?;
-            let (w, to) = (Upstreams::default(), s.target("a", 1));
+            let (w, to) = (UpstreamPool::default(), s.target("a", 1));
             assert_eq!(call(&w, &to, MANY, "/1").await?, (false, "/1".into()));
-            let l = Line::to(to.clone()).open(&w, ONCE).await.map_err(|e| format!("{e:?}"))?;
+            let l = UpstreamConnection::to(to.clone()).open(&w, ONCE).await.map_err(|e| format!("{e:?}"))?;
             assert!(l.old(), "{act:?}");
             s.word()?;
             let q = hyper::Request::get("/2").header("host", "x").body(Full::new(Bytes::new()))?;
-            assert_eq!(l.send(q).await.err(), Some(Failed::Unsent), "{act:?}");
+            assert_eq!(l.send(q).await.err(), Some(SendError::StaleConnection), "{act:?}");
             assert_eq!(call(&w, &to, MANY, "/3").await?, (false, "/3".into()), "{act:?}");
             Ok(())
         })?;
@@ -207,7 +217,7 @@
     rt(async {
         let acts: Vec<Act> = (0..200).map(|i| if i % 3 == 1 { Act::Twice } else { Act::Whole }).collect();
         let s = Standin::new(&acts)?;
-        let (w, to) = (Upstreams::default(), s.target("a", 1));
+        let (w, to) = (UpstreamPool::default(), s.target("a", 1));
         for i in 0..200 {
             let p = format!("/{i}");
             assert_eq!(call(&w, &to, MANY, &p).await?.1, p);
@@ -222,13 +232,13 @@
     for (one, two, same) in table {
         rt(async {
             let s = Standin::new(&[])?;
-            let w = Upstreams::default();
+            let w = UpstreamPool::default();
             call(&w, &s.target(one.0, one.1), MANY, "/1").await?;
             let (old, _) = call(&w, &s.target(two.0, two.1), MANY, "/2").await?;
             assert_eq!(old, same, "{one:?} {two:?}");
-            assert_eq!(w.held(&s.target(two.0, two.1)).0, 1);
-            w.sweep(|_, _| false);
-            assert_eq!(w.held(&s.target(two.0, two.1)).0, 0);
+            assert_eq!(w.connection_counts(&s.target(two.0, two.1)).0, 1);
+            w.evict_expired(|_, _| false);
+            assert_eq!(w.connection_counts(&s.target(two.0, two.1)).0, 0);
             Ok(())
         })?;
     }
@@ -240,7 +250,7 @@
     for (act, want) in [(Act::Half, "broke"), (Act::Nothing, "Lost")] {
         rt(async {
             let s = Standin::new(&[act])?;
-            let (w, to) = (Upstreams::default(), s.target("a", 1));
+            let (w, to) = (UpstreamPool::default(), s.target("a", 1));
             assert_eq!(call(&w, &to, MANY, "/1").await, Err(want.to_owned()));
             assert_eq!(call(&w, &to, MANY, "/2").await?, (false, "/2".into()));
             Ok(())
@@ -253,21 +263,24 @@
 fn there_are_no_more_connections_than_may_be() -> Res {
     rt(async {
         let s = Standin::new(&[])?;
-        let (w, to) = (Upstreams::new(Timeouts { wait: 5_000, ..Timeouts::default() }), s.target("a", 1));
-        let want = Want { cap: 2, ..MANY };
-        let one = Line::to(to.clone()).open(&w, want).await.map_err(|e| format!("{e:?}"))?;
-        let two = Line::to(to.clone()).open(&w, want).await.map_err(|e| format!("{e:?}"))?;
-        assert_eq!(w.held(&to), (0, 2));
+        let (w, to) = (UpstreamPool::new(Timeouts { permit_wait: 5_000, ..Timeouts::default() }), s.target("a", 1));
+        let want = ConnectionRequirements { max_connections: 2, ..MANY };
+        let one = UpstreamConnection::to(to.clone()).open(&w, want).await.map_err(|e| format!("{e:?}"))?;
+        let two = UpstreamConnection::to(to.clone()).open(&w, want).await.map_err(|e| format!("{e:?}"))?;
+        assert_eq!(w.connection_counts(&to), (0, 2));
         assert_eq!(call(&w, &to, want, "/3").await, Err("full".into()));
         // One that comes free is taken by who waits; one that is kept gives its place to a new one.
         drop(one);
         assert_eq!(call(&w, &to, want, "/4").await?, (false, "/4".into()));
         assert_eq!(call(&w, &to, want, "/5").await?, (true, "/5".into()));
-        assert_eq!(call(&w, &to, Want { fresh: true, ..want }, "/6").await?, (false, "/6".into()));
+        assert_eq!(
+            call(&w, &to, ConnectionRequirements { must_be_new: true, ..want }, "/6").await?,
+            (false, "/6".into())
+        );
         drop(two);
         let (a, b) = tokio::join!(call(&w, &to, want, "/7"), call(&w, &to, want, "/8"));
         assert_eq!((a?.1, b?.1), ("/7".into(), "/8".into()));
-        assert!(w.held(&to).1 <= 2);
+        assert!(w.connection_counts(&to).1 <= 2);
         Ok(())
     })
 }
@@ -275,27 +288,30 @@
 #[test]
 fn what_a_worker_tells_of_its_connections() -> Res {
     let s = 1_000_000;
-    let table: [(&[(&str, &str)], Told); 7] = [
-        (&[], Told { close: false, idle: None }),
-        (&[("connection", "keep-alive")], Told { close: false, idle: None }),
-        (&[("connection", "x, Close")], Told { close: true, idle: None }),
-        (&[("keep-alive", "timeout=4, max=100")], Told { close: false, idle: Some(4 * s) }),
-        (&[("keep-alive", "max=0")], Told { close: true, idle: None }),
-        (&[("keep-alive", "timeout=soon")], Told { close: false, idle: None }),
-        (&[("connection", "close"), ("keep-alive", "timeout=1")], Told { close: true, idle: Some(s) }),
+    let table: [(&[(&str, &str)], KeepAliveHints); 7] = [
+        (&[], KeepAliveHints { closes: false, idle_timeout: None }),
+        (&[("connection", "keep-alive")], KeepAliveHints { closes: false, idle_timeout: None }),
+        (&[("connection", "x, Close")], KeepAliveHints { closes: true, idle_timeout: None }),
+        (&[("keep-alive", "timeout=4, max=100")], KeepAliveHints { closes: false, idle_timeout: Some(4 * s) }),
+        (&[("keep-alive", "max=0")], KeepAliveHints { closes: true, idle_timeout: None }),
+        (&[("keep-alive", "timeout=soon")], KeepAliveHints { closes: false, idle_timeout: None }),
+        (
+            &[("connection", "close"), ("keep-alive", "timeout=1")],
+            KeepAliveHints { closes: true, idle_timeout: Some(s) },
+        ),
     ];
     for (hs, want) in table {
         let mut m = hyper::HeaderMap::new();
         for (k, v) in hs {
             m.append(*k, v.parse()?);
         }
-        assert_eq!(Told::read(hyper::Version::HTTP_11, &m), want, "{hs:?}");
+        assert_eq!(KeepAliveHints::from_headers(hyper::Version::HTTP_11, &m), want, "{hs:?}");
     }
     for (t, want) in [(0, 0), (s, s / 2), (2 * s, s), (15 * s, 14 * s)] {
-        assert_eq!(safe(t), want);
+        assert_eq!(safe_idle_time(t), want);
     }
     for ((all, fronts), want) in [((370, 10), 37), ((110, 60), 2), ((8, 0), 8)] {
-        assert_eq!(part(all, fronts), want);
+        assert_eq!(connection_share(all, fronts), want);
     }
     Ok(())
 }
@@ -329,8 +345,8 @@
 #[test]
 fn frames_wait_for_a_node_that_comes_back() -> Res {
     rt(tokio::task::LocalSet::new().run_until(async {
-        let tally = Arc::new(sumacvale_node::link::Tally::default());
-        let mut links = sumacvale_node::link::Links::new(tally.clone());
+        let tally = Arc::new(sumacvale_node::link::LinkCounters::default());
+        let mut links = sumacvale_node::link::OutboundLinks::new(tally.clone());
         let l = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
         let at = l.local_addr()?;
         drop(l);
@@ -360,7 +376,7 @@
             links.send(&at.to_string(), vec![99], false);
         });
         assert_eq!(frame(&mut a?.0).await?, vec![99]);
-        assert_eq!(tally.dropped.load(Ordering::Relaxed), 0);
+        assert_eq!(tally.dropped_frames.load(Ordering::Relaxed), 0);
         Ok(())
     }))
 }
@@ -388,7 +404,7 @@
     rt(async {
         let l = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
         let at = l.local_addr()?;
-        let lim = Arc::new(sumacvale_node::serve::Limits::default());
+        let lim = Arc::new(sumacvale_node::serve::ConnectionLimits::default());
         let (stop, hear) = tokio::sync::watch::channel(false);
         let (go, wait) = tokio::sync::watch::channel(false);
         let r = viz::Router::new().get("/a", |_: viz::Request| async { Ok::<_, viz::Error>("hello") }).get(
@@ -403,16 +419,16 @@
         );
         let all = tokio::spawn(sumacvale_node::serve::run(l, r, 100, lim.clone(), hear));
         for (q, head, idle, want) in table {
-            lim.set_head_wait(head * 1_000);
-            lim.set_idle(idle * 1_000);
+            lim.set_header_timeout(head * 1_000);
+            lim.set_idle_timeout(idle * 1_000);
             let mut s = tokio::net::TcpStream::connect(at).await?;
             s.write_all(q.as_bytes()).await?;
             let t = end(&mut s).await?;
             assert!(if want.is_empty() { t.is_empty() } else { t.contains(want) }, "{q:?}: {t:?}");
         }
         // An answer under way outlives the idle time, and the stop; an idle connection ends with the stop.
-        lim.set_head_wait(60_000_000);
-        lim.set_idle(60_000_000);
+        lim.set_header_timeout(60_000_000);
+        lim.set_idle_timeout(60_000_000);
         let mut idle = tokio::net::TcpStream::connect(at).await?;
         idle.write_all(ASK.as_bytes()).await?;
         let mut b = [0; 512];
