--- a/crates/node/src/disk/folder.rs
+++ b/crates/node/src/disk/folder.rs
@@ -1,8 +1,8 @@
-//! The data folder and the birth of its one file.
+//! The data folder and the creation of its one file.
 //!
-//! After a loss of power each file that was made, renamed or removed since the last sync of the
-//! folder may be kept or lost by itself. So the database is made whole under another name, synced,
-//! renamed, and the folder is synced before anything is promised.
+//! After a loss of power each file that was created, renamed or removed since the last sync of the
+//! folder may be kept or lost independently. So the database is completed under another name, synced,
+//! renamed, and the folder is synced before the core makes any promise.
 
 use super::DiskError;
 use std::io::ErrorKind;
@@ -10,57 +10,63 @@
 
 /// The database of a core.
 pub const DATABASE_FILE: &str = "state.db";
-/// What becomes the database once it is whole.
+/// The new database until it is complete.
 const DRAFT_FILE: &str = "state.db.new";
-/// Made and removed to see whether the folder can be written.
+/// Created and removed to check whether the folder can be written.
 pub const PROBE_FILE: &str = ".sumacvale-write";
-/// A rollback journal, which the database has never had; one that came back is another life's.
+/// SQLite's rollback journal. The database never has one (it uses a write-ahead log), so one that
+/// reappeared after a loss of power is not its own.
 const ROLLBACK_JOURNAL_FILE: &str = "state.db-journal";
 
-/// An error of the folder: one that the disk may get over, or one that somebody must mend.
-pub fn folder_error(dir: &Path, e: &std::io::Error) -> DiskError {
-    let at = dir.display().to_string();
-    let settled = [ErrorKind::PermissionDenied, ErrorKind::NotFound, ErrorKind::NotADirectory, ErrorKind::InvalidInput];
-    if settled.contains(&e.kind()) {
-        DiskError::UnusableFolder(at, e.to_string())
+/// The error of a file operation in the folder: [`DiskError::Unwritable`] where it may pass by itself,
+/// [`DiskError::UnusableFolder`] where an operator must act.
+pub fn folder_error(dir: &Path, error: &std::io::Error) -> DiskError {
+    let folder = dir.display().to_string();
+    let reason = error.to_string();
+    let permanent =
+        [ErrorKind::PermissionDenied, ErrorKind::NotFound, ErrorKind::NotADirectory, ErrorKind::InvalidInput];
+    if permanent.contains(&error.kind()) {
+        DiskError::UnusableFolder { folder, reason }
     } else {
-        DiskError::Unwritable(at, e.to_string())
+        DiskError::Unwritable { path: folder, reason }
     }
 }
 
-/// Makes the names in a folder durable.
+/// Syncs the folder, which makes its file names durable.
 pub fn sync(dir: &Path) -> Result<(), DiskError> {
-    std::fs::File::open(dir).and_then(|d| d.sync_all()).map_err(|e| folder_error(dir, &e))
+    std::fs::File::open(dir).and_then(|file| file.sync_all()).map_err(|error| folder_error(dir, &error))
 }
 
-/// Makes the folder where it is missing, and says whether it holds a database.
+/// Creates the folder where it is missing, removes leftovers of an interrupted start, and returns
+/// whether the folder holds a database.
 pub fn prepare(dir: &Path) -> Result<bool, DiskError> {
-    let io = |e: std::io::Error| folder_error(dir, &e);
-    if !dir.try_exists().map_err(io)? {
-        std::fs::create_dir(dir).map_err(io)?;
-        if let Some(parent) = dir.parent().filter(|p| !p.as_os_str().is_empty()) {
+    let with_folder = |error: std::io::Error| folder_error(dir, &error);
+    if !dir.try_exists().map_err(with_folder)? {
+        std::fs::create_dir(dir).map_err(with_folder)?;
+        if let Some(parent) = dir.parent().filter(|path| !path.as_os_str().is_empty()) {
             sync(parent)?;
         }
     }
-    let held = dir.join(DATABASE_FILE).try_exists().map_err(io)?;
-    let leftovers = if held { vec![dir.join(ROLLBACK_JOURNAL_FILE)] } else { unfinished(dir)? };
+    let has_database = dir.join(DATABASE_FILE).try_exists().map_err(with_folder)?;
+    let leftovers = if has_database { vec![dir.join(ROLLBACK_JOURNAL_FILE)] } else { unfinished_files(dir)? };
     for file in leftovers {
-        remove(&file).map_err(io)?;
+        remove(&file).map_err(with_folder)?;
     }
-    // Also what an earlier life made and didn't live to sync.
+    // Also makes durable what an earlier incarnation created and did not sync before it ended.
     sync(dir)?;
-    Ok(held)
+    Ok(has_database)
 }
 
-/// What an attempt to make the database left. The folder of somebody else is not touched.
-fn unfinished(dir: &Path) -> Result<Vec<PathBuf>, DiskError> {
-    let io = |e: std::io::Error| folder_error(dir, &e);
+/// The files that an interrupted creation of the database left. A folder with any other file is
+/// refused and not changed.
+fn unfinished_files(dir: &Path) -> Result<Vec<PathBuf>, DiskError> {
+    let with_folder = |error: std::io::Error| folder_error(dir, &error);
     let mut files = Vec::new();
-    for entry in std::fs::read_dir(dir).map_err(io)? {
-        let path = entry.map_err(io)?.path();
-        let name = path.file_name().and_then(|n| n.to_str()).unwrap_or_default();
+    for entry in std::fs::read_dir(dir).map_err(with_folder)? {
+        let path = entry.map_err(with_folder)?.path();
+        let name = path.file_name().and_then(|name| name.to_str()).unwrap_or_default();
         if !name.starts_with(DATABASE_FILE) && name != PROBE_FILE {
-            return Err(DiskError::ForeignFolder(dir.display().to_string()));
+            return Err(DiskError::ForeignFolder { folder: dir.display().to_string() });
         }
         if !name.starts_with(DRAFT_FILE) && name != PROBE_FILE {
             tracing::warn!(file = %path.display(), "left without its database; this core starts as a new one");
@@ -70,21 +76,22 @@
     Ok(files)
 }
 
+/// Removes a file that may be missing.
 fn remove(file: &Path) -> std::io::Result<()> {
     match std::fs::remove_file(file) {
-        Err(e) if e.kind() == ErrorKind::NotFound => Ok(()),
-        r => r,
+        Err(error) if error.kind() == ErrorKind::NotFound => Ok(()),
+        result => result,
     }
 }
 
-/// Makes the database by `fill`, whole or not at all.
+/// Creates the database by `fill`, completely or not at all.
 pub fn create(dir: &Path, fill: impl FnOnce(&Path) -> Result<(), DiskError>) -> Result<(), DiskError> {
-    let io = |e: std::io::Error| folder_error(dir, &e);
+    let with_folder = |error: std::io::Error| folder_error(dir, &error);
     let draft = dir.join(DRAFT_FILE);
     // SQLite doesn't say why a file can't be made.
-    std::fs::File::create(&draft).map_err(io)?;
+    std::fs::File::create(&draft).map_err(with_folder)?;
     fill(&draft)?;
-    std::fs::File::open(&draft).and_then(|f| f.sync_all()).map_err(io)?;
-    std::fs::rename(&draft, dir.join(DATABASE_FILE)).map_err(io)?;
+    std::fs::File::open(&draft).and_then(|file| file.sync_all()).map_err(with_folder)?;
+    std::fs::rename(&draft, dir.join(DATABASE_FILE)).map_err(with_folder)?;
     sync(dir)
 }
--- a/crates/node/src/disk/mod.rs
+++ b/crates/node/src/disk/mod.rs
@@ -1,10 +1,20 @@
-//! What a core keeps on its disk.
+//! The durable state of a core: one SQLite database in its data folder.
+//!
+//! Guarantees: a write is reported as done only once it is synced; several writes of one job are
+//! durable together or not at all; a folder that is foreign, locked or damaged is refused and never
+//! changed. While the disk takes no writes, opening and writing are retried every 200 ms and the
+//! core does not vote.
 
 mod database;
+mod error;
 mod folder;
+mod load;
+mod record;
+mod schema;
 mod writer;
 
 pub(crate) use folder::{PROBE_FILE, folder_error};
 
-pub use database::{Database, DiskError};
+pub use database::Database;
+pub use error::DiskError;
 pub use writer::{DiskWriter, WriteJob};
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -164,7 +164,7 @@
             // A node that knows nothing new must not go on as if it did.
             let r = std::panic::catch_unwind(std::panic::AssertUnwindSafe(go));
             if !matches!(r, Ok(Ok(()))) {
-                crate::fall("the control thread ended");
+                crate::exit_after_lost_thread("the control thread ended");
             }
         })
         .map_err(|e| (1, format!("no thread for control: {e}")))?;
--- a/crates/node/tests/disk.rs
+++ b/crates/node/tests/disk.rs
@@ -94,18 +94,18 @@
 fn folders_that_are_in_use_foreign_or_damaged_are_refused() {
     let d = Dir::new("use");
     let (b, ..) = Database::open(&d.0, NodeId(5)).expect("opens");
-    assert!(matches!(Database::open(&d.0, NodeId(6)), Err(DiskError::InUse(_))));
+    assert!(matches!(Database::open(&d.0, NodeId(6)), Err(DiskError::InUse { .. })));
     drop(b);
     let d = Dir::new("foreign");
     std::fs::write(d.0.join("letters.txt"), "x").expect("writes");
-    assert!(matches!(Database::open(&d.0, NodeId(5)), Err(DiskError::ForeignFolder(_))));
+    assert!(matches!(Database::open(&d.0, NodeId(5)), Err(DiskError::ForeignFolder { .. })));
     let d = Dir::new("other");
     std::fs::write(d.0.join("state.db"), vec![7; 5_000]).expect("writes");
-    assert!(matches!(Database::open(&d.0, NodeId(5)), Err(DiskError::UnsupportedFormat(..))));
+    assert!(matches!(Database::open(&d.0, NodeId(5)), Err(DiskError::UnsupportedFormat { .. })));
     let d = Dir::new("empty");
     std::fs::write(d.0.join("state.db"), b"").expect("writes");
     assert!(
-        matches!(Database::open(&d.0, NodeId(5)), Err(DiskError::UnsupportedFormat(..))),
+        matches!(Database::open(&d.0, NodeId(5)), Err(DiskError::UnsupportedFormat { .. })),
         "a file that lost all is no new folder"
     );
 }
@@ -305,7 +305,7 @@
     let k = loop {
         match Database::open(&d.0, NodeId(5)) {
             Ok((_, k, _)) => break k,
-            Err(DiskError::InUse(_)) => std::thread::yield_now(),
+            Err(DiskError::InUse { .. }) => std::thread::yield_now(),
             Err(e) => panic!("{e}"),
         }
     };
