--- a/crates/core/src/node/dispatch.rs
+++ b/crates/core/src/node/dispatch.rs
@@ -36,7 +36,7 @@
         if now - self.clock.last_step > STALL {
             self.clock.resumed_at = now;
         }
-        self.dissemination.contact.stepped(self.clock.last_step, now);
+        self.dissemination.contact.record_step(self.clock.last_step, now);
         self.clock.last_step = now;
         match e {
             Event::Tick => self.tick(now),
--- a/crates/core/src/node/dissemination/contact.rs
+++ b/crates/core/src/node/dissemination/contact.rs
@@ -1,170 +1,184 @@
 //! Whether this node exchanges messages with a majority of the voters.
 //!
-//! The measure are the answers to this node's own questions (`Confirm`), since only a round
-//! trip shows that frames pass in both directions. Two moments are kept of each core: when the
-//! newest answered question was sent, on which promises may be built, and when the newest
-//! answer came, since when silence counts. Nothing here is needed for safety: it decides how
-//! soon callers are sent elsewhere, never what is true.
+//! It is measured by replies to this node's own freshness probes, since only a round trip shows that frames
+//! pass in both directions. Two moments are kept of each core: when the newest probe that it replied to was
+//! sent, on which promises may be built, and when its newest reply came, from which silence counts. Nothing
+//! here is needed for safety: it decides how soon callers are redirected, never what is true.
 
 use crate::base::{MS, Micros, NodeId};
 use crate::consensus::{PendingChange, Requester};
 use crate::node::Node;
 use std::collections::BTreeMap;
 
-/// A majority that confirmed a question sent since then counts as reached: one round of
-/// confirmations, and some time for its answers.
-const REACHED: Micros = 650 * MS;
-/// After so long without an answer of a majority it is known to be gone.
-const LOST: Micros = 1_200 * MS;
-/// A caller is not kept waiting longer than this while no majority answers.
+/// A majority that replied to a probe sent at most so long ago counts as reached: one round of probes, and
+/// some time for the replies.
+const REACHED_WITHIN: Micros = 650 * MS;
+/// After so long without a reply of a majority, the majority counts as lost.
+const LOST_AFTER: Micros = 1_200 * MS;
+/// A caller is not kept waiting longer than this, in microseconds, while no majority replies.
 pub(in crate::node) const QUORUM_TIMEOUT: Micros = 400 * MS;
-/// Also where the majority is known to be gone a caller waits for the answers to one more
-/// question, as it may be back.
-const LAST_LOOK: Micros = 50 * MS;
-/// A caller that waited this long has the voters asked again.
+/// A caller waits for the replies to one more probe where the majority is known to be lost, as it may be
+/// back.
+const LAST_PROBE_TIMEOUT: Micros = 50 * MS;
+/// Once a caller has waited for so long, the voters are probed again.
 const PROBE_AFTER: Micros = 75 * MS;
-/// How often voters are asked while callers wait.
-const PROBE: Micros = 100 * MS;
-/// How often they are asked while no majority has answered lately.
-const SUSPECT: Micros = 200 * MS;
-/// A node that was not stepped for so long didn't hear answers that were there.
+/// How often voters are probed while callers wait.
+const PROBE_INTERVAL: Micros = 100 * MS;
+/// How often voters are probed while no majority has replied lately.
+const SUSPECT_INTERVAL: Micros = 200 * MS;
+/// A node that was not stepped for so long was stalled: replies may have waited for it.
 const STALL: Micros = 150 * MS;
-/// The shortest time between two questions.
-const APART: Micros = 20 * MS;
-/// Questions whose answers still count.
-const OPEN: usize = 64;
+/// The shortest time between two probes.
+const MIN_INTERVAL: Micros = 20 * MS;
+/// How many probes are remembered, so that their replies count.
+const REMEMBERED_PROBES: usize = 64;
 
-/// What one core's answers showed last.
+/// What one core's replies showed last.
 #[derive(Clone, Copy, Debug, Default)]
-struct Answered {
-    /// When the newest question that it answered was sent.
-    asked: Micros,
-    /// When its newest answer came.
-    heard: Micros,
+struct LastReply {
+    /// When the newest probe that it replied to was sent.
+    probed_at: Micros,
+    /// When its newest reply came.
+    received_at: Micros,
 }
 
-/// The questions of this node to the cores, and their answers.
+/// The probes of this node to the cores, and their replies.
 #[derive(Clone, Debug, Default)]
 pub(in crate::node) struct Contact {
-    asked: BTreeMap<u64, Micros>,
-    answered: BTreeMap<NodeId, Answered>,
-    last_asked: Micros,
-    /// Silence counts from here on: the start, or the end of the last standstill.
+    /// When each of the last probes was sent, by its number.
+    sent_probes: BTreeMap<u64, Micros>,
+    last_replies: BTreeMap<NodeId, LastReply>,
+    last_probe_at: Micros,
+    /// Silence counts from here on: the start, or the end of the last stall.
     running_since: Micros,
 }
 
 impl Contact {
-    /// Of a node that starts now.
+    /// The state of a node that starts now.
     pub fn new(now: Micros) -> Self {
         Contact { running_since: now, ..Contact::default() }
     }
 
-    /// Notes that the node runs; what it did not hear while it stood still proves nothing.
-    pub fn stepped(&mut self, last: Micros, now: Micros) {
-        if now.saturating_sub(last) > STALL {
+    /// Notes that the node runs; what it did not receive while it was stalled proves nothing.
+    pub fn record_step(&mut self, last_step: Micros, now: Micros) {
+        if now.saturating_sub(last_step) > STALL {
             self.running_since = now;
         }
     }
 
-    fn asks(&mut self, seq: u64, now: Micros) {
-        self.last_asked = now;
-        self.asked.insert(seq, now);
-        while self.asked.len() > OPEN {
-            self.asked.pop_first();
+    fn record_probe(&mut self, seq: u64, now: Micros) {
+        self.last_probe_at = now;
+        self.sent_probes.insert(seq, now);
+        while self.sent_probes.len() > REMEMBERED_PROBES {
+            self.sent_probes.pop_first();
         }
     }
 
-    fn answers(&mut self, by: NodeId, seq: u64, now: Micros) {
-        let Some(asked) = self.asked.get(&seq).copied() else { return };
-        let a = self.answered.entry(by).or_default();
-        a.asked = a.asked.max(asked);
-        a.heard = now;
+    fn record_reply(&mut self, from: NodeId, seq: u64, now: Micros) {
+        let Some(probed_at) = self.sent_probes.get(&seq).copied() else { return };
+        let last_reply = self.last_replies.entry(from).or_default();
+        last_reply.probed_at = last_reply.probed_at.max(probed_at);
+        last_reply.received_at = now;
+    }
+
+    /// When a core's newest reply came; 0 if none did.
+    fn last_reply_at(&self, node_id: NodeId) -> Micros {
+        self.last_replies.get(&node_id).map_or(0, |reply| reply.received_at)
     }
 }
 
 impl Node {
-    /// Notes a question that goes to the cores now.
+    /// Notes a probe that is sent to the cores now.
     pub(in crate::node) fn record_probe(&mut self, seq: u64, now: Micros) {
-        self.dissemination.contact.asks(seq, now);
+        self.dissemination.contact.record_probe(seq, now);
     }
 
-    /// Notes a core's answer.
+    /// Notes a core's reply to a probe.
     pub(in crate::node) fn record_probe_reply(&mut self, by: NodeId, seq: u64, now: Micros) {
-        self.dissemination.contact.answers(by, seq, now);
+        self.dissemination.contact.record_reply(by, seq, now);
     }
 
     /// The newest moment that holds for a majority of the voters, this one among them.
-    fn of_majority(&self, of: impl Fn(&Answered) -> Micros, now: Micros) -> Micros {
-        let moment = |node_id: &NodeId| match self.dissemination.contact.answered.get(node_id) {
+    fn majority_moment(&self, moment_of: impl Fn(&LastReply) -> Micros, now: Micros) -> Micros {
+        let moment = |node_id: &NodeId| match self.dissemination.contact.last_replies.get(node_id) {
             _ if *node_id == self.settings.node_id => now,
-            Some(a) => of(a),
+            Some(reply) => moment_of(reply),
             None => 0,
         };
-        let mut moments: Vec<Micros> = self.consensus.state.voters().iter().map(|c| moment(&c.node_id)).collect();
-        moments.sort_unstable_by(|a, b| b.cmp(a));
+        let mut moments: Vec<Micros> =
+            self.consensus.state.voters().iter().map(|voter| moment(&voter.node_id)).collect();
+        moments.sort_unstable_by(|first, second| second.cmp(first));
         moments.get(moments.len() / 2).copied().unwrap_or(0)
     }
 
-    /// When the newest question was sent that a majority has answered.
+    /// When the newest probe was sent that a majority replied to.
     pub(in crate::node) fn majority_reached_at(&self, now: Micros) -> Micros {
-        self.of_majority(|a| a.asked, now)
+        self.majority_moment(|reply| reply.probed_at, now)
+    }
+
+    /// When the newest reply came with which a majority had replied.
+    fn majority_replied_at(&self, now: Micros) -> Micros {
+        self.majority_moment(|reply| reply.received_at, now)
     }
 
-    fn silence(&self, since: Micros, now: Micros) -> Micros {
-        let heard = self.of_majority(|a| a.heard, now);
-        now.saturating_sub(heard.max(self.dissemination.contact.running_since).max(since))
+    /// For how long no majority has replied, counted from `since` at the earliest.
+    fn majority_silence(&self, since: Micros, now: Micros) -> Micros {
+        let replied_at = self.majority_replied_at(now);
+        now.saturating_sub(replied_at.max(self.dissemination.contact.running_since).max(since))
     }
 
-    /// Whether a majority confirmed lately that this node reaches it.
+    /// Whether a majority replied lately to a probe.
     pub(in crate::node) fn is_majority_reached(&self, now: Micros) -> bool {
-        now.saturating_sub(self.majority_reached_at(now)) <= REACHED
+        now.saturating_sub(self.majority_reached_at(now)) <= REACHED_WITHIN
     }
 
-    /// Whether no majority has answered a round of questions.
+    /// Whether no majority has replied to a round of probes.
     pub(in crate::node) fn is_majority_silent(&self, now: Micros) -> bool {
-        self.silence(0, now) > REACHED
+        self.majority_silence(0, now) > REACHED_WITHIN
     }
 
-    /// Whether this voter knows that it has no majority.
+    /// Whether this voter knows that it has lost the majority.
     pub(in crate::node) fn is_majority_lost(&self, now: Micros) -> bool {
-        self.voter() && self.silence(0, now) >= LOST
+        self.voter() && self.majority_silence(0, now) >= LOST_AFTER
     }
 
-    /// Whether one who has waited here since then is to be sent elsewhere.
+    /// Whether a caller that has waited here since `since` is to be redirected to another core.
     pub(in crate::node) fn should_redirect(&self, since: Micros, now: Micros) -> bool {
-        let most = if self.is_majority_lost(now) { LAST_LOOK } else { QUORUM_TIMEOUT };
-        self.voter() && self.silence(since, now) >= most
+        let timeout = if self.is_majority_lost(now) { LAST_PROBE_TIMEOUT } else { QUORUM_TIMEOUT };
+        self.voter() && self.majority_silence(since, now) >= timeout
     }
 
-    /// Whether this change has no prospect of an end here, since no majority answers. `since`
-    /// is when it came. What the voters themselves propose is left to its own time.
+    /// Whether a change that was received at `since` cannot complete here, since no majority replies. What
+    /// the voters themselves propose has its own time-out.
     pub(in crate::node) fn is_change_cut_off(&self, pending: &PendingChange, since: Micros, now: Micros) -> bool {
         pending.requester != Requester::Internal && self.should_redirect(since, now)
     }
 
-    /// Whether this core has answered a question since then.
+    /// Whether a core has replied to a probe since then.
     pub(in crate::node) fn has_core_replied(&self, node_id: NodeId, since: Micros) -> bool {
-        self.dissemination.contact.answered.get(&node_id).is_some_and(|a| a.heard > since)
+        self.dissemination.contact.last_replies.get(&node_id).is_some_and(|reply| reply.received_at > since)
     }
 
-    /// Whether this core has said nothing for so long though it was asked since then.
-    pub(in crate::node) fn is_core_silent(&self, node_id: NodeId, since: Micros, most: Micros, now: Micros) -> bool {
-        let heard = self.dissemination.contact.answered.get(&node_id).map_or(0, |a| a.heard);
-        now.saturating_sub(heard.max(self.dissemination.contact.running_since).max(since)) >= most
+    /// Whether a core that was probed since `since` has not replied for so long.
+    pub(in crate::node) fn is_core_silent(&self, node_id: NodeId, since: Micros, timeout: Micros, now: Micros) -> bool {
+        let contact = &self.dissemination.contact;
+        now.saturating_sub(contact.last_reply_at(node_id).max(contact.running_since).max(since)) >= timeout
     }
 
-    /// When the voters are to be asked next, whatever is due otherwise.
+    /// When the voters are to be probed next, whatever is due otherwise.
     pub(in crate::node) fn next_probe_at(&self, now: Micros) -> Micros {
-        let last = self.dissemination.contact.last_asked;
-        let near = now.saturating_sub(self.of_majority(|a| a.heard, now)) <= REACHED;
-        let after_last = |since: Micros| since > last;
-        if self.consensus.reads.iter().any(|r| after_last(r.since)) || (!near && self.waiting_since().any(after_last)) {
-            return last + APART;
+        let last_probe_at = self.dissemination.contact.last_probe_at;
+        let is_in_contact = now.saturating_sub(self.majority_replied_at(now)) <= REACHED_WITHIN;
+        let is_unprobed = |since: Micros| since > last_probe_at;
+        if self.consensus.reads.iter().any(|read| is_unprobed(read.since))
+            || (!is_in_contact && self.waiting_since().any(is_unprobed))
+        {
+            return last_probe_at + MIN_INTERVAL;
         }
         if self.waiting_since().any(|since| now.saturating_sub(since) >= PROBE_AFTER) {
-            return last + PROBE;
+            return last_probe_at + PROBE_INTERVAL;
         }
-        if near { Micros::MAX } else { last + SUSPECT }
+        if is_in_contact { Micros::MAX } else { last_probe_at + SUSPECT_INTERVAL }
     }
 
     /// Whether any caller waits for an answer.
@@ -179,12 +193,12 @@
             .state
             .pending_changes
             .iter()
-            .filter(|w| w.requester != Requester::Internal)
+            .filter(|change| change.requester != Requester::Internal)
             .map(Node::received_at);
-        let ends = self.dissemination.workers.removals.0.values().flat_map(|e| e.waiting_requests.iter().map(|r| r.1));
-        let forwards = self.consensus.forwards.values().map(|f| f.since);
-        let reads = self.consensus.reads.iter().map(|r| r.since);
-        let beats = self.dissemination.pending_acks.iter().map(|b| b.1);
-        changes.chain(ends).chain(forwards).chain(reads).chain(beats)
+        let removals = self.dissemination.workers.removals.waiting_since();
+        let forwards = self.consensus.forwards.values().map(|forward| forward.since);
+        let reads = self.consensus.reads.iter().map(|read| read.since);
+        let reports = self.dissemination.pending_acks.iter().map(|request| request.received_at);
+        changes.chain(removals).chain(forwards).chain(reads).chain(reports)
     }
 }
--- a/crates/core/src/node/dissemination/frame_delay.rs
+++ b/crates/core/src/node/dissemination/frame_delay.rs
@@ -1,4 +1,8 @@
-//! How much longer a frame was under way than the quickest one from its sender.
+//! Frame delays: how much longer a frame was under way than the quickest one from its sender.
+//!
+//! Needs no round trip, so it works from the second frame of an incarnation on; it cannot show a delay that
+//! all frames have in common. What must not be taken for too young uses
+//! [`peer_clocks`](super::peer_clocks) instead.
 
 use crate::base::{Incarnation, Micros, NodeId};
 use crate::protocol::Frame;
@@ -22,7 +26,8 @@
 }
 
 impl FrameDelays {
-    /// How much longer this frame was under way than the quickest one from this incarnation of its sender.
+    /// How much longer this frame was under way than the quickest one from this incarnation of its sender,
+    /// in microseconds.
     pub fn measure(&mut self, frame: &Frame, now: Micros) -> Micros {
         let offset = i128::from(now) - i128::from(frame.sent_at);
         let first = SmallestOffset { incarnation: frame.incarnation, offset, measured_at: now };
--- a/crates/core/src/node/dissemination/gossip.rs
+++ b/crates/core/src/node/dissemination/gossip.rs
@@ -1,17 +1,42 @@
-//! Who lives: beats and rows of nodes, passed on among all.
+//! Gossip: heartbeats and records of nodes, passed on among all of them.
+//!
+//! Each node gossips at [`GOSSIP_INTERVAL`](peers::GOSSIP_INTERVAL) to a few targets and asks for their
+//! gossip in reply. A pair that knows the same incarnations exchanges compact heartbeats of two bytes a
+//! node; others exchange deltas. While a node has no configuration it contacts its seeds more often.
 
 use crate::base::{MS, Micros, NodeId, SEC};
 use crate::node::Node;
-use crate::peers;
+use crate::peers::{self, Delta, HeartbeatStamp};
 use crate::protocol::{DisseminationMessage, Heartbeat, Message, PeerRecord};
 
-/// Every so many beats one node is drawn among all, so that parted halves meet again.
-const FAR_EVERY: u64 = 4;
-/// A restarted node without a configuration serves nobody, so it looks for the cores this often.
-const GREETING: Micros = 100 * MS;
-/// For so long after its start a core greets the nodes that it knows from its disk: they may not
-/// notice by themselves that their connections to its former life are dead.
-const RETURN: Micros = 2 * SEC;
+/// Every so many heartbeats one target is drawn among all nodes, so that partitions merge again.
+const RANDOM_TARGET_EVERY: u64 = 4;
+/// A restarted node without a configuration serves nobody, so it contacts the seeds this often.
+const GREETING_INTERVAL: Micros = 100 * MS;
+/// For so long after its start a core greets the nodes that its disk names: they may not notice by
+/// themselves that their connections to its former incarnation are dead.
+const GREET_REGISTERED: Micros = 2 * SEC;
+/// A core that sent no frame for so long may have been replaced, and is greeted again.
+const CORE_SILENCE: Micros = 2 * peers::GOSSIP_INTERVAL;
+
+/// A gossip message as it came from a peer.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ReceivedGossip<'a> {
+    /// The node that sent it.
+    pub from: NodeId,
+    /// Heartbeats of nodes that this node is taken to know.
+    pub heartbeats: &'a [Heartbeat],
+    /// Full records of nodes.
+    pub records: &'a [PeerRecord],
+    /// Nodes whose records the sender requests.
+    pub unknown_nodes: &'a [NodeId],
+    /// Whether the sender wants this node's gossip in reply.
+    pub wants_reply: bool,
+    /// The hash of the incarnations that the sender knows.
+    pub incarnation_set: u64,
+    /// Compact heartbeats of those incarnations; empty if the sender sent a delta.
+    pub compact_heartbeats: &'a [u8],
+}
 
 impl Node {
     fn own_record(&self) -> PeerRecord {
@@ -30,149 +55,187 @@
 
     fn advance_heartbeat(&mut self, now: Micros) {
         self.dissemination.heartbeat += 1;
-        let p = self.own_record();
-        self.dissemination.peers.merge(&p, now);
+        let record = self.own_record();
+        self.dissemination.peers.merge(&record, now);
     }
 
+    /// Advances this node's heartbeat and gossips, when that is due.
     pub(in crate::node) fn tick_gossip(&mut self, now: Micros) {
         if now < self.dissemination.peers.gossip_due {
             return;
         }
-        let greets = self.version().is_none() && !self.settings.may_bootstrap;
-        self.dissemination.peers.gossip_due = now + if greets { GREETING } else { peers::EVERY };
+        let seeks_configuration = self.version().is_none() && !self.settings.may_bootstrap;
+        let interval = if seeks_configuration { GREETING_INTERVAL } else { peers::GOSSIP_INTERVAL };
+        self.dissemination.peers.gossip_due = now + interval;
         self.advance_heartbeat(now);
-        let mut to = self.dissemination.peers.gossip_targets(self.settings.node_id, &self.settings.zone, now);
-        if self.dissemination.heartbeat.is_multiple_of(FAR_EVERY) {
-            to.extend(self.dissemination.peers.random_peer(self.settings.node_id, &mut self.rng));
+        for target in self.draw_gossip_targets(now) {
+            self.gossip_to(target, true, Vec::new(), now);
         }
-        to.sort_unstable();
-        to.dedup();
-        for n in to {
-            self.gossip_to(n, true, Vec::new(), now);
+        for address in self.greeting_addresses(now) {
+            if address != self.settings.addr && !self.needs_no_greeting(&address, now) {
+                self.greet(&address, now);
+            }
         }
-        // Seeds may be addresses of machines that were replaced; the version names the cores of now.
-        let mut first = self.settings.seeds.clone();
-        first.extend(self.consensus.state.voters().iter().map(|c| c.addr.clone()));
-        if now < self.clock.started_at + RETURN {
-            first.extend(self.registered_incarnations().into_iter().map(|life| life.addr));
+    }
+
+    /// The targets of this round, sorted, each once.
+    fn draw_gossip_targets(&mut self, now: Micros) -> Vec<NodeId> {
+        let own_id = self.settings.node_id;
+        let mut targets = self.dissemination.peers.gossip_targets(own_id, &self.settings.zone, now);
+        if self.dissemination.heartbeat.is_multiple_of(RANDOM_TARGET_EVERY) {
+            targets.extend(self.dissemination.peers.random_peer(own_id, &mut self.rng));
         }
-        first.sort_unstable();
-        first.dedup();
-        for s in first {
-            let known = s == self.settings.addr || self.needs_no_greeting(&s, now);
-            if !known {
-                let rows = vec![self.own_record()];
-                let set = self.dissemination.peers.incarnation_set(now);
-                let m = Message::Dissemination(DisseminationMessage::Gossip {
-                    heartbeats: Vec::new(),
-                    records: rows,
-                    unknown_nodes: Vec::new(),
-                    wants_reply: true,
-                    incarnation_set: set,
-                    compact_heartbeats: Vec::new(),
-                });
-                self.send_to_address(&s, m, now);
-            }
+        targets.sort_unstable();
+        targets.dedup();
+        targets
+    }
+
+    /// The addresses at which nodes should be known, sorted, each once.
+    fn greeting_addresses(&self, now: Micros) -> Vec<String> {
+        // Seeds may be addresses of machines that were replaced; the version names the current cores.
+        let mut addresses = self.settings.seeds.clone();
+        addresses.extend(self.consensus.state.voters().iter().map(|voter| voter.addr.clone()));
+        if now < self.clock.started_at + GREET_REGISTERED {
+            addresses.extend(self.registered_incarnations().into_iter().map(|registered| registered.addr));
         }
+        addresses.sort_unstable();
+        addresses.dedup();
+        addresses
+    }
+
+    /// Sends this node's own record to whatever node is at an address.
+    fn greet(&mut self, address: &str, now: Micros) {
+        let greeting = DisseminationMessage::Gossip {
+            heartbeats: Vec::new(),
+            records: vec![self.own_record()],
+            unknown_nodes: Vec::new(),
+            wants_reply: true,
+            incarnation_set: self.dissemination.peers.incarnation_set(now),
+            compact_heartbeats: Vec::new(),
+        };
+        self.send_to_address(address, Message::Dissemination(greeting), now);
     }
 
-    /// Whether the node at this address need not be greeted. A core whose voice is missing may
-    /// have been replaced by one that knows nobody.
+    /// Whether the node at this address need not be greeted. A core that sends nothing may have been
+    /// replaced by a node that knows no peer.
     fn needs_no_greeting(&self, addr: &str, now: Micros) -> bool {
-        let mut at = self.dissemination.peers.entries.values().filter(|s| s.record.addr == addr);
-        let core = self.settings.manages_voters
+        let mut at_address = self.dissemination.peers.entries.values().filter(|entry| entry.record.addr == addr);
+        let is_voter_address = self.settings.manages_voters
             && self.voter()
-            && self.consensus.state.voters().iter().any(|c| c.addr == addr);
-        let quiet = |s: &peers::PeerEntry| core && now.saturating_sub(s.contacted_at) > 2 * peers::EVERY;
-        at.any(|s| self.dissemination.peers.is_alive(s.record.node_id, now) && !quiet(s))
+            && self.consensus.state.voters().iter().any(|voter| voter.addr == addr);
+        let is_silent_core =
+            |entry: &peers::PeerEntry| is_voter_address && now.saturating_sub(entry.contacted_at) > CORE_SILENCE;
+        at_address.any(|entry| self.dissemination.peers.is_alive(entry.record.node_id, now) && !is_silent_core(entry))
     }
 
-    fn gossip_to(&mut self, to: NodeId, reply: bool, ask: Vec<NodeId>, now: Micros) {
-        let set = self.dissemination.peers.incarnation_set(now);
-        let (beats, rows, pulse) = if self.dissemination.peers.incarnation_sets.get(&to) == Some(&set) {
-            (self.dissemination.peers.recent_changes(now), Vec::new(), self.dissemination.peers.compact_heartbeats(now))
+    fn gossip_to(&mut self, to: NodeId, wants_reply: bool, unknown_nodes: Vec<NodeId>, now: Micros) {
+        let peers = &mut self.dissemination.peers;
+        let incarnation_set = peers.incarnation_set(now);
+        let (delta, compact_heartbeats) = if peers.incarnation_sets.get(&to) == Some(&incarnation_set) {
+            let delta = Delta { heartbeats: peers.recent_changes(now), records: Vec::new() };
+            (delta, peers.compact_heartbeats(now))
         } else {
-            let (b, r) = self.dissemination.peers.delta(to, now);
-            (b, r, Vec::new())
+            (peers.delta(to, now), Vec::new())
         };
-        if reply || !(beats.is_empty() && rows.is_empty() && ask.is_empty() && pulse.is_empty()) {
-            self.send(
-                to,
-                Message::Dissemination(DisseminationMessage::Gossip {
-                    heartbeats: beats,
-                    records: rows,
-                    unknown_nodes: ask,
-                    wants_reply: reply,
-                    incarnation_set: set,
-                    compact_heartbeats: pulse,
-                }),
-                now,
-            );
+        let is_empty = delta.heartbeats.is_empty()
+            && delta.records.is_empty()
+            && unknown_nodes.is_empty()
+            && compact_heartbeats.is_empty();
+        if is_empty && !wants_reply {
+            return;
         }
+        let gossip = DisseminationMessage::Gossip {
+            heartbeats: delta.heartbeats,
+            records: delta.records,
+            unknown_nodes,
+            wants_reply,
+            incarnation_set,
+            compact_heartbeats,
+        };
+        self.send(to, Message::Dissemination(gossip), now);
     }
 
-    /// A frame that names no receiver is a greeting: its sender knows nobody at this address.
-    /// What this node told it before was lost, or was told to one that has forgotten it, so all
-    /// is told anew. Without that neither side would name this node again: one takes it for
-    /// known, and the other has no address to ask at.
-    pub(in crate::node) fn on_greeting(&mut self, by: NodeId) {
-        self.dissemination.peers.sent_heartbeats.remove(&by);
-        self.dissemination.peers.incarnation_sets.remove(&by);
+    /// Handles a frame that names no receiver, a greeting: its sender knows no node at this address.
+    ///
+    /// What this node sent it before was lost, or went to an incarnation that has forgotten it, so
+    /// everything is sent anew. Without that neither side would send this node's record again: one takes
+    /// it for known, and the other has no address to request it from.
+    pub(in crate::node) fn on_greeting(&mut self, from: NodeId) {
+        self.dissemination.peers.forget_sent(from);
+        self.dissemination.peers.incarnation_sets.remove(&from);
     }
 
-    pub(in crate::node) fn on_gossip(
-        &mut self,
-        by: NodeId,
-        (beats, rows): (&[Heartbeat], &[PeerRecord]),
-        asked: &[NodeId],
-        reply: bool,
-        (set, pulse): (u64, &[u8]),
-        now: Micros,
-    ) {
-        let strange = !self.dissemination.peers.entries.contains_key(&by);
-        let mine = self.version();
-        let (mut ask, mut newer) = (Vec::new(), false);
-        for p in rows.iter().filter(|p| p.node_id != self.settings.node_id) {
-            newer |= self.dissemination.peers.merge(p, now) && mine.is_none_or(|v| p.version > v);
+    /// Merges the gossip of a peer and replies if it asks for that or if either side lacks records.
+    pub(super) fn on_gossip(&mut self, gossip: &ReceivedGossip<'_>, now: Micros) {
+        let from = gossip.from;
+        let is_new_peer = !self.dissemination.peers.entries.contains_key(&from);
+        let (has_newer_version, unknown_here) = self.merge_gossip(gossip, now);
+        self.dissemination.peers.record_contact(from, now);
+        if !gossip.compact_heartbeats.is_empty() {
+            self.dissemination.peers.merge_compact_heartbeats(
+                self.settings.node_id,
+                gossip.incarnation_set,
+                gossip.compact_heartbeats,
+                now,
+            );
         }
-        for b in beats.iter().filter(|b| b.node_id != self.settings.node_id) {
-            match self.dissemination.peers.merge_heartbeat(b, now) {
-                None => ask.push(b.node_id),
-                Some(n) => newer |= n && mine.is_none_or(|v| b.version > v),
-            }
+        self.dissemination.peers.incarnation_sets.insert(from, gossip.incarnation_set);
+        if has_newer_version && !self.voter() {
+            self.dissemination.workers.subscribe_due = now;
         }
-        self.dissemination.peers.record_contact(by, now);
-        if !pulse.is_empty() {
-            self.dissemination.peers.merge_compact_heartbeats(self.settings.node_id, set, pulse, now);
+        if is_new_peer {
+            self.dissemination.peers.forget_sent(from);
+        } else {
+            self.dissemination.peers.forget_sent_nodes(from, gossip.unknown_nodes);
         }
-        self.dissemination.peers.incarnation_sets.insert(by, set);
-        if newer && !self.voter() {
-            self.dissemination.workers.subscribe_due = now;
+        self.record_received_gossip(gossip);
+        if gossip.wants_reply || !unknown_here.is_empty() || !gossip.unknown_nodes.is_empty() {
+            self.gossip_to(from, false, unknown_here, now);
         }
-        if strange {
-            self.dissemination.peers.sent_heartbeats.remove(&by);
-        } else if let Some(m) = self.dissemination.peers.sent_heartbeats.get_mut(&by) {
-            for n in asked {
-                m.remove(n);
-            }
+    }
+
+    /// Merges records and heartbeats of other nodes: whether one of them has a newer version than this
+    /// node, and the nodes whose records are to be requested.
+    fn merge_gossip(&mut self, gossip: &ReceivedGossip<'_>, now: Micros) -> (bool, Vec<NodeId>) {
+        let own_id = self.settings.node_id;
+        let own_version = self.version();
+        let is_newer = |version| own_version.is_none_or(|own| version > own);
+        let (mut has_newer_version, mut unknown_here) = (false, Vec::new());
+        for record in gossip.records.iter().filter(|record| record.node_id != own_id) {
+            has_newer_version |= self.dissemination.peers.merge(record, now) && is_newer(record.version);
         }
-        let lives = beats.iter().map(|b| (b.node_id, b.incarnation, b.heartbeat));
-        let lives = lives.filter(|b| self.dissemination.peers.entries.contains_key(&b.0)).collect::<Vec<_>>();
-        self.dissemination
-            .peers
-            .record_received(by, lives.into_iter().chain(rows.iter().map(|p| (p.node_id, p.incarnation, p.heartbeat))));
-        if reply || !ask.is_empty() || !asked.is_empty() {
-            self.gossip_to(by, false, ask, now);
+        for heartbeat in gossip.heartbeats.iter().filter(|heartbeat| heartbeat.node_id != own_id) {
+            match self.dissemination.peers.merge_heartbeat(heartbeat, now) {
+                None => unknown_here.push(heartbeat.node_id),
+                Some(has_advanced) => has_newer_version |= has_advanced && is_newer(heartbeat.version),
+            }
         }
+        (has_newer_version, unknown_here)
+    }
+
+    /// Notes what the sender knows. A heartbeat of a node that is unknown here does not count, since its
+    /// record is still to come.
+    fn record_received_gossip(&mut self, gossip: &ReceivedGossip<'_>) {
+        let peers = &mut self.dissemination.peers;
+        let heartbeats: Vec<_> = gossip
+            .heartbeats
+            .iter()
+            .filter(|heartbeat| peers.entries.contains_key(&heartbeat.node_id))
+            .map(|heartbeat| (heartbeat.node_id, HeartbeatStamp::from(heartbeat)))
+            .collect();
+        let records = gossip.records.iter().map(|record| (record.node_id, HeartbeatStamp::from(record)));
+        peers.record_received(gossip.from, heartbeats.into_iter().chain(records));
     }
 
+    /// Tells all live nodes that this one drains, so that none counts on it any more.
     pub(in crate::node) fn shut_down(&mut self, now: Micros) {
         self.draining = true;
         self.advance_heartbeat(now);
-        let all: Vec<_> =
-            self.dissemination.peers.live(now).map(|p| p.node_id).filter(|n| *n != self.settings.node_id).collect();
-        for n in all {
-            self.gossip_to(n, false, Vec::new(), now);
+        let own_id = self.settings.node_id;
+        let others: Vec<_> =
+            self.dissemination.peers.live(now).map(|record| record.node_id).filter(|id| *id != own_id).collect();
+        for node_id in others {
+            self.gossip_to(node_id, false, Vec::new(), now);
         }
     }
 }
--- a/crates/core/src/node/dissemination/mod.rs
+++ b/crates/core/src/node/dissemination/mod.rs
@@ -1,5 +1,9 @@
 //! How updates spread and failures are detected: gossip among nodes, reports of workers, contact to voters.
 //!
+//! Nothing here is needed for the safety of decisions: it guarantees that what is known becomes known to
+//! all live nodes in time, and that nothing is taken for younger than it is. It backs off where no majority
+//! of the voters answers: callers are then redirected, and reports are not acknowledged.
+//!
 //! - [`gossip`]: heartbeats and records of nodes;
 //! - [`reports`] and [`updates`]: what workers report, passed on to the nodes that subscribe to it;
 //! - [`removals`]: workers that drain or leave, acknowledged once a majority of the voters knows;
@@ -23,9 +27,9 @@
 use crate::base::Micros;
 use crate::peers::PeerTable;
 use crate::protocol::DisseminationMessage;
-use crate::workers::WorkerTable;
+use crate::workers::{WaitingRequest, WorkerTable};
 
-/// What a node keeps of other nodes and of workers.
+/// What a node knows of other nodes and of workers.
 #[derive(Clone, Debug)]
 pub struct Dissemination {
     /// The nodes of the fleet.
@@ -35,9 +39,8 @@
     /// This node's own heartbeat counter.
     pub(in crate::node) heartbeat: u64,
     pub(in crate::node) contact: contact::Contact,
-    /// Reports of workers that wait until a majority of the voters is in contact: the request that is to
-    /// be acknowledged, and since when it waits.
-    pub(in crate::node) pending_acks: Vec<(u64, Micros)>,
+    /// Reports of workers that wait until a majority of the voters is in contact.
+    pub(in crate::node) pending_acks: Vec<WaitingRequest>,
     pub(in crate::node) frame_delays: frame_delay::FrameDelays,
     pub(in crate::node) peer_clocks: peer_clocks::PeerClocks,
     pub(in crate::node) peer_incarnations: peer_incarnations::PeerIncarnations,
@@ -62,58 +65,66 @@
 impl Node {
     /// Handles a message of gossip, of workers or of clocks.
     pub(super) fn on_dissemination_message(&mut self, envelope: &Envelope, message: DisseminationMessage, now: Micros) {
-        let by = envelope.from;
+        let from = envelope.from;
         match message {
             DisseminationMessage::Gossip {
-                heartbeats: beats,
-                records: rows,
-                unknown_nodes: ask,
-                wants_reply: reply,
-                incarnation_set: set,
-                compact_heartbeats: pulse,
+                heartbeats,
+                records,
+                unknown_nodes,
+                wants_reply,
+                incarnation_set,
+                compact_heartbeats,
             } => {
                 if envelope.is_greeting {
-                    self.on_greeting(by);
+                    self.on_greeting(from);
                 }
-                self.on_gossip(by, (&beats, &rows), &ask, reply, (set, &pulse), now);
+                let gossip = gossip::ReceivedGossip {
+                    from,
+                    heartbeats: &heartbeats,
+                    records: &records,
+                    unknown_nodes: &unknown_nodes,
+                    wants_reply,
+                    incarnation_set,
+                    compact_heartbeats: &compact_heartbeats,
+                };
+                self.on_gossip(&gossip, now);
+            }
+            DisseminationMessage::Subscribe { seq, next_version, from_index, incarnation, topics } => {
+                let subscription = updates::Subscription { seq, next_version, from_index, incarnation, topics };
+                self.on_subscribe(from, subscription, now);
             }
-            DisseminationMessage::Subscribe {
-                seq,
-                next_version: version,
-                from_index: idx,
-                incarnation: of,
-                topics: svcs,
-            } => self.on_subscribe(by, seq, version, idx, of, svcs, now),
             DisseminationMessage::Update {
-                request_seq: ask,
-                answered_after: since,
-                confirmed_age: stamp,
+                request_seq,
+                answered_after,
+                confirmed_age,
                 version,
-                preceding: before,
-                entry: decree,
-                change_index: idx,
-                is_complete: whole,
-                reports: rows,
+                preceding,
+                entry,
+                change_index,
+                is_complete,
+                reports,
             } => {
-                self.apply_update_entries(before, decree, now);
-                self.on_update(
-                    envelope.incarnation_of_sender(),
-                    (ask, since, stamp),
+                self.apply_update_entries(preceding, entry, now);
+                let update = updates::ReceivedUpdate {
+                    request_seq,
+                    answered_after,
+                    confirmed_age,
                     version,
-                    (idx, whole),
-                    &rows,
-                    now,
-                );
+                    change_index,
+                    is_complete,
+                    reports: &reports,
+                };
+                self.on_update(envelope.incarnation_of_sender(), &update, now);
             }
-            DisseminationMessage::Removals { reports: rows } => self.on_removals(by, &rows, envelope.delay, now),
-            DisseminationMessage::RemovalsReceived { keys } => self.on_removals_received(by, &keys, now),
+            DisseminationMessage::Removals { reports } => self.on_removals(from, &reports, envelope.delay, now),
+            DisseminationMessage::RemovalsReceived { keys } => self.on_removals_received(from, &keys, now),
             DisseminationMessage::RemovalsKnownByAll { keys } => self.on_removals_known_by_all(&keys),
-            DisseminationMessage::Reports { reports: rows } => {
-                self.on_reports(envelope.incarnation_of_sender(), envelope.sent_at, &rows, now)
+            DisseminationMessage::Reports { reports } => {
+                self.on_reports(envelope.incarnation_of_sender(), envelope.sent_at, &reports, now)
             }
-            DisseminationMessage::ClockRequest { request_id: n } => self.on_clock_request(by, n, now),
-            DisseminationMessage::ClockReply { request_id: n } => {
-                self.on_clock_reply(envelope.incarnation_of_sender(), n, envelope.sent_at, now)
+            DisseminationMessage::ClockRequest { request_id } => self.on_clock_request(from, request_id, now),
+            DisseminationMessage::ClockReply { request_id } => {
+                self.on_clock_reply(envelope.incarnation_of_sender(), request_id, envelope.sent_at, now)
             }
         }
     }
--- a/crates/core/src/node/dissemination/peer_clocks.rs
+++ b/crates/core/src/node/dissemination/peer_clocks.rs
@@ -1,61 +1,111 @@
-//! What the clocks of peers show at the least, from round trips. What a peer passes on is then
-//! never taken for younger than it is, also the first frames of a peer's new life, however long
-//! they were held on their way.
+//! Clock offset bounds: how far this node's clock is ahead of a peer's at least, from round trips.
+//!
+//! What a peer passes on is then never taken for younger than it is, also the first frames of a peer's new
+//! incarnation, however long they were delayed. The bound is lowered with time, as clocks drift. Reports from
+//! a peer without a bound wait for one for [`WAIT_TIMEOUT`] and are then dropped.
 
 use crate::base::{Incarnation, MS, Micros, NodeId, SEC};
 use crate::node::Node;
 use crate::protocol::{DisseminationMessage, Message, WorkerReport};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A question that has no answer is sent again after this.
-const RETRY: Micros = 250 * MS;
+/// A request that has no reply is sent again after this.
+const RETRY_INTERVAL: Micros = 250 * MS;
 /// A bound is measured anew after this: clocks drift apart.
-const RENEW: Micros = 20 * SEC;
-/// A bound from a slower round trip is measured anew soon.
-const QUICK: Micros = 20 * MS;
-const RENEW_SLOW: Micros = SEC;
-/// Clocks differ by one part in so many at most.
-const DRIFT: i128 = 1_000;
+const RENEW_INTERVAL: Micros = 20 * SEC;
+/// A round trip that takes longer gives a poor bound, which is measured anew soon.
+const FAST_ROUND_TRIP: Micros = 20 * MS;
+/// A bound from a slow round trip is measured anew after this.
+const RENEW_SLOW_INTERVAL: Micros = SEC;
+/// Clocks drift apart by one part in so many at most.
+const MAX_DRIFT: i128 = 1_000;
 /// Reports that wait for a bound are dropped after this.
-const KEEP: Micros = 2 * SEC;
-const MOST_WAITING: usize = 4_096;
-const MOST_ASKED: usize = 8;
+const WAIT_TIMEOUT: Micros = 2 * SEC;
+/// How many reports of a peer wait at most.
+const MAX_WAITING: usize = 4_096;
+/// How many requests to a peer are remembered, so that their replies count.
+const REMEMBERED_REQUESTS: usize = 8;
 /// Peers that sent no report for so long are forgotten.
-const FORGET: Micros = 60 * SEC;
+const FORGET_AFTER: Micros = 60 * SEC;
 
-/// A report whose sender's clock is not known yet.
+/// A report from a peer whose clock offset is not known yet.
 #[derive(Clone, Debug)]
-struct Waiting {
-    came: Micros,
-    sent: Micros,
-    row: WorkerReport,
+struct WaitingReport {
+    received_at: Micros,
+    /// When it was sent, by the peer's clock.
+    sent_at: Micros,
+    report: WorkerReport,
 }
 
+/// A lower bound of how far this node's clock is ahead of a peer's, in microseconds.
+#[derive(Clone, Copy, Debug)]
+struct OffsetBound {
+    offset: i128,
+    measured_at: Micros,
+}
+
+impl OffsetBound {
+    /// The bound that still holds now, however fast the clocks drift apart.
+    fn offset_now(&self, now: Micros) -> i128 {
+        self.offset - i128::from(now.saturating_sub(self.measured_at)) / MAX_DRIFT
+    }
+}
+
+/// A request to read a peer's clock.
+#[derive(Clone, Copy, Debug)]
+struct ClockProbe {
+    request_id: u64,
+    sent_at: Micros,
+}
+
+/// What is known of the clock of one incarnation of a peer.
 #[derive(Clone, Debug)]
 struct PeerClock {
     incarnation: Incarnation,
-    /// This node's clock is at least so far ahead of the peer's, and when that was measured.
-    ahead: Option<(i128, Micros)>,
-    asked: VecDeque<(u64, Micros)>,
-    ask_due: Micros,
-    used: Micros,
-    waiting: Vec<Waiting>,
+    bound: Option<OffsetBound>,
+    probes: VecDeque<ClockProbe>,
+    probe_due: Micros,
+    last_used_at: Micros,
+    waiting: Vec<WaitingReport>,
 }
 
 impl PeerClock {
     fn new(incarnation: Incarnation, now: Micros) -> Self {
-        PeerClock { incarnation, ahead: None, asked: VecDeque::new(), ask_due: now, used: now, waiting: Vec::new() }
+        PeerClock {
+            incarnation,
+            bound: None,
+            probes: VecDeque::new(),
+            probe_due: now,
+            last_used_at: now,
+            waiting: Vec::new(),
+        }
     }
 
-    fn least_ahead(&self, now: Micros) -> Option<i128> {
-        let (ahead, at) = self.ahead?;
-        Some(ahead - i128::from(now.saturating_sub(at)) / DRIFT)
+    fn offset_now(&self, now: Micros) -> Option<i128> {
+        self.bound.map(|bound| bound.offset_now(now))
     }
 
     /// The earliest moment, by this node's clock, at which a frame of the peer can have been sent.
-    fn earliest(&self, sent: Micros, now: Micros) -> Option<Micros> {
-        let at = i128::from(sent) + self.least_ahead(now)?;
-        Some(Micros::try_from(at.max(0)).unwrap_or(now).min(now))
+    fn earliest_sent_at(&self, sent_at: Micros, now: Micros) -> Option<Micros> {
+        let earliest = i128::from(sent_at) + self.offset_now(now)?;
+        Some(Micros::try_from(earliest.max(0)).unwrap_or(now).min(now))
+    }
+
+    /// Notes a reading of the peer's clock that was requested at `requested_at`.
+    fn record_reading(&mut self, requested_at: Micros, reading: Micros, now: Micros) {
+        self.probes.clear();
+        let measured = i128::from(requested_at) - i128::from(reading);
+        let known = self.offset_now(now).unwrap_or(measured);
+        self.bound = Some(OffsetBound { offset: known.max(measured), measured_at: now });
+        let is_slow = now.saturating_sub(requested_at) > FAST_ROUND_TRIP;
+        self.probe_due = now + if is_slow { RENEW_SLOW_INTERVAL } else { RENEW_INTERVAL };
+    }
+
+    /// Drops reports that waited for too long; how many.
+    fn drop_overdue(&mut self, now: Micros) -> usize {
+        let before = self.waiting.len();
+        self.waiting.retain(|waiting| now.saturating_sub(waiting.received_at) < WAIT_TIMEOUT);
+        before - self.waiting.len()
     }
 }
 
@@ -63,99 +113,102 @@
 #[derive(Clone, Debug, Default)]
 pub(in crate::node) struct PeerClocks {
     peers: BTreeMap<NodeId, PeerClock>,
-    /// Those whose reports wait.
-    open: BTreeSet<NodeId>,
+    /// The peers whose reports wait for a bound.
+    with_waiting: BTreeSet<NodeId>,
 }
 
 impl PeerClocks {
-    fn peer(&mut self, by: (NodeId, Incarnation), now: Micros) -> &mut PeerClock {
-        let p = self.peers.entry(by.0).or_insert_with(|| PeerClock::new(by.1, now));
-        if p.incarnation != by.1 {
-            *p = PeerClock::new(by.1, now);
+    /// The clock of the sender's incarnation; that of an earlier one is forgotten.
+    fn clock_of(&mut self, (node_id, incarnation): (NodeId, Incarnation), now: Micros) -> &mut PeerClock {
+        let clock = self.peers.entry(node_id).or_insert_with(|| PeerClock::new(incarnation, now));
+        if clock.incarnation != incarnation {
+            *clock = PeerClock::new(incarnation, now);
         }
-        p.used = now;
-        p
+        clock.last_used_at = now;
+        clock
     }
 
-    /// Forgets peers that were not heard for long.
+    /// Forgets peers that sent no report for long.
     pub fn expire(&mut self, now: Micros) {
-        self.peers.retain(|_, p| now.saturating_sub(p.used) < FORGET);
-        self.open.retain(|n| self.peers.contains_key(n));
+        self.peers.retain(|_, clock| now.saturating_sub(clock.last_used_at) < FORGET_AFTER);
+        self.with_waiting.retain(|node_id| self.peers.contains_key(node_id));
     }
 }
 
 impl Node {
-    /// The earliest moment at which this frame can have been sent; nothing while that is unknown.
+    /// The earliest moment, by this node's clock, at which a frame can have been sent; none while that is
+    /// not known.
     pub(in crate::node) fn earliest_sent_at(
         &mut self,
-        by: (NodeId, Incarnation),
-        sent: Micros,
+        sender: (NodeId, Incarnation),
+        sent_at: Micros,
         now: Micros,
     ) -> Option<Micros> {
-        let earliest = self.dissemination.peer_clocks.peer(by, now).earliest(sent, now);
-        self.request_clock(by.0, now);
+        let earliest = self.dissemination.peer_clocks.clock_of(sender, now).earliest_sent_at(sent_at, now);
+        self.request_clock(sender.0, now);
         earliest
     }
 
-    /// Reports of unknown age wait for an answer about their sender's clock.
+    /// Keeps reports of unknown age until their sender's clock has been read.
     pub(in crate::node) fn wait_for_clock(
         &mut self,
-        by: (NodeId, Incarnation),
-        sent: Micros,
-        rows: Vec<WorkerReport>,
+        sender: (NodeId, Incarnation),
+        sent_at: Micros,
+        reports: Vec<WorkerReport>,
         now: Micros,
     ) {
-        let p = self.dissemination.peer_clocks.peer(by, now);
-        p.waiting.extend(rows.into_iter().map(|row| Waiting { came: now, sent, row }));
-        p.waiting.truncate(MOST_WAITING);
-        self.dissemination.peer_clocks.open.insert(by.0);
+        let clock = self.dissemination.peer_clocks.clock_of(sender, now);
+        clock.waiting.extend(reports.into_iter().map(|report| WaitingReport { received_at: now, sent_at, report }));
+        clock.waiting.truncate(MAX_WAITING);
+        self.dissemination.peer_clocks.with_waiting.insert(sender.0);
     }
 
+    /// Requests a reading of a peer's clock, when that is due.
     fn request_clock(&mut self, peer: NodeId, now: Micros) {
-        let n = self.next_request_id();
-        let Some(p) = self.dissemination.peer_clocks.peers.get_mut(&peer).filter(|p| now >= p.ask_due) else { return };
-        p.ask_due = now + RETRY;
-        p.asked.push_back((n, now));
-        if p.asked.len() > MOST_ASKED {
-            p.asked.pop_front();
+        let request_id = self.next_request_id();
+        let clock = self.dissemination.peer_clocks.peers.get_mut(&peer);
+        let Some(clock) = clock.filter(|clock| now >= clock.probe_due) else { return };
+        clock.probe_due = now + RETRY_INTERVAL;
+        clock.probes.push_back(ClockProbe { request_id, sent_at: now });
+        if clock.probes.len() > REMEMBERED_REQUESTS {
+            clock.probes.pop_front();
         }
-        self.send(peer, Message::Dissemination(DisseminationMessage::ClockRequest { request_id: n }), now);
+        self.send(peer, Message::Dissemination(DisseminationMessage::ClockRequest { request_id }), now);
     }
 
-    pub(in crate::node) fn on_clock_request(&mut self, by: NodeId, n: u64, now: Micros) {
-        self.send(by, Message::Dissemination(DisseminationMessage::ClockReply { request_id: n }), now);
+    /// Replies at once: the frame's `sent_at` is the reading.
+    pub(in crate::node) fn on_clock_request(&mut self, from: NodeId, request_id: u64, now: Micros) {
+        self.send(from, Message::Dissemination(DisseminationMessage::ClockReply { request_id }), now);
     }
 
-    /// The peer's clock showed `sent` after this node asked.
-    pub(in crate::node) fn on_clock_reply(&mut self, by: (NodeId, Incarnation), n: u64, sent: Micros, now: Micros) {
-        let Some(p) = self.dissemination.peer_clocks.peers.get_mut(&by.0).filter(|p| p.incarnation == by.1) else {
-            return;
-        };
-        let Some(asked) = p.asked.iter().find(|a| a.0 == n).map(|a| a.1) else { return };
-        p.asked.clear();
-        let ahead = i128::from(asked) - i128::from(sent);
-        let known = p.least_ahead(now).unwrap_or(ahead);
-        p.ahead = Some((known.max(ahead), now));
-        let slow = now.saturating_sub(asked) > QUICK;
-        p.ask_due = now + if slow { RENEW_SLOW } else { RENEW };
-        let waiting = std::mem::take(&mut p.waiting);
-        self.dissemination.peer_clocks.open.remove(&by.0);
-        for w in waiting {
-            let Some(at) = self.dissemination.peer_clocks.peers.get(&by.0).and_then(|p| p.earliest(w.sent, now)) else {
-                continue;
-            };
-            self.apply_report(&w.row, at.saturating_sub(w.row.age), now);
+    /// The peer's clock showed `reading` after this node requested it: applies the reports that waited.
+    pub(in crate::node) fn on_clock_reply(
+        &mut self,
+        (from, incarnation): (NodeId, Incarnation),
+        request_id: u64,
+        reading: Micros,
+        now: Micros,
+    ) {
+        let clock = self.dissemination.peer_clocks.peers.get_mut(&from);
+        let Some(clock) = clock.filter(|clock| clock.incarnation == incarnation) else { return };
+        let Some(probe) = clock.probes.iter().find(|probe| probe.request_id == request_id).copied() else { return };
+        clock.record_reading(probe.sent_at, reading, now);
+        let waiting = std::mem::take(&mut clock.waiting);
+        self.dissemination.peer_clocks.with_waiting.remove(&from);
+        for WaitingReport { sent_at, report, .. } in waiting {
+            let clock = self.dissemination.peer_clocks.peers.get(&from);
+            let Some(sent_at) = clock.and_then(|clock| clock.earliest_sent_at(sent_at, now)) else { continue };
+            self.apply_report(&report, sent_at.saturating_sub(report.age), now);
         }
     }
 
+    /// Drops reports that waited for too long, and requests the clocks that others wait for.
     pub(in crate::node) fn tick_peer_clocks(&mut self, now: Micros) {
-        for peer in self.dissemination.peer_clocks.open.clone() {
-            let Some(p) = self.dissemination.peer_clocks.peers.get_mut(&peer) else { continue };
-            let before = p.waiting.len();
-            p.waiting.retain(|w| now.saturating_sub(w.came) < KEEP);
-            let dropped = before - p.waiting.len();
-            if p.waiting.is_empty() {
-                self.dissemination.peer_clocks.open.remove(&peer);
+        for peer in self.dissemination.peer_clocks.with_waiting.clone() {
+            let Some(clock) = self.dissemination.peer_clocks.peers.get_mut(&peer) else { continue };
+            let dropped = clock.drop_overdue(now);
+            if clock.waiting.is_empty() {
+                self.dissemination.peer_clocks.with_waiting.remove(&peer);
             }
             self.counters.reports_unaged += dropped as u64;
             self.request_clock(peer, now);
--- a/crates/core/src/node/dissemination/removals.rs
+++ b/crates/core/src/node/dissemination/removals.rs
@@ -1,23 +1,46 @@
-//! Ends of workers: told to every live node at once, and acknowledged once a majority of the
-//! voters has them.
+//! Removals of workers: sent to every live node at once, and acknowledged once a majority of the voters
+//! knows them.
+//!
+//! An acknowledged removal is known to a majority of the voters, so it survives the loss of this node: each
+//! core that knows it spreads it too. The acknowledgement waits a little for all live nodes, so that the
+//! worker may usually stop at once; it is refused where no majority answers.
 
 use super::contact::QUORUM_TIMEOUT;
 use crate::base::{Micros, NodeId};
 use crate::consensus::is_majority;
 use crate::node::{Effect, Node};
 use crate::protocol::{DisseminationMessage, Message, RemovalKey, WorkerReport};
-use crate::workers::removals::{AGAIN, GIVE_UP_AFTER, PATIENCE};
+use crate::workers::removals::{ALL_NODES_TIMEOUT, REMOVAL_TIMEOUT, RESEND_INTERVAL};
+use crate::workers::{Removal, WaitingRequest};
 use std::collections::BTreeMap;
 
+/// A live node other than this one.
+#[derive(Clone, Copy, Debug)]
+struct LiveNode {
+    node_id: NodeId,
+    is_core: bool,
+}
+
+/// What one round over all removals is to send.
+#[derive(Debug, Default)]
+struct RemovalRound {
+    /// Requests that are answered now, and whether they are accepted.
+    answers: Vec<(u64, bool)>,
+    /// Reports for each node that has not acknowledged them.
+    reports: BTreeMap<NodeId, Vec<WorkerReport>>,
+    /// Removals that all live nodes know.
+    known_by_all: Vec<RemovalKey>,
+}
+
 impl Node {
-    /// A worker told this node something and waits to hear that it counts.
-    pub(in crate::node) fn on_report_with_ack(&mut self, req: u64, r: &WorkerReport, now: Micros) {
-        let counts = self.on_report(r, now);
-        if !r.is_out_of_service() {
-            if counts {
-                self.acknowledge_when_reachable(req, now)
+    /// Handles a report of a worker that waits to be acknowledged.
+    pub(in crate::node) fn on_report_with_ack(&mut self, request_id: u64, report: &WorkerReport, now: Micros) {
+        let is_accepted = self.on_report(report, now);
+        if !report.is_out_of_service() {
+            if is_accepted {
+                self.acknowledge_when_reachable(request_id, now)
             } else {
-                self.acknowledge_report(req, false)
+                self.acknowledge_report(request_id, false)
             }
             return;
         }
@@ -25,46 +48,47 @@
             .dissemination
             .workers
             .entries
-            .get(&r.worker_id)
-            .filter(|e| e.report.is_out_of_service())
-            .map(|e| (e.report.removal_key(), e.known_by_all));
-        // Without one, what it said is older than what it said elsewhere.
+            .get(&report.worker_id)
+            .filter(|entry| entry.report.is_out_of_service())
+            .map(|entry| (entry.report.removal_key(), entry.known_by_all));
+        // If the worker is in service, this report is older than one that it made to another node.
         let Some((key, false)) = known else {
-            self.acknowledge_when_reachable(req, now);
+            self.acknowledge_when_reachable(request_id, now);
             return;
         };
-        if let Some(e) = self.dissemination.workers.removals.start(&key, now, now) {
-            e.waiting_requests.push((req, now));
+        if let Some(removal) = self.dissemination.workers.removals.start(&key, now, now) {
+            removal.waiting_requests.push(WaitingRequest { request_id, received_at: now });
         }
         self.tick_removals(now);
     }
 
-    /// Acknowledges a beat where it reaches others; in doubt it waits for the voters' answers.
-    fn acknowledge_when_reachable(&mut self, req: u64, now: Micros) {
+    /// Acknowledges a report if it reaches other nodes; in doubt it waits for the voters' replies.
+    fn acknowledge_when_reachable(&mut self, request_id: u64, now: Micros) {
         match self.reaches_others(now, now) {
-            Some(ok) => self.acknowledge_report(req, ok),
-            None => self.dissemination.pending_acks.push((req, now)),
+            Some(is_accepted) => self.acknowledge_report(request_id, is_accepted),
+            None => self.dissemination.pending_acks.push(WaitingRequest { request_id, received_at: now }),
         }
     }
 
-    /// Answers the beats that waited for the voters' answers.
+    /// Acknowledges the reports that waited for the voters' replies.
     pub(in crate::node) fn complete_pending_acks(&mut self, now: Micros) {
-        for (req, since) in std::mem::take(&mut self.dissemination.pending_acks) {
-            match self.reaches_others(since, now) {
-                Some(ok) => self.acknowledge_report(req, ok),
-                None => self.dissemination.pending_acks.push((req, since)),
+        for request in std::mem::take(&mut self.dissemination.pending_acks) {
+            match self.reaches_others(request.received_at, now) {
+                Some(is_accepted) => self.acknowledge_report(request.request_id, is_accepted),
+                None => self.dissemination.pending_acks.push(request),
             }
         }
     }
 
-    fn acknowledge_report(&mut self, req: u64, ok: bool) {
-        self.counters.reports_unacknowledged += u64::from(!ok);
-        self.emit(Effect::AcknowledgeReport { request_id: req, is_accepted: ok });
+    fn acknowledge_report(&mut self, request_id: u64, is_accepted: bool) {
+        self.counters.reports_unacknowledged += u64::from(!is_accepted);
+        self.emit(Effect::AcknowledgeReport { request_id, is_accepted });
     }
 
-    /// An end that is new here goes out at once.
+    /// Spreads a removal that was first reported to this node.
     pub(in crate::node) fn start_removal(&mut self, worker_id: &str, now: Micros) {
-        let Some(key) = self.dissemination.workers.entries.get(worker_id).map(|e| e.report.removal_key()) else {
+        let Some(key) = self.dissemination.workers.entries.get(worker_id).map(|entry| entry.report.removal_key())
+        else {
             return;
         };
         self.counters.removals_started += 1;
@@ -72,119 +96,144 @@
         self.tick_removals(now);
     }
 
+    /// Answers waiting requests, and sends removals again to nodes that have not acknowledged them.
     pub(in crate::node) fn tick_removals(&mut self, now: Micros) {
-        if self.dissemination.workers.removals.0.is_empty() {
+        if self.dissemination.workers.removals.is_empty() {
             return;
         }
-        let live: Vec<(NodeId, bool)> = self
-            .dissemination
+        let live_nodes = self.other_live_nodes(now);
+        let mut round = RemovalRound::default();
+        let mut removals = std::mem::take(&mut self.dissemination.workers.removals);
+        for removal in removals.0.values_mut() {
+            self.step_removal(removal, &live_nodes, &mut round, now);
+        }
+        self.dissemination.workers.removals = removals;
+        self.send_removal_round(round, &live_nodes, now);
+    }
+
+    fn other_live_nodes(&self, now: Micros) -> Vec<LiveNode> {
+        self.dissemination
             .peers
             .live(now)
-            .filter(|p| p.node_id != self.settings.node_id)
-            .map(|p| (p.node_id, p.is_core))
-            .collect();
-        let voters = self.consensus.state.voters().to_vec();
-        let (me, votes, founded) = (self.settings.node_id, self.voter(), !voters.is_empty());
-        let mut to: BTreeMap<NodeId, Vec<WorkerReport>> = BTreeMap::new();
-        let (mut done, mut said) = (Vec::new(), Vec::new());
-        let mut ends = std::mem::take(&mut self.dissemination.workers.removals.0);
-        for e in ends.values_mut() {
-            let all = live.iter().all(|n| e.known_by.contains(&n.0));
-            // One who is cut off with others is no reason to believe that all will know it.
-            let mut has = e.known_by.clone();
-            has.extend(votes.then_some(me));
-            let kept = founded && is_majority(&voters, &has);
-            let none = !voters.iter().any(|c| has.contains(&c.node_id));
-            let away = |since: Micros| {
-                if votes {
-                    self.should_redirect(since, now)
-                } else {
-                    none && now.saturating_sub(since) >= QUORUM_TIMEOUT
-                }
-            };
-            e.waiting_requests.retain(|(req, at)| {
-                let t = now.saturating_sub(*at);
-                let ok = kept && (all || t >= PATIENCE);
-                let over = ok || t >= GIVE_UP_AFTER || (!kept && away(*at));
-                if over {
-                    said.push((*req, ok));
-                }
-                !over
-            });
-            if all {
-                if e.waiting_requests.is_empty() && kept {
-                    done.push(e.key.clone());
-                }
-                continue;
+            .filter(|record| record.node_id != self.settings.node_id)
+            .map(|record| LiveNode { node_id: record.node_id, is_core: record.is_core })
+            .collect()
+    }
+
+    fn step_removal(&self, removal: &mut Removal, live_nodes: &[LiveNode], round: &mut RemovalRound, now: Micros) {
+        let is_known_by_all = live_nodes.iter().all(|node| removal.known_by.contains(&node.node_id));
+        let is_committed = self.answer_waiting_requests(removal, is_known_by_all, round, now);
+        if is_known_by_all {
+            if removal.waiting_requests.is_empty() && is_committed {
+                round.known_by_all.push(removal.key.clone());
             }
-            if now < e.send_due {
-                continue;
+            return;
+        }
+        if now < removal.send_due {
+            return;
+        }
+        removal.send_due = now + RESEND_INTERVAL;
+        let entries = &self.dissemination.workers.entries;
+        let Some(entry) = entries.get(&removal.key.worker_id).filter(|entry| entry.report.is_out_of_service()) else {
+            return;
+        };
+        let report = WorkerReport { age: now.saturating_sub(entry.heard_at), ..entry.report.clone() };
+        for node in live_nodes.iter().filter(|node| !removal.known_by.contains(&node.node_id)) {
+            round.reports.entry(node.node_id).or_default().push(report.clone());
+        }
+    }
+
+    /// Answers the requests of a removal that need not wait longer; whether a majority of the voters
+    /// knows it.
+    fn answer_waiting_requests(
+        &self,
+        removal: &mut Removal,
+        is_known_by_all: bool,
+        round: &mut RemovalRound,
+        now: Micros,
+    ) -> bool {
+        let voters = self.consensus.state.voters();
+        let is_voter = self.voter();
+        // That all nodes that this one reaches know it proves nothing where it is cut off with them.
+        let mut known_by = removal.known_by.clone();
+        known_by.extend(is_voter.then_some(self.settings.node_id));
+        let is_committed = !voters.is_empty() && is_majority(voters, &known_by);
+        let no_voter_knows = !voters.iter().any(|voter| known_by.contains(&voter.node_id));
+        let is_cut_off = |since: Micros| {
+            if is_voter {
+                self.should_redirect(since, now)
+            } else {
+                no_voter_knows && now.saturating_sub(since) >= QUORUM_TIMEOUT
             }
-            e.send_due = now + AGAIN;
-            let Some(x) = self.dissemination.workers.entries.get(&e.key.0).filter(|x| x.report.is_out_of_service())
-            else {
-                continue;
-            };
-            let r = WorkerReport { age: now.saturating_sub(x.heard_at), ..x.report.clone() };
-            for n in live.iter().filter(|n| !e.known_by.contains(&n.0)) {
-                to.entry(n.0).or_default().push(r.clone());
+        };
+        removal.waiting_requests.retain(|request| {
+            let waited = now.saturating_sub(request.received_at);
+            let is_accepted = is_committed && (is_known_by_all || waited >= ALL_NODES_TIMEOUT);
+            let is_answered =
+                is_accepted || waited >= REMOVAL_TIMEOUT || (!is_committed && is_cut_off(request.received_at));
+            if is_answered {
+                round.answers.push((request.request_id, is_accepted));
             }
+            !is_answered
+        });
+        is_committed
+    }
+
+    fn send_removal_round(&mut self, round: RemovalRound, live_nodes: &[LiveNode], now: Micros) {
+        for (request_id, is_accepted) in round.answers {
+            self.acknowledge_report(request_id, is_accepted);
         }
-        self.dissemination.workers.removals.0 = ends;
-        for (req, ok) in said {
-            self.acknowledge_report(req, ok);
-        }
-        for (n, rows) in to {
-            self.send(n, Message::Dissemination(DisseminationMessage::Removals { reports: rows }), now);
-        }
-        if !done.is_empty() {
-            self.on_removals_known_by_all(&done);
-            for n in live.iter().filter(|n| n.1) {
-                self.send(
-                    n.0,
-                    Message::Dissemination(DisseminationMessage::RemovalsKnownByAll { keys: done.clone() }),
-                    now,
-                );
-            }
+        for (node_id, reports) in round.reports {
+            self.send(node_id, Message::Dissemination(DisseminationMessage::Removals { reports }), now);
+        }
+        let keys = round.known_by_all;
+        if keys.is_empty() {
+            return;
+        }
+        self.on_removals_known_by_all(&keys);
+        for core in live_nodes.iter().filter(|node| node.is_core) {
+            let message = DisseminationMessage::RemovalsKnownByAll { keys: keys.clone() };
+            self.send(core.node_id, Message::Dissemination(message), now);
         }
     }
 
-    pub(in crate::node) fn on_removals(&mut self, by: NodeId, rows: &[WorkerReport], lag: Micros, now: Micros) {
+    /// Applies the removals that a node sends, and acknowledges them. `delay` is how much longer the frame
+    /// was under way than the quickest one from its sender, in microseconds.
+    pub(in crate::node) fn on_removals(&mut self, from: NodeId, reports: &[WorkerReport], delay: Micros, now: Micros) {
         let mut keys: Vec<RemovalKey> = Vec::new();
-        for r in rows {
-            // An end stays true however long it was under way.
-            let at = now.saturating_sub(r.age.saturating_add(lag));
-            self.apply_report(r, at, now);
-            keys.push(r.removal_key());
-            if let Some(e) = self.dissemination.workers.removals.get(&r.removal_key()) {
-                e.known_by.insert(by);
+        for report in reports {
+            // A removal stays true however long it was under way.
+            let made_at = now.saturating_sub(report.age.saturating_add(delay));
+            self.apply_report(report, made_at, now);
+            let key = report.removal_key();
+            if let Some(removal) = self.dissemination.workers.removals.get(&key) {
+                removal.known_by.insert(from);
             }
+            keys.push(key);
         }
-        self.send(by, Message::Dissemination(DisseminationMessage::RemovalsReceived { keys }), now);
+        self.send(from, Message::Dissemination(DisseminationMessage::RemovalsReceived { keys }), now);
     }
 
-    pub(in crate::node) fn on_removals_received(&mut self, by: NodeId, keys: &[RemovalKey], now: Micros) {
-        for k in keys {
-            if let Some(e) = self.dissemination.workers.removals.get(k) {
-                e.known_by.insert(by);
+    /// A node acknowledges removals.
+    pub(in crate::node) fn on_removals_received(&mut self, from: NodeId, keys: &[RemovalKey], now: Micros) {
+        for key in keys {
+            if let Some(removal) = self.dissemination.workers.removals.get(key) {
+                removal.known_by.insert(from);
             }
         }
         self.tick_removals(now);
     }
 
+    /// All live nodes know these removals, so they need not be spread any more.
     pub(in crate::node) fn on_removals_known_by_all(&mut self, keys: &[RemovalKey]) {
-        for k in keys {
-            if self.dissemination.workers.removals.get(k).is_some_and(|e| e.waiting_requests.is_empty()) {
-                self.dissemination.workers.removals.0.remove(&k.0);
+        let workers = &mut self.dissemination.workers;
+        for key in keys {
+            if workers.removals.get(key).is_some_and(|removal| removal.waiting_requests.is_empty()) {
+                workers.removals.remove(&key.worker_id);
             }
-            if let Some(e) = self
-                .dissemination
-                .workers
-                .entries
-                .get_mut(&k.0)
-                .filter(|e| e.report.is_out_of_service() && e.report.removal_key() == *k)
-            {
-                e.known_by_all = true;
+            let is_removal = |report: &WorkerReport| report.is_out_of_service() && report.removal_key() == *key;
+            if let Some(entry) = workers.entries.get_mut(&key.worker_id).filter(|entry| is_removal(&entry.report)) {
+                entry.known_by_all = true;
             }
         }
     }
--- a/crates/core/src/node/dissemination/reports.rs
+++ b/crates/core/src/node/dissemination/reports.rs
@@ -1,4 +1,8 @@
-//! What workers report, and how it reaches the homes of their services.
+//! Reports of workers, and how they reach the home nodes of their pools.
+//!
+//! A report that a worker makes to this node is sent on to the home nodes of its pool in every zone. A
+//! report from another node is taken to be as old as it can be by the sender's clock, so that no silent
+//! worker is taken for a live one; while the bound on that clock is not known, the report waits.
 
 use crate::base::{Incarnation, MS, Micros, NodeId};
 use crate::node::Node;
@@ -7,61 +11,66 @@
 use crate::workers::removals::TAKE_OVER_AFTER;
 use std::collections::BTreeMap;
 
-const WAKING: Micros = 300 * MS;
+/// For so long after a stall of this node, reports of other nodes are dropped: they may have waited.
+const AFTER_STALL: Micros = 300 * MS;
 
 impl Node {
-    /// A worker reported to this node. False if that is older than what is known of it, and so
-    /// doesn't count.
-    pub(in crate::node) fn on_report(&mut self, r: &WorkerReport, now: Micros) -> bool {
-        let mut r = r.clone();
-        if r.incarnation == UNNUMBERED_INCARNATION {
-            r.incarnation = self.dissemination.workers.resolve_incarnation(&r, now);
+    /// Handles a report that a worker made to this node; false if it is older than what is known of the
+    /// worker, and so does not count.
+    pub(in crate::node) fn on_report(&mut self, report: &WorkerReport, now: Micros) -> bool {
+        let mut report = report.clone();
+        if report.incarnation == UNNUMBERED_INCARNATION {
+            report.incarnation = self.dissemination.workers.resolve_incarnation(&report, now);
         }
-        let known = self.is_known_removal(&r);
-        if !self.apply_report(&r, now, now) {
-            return known || self.dissemination.workers.is_current(&r);
+        let is_known_removal = self.is_known_removal(&report);
+        if !self.apply_report(&report, now, now) {
+            return is_known_removal || self.dissemination.workers.is_current(&report);
         }
-        self.dissemination.workers.unsent.push(r.worker_id.clone());
-        if r.is_out_of_service() && !known {
-            self.start_removal(&r.worker_id, now);
+        self.dissemination.workers.unsent.push(report.worker_id.clone());
+        if report.is_out_of_service() && !is_known_removal {
+            self.start_removal(&report.worker_id, now);
         }
         true
     }
 
-    /// Whether this end of this life was known before.
-    fn is_known_removal(&self, r: &WorkerReport) -> bool {
-        self.dissemination.workers.entries.get(&r.worker_id).is_some_and(|e| {
-            e.report.is_out_of_service() && r.is_out_of_service() && e.report.removal_key() == r.removal_key()
+    /// Whether the report is of a drain or removal that is known already.
+    fn is_known_removal(&self, report: &WorkerReport) -> bool {
+        self.dissemination.workers.entries.get(&report.worker_id).is_some_and(|entry| {
+            entry.report.is_out_of_service()
+                && report.is_out_of_service()
+                && entry.report.removal_key() == report.removal_key()
         })
     }
 
-    /// Merges a report; a worker that is new, moved or left is not kept waiting.
-    pub(in crate::node) fn apply_report(&mut self, r: &WorkerReport, at: Micros, now: Micros) -> bool {
-        let known = self.is_known_removal(r);
-        let same = self.dissemination.workers.entries.get(&r.worker_id).is_some_and(|e| {
-            e.report.addr == r.addr
-                && e.report.incarnation == r.incarnation
-                && e.report.is_out_of_service() == r.is_out_of_service()
+    /// Merges a report that was made at `made_at`; whether it changed what is known. A worker that is new,
+    /// moved or left is sent to subscribers without delay.
+    pub(in crate::node) fn apply_report(&mut self, report: &WorkerReport, made_at: Micros, now: Micros) -> bool {
+        let is_known_removal = self.is_known_removal(report);
+        let is_routine = self.dissemination.workers.entries.get(&report.worker_id).is_some_and(|entry| {
+            entry.report.addr == report.addr
+                && entry.report.incarnation == report.incarnation
+                && entry.report.is_out_of_service() == report.is_out_of_service()
         });
-        if self.merge_report(r, at, now) != MergeOutcome::Applied {
+        if self.merge_report(report, made_at, now) != MergeOutcome::Applied {
             return false;
         }
-        // The next beat to a single core is long in coming.
-        if !same && self.settings.reports_to_cores_only {
-            self.dissemination.workers.push_due = now;
+        let workers = &mut self.dissemination.workers;
+        // Reports to a single core are far apart: the next one would come late.
+        if !is_routine && self.settings.reports_to_cores_only {
+            workers.push_due = now;
         }
-        if !r.is_out_of_service() {
-            self.dissemination.workers.removals.0.remove(&r.worker_id);
-        } else if self.settings.is_core && !known {
-            // Cores keep an end for those who lack it, should the first one be lost.
-            self.dissemination.workers.removals.start(&r.removal_key(), now + TAKE_OVER_AFTER, now);
+        if !report.is_out_of_service() {
+            workers.removals.remove(&report.worker_id);
+        } else if self.settings.is_core && !is_known_removal {
+            // Every core keeps a removal, in case the core that spreads it is lost.
+            workers.removals.start(&report.removal_key(), now + TAKE_OVER_AFTER, now);
         }
         true
     }
 
-    fn merge_report(&mut self, r: &WorkerReport, at: Micros, now: Micros) -> MergeOutcome {
-        let a = self.dissemination.workers.merge(r, at, now);
-        match a {
+    fn merge_report(&mut self, report: &WorkerReport, made_at: Micros, now: Micros) -> MergeOutcome {
+        let outcome = self.dissemination.workers.merge(report, made_at, now);
+        match outcome {
             MergeOutcome::Applied => {
                 self.counters.reports += 1;
                 self.publisher.is_dirty = true;
@@ -70,72 +79,66 @@
             MergeOutcome::EndedIncarnation => self.counters.reports_ended += 1,
             MergeOutcome::FromFuture => self.counters.reports_future += 1,
         }
-        a
+        outcome
     }
 
-    /// What other nodes heard. A report is as old as it can be by its sender's clock; where that
-    /// clock is not known yet, only ends count at once.
+    /// Handles reports that another node received. Each is taken to be as old as it can be by its sender's
+    /// clock; while the bound on that clock is not known, only removals count at once.
     pub(in crate::node) fn on_reports(
         &mut self,
-        by: (NodeId, Incarnation),
-        sent: Micros,
-        rows: &[WorkerReport],
+        sender: (NodeId, Incarnation),
+        sent_at: Micros,
+        reports: &[WorkerReport],
         now: Micros,
     ) {
-        // What lay waiting while this node was frozen is of an unknown age.
-        let waking = now.saturating_sub(self.clock.resumed_at) < WAKING;
-        let sent_at = self.earliest_sent_at(by, sent, now);
-        let (ends, beats): (Vec<_>, Vec<_>) = rows.iter().partition(|r| r.is_out_of_service());
-        for r in ends {
-            let at = sent_at.unwrap_or(now).saturating_sub(r.age);
-            self.apply_report(r, at, now);
+        // What waited while this node was stalled is of an unknown age.
+        let is_after_stall = now.saturating_sub(self.clock.resumed_at) < AFTER_STALL;
+        let earliest_sent_at = self.earliest_sent_at(sender, sent_at, now);
+        let (removals, in_service): (Vec<_>, Vec<_>) = reports.iter().partition(|report| report.is_out_of_service());
+        for report in removals {
+            let made_at = earliest_sent_at.unwrap_or(now).saturating_sub(report.age);
+            self.apply_report(report, made_at, now);
         }
-        if waking {
-            self.counters.reports_unaged += beats.len() as u64;
+        if is_after_stall {
+            self.counters.reports_unaged += in_service.len() as u64;
             return;
         }
-        let Some(sent_at) = sent_at else {
-            self.wait_for_clock(by, sent, beats.into_iter().cloned().collect(), now);
+        let Some(earliest_sent_at) = earliest_sent_at else {
+            self.wait_for_clock(sender, sent_at, in_service.into_iter().cloned().collect(), now);
             return;
         };
-        for r in beats {
-            self.apply_report(r, sent_at.saturating_sub(r.age), now);
+        for report in in_service {
+            self.apply_report(report, earliest_sent_at.saturating_sub(report.age), now);
         }
     }
 
-    pub(in crate::node) fn apply_reports(&mut self, rows: &[WorkerReport], base: Micros, now: Micros) {
-        for r in rows {
-            let at = base.saturating_sub(r.age);
-            let old = self.dissemination.workers.entries.get(&r.worker_id).is_some_and(|e| {
-                (e.report.incarnation, e.report.removed, e.report.seq) >= (r.incarnation, r.removed, r.seq)
-            });
-            if !old {
-                self.apply_report(r, at, now);
+    /// Applies the reports of an update that was sent at `sent_at`, in microseconds by this node's clock.
+    pub(in crate::node) fn apply_reports(&mut self, reports: &[WorkerReport], sent_at: Micros, now: Micros) {
+        for report in reports {
+            if !self.dissemination.workers.is_known(report) {
+                self.apply_report(report, sent_at.saturating_sub(report.age), now);
             }
         }
     }
 
-    /// Passes what workers said on to the homes of their services in each zone.
+    /// Sends what workers reported to this node to the home nodes of their pools in each zone.
     pub(in crate::node) fn flush_reports(&mut self, now: Micros) {
         if self.dissemination.workers.unsent.is_empty() {
             return;
         }
-        let ws = std::mem::take(&mut self.dissemination.workers.unsent);
-        let zs = self.dissemination.peers.zones(now);
-        let mut to: BTreeMap<NodeId, Vec<WorkerReport>> = BTreeMap::new();
-        for w in ws {
-            let Some(e) = self.dissemination.workers.entries.get(&w) else { continue };
-            let r = WorkerReport { age: now.saturating_sub(e.heard_at), ..e.report.clone() };
-            for z in &zs {
-                for h in self.dissemination.peers.home_nodes(&r.pool, z, now) {
-                    if h != self.settings.node_id {
-                        to.entry(h).or_default().push(r.clone());
-                    }
-                }
+        let unsent = std::mem::take(&mut self.dissemination.workers.unsent);
+        let zones = self.dissemination.peers.zones(now);
+        let mut reports_to: BTreeMap<NodeId, Vec<WorkerReport>> = BTreeMap::new();
+        for worker_id in unsent {
+            let Some(entry) = self.dissemination.workers.entries.get(&worker_id) else { continue };
+            let report = WorkerReport { age: now.saturating_sub(entry.heard_at), ..entry.report.clone() };
+            let homes = zones.iter().flat_map(|zone| self.dissemination.peers.home_nodes(&report.pool, zone, now));
+            for home in homes.filter(|home| *home != self.settings.node_id) {
+                reports_to.entry(home).or_default().push(report.clone());
             }
         }
-        for (n, rows) in to {
-            self.send(n, Message::Dissemination(DisseminationMessage::Reports { reports: rows }), now);
+        for (node_id, reports) in reports_to {
+            self.send(node_id, Message::Dissemination(DisseminationMessage::Reports { reports }), now);
         }
     }
 }
--- a/crates/core/src/node/dissemination/updates.rs
+++ b/crates/core/src/node/dissemination/updates.rs
@@ -1,276 +1,344 @@
-//! News of workers: told to other nodes, and asked for where a node is behind.
+//! Updates: snapshots and deltas of the workers and of the configuration, sent to subscribers.
+//!
+//! Each node subscribes to the home nodes of its topics: the two nodes of its zone that rendezvous hashing
+//! gives for each pool and for the configuration. The home nodes of the configuration subscribe to a core.
+//! A subscriber names the change index up to which it has its upstream's changes, and receives those after
+//! it; if the upstream restarted, or the subscriber wants more topics, it receives a snapshot.
 
 use crate::base::{Incarnation, MS, Micros, NodeId, SEC, Version, rendezvous_weight};
 use crate::freshness;
 use crate::node::Node;
-use crate::protocol::{DisseminationMessage, LogEntry, Message, WorkerReport};
+use crate::protocol::{DisseminationMessage, LogEntry, Message, PeerRecord, WorkerReport};
 use crate::workers::{Subscriber, Upstream};
 use std::collections::BTreeMap;
 
-const PUSH: Micros = 100 * MS;
-/// How many bytes of a new version are handed out in one step of the timer.
+/// How often changes of workers are sent to subscribers.
+const PUSH_INTERVAL: Micros = 100 * MS;
+/// How many bytes of a new version are sent in one step of the timer.
 const PUSH_BYTES: usize = 512 << 10;
-const CONFIG: &str = "config";
+/// A subscriber that did not renew its subscription for so long is sent no changes of workers.
+const SUBSCRIBER_SILENCE: Micros = 2 * SEC;
+/// A version that no majority confirmed for so long may be outdated: another core is asked.
+const STALE_AFTER: Micros = 1_500 * MS;
+/// How many subscription requests to an upstream are remembered, so that late answers count.
+const REMEMBERED_REQUESTS: usize = 8;
+/// The topic of the configuration. All other topics are names of pools.
+const CONFIG_TOPIC: &str = "config";
+
+/// A subscription as it came from a peer; see [`DisseminationMessage::Subscribe`].
+#[derive(Clone, Debug)]
+pub(super) struct Subscription {
+    /// The number of the request.
+    pub seq: u64,
+    /// One more than the version that the subscriber holds; 0 for none.
+    pub next_version: Version,
+    /// The change index up to which the subscriber has this node's changes.
+    pub from_index: u64,
+    /// The incarnation of this node that counted this index.
+    pub incarnation: Incarnation,
+    /// The topics that the subscriber wants.
+    pub topics: Vec<String>,
+}
+
+/// The part of an update that follows its version; see [`DisseminationMessage::Update`].
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ReceivedUpdate<'a> {
+    /// The subscription that it answers.
+    pub request_seq: u64,
+    /// How long after that subscription it was sent, in microseconds.
+    pub answered_after: Micros,
+    /// How long before that a majority confirmed the version, in microseconds.
+    pub confirmed_age: Option<Micros>,
+    /// The upstream's version.
+    pub version: Version,
+    /// The change index up to which this node now has the upstream's changes.
+    pub change_index: u64,
+    /// Whether every live worker has reported to the upstream.
+    pub is_complete: bool,
+    /// The reports that changed.
+    pub reports: &'a [WorkerReport],
+}
+
+/// A version for a subscriber: either patches that lead to it, or the whole version alone.
+#[derive(Clone, Debug, Default)]
+struct EntryChain {
+    preceding: Vec<LogEntry>,
+    newest: Option<LogEntry>,
+}
 
 impl Node {
     fn topics(&self) -> Vec<String> {
-        let mut v = vec![CONFIG.to_owned()];
-        v.extend(self.config.pools.keys().cloned());
-        v
+        let mut topics = vec![CONFIG_TOPIC.to_owned()];
+        topics.extend(self.config.pools.keys().cloned());
+        topics
     }
 
-    /// Whom this node asks, and for what: the homes in its zone; for the
-    /// configuration a home asks a core.
-    fn upstreams(&self, now: Micros) -> BTreeMap<NodeId, Vec<String>> {
-        let mut m: BTreeMap<NodeId, Vec<String>> = BTreeMap::new();
-        for s in self.topics() {
-            let hs = self.dissemination.peers.home_nodes(&s, &self.settings.zone, now);
-            let conf = s == CONFIG;
-            if conf && self.voter() {
+    /// The nodes that this one subscribes to, and for which topics: the home nodes in its zone; for the
+    /// configuration a home node subscribes to a core.
+    fn desired_upstreams(&self, now: Micros) -> BTreeMap<NodeId, Vec<String>> {
+        let mut upstreams: BTreeMap<NodeId, Vec<String>> = BTreeMap::new();
+        for topic in self.topics() {
+            let is_config = topic == CONFIG_TOPIC;
+            if is_config && self.voter() {
                 continue;
             }
-            if conf {
-                let stale = self
-                    .consensus
-                    .freshness
-                    .confirmed_at(self.version())
-                    .is_none_or(|t| now.saturating_sub(t) > 1_500 * MS);
-                if (stale || hs.contains(&self.settings.node_id))
-                    && let Some(c) = self.nearest_core(now, self.last_request_id)
-                {
-                    m.entry(c).or_default().push(s.clone());
-                }
+            let home_nodes = self.dissemination.peers.home_nodes(&topic, &self.settings.zone, now);
+            if is_config && let Some(core) = self.config_core(&home_nodes, now) {
+                upstreams.entry(core).or_default().push(topic.clone());
             }
-            for h in hs {
-                let v = m.entry(h).or_default();
-                if !v.contains(&s) {
-                    v.push(s.clone());
+            for home in home_nodes {
+                let topics = upstreams.entry(home).or_default();
+                if !topics.contains(&topic) {
+                    topics.push(topic.clone());
                 }
             }
         }
-        m.remove(&self.settings.node_id);
-        m
+        upstreams.remove(&self.settings.node_id);
+        upstreams
     }
 
-    /// A live core, in the own zone before the others; `turn` goes round them.
-    pub(in crate::node) fn nearest_core(&self, now: Micros, turn: u64) -> Option<NodeId> {
-        let me = self.settings.node_id.0.to_le_bytes();
-        let mut v: Vec<_> = self
-            .dissemination
-            .peers
-            .live(now)
-            .filter(|p| p.is_core && p.node_id != self.settings.node_id)
-            .filter(|p| self.consensus.state.voters().is_empty() || self.consensus.state.is_voter(p.node_id))
-            .map(|p| (p.zone != self.settings.zone, std::cmp::Reverse(rendezvous_weight(p.node_id.0, &me)), p.node_id))
-            .collect();
-        v.sort_unstable();
-        let stale =
-            self.consensus.freshness.confirmed_at(self.version()).is_none_or(|t| now.saturating_sub(t) > 1_500 * MS);
-        let i = if stale && !v.is_empty() { usize::try_from(turn % v.len() as u64).unwrap_or(0) } else { 0 };
-        v.get(i).map(|x| x.2)
+    /// The core that this node subscribes to for the configuration, if it is one of the home nodes of that
+    /// or if its version may be outdated.
+    fn config_core(&self, home_nodes: &[NodeId], now: Micros) -> Option<NodeId> {
+        if !self.is_version_stale(now) && !home_nodes.contains(&self.settings.node_id) {
+            return None;
+        }
+        self.nearest_core(now, self.last_request_id)
+    }
+
+    fn is_version_stale(&self, now: Micros) -> bool {
+        let confirmed_at = self.consensus.freshness.confirmed_at(self.version());
+        confirmed_at.is_none_or(|confirmed_at| now.saturating_sub(confirmed_at) > STALE_AFTER)
     }
 
+    /// A live core, in this node's zone before the others. While the version may be outdated, `attempt`
+    /// rotates among all of them.
+    pub(in crate::node) fn nearest_core(&self, now: Micros, attempt: u64) -> Option<NodeId> {
+        let own_id = self.settings.node_id;
+        let consensus = &self.consensus.state;
+        let is_candidate = |record: &PeerRecord| {
+            record.is_core
+                && record.node_id != own_id
+                && (consensus.voters().is_empty() || consensus.is_voter(record.node_id))
+        };
+        let rank = |record: &PeerRecord| {
+            let weight = rendezvous_weight(record.node_id.0, &own_id.0.to_le_bytes());
+            (record.zone != self.settings.zone, std::cmp::Reverse(weight), record.node_id)
+        };
+        let mut ranked: Vec<_> =
+            self.dissemination.peers.live(now).filter(|record| is_candidate(record)).map(rank).collect();
+        ranked.sort_unstable();
+        let index = if !ranked.is_empty() && self.is_version_stale(now) {
+            usize::try_from(attempt % ranked.len() as u64).unwrap_or(0)
+        } else {
+            0
+        };
+        ranked.get(index).map(|candidate| candidate.2)
+    }
+
+    /// Renews this node's subscriptions, when that is due.
     pub(in crate::node) fn tick_subscribe(&mut self, now: Micros) {
         if now < self.dissemination.workers.subscribe_due {
             return;
         }
         self.dissemination.workers.subscribe_due = now + freshness::EVERY;
         self.last_request_id += 1;
-        let ups = self.upstreams(now);
-        self.dissemination.workers.upstreams.retain(|n, _| ups.contains_key(n));
-        let version = self.version();
-        for (n, svcs) in ups {
-            self.dissemination.workers.last_request_seq += 1;
-            let seq = self.dissemination.workers.last_request_seq;
-            let u = self.dissemination.workers.upstreams.entry(n).or_default();
-            u.sent_requests.insert(seq, now);
-            while u.sent_requests.len() > 8 {
-                u.sent_requests.pop_first();
-            }
-            let (idx, of) = (u.change_index, u.incarnation);
-            let version = version.map_or(0, |v| v + 1);
-            self.send(
-                n,
-                Message::Dissemination(DisseminationMessage::Subscribe {
-                    seq,
-                    next_version: version,
-                    from_index: idx,
-                    incarnation: of,
-                    topics: svcs,
-                }),
-                now,
-            );
+        let desired = self.desired_upstreams(now);
+        self.dissemination.workers.upstreams.retain(|node_id, _| desired.contains_key(node_id));
+        for (upstream, topics) in desired {
+            self.subscribe(upstream, topics, now);
         }
     }
 
-    #[allow(clippy::too_many_arguments)]
-    pub(in crate::node) fn on_subscribe(
-        &mut self,
-        by: NodeId,
-        seq: u64,
-        version: Version,
-        idx: u64,
-        of: Incarnation,
-        svcs: Vec<String>,
-        now: Micros,
-    ) {
-        // What it asks for anew it needs from the beginning.
-        let more =
-            self.dissemination.workers.subscribers.get(&by).is_some_and(|o| svcs.iter().any(|s| !o.topics.contains(s)));
-        let idx =
-            if of == self.settings.incarnation && !more { idx.min(self.dissemination.workers.change_index) } else { 0 };
-        self.dissemination.workers.subscribers.insert(
-            by,
-            Subscriber { request_seq: seq, subscribed_at: now, sent_index: idx, next_version: version, topics: svcs },
-        );
-        self.send_update(by, now);
+    fn subscribe(&mut self, to: NodeId, topics: Vec<String>, now: Micros) {
+        let next_version = self.next_version();
+        let workers = &mut self.dissemination.workers;
+        workers.last_request_seq += 1;
+        let seq = workers.last_request_seq;
+        let upstream = workers.upstreams.entry(to).or_default();
+        upstream.sent_requests.insert(seq, now);
+        while upstream.sent_requests.len() > REMEMBERED_REQUESTS {
+            upstream.sent_requests.pop_first();
+        }
+        let subscribe = DisseminationMessage::Subscribe {
+            seq,
+            next_version,
+            from_index: upstream.change_index,
+            incarnation: upstream.incarnation,
+            topics,
+        };
+        self.send(to, Message::Dissemination(subscribe), now);
+    }
+
+    /// One more than the version that this node holds; 0 for none.
+    fn next_version(&self) -> Version {
+        self.version().map_or(0, |version| version + 1)
+    }
+
+    /// Notes a subscription, and answers it at once.
+    pub(super) fn on_subscribe(&mut self, from: NodeId, subscription: Subscription, now: Micros) {
+        let workers = &mut self.dissemination.workers;
+        let topics = &subscription.topics;
+        // Of a topic that it did not want before, the subscriber needs a snapshot.
+        let has_new_topics = workers
+            .subscribers
+            .get(&from)
+            .is_some_and(|known| topics.iter().any(|topic| !known.topics.contains(topic)));
+        let sent_index = if subscription.incarnation == self.settings.incarnation && !has_new_topics {
+            subscription.from_index.min(workers.change_index)
+        } else {
+            0
+        };
+        let subscriber = Subscriber {
+            request_seq: subscription.seq,
+            subscribed_at: now,
+            sent_index,
+            next_version: subscription.next_version,
+            topics: subscription.topics,
+        };
+        workers.subscribers.insert(from, subscriber);
+        self.send_update(from, now);
     }
 
-    /// `version` in an ask and a sub is one more than the version held, nought for none.
+    /// Sends a subscriber what changed since the last update to it.
     fn send_update(&mut self, to: NodeId, now: Micros) {
-        let Some(s) = self.dissemination.workers.subscribers.get(&to).cloned() else { return };
-        let rows = self.dissemination.workers.changes_after(s.sent_index, &s.topics, now);
-        let mine = self.version();
-        let next = mine.map_or(0, |v| v + 1);
-        // Homes of pools alone name the version; the tree comes from those of the configuration.
-        let conf = s.topics.iter().any(|x| x == CONFIG);
-        let held = s.next_version.checked_sub(1);
-        let (before, decree) =
-            if conf && s.next_version < next { self.entries_after(held) } else { (Vec::new(), None) };
-        let stamp = self.consensus.freshness.confirmed_at(mine).filter(|_| conf).map(|t| now.saturating_sub(t));
-        let m = Message::Dissemination(DisseminationMessage::Update {
-            request_seq: s.request_seq,
-            answered_after: now.saturating_sub(s.subscribed_at),
-            confirmed_age: stamp,
-            version: mine.unwrap_or(0),
-            preceding: before,
-            entry: decree,
-            change_index: self.dissemination.workers.change_index,
+        let Some(subscriber) = self.dissemination.workers.subscribers.get(&to).cloned() else { return };
+        let reports = self.dissemination.workers.changes_after(subscriber.sent_index, &subscriber.topics, now);
+        let own_version = self.version();
+        let next_version = self.next_version();
+        // Home nodes of pools only name the version; its entry comes from those of the configuration.
+        let wants_config = subscriber.topics.iter().any(|topic| topic == CONFIG_TOPIC);
+        let chain = if wants_config && subscriber.next_version < next_version {
+            self.entries_after(subscriber.next_version.checked_sub(1))
+        } else {
+            EntryChain::default()
+        };
+        let confirmed_at = self.consensus.freshness.confirmed_at(own_version).filter(|_| wants_config);
+        let change_index = self.dissemination.workers.change_index;
+        let update = DisseminationMessage::Update {
+            request_seq: subscriber.request_seq,
+            answered_after: now.saturating_sub(subscriber.subscribed_at),
+            confirmed_age: confirmed_at.map(|confirmed_at| now.saturating_sub(confirmed_at)),
+            version: own_version.unwrap_or(0),
+            preceding: chain.preceding,
+            entry: chain.newest,
+            change_index,
             is_complete: now >= self.workers_complete_at(),
-            reports: rows,
-        });
-        let idx = self.dissemination.workers.change_index;
-        if let Some(s) = self.dissemination.workers.subscribers.get_mut(&to) {
-            s.sent_index = idx;
-            s.next_version = s.next_version.max(next);
+            reports,
+        };
+        if let Some(subscriber) = self.dissemination.workers.subscribers.get_mut(&to) {
+            subscriber.sent_index = change_index;
+            subscriber.next_version = subscriber.next_version.max(next_version);
         }
-        self.send(to, m, now);
+        self.send(to, Message::Dissemination(update), now);
     }
 
-    /// The newest version for one who holds this one: as patches where that is less.
-    fn entries_after(&mut self, held: Option<Version>) -> (Vec<LogEntry>, Option<LogEntry>) {
-        let whole = self.consensus.state.newest().map_or(0, |d| d.body.len());
-        let patches = held.and_then(|v| self.consensus.state.patch_chain.after(v));
-        match patches.filter(|chain| chain.iter().map(LogEntry::size).sum::<usize>() < whole) {
+    /// The newest version for a node that holds `held`: as patches if those are smaller.
+    fn entries_after(&mut self, held: Option<Version>) -> EntryChain {
+        let body_bytes = self.consensus.state.newest().map_or(0, |entry| entry.body.len());
+        let patches = held.and_then(|version| self.consensus.state.patch_chain.after(version));
+        let is_smaller = |chain: &Vec<LogEntry>| chain.iter().map(LogEntry::size).sum::<usize>() < body_bytes;
+        match patches.filter(is_smaller) {
             Some(mut chain) => {
-                let last = chain.pop();
-                (chain, last)
+                let newest = chain.pop();
+                EntryChain { preceding: chain, newest }
             }
-            None => (Vec::new(), self.consensus.state.newest_self_contained()),
+            None => EntryChain { preceding: Vec::new(), newest: self.consensus.state.newest_self_contained() },
         }
     }
 
-    /// Takes the version that a home told: of those that lead to it only the patches are kept.
-    pub(in crate::node) fn apply_update_entries(
-        &mut self,
-        before: Vec<LogEntry>,
-        decree: Option<LogEntry>,
-        now: Micros,
-    ) {
-        let Some(newest) = decree else { return };
+    /// Applies the version of an update. Of the versions that lead to it only the patches are kept.
+    pub(super) fn apply_update_entries(&mut self, preceding: Vec<LogEntry>, newest: Option<LogEntry>, now: Micros) {
+        let Some(newest) = newest else { return };
         let held = self.version();
-        let later = |d: &LogEntry| held.is_none_or(|v| d.version > v);
-        let before: Vec<_> = before.into_iter().filter(later).filter_map(LogEntry::decompress).collect();
-        if !later(&newest) {
+        let is_later = |entry: &LogEntry| held.is_none_or(|version| entry.version > version);
+        let preceding: Vec<_> = preceding.into_iter().filter(is_later).filter_map(LogEntry::decompress).collect();
+        if !is_later(&newest) {
             return;
         }
         let version = newest.version;
-        let mut chain = before.clone();
+        let mut chain = preceding.clone();
         chain.push(newest);
-        let Some(whole) = self.restore_bodies(chain).pop().filter(|d| d.version == version) else { return };
-        for d in &before {
-            self.consensus.state.patch_chain.append(d);
+        let restored = self.restore_bodies(chain).pop().filter(|entry| entry.version == version);
+        let Some(restored) = restored else { return };
+        for entry in &preceding {
+            self.consensus.state.patch_chain.append(entry);
         }
-        self.apply_entry(whole, now);
+        self.apply_entry(restored, now);
     }
 
-    /// Hands the newest version to those who ask for it here; a large one to a few at a time.
+    /// Sends the newest version to subscribers that lack it; a large one to a few at a time.
     pub(in crate::node) fn push_versions(&mut self, now: Micros) {
-        let next = self.version().map_or(0, |v| v + 1);
-        let size = self.consensus.state.newest().map_or(0, |d| d.without_body().size());
-        let most = (PUSH_BYTES / size.max(1)).max(1);
-        let to: Vec<_> = self
+        let next_version = self.next_version();
+        let entry_bytes = self.consensus.state.newest().map_or(0, |entry| entry.without_body().size());
+        let limit = (PUSH_BYTES / entry_bytes.max(1)).max(1);
+        let targets: Vec<_> = self
             .dissemination
             .workers
             .subscribers
             .iter()
-            .filter(|s| s.1.next_version < next)
-            .map(|s| *s.0)
-            .take(most)
+            .filter(|(_, subscriber)| subscriber.next_version < next_version)
+            .map(|(node_id, _)| *node_id)
+            .take(limit)
             .collect();
-        for n in to {
-            self.send_update(n, now);
+        for target in targets {
+            self.send_update(target, now);
         }
     }
 
+    /// Sends new versions at every step of the timer, and changes of workers when that is due.
     pub(in crate::node) fn tick_push(&mut self, now: Micros) {
         self.push_versions(now);
         if now < self.dissemination.workers.push_due {
             return;
         }
-        self.dissemination.workers.push_due = now + PUSH;
+        self.dissemination.workers.push_due = now + PUSH_INTERVAL;
         self.flush_reports(now);
-        let top = self.dissemination.workers.change_index;
-        let to: Vec<_> = self
+        let targets: Vec<_> = self
             .dissemination
             .workers
             .subscribers
             .iter()
-            .filter(|(_, s)| {
-                now.saturating_sub(s.subscribed_at) < 2 * SEC
-                    && s.sent_index < top
-                    && self
-                        .dissemination
-                        .workers
-                        .entries
-                        .values()
-                        .any(|e| e.change_index > s.sent_index && s.topics.contains(&e.report.pool))
-            })
-            .map(|s| *s.0)
+            .filter(|(_, subscriber)| self.has_changes_for(subscriber, now))
+            .map(|(node_id, _)| *node_id)
             .collect();
-        for n in to {
-            self.send_update(n, now);
+        for target in targets {
+            self.send_update(target, now);
         }
     }
 
-    #[allow(clippy::too_many_arguments)]
-    pub(in crate::node) fn on_update(
+    fn has_changes_for(&self, subscriber: &Subscriber, now: Micros) -> bool {
+        let workers = &self.dissemination.workers;
+        now.saturating_sub(subscriber.subscribed_at) < SUBSCRIBER_SILENCE
+            && subscriber.sent_index < workers.change_index
+            && workers.entries.values().any(|entry| {
+                entry.change_index > subscriber.sent_index && subscriber.topics.contains(&entry.report.pool)
+            })
+    }
+
+    /// Merges an update of an upstream. One that answers no remembered request is dropped, since its age is
+    /// not known.
+    pub(super) fn on_update(
         &mut self,
-        by: (NodeId, Incarnation),
-        (ask, since, stamp): (u64, Micros, Option<Micros>),
-        version: Version,
-        (idx, whole): (u64, bool),
-        rows: &[WorkerReport],
+        (from, incarnation): (NodeId, Incarnation),
+        update: &ReceivedUpdate<'_>,
         now: Micros,
     ) {
-        let Some(u) = self.dissemination.workers.upstreams.get_mut(&by.0) else { return };
-        let Some(at) = u.sent_requests.get(&ask).copied() else { return };
-        if u.incarnation != by.1 {
-            *u = Upstream {
-                incarnation: by.1,
-                change_index: idx,
-                is_complete: whole,
-                sent_requests: u.sent_requests.clone(),
-            };
+        let Some(upstream) = self.dissemination.workers.upstreams.get_mut(&from) else { return };
+        let Some(requested_at) = upstream.sent_requests.get(&update.request_seq).copied() else { return };
+        if upstream.incarnation != incarnation {
+            let sent_requests = std::mem::take(&mut upstream.sent_requests);
+            *upstream = Upstream { incarnation, sent_requests, ..Upstream::default() };
         }
-        u.change_index = u.change_index.max(idx);
-        u.is_complete = whole;
-        let base = at.saturating_add(since).min(now);
-        if let Some(a) = stamp {
-            self.consensus.freshness.confirm(version, base.saturating_sub(a));
+        upstream.change_index = upstream.change_index.max(update.change_index);
+        upstream.is_complete = update.is_complete;
+        // It cannot have been sent before this moment, whatever the upstream's clock shows.
+        let sent_at = requested_at.saturating_add(update.answered_after).min(now);
+        if let Some(age) = update.confirmed_age {
+            self.consensus.freshness.confirm(update.version, sent_at.saturating_sub(age));
             self.publisher.is_dirty = true;
         }
-        self.apply_reports(rows, base, now);
+        self.apply_reports(update.reports, sent_at, now);
         self.update_completeness(now);
     }
 }
--- a/crates/core/tests/golden/values.rs
+++ b/crates/core/tests/golden/values.rs
@@ -107,7 +107,10 @@
 }
 
 pub fn row_keys() -> Vec<RemovalKey> {
-    vec![("worker-3".into(), 2_301, true), ("worker-4".into(), 2_302, false)]
+    vec![
+        RemovalKey { worker_id: "worker-3".into(), incarnation: 2_301, removed: true },
+        RemovalKey { worker_id: "worker-4".into(), incarnation: 2_302, removed: false },
+    ]
 }
 
 pub fn grant(number: u64) -> WindowGrant {
--- a/crates/core/tests/ring.rs
+++ b/crates/core/tests/peers.rs
@@ -4,7 +4,7 @@
 use sumacvale_core::base::{MS, Micros, NodeId, Rng, SEC};
 use sumacvale_core::consensus::DurableState;
 use sumacvale_core::node::{Effect, Event, Node, NodeSettings};
-use sumacvale_core::peers::{FAILURE_TIMEOUT, PeerTable};
+use sumacvale_core::peers::{FAILURE_TIMEOUT, HeartbeatStamp, PeerTable};
 use sumacvale_core::protocol::{
     DisseminationMessage, Frame, Heartbeat, Message, PeerRecord, decode_frame, encode_frame,
 };
@@ -108,9 +108,9 @@
 fn what_a_peer_told_is_not_told_back() {
     for (name, told, want) in [("the same", 5, 0), ("an older beat", 4, 1), ("a newer one", 6, 0)] {
         let mut a = ring(&[peer(2, 1, 5, 0)], 0);
-        a.record_received(NodeId(9), [(NodeId(2), 1, told)].into_iter());
-        let (beats, rows) = a.delta(NodeId(9), 0);
-        assert_eq!((beats.len(), rows.len()), (want, 0), "{name}");
+        a.record_received(NodeId(9), [(NodeId(2), HeartbeatStamp { incarnation: 1, heartbeat: told })].into_iter());
+        let delta = a.delta(NodeId(9), 0);
+        assert_eq!((delta.heartbeats.len(), delta.records.len()), (want, 0), "{name}");
     }
 }
 
--- a/crates/core/tests/news.rs
+++ b/crates/core/tests/workers.rs
@@ -5,7 +5,7 @@
 use sumacvale_core::consensus::DurableState;
 use sumacvale_core::node::{Effect, Event, Node, NodeSettings};
 use sumacvale_core::protocol::{Frame, LogEntry, UNNUMBERED_INCARNATION, Voter, WorkerReport};
-use sumacvale_core::workers::{REPORT_TIMEOUT, WorkerTable};
+use sumacvale_core::workers::{REPORT_TIMEOUT, UnreachablePeriod, WorkerTable};
 
 fn row(w: &str, seq: u64) -> WorkerReport {
     WorkerReport {
@@ -88,7 +88,8 @@
         ("twice", 1_200 * MS, &[(SEC, 2 * SEC), (4 * SEC, 5 * SEC)], 6_300 * MS),
     ];
     for (name, beat, deaf, until) in cases {
-        let mut n = WorkerTable { report_interval: beat, unreachable_periods: deaf.to_vec(), ..WorkerTable::default() };
+        let periods = deaf.iter().map(|(from, until)| UnreachablePeriod { from: *from, until: *until }).collect();
+        let mut n = WorkerTable { report_interval: beat, unreachable_periods: periods, ..WorkerTable::default() };
         n.merge(&row("a", 1), 0, 0);
         assert_eq!(live(&n, until - 1), "a", "{name}");
         assert_eq!(live(&n, until), "", "{name}");
@@ -311,7 +312,7 @@
             let left: Vec<_> = n.takers("a").into_iter().filter(|i| n.nodes[*i].is_some()).collect();
             assert!(left.is_empty(), "{name}: a late beat revives it at {left:?}");
             n.run(12 * SEC);
-            let open = n.nodes.iter().flatten().filter(|n| !n.dissemination.workers.removals.0.is_empty()).count();
+            let open = n.nodes.iter().flatten().filter(|n| !n.dissemination.workers.removals.is_empty()).count();
             assert_eq!(open, 0, "{name}: nothing is spread for ever");
         }
     }
