--- a/crates/core/src/lease/grantor.rs
+++ b/crates/core/src/lease/grantor.rs
@@ -1,84 +1,119 @@
-//! A voter's side of terms.
+//! A voter's side of leases: whom it granted which role, and what it must not grant yet.
+//!
+//! Guarantee: a voter never has two unexpired grants of one role for different nodes, and never grants a
+//! new lease with an epoch that it granted or observed before. After a start it grants no new lease until
+//! those of its earlier incarnation have expired, as it keeps epochs on its disk but no expiry times.
 
 use super::LEASE_DURATION;
 use crate::base::{MS, Micros, NodeId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A quiet voter may be asked again this soon: its quiet may end before its time.
-const QUIET_AGAIN: Micros = 50 * MS;
+/// The longest back-off that a voter asks for because of a fence, in microseconds: a fence may be lifted
+/// before its time.
+const MAX_FENCE_BACKOFF: Micros = 50 * MS;
 
-/// A voter's book of the terms that it granted.
+/// A lease of a role as a voter granted it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct GrantedLease {
+    /// The node that holds the role.
+    pub holder: NodeId,
+    /// The fencing token of the lease.
+    pub epoch: u64,
+    /// When the lease expires by this voter's clock, in microseconds.
+    pub expires_at: Micros,
+}
+
+impl GrantedLease {
+    fn new(holder: NodeId, epoch: u64, now: Micros) -> GrantedLease {
+        GrantedLease { holder, epoch, expires_at: now + LEASE_DURATION }
+    }
+}
+
+/// The leases that a voter granted, by role.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseGrantor {
-    /// After a start nothing is granted until any term given before it has ended.
+    /// The start-up fence: no new lease of any role is granted before this time, in microseconds. Until
+    /// then leases that an earlier incarnation of this voter granted may be valid.
     pub fence_until: Micros,
-    /// Duties for which nothing new is granted until then, also once the quiet of all ended: windows
-    /// that an earlier life of this voter told of may run still. How long they had run by its start
-    /// is not on its disk, so their age counts from the start only.
+    /// Fences of single roles, which hold also once the start-up fence was lifted: windows that an earlier
+    /// incarnation of this voter recorded may still be open. How far they had progressed at its start is
+    /// not on its disk, so their age counts from the start only.
     pub role_fences: BTreeMap<u32, Micros>,
-    /// Until then terms of an earlier set of voters may run of which this voter knows nothing, and
-    /// it gives no vote for a new one.
+    /// Until this time leases of an earlier set of voters may be valid of which this voter knows nothing,
+    /// so it does not vote for a new one.
     pub earlier_sets_until: Micros,
-    pub granted: BTreeMap<u32, (NodeId, u64, Micros)>,
+    /// The latest lease granted of each role in this incarnation, expired ones included.
+    pub granted: BTreeMap<u32, GrantedLease>,
+    /// The highest epoch of each role that was granted or observed here. Invariant: never decreases, and
+    /// is synced to the disk before a grant of a new epoch is sent.
     pub epochs: BTreeMap<u32, u64>,
-    /// Duties that somebody may have held before: those granted in an earlier life of
-    /// this voter, and those whose term was renewed here.
+    /// Roles that somebody may have held before: those granted in an earlier incarnation of this voter,
+    /// and those whose lease was renewed here.
     pub previously_held: BTreeSet<u32>,
 }
 
-/// A voter's answer to an ask for a term.
+/// A voter's decision on a request for a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseDecision {
-    /// A new epoch, to be kept on disk before it is said.
+    /// The lease is granted.
     Granted {
+        /// Whether the epoch is new to this voter and must be on its disk before the grant is sent.
         is_new_epoch: bool,
     },
+    /// The lease is not granted.
     Rejected {
+        /// The highest epoch of the role that this voter knows of, or 0.
         epoch: u64,
+        /// Who holds the role; the default ID where nobody is known to.
         holder: NodeId,
+        /// How long until a request may succeed, in microseconds; 0 if it may at once with another epoch.
         remaining: Micros,
     },
 }
 
 impl LeaseGrantor {
-    /// `new` asks for an epoch nobody had; without it a holder keeps its own.
-    pub fn request(&mut self, duty: u32, from: NodeId, epoch: u64, new: bool, now: Micros) -> LeaseDecision {
-        let top = self.epochs.get(&duty).copied().unwrap_or(0);
-        let cur = self.granted.get(&duty).copied();
-        let no = |h: NodeId, left: Micros| LeaseDecision::Rejected { epoch: top, holder: h, remaining: left };
-        if let Some((h, e, until)) = cur
-            && until > now
-            && h != from
+    /// Decides on a request. `is_new_epoch` requests an epoch that nobody held before; without it a holder
+    /// renews its own.
+    pub fn request(&mut self, role: u32, from: NodeId, epoch: u64, is_new_epoch: bool, now: Micros) -> LeaseDecision {
+        let highest = self.epochs.get(&role).copied().unwrap_or(0);
+        let reject = |holder, remaining| LeaseDecision::Rejected { epoch: highest, holder, remaining };
+        if let Some(GrantedLease { holder, expires_at, .. }) = self.granted.get(&role).copied()
+            && expires_at > now
+            && holder != from
         {
-            return no(h, (until - now).max(e.min(1)));
+            return reject(holder, expires_at - now);
         }
-        // Only who won an epoch renews it, so a voter that forgot its row takes its word.
-        if !new && epoch >= top {
-            self.epochs.insert(duty, epoch);
-            self.granted.insert(duty, (from, epoch, now + LEASE_DURATION));
-            self.previously_held.insert(duty);
-            return LeaseDecision::Granted { is_new_epoch: epoch > top };
+        // Only the winner of an epoch renews it, so a voter that lost its entry can trust the request.
+        if !is_new_epoch && epoch >= highest {
+            self.previously_held.insert(role);
+            self.grant(role, from, epoch, now);
+            return LeaseDecision::Granted { is_new_epoch: epoch > highest };
         }
-        let quiet = self.fence_until.max(self.role_fences.get(&duty).copied().unwrap_or(0));
-        if now < quiet {
-            return no(NodeId::default(), (quiet - now).min(QUIET_AGAIN));
+        let fence = self.fence_until.max(self.role_fences.get(&role).copied().unwrap_or(0));
+        if now < fence {
+            return reject(NodeId::default(), (fence - now).min(MAX_FENCE_BACKOFF));
         }
-        if !new || epoch <= top {
-            return no(NodeId::default(), 0);
+        if !is_new_epoch || epoch <= highest {
+            return reject(NodeId::default(), 0);
         }
-        self.epochs.insert(duty, epoch);
-        self.granted.insert(duty, (from, epoch, now + LEASE_DURATION));
+        self.grant(role, from, epoch, now);
         LeaseDecision::Granted { is_new_epoch: true }
     }
 
-    /// Whether a holder's message still stands: nothing newer was granted.
-    pub fn is_fenced(&self, duty: u32, epoch: u64) -> bool {
-        self.epochs.get(&duty).is_some_and(|e| *e > epoch)
+    fn grant(&mut self, role: u32, holder: NodeId, epoch: u64, now: Micros) {
+        self.epochs.insert(role, epoch);
+        self.granted.insert(role, GrantedLease::new(holder, epoch, now));
+    }
+
+    /// Whether a message of a holder of this epoch must be rejected, as a newer epoch was granted.
+    #[must_use]
+    pub fn is_fenced(&self, role: u32, epoch: u64) -> bool {
+        self.epochs.get(&role).is_some_and(|highest| *highest > epoch)
     }
 
-    /// Somebody holds this epoch of a duty.
-    pub fn observe_epoch(&mut self, duty: u32, epoch: u64) {
-        let e = self.epochs.entry(duty).or_insert(0);
-        *e = (*e).max(epoch);
+    /// Records that some node holds this epoch of a role.
+    pub fn observe_epoch(&mut self, role: u32, epoch: u64) {
+        let highest = self.epochs.entry(role).or_insert(0);
+        *highest = (*highest).max(epoch);
     }
 }
--- /dev/null
+++ b/crates/core/src/node/lease/grantor.rs
@@ -0,0 +1,73 @@
+//! A voter's replies to requests for leases.
+//!
+//! Guarantee: a grant of a new epoch is sent only once the epoch is on the disk, and none is given while
+//! leases may be valid that this voter cannot know of: under another set of voters, while a change of the
+//! set may be under way, and for a while after the set changed. It then sends no reply at all, which leaves
+//! the vote to the voters that know.
+
+use super::{LeaseRequest, LeaseVote};
+use crate::base::{Micros, NodeId};
+use crate::consensus::DurableWrite;
+use crate::lease::{LeaseDecision, quota_role};
+use crate::node::Node;
+use crate::protocol::{LeaseMessage, Message};
+
+impl Node {
+    /// Decides on a request and replies to it.
+    ///
+    /// A voter that accepted a change of the set doesn't vote until it knows whether the change was decided:
+    /// the next set relies on that.
+    pub(super) fn on_lease_request(&mut self, by: NodeId, request: LeaseRequest, now: Micros) {
+        let LeaseRequest { voter_set, role, epoch, request_id, is_new_epoch } = request;
+        if !self.is_ready() || voter_set != self.voter_set() || self.is_changing_voters() {
+            return;
+        }
+        // No reply, rather than a rejection, which would end the request that others may grant.
+        if is_new_epoch && now < self.leases.grantor.earlier_sets_until {
+            return;
+        }
+        match self.leases.grantor.request(role, by, epoch, is_new_epoch, now) {
+            LeaseDecision::Rejected { epoch, holder, remaining } => {
+                let rejected = LeaseMessage::Rejected { role, epoch, request_id, holder, remaining };
+                self.send(by, Message::Lease(rejected), now);
+            }
+            LeaseDecision::Granted { is_new_epoch: true } => {
+                let vote = self.vote_for_new_epoch(&request, now);
+                let reply = self.send_effect(by, Message::Lease(vote.into()), now).into_iter().collect();
+                self.persist(vec![DurableWrite::Epoch { role, epoch }], reply);
+            }
+            LeaseDecision::Granted { is_new_epoch: false } => {
+                let vote = self.vote_for_known_epoch(&request);
+                self.send(by, Message::Lease(vote.into()), now);
+            }
+        }
+    }
+
+    /// A vote with all that the new holder has to inherit.
+    fn vote_for_new_epoch(&self, request: &LeaseRequest, now: Micros) -> LeaseVote {
+        LeaseVote {
+            grants: self.grants_of(|tenant| quota_role(tenant) == request.role, now),
+            registered: self.registered_incarnations(),
+            ..self.vote_for_known_epoch(request)
+        }
+    }
+
+    /// A vote for a holder that inherited everything before.
+    fn vote_for_known_epoch(&self, request: &LeaseRequest) -> LeaseVote {
+        LeaseVote {
+            role: request.role,
+            epoch: request.epoch,
+            request_id: request.request_id,
+            grants: Vec::new(),
+            has_no_predecessor: !self.leases.grantor.previously_held.contains(&request.role),
+            registered: Vec::new(),
+        }
+    }
+}
+
+impl From<LeaseVote> for LeaseMessage {
+    fn from(vote: LeaseVote) -> LeaseMessage {
+        let LeaseVote { role, epoch, request_id, grants, has_no_predecessor, registered } = vote;
+        LeaseMessage::Granted { role, epoch, request_id, grants, has_no_predecessor, registered }
+    }
+}
--- a/crates/core/src/node/lease/holder.rs
+++ b/crates/core/src/node/lease/holder.rs
@@ -1,229 +1,175 @@
-//! Terms of duties among the voters of a set: asked for, granted and renewed.
+//! Requests for leases, their renewal, and what a holder does once a majority has granted one.
+//!
+//! Guarantee: a lease starts only with the grants of a majority of the voters of one set, and its holder
+//! first inherits all that these voters recorded as granted. A core requests a vacant role only in its turn
+//! by rendezvous hashing, backs off after a rejection for as long as the voter said, and stops requesting
+//! while it receives no replies.
 
-use crate::base::{MS, Micros, NodeId, Version, rendezvous_weight};
-use crate::consensus::{DurableWrite, is_majority};
-use crate::lease::{LEASE_DURATION, LeaseDecision, RENEW_AFTER, ROLE_COUNT, epoch_base, quota_role};
+use super::{LeaseRejection, LeaseRequest, LeaseVote};
+use crate::base::{MS, Micros, NodeId, rendezvous_weight};
+use crate::consensus::is_majority;
+use crate::lease::{LEASE_DURATION, ROLE_COUNT, ReceivedGrant, epoch_base, quota_role};
 use crate::node::Node;
-use crate::protocol::{LeaseMessage, Message, RegisteredIncarnation, WindowGrant};
+use crate::protocol::Message;
 use std::cmp::Reverse;
-use std::collections::BTreeSet;
 
-const STEP: Micros = 100 * MS;
+/// How often leases are considered for a request or a renewal, in microseconds.
+const CHECK_INTERVAL: Micros = 100 * MS;
+/// How much later than the candidate ranked before it each candidate requests a vacant role, in
+/// microseconds.
+const RANK_DELAY: Micros = 100 * MS;
+/// The shortest back-off after a rejection, in microseconds; the longest is [`LEASE_DURATION`].
+const MIN_BACKOFF: Micros = 20 * MS;
 
 impl Node {
-    /// The cores in the order in which rendezvous nominates them for a duty.
-    pub(in crate::node) fn ranked_voters(&self, d: u32) -> Vec<NodeId> {
-        let mut v: Vec<_> = self
-            .consensus
-            .state
-            .voters()
-            .iter()
-            .map(|c| (Reverse(rendezvous_weight(c.node_id.0, &d.to_le_bytes())), c.node_id))
-            .collect();
-        v.sort_unstable();
-        v.into_iter().map(|x| x.1).collect()
+    /// The voters in the order in which rendezvous hashing nominates them for a role.
+    pub(in crate::node) fn ranked_voters(&self, role: u32) -> Vec<NodeId> {
+        let voters = self.consensus.state.voters().iter().map(|voter| voter.node_id);
+        let mut ranked: Vec<_> =
+            voters.map(|node| (Reverse(rendezvous_weight(node.0, &role.to_le_bytes())), node)).collect();
+        ranked.sort_unstable();
+        ranked.into_iter().map(|(_, node)| node).collect()
     }
 
-    /// A duty that nobody holds falls to the first, and later to the next ones.
-    fn may_request_lease(&self, d: u32, now: Micros) -> bool {
-        let Some(rank) = self.ranked_voters(d).iter().position(|n| *n == self.settings.node_id) else { return false };
-        let since = self.leases.grantor.granted.get(&d).map_or(self.leases.grantor.fence_until, |r| r.2);
-        now >= since + STEP * rank as u64
+    /// Whether it is this core's turn to request a role: a vacant one falls to the voter ranked first, and
+    /// after a while to the next ones.
+    fn is_candidate(&self, role: u32, now: Micros) -> bool {
+        let ranked = self.ranked_voters(role);
+        let Some(rank) = ranked.iter().position(|node| *node == self.settings.node_id) else { return false };
+        let grantor = &self.leases.grantor;
+        let vacant_since = grantor.granted.get(&role).map_or(grantor.fence_until, |lease| lease.expires_at);
+        now >= vacant_since + RANK_DELAY * rank as u64
     }
 
+    /// Renews the leases that this core holds, and requests the vacant ones that it is a candidate for.
     pub(in crate::node) fn tick_leases(&mut self, now: Micros) {
         if !self.is_ready() || now < self.leases.held.renewal_due {
             return;
         }
-        self.leases.held.renewal_due = now + 100 * MS;
-        let silent = self.is_majority_silent(now);
-        let first = epoch_base(self.voter_set());
-        for d in 0..ROLE_COUNT {
-            let held = self.leases.held.valid_epoch(d, now).is_some();
-            if self.draining || (!held && !self.may_request_lease(d, now)) {
-                continue;
-            }
-            let top = self.leases.grantor.epochs.get(&d).copied().unwrap_or(0);
-            self.leases.held.last_request_id += 1;
-            let n = self.leases.held.last_request_id;
-            let h = self.leases.held.by_role.entry(d).or_default();
-            let early = held && h.expires_at > now + LEASE_DURATION - RENEW_AFTER && h.is_renewed;
-            let open = h.open_request.as_ref().is_some_and(|a| now.saturating_sub(a.1) < 300 * MS);
-            // Who hears no answers would lock the others out of what it asks for again and again.
-            let in_vain = silent && h.open_request.is_some();
-            if early || open || in_vain || now < h.backoff_until {
-                continue;
-            }
-            if !held {
-                h.epoch = h.epoch.max(h.highest_epoch).max(top).max(first) + 1;
-                h.inherited_grants.clear();
-                h.registered.clear();
-                h.is_new_epoch = true;
-                (h.has_no_predecessor, h.is_renewed) = (true, false);
-            }
-            h.open_request = Some((n, now, BTreeSet::new()));
-            let (epoch, new) = (h.epoch, h.is_new_epoch);
-            let m = Message::Lease(LeaseMessage::Request {
-                voter_set: self.voter_set(),
-                role: d,
-                epoch,
-                request_id: n,
-                is_new_epoch: new,
-            });
-            // A vote of its own is given last, so that asking in vain locks nobody out.
-            let me = self.settings.node_id;
-            let to: Vec<_> = self.consensus.state.voters().iter().map(|c| c.node_id).collect();
-            for c in &to {
-                if !new || *c != me || to.len() == 1 {
-                    self.send(*c, m.clone(), now);
-                }
+        self.leases.held.renewal_due = now + CHECK_INTERVAL;
+        let is_majority_silent = self.is_majority_silent(now);
+        for role in 0..ROLE_COUNT {
+            let is_held = self.leases.held.valid_epoch(role, now).is_some();
+            if !self.draining && (is_held || self.is_candidate(role, now)) {
+                self.request_lease_if_due(role, is_held, is_majority_silent, now);
             }
         }
     }
 
-    /// A voter that accepted a change of the set gives no vote until it knows whether that came
-    /// to be: the next set counts on it.
-    pub(in crate::node) fn on_lease_request(
-        &mut self,
-        by: NodeId,
-        set: Version,
-        (d, epoch, new): (u32, u64, bool),
-        n: u64,
-        now: Micros,
-    ) {
-        if !self.is_ready() || set != self.voter_set() || self.is_changing_voters() {
+    fn request_lease_if_due(&mut self, role: u32, is_held: bool, is_majority_silent: bool, now: Micros) {
+        let voter_set = self.voter_set();
+        let highest_granted = self.leases.grantor.epochs.get(&role).copied().unwrap_or(0);
+        let held = &mut self.leases.held;
+        held.last_request_id += 1;
+        let request_id = held.last_request_id;
+        let lease = held.by_role.entry(role).or_default();
+        if !lease.is_request_due(is_majority_silent, now) {
             return;
         }
-        // Silence leaves the vote to those who know: a refusal would end the asker's round.
-        if new && now < self.leases.grantor.earlier_sets_until {
-            return;
+        if !is_held {
+            lease.start_new_epoch(highest_granted.max(epoch_base(voter_set)));
         }
-        match self.leases.grantor.request(d, by, epoch, new, now) {
-            LeaseDecision::Rejected { epoch, holder, remaining: left } => {
-                self.send(
-                    by,
-                    Message::Lease(LeaseMessage::Rejected { role: d, epoch, request_id: n, holder, remaining: left }),
-                    now,
-                );
-            }
-            LeaseDecision::Granted { is_new_epoch: write } => {
-                let rows = if write { self.grants_of(|t| quota_role(t) == d, now) } else { Vec::new() };
-                let first = !self.leases.grantor.previously_held.contains(&d);
-                let lives = if write { self.registered_incarnations() } else { Vec::new() };
-                let m = Message::Lease(LeaseMessage::Granted {
-                    role: d,
-                    epoch,
-                    request_id: n,
-                    grants: rows,
-                    has_no_predecessor: first,
-                    registered: lives,
-                });
-                if write {
-                    let then = self.send_effect(by, m, now).into_iter().collect();
-                    self.persist(vec![DurableWrite::Epoch { role: d, epoch }], then);
-                } else {
-                    self.send(by, m, now);
-                }
+        lease.open_request(request_id, now);
+        let (epoch, is_new_epoch) = (lease.epoch, lease.is_new_epoch);
+        self.send_lease_request(LeaseRequest { voter_set, role, epoch, request_id, is_new_epoch }, now);
+    }
+
+    fn send_lease_request(&mut self, request: LeaseRequest, now: Micros) {
+        let own_id = self.settings.node_id;
+        let voters: Vec<_> = self.consensus.state.voters().iter().map(|voter| voter.node_id).collect();
+        // A core votes for itself last, so that a request that fails blocks no other candidate.
+        let includes_self = !request.is_new_epoch || voters.len() == 1;
+        for voter in voters {
+            if includes_self || voter != own_id {
+                self.send(voter, Message::Lease(request.into()), now);
             }
         }
     }
 
-    /// `lag` is how long this was under way; windows go on meanwhile.
-    #[allow(clippy::too_many_arguments)]
-    pub(in crate::node) fn on_lease_granted(
-        &mut self,
-        by: NodeId,
-        d: u32,
-        epoch: u64,
-        n: u64,
-        (rows, first, lives): (Vec<WindowGrant>, bool, Vec<RegisteredIncarnation>),
-        lag: Micros,
-        now: Micros,
-    ) {
-        let cores = self.consensus.state.voters().to_vec();
-        let Some(h) = self.leases.held.by_role.get_mut(&d) else { return };
-        let Some((m, at, got)) = h.open_request.as_mut() else { return };
-        if *m != n || h.epoch != epoch {
-            return;
+    /// Counts a voter's grant. `delay` is how long it was in transit, during which the windows went on.
+    pub(super) fn on_lease_vote(&mut self, by: NodeId, vote: LeaseVote, delay: Micros, now: Micros) {
+        let LeaseVote { role, epoch, request_id, .. } = vote;
+        let Some(lease) = self.leases.held.by_role.get_mut(&role) else { return };
+        let Some(open) = lease.matching_request(request_id, epoch) else { return };
+        open.granted_by.insert(by);
+        let (sent_at, mut granted_by) = (open.sent_at, open.granted_by.clone());
+        let received = vote.grants.into_iter().map(|grant| grant.aged_by(delay));
+        lease.inherited_grants.extend(received.map(|grant| ReceivedGrant { received_at: now, grant }));
+        lease.registered.extend(vote.registered);
+        lease.has_no_predecessor &= vote.has_no_predecessor || !lease.is_new_epoch;
+        let is_new_epoch = lease.is_new_epoch;
+
+        let voters = self.consensus.state.voters();
+        if is_majority(voters, &granted_by) {
+            return self.on_lease_majority(role, sent_at, now);
         }
-        got.insert(by);
-        h.inherited_grants.extend(rows.into_iter().map(|g| (now, g.aged_by(lag))));
-        h.registered.extend(lives);
-        h.has_no_predecessor &= first || !h.is_new_epoch;
-        if !is_majority(&cores, got) {
-            let me = self.settings.node_id;
-            let mut with = got.clone();
-            if h.is_new_epoch && with.insert(me) && is_majority(&cores, &with) {
-                let set = self.voter_set();
-                self.send(
-                    me,
-                    Message::Lease(LeaseMessage::Request {
-                        voter_set: set,
-                        role: d,
-                        epoch,
-                        request_id: n,
-                        is_new_epoch: true,
-                    }),
-                    now,
-                );
-            }
-            return;
+        let own_id = self.settings.node_id;
+        if is_new_epoch && granted_by.insert(own_id) && is_majority(voters, &granted_by) {
+            let request = LeaseRequest { voter_set: self.voter_set(), role, epoch, request_id, is_new_epoch };
+            self.send(own_id, Message::Lease(request.into()), now);
         }
-        let at = *at;
-        h.open_request = None;
-        // A renewal that comes after the end renews nothing: the ledger is gone.
-        if !h.is_new_epoch && !h.is_valid(now) {
+    }
+
+    /// A majority granted the request that was sent then.
+    fn on_lease_majority(&mut self, role: u32, sent_at: Micros, now: Micros) {
+        let Some(lease) = self.leases.held.by_role.get_mut(&role) else { return };
+        lease.open_request = None;
+        // A renewal that is granted only after the lease expired renews nothing: the ledger is gone.
+        if !lease.is_new_epoch && !lease.is_valid(now) {
             return;
         }
-        h.extend_from(at);
-        if !std::mem::take(&mut h.is_new_epoch) {
-            if !std::mem::replace(&mut h.is_renewed, true) {
-                self.solicit_share_requests(&[d], now);
-            }
-            return;
+        lease.extend_from(sent_at);
+        if std::mem::take(&mut lease.is_new_epoch) {
+            self.on_lease_won(role, now);
+        } else if !std::mem::replace(&mut lease.is_renewed, true) {
+            self.solicit_share_requests(&[role], now);
         }
-        let rows = std::mem::take(&mut h.inherited_grants);
-        let lives = std::mem::take(&mut h.registered);
-        let (first, set) = (h.has_no_predecessor, self.voter_set());
+    }
+
+    /// Starts a new lease by what the majority that granted it knows.
+    fn on_lease_won(&mut self, role: u32, now: Micros) {
+        let voter_set = self.voter_set();
+        let Some(lease) = self.leases.held.by_role.get_mut(&role) else { return };
+        let inherited_grants = std::mem::take(&mut lease.inherited_grants);
+        let registered = std::mem::take(&mut lease.registered);
+        let has_no_predecessor = lease.has_no_predecessor && voter_set == 0;
         self.counters.leases_won += 1;
-        self.leases.held.holder_hints.insert(d, self.settings.node_id);
-        let ts: Vec<_> =
-            self.quota.window_ledger.list().into_iter().map(|x| x.0).filter(|t| quota_role(t) == d).collect();
-        for t in ts {
-            self.quota.window_ledger.forget(&t);
-        }
-        for (heard, g) in rows {
-            self.quota.window_ledger.inherit(&g.aged_by(now.saturating_sub(heard)), now);
+        self.leases.held.holder_hints.insert(role, self.settings.node_id);
+        self.forget_windows(role);
+        for inherited in inherited_grants {
+            self.quota.window_ledger.inherit(&inherited.into_current(now), now);
         }
-        // A holder of an earlier set may go on until its term ends.
-        let late = if set > 0 { LEASE_DURATION } else { 0 };
-        self.quota.share_pools.begin_lease(d, first && set == 0, now, late);
+        // A holder under an earlier set may act until its lease expires.
+        let overlap = if voter_set > 0 { LEASE_DURATION } else { 0 };
+        self.quota.share_pools.begin_lease(role, has_no_predecessor, now, overlap);
         // Every voter of this majority that confirmed a registration did so before it voted.
-        self.quota.share_pools.set_suspects(d, &lives);
+        self.quota.share_pools.set_suspects(role, &registered);
         self.leases.held.renewal_due = now;
     }
 
-    pub(in crate::node) fn on_lease_rejected(
-        &mut self,
-        d: u32,
-        epoch: u64,
-        n: u64,
-        holder: NodeId,
-        left: Micros,
-        now: Micros,
-    ) {
-        let Some(h) = self.leases.held.by_role.get_mut(&d) else { return };
-        if h.open_request.as_ref().is_none_or(|a| a.0 != n) {
+    /// Drops what an earlier lease of this core recorded of the windows of a role.
+    fn forget_windows(&mut self, role: u32) {
+        let tenants = self.quota.window_ledger.list().into_iter().map(|entry| entry.0);
+        for tenant in tenants.filter(|tenant| quota_role(tenant) == role) {
+            self.quota.window_ledger.forget(&tenant);
+        }
+    }
+
+    /// Learns from a voter's rejection, and backs off unless the lease is still valid.
+    pub(super) fn on_lease_rejected(&mut self, rejection: &LeaseRejection, now: Micros) {
+        let LeaseRejection { role, epoch, request_id, holder, remaining } = *rejection;
+        let Some(lease) = self.leases.held.by_role.get_mut(&role) else { return };
+        if lease.open_request.as_ref().is_none_or(|open| open.request_id != request_id) {
             return;
         }
         self.counters.leases_rejected += 1;
-        h.highest_epoch = h.highest_epoch.max(epoch);
+        lease.highest_epoch = lease.highest_epoch.max(epoch);
         if holder != NodeId::default() && holder != self.settings.node_id {
-            self.leases.held.holder_hints.insert(d, holder);
+            self.leases.held.holder_hints.insert(role, holder);
         }
-        if !h.is_valid(now) {
-            h.open_request = None;
-            h.backoff_until = now + left.clamp(20 * MS, LEASE_DURATION);
+        if !lease.is_valid(now) {
+            lease.open_request = None;
+            lease.backoff_until = now + remaining.clamp(MIN_BACKOFF, LEASE_DURATION);
         }
     }
 }
--- a/crates/core/src/node/lease/mod.rs
+++ b/crates/core/src/node/lease/mod.rs
@@ -1,16 +1,18 @@
 //! Leases of the singleton roles: which core hands out the quotas of which tenants.
 //!
-//! [`holder`] requests, grants and renews leases among the voters of a set. [`startup_fence`] lets a voter
-//! that has just started grant anew as soon as no lease of its earlier incarnation can be valid.
+//! [`holder`] requests and renews leases, [`grantor`] decides on requests as a voter, and [`startup_fence`]
+//! lets a voter that has just started grant anew as soon as no lease of its earlier incarnation can be
+//! valid. What they decide, and why a role has one holder at a time, is in [`crate::lease`].
 
+mod grantor;
 mod holder;
 mod startup_fence;
 
 use super::{Envelope, Node};
-use crate::base::Micros;
+use crate::base::{Micros, NodeId, Version};
 use crate::consensus::DurableState;
 use crate::lease::{HeldLeases, LEASE_DURATION, LeaseGrantor, quota_role};
-use crate::protocol::LeaseMessage;
+use crate::protocol::{LeaseMessage, RegisteredIncarnation, WindowGrant};
 use std::collections::BTreeMap;
 
 /// What a node keeps for leases, as a holder and as a voter.
@@ -18,8 +20,9 @@
 pub struct Leases {
     /// The leases that this node granted as a voter.
     pub grantor: LeaseGrantor,
-    /// The leases that this node holds or asks for.
+    /// The leases that this node holds or requests.
     pub held: HeldLeases,
+    /// What this node learned since its start of leases that its earlier incarnation granted.
     pub(in crate::node) startup_fence: startup_fence::StartupFence,
 }
 
@@ -45,33 +48,67 @@
     }
 }
 
+/// A request for a new lease or for the renewal of one; see [`LeaseMessage::Request`].
+#[derive(Clone, Copy, Debug)]
+struct LeaseRequest {
+    voter_set: Version,
+    role: u32,
+    epoch: u64,
+    request_id: u64,
+    is_new_epoch: bool,
+}
+
+impl From<LeaseRequest> for LeaseMessage {
+    fn from(request: LeaseRequest) -> LeaseMessage {
+        let LeaseRequest { voter_set, role, epoch, request_id, is_new_epoch } = request;
+        LeaseMessage::Request { voter_set, role, epoch, request_id, is_new_epoch }
+    }
+}
+
+/// One voter's grant of a request, with what it knows; see [`LeaseMessage::Granted`].
+#[derive(Debug)]
+struct LeaseVote {
+    role: u32,
+    epoch: u64,
+    request_id: u64,
+    grants: Vec<WindowGrant>,
+    has_no_predecessor: bool,
+    registered: Vec<RegisteredIncarnation>,
+}
+
+/// One voter's rejection of a request; see [`LeaseMessage::Rejected`].
+#[derive(Clone, Copy, Debug)]
+struct LeaseRejection {
+    role: u32,
+    epoch: u64,
+    request_id: u64,
+    holder: NodeId,
+    remaining: Micros,
+}
+
 impl Node {
     /// Handles a message about leases.
     pub(super) fn on_lease_message(&mut self, envelope: &Envelope, message: LeaseMessage, now: Micros) {
         let by = envelope.from;
         match message {
-            LeaseMessage::Request { voter_set: set, role: duty, epoch, request_id: n, is_new_epoch: new } => {
-                self.on_lease_request(by, set, (duty, epoch, new), n, now)
+            LeaseMessage::Request { voter_set, role, epoch, request_id, is_new_epoch } => {
+                let request = LeaseRequest { voter_set, role, epoch, request_id, is_new_epoch };
+                self.on_lease_request(by, request, now);
             }
-            LeaseMessage::Granted {
-                role: duty,
-                epoch,
-                request_id: n,
-                grants: rows,
-                has_no_predecessor: first,
-                registered: lives,
-            } => {
+            LeaseMessage::Granted { role, epoch, request_id, grants, has_no_predecessor, registered } => {
                 if !self.is_former_incarnation(envelope.incarnation_of_sender()) {
-                    self.on_lease_granted(by, duty, epoch, n, (rows, first, lives), envelope.delay, now);
+                    let vote = LeaseVote { role, epoch, request_id, grants, has_no_predecessor, registered };
+                    self.on_lease_vote(by, vote, envelope.delay, now);
                 }
             }
-            LeaseMessage::Rejected { role: duty, epoch, request_id: n, holder, remaining: left } => {
-                self.on_lease_rejected(duty, epoch, n, holder, left, now)
+            LeaseMessage::Rejected { role, epoch, request_id, holder, remaining } => {
+                let rejection = LeaseRejection { role, epoch, request_id, holder, remaining };
+                self.on_lease_rejected(&rejection, now);
             }
-            LeaseMessage::HeldLeasesQuery { query_id: n } => {
-                self.on_held_leases_query(envelope.incarnation_of_sender(), n, now)
+            LeaseMessage::HeldLeasesQuery { query_id } => {
+                self.on_held_leases_query(envelope.incarnation_of_sender(), query_id, now);
             }
-            LeaseMessage::NoHeldLeases { query_id: n } => self.on_no_held_leases(by, n, now),
+            LeaseMessage::NoHeldLeases { query_id } => self.on_no_held_leases(by, query_id, now),
         }
     }
 }
--- a/crates/core/src/node/lease/startup_fence.rs
+++ b/crates/core/src/node/lease/startup_fence.rs
@@ -1,87 +1,102 @@
-//! How a voter that has just started learns that no term of its earlier life runs any more.
+//! How a voter that has just started learns that no lease of its earlier incarnation is valid any more.
 //!
-//! A voter keeps no term on its disk, so after a start it grants none until any that it granted
-//! before has ended by time. Where every core that may hold one says that it holds none, such as
-//! after a loss of power of all of them, there is nothing to wait for.
+//! A voter keeps no lease on its disk, so after a start it grants no new one until any that it granted
+//! before must have expired: the start-up fence, [`LeaseGrantor::fence_until`]. Where every core that may
+//! hold a lease replies that it holds none, such as after a loss of power of all of them, there is nothing
+//! to wait for, and the fence is lifted early.
+//!
+//! Why that is safe: a core that replied so counts no vote of the voter's former incarnations from then on,
+//! neither those that it has counted for an open request nor those that are in transit. So it can win a
+//! lease only by votes that the new incarnation knows of.
+//!
+//! [`LeaseGrantor::fence_until`]: crate::lease::LeaseGrantor::fence_until
 
 use crate::base::{Incarnation, MS, Micros, NodeId};
 use crate::node::Node;
 use crate::protocol::{LeaseMessage, Message};
 use std::collections::{BTreeMap, BTreeSet};
 
-const AGAIN: Micros = 50 * MS;
+/// How often the possible holders that have not replied are queried again, in microseconds.
+const QUERY_INTERVAL: Micros = 50 * MS;
 
-/// What a voter heard in its quiet time.
+/// What a node learned of leases that former incarnations of voters granted: as the voter, and as a
+/// possible holder.
 #[derive(Clone, Debug, Default)]
 pub(in crate::node) struct StartupFence {
-    due: Micros,
-    /// Names the question of this life, so that answers to an earlier one say nothing.
-    question: u64,
-    /// Who said in this life that it holds no term.
-    idle: BTreeSet<NodeId>,
-    /// The lives of voters that were told that this core holds no term.
-    lives: BTreeMap<NodeId, Incarnation>,
+    /// When the possible holders are queried next, in microseconds.
+    next_query_at: Micros,
+    /// Identifies the query of this incarnation, so that replies to an earlier one don't count; 0 until
+    /// the first query.
+    query_id: u64,
+    /// The nodes that replied to this incarnation that they hold no lease.
+    without_leases: BTreeSet<NodeId>,
+    /// The incarnations of voters that this node replied to that it holds no lease. Invariant: no vote of
+    /// an earlier incarnation of these voters is counted.
+    answered: BTreeMap<NodeId, Incarnation>,
 }
 
 impl Node {
-    /// All cores that an earlier life of this voter may have granted a term: it granted them under
-    /// versions that it holds.
+    /// All other cores to which an earlier incarnation of this voter may have granted a lease: it granted
+    /// them under versions that it has in its log.
     fn possible_holders(&self) -> BTreeSet<NodeId> {
-        let decrees = self.consensus.state.history.values();
-        decrees
-            .flat_map(|d| d.voters.iter().chain(&d.previous_voters))
-            .map(|c| c.node_id)
-            .filter(|n| *n != self.settings.node_id)
+        let entries = self.consensus.state.history.values();
+        entries
+            .flat_map(|entry| entry.voters.iter().chain(&entry.previous_voters))
+            .map(|voter| voter.node_id)
+            .filter(|node| *node != self.settings.node_id)
             .collect()
     }
 
-    /// Asks all who may hold a term whether they do, until all said no or the time is over.
+    /// Queries all possible holders, until all have replied that they hold no lease or the fence expires.
     pub(in crate::node) fn tick_startup_fence(&mut self, now: Micros) {
-        if !self.voter() || now >= self.leases.grantor.fence_until || now < self.leases.startup_fence.due {
+        let is_fenced = now < self.leases.grantor.fence_until;
+        if !self.voter() || !is_fenced || now < self.leases.startup_fence.next_query_at {
             return;
         }
-        self.leases.startup_fence.due = now + AGAIN;
-        if self.leases.startup_fence.question == 0 {
-            self.leases.startup_fence.question = self.next_request_id();
+        self.leases.startup_fence.next_query_at = now + QUERY_INTERVAL;
+        if self.leases.startup_fence.query_id == 0 {
+            self.leases.startup_fence.query_id = self.next_request_id();
         }
-        let n = self.leases.startup_fence.question;
+        let query_id = self.leases.startup_fence.query_id;
         let mut holders = self.possible_holders();
         if holders.is_empty() {
             self.leases.grantor.fence_until = now;
         }
-        holders.retain(|core| !self.leases.startup_fence.idle.contains(core));
-        for core in holders {
-            self.send(core, Message::Lease(LeaseMessage::HeldLeasesQuery { query_id: n }), now);
+        holders.retain(|node| !self.leases.startup_fence.without_leases.contains(node));
+        for node in holders {
+            self.send(node, Message::Lease(LeaseMessage::HeldLeasesQuery { query_id }), now);
         }
     }
 
-    /// Says nothing where this core holds a term. What it asks for meanwhile is won without the
-    /// votes of the voter's former lives, also those that are on their way.
-    pub(in crate::node) fn on_held_leases_query(&mut self, by: (NodeId, Incarnation), n: u64, now: Micros) {
-        let idle = self.leases.held.by_role.values().all(|h| h.expires_at <= now);
-        if !self.settings.is_core || !idle || self.is_former_incarnation(by) {
+    /// Replies that this core holds no lease, or not at all. What it has requested meanwhile is won without
+    /// the votes of the voter's former incarnations, including those in transit.
+    pub(super) fn on_held_leases_query(&mut self, by: (NodeId, Incarnation), query_id: u64, now: Micros) {
+        let holds_none = self.leases.held.by_role.values().all(|lease| lease.expires_at <= now);
+        if !self.settings.is_core || !holds_none || self.is_former_incarnation(by) {
             return;
         }
-        if self.leases.startup_fence.lives.insert(by.0, by.1) != Some(by.1) {
-            for (_, _, votes) in self.leases.held.by_role.values_mut().filter_map(|h| h.open_request.as_mut()) {
-                votes.remove(&by.0);
+        let (voter, incarnation) = by;
+        if self.leases.startup_fence.answered.insert(voter, incarnation) != Some(incarnation) {
+            for open in self.leases.held.by_role.values_mut().filter_map(|lease| lease.open_request.as_mut()) {
+                open.granted_by.remove(&voter);
             }
         }
-        self.send(by.0, Message::Lease(LeaseMessage::NoHeldLeases { query_id: n }), now);
+        self.send(voter, Message::Lease(LeaseMessage::NoHeldLeases { query_id }), now);
     }
 
-    /// Whether this voter has asked since then in a newer life, which relies on the former votes
-    /// not being counted.
-    pub(in crate::node) fn is_former_incarnation(&self, by: (NodeId, Incarnation)) -> bool {
-        self.leases.startup_fence.lives.get(&by.0).is_some_and(|incarnation| *incarnation > by.1)
+    /// Whether a newer incarnation of this voter was told that this core holds no lease, so that votes of
+    /// the given one don't count.
+    pub(super) fn is_former_incarnation(&self, (voter, incarnation): (NodeId, Incarnation)) -> bool {
+        self.leases.startup_fence.answered.get(&voter).is_some_and(|answered| *answered > incarnation)
     }
 
-    pub(in crate::node) fn on_no_held_leases(&mut self, by: NodeId, n: u64, now: Micros) {
-        if n != self.leases.startup_fence.question || now >= self.leases.grantor.fence_until {
+    /// A core replied that it holds no lease: once all did, the fence is lifted.
+    pub(super) fn on_no_held_leases(&mut self, by: NodeId, query_id: u64, now: Micros) {
+        if query_id != self.leases.startup_fence.query_id || now >= self.leases.grantor.fence_until {
             return;
         }
-        self.leases.startup_fence.idle.insert(by);
-        if self.possible_holders().is_subset(&self.leases.startup_fence.idle) {
+        self.leases.startup_fence.without_leases.insert(by);
+        if self.possible_holders().is_subset(&self.leases.startup_fence.without_leases) {
             self.leases.grantor.fence_until = now;
         }
     }
--- a/crates/core/src/node/quota/shares.rs
+++ b/crates/core/src/node/quota/shares.rs
@@ -210,8 +210,14 @@
                 // Who asks has heard of a later holder.
                 let e = self.share_epoch(d, now).filter(|e| !over(d, *e));
                 out.entry(d).or_insert_with(|| {
-                    let row = self.leases.grantor.granted.get(&d).filter(|r| r.2 > now && r.0 != self.settings.node_id);
-                    let holder = if e.is_some() { self.settings.node_id } else { row.map(|r| r.0).unwrap_or_default() };
+                    let row = self
+                        .leases
+                        .grantor
+                        .granted
+                        .get(&d)
+                        .filter(|r| r.expires_at > now && r.holder != self.settings.node_id);
+                    let holder =
+                        if e.is_some() { self.settings.node_id } else { row.map(|r| r.holder).unwrap_or_default() };
                     LeaseClaim { role: d, voter_set: set, epoch: e.unwrap_or(0), holder }
                 });
                 if let Some(e) = e {
--- a/crates/core/src/node/quota/windows.rs
+++ b/crates/core/src/node/quota/windows.rs
@@ -131,8 +131,9 @@
     ) {
         let d = quota_role(t);
         if self.leases.held.valid_epoch(d, now).is_none() {
-            let row = self.leases.grantor.granted.get(&d).filter(|r| r.2 > now && r.0 != self.settings.node_id);
-            let holder = row.map(|r| r.0).unwrap_or_default();
+            let row =
+                self.leases.grantor.granted.get(&d).filter(|r| r.expires_at > now && r.holder != self.settings.node_id);
+            let holder = row.map(|r| r.holder).unwrap_or_default();
             self.send(
                 by,
                 Message::Quota(QuotaMessage::NotLeaseHolder { request_id: n, tenant: t.to_owned(), holder }),
--- a/crates/core/tests/recovery.rs
+++ b/crates/core/tests/recovery.rs
@@ -224,7 +224,9 @@
     let mut n = Net::new(|now, i, j| now > 100 * SEC + 35 * MS && i != j && j == 0);
     let ask = |n: &Net| {
         let held = &n.nodes[0].as_ref().expect("it runs").leases.held.by_role;
-        held.iter().find_map(|(d, h)| h.open_request.as_ref().map(|a| (*d, h.epoch, a.0, a.2.contains(&voter))))
+        held.iter().find_map(|(d, h)| {
+            h.open_request.as_ref().map(|a| (*d, h.epoch, a.request_id, a.granted_by.contains(&voter)))
+        })
     };
     while ask(&n).is_none() && n.now < 101 * SEC {
         n.run(MS);
