--- a/crates/core/src/node/membership/bootstrap.rs
+++ b/crates/core/src/node/membership/bootstrap.rs
@@ -1,40 +1,54 @@
-//! The founding of a fleet by its seeds.
+//! The bootstrap of a fleet by its seeds.
+//!
+//! Guarantee: the seeds found at most one fleet. Each seed votes once, on its disk, for the set of nodes
+//! that it found at the addresses of the seeds, and announces the vote only once it is synced. The fleet is
+//! founded by whoever received the same vote from every seed, so no two different sets can both be founded.
+//! While seeds are missing, or voted for different sets, nothing is founded; a split vote is counted in
+//! `bootstrap_split` and needs the operator.
 
+use super::BootstrapAnnouncement;
 use crate::base::{ChangeId, MS, Micros, NodeId, SEC, Version, hash64};
 use crate::consensus::DurableWrite;
 use crate::node::Node;
 use crate::protocol::{ConsensusMessage, LogEntry, MembershipMessage, Message, Voter};
 
-const EVERY: Micros = 300 * MS;
+/// How often a core without a version announces its vote, in microseconds.
+const ANNOUNCE_INTERVAL: Micros = 300 * MS;
+/// How long an announcement counts, in microseconds.
+const ANNOUNCEMENT_TIMEOUT: Micros = 2 * SEC;
+/// The first version of a fleet.
+const FIRST_VERSION: Version = 0;
 
-/// What a seed said while there was no version yet.
+/// What a seed announced while there is no version yet.
 #[derive(Clone, Debug)]
 pub(in crate::node) struct BootstrapPeer {
-    core: Voter,
-    pledge: Vec<Voter>,
-    at: Micros,
+    voter: Voter,
+    /// The set of voters that it voted for; empty if it has not voted or the vote is not synced.
+    vote: Vec<Voter>,
+    /// When the announcement was received, in microseconds.
+    received_at: Micros,
 }
 
 impl Node {
-    /// A fleet is founded once: when all seeds are cores without a version,
-    /// each pledges to the same set on disk, and all heard all pledges.
+    /// Announces this core's vote to all seeds and all live cores, for as long as it has no version.
     pub(in crate::node) fn tick_bootstrap(&mut self, now: Micros) {
         if !self.settings.is_core || self.version().is_some() || now < self.membership.bootstrap_due {
             return;
         }
-        self.membership.bootstrap_due = now + EVERY;
-        let msg = Message::Membership(MembershipMessage::Bootstrap {
+        self.membership.bootstrap_due = now + ANNOUNCE_INTERVAL;
+        let announcement = Message::Membership(MembershipMessage::Bootstrap {
             sender: self.as_voter(),
             version: None,
             vote: self.synced_bootstrap_vote(),
             may_bootstrap: self.settings.may_bootstrap,
         });
-        let mut to = self.settings.seeds.clone();
-        to.extend(self.dissemination.peers.live(now).filter(|p| p.is_core).map(|p| p.addr.clone()));
-        to.sort_unstable();
-        to.dedup();
-        for s in to {
-            self.send_to_address(&s, msg.clone(), now);
+        let mut addresses = self.settings.seeds.clone();
+        let live_cores = self.dissemination.peers.live(now).filter(|peer| peer.is_core);
+        addresses.extend(live_cores.map(|peer| peer.addr.clone()));
+        addresses.sort_unstable();
+        addresses.dedup();
+        for address in addresses {
+            self.send_to_address(&address, announcement.clone(), now);
         }
     }
 
@@ -42,66 +56,73 @@
         if self.outbox.is_synced() { self.consensus.state.bootstrap_vote.clone() } else { Vec::new() }
     }
 
-    pub(in crate::node) fn on_bootstrap(
-        &mut self,
-        by: NodeId,
-        core: Voter,
-        version: Option<Version>,
-        (pledge, first): (Vec<Voter>, bool),
-        now: Micros,
-    ) {
+    /// Replicates the newest version to a node that has none, or counts the announcement of a seed.
+    pub(super) fn on_bootstrap(&mut self, by: NodeId, announcement: BootstrapAnnouncement, now: Micros) {
         if self.version().is_some() {
-            if by != self.settings.node_id && version.is_none() {
-                let decrees = self.consensus.state.newest_self_contained().into_iter().collect();
-                self.send_to_address(
-                    &core.addr.clone(),
-                    Message::Consensus(ConsensusMessage::Replicate { entries: decrees }),
-                    now,
-                );
+            if by != self.settings.node_id && announcement.version.is_none() {
+                self.replicate_newest_to(&announcement.sender.addr, now);
             }
-            return;
-        }
-        if !self.settings.is_core
-            || !self.settings.may_bootstrap
-            || !first
-            || core.node_id != by
-            || !self.settings.seeds.contains(&core.addr)
-        {
-            return;
+        } else if self.is_bootstrap_peer(by, &announcement) {
+            self.record_bootstrap_peer(announcement, now);
+            self.advance_bootstrap(now);
         }
-        self.membership.bootstrap_peers.insert(core.addr.clone(), BootstrapPeer { core, pledge, at: now });
-        self.membership.bootstrap_peers.retain(|_, h| now.saturating_sub(h.at) < 2 * SEC);
-        if !self.settings.seeds.contains(&self.settings.addr)
-            || self.membership.bootstrap_peers.len() < self.settings.seeds.len()
-        {
+    }
+
+    fn replicate_newest_to(&mut self, address: &str, now: Micros) {
+        let entries = self.consensus.state.newest_self_contained().into_iter().collect();
+        self.send_to_address(address, Message::Consensus(ConsensusMessage::Replicate { entries }), now);
+    }
+
+    /// Whether the announcement comes from a seed with which this core may found a fleet.
+    fn is_bootstrap_peer(&self, by: NodeId, announcement: &BootstrapAnnouncement) -> bool {
+        let BootstrapAnnouncement { sender, may_bootstrap, .. } = announcement;
+        let is_seed = sender.node_id == by && self.settings.seeds.contains(&sender.addr);
+        self.settings.is_core && self.settings.may_bootstrap && *may_bootstrap && is_seed
+    }
+
+    fn record_bootstrap_peer(&mut self, announcement: BootstrapAnnouncement, now: Micros) {
+        let BootstrapAnnouncement { sender: voter, vote, .. } = announcement;
+        let peers = &mut self.membership.bootstrap_peers;
+        peers.insert(voter.addr.clone(), BootstrapPeer { voter, vote, received_at: now });
+        peers.retain(|_, peer| now.saturating_sub(peer.received_at) < ANNOUNCEMENT_TIMEOUT);
+    }
+
+    /// Votes once all seeds were received, and founds the fleet once all of them voted for the same set.
+    fn advance_bootstrap(&mut self, now: Micros) {
+        let seeds = &self.settings.seeds;
+        if !seeds.contains(&self.settings.addr) || self.membership.bootstrap_peers.len() < seeds.len() {
             return;
         }
-        let mut set: Vec<_> = self.membership.bootstrap_peers.values().map(|h| h.core.clone()).collect();
-        set.sort();
+        let mut voters: Vec<_> = self.membership.bootstrap_peers.values().map(|peer| peer.voter.clone()).collect();
+        voters.sort();
         if self.consensus.state.bootstrap_vote.is_empty() {
-            self.consensus.state.bootstrap_vote.clone_from(&set);
-            self.persist(vec![DurableWrite::BootstrapVote(set)], Vec::new());
+            self.consensus.state.bootstrap_vote.clone_from(&voters);
+            self.persist(vec![DurableWrite::BootstrapVote(voters)], Vec::new());
             return;
         }
-        if self.consensus.state.bootstrap_vote != set {
+        if self.consensus.state.bootstrap_vote != voters {
             self.counters.bootstrap_split += 1;
             return;
         }
-        if self.membership.bootstrap_peers.values().all(|h| h.pledge == set) {
-            let text: String = set.iter().map(|c| format!("{}@{};", c.node_id, c.addr)).collect();
-            let d = LogEntry {
-                version: 0,
-                change_id: ChangeId(0),
-                fleet_id: hash64(text.as_bytes()).max(1),
-                voters_since: 0,
-                previous_voters: Vec::new(),
-                voters: set,
-                revision: 0,
-                body: "{}".into(),
-                patch: None,
-                compressed: Vec::new(),
-            };
-            self.apply_entry(d, now);
+        if self.membership.bootstrap_peers.values().all(|peer| peer.vote == voters) {
+            self.apply_entry(first_entry(voters), now);
         }
     }
 }
+
+/// The log entry that founds a fleet. Every seed derives the same one from the set of voters.
+fn first_entry(voters: Vec<Voter>) -> LogEntry {
+    let text: String = voters.iter().map(|voter| format!("{}@{};", voter.node_id, voter.addr)).collect();
+    LogEntry {
+        version: FIRST_VERSION,
+        change_id: ChangeId(0),
+        fleet_id: hash64(text.as_bytes()).max(1),
+        voters_since: FIRST_VERSION,
+        previous_voters: Vec::new(),
+        voters,
+        revision: 0,
+        body: "{}".into(),
+        patch: None,
+        compressed: Vec::new(),
+    }
+}
--- a/crates/core/src/node/membership/mod.rs
+++ b/crates/core/src/node/membership/mod.rs
@@ -3,6 +3,7 @@
 //! [`bootstrap`] founds the fleet, [`voters`] proposes a replacement for each voter that fails, leaves or
 //! was replaced, [`takeover`] lets a changed set of voters take over what the set before it granted, and
 //! [`registrations`] keeps the incarnations of nodes that may hold shares of rates on the voters' disks.
+//! A set of voters is named by the version that began it.
 
 mod bootstrap;
 mod registrations;
@@ -12,7 +13,7 @@
 use super::{Envelope, Node};
 use crate::base::{Micros, Version};
 use crate::consensus::DurableState;
-use crate::protocol::MembershipMessage;
+use crate::protocol::{MembershipMessage, RegisteredIncarnation, Voter, WindowGrant};
 use std::collections::BTreeMap;
 
 /// What a node keeps for the set of voters.
@@ -24,11 +25,13 @@
     pub(in crate::node) synced_ready_set: Option<Version>,
     /// The change of voters that is due, if any.
     pub(in crate::node) planned_change: Option<voters::PlannedChange>,
+    /// What this node has collected for the newest set of voters.
     pub(in crate::node) takeover: takeover::Takeover,
-    /// What the seeds said while there is no version yet, by address.
+    /// What the seeds announced while there is no version yet, by address.
     pub(in crate::node) bootstrap_peers: BTreeMap<String, bootstrap::BootstrapPeer>,
-    /// When the seeds are to be told next of this node's bootstrap vote.
+    /// When this node next announces its bootstrap vote to the seeds, in microseconds.
     pub(in crate::node) bootstrap_due: Micros,
+    /// The incarnations of nodes that may hold shares of rates.
     pub(in crate::node) registrations: registrations::Registrations,
 }
 
@@ -47,23 +50,44 @@
     }
 }
 
+/// What a node announces while there may be no fleet yet; see [`MembershipMessage::Bootstrap`].
+#[derive(Debug)]
+struct BootstrapAnnouncement {
+    sender: Voter,
+    version: Option<Version>,
+    vote: Vec<Voter>,
+    may_bootstrap: bool,
+}
+
+/// What a voter hands over to a voter of a newer set; see [`MembershipMessage::TakeoverReply`].
+#[derive(Debug)]
+struct TakeoverReply {
+    voter_set: Version,
+    is_complete: bool,
+    grants: Vec<WindowGrant>,
+    registered: Vec<RegisteredIncarnation>,
+}
+
 impl Node {
     /// Handles a message about the set of voters.
     pub(super) fn on_membership_message(&mut self, envelope: &Envelope, message: MembershipMessage, now: Micros) {
         let by = envelope.from;
         match message {
-            MembershipMessage::Bootstrap { sender: me, version, vote: pledge, may_bootstrap: first } => {
-                self.on_bootstrap(by, me, version, (pledge, first), now)
+            MembershipMessage::Bootstrap { sender, version, vote, may_bootstrap } => {
+                self.on_bootstrap(by, BootstrapAnnouncement { sender, version, vote, may_bootstrap }, now);
+            }
+            MembershipMessage::TakeoverRequest { voter_set } => self.on_takeover_request(by, voter_set, now),
+            MembershipMessage::TakeoverReply { voter_set, is_complete, grants, registered } => {
+                let reply = TakeoverReply { voter_set, is_complete, grants, registered };
+                self.on_takeover_reply(by, reply, envelope.delay, now);
             }
-            MembershipMessage::TakeoverRequest { voter_set: set } => self.on_takeover_request(by, set, now),
-            MembershipMessage::TakeoverReply { voter_set: set, is_complete: full, grants: rows, registered: lives } => {
-                self.on_takeover_reply(by, set, full, (rows, lives), envelope.delay, now);
+            MembershipMessage::Register { voter_set, request_id, incarnations } => {
+                self.on_register(by, voter_set, request_id, incarnations, now);
             }
-            MembershipMessage::Register { voter_set: set, request_id: n, incarnations: rows } => {
-                self.on_register(by, set, n, rows, now)
+            MembershipMessage::Registered { voter_set, request_id } => {
+                self.on_registered(by, voter_set, request_id, now);
             }
-            MembershipMessage::Registered { voter_set: set, request_id: n } => self.on_registered(by, set, n, now),
-            MembershipMessage::Ready { voter_set: set } => self.on_ready(by, set),
+            MembershipMessage::Ready { voter_set } => self.on_ready(by, voter_set),
         }
     }
 }
--- a/crates/core/src/node/membership/voters.rs
+++ b/crates/core/src/node/membership/voters.rs
@@ -1,268 +1,339 @@
-//! The voters see to their number and their places themselves, one change at a time.
+//! Changes of the set of voters, which the voters propose themselves, one voter at a time.
+//!
+//! Guarantee: each change adds one voter or replaces one, and is an ordinary log entry, so all
+//! nodes agree on it. A voter that failed, leaves or was replaced is only removed when a core is there to
+//! take its place, so losses never shrink the set. The next change is proposed only once a majority of the
+//! newest set is ready (see [`takeover`](super::takeover)).
+//!
+//! Back-off: the voters propose in an order drawn by rendezvous hashing for each version, so that they don't
+//! compete, and a node that has just started or resumed takes no silence for a failure.
 
 use crate::base::{ChangeId, MS, Micros, NodeId, SEC, Version, rendezvous_weight};
 use crate::consensus::{PendingChange, Requester, is_majority};
 use crate::node::Node;
 use crate::peers::{FAILURE_TIMEOUT, PeerEntry};
 use crate::protocol::{Change, ConsensusMessage, Message, Voter};
+use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A voter ranked later proposes so much later for each rank.
-pub const STEP: Micros = 300 * MS;
-/// A machine at an old address that speaks so long after the voter there last did has replaced it.
-pub const REPLACED_AFTER: Micros = 300 * MS;
-/// A silent voter is taken for gone after this when a machine came only lately.
-pub const SILENT: Micros = 1_500 * MS;
-const LATELY: Micros = 10 * SEC;
-const EVERY: Micros = 50 * MS;
-const PATIENCE: Micros = 2 * SEC;
-/// How often a core that leaves asks voters what they hold.
-const ASK_TO_END: Micros = 100 * MS;
+/// How much later than the voter ranked before it each voter proposes, in microseconds.
+pub const PROPOSAL_RANK_DELAY: Micros = 300 * MS;
+/// How much later than the last contact with a voter another node at its address must have made contact to
+/// count as its replacement, in microseconds.
+pub const REPLACEMENT_MARGIN: Micros = 300 * MS;
+/// How long a voter must be silent to be replaced by a recent candidate, in microseconds.
+pub const SILENCE_TIMEOUT: Micros = 1_500 * MS;
+/// How long after it was first known a candidate counts as recent, in microseconds.
+const RECENT_PERIOD: Micros = 10 * SEC;
+/// How long after its own start a node takes no newly known candidate for recent, in microseconds: it
+/// learns of all nodes then.
+const DISCOVERY_PERIOD: Micros = SEC;
+/// How often a voter checks whether a change is due, in microseconds.
+const CHECK_INTERVAL: Micros = 50 * MS;
+/// How long a proposed change may take to be decided, in microseconds.
+const PROPOSAL_TIMEOUT: Micros = 2 * SEC;
+/// How often a core that leaves probes which versions the voters have, in microseconds.
+const PROBE_INTERVAL: Micros = 100 * MS;
 
-/// How a voter stands, the most certain end last.
+/// The condition of a voter, in ascending order of how certainly it must be replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum VoterStanding {
+    /// It was heard of within [`SILENCE_TIMEOUT`].
     Live,
-    /// Silent, but not for long enough unless a machine came only lately.
+    /// It is silent, but has failed only if a candidate is recent.
     Silent,
+    /// It is unknown, or was silent for [`FAILURE_TIMEOUT`].
     Failed,
+    /// It is leaving.
     Draining,
-    /// Another node lives at its address.
+    /// Another node runs at its address.
     Replaced,
 }
 
-/// A voter, its zone where it is known, and how it stands.
+/// A voter, its zone and its condition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VoterSlot {
+    /// The voter.
     pub voter: Voter,
+    /// Its zone, if it is known.
     pub zone: Option<String>,
+    /// Its condition.
     pub standing: VoterStanding,
 }
 
-/// A live core without a vote that holds the newest version.
+/// A live core without a vote that has the newest version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
+    /// The core.
     pub node: Voter,
+    /// Its zone.
     pub zone: String,
-    /// It came only lately, as one does that stands in for another.
+    /// Whether it became known only recently, as a machine does that replaces another.
     pub is_recent: bool,
 }
 
-/// A change of voters that is due, and since when.
+/// A change of voters that is due.
 #[derive(Clone, Debug)]
 pub(in crate::node) struct PlannedChange {
+    /// The version that it changes.
     version: Version,
-    since: Micros,
-    look: Micros,
+    /// Since when the change is due, in microseconds.
+    due_since: Micros,
+    /// When it is considered again, in microseconds.
+    next_check_at: Micros,
 }
 
-/// How many voters bear the loss of `lose`, of so many cores: an odd number.
-pub fn target_voter_count(lose: u32, cores: usize) -> usize {
-    let n = (2 * lose as usize + 1).min(cores);
-    if n.is_multiple_of(2) { n.saturating_sub(1) } else { n }
+/// How many voters, of so many cores, tolerate that many losses: an odd number.
+#[must_use]
+pub fn target_voter_count(tolerated_losses: u32, cores: usize) -> usize {
+    let count = (2 * tolerated_losses as usize + 1).min(cores);
+    if count.is_multiple_of(2) { count.saturating_sub(1) } else { count }
 }
 
-/// Whether a node at the address of a voter came there after it, by when both were heard. Of a voter
-/// that never spoke to this life of the node others may tell long after its end, so when it was
-/// first told of says nothing then.
-fn comes_after(other: &PeerEntry, voter: &PeerEntry) -> bool {
-    let known_later = voter.contacted_at == 0 || other.first_heard_at >= voter.first_heard_at;
-    known_later && other.contacted_at > voter.contacted_at.max(voter.first_heard_at) + REPLACED_AFTER
+/// Whether a node at the address of a voter came there after it, by when both were in contact. Other nodes
+/// may still report a voter that never contacted this incarnation long after its loss, so the time when it
+/// was first reported proves nothing then.
+fn is_successor(other: &PeerEntry, voter: &PeerEntry) -> bool {
+    let is_known_later = voter.contacted_at == 0 || other.first_heard_at >= voter.first_heard_at;
+    is_known_later && other.contacted_at > voter.contacted_at.max(voter.first_heard_at) + REPLACEMENT_MARGIN
 }
 
-/// How a voter at `c` stands by what was heard.
-pub fn state(c: &Voter, seen: &BTreeMap<NodeId, PeerEntry>, now: Micros) -> VoterStanding {
-    let own = seen.get(&c.node_id);
-    let replaces = |s: &PeerEntry| {
-        let lives = !s.record.draining && now.saturating_sub(s.heard_at) < FAILURE_TIMEOUT;
-        s.record.is_core
-            && s.record.node_id != c.node_id
-            && s.record.addr == c.addr
-            && lives
-            && own.is_none_or(|own| comes_after(s, own))
-    };
-    if seen.values().any(replaces) {
+/// Whether another node runs at the address of a voter now. `own` is the voter's own entry.
+fn replaces(other: &PeerEntry, voter: &Voter, own: Option<&PeerEntry>, now: Micros) -> bool {
+    let is_live = !other.record.draining && now.saturating_sub(other.heard_at) < FAILURE_TIMEOUT;
+    other.record.is_core
+        && other.record.node_id != voter.node_id
+        && other.record.addr == voter.addr
+        && is_live
+        && own.is_none_or(|own| is_successor(other, own))
+}
+
+/// The condition of a voter by what is known of the peers.
+#[must_use]
+pub fn voter_standing(voter: &Voter, peers: &BTreeMap<NodeId, PeerEntry>, now: Micros) -> VoterStanding {
+    let own = peers.get(&voter.node_id);
+    if peers.values().any(|other| replaces(other, voter, own, now)) {
         return VoterStanding::Replaced;
     }
-    let Some(s) = own else { return VoterStanding::Failed };
-    let still = now.saturating_sub(s.heard_at.max(s.contacted_at));
-    match still {
-        _ if s.record.draining => VoterStanding::Draining,
-        t if t >= FAILURE_TIMEOUT => VoterStanding::Failed,
-        t if t >= SILENT => VoterStanding::Silent,
+    let Some(own) = own else { return VoterStanding::Failed };
+    match now.saturating_sub(own.heard_at.max(own.contacted_at)) {
+        _ if own.record.draining => VoterStanding::Draining,
+        silence if silence >= FAILURE_TIMEOUT => VoterStanding::Failed,
+        silence if silence >= SILENCE_TIMEOUT => VoterStanding::Silent,
         _ => VoterStanding::Live,
     }
 }
 
 /// The next set of voters, if it should differ by one from this one.
-pub fn choose_voters(seats: &[VoterSlot], spares: &[Candidate], lose: u32) -> Option<Vec<Voter>> {
-    let young = spares.iter().any(|s| s.is_recent);
-    let ended = |s: &&VoterSlot| s.standing > VoterStanding::Silent || (s.standing == VoterStanding::Silent && young);
-    let out = seats.iter().filter(ended).max_by_key(|s| (s.standing, s.voter.node_id));
-    let rest: Vec<_> = seats.iter().filter(|s| out.is_none_or(|o| o.voter != s.voter)).collect();
-    if out.is_none() && seats.len() >= target_voter_count(lose, seats.len() + spares.len()) {
+#[must_use]
+pub fn choose_voters(slots: &[VoterSlot], candidates: &[Candidate], tolerated_losses: u32) -> Option<Vec<Voter>> {
+    let removed = voter_to_replace(slots, candidates);
+    if removed.is_none() && slots.len() >= target_voter_count(tolerated_losses, slots.len() + candidates.len()) {
         return None;
     }
-    let count = |z: &str| rest.iter().filter(|s| s.zone.as_deref() == Some(z)).count();
-    let only = out.is_some_and(|o| o.standing == VoterStanding::Silent);
-    let best = spares.iter().filter(|s| s.is_recent || !only).min_by_key(|s| {
-        let away = out.is_none_or(|o| o.voter.addr != s.node.addr);
-        (
-            count(&s.zone),
-            away,
-            std::cmp::Reverse(rendezvous_weight(s.node.node_id.0, s.zone.as_bytes())),
-            s.node.node_id,
-        )
-    })?;
-    let mut v: Vec<_> = rest.iter().map(|s| s.voter.clone()).collect();
-    v.push(best.node.clone());
-    v.sort();
-    Some(v)
+    let remaining: Vec<_> =
+        slots.iter().filter(|slot| removed.is_none_or(|removed| removed.voter != slot.voter)).collect();
+    let added = best_candidate(candidates, &remaining, removed)?;
+    let mut voters: Vec<_> = remaining.iter().map(|slot| slot.voter.clone()).collect();
+    voters.push(added.node.clone());
+    voters.sort();
+    Some(voters)
 }
 
-/// How long a voter waits before it proposes: the live ones by rendezvous, anew for each version.
-pub fn proposal_delay(me: NodeId, seats: &[VoterSlot], version: Version) -> Micros {
-    let mut v: Vec<_> = seats
+/// The voter that must be replaced most certainly, if any.
+fn voter_to_replace<'a>(slots: &'a [VoterSlot], candidates: &[Candidate]) -> Option<&'a VoterSlot> {
+    let has_recent = candidates.iter().any(|candidate| candidate.is_recent);
+    let must_be_replaced = |slot: &&VoterSlot| match slot.standing {
+        VoterStanding::Live => false,
+        VoterStanding::Silent => has_recent,
+        VoterStanding::Failed | VoterStanding::Draining | VoterStanding::Replaced => true,
+    };
+    slots.iter().filter(must_be_replaced).max_by_key(|slot| (slot.standing, slot.voter.node_id))
+}
+
+/// The candidate in the zone with the fewest of the remaining voters; among those the one at the address of
+/// the removed voter, then the first by rendezvous hashing. A silent voter is replaced by a recent one only.
+fn best_candidate<'a>(
+    candidates: &'a [Candidate],
+    remaining: &[&VoterSlot],
+    removed: Option<&VoterSlot>,
+) -> Option<&'a Candidate> {
+    let voters_in = |zone: &str| remaining.iter().filter(|slot| slot.zone.as_deref() == Some(zone)).count();
+    let must_be_recent = removed.is_some_and(|removed| removed.standing == VoterStanding::Silent);
+    candidates.iter().filter(|candidate| candidate.is_recent || !must_be_recent).min_by_key(|candidate| {
+        let node_id = candidate.node.node_id;
+        let is_elsewhere = removed.is_none_or(|removed| removed.voter.addr != candidate.node.addr);
+        let weight = rendezvous_weight(node_id.0, candidate.zone.as_bytes());
+        (voters_in(&candidate.zone), is_elsewhere, Reverse(weight), node_id)
+    })
+}
+
+/// How long a voter waits before it proposes a change, in microseconds: the live ones in an order by
+/// rendezvous hashing that is drawn anew for each version, then the silent ones, then all others.
+#[must_use]
+pub fn proposal_delay(own_id: NodeId, slots: &[VoterSlot], version: Version) -> Micros {
+    let mut ranked: Vec<_> = slots
         .iter()
-        .filter(|s| s.standing <= VoterStanding::Silent)
-        .map(|s| {
-            (
-                s.standing == VoterStanding::Silent,
-                std::cmp::Reverse(rendezvous_weight(s.voter.node_id.0, &version.to_le_bytes())),
-                s.voter.node_id,
-            )
+        .filter(|slot| slot.standing <= VoterStanding::Silent)
+        .map(|slot| {
+            let node_id = slot.voter.node_id;
+            let weight = rendezvous_weight(node_id.0, &version.to_le_bytes());
+            (slot.standing == VoterStanding::Silent, Reverse(weight), node_id)
         })
         .collect();
-    v.sort_unstable();
-    STEP * v.iter().position(|x| x.2 == me).unwrap_or(v.len()) as u64
+    ranked.sort_unstable();
+    let rank = ranked.iter().position(|(_, _, node_id)| *node_id == own_id).unwrap_or(ranked.len());
+    PROPOSAL_RANK_DELAY * rank as u64
+}
+
+/// Whether no other node at the same address was heard of later: of two, the later one is running.
+fn is_latest_at_address(peer: &PeerEntry, peers: &BTreeMap<NodeId, PeerEntry>) -> bool {
+    !peers.values().any(|other| {
+        other.record.node_id != peer.record.node_id
+            && other.record.addr == peer.record.addr
+            && other.heard_at > peer.heard_at
+    })
 }
 
 impl Node {
     fn voter_slots(&self, now: Micros) -> Vec<VoterSlot> {
-        let seat = |c: &Voter| {
-            let zone = self.dissemination.peers.entries.get(&c.node_id).map(|s| s.record.zone.clone());
-            let mine = c.node_id == self.settings.node_id;
-            let state = match mine {
-                true if self.draining => VoterStanding::Draining,
-                true => VoterStanding::Live,
-                false => state(c, &self.dissemination.peers.entries, now),
-            };
-            VoterSlot { voter: c.clone(), zone, standing: state }
+        self.consensus.state.voters().iter().map(|voter| self.voter_slot(voter, now)).collect()
+    }
+
+    fn voter_slot(&self, voter: &Voter, now: Micros) -> VoterSlot {
+        let peers = &self.dissemination.peers.entries;
+        let is_self = voter.node_id == self.settings.node_id;
+        let standing = match is_self {
+            true if self.draining => VoterStanding::Draining,
+            true => VoterStanding::Live,
+            false => voter_standing(voter, peers, now),
         };
-        self.consensus.state.voters().iter().map(seat).collect()
+        let zone = peers.get(&voter.node_id).map(|peer| peer.record.zone.clone());
+        VoterSlot { voter: voter.clone(), zone, standing }
     }
 
     fn candidates(&self, version: Version, now: Micros) -> Vec<Candidate> {
-        let live = self
-            .dissemination
-            .peers
+        let peers = &self.dissemination.peers;
+        peers
             .entries
             .values()
-            .filter(|s| s.record.is_core && self.dissemination.peers.is_alive(s.record.node_id, now));
-        let idle = live.filter(|s| !self.consensus.state.is_voter(s.record.node_id));
-        // The newer of two at one address is the one that lives.
-        let last = |s: &&PeerEntry| {
-            let after = |o: &PeerEntry| {
-                o.record.node_id != s.record.node_id && o.record.addr == s.record.addr && o.heard_at > s.heard_at
-            };
-            !self.dissemination.peers.entries.values().any(after)
-        };
-        idle.filter(last)
-            .filter(|s| {
-                s.record.version.max(self.consensus.state.synced_versions.get(&s.record.node_id).copied().unwrap_or(0))
-                    >= version
-            })
-            .map(|s| Candidate {
-                node: Voter { node_id: s.record.node_id, addr: s.record.addr.clone() },
-                zone: s.record.zone.clone(),
-                is_recent: now.saturating_sub(s.first_heard_at) < LATELY
-                    && s.first_heard_at > self.clock.started_at + SEC,
-            })
+            .filter(|peer| peer.record.is_core && peers.is_alive(peer.record.node_id, now))
+            .filter(|peer| !self.consensus.state.is_voter(peer.record.node_id))
+            .filter(|peer| is_latest_at_address(peer, &peers.entries))
+            .filter(|peer| self.known_version(peer) >= version)
+            .map(|peer| self.candidate(peer, now))
             .collect()
     }
 
-    /// Whether a majority without this node, all heard of lately, has on its disks what this one holds, so that it may
-    /// end. While it votes and a core lives that could take its place, it waits for that.
+    /// The newest version that a core is known to have.
+    fn known_version(&self, peer: &PeerEntry) -> Version {
+        let synced = self.consensus.state.synced_versions.get(&peer.record.node_id).copied();
+        peer.record.version.max(synced.unwrap_or(0))
+    }
+
+    fn candidate(&self, peer: &PeerEntry, now: Micros) -> Candidate {
+        let is_new = now.saturating_sub(peer.first_heard_at) < RECENT_PERIOD;
+        Candidate {
+            node: Voter { node_id: peer.record.node_id, addr: peer.record.addr.clone() },
+            zone: peer.record.zone.clone(),
+            is_recent: is_new && peer.first_heard_at > self.clock.started_at + DISCOVERY_PERIOD,
+        }
+    }
+
+    /// Whether this node may stop: a majority that doesn't count it, and was heard of lately, has on its
+    /// disks what this node has. While it votes and a core is live that could replace it, it waits for that.
+    #[must_use]
     pub fn may_stop(&self, now: Micros) -> bool {
         let Some(version) = self.version().filter(|_| self.settings.is_core) else { return true };
-        let mut others =
-            self.dissemination.peers.live(now).filter(|p| p.is_core && p.node_id != self.settings.node_id).peekable();
-        if others.peek().is_none() {
+        let own_id = self.settings.node_id;
+        let live_cores = self.dissemination.peers.live(now).filter(|peer| peer.is_core);
+        let mut other_cores = live_cores.filter(|peer| peer.node_id != own_id).peekable();
+        if other_cores.peek().is_none() {
             return true;
         }
-        if self.voter() && self.settings.manages_voters && others.any(|p| !self.consensus.state.is_voter(p.node_id)) {
+        let awaits_replacement = self.voter() && self.settings.manages_voters;
+        if awaits_replacement && other_cores.any(|peer| !self.consensus.state.is_voter(peer.node_id)) {
             return false;
         }
-        let set = self.voter_set();
-        let held_by = |n: NodeId| {
-            let heard = self
-                .dissemination
-                .peers
-                .entries
-                .get(&n)
-                .is_some_and(|s| now.saturating_sub(s.heard_at) < FAILURE_TIMEOUT);
-            let has = self.consensus.state.synced_versions.get(&n).is_some_and(|v| *v >= version);
-            n != self.settings.node_id && heard && has && self.consensus.state.ready_sets.get(&n) == Some(&set)
-        };
-        let held: BTreeSet<NodeId> =
-            self.consensus.state.voters().iter().map(|c| c.node_id).filter(|n| held_by(*n)).collect();
-        self.consensus.state.accepted.is_none() && is_majority(self.consensus.state.voters(), &held)
+        let voters = self.consensus.state.voters();
+        let others = voters.iter().map(|voter| voter.node_id).filter(|node| *node != own_id);
+        let up_to_date: BTreeSet<NodeId> = others.filter(|node| self.is_up_to_date(*node, version, now)).collect();
+        self.consensus.state.accepted.is_none() && is_majority(voters, &up_to_date)
     }
 
-    /// A core that leaves and has no vote any more is told by nobody what voters hold.
+    /// Whether a voter was heard of lately, has this version on its disk, and is ready for the newest set.
+    fn is_up_to_date(&self, node: NodeId, version: Version, now: Micros) -> bool {
+        let peer = self.dissemination.peers.entries.get(&node);
+        let is_live = peer.is_some_and(|peer| now.saturating_sub(peer.heard_at) < FAILURE_TIMEOUT);
+        let has_version = self.consensus.state.synced_versions.get(&node).is_some_and(|synced| *synced >= version);
+        is_live && has_version && self.consensus.state.ready_sets.get(&node) == Some(&self.voter_set())
+    }
+
+    /// Probes the voters' versions for [`Node::may_stop`]: a core that leaves and has no vote any more
+    /// learns them from nothing else.
     fn probe_before_stop(&mut self, now: Micros) {
-        let Some(version) = self.version().filter(|_| self.draining && self.settings.is_core && !self.voter()) else {
-            return;
-        };
+        let is_leaving = self.draining && self.settings.is_core && !self.voter();
+        let Some(version) = self.version().filter(|_| is_leaving) else { return };
         if now >= self.consensus.freshness.probe_due {
-            self.consensus.freshness.probe_due = now + ASK_TO_END;
+            self.consensus.freshness.probe_due = now + PROBE_INTERVAL;
             self.broadcast_to_voters(&Message::Consensus(ConsensusMessage::FreshnessProbe { seq: 0, version }), now);
         }
     }
 
-    /// Proposes the change of voters that is due, if this voter's turn has come.
+    /// Proposes the change of voters that is due, if it is this voter's turn.
     pub(in crate::node) fn tick_voters(&mut self, now: Micros) {
         self.probe_before_stop(now);
-        // Who leaves proposes too, after all others: there may be no other voter.
+        // A node that leaves proposes too, after all others: there may be no other voter.
         if !self.settings.manages_voters || !self.voter() {
             return;
         }
         let Some(version) = self.version() else { return };
-        if self.membership.planned_change.as_ref().is_some_and(|n| n.version == version && now < n.look) {
+        let planned = self.membership.planned_change.as_ref().filter(|planned| planned.version == version);
+        if planned.is_some_and(|planned| now < planned.next_check_at) {
             return;
         }
-        let since = self.membership.planned_change.as_ref().filter(|n| n.version == version).map_or(now, |n| n.since);
-        self.membership.planned_change = Some(PlannedChange { version, since, look: now + EVERY });
-        let mut seats = self.voter_slots(now);
-        // Who just started or woke has heard of nobody for a while.
+        let planned_since = planned.map_or(now, |planned| planned.due_since);
+        let slots = self.voter_slots_after_grace(now);
+        let next_voters = choose_voters(&slots, &self.candidates(version, now), self.settings.tolerated_losses);
+        let due_since = if next_voters.is_some() { planned_since } else { now };
+        let next_check_at = now + CHECK_INTERVAL;
+        self.membership.planned_change = Some(PlannedChange { version, due_since, next_check_at });
+        let Some(voters) = next_voters else { return };
+        if self.may_propose_voters() && now >= due_since + proposal_delay(self.settings.node_id, &slots, version) {
+            self.propose_voters(version, voters, now);
+        }
+    }
+
+    /// The voters by their condition, but with no silence taken for a failure just after a start or a
+    /// resumption, when this node has heard of nobody for a while.
+    fn voter_slots_after_grace(&self, now: Micros) -> Vec<VoterSlot> {
+        let mut slots = self.voter_slots(now);
         if now.saturating_sub(self.clock.started_at.max(self.clock.resumed_at)) <= FAILURE_TIMEOUT {
-            for s in &mut seats {
-                s.standing = if matches!(s.standing, VoterStanding::Failed | VoterStanding::Silent) {
-                    VoterStanding::Live
-                } else {
-                    s.standing
-                };
+            for slot in &mut slots {
+                if matches!(slot.standing, VoterStanding::Failed | VoterStanding::Silent) {
+                    slot.standing = VoterStanding::Live;
+                }
             }
         }
-        let Some(set) = choose_voters(&seats, &self.candidates(version, now), self.settings.tolerated_losses) else {
-            self.membership.planned_change = Some(PlannedChange { version, since: now, look: now + EVERY });
-            return;
-        };
-        let open = self.consensus.state.pending_changes.iter().any(|w| w.requester == Requester::Internal);
-        if open || !self.is_taken_over() || now < since + proposal_delay(self.settings.node_id, &seats, version) {
-            return;
-        }
+        slots
+    }
+
+    /// Whether no change of voters is pending here, and the newest set has taken over.
+    fn may_propose_voters(&self) -> bool {
+        let pending = &self.consensus.state.pending_changes;
+        !pending.iter().any(|change| change.requester == Requester::Internal) && self.is_taken_over()
+    }
+
+    fn propose_voters(&mut self, version: Version, voters: Vec<Voter>, now: Micros) {
         self.counters.voter_changes_proposed += 1;
         let change_id = ChangeId(self.rng.next_u64().max(1));
-        let change = Change::Voters(set);
-        let due = now + PATIENCE;
         self.consensus.state.pending_changes.push(PendingChange {
             requester: Requester::Internal,
             change_id,
             is_first_send: true,
             base: version,
-            change,
-            deadline: due,
+            change: Change::Voters(voters),
+            deadline: now + PROPOSAL_TIMEOUT,
             was_proposed: false,
             decided_version: None,
         });
--- a/crates/core/src/protocol/lease.rs
+++ b/crates/core/src/protocol/lease.rs
@@ -4,40 +4,79 @@
 use crate::base::{Micros, NodeId, Version};
 use musli::{Decode, Encode};
 
-/// Messages of the leases of singleton roles.
+/// Messages of the leases of singleton roles: which core hands out the quotas of which tenants.
 ///
 /// The number of each variant is its tag on the wire, unique among the variants of all these enums; see
 /// [`Message`](super::Message).
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[musli(name(type = usize))]
 pub enum LeaseMessage {
+    /// A core requests a lease, or the renewal of its lease, from a voter.
     #[musli(name = 17)]
-    Request { voter_set: Version, role: u32, epoch: u64, request_id: u64, is_new_epoch: bool },
+    Request {
+        /// The sender's set of voters, named by the version that began it; voters of other sets don't reply.
+        voter_set: Version,
+        /// The role that the lease is for.
+        role: u32,
+        /// The epoch of the lease, its fencing token.
+        epoch: u64,
+        /// Identifies the request.
+        request_id: u64,
+        /// Whether this is a new lease, whose epoch nobody held before, rather than a renewal.
+        is_new_epoch: bool,
+    },
 
+    /// A voter grants a request.
     #[musli(name = 18)]
     Granted {
+        /// The role of the request.
         role: u32,
+        /// The epoch of the request.
         epoch: u64,
+        /// The ID of the request.
         request_id: u64,
+        /// What the voter recorded as granted of the windows of the role's tenants; empty unless the epoch
+        /// is new to the voter.
         grants: Vec<WindowGrant>,
+        /// Whether the voter knows of no earlier holder of the role.
         has_no_predecessor: bool,
+        /// The incarnations registered with the voter; empty unless the epoch is new to the voter.
         registered: Vec<RegisteredIncarnation>,
     },
 
+    /// A voter rejects a request.
     #[musli(name = 19)]
-    Rejected { role: u32, epoch: u64, request_id: u64, holder: NodeId, remaining: Micros },
+    Rejected {
+        /// The role of the request.
+        role: u32,
+        /// The highest epoch of the role that the voter knows of, or 0.
+        epoch: u64,
+        /// The ID of the request.
+        request_id: u64,
+        /// Who holds the role by what the voter knows; the default ID where nobody does.
+        holder: NodeId,
+        /// How long until a request may succeed, in microseconds.
+        remaining: Micros,
+    },
 
-    /// A voter that has just started asks a core whether it holds any term.
+    /// A voter that has just started queries whether a core holds any lease.
     #[musli(name = 41)]
-    HeldLeasesQuery { query_id: u64 },
+    HeldLeasesQuery {
+        /// Identifies the query of this incarnation of the voter.
+        query_id: u64,
+    },
 
-    /// It holds none, and can win none by a vote that was given before.
+    /// The sender holds no lease, and can win none by a vote of an earlier incarnation of the voter.
     #[musli(name = 42)]
-    NoHeldLeases { query_id: u64 },
+    NoHeldLeases {
+        /// The ID of the query.
+        query_id: u64,
+    },
 }
 
 impl LeaseMessage {
     /// The name of its kind, for logs and traces.
+    #[must_use]
     pub fn name(&self) -> &'static str {
         match self {
             LeaseMessage::Request { .. } => "LeaseRequest",
--- a/crates/core/tests/members.rs
+++ b/crates/core/tests/members.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use sumacvale_core::base::{MS, Micros, NodeId, SEC};
 use sumacvale_core::node::membership::voters::{
-    Candidate, REPLACED_AFTER, SILENT, STEP, VoterSlot, VoterStanding, choose_voters, proposal_delay, state,
-    target_voter_count,
+    Candidate, PROPOSAL_RANK_DELAY, REPLACEMENT_MARGIN, SILENCE_TIMEOUT, VoterSlot, VoterStanding, choose_voters,
+    proposal_delay, target_voter_count, voter_standing,
 };
 use sumacvale_core::peers::{FAILURE_TIMEOUT, PeerEntry};
 use sumacvale_core::protocol::{PeerRecord, Voter};
@@ -116,18 +116,18 @@
     };
     let cases = [
         ("heard now", vec![own(0)], VoterStanding::Live),
-        ("just before silent", vec![own(SILENT - 1)], VoterStanding::Live),
-        ("silent", vec![own(SILENT)], VoterStanding::Silent),
+        ("just before silent", vec![own(SILENCE_TIMEOUT - 1)], VoterStanding::Live),
+        ("silent", vec![own(SILENCE_TIMEOUT)], VoterStanding::Silent),
         ("just before gone", vec![own(FAILURE_TIMEOUT - 1)], VoterStanding::Silent),
         ("gone", vec![own(FAILURE_TIMEOUT)], VoterStanding::Failed),
         ("never heard of", vec![], VoterStanding::Failed),
         ("told by others only", vec![seen(1, 1, SEC, ago(0), 0)], VoterStanding::Live),
         ("says that it leaves", vec![leaving()], VoterStanding::Draining),
         ("another at its address", vec![own(SEC), seen(2, 1, ago(500 * MS), now, now)], VoterStanding::Replaced),
-        ("another, hardly later", vec![own(REPLACED_AFTER), seen(2, 1, ago(0), now, now)], VoterStanding::Live),
+        ("another, hardly later", vec![own(REPLACEMENT_MARGIN), seen(2, 1, ago(0), now, now)], VoterStanding::Live),
         (
             "another, just late enough",
-            vec![own(REPLACED_AFTER + 1), seen(2, 1, ago(0), now, now)],
+            vec![own(REPLACEMENT_MARGIN + 1), seen(2, 1, ago(0), now, now)],
             VoterStanding::Replaced,
         ),
         ("another known longer than it", vec![own(SEC), seen(2, 1, 0, now, now)], VoterStanding::Live),
@@ -139,19 +139,22 @@
         ),
         (
             "told by others after its successor was met",
-            vec![seen(1, 1, ago(REPLACED_AFTER + 1), now, 0), seen(2, 1, ago(REPLACED_AFTER + 20 * MS), now, now)],
+            vec![
+                seen(1, 1, ago(REPLACEMENT_MARGIN + 1), now, 0),
+                seen(2, 1, ago(REPLACEMENT_MARGIN + 20 * MS), now, now),
+            ],
             VoterStanding::Replaced,
         ),
         (
             "told by others, its successor not long enough",
-            vec![seen(1, 1, ago(REPLACED_AFTER), now, 0), seen(2, 1, ago(REPLACED_AFTER + 20 * MS), now, now)],
+            vec![seen(1, 1, ago(REPLACEMENT_MARGIN), now, 0), seen(2, 1, ago(REPLACEMENT_MARGIN + 20 * MS), now, now)],
             VoterStanding::Live,
         ),
         ("a front there", vec![own(SEC), front()], VoterStanding::Live),
         ("a core elsewhere", vec![own(SEC), seen(2, 2, ago(500 * MS), now, now)], VoterStanding::Live),
     ];
     for (name, v, want) in cases {
-        assert_eq!(state(&core(1), &v.into_iter().collect::<BTreeMap<_, _>>(), now), want, "{name}");
+        assert_eq!(voter_standing(&core(1), &v.into_iter().collect::<BTreeMap<_, _>>(), now), want, "{name}");
     }
 }
 
@@ -164,9 +167,9 @@
         let at = |n: u64| proposal_delay(NodeId(n), &seats, version);
         let mut live = [at(1), at(3), at(5)];
         live.sort_unstable();
-        assert_eq!(live, [0, STEP, 2 * STEP], "version {version}");
-        assert_eq!(at(2), 3 * STEP, "the silent one comes last");
-        assert!([4, 6, 7].iter().all(|n| at(*n) > 3 * STEP), "who is lost comes after all");
+        assert_eq!(live, [0, PROPOSAL_RANK_DELAY, 2 * PROPOSAL_RANK_DELAY], "version {version}");
+        assert_eq!(at(2), 3 * PROPOSAL_RANK_DELAY, "the silent one comes last");
+        assert!([4, 6, 7].iter().all(|n| at(*n) > 3 * PROPOSAL_RANK_DELAY), "who is lost comes after all");
     }
     let all: Vec<_> = (1..4).map(|n| seat(n, "a", Live)).collect();
     let first = |v: u64| (1..4).find(|n| proposal_delay(NodeId(*n), &all, v) == 0);
