--- a/crates/checker/src/fleet.rs
+++ b/crates/checker/src/fleet.rs
@@ -413,7 +413,7 @@
     }
 
     fn digest(&self, w: &World) -> u64 {
-        let machines: Vec<_> = w.machines.iter().map(|m| (m.node.digest(Scope::Whole), m.digest_of_disk())).collect();
+        let machines: Vec<_> = w.machines.iter().map(|m| (m.node.digest(Scope::Full), m.digest_of_disk())).collect();
         digest_of(&(
             (w.now, machines, &w.down),
             (&w.troubles, &w.wires, &w.operators),
--- a/crates/checker/src/quota.rs
+++ b/crates/checker/src/quota.rs
@@ -488,7 +488,7 @@
     /// Fixes the digests of the machines that were stepped and the order of the frames.
     fn seal(&self, w: &mut World) {
         for machine in std::mem::take(&mut w.unsealed) {
-            w.machines[machine].seal(Scope::Whole);
+            w.machines[machine].seal(Scope::Full);
         }
         w.wires.sort_by_key(|x| (x.digest, x.again));
     }
--- a/crates/core/src/base/hash.rs
+++ b/crates/core/src/base/hash.rs
@@ -1,26 +1,30 @@
-//! Hashes of bytes.
+//! Hashes of bytes: fast ones for shards and rendezvous hashing, SHA-256 for secrets.
 
 use sha2::{Digest, Sha256};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// A hash of 64 bits, the same on all nodes.
-pub fn hash64(b: &[u8]) -> u64 {
-    xxh3_64(b)
+/// The XXH3 hash of 64 bits, the same on all nodes. Not for secrets.
+#[must_use]
+pub fn hash64(bytes: &[u8]) -> u64 {
+    xxh3_64(bytes)
 }
 
-/// The weight of `id` for `key`: the highest weight is nominated.
+/// The weight of a candidate for a key: the candidate with the highest weight is chosen (Thaler and
+/// Ravishankar, "A Name-Based Mapping Scheme for Rendezvous").
+#[must_use]
 pub fn rendezvous_weight(id: u64, key: &[u8]) -> u64 {
     xxh3_64_with_seed(key, id)
 }
 
-/// The only form in which a token or a tenant key is kept.
-pub fn sha256_hex(s: &[u8]) -> String {
-    let d = Sha256::digest(s);
-    let mut o = String::with_capacity(64);
-    for b in d {
-        for n in [b >> 4, b & 15] {
-            o.push(char::from_digit(u32::from(n), 16).unwrap_or('0'));
+/// The SHA-256 hash in 64 lower-case hexadecimal digits: the only form in which a token or a tenant's key
+/// is stored.
+#[must_use]
+pub fn sha256_hex(secret: &[u8]) -> String {
+    let mut hex = String::with_capacity(64);
+    for byte in Sha256::digest(secret) {
+        for digit in [byte >> 4, byte & 15] {
+            hex.push(char::from_digit(u32::from(digit), 16).unwrap_or('0'));
         }
     }
-    o
+    hex
 }
--- a/crates/core/src/base/mod.rs
+++ b/crates/core/src/base/mod.rs
@@ -1,4 +1,4 @@
-//! What every part of the core uses: names, times, hashes, a generator of numbers, sharded state.
+//! What every module of the core uses: identifiers, times, hashes, a random generator, sharded state.
 
 pub mod hash;
 pub mod ids;
--- a/crates/core/src/base/rng.rs
+++ b/crates/core/src/base/rng.rs
@@ -1,31 +1,32 @@
-//! A generator of numbers that gives the same from the same seed.
+//! A seeded random generator.
 
-/// A small seeded generator: the same seed gives the same run.
+/// The SplitMix64 generator (Steele, Lea and Flood, "Fast Splittable Pseudorandom Number Generators"): the
+/// same seed gives the same numbers. Not for secrets.
 #[derive(Clone, Debug)]
 pub struct Rng(u64);
 
 impl Rng {
     /// A generator with this seed.
-    pub fn new(s: u64) -> Self {
-        Rng(s)
+    pub fn new(seed: u64) -> Self {
+        Rng(seed)
     }
 
-    /// The next number.
+    /// The next number, uniform over all 64 bits.
     pub fn next_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
-        let mut z = self.0;
-        z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
-        z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
-        z ^ (z >> 31)
+        let mut mixed = self.0;
+        mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
+        mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
+        mixed ^ (mixed >> 31)
     }
 
-    /// A number below `n`; nought when `n` is nought.
-    pub fn below(&mut self, n: u64) -> u64 {
-        if n == 0 { 0 } else { self.next_u64() % n }
+    /// A number below `bound`; 0, without a draw, if `bound` is 0.
+    pub fn below(&mut self, bound: u64) -> u64 {
+        if bound == 0 { 0 } else { self.next_u64() % bound }
     }
 
-    /// True in so many of 100 cases.
-    pub fn chance(&mut self, pct: u64) -> bool {
-        self.below(100) < pct
+    /// True with a probability of `percent` in 100.
+    pub fn chance(&mut self, percent: u64) -> bool {
+        self.below(100) < percent
     }
 }
--- a/crates/core/src/base/time.rs
+++ b/crates/core/src/base/time.rs
@@ -1,9 +1,10 @@
 //! Times in microseconds.
 
-/// Whole microseconds, on a clock that counts suspension and never jumps.
+/// A moment or a span in whole microseconds. Moments are by a monotonic clock that also counts while the
+/// machine is suspended.
 pub type Micros = u64;
 
-/// A millisecond.
+/// One millisecond, in microseconds.
 pub const MS: Micros = 1_000;
-/// A second.
+/// One second, in microseconds.
 pub const SEC: Micros = 1_000_000;
--- a/crates/core/src/node/counters.rs
+++ b/crates/core/src/node/counters.rs
@@ -1,22 +1,24 @@
-//! Counters for the metrics of a node.
+//! Counters of the control plane, for the metrics of a node.
+//!
+//! The description of each counter is its help text in the metrics.
 
 macro_rules! counters {
-    ($($(#[doc = $d:literal])* $n:ident,)*) => {
+    ($($(#[doc = $description:literal])* $name:ident,)*) => {
         /// Counters of the control plane; they only grow.
         #[derive(Clone, Debug, Default)]
-        pub struct Counters { $($(#[doc = $d])* pub $n: u64,)* }
+        pub struct Counters { $($(#[doc = $description])* pub $name: u64,)* }
 
         impl Counters {
-            /// Name, value and description of each.
+            /// Name, value and description of each counter.
             pub fn list(&self) -> Vec<(&'static str, u64, &'static str)> {
-                vec![$((stringify!($n), self.$n, concat!($($d),*)),)*]
+                vec![$((stringify!($name), self.$name, concat!($($description),*)),)*]
             }
         }
     };
 }
 
 counters! {
-    /// Frames taken from other nodes.
+    /// Frames received from other nodes.
     frames_in,
     /// Frames sent to other nodes.
     frames_out,
--- a/crates/core/src/node/dispatch.rs
+++ b/crates/core/src/node/dispatch.rs
@@ -1,24 +1,29 @@
-//! The way in: each event goes to the part that it concerns.
+//! Dispatch: each event and each message is handed to the concern that handles it.
+//!
+//! Guarantees that time never goes back between two steps, and that what a node sends to itself is handled
+//! within the same step.
 
 use super::consensus::SubmittedChange;
 use super::{Effect, Event, Node};
 use crate::base::{Incarnation, MS, Micros, NodeId, SEC};
 use crate::protocol::{Frame, Message};
 
-/// A node that was not stepped for so long was frozen, or as good as that.
+/// A node that was not stepped for so long was stalled: messages may have waited meanwhile.
 const STALL: Micros = 500 * MS;
 
-/// Who sent a message, and when.
+/// Who sent a message, and when. Times are in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Envelope {
+    /// The sender.
     pub from: NodeId,
+    /// The sender's incarnation.
     pub incarnation: Incarnation,
     /// When it was sent, by the sender's clock.
     pub sent_at: Micros,
     /// How much longer it was under way than the quickest message from its sender; for a message of this
     /// node to itself, how long it waited for the disk.
     pub delay: Micros,
-    /// It names no receiver: its sender knows only the address.
+    /// Whether it names no receiver: its sender knows only the address.
     pub is_greeting: bool,
 }
 
@@ -30,41 +35,56 @@
 }
 
 impl Node {
-    /// The one way in: an event and the time it came at give the effects.
-    pub fn step(&mut self, e: Event, now: Micros) -> Vec<Effect> {
-        let now = now.max(self.clock.last_step);
-        if now - self.clock.last_step > STALL {
+    /// Handles an event at a moment, in microseconds by this node's clock; returns the effects in the order
+    /// in which they are to be carried out.
+    pub fn step(&mut self, event: Event, now: Micros) -> Vec<Effect> {
+        let now = self.advance_clock(now);
+        self.on_event(event, now);
+        self.handle_loopback(now);
+        self.drive_proposals(now);
+        self.complete_reads(now);
+        self.complete_pending_acks(now);
+        self.handle_loopback(now);
+        self.publish(now);
+        self.outbox.take_effects()
+    }
+
+    /// Notes a step, and whether the node was stalled before it. Returns the time of the step.
+    fn advance_clock(&mut self, now: Micros) -> Micros {
+        let last_step = self.clock.last_step;
+        let now = now.max(last_step);
+        if now - last_step > STALL {
             self.clock.resumed_at = now;
         }
-        self.dissemination.contact.record_step(self.clock.last_step, now);
+        self.dissemination.contact.record_step(last_step, now);
         self.clock.last_step = now;
-        match e {
+        now
+    }
+
+    fn on_event(&mut self, event: Event, now: Micros) {
+        match event {
             Event::Tick => self.tick(now),
-            Event::Frame(f) => self.on_frame(*f, now),
-            Event::Synced(t) => self.on_synced(t),
-            Event::Report(r) => {
-                self.on_report(&r, now);
+            Event::Frame(frame) => self.on_frame(*frame, now),
+            Event::Synced(token) => self.on_synced(token),
+            Event::Report(report) => {
+                self.on_report(&report, now);
             }
-            Event::ReportWithAck { request_id: req, report: row } => self.on_report_with_ack(req, &row, now),
+            Event::ReportWithAck { request_id, report } => self.on_report_with_ack(request_id, &report, now),
             Event::SubmitChange { request_id, change_id, is_first_send, base, change } => {
                 let submitted = SubmittedChange { change_id, is_first_send, base, change };
                 self.submit_change(request_id, submitted, now)
             }
             Event::QuotaNeeded { tenant, waiting } => self.on_quota_needed(&tenant, waiting, now),
-            Event::SeedsChanged(s) => self.settings.seeds = s,
+            Event::SeedsChanged(seeds) => self.settings.seeds = seeds,
             Event::Shutdown => self.shut_down(now),
         }
-        while let Some(f) = self.outbox.next_loopback() {
-            self.on_message(f, now);
-        }
-        self.drive_proposals(now);
-        self.complete_reads(now);
-        self.complete_pending_acks(now);
-        while let Some(f) = self.outbox.next_loopback() {
-            self.on_message(f, now);
+    }
+
+    /// Handles the frames that this node sent to itself, and those that it sends to itself meanwhile.
+    fn handle_loopback(&mut self, now: Micros) {
+        while let Some(frame) = self.outbox.next_loopback() {
+            self.on_message(frame, now);
         }
-        self.publish(now);
-        self.outbox.take_effects()
     }
 
     fn tick(&mut self, now: Micros) {
@@ -86,25 +106,31 @@
         self.tick_forward(now);
         self.tick_voters(now);
         self.tick_digest_sync(now);
+        // Once a second: the last publication was in another one.
         if now / SEC != self.publisher.published_at / SEC {
-            self.dissemination.peers.expire(now);
-            self.dissemination.workers.expire(now);
-            self.dissemination.peer_clocks.expire(now);
-            self.dissemination.peer_incarnations.expire(&self.dissemination.peers);
+            self.dissemination.expire(now);
         }
     }
 
-    fn on_frame(&mut self, f: Frame, now: Micros) {
+    fn on_frame(&mut self, frame: Frame, now: Micros) {
         self.counters.frames_in += 1;
-        let mine = self.fleet_id();
-        let other = f.to != NodeId::default() && f.to != self.settings.node_id;
-        if f.from == self.settings.node_id || other || (f.fleet_id != 0 && mine != 0 && f.fleet_id != mine) {
+        if self.is_foreign(&frame) {
             self.counters.frames_foreign += 1;
             return;
         }
-        self.dissemination.peers.record_contact(f.from, now);
-        self.on_frame_from_incarnation(&f);
-        self.on_message(f, now);
+        self.dissemination.peers.record_contact(frame.from, now);
+        self.on_frame_from_incarnation(&frame);
+        self.on_message(frame, now);
+    }
+
+    /// Whether a frame is from this node, for another node, or of another fleet. Fleet 0 means that the
+    /// sender knows none.
+    fn is_foreign(&self, frame: &Frame) -> bool {
+        let own_id = self.settings.node_id;
+        let own_fleet = self.fleet_id();
+        let is_for_another = frame.to != NodeId::default() && frame.to != own_id;
+        let is_of_another_fleet = frame.fleet_id != 0 && own_fleet != 0 && frame.fleet_id != own_fleet;
+        frame.from == own_id || is_for_another || is_of_another_fleet
     }
 
     fn on_message(&mut self, frame: Frame, now: Micros) {
--- a/crates/core/src/node/dissemination/mod.rs
+++ b/crates/core/src/node/dissemination/mod.rs
@@ -60,6 +60,14 @@
             peer_incarnations: peer_incarnations::PeerIncarnations::default(),
         }
     }
+
+    /// Forgets peers and workers that have been silent for long.
+    pub(super) fn expire(&mut self, now: Micros) {
+        self.peers.expire(now);
+        self.workers.expire(now);
+        self.peer_clocks.expire(now);
+        self.peer_incarnations.expire(&self.peers);
+    }
 }
 
 impl Node {
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -36,23 +36,31 @@
 use dispatch::Envelope;
 use std::sync::Arc;
 
-/// All that a node knows.
+/// The state of one node, by concern.
 ///
 /// A clone shares [`Quota::slices`] with its original: clones are for the model checker, which copies
 /// the slices as well.
 #[derive(Clone)]
 pub struct Node {
+    /// How the node was started.
     pub settings: NodeSettings,
+    /// The source of all random draws of the node.
     pub rng: Rng,
+    /// The log of configuration versions, and what decides on them.
     pub consensus: Consensus,
+    /// The set of voters, its bootstrap and its changes.
     pub membership: Membership,
+    /// Leases that the node holds or granted.
     pub leases: Leases,
+    /// Quota windows and rate shares.
     pub quota: Quota,
+    /// What the node knows of peers and of workers.
     pub dissemination: Dissemination,
-    /// The configuration that is in force here.
+    /// The configuration that is in force here, compiled.
     pub config: Arc<CompiledConfig>,
+    /// The counters for metrics.
     pub counters: Counters,
-    /// This node shuts down, and has told the others so.
+    /// Whether this node shuts down, and has told the others so.
     pub draining: bool,
     outbox: outbox::Outbox,
     publisher: publisher::Publisher,
@@ -61,18 +69,19 @@
     last_request_id: u64,
 }
 
-/// Moments of this incarnation, by the node's own clock.
+/// Moments of this incarnation, in microseconds by the node's own clock.
 #[derive(Clone, Copy, Debug)]
 struct StepClock {
     /// When the node was stepped last. Time never goes back between two steps.
     last_step: Micros,
     /// When it was stepped again after a stall: messages may have waited while it stood still.
     resumed_at: Micros,
+    /// When this incarnation started.
     started_at: Micros,
 }
 
 impl Node {
-    /// A node that starts now with what its disk holds.
+    /// A node that starts now with what its disk holds. The same `seed` gives the same random draws.
     pub fn new(settings: NodeSettings, durable: &DurableState, seed: u64, now: Micros) -> Self {
         let mut rng = Rng::new(seed);
         // Requests of a new incarnation never match answers to an earlier one.
@@ -102,17 +111,17 @@
         }
     }
 
-    /// The newest version that it holds.
+    /// The newest version of the configuration that the node holds.
     pub fn version(&self) -> Option<Version> {
         self.consensus.state.version()
     }
 
-    /// Whether it may serve by that version.
+    /// Whether that version was confirmed so lately that the node may serve by it.
     pub fn is_fresh(&self, now: Micros) -> bool {
         self.consensus.freshness.is_fresh(self.version(), now)
     }
 
-    /// Whether it is a core whose vote counts in the version that it holds.
+    /// Whether the node is one of the voters of the version that it holds.
     pub fn voter(&self) -> bool {
         self.settings.is_core && self.consensus.state.is_voter(self.settings.node_id)
     }
@@ -122,12 +131,12 @@
         Voter { node_id: self.settings.node_id, addr: self.settings.addr.clone() }
     }
 
-    /// The fleet that it belongs to; nought while it knows none.
+    /// The fleet that the node belongs to; 0 while it knows none.
     fn fleet_id(&self) -> u64 {
         self.consensus.state.newest().map_or(0, |entry| entry.fleet_id)
     }
 
-    /// A new number for a request of this incarnation.
+    /// The next number for a request of this incarnation.
     fn next_request_id(&mut self) -> u64 {
         self.last_request_id += 1;
         self.last_request_id
--- a/crates/core/src/node/outbox.rs
+++ b/crates/core/src/node/outbox.rs
@@ -1,4 +1,8 @@
-//! What a node sends, and what waits for its disk before it is sent.
+//! The effects of a step, and those that wait until a write is synced to disk.
+//!
+//! Guarantees that nothing which depends on a write leaves the node before that write is synced, and that
+//! deferred effects leave in the order of their writes. While more than [`MAX_UNSYNCED_BYTES`] wait, a core
+//! accepts no further votes and versions.
 
 use super::{Effect, Node};
 use crate::base::{Micros, NodeId};
@@ -6,7 +10,7 @@
 use crate::protocol::{ConsensusMessage, Frame, Message};
 use std::collections::VecDeque;
 
-/// How many bytes may wait for the disk before a core takes in no further votes and versions.
+/// How many bytes may wait for the disk before a core accepts no further votes and versions.
 pub const MAX_UNSYNCED_BYTES: usize = 24 << 20;
 
 /// Effects that wait until a write is synced.
@@ -53,7 +57,11 @@
         self.pending_writes.is_empty()
     }
 
-    /// Emits an effect once all writes that were begun before are synced; gives it back if they are already.
+    /// Emits an effect once all writes that were begun before are synced.
+    ///
+    /// # Errors
+    ///
+    /// Returns the effect if they are synced already: the caller is to emit it at once.
     pub fn defer(&mut self, effect: Effect) -> Result<(), Effect> {
         match self.pending_writes.back_mut() {
             Some(newest) => {
@@ -136,7 +144,7 @@
         }
     }
 
-    /// Sends a message to whatever node is at an address; nothing is sent to the empty one.
+    /// Sends a message to whatever node is at an address; nothing is sent to the empty address.
     pub(super) fn send_to_address(&mut self, to: &str, message: Message, now: Micros) {
         if to.is_empty() {
             return;
@@ -162,7 +170,7 @@
         self.outbox.begin_write(writes, then);
     }
 
-    /// Whether so much waits for the disk that more would only take memory.
+    /// Whether so much waits for the disk that more would only use memory.
     ///
     /// A core whose disk stalls or is full stops voting then, and what it misses is replicated to it later.
     pub(super) fn is_disk_behind(&self) -> bool {
--- a/crates/core/src/node/publisher.rs
+++ b/crates/core/src/node/publisher.rs
@@ -1,4 +1,8 @@
-//! What a node shows to those who take calls.
+//! The view that a node publishes to its data plane and to operators.
+//!
+//! Guarantees that each view is consistent in itself: it is built within one step and never changed
+//! afterwards. A new one is published when the version changed, when something else changed at most every
+//! [`MIN_INTERVAL`], and at least every [`MAX_INTERVAL`].
 
 use super::{Effect, Node};
 use crate::base::{MS, Micros, NodeId, Version};
@@ -7,34 +11,47 @@
 use crate::protocol::{LogEntry, PeerRecord, WorkerReport};
 use std::sync::Arc;
 
-/// What the data plane and operators see: one immutable picture, swapped whole.
+/// What the data plane and operators read: an immutable snapshot, replaced as one. All moments are in
+/// microseconds by the node's clock.
 #[derive(Clone, Debug, Default)]
 pub struct View {
+    /// The newest version of the configuration that the node holds.
     pub version: Option<Version>,
+    /// When a majority of the voters last confirmed that no newer version was decided.
     pub confirmed_at: Option<Micros>,
-    /// From when on every worker that lives was heard of.
+    /// From when on every live worker is known.
     pub workers_complete_at: Micros,
+    /// The configuration of that version, compiled.
     pub config: Arc<CompiledConfig>,
+    /// The log entry of that version.
     pub entry: Option<Arc<LogEntry>>,
+    /// The workers that may be sent requests.
     pub workers: Arc<Vec<WorkerReport>>,
+    /// All known nodes, and whether each is live.
     pub nodes: Vec<(PeerRecord, bool)>,
+    /// Whether the node is a voter.
     pub voter: bool,
-    /// What this node holds is held without it, so a stop loses nothing.
+    /// Whether others hold all that this node holds, so that a stop loses nothing.
     pub may_stop: bool,
+    /// The roles whose lease this node holds, and their epochs.
     pub held_leases: Vec<(u32, u64)>,
+    /// What the node granted as a lease holder: tenant, window, units granted and units returned.
     pub grants: Vec<(String, u64, u64, u64)>,
-    /// By the hash of a tenant's name: what this holder counts as held of its rate, in
-    /// millionths, and what may be held by nodes that it did not hear of.
+    /// By the hash of a tenant's name: how much of its rate the node granted as a lease holder, in
+    /// millionths, and how much may be granted to nodes that it does not know of.
     pub share_pools: Vec<(u64, u64, u64)>,
+    /// The nodes that this one subscribes to.
     pub upstreams: Vec<NodeId>,
+    /// Name, value and description of each counter.
     pub counters: Vec<(&'static str, u64, &'static str)>,
 }
 
 /// What was published last, and whether something changed since.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Publisher {
-    /// Something in the view changed since it was published.
+    /// Whether something in the view changed since it was published.
     pub is_dirty: bool,
+    /// When a view was published last, in microseconds.
     pub published_at: Micros,
     version: Option<Version>,
     entry: Option<Arc<LogEntry>>,
@@ -42,7 +59,7 @@
 }
 
 impl Publisher {
-    /// Nothing was published yet.
+    /// The state after a start: nothing is published yet, so a view is due.
     pub fn new() -> Self {
         Publisher { is_dirty: true, ..Publisher::default() }
     }
--- a/crates/core/src/node/state_digest.rs
+++ b/crates/core/src/node/state_digest.rs
@@ -1,26 +1,32 @@
-//! A canonical digest of a node's state, by which the model checker knows two states as one.
+//! A canonical digest of a node's state, by which the model checker recognises states that it has visited.
+//!
+//! Guarantees that two nodes with the same digest behave alike from here on, as far as the [`Scope`] goes,
+//! up to collisions of a 64-bit hash.
 
 use super::Node;
 use std::fmt::{Debug, Write};
 use xxhash_rust::xxh3::xxh3_64;
 
+/// The room that is reserved for the `Debug` forms of a node's state.
+const INITIAL_BYTES: usize = 4_096;
+
 /// How much of a node's state a digest covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// What decides on versions: agreement, freshness, the set of voters and its takeover.
+    /// What decides on versions: consensus, freshness, the set of voters and its takeover.
     Agreement,
-    /// All that decides anything; left out are counters, what was last shown, and what follows
-    /// from the version (the plan).
-    Whole,
+    /// All state that decides anything; left out are counters, what was published last, and what follows
+    /// from the version (the compiled configuration).
+    Full,
 }
 
-/// Gathers the debug forms of values. Debug forms of all types here are canonical: their maps
-/// and sets are ordered.
-struct Feed(String);
+/// Collects the `Debug` forms of values. Those of all types here are canonical: their maps and sets are
+/// ordered.
+struct DigestInput(String);
 
-impl Feed {
+impl DigestInput {
     fn new() -> Self {
-        Feed(String::with_capacity(4_096))
+        DigestInput(String::with_capacity(INITIAL_BYTES))
     }
 
     fn add(&mut self, value: &dyn Debug) {
@@ -33,47 +39,48 @@
     }
 }
 
-/// The digest of anything by its debug form.
+/// The digest of any value by its `Debug` form.
+#[must_use]
 pub fn digest_of(value: &dyn Debug) -> u64 {
-    let mut feed = Feed::new();
-    feed.add(value);
-    feed.digest()
+    let mut input = DigestInput::new();
+    input.add(value);
+    input.digest()
 }
 
 impl Node {
-    /// The same for two nodes that behave alike from here on, as far as `scope` goes. Tokens of
-    /// writes are left out: only their order counts.
+    /// The digest of this node's state. Tokens of writes are left out: only their order counts.
+    #[must_use]
     pub fn digest(&self, scope: Scope) -> u64 {
-        let mut feed = Feed::new();
-        let me = &self.settings;
-        feed.add(&(me.node_id.0, me.incarnation, &me.addr, self.draining));
-        self.feed_agreement(&mut feed);
-        feed.add(&(
+        let mut input = DigestInput::new();
+        let settings = &self.settings;
+        input.add(&(settings.node_id.0, settings.incarnation, &settings.addr, self.draining));
+        self.add_consensus(&mut input);
+        input.add(&(
             self.consensus.freshness.confirmed,
             self.consensus.freshness.probe_due,
             &self.consensus.freshness.open_probes,
         ));
-        feed.add(&(self.consensus.synced_version, self.membership.ready_set, self.membership.synced_ready_set));
-        feed.add(&self.membership.takeover);
-        feed.add(&(&self.membership.bootstrap_peers, self.membership.bootstrap_due));
-        feed.add(&(&self.consensus.forwards, &self.dissemination.contact, &self.consensus.reads));
+        input.add(&(self.consensus.synced_version, self.membership.ready_set, self.membership.synced_ready_set));
+        input.add(&self.membership.takeover);
+        input.add(&(&self.membership.bootstrap_peers, self.membership.bootstrap_due));
+        input.add(&(&self.consensus.forwards, &self.dissemination.contact, &self.consensus.reads));
         for effects in self.outbox.deferred_effects() {
-            feed.add(effects);
+            input.add(effects);
         }
-        feed.add(&self.consensus.digest_sync);
-        feed.add(self.outbox.loopback());
-        feed.add(&(&self.rng, self.clock.last_step, self.clock.resumed_at, self.clock.started_at));
-        if scope == Scope::Whole {
-            feed.add(&(&self.membership.planned_change, &self.dissemination.peers, &self.leases.grantor));
-            feed.add(&(&self.leases.held, &self.dissemination.workers, &self.dissemination.frame_delays));
-            feed.add(&(&self.quota.grants, &self.quota.windows, &self.membership.registrations));
-            feed.add(&(
+        input.add(&self.consensus.digest_sync);
+        input.add(self.outbox.loopback());
+        input.add(&(&self.rng, self.clock.last_step, self.clock.resumed_at, self.clock.started_at));
+        if scope == Scope::Full {
+            input.add(&(&self.membership.planned_change, &self.dissemination.peers, &self.leases.grantor));
+            input.add(&(&self.leases.held, &self.dissemination.workers, &self.dissemination.frame_delays));
+            input.add(&(&self.quota.grants, &self.quota.windows, &self.membership.registrations));
+            input.add(&(
                 &self.quota.window_ledger,
                 &self.quota.share_pools,
                 &self.quota.slice_requests,
                 &self.quota.pending_grants,
             ));
-            feed.add(&(
+            input.add(&(
                 &self.quota.share_client,
                 self.last_request_id,
                 self.consensus.freshness.last_probe,
@@ -81,34 +88,34 @@
                 &self.dissemination.pending_acks,
             ));
         }
-        feed.digest()
+        input.digest()
     }
 
-    fn feed_agreement(&self, feed: &mut Feed) {
-        let agree = &self.consensus.state;
-        // Versions that are decided are told apart by their changes.
-        for decree in agree.history.values() {
-            feed.add(&(decree.version, decree.change_id.0));
+    fn add_consensus(&self, input: &mut DigestInput) {
+        let state = &self.consensus.state;
+        // The change id identifies a decided version.
+        for entry in state.history.values() {
+            input.add(&(entry.version, entry.change_id.0));
         }
-        feed.add(&(agree.digests.len(), agree.digests.newest_gap(), &agree.bootstrap_vote));
-        let accepted = agree.accepted.as_ref().map(|a| (a.0, a.1.version, a.1.change_id.0));
-        feed.add(&(agree.promised_ballot, accepted, agree.accepted_at, agree.backoff_until, agree.ballot_number));
-        feed.add(&agree.yields_until);
-        if let Some(proposal) = &agree.proposal {
-            let best = proposal.highest_accepted.as_ref().map(|b| (b.0, b.1.change_id.0));
-            let value = proposal.value.as_ref().map(|v| v.change_id.0);
-            feed.add(&(
+        input.add(&(state.digests.len(), state.digests.newest_gap(), &state.bootstrap_vote));
+        let accepted = state.accepted.as_ref().map(|accepted| (accepted.0, accepted.1.version, accepted.1.change_id.0));
+        input.add(&(state.promised_ballot, accepted, state.accepted_at, state.backoff_until, state.ballot_number));
+        input.add(&state.yields_until);
+        if let Some(proposal) = &state.proposal {
+            let highest_accepted = proposal.highest_accepted.as_ref().map(|highest| (highest.0, highest.1.change_id.0));
+            let value = proposal.value.as_ref().map(|entry| entry.change_id.0);
+            input.add(&(
                 proposal.instance,
                 proposal.ballot,
                 proposal.phase,
                 &proposal.answered,
-                best,
+                highest_accepted,
                 value,
                 proposal.deadline,
             ));
         }
-        for pending in &agree.pending_changes {
-            feed.add(&(
+        for pending in &state.pending_changes {
+            input.add(&(
                 pending.requester,
                 pending.change_id.0,
                 pending.is_first_send,
@@ -118,6 +125,6 @@
                 pending.decided_version,
             ));
         }
-        feed.add(&(&agree.synced_versions, &agree.ready_sets, &agree.digests));
+        input.add(&(&state.synced_versions, &state.ready_sets, &state.digests));
     }
 }
--- a/crates/core/src/protocol/mod.rs
+++ b/crates/core/src/protocol/mod.rs
@@ -1,4 +1,4 @@
-//! What nodes say to each other.
+//! The protocol between nodes: frames, messages, and the records that they carry.
 //!
 //! [`Frame`] is the unit on the wire. Its [`Message`] belongs to one of five concerns, each with an enum
 //! of its own in the module of its name. The bytes of each message are fixed by golden files in
--- a/crates/core/tests/peers.rs
+++ b/crates/core/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Case tables for what nodes tell each other of beats.
+//! Case tables for gossip: heartbeats, records, failure detection and replaced nodes.
 
 use std::collections::BTreeSet;
 use sumacvale_core::base::{MS, Micros, NodeId, Rng, SEC};
@@ -9,131 +9,135 @@
     DisseminationMessage, Frame, Heartbeat, Message, PeerRecord, decode_frame, encode_frame,
 };
 
-fn peer(n: u64, incarnation: u64, beat: u64, version: u64) -> PeerRecord {
-    let s = String::new();
-    let (zone, addr) = ("z".to_owned(), format!("10.0.0.{n}:7000"));
+fn peer(id: u64, incarnation: u64, heartbeat: u64, version: u64) -> PeerRecord {
     PeerRecord {
-        node_id: NodeId(n),
+        node_id: NodeId(id),
         incarnation,
-        heartbeat: beat,
-        addr,
-        admin: s,
-        zone,
+        heartbeat,
+        addr: format!("10.0.0.{id}:7000"),
+        admin: String::new(),
+        zone: "z".to_owned(),
         is_core: false,
         draining: false,
         version,
     }
 }
 
-fn ring(ps: &[PeerRecord], now: Micros) -> PeerTable {
-    let mut r = PeerTable::default();
-    for p in ps {
-        r.merge(p, now);
+fn peer_table(records: &[PeerRecord], now: Micros) -> PeerTable {
+    let mut table = PeerTable::default();
+    for record in records {
+        table.merge(record, now);
     }
-    r
+    table
 }
 
-fn beat(r: &PeerTable, n: u64) -> u64 {
-    r.entries[&NodeId(n)].record.heartbeat
+fn heartbeat_of(table: &PeerTable, id: u64) -> u64 {
+    table.entries[&NodeId(id)].record.heartbeat
 }
 
 #[test]
-fn a_pulse_moves_beats_forward_only() {
-    let big = 0xffff_fff0;
-    for (name, have, told, want) in [
-        ("one on", 5, 6, 6),
+fn compact_heartbeats_never_move_a_heartbeat_back() {
+    let large = 0xffff_fff0;
+    for (name, known, sent, expected) in [
+        ("one ahead", 5, 6, 6),
         ("the same", 5, 5, 5),
         ("an older one", 5, 4, 5),
         ("over the low bytes' end", 0xfffe, 0x1_0003, 0x1_0003),
         ("older over the low bytes' end", 0x1_0003, 0xfffe, 0x1_0003),
-        ("far on in a long life", big, big + 0x30, big + 0x30),
-        ("the furthest that can be told", 1, 0x8000, 0x8000),
-        ("further than can be told is taken for older", 1, 0x8001, 1),
+        ("far on in a long incarnation", large, large + 0x30, large + 0x30),
+        ("the furthest that can be encoded", 1, 0x8000, 0x8000),
+        ("further than can be encoded is taken for older", 1, 0x8001, 1),
     ] {
-        let mut a = ring(&[peer(1, 1, 9, 0), peer(2, 1, have, 0)], 0);
-        let b = ring(&[peer(1, 1, 9, 0), peer(2, 1, told, 0)], SEC);
-        let (set, p) = (b.incarnation_set(SEC), b.compact_heartbeats(SEC));
-        assert_eq!(p.len(), 4, "{name}");
-        assert!(a.merge_compact_heartbeats(NodeId(1), set, &p, SEC), "{name}");
-        assert_eq!(beat(&a, 2), want, "{name}");
-        assert_eq!(a.entries[&NodeId(2)].heard_at, if want > have { SEC } else { 0 }, "{name}");
-        assert_eq!((beat(&a, 1), a.entries[&NodeId(1)].heard_at), (9, 0), "{name}: its own beat is its own");
+        let mut receiver = peer_table(&[peer(1, 1, 9, 0), peer(2, 1, known, 0)], 0);
+        let sender = peer_table(&[peer(1, 1, 9, 0), peer(2, 1, sent, 0)], SEC);
+        let (set, compact) = (sender.incarnation_set(SEC), sender.compact_heartbeats(SEC));
+        assert_eq!(compact.len(), 4, "{name}");
+        assert!(receiver.merge_compact_heartbeats(NodeId(1), set, &compact, SEC), "{name}");
+        assert_eq!(heartbeat_of(&receiver, 2), expected, "{name}");
+        assert_eq!(receiver.entries[&NodeId(2)].heard_at, if expected > known { SEC } else { 0 }, "{name}");
+        let own = (heartbeat_of(&receiver, 1), receiver.entries[&NodeId(1)].heard_at);
+        assert_eq!(own, (9, 0), "{name}: only a node itself advances its heartbeat");
     }
 }
 
 #[test]
-fn a_pulse_is_taken_only_where_both_know_the_same_lives() {
+fn compact_heartbeats_are_merged_only_between_the_same_incarnation_sets() {
     let both = [peer(1, 1, 9, 0), peer(2, 1, 5, 0)];
     let cases: [(&str, Vec<PeerRecord>, Micros, bool); 6] = [
-        ("the same lives", vec![peer(1, 1, 1, 0), peer(2, 1, 1, 0)], SEC, true),
-        ("other versions are no other lives", vec![peer(1, 1, 1, 7), peer(2, 1, 1, 3)], SEC, true),
-        ("a later life", vec![peer(1, 1, 1, 0), peer(2, 2, 1, 0)], SEC, false),
+        ("the same incarnations", vec![peer(1, 1, 1, 0), peer(2, 1, 1, 0)], SEC, true),
+        ("other versions are no other incarnations", vec![peer(1, 1, 1, 7), peer(2, 1, 1, 3)], SEC, true),
+        ("a later incarnation", vec![peer(1, 1, 1, 0), peer(2, 2, 1, 0)], SEC, false),
         ("one more", vec![peer(1, 1, 1, 0), peer(2, 1, 1, 0), peer(3, 1, 1, 0)], SEC, false),
         ("one less", vec![peer(1, 1, 1, 0)], SEC, false),
-        ("all are gone here", vec![peer(1, 1, 1, 0), peer(2, 1, 1, 0)], FAILURE_TIMEOUT, false),
+        ("all have failed here", vec![peer(1, 1, 1, 0), peer(2, 1, 1, 0)], FAILURE_TIMEOUT, false),
     ];
-    for (name, mine, now, want) in cases {
-        let b = ring(&both, now);
-        let mut a = ring(&mine, 0);
-        let (set, p) = (b.incarnation_set(now), b.compact_heartbeats(now));
-        assert_eq!(a.merge_compact_heartbeats(NodeId(1), set, &p, now), want, "{name}");
-        assert_eq!(a.entries.get(&NodeId(2)).is_some_and(|s| s.record.heartbeat == 5), want, "{name}");
+    for (name, known, now, is_merged) in cases {
+        let sender = peer_table(&both, now);
+        let mut receiver = peer_table(&known, 0);
+        let (set, compact) = (sender.incarnation_set(now), sender.compact_heartbeats(now));
+        assert_eq!(receiver.merge_compact_heartbeats(NodeId(1), set, &compact, now), is_merged, "{name}");
+        let has_advanced = receiver.entries.get(&NodeId(2)).is_some_and(|entry| entry.record.heartbeat == 5);
+        assert_eq!(has_advanced, is_merged, "{name}");
     }
-    let mut a = ring(&both, 0);
-    let (set, p) = (a.incarnation_set(0), a.compact_heartbeats(0));
-    assert!(!a.merge_compact_heartbeats(NodeId(1), set, &p[..3], 0), "a pulse that was cut");
-    assert!(!a.merge_compact_heartbeats(NodeId(1), set, &[], 0), "no pulse");
-    assert_ne!(PeerTable::default().incarnation_set(0), 0, "nought says nothing");
+    let mut table = peer_table(&both, 0);
+    let (set, compact) = (table.incarnation_set(0), table.compact_heartbeats(0));
+    assert!(!table.merge_compact_heartbeats(NodeId(1), set, &compact[..3], 0), "truncated");
+    assert!(!table.merge_compact_heartbeats(NodeId(1), set, &[], 0), "empty");
+    assert_ne!(PeerTable::default().incarnation_set(0), 0, "0 means that no set is given");
 }
 
 #[test]
-fn a_version_is_told_beside_a_pulse_that_ran_ahead() {
-    let mut a = ring(&[peer(2, 1, 5, 3)], 0);
-    for (name, beat, version, want, news) in [
-        ("an older beat with a newer version", 4, 9, 3, Some(false)),
-        ("the beat that is known, with a newer version", 5, 4, 4, Some(true)),
+fn a_version_is_merged_after_the_compact_heartbeat_that_overtook_it() {
+    let mut table = peer_table(&[peer(2, 1, 5, 3)], 0);
+    for (name, counter, version, expected_version, outcome) in [
+        ("an older heartbeat with a newer version", 4, 9, 3, Some(false)),
+        ("the known heartbeat with a newer version", 5, 4, 4, Some(true)),
         ("again", 5, 4, 4, Some(false)),
-        ("the beat that is known, with an older version", 5, 3, 4, Some(false)),
-        ("a newer beat", 6, 5, 5, Some(true)),
+        ("the known heartbeat with an older version", 5, 3, 4, Some(false)),
+        ("a newer heartbeat", 6, 5, 5, Some(true)),
     ] {
-        let b = Heartbeat { node_id: NodeId(2), incarnation: 1, heartbeat: beat, version, draining: false };
-        assert_eq!(a.merge_heartbeat(&b, SEC), news, "{name}");
-        assert_eq!(a.entries[&NodeId(2)].record.version, want, "{name}");
+        let heartbeat = Heartbeat { node_id: NodeId(2), incarnation: 1, heartbeat: counter, version, draining: false };
+        assert_eq!(table.merge_heartbeat(&heartbeat, SEC), outcome, "{name}");
+        assert_eq!(table.entries[&NodeId(2)].record.version, expected_version, "{name}");
     }
-    assert_eq!(a.recent_changes(SEC).len(), 1);
-    assert_eq!(a.recent_changes(5 * SEC).len(), 0, "told in full for a while only");
+    assert_eq!(table.recent_changes(SEC).len(), 1);
+    assert_eq!(table.recent_changes(5 * SEC).len(), 0, "sent in full for a while only");
 }
 
 #[test]
-fn what_a_peer_told_is_not_told_back() {
-    for (name, told, want) in [("the same", 5, 0), ("an older beat", 4, 1), ("a newer one", 6, 0)] {
-        let mut a = ring(&[peer(2, 1, 5, 0)], 0);
-        a.record_received(NodeId(9), [(NodeId(2), HeartbeatStamp { incarnation: 1, heartbeat: told })].into_iter());
-        let delta = a.delta(NodeId(9), 0);
-        assert_eq!((delta.heartbeats.len(), delta.records.len()), (want, 0), "{name}");
+fn what_a_peer_sent_is_not_sent_back() {
+    for (name, received, expected) in [("the same", 5, 0), ("an older heartbeat", 4, 1), ("a newer one", 6, 0)] {
+        let mut table = peer_table(&[peer(2, 1, 5, 0)], 0);
+        table.record_received(
+            NodeId(9),
+            [(NodeId(2), HeartbeatStamp { incarnation: 1, heartbeat: received })].into_iter(),
+        );
+        let delta = table.delta(NodeId(9), 0);
+        assert_eq!((delta.heartbeats.len(), delta.records.len()), (expected, 0), "{name}");
     }
 }
 
-/// Some nodes without versions that hear each other, stepped each 25 ms.
-struct Few {
+/// Some nodes without versions that exchange frames, stepped every 25 ms.
+struct GossipNet {
     nodes: Vec<Option<Node>>,
-    frames: Vec<(Micros, String, Vec<u8>)>,
-    bytes: usize,
+    /// Frames that are under way: the receiver's address and the bytes.
+    frames: Vec<(String, Vec<u8>)>,
+    sent_bytes: usize,
     now: Micros,
 }
 
-impl Few {
-    fn node(i: u64, incarnation: u64, now: Micros) -> Node {
-        Few::named(NodeId(i + 1), i, incarnation, now)
+impl GossipNet {
+    fn node(machine: u64, incarnation: u64, now: Micros) -> Node {
+        GossipNet::node_with_id(NodeId(machine + 1), machine, incarnation, now)
     }
 
-    fn named(node_id: NodeId, i: u64, incarnation: u64, now: Micros) -> Node {
-        let me = NodeSettings {
+    fn node_with_id(node_id: NodeId, machine: u64, incarnation: u64, now: Micros) -> Node {
+        let settings = NodeSettings {
             node_id,
             incarnation,
-            addr: format!("10.0.0.{i}:7000"),
+            addr: format!("10.0.0.{machine}:7000"),
             admin: String::new(),
-            zone: format!("z{}", i % 3),
+            zone: format!("z{}", machine % 3),
             seeds: vec!["10.0.0.0:7000".into()],
             is_core: false,
             config_reader: sumacvale_core::config::validate,
@@ -143,151 +147,161 @@
             report_interval: 500 * MS,
             reports_to_cores_only: false,
         };
-        Node::new(me, &DurableState::default(), i + 1, now)
+        Node::new(settings, &DurableState::default(), machine + 1, now)
     }
 
-    fn new(n: u64) -> Few {
-        let nodes = (0..n).map(|i| Some(Few::node(i, 1, SEC))).collect();
-        Few { nodes, frames: Vec::new(), bytes: 0, now: SEC }
+    fn new(size: u64) -> GossipNet {
+        let nodes = (0..size).map(|machine| Some(GossipNet::node(machine, 1, SEC))).collect();
+        GossipNet { nodes, frames: Vec::new(), sent_bytes: 0, now: SEC }
     }
 
-    fn run(&mut self, until: Micros, lost: impl Fn(usize) -> bool) {
-        let mut n = 0;
+    /// Runs until a moment; `is_lost` decides by its number whether a frame is lost.
+    fn run(&mut self, until: Micros, is_lost: impl Fn(usize) -> bool) {
+        let mut frame_number = 0;
         while self.now < until {
             self.now += 25 * MS;
-            let fs = std::mem::take(&mut self.frames);
-            let mut evs: Vec<(String, Event)> = Vec::new();
-            for (_, to, b) in fs {
-                n += 1;
-                if !lost(n) {
-                    evs.push((to, Event::Frame(Box::new(decode_frame(&b).expect("a frame")))));
+            let mut events: Vec<(String, Event)> = Vec::new();
+            for (to, bytes) in std::mem::take(&mut self.frames) {
+                frame_number += 1;
+                if !is_lost(frame_number) {
+                    events.push((to, Event::Frame(Box::new(decode_frame(&bytes).expect("a frame")))));
                 }
             }
-            for x in self.nodes.iter().flatten() {
-                evs.push((x.settings.addr.clone(), Event::Tick));
+            for node in self.nodes.iter().flatten() {
+                events.push((node.settings.addr.clone(), Event::Tick));
             }
-            for (to, e) in evs {
-                let Some(x) = self.nodes.iter_mut().flatten().find(|x| x.settings.addr == to) else { continue };
-                for e in x.step(e, self.now) {
-                    if let Effect::Send { to, frame } = e {
-                        let b = encode_frame(&frame).expect("a frame");
-                        self.bytes += b.len();
-                        self.frames.push((self.now, to, b));
-                    }
-                }
+            for (to, event) in events {
+                self.step(&to, event);
+            }
+        }
+    }
+
+    fn step(&mut self, address: &str, event: Event) {
+        let mut nodes = self.nodes.iter_mut().flatten();
+        let Some(node) = nodes.find(|node| node.settings.addr == address) else { return };
+        for effect in node.step(event, self.now) {
+            if let Effect::Send { to, frame } = effect {
+                let bytes = encode_frame(&frame).expect("a frame");
+                self.sent_bytes += bytes.len();
+                self.frames.push((to, bytes));
             }
         }
     }
 
-    fn agree(&self, name: &str, n: usize) {
-        for x in self.nodes.iter().flatten() {
-            let live: Vec<_> = x.dissemination.peers.live(self.now).map(|p| (p.node_id, p.incarnation)).collect();
-            assert_eq!(live.len(), n, "{name}, at {}: {:?} holds {live:?}", self.now, x.settings.node_id);
+    fn expect_live(&self, name: &str, count: usize) {
+        for node in self.nodes.iter().flatten() {
+            let live: Vec<_> =
+                node.dissemination.peers.live(self.now).map(|record| (record.node_id, record.incarnation)).collect();
+            assert_eq!(live.len(), count, "{name}, at {}: {:?} has {live:?}", self.now, node.settings.node_id);
         }
     }
 }
 
 #[test]
-fn all_know_who_lives_through_losses_ends_and_returns() {
-    for (name, pct) in [("no loss", 0), ("a tenth of the frames lost", 10), ("a third", 33)] {
-        let mut f = Few::new(12);
-        let lost = |n: usize| Rng::new(n as u64).chance(pct);
-        f.run(8 * SEC, lost);
-        f.agree(name, 12);
-        f.nodes[5] = None;
-        f.run(8 * SEC + 5 * SEC, lost);
-        f.agree(name, 11);
-        assert!(f.nodes.iter().flatten().all(|x| !x.dissemination.peers.is_alive(NodeId(6), f.now)), "{name}");
-        f.nodes[5] = Some(Few::node(5, 2, f.now));
-        f.run(f.now + 4 * SEC, lost);
-        f.agree(name, 12);
-        f.run(f.now + 20 * SEC, lost);
-        f.agree(name, 12);
+fn all_nodes_know_the_live_ones_through_frame_loss_failures_and_restarts() {
+    for (name, percent) in [("no loss", 0), ("a tenth of the frames lost", 10), ("a third", 33)] {
+        let mut net = GossipNet::new(12);
+        let lost = |frame_number: usize| Rng::new(frame_number as u64).chance(percent);
+        net.run(8 * SEC, lost);
+        net.expect_live(name, 12);
+        net.nodes[5] = None;
+        net.run(8 * SEC + 5 * SEC, lost);
+        net.expect_live(name, 11);
+        assert!(
+            net.nodes.iter().flatten().all(|node| !node.dissemination.peers.is_alive(NodeId(6), net.now)),
+            "{name}"
+        );
+        net.nodes[5] = Some(GossipNet::node(5, 2, net.now));
+        net.run(net.now + 4 * SEC, lost);
+        net.expect_live(name, 12);
+        net.run(net.now + 20 * SEC, lost);
+        net.expect_live(name, 12);
     }
 }
 
 /// A machine that comes back without its disk is another node at the same address.
 #[test]
-fn a_life_whose_address_a_newer_one_has_does_not_come_back() {
-    for (name, pct) in [("no loss", 0), ("a tenth of the frames lost", 10), ("a third", 33)] {
+fn a_node_whose_address_a_newer_one_has_does_not_come_back() {
+    for (name, percent) in [("no loss", 0), ("a tenth of the frames lost", 10), ("a third", 33)] {
         for down in [500 * MS, 1_500 * MS, 3 * SEC] {
-            let mut f = Few::new(12);
-            let lost = |n: usize| Rng::new(n as u64).chance(pct);
-            f.run(8 * SEC, lost);
-            f.nodes[5] = None;
-            f.run(8 * SEC + down, lost);
-            f.nodes[5] = Some(Few::named(NodeId(106), 5, 1, f.now));
-            let mut gone: BTreeSet<NodeId> = BTreeSet::new();
-            while f.now < 28 * SEC {
-                f.run(f.now + 100 * MS, lost);
-                for x in f.nodes.iter().flatten() {
-                    let known = x.dissemination.peers.entries.contains_key(&NodeId(6));
-                    if !x.dissemination.peers.is_alive(NodeId(6), f.now) && known {
-                        gone.insert(x.settings.node_id);
+            let mut net = GossipNet::new(12);
+            let lost = |frame_number: usize| Rng::new(frame_number as u64).chance(percent);
+            net.run(8 * SEC, lost);
+            net.nodes[5] = None;
+            net.run(8 * SEC + down, lost);
+            net.nodes[5] = Some(GossipNet::node_with_id(NodeId(106), 5, 1, net.now));
+            let mut failed_at: BTreeSet<NodeId> = BTreeSet::new();
+            while net.now < 28 * SEC {
+                net.run(net.now + 100 * MS, lost);
+                for node in net.nodes.iter().flatten() {
+                    let known = node.dissemination.peers.entries.contains_key(&NodeId(6));
+                    if !node.dissemination.peers.is_alive(NodeId(6), net.now) && known {
+                        failed_at.insert(node.settings.node_id);
                     }
-                    let back = gone.contains(&x.settings.node_id) && x.dissemination.peers.is_alive(NodeId(6), f.now);
-                    assert!(!back, "{name}, {down}: {:?} has it back at {}", x.settings.node_id, f.now);
+                    let is_back = failed_at.contains(&node.settings.node_id)
+                        && node.dissemination.peers.is_alive(NodeId(6), net.now);
+                    assert!(!is_back, "{name}, {down}: {:?} has it back at {}", node.settings.node_id, net.now);
                 }
             }
-            f.agree(name, 12);
+            net.expect_live(name, 12);
         }
     }
 }
 
 #[test]
-fn an_ended_life_is_news_only_if_it_spoke_since() {
-    for (name, p, want) in [
-        ("the beat that was known", peer(2, 1, 5, 0), false),
-        ("an older beat", peer(2, 1, 4, 0), false),
-        ("a version beside the beat that was known", peer(2, 1, 5, 9), false),
-        ("a newer beat", peer(2, 1, 6, 0), true),
-        ("a later life", peer(2, 2, 1, 0), true),
-        ("an earlier life", peer(2, 0, 9, 0), false),
+fn a_replaced_node_is_known_again_only_if_its_heartbeat_advanced() {
+    for (name, record, is_known_again) in [
+        ("the heartbeat that was known", peer(2, 1, 5, 0), false),
+        ("an older heartbeat", peer(2, 1, 4, 0), false),
+        ("a version with the heartbeat that was known", peer(2, 1, 5, 9), false),
+        ("a newer heartbeat", peer(2, 1, 6, 0), true),
+        ("a later incarnation", peer(2, 2, 1, 0), true),
+        ("an earlier incarnation", peer(2, 0, 9, 0), false),
     ] {
-        let mut r = ring(&[peer(2, 1, 5, 0)], 0);
-        let new = PeerRecord { node_id: NodeId(7), ..peer(2, 1, 1, 0) };
-        r.merge(&new, FAILURE_TIMEOUT);
-        r.expire(FAILURE_TIMEOUT);
-        assert!(!r.entries.contains_key(&NodeId(2)), "{name}: the newer life at its address ended it");
-        let mut s = r.clone();
-        assert_eq!(r.merge(&p, FAILURE_TIMEOUT), want, "{name}, told whole");
-        assert_eq!(r.is_alive(NodeId(2), FAILURE_TIMEOUT), want, "{name}, told whole");
-        let b = Heartbeat {
-            node_id: p.node_id,
-            incarnation: p.incarnation,
-            heartbeat: p.heartbeat,
-            version: p.version,
+        let mut table = peer_table(&[peer(2, 1, 5, 0)], 0);
+        let replacement = PeerRecord { node_id: NodeId(7), ..peer(2, 1, 1, 0) };
+        table.merge(&replacement, FAILURE_TIMEOUT);
+        table.expire(FAILURE_TIMEOUT);
+        assert!(!table.entries.contains_key(&NodeId(2)), "{name}: the newer node at its address replaced it");
+        let mut other_table = table.clone();
+        assert_eq!(table.merge(&record, FAILURE_TIMEOUT), is_known_again, "{name}, its record");
+        assert_eq!(table.is_alive(NodeId(2), FAILURE_TIMEOUT), is_known_again, "{name}, its record");
+        let heartbeat = Heartbeat {
+            node_id: record.node_id,
+            incarnation: record.incarnation,
+            heartbeat: record.heartbeat,
+            version: record.version,
             draining: false,
         };
-        // Who speaks again is asked for; what was known before is not asked for either.
-        assert_eq!(s.merge_heartbeat(&b, FAILURE_TIMEOUT), if want { None } else { Some(false) }, "{name}, its beat");
-        r.merge(&PeerRecord { heartbeat: 9, ..new.clone() }, 70 * SEC);
-        r.expire(70 * SEC);
-        assert!(r.merge(&p, 70 * SEC) || want, "{name}: after a minute nothing of it is kept");
+        // The record of a node that is back is requested; that of one that is not is not requested.
+        let outcome = if is_known_again { None } else { Some(false) };
+        assert_eq!(other_table.merge_heartbeat(&heartbeat, FAILURE_TIMEOUT), outcome, "{name}, its heartbeat");
+        table.merge(&PeerRecord { heartbeat: 9, ..replacement.clone() }, 70 * SEC);
+        table.expire(70 * SEC);
+        assert!(table.merge(&record, 70 * SEC) || is_known_again, "{name}: after a minute it is forgotten");
     }
 }
 
 #[test]
-fn settled_nodes_tell_beats_in_few_bytes() {
-    let mut f = Few::new(12);
-    f.run(10 * SEC, |_| false);
-    f.bytes = 0;
-    f.run(20 * SEC, |_| false);
-    // Each link carries a frame of some 40 bytes and two for each node, both ways.
-    let each = f.bytes / 12 / 10;
-    assert!(each < 2_200, "{each} bytes a second for each node");
-    let frame = |m| Frame { from: NodeId(1), to: NodeId(2), incarnation: 1, fleet_id: 1, sent_at: 1, message: m };
-    let gossip = |n: usize| {
-        let pulse = vec![200; n];
+fn gossip_among_settled_nodes_takes_few_bytes() {
+    let mut net = GossipNet::new(12);
+    net.run(10 * SEC, |_| false);
+    net.sent_bytes = 0;
+    net.run(20 * SEC, |_| false);
+    // Each link carries a frame of some 40 bytes and two bytes for each node, both ways.
+    let bytes_per_second = net.sent_bytes / 12 / 10;
+    assert!(bytes_per_second < 2_200, "{bytes_per_second} bytes a second for each node");
+    let frame = |message| Frame { from: NodeId(1), to: NodeId(2), incarnation: 1, fleet_id: 1, sent_at: 1, message };
+    let gossip = |count: usize| {
         frame(Message::Dissemination(DisseminationMessage::Gossip {
             heartbeats: Vec::new(),
             records: Vec::new(),
             unknown_nodes: Vec::new(),
             wants_reply: true,
             incarnation_set: 1,
-            compact_heartbeats: pulse,
+            compact_heartbeats: vec![200; count],
         }))
     };
-    let size = |n| encode_frame(&gossip(n)).expect("a frame").len();
-    assert_eq!(size(264) - size(200), 64, "bytes go as bytes");
+    let size = |count| encode_frame(&gossip(count)).expect("a frame").len();
+    assert_eq!(size(264) - size(200), 64, "bytes are encoded as bytes");
 }
--- a/crates/core/tests/workers.rs
+++ b/crates/core/tests/workers.rs
@@ -1,4 +1,5 @@
-//! What workers say: orders of words, addresses that pass on, and ends that every node knows in time.
+//! Reports of workers: their order, addresses that pass to another worker, and removals that every node
+//! knows in time.
 
 use std::collections::BTreeMap;
 use sumacvale_core::base::{ChangeId, MS, Micros, NodeId, SEC};
@@ -7,9 +8,9 @@
 use sumacvale_core::protocol::{Frame, LogEntry, UNNUMBERED_INCARNATION, Voter, WorkerReport};
 use sumacvale_core::workers::{REPORT_TIMEOUT, UnreachablePeriod, WorkerTable};
 
-fn row(w: &str, seq: u64) -> WorkerReport {
+fn report(worker_id: &str, seq: u64) -> WorkerReport {
     WorkerReport {
-        worker_id: w.into(),
+        worker_id: worker_id.into(),
         incarnation: 1,
         seq,
         addr: "10.0.0.1:80".into(),
@@ -20,461 +21,506 @@
     }
 }
 
-fn drain(w: &str, seq: u64) -> WorkerReport {
-    WorkerReport { draining: true, ..row(w, seq) }
+fn drain(worker_id: &str, seq: u64) -> WorkerReport {
+    WorkerReport { draining: true, ..report(worker_id, seq) }
 }
 
-fn gone(w: &str, seq: u64) -> WorkerReport {
-    WorkerReport { removed: true, ..row(w, seq) }
+fn leave(worker_id: &str, seq: u64) -> WorkerReport {
+    WorkerReport { removed: true, ..report(worker_id, seq) }
 }
 
-fn next(w: &str) -> WorkerReport {
-    WorkerReport { pool: "q".into(), ..row(w, 1) }
+/// A worker of another pool at the same address.
+fn successor(worker_id: &str) -> WorkerReport {
+    WorkerReport { pool: "q".into(), ..report(worker_id, 1) }
 }
 
-fn live(n: &WorkerTable, now: Micros) -> String {
-    n.live(now).map(|r| r.worker_id.clone()).collect::<Vec<_>>().join(" ")
+fn live(table: &WorkerTable, now: Micros) -> String {
+    table.live(now).map(|report| report.worker_id.clone()).collect::<Vec<_>>().join(" ")
 }
 
-type Words = Vec<(Micros, WorkerReport)>;
-type Deaf = &'static [(Micros, Micros)];
+type TimedReports = Vec<(Micros, WorkerReport)>;
+type Periods = &'static [(Micros, Micros)];
 
 #[test]
-fn words_count_in_their_order_and_an_end_is_final() {
-    let left = |w: &str| WorkerReport::removal(w, 1);
-    let other = WorkerReport { addr: "10.0.0.2:80".into(), ..row("b", 1) };
-    let cases: [(&str, Words, Micros, &str); 15] = [
-        ("a beat", vec![(0, row("a", 1))], SEC, "a"),
-        ("two workers", vec![(0, row("a", 1)), (0, other)], SEC, "a b"),
-        ("drains", vec![(0, row("a", 1)), (SEC, drain("a", 2))], SEC, ""),
-        ("a late beat after the drain", vec![(0, drain("a", 2)), (SEC, row("a", 1))], SEC, ""),
-        ("thinks anew", vec![(0, drain("a", 2)), (SEC, row("a", 3))], SEC, "a"),
-        ("left", vec![(0, row("a", 1)), (SEC, gone("a", 2))], SEC, ""),
-        ("a late beat after the leave", vec![(0, gone("a", 2)), (SEC, row("a", 1))], SEC, ""),
-        ("a later beat after the leave", vec![(0, gone("a", 2)), (SEC, row("a", 9))], SEC, ""),
-        ("a drain after the leave", vec![(0, gone("a", 2)), (SEC, drain("a", 9))], SEC, ""),
-        ("a bare leave ends all of the id", vec![(0, row("a", 7)), (SEC, left("a"))], SEC, ""),
-        ("a bare leave comes first", vec![(0, left("a")), (SEC, row("a", 7))], SEC, ""),
-        ("a new life", vec![(0, left("a")), (SEC, WorkerReport { incarnation: 2, ..row("a", 1) })], SEC, "a"),
-        ("the address passes on after a leave", vec![(0, gone("a", 2)), (SEC, next("b"))], SEC, "b"),
-        ("the address passes on in silence", vec![(0, row("a", 1)), (SEC, next("b"))], SEC, "b"),
-        ("the old one is told of late", vec![(SEC, next("b")), (0, row("a", 1))], SEC, "b"),
+fn reports_count_by_their_sequence_and_a_removal_is_final() {
+    let bare_leave = |worker_id: &str| WorkerReport::removal(worker_id, 1);
+    let other = WorkerReport { addr: "10.0.0.2:80".into(), ..report("b", 1) };
+    let cases: [(&str, TimedReports, Micros, &str); 15] = [
+        ("a report", vec![(0, report("a", 1))], SEC, "a"),
+        ("two workers", vec![(0, report("a", 1)), (0, other)], SEC, "a b"),
+        ("drains", vec![(0, report("a", 1)), (SEC, drain("a", 2))], SEC, ""),
+        ("a late report after the drain", vec![(0, drain("a", 2)), (SEC, report("a", 1))], SEC, ""),
+        ("no longer drains", vec![(0, drain("a", 2)), (SEC, report("a", 3))], SEC, "a"),
+        ("left", vec![(0, report("a", 1)), (SEC, leave("a", 2))], SEC, ""),
+        ("a late report after the leave", vec![(0, leave("a", 2)), (SEC, report("a", 1))], SEC, ""),
+        ("a later report after the leave", vec![(0, leave("a", 2)), (SEC, report("a", 9))], SEC, ""),
+        ("a drain after the leave", vec![(0, leave("a", 2)), (SEC, drain("a", 9))], SEC, ""),
+        ("a bare leave ends the incarnation", vec![(0, report("a", 7)), (SEC, bare_leave("a"))], SEC, ""),
+        ("a bare leave comes first", vec![(0, bare_leave("a")), (SEC, report("a", 7))], SEC, ""),
+        (
+            "a new incarnation",
+            vec![(0, bare_leave("a")), (SEC, WorkerReport { incarnation: 2, ..report("a", 1) })],
+            SEC,
+            "a",
+        ),
+        ("the address passes on after a leave", vec![(0, leave("a", 2)), (SEC, successor("b"))], SEC, "b"),
+        ("the address passes on in silence", vec![(0, report("a", 1)), (SEC, successor("b"))], SEC, "b"),
+        ("the old one is reported late", vec![(SEC, successor("b")), (0, report("a", 1))], SEC, "b"),
     ];
-    for (name, ws, at, want) in cases {
-        let mut n = WorkerTable::default();
-        for (t, r) in &ws {
-            n.merge(r, *t, at);
+    for (name, reports, now, expected) in cases {
+        let mut table = WorkerTable::default();
+        for (made_at, report) in &reports {
+            table.merge(report, *made_at, now);
         }
-        assert_eq!(live(&n, at), want, "{name}");
-        n.expire(at);
-        assert_eq!(live(&n, at), want, "{name}, swept");
-        if ws.iter().any(|w| w.1.removed) {
-            let told = n.changes_after(0, &["p".into(), "q".into()], at + 20 * SEC);
-            assert!(told.iter().any(|r| r.removed) || want == "a", "{name}: the leave is passed on for long");
-            n.expire(at + 60 * SEC);
-            assert!(n.entries.is_empty(), "{name}: and forgotten in the end");
+        assert_eq!(live(&table, now), expected, "{name}");
+        table.expire(now);
+        assert_eq!(live(&table, now), expected, "{name}, expired");
+        if reports.iter().any(|(_, report)| report.removed) {
+            let snapshot = table.changes_after(0, &["p".into(), "q".into()], now + 20 * SEC);
+            let has_leave = snapshot.iter().any(|report| report.removed);
+            assert!(has_leave || expected == "a", "{name}: the leave is sent on for long");
+            table.expire(now + 60 * SEC);
+            assert!(table.entries.is_empty(), "{name}: and forgotten in the end");
         }
     }
 }
 
 #[test]
-fn silence_follows_from_the_period_and_from_who_could_hear() {
-    let cases: [(&str, Micros, Deaf, Micros); 6] = [
-        ("as often as can be", 500 * MS, &[], REPORT_TIMEOUT),
+fn the_report_timeout_follows_from_the_interval_and_from_core_contact() {
+    let cases: [(&str, Micros, Periods, Micros); 6] = [
+        ("the shortest interval", 500 * MS, &[], REPORT_TIMEOUT),
         ("not set", 0, &[], REPORT_TIMEOUT),
-        ("two beats lost, each retried a second later", 1_200 * MS, &[], 4_300 * MS),
+        ("two reports lost, each retried a second later", 1_200 * MS, &[], 4_300 * MS),
         ("no core for two seconds", 1_200 * MS, &[(SEC, 3 * SEC)], 6_300 * MS),
-        ("no core, once before it was heard", 1_200 * MS, &[(0, 0)], 4_300 * MS),
+        ("no core, once before it reported", 1_200 * MS, &[(0, 0)], 4_300 * MS),
         ("twice", 1_200 * MS, &[(SEC, 2 * SEC), (4 * SEC, 5 * SEC)], 6_300 * MS),
     ];
-    for (name, beat, deaf, until) in cases {
-        let periods = deaf.iter().map(|(from, until)| UnreachablePeriod { from: *from, until: *until }).collect();
-        let mut n = WorkerTable { report_interval: beat, unreachable_periods: periods, ..WorkerTable::default() };
-        n.merge(&row("a", 1), 0, 0);
-        assert_eq!(live(&n, until - 1), "a", "{name}");
-        assert_eq!(live(&n, until), "", "{name}");
+    for (name, report_interval, unreachable, until) in cases {
+        let periods =
+            unreachable.iter().map(|(from, until)| UnreachablePeriod { from: *from, until: *until }).collect();
+        let mut table = WorkerTable { report_interval, unreachable_periods: periods, ..WorkerTable::default() };
+        table.merge(&report("a", 1), 0, 0);
+        assert_eq!(live(&table, until - 1), "a", "{name}");
+        assert_eq!(live(&table, until), "", "{name}");
     }
 }
 
-/// A few nodes with wires of a millisecond.
+/// A few nodes; a frame is under way for a millisecond.
 struct Net {
     now: Micros,
     nodes: Vec<Option<Node>>,
-    wires: BTreeMap<(Micros, u64), (usize, usize, Frame)>,
-    cut: Vec<usize>,
-    n: u64,
-    heard: Vec<(usize, u64, bool, Micros)>,
-    rows: Vec<Vec<String>>,
+    /// Frames that are under way, by when they arrive and their number.
+    frames: BTreeMap<(Micros, u64), FrameOnWire>,
+    /// Machines whose frames are all lost.
+    cut_off: Vec<usize>,
+    frame_number: u64,
+    acknowledgements: Vec<Acknowledgement>,
+    /// The workers that each machine may send requests to.
+    workers: Vec<Vec<String>>,
+}
+
+struct FrameOnWire {
+    from: usize,
+    to: usize,
+    frame: Frame,
+}
+
+#[derive(Clone, Copy)]
+struct Acknowledgement {
+    request_id: u64,
+    is_accepted: bool,
+    at: Micros,
 }
 
 const CORES: usize = 3;
-const ALL: usize = 9;
+const MACHINES: usize = 9;
 
-fn addr(i: usize) -> String {
-    format!("n{i}")
+fn addr(machine: usize) -> String {
+    format!("n{machine}")
 }
 
-fn kept() -> DurableState {
-    let cores = (0..CORES).map(|i| Voter { node_id: NodeId(i as u64 + 1), addr: addr(i) }).collect();
+fn core_disk() -> DurableState {
+    let voters = (0..CORES).map(|machine| Voter { node_id: NodeId(machine as u64 + 1), addr: addr(machine) }).collect();
     let body = "{\"pools\":{\"p\":{},\"q\":{}},\"matches\":{},\"tenants\":{}}".to_owned();
-    let d = LogEntry {
+    let entry = LogEntry {
         version: 0,
         change_id: ChangeId(1),
         fleet_id: 7,
         voters_since: 0,
         previous_voters: vec![],
-        voters: cores,
+        voters,
         body,
         revision: 0,
         patch: None,
         compressed: Vec::new(),
     };
-    let mut k = DurableState::default();
-    k.entries.insert(0, d);
-    k
+    let mut disk = DurableState::default();
+    disk.entries.insert(0, entry);
+    disk
 }
 
 impl Net {
     fn new() -> Self {
-        let mut n = Net {
+        let mut net = Net {
             now: SEC,
-            nodes: (0..ALL).map(|_| None).collect(),
-            wires: BTreeMap::new(),
-            cut: Vec::new(),
-            n: 0,
-            heard: Vec::new(),
-            rows: vec![Vec::new(); ALL],
+            nodes: (0..MACHINES).map(|_| None).collect(),
+            frames: BTreeMap::new(),
+            cut_off: Vec::new(),
+            frame_number: 0,
+            acknowledgements: Vec::new(),
+            workers: vec![Vec::new(); MACHINES],
         };
-        for i in 0..ALL {
-            n.start(i, i as u64 + 1);
+        for machine in 0..MACHINES {
+            net.start(machine, machine as u64 + 1);
         }
-        n.run(4 * SEC);
-        n
+        net.run(4 * SEC);
+        net
     }
 
-    fn start(&mut self, i: usize, node_id: u64) {
-        let me = NodeSettings {
+    fn start(&mut self, machine: usize, node_id: u64) {
+        let settings = NodeSettings {
             config_reader: sumacvale_core::config::validate,
             may_bootstrap: true,
             manages_voters: false,
             tolerated_losses: 1,
             node_id: NodeId(node_id),
             incarnation: self.now,
-            addr: addr(i),
+            addr: addr(machine),
             admin: String::new(),
-            zone: format!("z{}", i % 3),
+            zone: format!("z{}", machine % 3),
             seeds: (0..CORES).map(addr).collect(),
-            is_core: i < CORES,
+            is_core: machine < CORES,
             report_interval: 1_200 * MS,
             reports_to_cores_only: true,
         };
-        let k = if i < CORES { kept() } else { DurableState::default() };
-        self.nodes[i] = Some(Node::new(me, &k, node_id, self.now));
-        self.rows[i].clear();
+        let disk = if machine < CORES { core_disk() } else { DurableState::default() };
+        self.nodes[machine] = Some(Node::new(settings, &disk, node_id, self.now));
+        self.workers[machine].clear();
     }
 
-    fn step(&mut self, i: usize, e: Event) {
+    fn step(&mut self, machine: usize, event: Event) {
         let now = self.now;
-        let Some(n) = self.nodes[i].as_mut() else { return };
-        let es = n.step(e, now);
-        for e in es {
-            match e {
+        let Some(node) = self.nodes[machine].as_mut() else { return };
+        for effect in node.step(event, now) {
+            match effect {
                 Effect::Send { to, frame } => {
-                    let Some(j) = (0..ALL).find(|j| addr(*j) == to) else { continue };
-                    self.n += 1;
-                    self.wires.insert((now + MS, self.n), (i, j, *frame));
+                    let Some(to) = (0..MACHINES).find(|other| addr(*other) == to) else { continue };
+                    self.frame_number += 1;
+                    let on_wire = FrameOnWire { from: machine, to, frame: *frame };
+                    self.frames.insert((now + MS, self.frame_number), on_wire);
+                }
+                Effect::Write { token, .. } => self.step(machine, Event::Synced(token)),
+                Effect::AcknowledgeReport { request_id, is_accepted } => {
+                    self.acknowledgements.push(Acknowledgement { request_id, is_accepted, at: now });
+                }
+                Effect::Publish(view) => {
+                    self.workers[machine] = view.workers.iter().map(|report| report.worker_id.clone()).collect();
                 }
-                Effect::Write { token, .. } => self.step(i, Event::Synced(token)),
-                Effect::AcknowledgeReport { request_id: req, is_accepted: ok } => self.heard.push((i, req, ok, now)),
-                Effect::Publish(v) => self.rows[i] = v.workers.iter().map(|r| r.worker_id.clone()).collect(),
                 _ => {}
             }
         }
     }
 
-    fn run(&mut self, t: Micros) {
-        let end = self.now + t;
+    fn run(&mut self, span: Micros) {
+        let end = self.now + span;
         while self.now < end {
             self.now += MS;
-            while let Some(e) = self.wires.first_entry().filter(|e| e.key().0 <= self.now) {
-                let (i, j, f) = e.remove();
-                if !self.cut.contains(&i) && !self.cut.contains(&j) {
-                    self.step(j, Event::Frame(Box::new(f)));
+            while let Some(entry) = self.frames.first_entry().filter(|entry| entry.key().0 <= self.now) {
+                let FrameOnWire { from, to, frame } = entry.remove();
+                if !self.cut_off.contains(&from) && !self.cut_off.contains(&to) {
+                    self.step(to, Event::Frame(Box::new(frame)));
                 }
             }
             if self.now.is_multiple_of(25 * MS) {
-                for i in 0..ALL {
-                    self.step(i, Event::Tick);
+                for machine in 0..MACHINES {
+                    self.step(machine, Event::Tick);
                 }
             }
         }
     }
 
-    fn tell(&mut self, i: usize, req: u64, row: WorkerReport) {
-        self.step(i, Event::ReportWithAck { request_id: req, report: row });
+    fn report(&mut self, machine: usize, request_id: u64, report: WorkerReport) {
+        self.step(machine, Event::ReportWithAck { request_id, report });
+    }
+
+    /// Whether a report was accepted, and when it was answered.
+    fn answer(&self, request_id: u64) -> Option<(bool, Micros)> {
+        let answers = |acknowledgement: &&Acknowledgement| acknowledgement.request_id == request_id;
+        self.acknowledgements.iter().find(answers).map(|answer| (answer.is_accepted, answer.at))
     }
 
-    fn answer(&self, req: u64) -> Option<(bool, Micros)> {
-        self.heard.iter().find(|h| h.1 == req).map(|h| (h.2, h.3))
+    /// The fronts that may send requests to a worker.
+    fn fronts_using(&self, worker_id: &str) -> Vec<usize> {
+        (CORES..MACHINES).filter(|front| self.workers[*front].iter().any(|known| known == worker_id)).collect()
     }
 
-    /// Which fronts would send calls to it.
-    fn takers(&self, w: &str) -> Vec<usize> {
-        (CORES..ALL).filter(|i| self.rows[*i].iter().any(|r| r == w)).collect()
+    /// The fronts that run and may send requests to a worker.
+    fn running_fronts_using(&self, worker_id: &str) -> Vec<usize> {
+        self.fronts_using(worker_id).into_iter().filter(|front| self.nodes[*front].is_some()).collect()
     }
 
-    fn home(&self, core: usize) -> usize {
-        let n = self.nodes[core].as_ref().expect("it runs");
-        let h = n.dissemination.peers.home_nodes("p", "z1", self.now)[0];
-        (0..ALL).find(|i| self.nodes[*i].as_ref().is_some_and(|n| n.settings.node_id == h)).expect("a home")
+    /// The machine of the first home node of the pool in zone z1, as a core knows it.
+    fn home_node(&self, core: usize) -> usize {
+        let node = self.nodes[core].as_ref().expect("it runs");
+        let home = node.dissemination.peers.home_nodes("p", "z1", self.now)[0];
+        let is_home = |machine: &usize| self.nodes[*machine].as_ref().is_some_and(|node| node.settings.node_id == home);
+        (0..MACHINES).find(is_home).expect("a home node")
     }
 }
 
 #[test]
 fn a_new_worker_is_known_everywhere_soon() {
-    let mut n = Net::new();
-    n.tell(0, 1, row("a", 1));
-    assert_eq!(n.answer(1), Some((true, n.now)), "a beat is acknowledged at once");
-    n.run(150 * MS);
-    assert_eq!(n.takers("a").len(), ALL - CORES);
-    for k in 2..6 {
-        n.run(1_200 * MS);
-        n.tell(1, k, row("a", k));
+    let mut net = Net::new();
+    net.report(0, 1, report("a", 1));
+    assert_eq!(net.answer(1), Some((true, net.now)), "a report is acknowledged at once");
+    net.run(150 * MS);
+    assert_eq!(net.fronts_using("a").len(), MACHINES - CORES);
+    for seq in 2..6 {
+        net.run(1_200 * MS);
+        net.report(1, seq, report("a", seq));
     }
-    n.run(4_200 * MS);
-    assert_eq!(n.takers("a").len(), ALL - CORES, "two beats may be lost");
-    n.run(400 * MS);
-    assert_eq!(n.takers("a").len(), 0, "and no more");
+    net.run(4_200 * MS);
+    assert_eq!(net.fronts_using("a").len(), MACHINES - CORES, "two reports may be lost");
+    net.run(400 * MS);
+    assert_eq!(net.fronts_using("a").len(), 0, "and no more");
 }
 
 #[test]
-fn an_acknowledged_end_is_known_in_time_whoever_is_lost() {
-    type Lose = fn(&mut Net);
-    fn kill(n: &mut Net, i: usize) {
-        n.nodes[i] = None;
+fn an_acknowledged_removal_is_known_in_time_whichever_node_is_lost() {
+    type Fault = fn(&mut Net);
+    fn kill(net: &mut Net, machine: usize) {
+        net.nodes[machine] = None;
     }
-    let cases: [(&str, Lose, Lose, Micros); 8] = [
+    let cases: [(&str, Fault, Fault, Micros); 8] = [
         ("nothing is lost", |_| {}, |_| {}, 50 * MS),
-        ("the core dies", |_| {}, |n| kill(n, 0), 50 * MS),
-        ("the core is cut off", |_| {}, |n| n.cut.push(0), 50 * MS),
+        ("the core dies", |_| {}, |net| kill(net, 0), 50 * MS),
+        ("the core is cut off", |_| {}, |net| net.cut_off.push(0), 50 * MS),
         (
-            "the home dies with it",
+            "the home node dies with it",
             |_| {},
-            |n| {
-                let h = n.home(1);
-                kill(n, h);
-                kill(n, 0)
+            |net| {
+                let home = net.home_node(1);
+                kill(net, home);
+                kill(net, 0)
             },
             50 * MS,
         ),
         (
-            "a home was dead",
-            |n| {
-                let h = n.home(0);
-                kill(n, h)
+            "a home node was dead",
+            |net| {
+                let home = net.home_node(0);
+                kill(net, home)
             },
-            |n| kill(n, 0),
+            |net| kill(net, 0),
             700 * MS,
         ),
-        ("another core was dead", |n| kill(n, 1), |n| kill(n, 0), 700 * MS),
-        ("a front was dead", |n| kill(n, 5), |n| n.cut.push(0), 700 * MS),
+        ("another core was dead", |net| kill(net, 1), |net| kill(net, 0), 700 * MS),
+        ("a front was dead", |net| kill(net, 5), |net| net.cut_off.push(0), 700 * MS),
         // It could not be reached while the first core lived.
         (
-            "a front comes back in touch",
-            |n| n.cut.push(7),
-            |n| {
-                kill(n, 0);
-                n.cut.clear()
+            "a front comes back in contact",
+            |net| net.cut_off.push(7),
+            |net| {
+                kill(net, 0);
+                net.cut_off.clear()
             },
             700 * MS,
         ),
     ];
-    for (name, before, after, most) in cases {
-        for word in [drain("a", 2), gone("a", 2), WorkerReport::removal("a", 1)] {
-            let mut n = Net::new();
-            n.tell(0, 1, row("a", 1));
-            n.run(500 * MS);
-            assert_eq!(n.takers("a").len(), ALL - CORES, "{name}");
-            before(&mut n);
-            let at = n.now;
-            n.tell(0, 2, word);
-            while n.answer(2).is_none() && n.now < at + 2 * SEC {
-                n.run(MS);
+    for (name, before, after, deadline) in cases {
+        for removal in [drain("a", 2), leave("a", 2), WorkerReport::removal("a", 1)] {
+            let mut net = Net::new();
+            net.report(0, 1, report("a", 1));
+            net.run(500 * MS);
+            assert_eq!(net.fronts_using("a").len(), MACHINES - CORES, "{name}");
+            before(&mut net);
+            let reported_at = net.now;
+            net.report(0, 2, removal);
+            while net.answer(2).is_none() && net.now < reported_at + 2 * SEC {
+                net.run(MS);
             }
-            let (ok, t) = n.answer(2).unwrap_or_else(|| panic!("{name}: no answer"));
-            assert!(ok && t - at <= most, "{name}: {ok} after {}", t - at);
-            after(&mut n);
-            n.run(1_500 * MS);
-            let left: Vec<_> = n.takers("a").into_iter().filter(|i| n.nodes[*i].is_some()).collect();
-            assert!(left.is_empty(), "{name}: {left:?} still send to it");
-            n.tell(2, 3, row("a", 1));
-            n.run(500 * MS);
-            let left: Vec<_> = n.takers("a").into_iter().filter(|i| n.nodes[*i].is_some()).collect();
-            assert!(left.is_empty(), "{name}: a late beat revives it at {left:?}");
-            n.run(12 * SEC);
-            let open = n.nodes.iter().flatten().filter(|n| !n.dissemination.workers.removals.is_empty()).count();
-            assert_eq!(open, 0, "{name}: nothing is spread for ever");
+            let (is_accepted, answered_at) = net.answer(2).unwrap_or_else(|| panic!("{name}: no answer"));
+            let waited = answered_at - reported_at;
+            assert!(is_accepted && waited <= deadline, "{name}: {is_accepted} after {waited}");
+            after(&mut net);
+            net.run(1_500 * MS);
+            let remaining = net.running_fronts_using("a");
+            assert!(remaining.is_empty(), "{name}: {remaining:?} still send to it");
+            net.report(2, 3, report("a", 1));
+            net.run(500 * MS);
+            let remaining = net.running_fronts_using("a");
+            assert!(remaining.is_empty(), "{name}: a late report revives it at {remaining:?}");
+            net.run(12 * SEC);
+            let is_spreading = |node: &&Node| !node.dissemination.workers.removals.is_empty();
+            let spreading = net.nodes.iter().flatten().filter(is_spreading).count();
+            assert_eq!(spreading, 0, "{name}: nothing is spread for ever");
         }
     }
 }
 
 #[test]
-fn nothing_is_acknowledged_that_no_other_core_knows() {
-    let mut n = Net::new();
-    n.tell(0, 1, row("a", 1));
-    n.run(500 * MS);
-    n.cut.push(0);
-    n.tell(0, 2, drain("a", 2));
-    n.run(950 * MS);
-    assert_eq!(n.answer(2).map(|a| a.0), Some(false), "within a second it is sent elsewhere");
-    n.tell(1, 3, drain("a", 2));
-    n.run(700 * MS);
-    assert_eq!(n.answer(3).map(|a| a.0), Some(true));
-    assert_eq!(n.takers("a").len(), 0);
-    n.run(4 * SEC);
-    n.tell(0, 4, row("b", 1));
-    assert_eq!(n.answer(4).map(|a| a.0), Some(false), "a core that is alone takes no beats");
+fn no_removal_is_acknowledged_that_no_other_core_knows() {
+    let mut net = Net::new();
+    net.report(0, 1, report("a", 1));
+    net.run(500 * MS);
+    net.cut_off.push(0);
+    net.report(0, 2, drain("a", 2));
+    net.run(950 * MS);
+    assert_eq!(net.answer(2).map(|answer| answer.0), Some(false), "within a second the worker is redirected");
+    net.report(1, 3, drain("a", 2));
+    net.run(700 * MS);
+    assert_eq!(net.answer(3).map(|answer| answer.0), Some(true));
+    assert_eq!(net.fronts_using("a").len(), 0);
+    net.run(4 * SEC);
+    net.report(0, 4, report("b", 1));
+    assert_eq!(net.answer(4).map(|answer| answer.0), Some(false), "a core that is cut off accepts no reports");
 }
 
 #[test]
-fn a_drain_told_again_costs_nothing_more() {
-    let mut n = Net::new();
-    n.tell(0, 1, drain("a", 1));
-    n.run(100 * MS);
-    let ends = |n: &Net| n.nodes.iter().flatten().map(|n| n.counters.removals_started).sum::<u64>();
-    let was = ends(&n);
-    for k in 2..6 {
-        n.tell(usize::try_from(k).unwrap_or(0) % 3, k, drain("a", k));
-        assert_eq!(n.answer(k), Some((true, n.now)));
-        n.run(100 * MS);
+fn a_drain_reported_again_is_not_spread_again() {
+    let mut net = Net::new();
+    net.report(0, 1, drain("a", 1));
+    net.run(100 * MS);
+    let started = |net: &Net| net.nodes.iter().flatten().map(|node| node.counters.removals_started).sum::<u64>();
+    let before = started(&net);
+    for seq in 2..6 {
+        net.report(usize::try_from(seq).unwrap_or(0) % 3, seq, drain("a", seq));
+        assert_eq!(net.answer(seq), Some((true, net.now)));
+        net.run(100 * MS);
     }
-    assert_eq!(ends(&n), was);
+    assert_eq!(started(&net), before);
 }
 
 #[test]
-fn all_cores_gone_for_a_while_take_no_worker_out() {
-    let mut n = Net::new();
-    n.tell(0, 1, row("a", 1));
-    n.run(SEC);
-    for i in 0..CORES {
-        n.nodes[i] = None;
+fn no_worker_times_out_while_all_cores_are_down() {
+    let mut net = Net::new();
+    net.report(0, 1, report("a", 1));
+    net.run(SEC);
+    for core in 0..CORES {
+        net.nodes[core] = None;
     }
-    n.run(4 * SEC);
-    for i in 0..CORES {
-        n.start(i, i as u64 + 1);
+    net.run(4 * SEC);
+    for core in 0..CORES {
+        net.start(core, core as u64 + 1);
     }
     for _ in 0..10 {
-        n.run(200 * MS);
-        assert_eq!(n.takers("a").len(), ALL - CORES);
+        net.run(200 * MS);
+        assert_eq!(net.fronts_using("a").len(), MACHINES - CORES);
     }
-    n.tell(0, 2, row("a", 2));
-    n.run(SEC);
-    assert_eq!(n.takers("a").len(), ALL - CORES);
-    n.run(5 * SEC);
-    assert_eq!(n.takers("a").len(), 0, "once they are back its silence counts");
+    net.report(0, 2, report("a", 2));
+    net.run(SEC);
+    assert_eq!(net.fronts_using("a").len(), MACHINES - CORES);
+    net.run(5 * SEC);
+    assert_eq!(net.fronts_using("a").len(), 0, "once cores are back its silence counts");
 }
 
 #[test]
-fn a_front_that_starts_among_others_knows_all_workers_soon() {
-    let mut n = Net::new();
-    n.tell(0, 1, row("a", 1));
-    n.run(SEC);
-    n.start(4, 77);
-    let at = n.now;
-    let whole = |n: &Net| n.nodes[4].as_ref().and_then(|n| n.dissemination.workers.complete_at);
-    while whole(&n).is_none() && n.now < at + 5 * SEC {
-        n.run(25 * MS);
+fn a_front_that_joins_knows_all_workers_soon() {
+    let mut net = Net::new();
+    net.report(0, 1, report("a", 1));
+    net.run(SEC);
+    net.start(4, 77);
+    let started_at = net.now;
+    let complete_at = |net: &Net| net.nodes[4].as_ref().and_then(|node| node.dissemination.workers.complete_at);
+    while complete_at(&net).is_none() && net.now < started_at + 5 * SEC {
+        net.run(25 * MS);
     }
-    let t = whole(&n).map(|t| t - at);
-    assert!(t.is_some_and(|t| t < 1_500 * MS), "{t:?}");
-    n.run(25 * MS);
-    assert!(n.takers("a").contains(&4));
+    let waited = complete_at(&net).map(|complete_at| complete_at - started_at);
+    assert!(waited.is_some_and(|waited| waited < 1_500 * MS), "{waited:?}");
+    net.run(25 * MS);
+    assert!(net.fronts_using("a").contains(&4));
 }
 
-fn unnumbered(w: &str, seq: u64) -> WorkerReport {
-    WorkerReport { incarnation: UNNUMBERED_INCARNATION, ..row(w, seq) }
+fn unnumbered(worker_id: &str, seq: u64) -> WorkerReport {
+    WorkerReport { incarnation: UNNUMBERED_INCARNATION, ..report(worker_id, seq) }
 }
 
-fn elsewhere(w: &str, seq: u64) -> WorkerReport {
-    WorkerReport { addr: "10.0.0.7:80".into(), ..unnumbered(w, seq) }
+fn unnumbered_elsewhere(worker_id: &str, seq: u64) -> WorkerReport {
+    WorkerReport { addr: "10.0.0.7:80".into(), ..unnumbered(worker_id, seq) }
 }
 
-/// An id that reappears with a lower counter is another life once the one that was known is
-/// silent; a life that ended by its own word stays ended until it is forgotten.
+/// An id that reappears with a lower sequence number is another incarnation once the known one is silent;
+/// an incarnation that drained or left by its own report stays out of service until it is forgotten.
 #[test]
-fn an_id_whose_counter_begins_anew_is_another_life() {
-    type Word = fn(&str, u64) -> WorkerReport;
-    let bare: Word = |w, _| WorkerReport::removal(w, UNNUMBERED_INCARNATION);
-    let ends: Word = |w, n| WorkerReport { draining: true, ..unnumbered(w, n) };
-    // What was said last at 50; how long after it the id begins anew, where and with which
-    // number; whether that is acknowledged, and whether it takes calls.
-    let cases: [(&str, Word, Micros, Word, u64, bool); 11] = [
+fn an_id_whose_sequence_starts_over_is_another_incarnation() {
+    type MakeReport = fn(&str, u64) -> WorkerReport;
+    let bare_leave: MakeReport = |worker_id, _| WorkerReport::removal(worker_id, UNNUMBERED_INCARNATION);
+    let drains: MakeReport = |worker_id, seq| WorkerReport { draining: true, ..unnumbered(worker_id, seq) };
+    // The last report, with number 50; how long after it the id starts over, where and with which number;
+    // whether that is accepted, and the worker is sent requests.
+    let cases: [(&str, MakeReport, Micros, MakeReport, u64, bool); 11] = [
         ("at once, at the same address", unnumbered, 200 * MS, unnumbered, 1, false),
-        ("at once, elsewhere", unnumbered, 200 * MS, elsewhere, 1, false),
+        ("at once, elsewhere", unnumbered, 200 * MS, unnumbered_elsewhere, 1, false),
         ("after the silence", unnumbered, 5 * SEC, unnumbered, 1, true),
-        ("after the silence, elsewhere", unnumbered, 5 * SEC, elsewhere, 1, true),
+        ("after the silence, elsewhere", unnumbered, 5 * SEC, unnumbered_elsewhere, 1, true),
         ("with a number that goes on", unnumbered, 200 * MS, unnumbered, 51, true),
         ("the same number again", unnumbered, 200 * MS, unnumbered, 50, true),
-        ("after a drain, too soon", ends, 6 * SEC, unnumbered, 1, false),
-        ("after a drain, forgotten", ends, 33 * SEC, unnumbered, 1, true),
-        ("after it left, too soon", bare, 6 * SEC, unnumbered, 1, false),
-        ("after it left, with a higher number", bare, 6 * SEC, unnumbered, 90, false),
-        ("after it left, forgotten", bare, 33 * SEC, elsewhere, 1, true),
+        ("after a drain, too soon", drains, 6 * SEC, unnumbered, 1, false),
+        ("after a drain, forgotten", drains, 33 * SEC, unnumbered, 1, true),
+        ("after it left, too soon", bare_leave, 6 * SEC, unnumbered, 1, false),
+        ("after it left, with a higher number", bare_leave, 6 * SEC, unnumbered, 90, false),
+        ("after it left, forgotten", bare_leave, 33 * SEC, unnumbered_elsewhere, 1, true),
     ];
-    for (name, last, pause, first, number, counts) in cases {
-        let mut n = Net::new();
-        n.tell(0, 1, unnumbered("a", 49));
-        n.run(300 * MS);
-        n.tell(1, 2, last("a", 50));
-        n.run(pause);
-        // At the core that was told last, and at another one.
-        for (at, req) in [(1, 10), (2, 11)] {
-            n.tell(at, req, first("a", number + req - 10));
-            n.run(900 * MS);
-            assert_eq!(n.answer(req).map(|a| a.0), Some(counts), "{name}, told at {at}");
+    for (name, last_report, pause, first_report, seq, is_accepted) in cases {
+        let mut net = Net::new();
+        net.report(0, 1, unnumbered("a", 49));
+        net.run(300 * MS);
+        net.report(1, 2, last_report("a", 50));
+        net.run(pause);
+        // At the core that received the last report, and at another one.
+        for (core, request_id) in [(1, 10), (2, 11)] {
+            net.report(core, request_id, first_report("a", seq + request_id - 10));
+            net.run(900 * MS);
+            let answer = net.answer(request_id).map(|answer| answer.0);
+            assert_eq!(answer, Some(is_accepted), "{name}, reported to {core}");
         }
-        let want = if counts { ALL - CORES } else { 0 };
-        let was = name.starts_with("at once");
-        assert!(was || n.takers("a").len() == want, "{name}: {:?} send to it", n.takers("a"));
-        if !counts {
+        let expected = if is_accepted { MACHINES - CORES } else { 0 };
+        let is_known_still = name.starts_with("at once");
+        let fronts = net.fronts_using("a");
+        assert!(is_known_still || fronts.len() == expected, "{name}: {fronts:?} send to it");
+        if !is_accepted {
             continue;
         }
-        // It goes on as any other does: it drains, and its end is final.
-        n.tell(0, 20, ends("a", number + 5));
-        n.run(700 * MS);
-        assert_eq!(n.answer(20).map(|a| a.0), Some(true), "{name}");
-        assert_eq!(n.takers("a").len(), 0, "{name}: it drains");
-        n.tell(2, 21, bare("a", 0));
-        n.run(700 * MS);
-        n.tell(1, 22, unnumbered("a", number + 6));
-        n.run(700 * MS);
-        assert_eq!(n.answer(22).map(|a| a.0), Some(false), "{name}: a late beat of a life that left");
-        assert_eq!(n.takers("a").len(), 0, "{name}: it left");
+        // It goes on as any other does: it drains, and its removal is final.
+        net.report(0, 20, drains("a", seq + 5));
+        net.run(700 * MS);
+        assert_eq!(net.answer(20).map(|answer| answer.0), Some(true), "{name}");
+        assert_eq!(net.fronts_using("a").len(), 0, "{name}: it drains");
+        net.report(2, 21, bare_leave("a", 0));
+        net.run(700 * MS);
+        net.report(1, 22, unnumbered("a", seq + 6));
+        net.run(700 * MS);
+        assert_eq!(
+            net.answer(22).map(|answer| answer.0),
+            Some(false),
+            "{name}: a late report of an incarnation that left"
+        );
+        assert_eq!(net.fronts_using("a").len(), 0, "{name}: it left");
     }
 }
 
-/// A quick start under the same id is known once the silence of the former life is over.
+/// A quick restart under the same id is known once the former incarnation has timed out.
 #[test]
-fn a_worker_that_starts_anew_under_its_id_is_back_soon() {
-    for first in [unnumbered, elsewhere] {
-        let mut n = Net::new();
-        n.tell(0, 1, unnumbered("a", 500));
-        n.run(500 * MS);
-        let at = n.now;
-        let back = |n: &Net| {
-            n.nodes[5]
-                .as_ref()
-                .is_some_and(|x| x.dissemination.workers.entries.get("a").is_some_and(|e| e.report.seq < 100))
+fn a_worker_that_restarts_under_its_id_is_back_soon() {
+    for first_report in [unnumbered, unnumbered_elsewhere] {
+        let mut net = Net::new();
+        net.report(0, 1, unnumbered("a", 500));
+        net.run(500 * MS);
+        let restarted_at = net.now;
+        let is_back = |net: &Net| {
+            let front = net.nodes[5].as_ref();
+            let known = front.and_then(|node| node.dissemination.workers.entries.get("a"));
+            known.is_some_and(|entry| entry.report.seq < 100)
         };
-        for k in 1..9 {
-            n.tell(usize::try_from(k % 3).unwrap_or(0), 10 + k, first("a", k));
-            n.run(1_200 * MS);
-            if back(&n) {
+        for seq in 1..9 {
+            net.report(usize::try_from(seq % 3).unwrap_or(0), 10 + seq, first_report("a", seq));
+            net.run(1_200 * MS);
+            if is_back(&net) {
                 break;
             }
         }
-        let t = n.now - at;
-        assert!(back(&n) && t <= 6 * SEC, "after {} ms", t / MS);
-        assert_eq!(n.takers("a").len(), ALL - CORES);
+        let waited = net.now - restarted_at;
+        assert!(is_back(&net) && waited <= 6 * SEC, "after {} ms", waited / MS);
+        assert_eq!(net.fronts_using("a").len(), MACHINES - CORES);
     }
 }
