--- a/crates/core/src/consensus/digest_log.rs
+++ b/crates/core/src/consensus/digest_log.rs
@@ -1,37 +1,42 @@
-//! The digests of decided versions: what lets a core answer an order that was taken long ago.
+//! The log of digests of decided versions: it answers for a change long after its body was dropped.
+//!
+//! A change is identified by its identifier and its content, so a retry of a decided change is recognized
+//! for as long as the digest is kept. Where digests are missing, nothing is concluded.
 
 use crate::base::{ChangeId, Version};
 use crate::protocol::{Change, EntryDigest};
 use std::collections::BTreeSet;
 
-/// How many versions are remembered by their digest: more than a day of 15,000 changes.
+/// How many versions are kept as digests: more than a day of 15,000 changes.
 pub const MAX_DIGESTS: usize = 20_000;
 
-/// Digests in the order of their versions; versions may be missing anywhere.
+/// Digests in the order of their versions; any version may be missing.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DigestLog {
+    /// Invariant: sorted by version without duplicates, none below [`DigestLog::lowest_kept_version`].
     digests: Vec<EntryDigest>,
+    /// The change identifiers and versions of `digests`, to look up a change by its identifier.
     by_change: BTreeSet<(ChangeId, Version)>,
 }
 
-/// What the digests say of a change.
+/// What the digests show of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeStatus {
     /// It became this version.
     Decided(Version),
-    /// Its id stands for another change.
+    /// Its identifier belongs to another change.
     IdReused,
-    /// No digest that is held bears its id.
+    /// No digest that is kept has its identifier.
     Unknown,
 }
 
 impl DigestLog {
-    /// How many digests are held.
+    /// How many digests are kept.
     pub fn len(&self) -> usize {
         self.digests.len()
     }
 
-    /// Whether none is held.
+    /// Whether no digest is kept.
     pub fn is_empty(&self) -> bool {
         self.digests.is_empty()
     }
@@ -41,95 +46,97 @@
         &self.digests
     }
 
-    /// The digest of a version, where it is held.
+    /// The digest of a version, if it is kept.
     pub fn get(&self, version: Version) -> Option<&EntryDigest> {
-        let at = self.digests.binary_search_by_key(&version, |d| d.version).ok()?;
-        self.digests.get(at)
+        let index = self.digests.binary_search_by_key(&version, |digest| digest.version).ok()?;
+        self.digests.get(index)
     }
 
-    /// Takes digests in; what is held already stays. Says which were new.
-    pub fn insert_all(&mut self, more: impl IntoIterator<Item = EntryDigest>) -> Vec<EntryDigest> {
-        let floor = self.lowest_kept_version();
-        let fresh: Vec<_> = more.into_iter().filter(|d| d.version >= floor && self.get(d.version).is_none()).collect();
-        let last = self.digests.last().map(|d| d.version);
-        let sorted = fresh.is_sorted_by(|a, b| a.version < b.version);
-        let appends = sorted && fresh.first().is_none_or(|d| last.is_none_or(|v| v < d.version));
-        self.digests.extend(&fresh);
-        if !appends {
-            self.digests.sort_by_key(|d| d.version);
-            self.digests.dedup_by_key(|d| d.version);
+    /// Inserts the digests of versions that are neither kept already nor too old, and returns these.
+    pub fn insert_all(&mut self, digests: impl IntoIterator<Item = EntryDigest>) -> Vec<EntryDigest> {
+        let lowest = self.lowest_kept_version();
+        let is_new = |digest: &EntryDigest| digest.version >= lowest && self.get(digest.version).is_none();
+        let inserted: Vec<_> = digests.into_iter().filter(is_new).collect();
+        let last = self.digests.last().map(|digest| digest.version);
+        let is_sorted = inserted.is_sorted_by(|left, right| left.version < right.version);
+        let is_appended =
+            is_sorted && inserted.first().is_none_or(|first| last.is_none_or(|last| last < first.version));
+        self.digests.extend(&inserted);
+        if !is_appended {
+            self.digests.sort_by_key(|digest| digest.version);
+            self.digests.dedup_by_key(|digest| digest.version);
         }
-        self.by_change.extend(fresh.iter().map(|d| (d.change_id, d.version)));
+        self.by_change.extend(inserted.iter().map(|digest| (digest.change_id, digest.version)));
         self.trim();
-        fresh
+        inserted
     }
 
-    /// The lowest version that is remembered, given the newest.
+    /// The lowest version that is kept, given the newest one.
     pub fn lowest_kept_version(&self) -> Version {
-        let newest = self.digests.last().map_or(0, |d| d.version);
+        let newest = self.digests.last().map_or(0, |digest| digest.version);
         (newest + 1).saturating_sub(MAX_DIGESTS as u64)
     }
 
     fn trim(&mut self) {
-        let floor = self.lowest_kept_version();
-        let old = self.digests.partition_point(|d| d.version < floor);
-        for d in self.digests.drain(..old) {
-            self.by_change.remove(&(d.change_id, d.version));
+        let lowest = self.lowest_kept_version();
+        let expired = self.digests.partition_point(|digest| digest.version < lowest);
+        for digest in self.digests.drain(..expired) {
+            self.by_change.remove(&(digest.change_id, digest.version));
         }
     }
 
-    /// What became of the change with this id.
+    /// The status of the change with this identifier and content.
     pub fn status_of(&self, change_id: ChangeId, change: &Change) -> ChangeStatus {
-        let mut known = ChangeStatus::Unknown;
-        for d in self.with_id(change_id) {
-            if d.matches(change) {
-                return ChangeStatus::Decided(d.version);
+        let mut status = ChangeStatus::Unknown;
+        for digest in self.with_id(change_id) {
+            if digest.matches(change) {
+                return ChangeStatus::Decided(digest.version);
             }
-            known = ChangeStatus::IdReused;
+            status = ChangeStatus::IdReused;
         }
-        known
+        status
     }
 
-    /// The versions that a change with this id became.
+    /// The versions that changes with this identifier became, the lowest first.
     pub fn with_id(&self, change_id: ChangeId) -> impl Iterator<Item = &EntryDigest> {
-        let all = self.by_change.range((change_id, 1)..=(change_id, Version::MAX));
-        all.filter_map(|(_, version)| self.get(*version))
+        let versions = self.by_change.range((change_id, 1)..=(change_id, Version::MAX));
+        versions.filter_map(|(_, version)| self.get(*version))
     }
 
-    /// The version that was decided right on top of version `base`, if it is held.
+    /// The version that was decided directly on top of version `base`, if it is kept.
     pub fn after_version(&self, base: Version) -> Option<&EntryDigest> {
         self.get(base.checked_add(1)?)
     }
 
-    /// The version that ended the time of the document with number `base`. None where the
-    /// versions round that moment are not all held: then nothing can be said.
+    /// The version that replaced the document with revision `base`. None where the versions around the
+    /// replacement are not all kept: nothing can be concluded then.
     pub fn after_revision(&self, base: u64) -> Option<&EntryDigest> {
-        let at = self.digests.partition_point(|d| d.revision <= base);
-        let next = self.digests.get(at)?;
-        let before = self.digests.get(at.checked_sub(1)?)?;
-        (before.version + 1 == next.version).then_some(next)
+        let index = self.digests.partition_point(|digest| digest.revision <= base);
+        let next = self.digests.get(index)?;
+        let previous = self.digests.get(index.checked_sub(1)?)?;
+        (previous.version + 1 == next.version).then_some(next)
     }
 
-    /// The highest run of versions below the newest that is missing here.
+    /// The highest range of versions below the newest that are missing here, as its first and last version.
     pub fn newest_gap(&self) -> Option<(Version, Version)> {
-        let floor = self.lowest_kept_version();
+        let lowest = self.lowest_kept_version();
         let newest = self.digests.last()?.version;
-        if self.digests.len() as u64 == newest + 1 - floor {
+        if self.digests.len() as u64 == newest + 1 - lowest {
             return None;
         }
-        let gap = self.digests.windows(2).rev().find(|w| w[0].version + 1 < w[1].version);
-        if let Some(w) = gap {
-            return Some((w[0].version + 1, w[1].version - 1));
+        let gap = self.digests.windows(2).rev().find(|pair| pair[0].version + 1 < pair[1].version);
+        if let Some(pair) = gap {
+            return Some((pair[0].version + 1, pair[1].version - 1));
         }
         let first = self.digests.first()?.version;
-        (first > floor).then(|| (floor, first - 1))
+        (first > lowest).then(|| (lowest, first - 1))
     }
 
-    /// Up to `most` digests of the versions `from` to `to`, the newest of them.
-    pub fn chunk(&self, from: Version, to: Version, most: usize) -> Vec<EntryDigest> {
-        let end = self.digests.partition_point(|d| d.version <= to);
-        let start = self.digests.partition_point(|d| d.version < from);
-        let start = start.max(end.saturating_sub(most));
+    /// The newest digests of the versions `from` to `to`, at most `max_digests` of them.
+    pub fn chunk(&self, from: Version, to: Version, max_digests: usize) -> Vec<EntryDigest> {
+        let end = self.digests.partition_point(|digest| digest.version <= to);
+        let start = self.digests.partition_point(|digest| digest.version < from);
+        let start = start.max(end.saturating_sub(max_digests));
         self.digests.get(start..end).unwrap_or_default().to_vec()
     }
 }
--- a/crates/core/src/consensus/durable.rs
+++ b/crates/core/src/consensus/durable.rs
@@ -1,91 +1,120 @@
-//! Writes of a core, and what its disk holds after them.
+//! Durable writes of a core, and the state that its disk holds after them.
 
 use super::{DigestLog, trim_history};
 use crate::base::{Incarnation, NodeId, Version};
 use crate::protocol::{Ballot, EntryDigest, LogEntry, RegisteredIncarnation, Voter, WindowGrant};
 use std::collections::BTreeMap;
 
-/// One thing that must be on disk before anyone hears of it.
+/// A write that must be synced to disk before any message that depends on it is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DurableWrite {
+    /// The set of first voters that this core votes for when a fleet is founded.
     BootstrapVote(Vec<Voter>),
+    /// A promise to answer no ballot below this one.
     Promise {
+        /// The version that the ballot is for.
         instance: Version,
+        /// The promised ballot.
         ballot: Ballot,
     },
+    /// The acceptance of an entry.
     Accept {
+        /// The ballot that the entry was accepted with.
         ballot: Ballot,
+        /// The accepted entry.
         entry: LogEntry,
     },
+    /// A decided entry.
     Commit(LogEntry),
-    /// Versions that were decided and whose bodies aren't kept here.
+    /// Digests of decided versions whose bodies are not kept here.
     Digests(Vec<EntryDigest>),
+    /// The epoch that was granted last for a role.
     Epoch {
+        /// The role.
         role: u32,
+        /// The epoch of its lease.
         epoch: u64,
     },
+    /// A share of a window of a tenant's quota that was granted to a node.
     Grant(WindowGrant),
+    /// The set of voters, named by its version, whose grants this core has taken over.
     Ready(Version),
+    /// Incarnations of nodes that may hold shares of rates from now on.
     Register(Vec<RegisteredIncarnation>),
+    /// Incarnations of nodes that hold no shares of rates any more.
     Deregister(Vec<(NodeId, Incarnation)>),
 }
 
 impl DurableWrite {
-    /// About how many bytes it holds in memory until it is synced.
+    /// About how many bytes the write holds in memory until it is synced.
     pub fn size(&self) -> usize {
         match self {
-            DurableWrite::Accept { entry: decree, .. } | DurableWrite::Commit(decree) => decree.body.len(),
-            DurableWrite::Digests(rows) => rows.len() * std::mem::size_of::<EntryDigest>(),
+            DurableWrite::Accept { entry, .. } | DurableWrite::Commit(entry) => entry.body.len(),
+            DurableWrite::Digests(digests) => digests.len() * std::mem::size_of::<EntryDigest>(),
             _ => 0,
         }
     }
 }
 
-/// All that a core finds on its disk when it starts.
+/// All that a core reads from its disk when it starts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DurableState {
+    /// The identifier of the node that owns the data.
     pub node_id: NodeId,
+    /// The set of first voters that this core voted for; empty if it voted for none.
     pub bootstrap_vote: Vec<Voter>,
+    /// The newest decided entries, within the bounds of the history.
     pub entries: BTreeMap<Version, LogEntry>,
+    /// Digests of decided versions.
     pub digests: DigestLog,
+    /// The instance and ballot of the last promise.
     pub promised: Option<(Version, Ballot)>,
+    /// The entry that was accepted last, and its ballot.
     pub accepted: Option<(Ballot, LogEntry)>,
+    /// The epoch that was granted last, by role.
     pub epochs: BTreeMap<u32, u64>,
+    /// The granted shares of quota windows by tenant and node. Each grant removes those
+    /// of earlier windows of its tenant.
     pub grants: BTreeMap<(String, NodeId), WindowGrant>,
-    /// The set of cores whose grants this one has taken over.
+    /// The set of voters, named by its version, whose grants this core has taken over.
     pub ready_set: Option<Version>,
-    /// The lives of nodes that may hold shares of rates, and their addresses.
+    /// The addresses of the incarnations of nodes that may hold shares of rates.
     pub registered: BTreeMap<(NodeId, Incarnation), String>,
 }
 
 impl DurableState {
-    /// What a disk holds after this write; disks of every kind follow it.
-    pub fn apply(&mut self, o: &DurableWrite) {
-        match o {
-            DurableWrite::BootstrapVote(p) => self.bootstrap_vote.clone_from(p),
+    /// Applies a write; every kind of disk must hold the same after it.
+    pub fn apply(&mut self, write: &DurableWrite) {
+        match write {
+            DurableWrite::BootstrapVote(voters) => self.bootstrap_vote.clone_from(voters),
             DurableWrite::Promise { instance, ballot } => self.promised = Some((*instance, *ballot)),
-            DurableWrite::Accept { ballot, entry: decree } => self.accepted = Some((*ballot, decree.clone())),
-            DurableWrite::Commit(d) => {
-                self.digests.insert_all([EntryDigest::of(d)]);
-                self.entries.insert(d.version, d.clone());
-                trim_history(&mut self.entries);
+            DurableWrite::Accept { ballot, entry } => self.accepted = Some((*ballot, entry.clone())),
+            DurableWrite::Commit(entry) => self.apply_commit(entry),
+            DurableWrite::Digests(digests) => {
+                self.digests.insert_all(digests.iter().copied());
             }
-            DurableWrite::Digests(rows) => {
-                self.digests.insert_all(rows.iter().copied());
+            DurableWrite::Epoch { role, epoch } => {
+                self.epochs.insert(*role, *epoch);
             }
-            DurableWrite::Epoch { role: duty, epoch } => {
-                self.epochs.insert(*duty, *epoch);
-            }
-            DurableWrite::Ready(v) => self.ready_set = Some(*v),
-            DurableWrite::Register(ls) => {
-                self.registered.extend(ls.iter().map(|l| ((l.node_id, l.incarnation), l.addr.clone())))
-            }
-            DurableWrite::Deregister(ls) => self.registered.retain(|l, _| !ls.contains(l)),
-            DurableWrite::Grant(g) => {
-                let w = g.window;
-                self.grants.retain(|(t, _), o| *t != g.tenant || o.window >= w);
-                self.grants.insert((g.tenant.clone(), g.node_id), g.clone());
+            DurableWrite::Ready(voter_set) => self.ready_set = Some(*voter_set),
+            DurableWrite::Register(incarnations) => {
+                let rows = incarnations.iter().map(|row| ((row.node_id, row.incarnation), row.addr.clone()));
+                self.registered.extend(rows);
             }
+            DurableWrite::Deregister(incarnations) => self.registered.retain(|key, _| !incarnations.contains(key)),
+            DurableWrite::Grant(grant) => self.apply_grant(grant),
         }
     }
+
+    fn apply_commit(&mut self, entry: &LogEntry) {
+        self.digests.insert_all([EntryDigest::of(entry)]);
+        self.entries.insert(entry.version, entry.clone());
+        trim_history(&mut self.entries);
+    }
+
+    /// Adds a grant and removes those of earlier windows of the same tenant.
+    fn apply_grant(&mut self, grant: &WindowGrant) {
+        self.grants.retain(|(tenant, _), other| *tenant != grant.tenant || other.window >= grant.window);
+        self.grants.insert((grant.tenant.clone(), grant.node_id), grant.clone());
+    }
 }
--- a/crates/core/src/consensus/patch_chain.rs
+++ b/crates/core/src/consensus/patch_chain.rs
@@ -4,51 +4,54 @@
 use crate::protocol::LogEntry;
 use std::collections::VecDeque;
 
-/// How many are kept, and how many bytes they have at most.
-const MOST: usize = 64;
-const BYTES: usize = 1 << 20;
+/// How many entries the chain has at most.
+const MAX_CHAIN_ENTRIES: usize = 64;
+/// How many bytes the entries of the chain have at most.
+const MAX_CHAIN_BYTES: usize = 1 << 20;
 
-/// Stripped versions without a gap, the last of which is the newest that a node holds.
+/// Entries without their bodies, the last of which is the newest that a node holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PatchChain {
-    chain: VecDeque<LogEntry>,
+    /// Invariant: each entry came as a patch, and its version is one above that of the entry before it.
+    entries: VecDeque<LogEntry>,
+    /// Invariant: the sum of the sizes of `entries`, at most [`MAX_CHAIN_BYTES`].
     bytes: usize,
 }
 
 impl PatchChain {
-    /// The newest version is this one now. One that did not come as a patch, or not right after
-    /// the one before, ends the chain.
-    pub fn append(&mut self, d: &LogEntry) {
-        match self.chain.back().map(|last| last.version) {
-            Some(version) if version == d.version => return,
-            Some(version) if version + 1 != d.version => self.clear(),
+    /// Appends the newest entry. The chain is cleared by an entry that is no patch, and starts anew with one
+    /// that does not follow directly on the last.
+    pub fn append(&mut self, entry: &LogEntry) {
+        match self.entries.back().map(|last| last.version) {
+            Some(version) if version == entry.version => return,
+            Some(version) if version + 1 != entry.version => self.clear(),
             _ => {}
         }
-        if d.patch.is_none() {
+        if entry.patch.is_none() {
             self.clear();
             return;
         }
-        let d = d.without_body();
-        self.bytes += d.size();
-        self.chain.push_back(d);
-        while self.chain.len() > MOST || self.bytes > BYTES {
-            let Some(oldest) = self.chain.pop_front() else { return };
+        let stripped = entry.without_body();
+        self.bytes += stripped.size();
+        self.entries.push_back(stripped);
+        while self.entries.len() > MAX_CHAIN_ENTRIES || self.bytes > MAX_CHAIN_BYTES {
+            let Some(oldest) = self.entries.pop_front() else { return };
             self.bytes -= oldest.size();
         }
     }
 
     fn clear(&mut self) {
-        self.chain.clear();
+        self.entries.clear();
         self.bytes = 0;
     }
 
-    /// All versions after this one; none where some of them are not held as patches.
+    /// All entries after `version`; none if the chain does not hold all of them.
     pub fn after(&self, version: Version) -> Option<Vec<LogEntry>> {
-        let first = self.chain.front()?.version;
+        let first = self.entries.front()?.version;
         if version + 1 < first {
             return None;
         }
-        let later: Vec<_> = self.chain.iter().filter(|d| d.version > version).cloned().collect();
+        let later: Vec<_> = self.entries.iter().filter(|entry| entry.version > version).cloned().collect();
         (!later.is_empty()).then_some(later)
     }
 }
--- a/crates/core/src/freshness.rs
+++ b/crates/core/src/freshness.rs
@@ -10,7 +10,7 @@
 /// nothing.
 pub const MAX_AGE: Micros = 4 * SEC;
 /// The interval between two freshness probes of a voter, in microseconds (500 ms).
-pub const EVERY: Micros = 500 * MS;
+pub const PROBE_INTERVAL: Micros = 500 * MS;
 
 /// A freshness probe whose replies are still counted.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/core/src/node/consensus/forwarding.rs
+++ b/crates/core/src/node/consensus/forwarding.rs
@@ -33,7 +33,7 @@
 pub(in crate::node) struct Forward {
     submitted: SubmittedChange,
     /// When the request was received, in microseconds of this node's clock.
-    pub since: Micros,
+    pub received_at: Micros,
     /// When the request is given up.
     deadline: Micros,
     /// When the request is sent again, also if the last voter is reachable.
@@ -53,7 +53,7 @@
     fn new(submitted: SubmittedChange, now: Micros) -> Self {
         Forward {
             submitted,
-            since: now,
+            received_at: now,
             deadline: now + CHANGE_TIMEOUT + FORWARD_MARGIN,
             resend_at: now,
             last_send: None,
@@ -122,14 +122,14 @@
 
     /// Whether no voter has replied to anything since the request came, or no core is known.
     fn is_forward_cut_off(&self, forward: &Forward, now: Micros) -> bool {
-        let waited = now.saturating_sub(forward.since);
+        let waited = now.saturating_sub(forward.received_at);
         let voters = self.consensus.state.voters();
         if voters.is_empty() {
             return waited >= QUORUM_TIMEOUT && self.nearest_core(now, 0).is_none();
         }
-        let any_replied = voters.iter().any(|voter| self.has_core_replied(voter.node_id, forward.since));
+        let any_replied = voters.iter().any(|voter| self.has_core_replied(voter.node_id, forward.received_at));
         let all_silent =
-            voters.iter().all(|voter| self.is_core_silent(voter.node_id, forward.since, QUORUM_TIMEOUT, now));
+            voters.iter().all(|voter| self.is_core_silent(voter.node_id, forward.received_at, QUORUM_TIMEOUT, now));
         waited >= QUORUM_TIMEOUT && (!any_replied || all_silent)
     }
 
@@ -156,7 +156,7 @@
             return Some(nearest);
         }
         let is_alive = |voter: &NodeId| self.dissemination.peers.is_alive(*voter, now);
-        let has_replied = |voter: &&NodeId| self.has_core_replied(**voter, forward.since);
+        let has_replied = |voter: &&NodeId| self.has_core_replied(**voter, forward.received_at);
         let live: Vec<NodeId> = self.other_voters().filter(is_alive).collect();
         let mut untried = live.iter().filter(|voter| !forward.tried.contains(voter));
         let best_untried = untried.clone().find(has_replied).or(untried.next());
--- a/crates/core/src/node/consensus/freshness.rs
+++ b/crates/core/src/node/consensus/freshness.rs
@@ -36,7 +36,7 @@
         }
         let Some(version) = self.version() else { return };
         let freshness = &mut self.consensus.freshness;
-        freshness.probe_due = now + freshness::EVERY;
+        freshness.probe_due = now + freshness::PROBE_INTERVAL;
         freshness.last_probe += 1;
         let seq = freshness.last_probe;
         freshness.open_probes.retain(|_, probe| now.saturating_sub(probe.sent_at) < PROBE_TIMEOUT);
--- a/crates/core/src/node/consensus/reader.rs
+++ b/crates/core/src/node/consensus/reader.rs
@@ -18,13 +18,13 @@
 pub(in crate::node) struct Read {
     requester: Requester,
     /// When the read was received, in microseconds of this node's clock.
-    pub since: Micros,
+    pub received_at: Micros,
 }
 
 impl Node {
     /// Handles a read of the newest configuration, as a voter.
     pub(super) fn read_newest(&mut self, requester: Requester, now: Micros) {
-        self.consensus.reads.push(Read { requester, since: now });
+        self.consensus.reads.push(Read { requester, received_at: now });
         self.tick_freshness(now);
     }
 
@@ -35,12 +35,15 @@
         }
         let confirmed_at = self.consensus.freshness.confirmed_at(self.version());
         for read in std::mem::take(&mut self.consensus.reads) {
-            let is_confirmed = confirmed_at.is_some_and(|confirmed_at| confirmed_at >= read.since);
+            let is_confirmed = confirmed_at.is_some_and(|confirmed_at| confirmed_at >= read.received_at);
             let newest = self.consensus.state.newest().filter(|_| is_confirmed);
             if let Some(entry) = newest {
                 let text = entry.body.clone();
                 self.complete_change(read.requester, ChangeOutcome::Content { text }, now);
-            } else if !self.voter() || self.should_redirect(read.since, now) || now >= read.since + READ_TIMEOUT {
+            } else if !self.voter()
+                || self.should_redirect(read.received_at, now)
+                || now >= read.received_at + READ_TIMEOUT
+            {
                 self.complete_change(read.requester, ChangeOutcome::NoQuorum, now);
             } else {
                 self.consensus.reads.push(read);
--- a/crates/core/src/node/dissemination/contact.rs
+++ b/crates/core/src/node/dissemination/contact.rs
@@ -170,7 +170,7 @@
         let last_probe_at = self.dissemination.contact.last_probe_at;
         let is_in_contact = now.saturating_sub(self.majority_replied_at(now)) <= REACHED_WITHIN;
         let is_unprobed = |since: Micros| since > last_probe_at;
-        if self.consensus.reads.iter().any(|read| is_unprobed(read.since))
+        if self.consensus.reads.iter().any(|read| is_unprobed(read.received_at))
             || (!is_in_contact && self.waiting_since().any(is_unprobed))
         {
             return last_probe_at + MIN_INTERVAL;
@@ -196,8 +196,8 @@
             .filter(|change| change.requester != Requester::Internal)
             .map(Node::received_at);
         let removals = self.dissemination.workers.removals.waiting_since();
-        let forwards = self.consensus.forwards.values().map(|forward| forward.since);
-        let reads = self.consensus.reads.iter().map(|read| read.since);
+        let forwards = self.consensus.forwards.values().map(|forward| forward.received_at);
+        let reads = self.consensus.reads.iter().map(|read| read.received_at);
         let reports = self.dissemination.pending_acks.iter().map(|request| request.received_at);
         changes.chain(removals).chain(forwards).chain(reads).chain(reports)
     }
--- a/crates/core/src/node/dissemination/updates.rs
+++ b/crates/core/src/node/dissemination/updates.rs
@@ -141,7 +141,7 @@
         if now < self.dissemination.workers.subscribe_due {
             return;
         }
-        self.dissemination.workers.subscribe_due = now + freshness::EVERY;
+        self.dissemination.workers.subscribe_due = now + freshness::PROBE_INTERVAL;
         self.last_request_id += 1;
         let desired = self.desired_upstreams(now);
         self.dissemination.workers.upstreams.retain(|node_id, _| desired.contains_key(node_id));
--- a/crates/core/src/protocol/compression.rs
+++ b/crates/core/src/protocol/compression.rs
@@ -1,6 +1,6 @@
-//! Large versions in a packed form: what goes over the wires and to the disks.
+//! Compression of large log entries, on the wire and on disk.
 //!
-//! A version is packed once, by the core that proposes it; everyone else hands the packed bytes on.
+//! An entry is compressed once, by the core that proposes it; all others pass the compressed bytes on.
 
 use super::LogEntry;
 use crate::config::Patch;
@@ -8,14 +8,15 @@
 use miniz_oxide::inflate::decompress_to_vec_with_limit;
 use musli::{Decode, Encode};
 
-/// Less than this goes as it is.
-const SMALL: usize = 8 << 10;
-/// Packed bytes that hold more than this are no version.
-const MOST: usize = 16 << 20;
-/// Documents are repetitive text: more effort hardly makes them smaller.
-const LEVEL: u8 = 3;
+/// Content of fewer bytes is not compressed.
+const MIN_COMPRESSED_SIZE: usize = 8 << 10;
+/// The most bytes that compressed content may have once it is decompressed.
+const MAX_CONTENT_BYTES: usize = 16 << 20;
+/// The effort of the compression, of 0 to 10: documents are repetitive text, and more effort hardly makes
+/// them smaller.
+const COMPRESSION_LEVEL: u8 = 3;
 
-/// What is packed of a version.
+/// The compressed content of an entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 struct Content {
     body: Option<String>,
@@ -23,50 +24,51 @@
 }
 
 impl Content {
-    /// Its bytes packed; none where they could not be written.
-    fn pack(&self) -> Vec<u8> {
+    /// The compressed bytes; empty if the content cannot be encoded.
+    fn to_compressed(&self) -> Vec<u8> {
         let bytes = musli::wire::to_vec(self).unwrap_or_default();
-        if bytes.is_empty() { bytes } else { compress_to_vec(&bytes, LEVEL) }
+        if bytes.is_empty() { bytes } else { compress_to_vec(&bytes, COMPRESSION_LEVEL) }
     }
 }
 
 impl LogEntry {
-    /// The same with its packed form beside it, where that is worth it.
+    /// The entry with its compressed form added, if its content is large enough.
     pub fn compress(mut self) -> LogEntry {
         let content = match &self.patch {
-            Some(patch) if patch.size() >= SMALL => Content { patch: Some(patch.clone()), body: None },
-            None if self.body.len() >= SMALL => Content { patch: None, body: Some(self.body.clone()) },
+            Some(patch) if patch.size() >= MIN_COMPRESSED_SIZE => Content { patch: Some(patch.clone()), body: None },
+            None if self.body.len() >= MIN_COMPRESSED_SIZE => Content { patch: None, body: Some(self.body.clone()) },
             _ => return self,
         };
-        self.compressed = content.pack();
+        self.compressed = content.to_compressed();
         self
     }
 
-    /// Takes the packed form apart where the version came so; none where it is no version.
+    /// The entry with its content restored from the compressed form, if it came without; none if that form
+    /// cannot be decoded.
     pub fn decompress(mut self) -> Option<LogEntry> {
         if !self.body.is_empty() || self.compressed.is_empty() {
             return Some(self);
         }
-        let bytes = decompress_to_vec_with_limit(&self.compressed, MOST).ok()?;
+        let bytes = decompress_to_vec_with_limit(&self.compressed, MAX_CONTENT_BYTES).ok()?;
         let Content { body, patch } = musli::wire::from_slice(&bytes).ok()?;
-        let both = body.is_some() && patch.is_some();
+        let has_both = body.is_some() && patch.is_some();
         self.body = body.unwrap_or_default();
         self.patch = patch;
-        if both {
-            // Who holds the version before it needs the patch alone.
+        if has_both {
+            // Nodes that hold the previous version need the patch alone.
             self.compressed = Vec::new();
             return Some(self.compress());
         }
         Some(self)
     }
 
-    /// For one who holds no version before it: its body in packed form, where that is worth it,
-    /// and the patch that made it.
+    /// The entry for a node that may hold no previous version: its body in compressed form, if it is large
+    /// enough, with the patch that made it.
     pub fn self_contained_compressed(&self) -> LogEntry {
-        if self.body.len() < SMALL || self.patch.is_none() {
+        if self.body.len() < MIN_COMPRESSED_SIZE || self.patch.is_none() {
             return self.self_contained();
         }
-        let packed = Content { body: Some(self.body.clone()), patch: self.patch.clone() }.pack();
-        LogEntry { compressed: packed, ..LogEntry { body: String::new(), patch: None, ..self.clone() } }
+        let compressed = Content { body: Some(self.body.clone()), patch: self.patch.clone() }.to_compressed();
+        LogEntry { compressed, ..LogEntry { body: String::new(), patch: None, ..self.clone() } }
     }
 }
--- a/crates/core/src/protocol/digest.rs
+++ b/crates/core/src/protocol/digest.rs
@@ -1,51 +1,53 @@
-//! What is remembered of a decided version once its body is dropped.
+//! The digest of a decided version, which is kept when its body is dropped.
 
 use super::{Change, LogEntry, Voter};
 use crate::base::{ChangeId, Version};
 use musli::{Decode, Encode};
 use sha2::{Digest as _, Sha256};
 
-/// Identifies one decided version and the change that became it.
+/// Identifies a decided version and the change that became it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct EntryDigest {
+    /// The version.
     pub version: Version,
+    /// The identifier of the change.
     pub change_id: ChangeId,
-    /// The version at which the set of cores last changed.
+    /// The version at which the set of voters last changed.
     pub voters_since: Version,
     /// The operator's own number of the body.
     pub revision: u64,
-    /// SHA-256 of what was changed: the body, the patch, or the list of cores.
+    /// The SHA-256 hash of the content of the change: the body, the patch, or the list of voters.
     #[musli(bytes)]
     pub content: [u8; 32],
 }
 
 impl EntryDigest {
-    /// The digest of a version.
-    pub fn of(decree: &LogEntry) -> EntryDigest {
-        let changes_cores = decree.version > 0 && decree.voters_since == decree.version;
-        let content = match &decree.patch {
-            _ if changes_cores => hash_cores(&decree.voters),
+    /// The digest of an entry.
+    pub fn of(entry: &LogEntry) -> EntryDigest {
+        let changes_voters = entry.version > 0 && entry.voters_since == entry.version;
+        let content = match &entry.patch {
+            _ if changes_voters => hash_voters(&entry.voters),
             Some(patch) => patch.hash(),
-            None => hash_body(&decree.body),
+            None => hash_body(&entry.body),
         };
         EntryDigest {
-            version: decree.version,
-            change_id: decree.change_id,
-            voters_since: decree.voters_since,
-            revision: decree.revision,
+            version: entry.version,
+            change_id: entry.change_id,
+            voters_since: entry.voters_since,
+            revision: entry.revision,
             content,
         }
     }
 
-    /// Whether this version is what `change` asked for.
+    /// Whether the content of `change` became this version. Reads have no content and match every version.
     pub fn matches(&self, change: &Change) -> bool {
         match change {
             Change::Tree(body) | Change::Document(body) => hash_body(body) == self.content,
             Change::Patch(patch) => patch.hash() == self.content,
-            Change::Voters(cores) => {
-                let mut sorted = cores.clone();
+            Change::Voters(voters) => {
+                let mut sorted = voters.clone();
                 sorted.sort();
-                hash_cores(&sorted) == self.content
+                hash_voters(&sorted) == self.content
             }
             Change::QueryOutcome | Change::ReadHistory | Change::ReadNewest => true,
         }
@@ -56,11 +58,11 @@
     Sha256::digest(body.as_bytes()).into()
 }
 
-fn hash_cores(cores: &[Voter]) -> [u8; 32] {
+fn hash_voters(voters: &[Voter]) -> [u8; 32] {
     let mut hash = Sha256::new();
-    for core in cores {
-        hash.update(core.node_id.0.to_be_bytes());
-        hash.update(core.addr.as_bytes());
+    for voter in voters {
+        hash.update(voter.node_id.0.to_be_bytes());
+        hash.update(voter.addr.as_bytes());
         hash.update([0]);
     }
     hash.finalize().into()
--- a/crates/core/src/protocol/message.rs
+++ b/crates/core/src/protocol/message.rs
@@ -1,4 +1,4 @@
-//! All that nodes send to each other, by concern.
+//! The messages between nodes, by concern.
 
 use super::{ConsensusMessage, DisseminationMessage, LeaseMessage, MembershipMessage, QuotaMessage};
 use musli::alloc::Allocator;
@@ -12,15 +12,15 @@
 /// next to each other run in one fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
-    /// To the agreement on versions.
+    /// A message of the agreement on versions.
     Consensus(ConsensusMessage),
-    /// To the set of voters.
+    /// A message of the changes of the set of voters.
     Membership(MembershipMessage),
-    /// To the leases of singleton roles.
+    /// A message of the leases of singleton roles.
     Lease(LeaseMessage),
-    /// To quotas.
+    /// A message of the quotas.
     Quota(QuotaMessage),
-    /// To gossip and the reports of workers.
+    /// A message of the gossip and the reports of workers.
     Dissemination(DisseminationMessage),
 }
 
