--- /dev/null
+++ b/crates/core/src/config/check/limits.rs
@@ -0,0 +1,81 @@
+//! Quotas of tenants: calls in a window of time, or a rate with a burst.
+
+use super::ConfigError;
+use super::reader::ObjectReader;
+use crate::base::MS;
+use crate::config::{Limit, Measure, Rate, WindowQuota};
+use sonic_rs::JsonValueTrait;
+
+/// The members of a rate.
+const RATE_MEMBERS: [&str; 6] = ["rate", "burst", "over", "slack", "measure", "untold"];
+/// The members of a quota of calls in a window.
+const WINDOW_MEMBERS: [&str; 2] = ["calls", "window_ms"];
+/// The largest rate and burst, in thousandths of units.
+const MAX_RATE_MILLI: u64 = 1_000_000_000_000;
+/// A unit may be used up to `1 / LATE_USE_DIVISOR` seconds after it was granted.
+const LATE_USE_DIVISOR: u64 = 2;
+
+/// The limit of a tenant or of the defaults, and what it counts; none if there is none or it is wrong.
+pub fn quota(parent: &ObjectReader, errors: &mut Vec<ConfigError>) -> Option<(Limit, Measure)> {
+    let value = parent.member("quota")?;
+    if value.is_str() {
+        if value.as_str() == Some("none") {
+            return Some((Limit::Unlimited, Measure::Calls));
+        }
+        parent.reject("quota", "\"none\", a rate with a burst, or calls in a window_ms", errors);
+        return None;
+    }
+    let quota = parent.object("quota", errors);
+    if RATE_MEMBERS.iter().any(|name| quota.member(name).is_some()) {
+        return rate_quota(&quota, errors);
+    }
+    window_quota(&quota, errors)
+}
+
+fn window_quota(quota: &ObjectReader, errors: &mut Vec<ConfigError>) -> Option<(Limit, Measure)> {
+    quota.reject_unknown(&WINDOW_MEMBERS, errors);
+    for name in WINDOW_MEMBERS {
+        quota.require(name, "a whole number", errors);
+    }
+    let calls = quota.integer("calls", 1, 1_000_000_000, errors);
+    let window_ms = quota.integer("window_ms", 100, 86_400_000, errors);
+    Some((Limit::Window(WindowQuota { calls: calls?, window: window_ms? * MS }), Measure::Calls))
+}
+
+/// `over` (a fraction) and `slack` (units) say by how much the limit may be exceeded. They are used
+/// up in full, except for what units that are used late may add to an interval.
+fn rate_quota(quota: &ObjectReader, errors: &mut Vec<ConfigError>) -> Option<(Limit, Measure)> {
+    quota.reject_unknown(&RATE_MEMBERS, errors);
+    for name in ["rate", "burst"] {
+        quota.require(name, "a number", errors);
+    }
+    let rate = quota.thousandths("rate", 1, MAX_RATE_MILLI, errors);
+    let burst = quota.thousandths("burst", 1_000, MAX_RATE_MILLI, errors);
+    let over = quota.thousandths("over", 0, 1_000, errors).unwrap_or(0);
+    let slack = quota.thousandths("slack", 0, MAX_RATE_MILLI, errors).unwrap_or(0);
+    let measure = measure(quota, errors)?;
+    let (rate, burst) = (rate?, burst?);
+    let allowance = slack + burst * over / 1000;
+    let late_use = rate / LATE_USE_DIVISOR;
+    let burst_milli = match measure {
+        Measure::Calls => burst + allowance.saturating_sub(late_use),
+        // Few calls make up a large part of such a limit, so what is used late is taken off the
+        // burst itself where the slack doesn't pay for it.
+        Measure::Tokens { .. } => (burst + allowance).saturating_sub(late_use).max(burst / 2),
+    };
+    Some((Limit::Rate(Rate { milli_per_second: rate + rate * over / 1000, burst_milli }), measure))
+}
+
+/// What a rate counts: calls, unless the document names tokens.
+fn measure(quota: &ObjectReader, errors: &mut Vec<ConfigError>) -> Option<Measure> {
+    let default_units =
+        quota.integer("untold", 1, u64::from(u32::MAX), errors).and_then(|units| u32::try_from(units).ok());
+    match quota.member("measure").map(|value| value.as_str()) {
+        None | Some(Some("calls")) => Some(Measure::Calls),
+        Some(Some("tokens")) => Some(Measure::Tokens { default_units: default_units.unwrap_or(1) }),
+        Some(_) => {
+            quota.reject("measure", "calls or tokens", errors);
+            None
+        }
+    }
+}
--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -1,12 +1,17 @@
-//! The configuration: documents checked, and the plan that nodes serve by.
+//! The configuration: checking of operators' documents, and the compiled form that nodes serve by.
+//!
+//! [`validate`] guarantees that a [`CompiledConfig`] only exists for a document without any error;
+//! otherwise it lists all errors, each with its JSON pointer and remedy. [`Patch`] changes single
+//! items of a document so that a small change costs little to agree on and to pass between nodes.
 
 pub mod check;
+mod compiled;
+mod object_writer;
 mod patch;
-pub mod tree;
 
 pub use check::{ConfigError, validate};
-pub use patch::{Item, ListPatch, Patch};
-pub use tree::{
-    CompiledConfig, Kind, Limit, Match, Measure, OnRevoke, PlacementWeights, Pool, Rate, Reader, Tenant, WindowQuota,
-    effective,
+pub use compiled::{
+    CompiledConfig, ConfigReader, Kind, Limit, Match, Measure, OnRevoke, PlacementWeights, Pool, Rate, Tenant,
+    WindowQuota, effective,
 };
+pub use patch::{Item, ListPatch, Patch};
--- a/crates/core/src/config/patch.rs
+++ b/crates/core/src/config/patch.rs
@@ -1,24 +1,29 @@
-//! Changes to single items of a document whose lists hold named items.
+//! Changes to single items of a document whose lists contain named items.
 //!
-//! A patch is agreed and passed between nodes in the place of the document that it makes, so a
-//! change costs what it changes. Applying it is deterministic: every node that holds the document
-//! it was built on makes the same bytes.
+//! A patch is agreed on and passed between nodes in place of the document that results from it, so
+//! the cost of a change is proportional to its size. Applying it is deterministic: every node that
+//! has the document it was built on produces the same bytes.
 
 use super::ConfigError;
+use super::object_writer::ObjectWriter;
 use musli::{Decode, Encode};
 use sha2::{Digest as _, Sha256};
 use sonic_rs::{JsonValueTrait, LazyValue};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The member of an item that names it.
-const NAME: &str = "name";
+const NAME_MEMBER: &str = "name";
+/// Room for the brackets and a few new items of a list, in bytes.
+const LIST_SPARE_BYTES: usize = 256;
 
-/// What is put into and taken out of a document's lists.
+/// The items that are put into and removed from a document's lists.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Patch {
-    /// The member that holds the document's own number, and the number it gets.
+    /// The member that contains the document's own number.
     pub number_at: String,
+    /// The number that the document gets.
     pub number: u64,
+    /// The changes, list by list; each list at most once.
     pub lists: Vec<ListPatch>,
 }
 
@@ -27,33 +32,34 @@
 pub struct ListPatch {
     /// The member of the document that is the list.
     pub list: String,
-    /// Items that are added, or take the place of those with their names.
+    /// Items that are added, or replace those with the same names.
     pub put: Vec<Item>,
-    /// The names of items that are taken out.
+    /// The names of items that are removed.
     pub remove: Vec<String>,
 }
 
 /// A named item as JSON.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Item {
+    /// Its name, the same as in its JSON.
     pub name: String,
+    /// The complete item, including its name.
     pub json: String,
 }
 
 impl Patch {
-    /// Leaves a document as it is.
+    /// The patch that leaves a document as it is.
     pub fn unchanged() -> Patch {
         Patch::default()
     }
 
-    /// About how many bytes it has.
+    /// Its approximate size, in bytes.
     pub fn size(&self) -> usize {
-        let names = |l: &ListPatch| l.remove.iter().map(String::len).sum::<usize>();
-        let items = |l: &ListPatch| l.put.iter().map(|i| i.name.len() + i.json.len()).sum::<usize>();
-        self.lists.iter().map(|l| l.list.len() + names(l) + items(l)).sum()
+        self.lists.iter().map(ListPatch::size).sum()
     }
 
-    /// Tells it from every other patch.
+    /// A SHA-256 hash that differs from that of every other patch. Each text is preceded by its
+    /// length, so that no two patches are hashed as the same bytes.
     pub fn hash(&self) -> [u8; 32] {
         let mut hash = Sha256::new();
         let mut add = |text: &str| {
@@ -75,128 +81,137 @@
         hash.finalize().into()
     }
 
-    /// What is wrong with it, whatever document it is applied to.
+    /// The errors of the patch itself, whatever document it is applied to.
     pub fn troubles(&self) -> Vec<ConfigError> {
-        let empty = self.lists.iter().all(|l| l.put.is_empty() && l.remove.is_empty());
-        if empty {
-            return vec![ConfigError::Missing { at: String::new(), want: "an item to put or a name to remove".into() }];
+        if self.lists.iter().all(|list| list.put.is_empty() && list.remove.is_empty()) {
+            let expected = "an item to put or a name to remove".into();
+            return vec![ConfigError::Missing { pointer: String::new(), expected }];
         }
-        let mut out = Vec::new();
+        let mut errors = Vec::new();
         let mut lists = BTreeSet::new();
         for list in &self.lists {
-            let at = format!("/{}", list.list);
             if !lists.insert(&list.list) {
-                out.push(ConfigError::Twice { at: at.clone() });
-            }
-            let mut names = BTreeSet::new();
-            for name in list.put.iter().map(|i| &i.name).chain(&list.remove) {
-                if !names.insert(name) {
-                    out.push(ConfigError::Twice { at: format!("{at}/{name}") });
-                }
+                errors.push(ConfigError::Duplicate { pointer: list.pointer() });
             }
+            list.collect_duplicates(&mut errors);
         }
-        out
+        errors
     }
 
-    /// The document that it makes of this one.
+    /// The document that results from applying it to `document`.
     ///
     /// # Errors
     ///
-    /// Where the document is no object of lists of named items, where a name to remove is not
-    /// there, or where the patch itself is wrong; then nothing of it applies.
+    /// If the document is no object of lists of named items, if a name to remove does not exist, or
+    /// if the patch itself is wrong; then nothing of it is applied.
     pub fn apply(&self, document: &str) -> Result<String, Vec<ConfigError>> {
         if *self == Patch::unchanged() {
             return Ok(document.to_owned());
         }
-        let troubles = self.troubles();
-        if !troubles.is_empty() {
-            return Err(troubles);
+        let errors = self.troubles();
+        if !errors.is_empty() {
+            return Err(errors);
         }
-        let mut lists: BTreeMap<&str, &ListPatch> = self.lists.iter().map(|l| (l.list.as_str(), l)).collect();
-        let mut out = Members::new(document.len() + self.size());
+        let mut lists: BTreeMap<&str, &ListPatch> = self.lists.iter().map(|list| (list.list.as_str(), list)).collect();
+        let mut patched = ObjectWriter::with_capacity(document.len() + self.size());
         for member in sonic_rs::to_object_iter(document) {
-            let (key, value) = member.map_err(|e| vec![ConfigError::NotJson(e.to_string())])?;
-            if key.as_ref() as &str == self.number_at {
-                out.add(&key, &self.number.to_string());
-            } else if let Some(list) = lists.remove(key.as_ref() as &str) {
-                out.add(&key, &list.apply(value.as_raw_str())?);
+            let (name, value) = member.map_err(|error| vec![ConfigError::NotJson(error.to_string())])?;
+            if name.as_ref() as &str == self.number_at {
+                patched.add_json(&name, &self.number.to_string());
+            } else if let Some(list) = lists.remove(name.as_ref() as &str) {
+                patched.add_json(&name, &list.apply(value.as_raw_str())?);
             } else {
-                out.add(&key, value.as_raw_str());
+                patched.add_json(&name, value.as_raw_str());
             }
         }
-        for (key, list) in lists {
-            out.add(key, &list.apply("[]")?);
+        // Lists that the document does not have yet.
+        for (name, list) in lists {
+            patched.add_json(name, &list.apply("[]")?);
         }
-        Ok(out.end())
+        Ok(patched.finish())
     }
 }
 
 impl ListPatch {
+    /// The place of the list in the document, as a JSON pointer.
+    fn pointer(&self) -> String {
+        format!("/{}", self.list)
+    }
+
+    /// Its approximate size, in bytes.
+    fn size(&self) -> usize {
+        let removed: usize = self.remove.iter().map(String::len).sum();
+        let put: usize = self.put.iter().map(|item| item.name.len() + item.json.len()).sum();
+        self.list.len() + removed + put
+    }
+
+    /// Notes each name that is put or removed more than once.
+    fn collect_duplicates(&self, errors: &mut Vec<ConfigError>) {
+        let mut names = BTreeSet::new();
+        for name in self.put.iter().map(|item| &item.name).chain(&self.remove) {
+            if !names.insert(name) {
+                errors.push(ConfigError::Duplicate { pointer: format!("{}/{name}", self.pointer()) });
+            }
+        }
+    }
+
+    /// The list that results from applying it to `list`, both as JSON. Replaced items keep their
+    /// places; new ones come last, in the order of the patch.
     fn apply(&self, list: &str) -> Result<String, Vec<ConfigError>> {
-        let at = format!("/{}", self.list);
-        let mut put: BTreeMap<&str, &str> = self.put.iter().map(|i| (i.name.as_str(), i.json.as_str())).collect();
+        let mut put: BTreeMap<&str, &str> =
+            self.put.iter().map(|item| (item.name.as_str(), item.json.as_str())).collect();
         let mut remove: BTreeSet<&str> = self.remove.iter().map(String::as_str).collect();
-        let mut out = String::with_capacity(list.len() + 256);
-        out.push('[');
-        let mut add = |json: &str| {
-            if out.len() > 1 {
-                out.push(',');
-            }
-            out.push_str(json);
-        };
+        let mut patched = ListWriter::with_capacity(list.len() + LIST_SPARE_BYTES);
         for item in sonic_rs::to_array_iter(list) {
-            let item = item.map_err(|_| {
-                vec![ConfigError::Wrong { at: at.clone(), is: "no list".into(), want: "a list".into() }]
-            })?;
-            let name = name_of(&item);
+            let item = item.map_err(|_| vec![self.not_a_list()])?;
+            let name = item_name(&item);
             let name = name.as_deref().unwrap_or_default();
             if remove.remove(name) {
                 continue;
             }
-            add(put.remove(name).unwrap_or(item.as_raw_str()));
+            patched.add_json(put.remove(name).unwrap_or(item.as_raw_str()));
         }
-        // Those that were not there come last, in the order in which they were sent.
-        self.put.iter().filter(|i| put.contains_key(i.name.as_str())).for_each(|i| add(&i.json));
-        let missing = remove.into_iter().map(|name| ConfigError::Dangling {
-            at: at.clone(),
-            name: name.into(),
-            sort: at.clone(),
-        });
-        let missing: Vec<_> = missing.collect();
-        if !missing.is_empty() {
-            return Err(missing);
+        let added = self.put.iter().filter(|item| put.contains_key(item.name.as_str()));
+        added.for_each(|item| patched.add_json(&item.json));
+        if !remove.is_empty() {
+            return Err(remove.into_iter().map(|name| self.unknown_item(name)).collect());
         }
-        out.push(']');
-        Ok(out)
+        Ok(patched.finish())
+    }
+
+    fn not_a_list(&self) -> ConfigError {
+        ConfigError::InvalidValue { pointer: self.pointer(), actual: "not a list".into(), expected: "a list".into() }
+    }
+
+    fn unknown_item(&self, name: &str) -> ConfigError {
+        ConfigError::Dangling { pointer: self.pointer(), name: name.into(), collection: self.pointer() }
     }
 }
 
-/// The name of an item, where it has one.
-fn name_of(item: &LazyValue) -> Option<String> {
-    item.get(NAME)?.as_str().map(str::to_owned)
+/// The name of an item, if it has one.
+fn item_name(item: &LazyValue) -> Option<String> {
+    item.get(NAME_MEMBER)?.as_str().map(str::to_owned)
 }
 
-/// An object that is written member by member.
-struct Members(String);
+/// A JSON list under construction.
+struct ListWriter(String);
 
-impl Members {
-    fn new(bytes: usize) -> Members {
-        let mut text = String::with_capacity(bytes);
-        text.push('{');
-        Members(text)
+impl ListWriter {
+    fn with_capacity(capacity: usize) -> ListWriter {
+        let mut text = String::with_capacity(capacity);
+        text.push('[');
+        ListWriter(text)
     }
 
-    fn add(&mut self, key: &str, json: &str) {
+    fn add_json(&mut self, json: &str) {
         if self.0.len() > 1 {
             self.0.push(',');
         }
-        self.0.push_str(&sonic_rs::to_string(key).unwrap_or_default());
-        self.0.push(':');
         self.0.push_str(json);
     }
 
-    fn end(mut self) -> String {
-        self.0.push('}');
+    fn finish(mut self) -> String {
+        self.0.push(']');
         self.0
     }
 }
--- a/crates/core/src/node/io.rs
+++ b/crates/core/src/node/io.rs
@@ -4,7 +4,7 @@
 //! the [`Effect`]s of each step in their order.
 
 use crate::base::{ChangeId, Incarnation, Micros, NodeId, Version};
-use crate::config::Reader;
+use crate::config::ConfigReader;
 use crate::consensus::DurableWrite;
 use crate::node::View;
 use crate::protocol::{Change, ChangeOutcome, Frame, WorkerReport};
@@ -28,7 +28,7 @@
     /// Whether the node has a disk and so may be a voter.
     pub is_core: bool,
     /// How the operator's documents are read.
-    pub config_reader: Reader,
+    pub config_reader: ConfigReader,
     /// Whether this node may take part in the bootstrap of a fleet.
     pub may_bootstrap: bool,
     /// Whether cores change the set of voters without an operator.
--- a/crates/core/tests/config.rs
+++ b/crates/core/tests/config.rs
@@ -1,30 +1,43 @@
-//! Each file in `cases/config` holds a tree and the troubles it must be answered with.
+//! Each file in `cases/config` contains a document and the errors that its validation must give.
 
+use datatest_stable::Result;
 use sonic_rs::{JsonContainerTrait, JsonValueTrait, Value};
 use std::path::Path;
-use sumacvale_core::config::validate;
+use sumacvale_core::config::{ConfigError, validate};
 
-fn case(p: &Path) -> datatest_stable::Result<()> {
-    let s = std::fs::read_to_string(p)?;
-    let v: Value = sonic_rs::from_str(&s)?;
-    let body = match v.pointer(["text"]).and_then(|t| t.as_str()) {
-        Some(t) => t.to_owned(),
-        None => sonic_rs::to_string(v.pointer(["tree"]).ok_or("no tree")?)?,
-    };
-    let mut want: Vec<String> = v
-        .pointer(["troubles"])
-        .and_then(|t| t.as_array().map(|a| a.iter().filter_map(|x| x.as_str().map(str::to_owned)).collect()))
-        .ok_or("no troubles")?;
-    let mut got: Vec<String> = match validate(&body) {
+fn validation_gives_the_expected_errors(path: &Path) -> Result<()> {
+    let case: Value = sonic_rs::from_str(&std::fs::read_to_string(path)?)?;
+    let mut expected = expected_errors(&case)?;
+    let mut actual: Vec<String> = match validate(&document(&case)?) {
         Ok(_) => Vec::new(),
-        Err(v) => v.iter().map(|t| format!("{} {}", t.code(), t.at()).trim_end().to_owned()).collect(),
+        Err(errors) => errors.iter().map(summary).collect(),
     };
-    want.sort();
-    got.sort();
-    if want != got {
-        return Err(format!("want {want:?}\n got {got:?}").into());
+    expected.sort();
+    actual.sort();
+    if expected != actual {
+        return Err(format!("expected {expected:?}\n  actual {actual:?}").into());
     }
     Ok(())
 }
 
-datatest_stable::harness! { { test = case, root = "cases/config", pattern = r"\.json$" } }
+/// The document of a case: `text` as it stands (it may be no JSON at all), or else `tree`.
+fn document(case: &Value) -> Result<String> {
+    match case.pointer(["text"]).and_then(|text| text.as_str()) {
+        Some(text) => Ok(text.to_owned()),
+        None => Ok(sonic_rs::to_string(case.pointer(["tree"]).ok_or("no tree")?)?),
+    }
+}
+
+/// The errors of a case, each as its code and pointer.
+fn expected_errors(case: &Value) -> Result<Vec<String>> {
+    let errors = case.pointer(["troubles"]).and_then(|list| list.as_array()).ok_or("no troubles")?;
+    Ok(errors.iter().filter_map(|error| error.as_str().map(str::to_owned)).collect())
+}
+
+fn summary(error: &ConfigError) -> String {
+    format!("{} {}", error.code(), error.pointer()).trim_end().to_owned()
+}
+
+datatest_stable::harness! {
+    { test = validation_gives_the_expected_errors, root = "cases/config", pattern = r"\.json$" }
+}
--- a/crates/core/tests/documents/patches.rs
+++ b/crates/core/tests/documents/patches.rs
@@ -68,11 +68,11 @@
 
 /// Reads a document of rows; one whose `what` is 666666 is invalid.
 fn read(text: &str) -> Result<CompiledConfig, Vec<ConfigError>> {
-    let missing = || vec![ConfigError::Missing { at: "/number".into(), want: "a number".into() }];
+    let missing = || vec![ConfigError::Missing { pointer: "/number".into(), expected: "a number".into() }];
     let number = sonic_rs::get(text, &["number"]).map_err(|_| missing())?;
     let revision = number.as_raw_str().parse().map_err(|_| missing())?;
     if text.contains("\"what\":666666}") {
-        return Err(vec![ConfigError::Missing { at: "/rows".into(), want: "luck".into() }]);
+        return Err(vec![ConfigError::Missing { pointer: "/rows".into(), expected: "luck".into() }]);
     }
     Ok(CompiledConfig { revision, ..CompiledConfig::default() })
 }
--- a/crates/node/src/admin/config.rs
+++ b/crates/node/src/admin/config.rs
@@ -24,7 +24,7 @@
             Ok(None) => break,
             Ok(Some(Ok(d))) if b.len() + d.len() <= most => b.extend_from_slice(&d),
             Ok(Some(Ok(_))) => {
-                let t = [ConfigError::TooLarge { at: String::new(), is: most + 1, most }];
+                let t = [ConfigError::TooLarge { pointer: String::new(), bytes: most + 1, max_bytes: most }];
                 return Err(listed(StatusCode::UNPROCESSABLE_ENTITY, &t));
             }
             _ => {
@@ -43,7 +43,9 @@
     let ts: Vec<_> = v
         .iter()
         .take(200)
-        .map(|t| format!("{{\"at\":{},\"code\":\"{}\",\"remedy\":{}}}", quote(t.at()), t.code(), quote(&t.to_string())))
+        .map(|t| {
+            format!("{{\"at\":{},\"code\":\"{}\",\"remedy\":{}}}", quote(t.pointer()), t.code(), quote(&t.to_string()))
+        })
         .collect();
     json(
         s,
@@ -268,10 +270,10 @@
         match one(x) {
             Some(c) => cs.push(c),
             None => {
-                let t = ConfigError::Wrong {
-                    at: format!("/{i}"),
-                    is: x.to_string(),
-                    want: "{\"id\": 16 hex digits, \"peer\": IP:PORT} as /v1/nodes shows".into(),
+                let t = ConfigError::InvalidValue {
+                    pointer: format!("/{i}"),
+                    actual: x.to_string(),
+                    expected: "{\"id\": 16 hex digits, \"peer\": IP:PORT} as /v1/nodes shows".into(),
                 };
                 return listed(StatusCode::UNPROCESSABLE_ENTITY, &[t]);
             }
--- a/crates/node/src/protocol_adapter.rs
+++ b/crates/node/src/protocol_adapter.rs
@@ -3,7 +3,7 @@
 
 use sumacvale_core::base::Micros;
 use sumacvale_core::call::spread_retry_after;
-use sumacvale_core::config::{Reader, validate};
+use sumacvale_core::config::{ConfigReader, validate};
 
 /// The names of heads, in small letters; none is not spoken.
 #[derive(Debug)]
@@ -41,7 +41,7 @@
     /// When to come back, as its head says it.
     pub format_retry_after: fn(Micros, &str) -> String,
     /// How the operator's documents are read.
-    pub config_reader: Reader,
+    pub config_reader: ConfigReader,
 }
 
 /// The product's own.
--- a/crates/node/src/settings/read.rs
+++ b/crates/node/src/settings/read.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use sumacvale_core::base::{MS, Micros};
-use sumacvale_core::config::check::shape_max;
+use sumacvale_core::config::check::check_syntax_with_limit;
 
 /// What this node was set to, checked as a whole before anything opens.
 #[derive(Clone, Debug)]
@@ -263,7 +263,7 @@
     let mut out = Vec::new();
     let mut v = None;
     if let Some(s) = text {
-        let bad = shape_max(s, 1 << 20);
+        let bad = check_syntax_with_limit(s, 1 << 20);
         if bad.is_empty() {
             v = sonic_rs::from_str::<Value>(s).ok();
         }
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -56,7 +56,7 @@
         (
             "name twice",
             GOOD.replacen("\"zone\"", "\"zone\":\"a\",\"zone\"", 1),
-            vec!["settings file: /zone: this name stands twice"],
+            vec!["settings file: /zone: duplicate name"],
         ),
         (
             "nothing",
