--- a/crates/core/src/node/membership/registrations.rs
+++ b/crates/core/src/node/membership/registrations.rs
@@ -1,4 +1,10 @@
-//! Which lives of nodes may hold shares: on the disks of a majority before any share is given.
+//! Which incarnations of nodes may hold shares of rates: registered on the disks of a majority of voters before
+//! a lease holder grants them any share.
+//!
+//! So a new lease holder, which asks a majority, knows every incarnation that may hold a share of an earlier lease
+//! (the *suspects* of [`SharePools`](crate::quota::SharePools)). It probes their addresses every
+//! [`PROBE_INTERVAL`]: one that replies reports its share, and one whose address or node id has a later incarnation
+//! is dead. Voters forget a registration [`REGISTRATION_RETENTION`] after a lease holder last asked for it.
 
 use crate::base::{Incarnation, MS, Micros, NodeId, SEC, Version};
 use crate::consensus::{DurableState, DurableWrite, is_majority};
@@ -7,265 +13,319 @@
 use crate::protocol::{LeaseClaim, MembershipMessage, Message, QuotaMessage, RegisteredIncarnation};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A holder relies on a registration for so long after it asked for it.
-const SURE: Micros = 8 * SEC;
-const RENEW: Micros = 4 * SEC;
-/// A voter forgets a registration later than any share given by it ends, which is a lease
-/// after a holder last relied on it.
-const KEEP: Micros = 20 * SEC;
-const AGAIN: Micros = 200 * MS;
-const PROBE: Micros = 150 * MS;
-const MOST: usize = 10_000;
+/// A lease holder relies on a registration for this long after it asked for it, in microseconds.
+const REGISTRATION_VALIDITY: Micros = 8 * SEC;
+/// A registration that is older than this, in microseconds, is renewed.
+const RENEW_AFTER: Micros = 4 * SEC;
+/// A voter forgets a registration after this long, in microseconds: later than any share that was granted by it
+/// expires, which is a share lease after a lease holder last relied on it.
+const REGISTRATION_RETENTION: Micros = 20 * SEC;
+/// A registration that no majority has confirmed is sent again after this long, in microseconds.
+const RESPONSE_TIMEOUT: Micros = 200 * MS;
+/// The interval between probes of suspects, in microseconds.
+const PROBE_INTERVAL: Micros = 150 * MS;
+/// The interval at which what is out of date is dropped, in microseconds.
+const CLEANUP_INTERVAL: Micros = SEC;
+/// How long unconfirmed registrations, and requests that wait for one, are kept, in microseconds.
+const PENDING_RETENTION: Micros = SEC;
+/// The most incarnations that are registered, in one message, and that wait for a registration.
+const MAX_INCARNATIONS: usize = 10_000;
 
-/// A registration that voters have not confirmed yet.
+/// One incarnation of a node.
+type NodeIncarnation = (NodeId, Incarnation);
+
+/// Registrations that no majority of voters has confirmed yet.
+#[derive(Clone, Debug)]
+struct PendingRegistration {
+    sent_at: Micros,
+    voter_set: Version,
+    incarnations: Vec<NodeIncarnation>,
+    confirmed_by: BTreeSet<NodeId>,
+}
+
+/// Share requests that wait for the registration of their sender.
 #[derive(Clone, Debug)]
-struct Open {
-    at: Micros,
-    set: Version,
-    rows: Vec<(NodeId, Incarnation)>,
-    got: BTreeSet<NodeId>,
+struct WaitingRequests {
+    received_at: Micros,
+    batch: ShareRequests,
 }
 
-/// An ask that waits for one.
+/// A registration on a voter's disk, or on the way there.
 #[derive(Clone, Debug)]
-struct Wait {
-    at: Micros,
-    ask: ShareRequests,
+struct Registration {
+    addr: String,
+    /// When a lease holder last asked for it.
+    requested_at: Micros,
 }
 
+/// A node's registrations: as a voter those on its disk, as a lease holder those that it relies on.
 #[derive(Clone, Debug, Default)]
 pub(in crate::node) struct Registrations {
-    /// As a voter: on its disk, or on the way there; when a holder last asked for it.
-    kept: BTreeMap<(NodeId, Incarnation), (String, Micros)>,
-    swept: Micros,
-    /// As a holder: when it asked for what a majority has confirmed.
-    sure: BTreeMap<(NodeId, Incarnation), Micros>,
-    open: BTreeMap<u64, Open>,
-    wait: BTreeMap<(NodeId, Incarnation), Wait>,
-    probed: Micros,
+    registered: BTreeMap<NodeIncarnation, Registration>,
+    cleaned_up_at: Micros,
+    /// As a lease holder: when it asked for what a majority has confirmed.
+    confirmed: BTreeMap<NodeIncarnation, Micros>,
+    pending: BTreeMap<u64, PendingRegistration>,
+    waiting: BTreeMap<NodeIncarnation, WaitingRequests>,
+    probed_at: Micros,
 }
 
 impl Registrations {
-    /// The registrations that are on the disk, as if asked for now.
-    pub fn new(k: &DurableState, now: Micros) -> Self {
-        let kept = k.registered.iter().map(|(l, a)| (*l, (a.clone(), now))).collect();
-        Registrations { kept, swept: now, ..Registrations::default() }
+    /// The registrations that are on the disk, as if a lease holder asked for them now.
+    pub fn new(durable: &DurableState, now: Micros) -> Self {
+        let registered = durable
+            .registered
+            .iter()
+            .map(|(incarnation, addr)| (*incarnation, Registration { addr: addr.clone(), requested_at: now }))
+            .collect();
+        Registrations { registered, cleaned_up_at: now, ..Registrations::default() }
     }
 
-    fn is_sure(&self, l: (NodeId, Incarnation), age: Micros, now: Micros) -> bool {
-        self.sure.get(&l).is_some_and(|at| now < at + age)
+    /// Whether a majority confirmed the registration less than `age` microseconds ago.
+    fn is_confirmed(&self, incarnation: NodeIncarnation, age: Micros, now: Micros) -> bool {
+        self.confirmed.get(&incarnation).is_some_and(|requested_at| now < requested_at + age)
     }
-}
 
-impl Node {
-    /// All lives that this voter has registered.
-    pub(in crate::node) fn registered_incarnations(&self) -> Vec<RegisteredIncarnation> {
-        let of = |(l, (a, _)): (&(NodeId, Incarnation), &(String, Micros))| RegisteredIncarnation {
-            node_id: l.0,
-            incarnation: l.1,
-            addr: a.clone(),
-        };
-        self.membership.registrations.kept.iter().map(of).collect()
+    fn record(&mut self, incarnation: &RegisteredIncarnation, now: Micros) {
+        let registration = Registration { addr: incarnation.addr.clone(), requested_at: now };
+        self.registered.insert((incarnation.node_id, incarnation.incarnation), registration);
     }
 
-    pub(in crate::node) fn record_registrations(&mut self, ops: &[DurableWrite], now: Micros) {
-        for o in ops {
-            if let DurableWrite::Register(ls) = o {
-                self.membership
-                    .registrations
-                    .kept
-                    .extend(ls.iter().map(|l| ((l.node_id, l.incarnation), (l.addr.clone(), now))));
-            }
+    /// Forgets the registrations that no lease holder asked for lately, and returns them.
+    fn remove_outdated(&mut self, now: Micros) -> Vec<NodeIncarnation> {
+        let is_outdated = |registration: &Registration| now > registration.requested_at + REGISTRATION_RETENTION;
+        let outdated: Vec<_> =
+            self.registered.iter().filter(|(_, r)| is_outdated(r)).map(|(incarnation, _)| *incarnation).collect();
+        if !outdated.is_empty() {
+            self.registered.retain(|incarnation, _| !outdated.contains(incarnation));
         }
+        outdated
     }
+}
 
-    /// An ask that may be answered now; another one waits for its sender's registration.
-    pub(in crate::node) fn admit_share_requests(
-        &mut self,
-        by: (NodeId, Incarnation),
-        ask: ShareRequests,
-        now: Micros,
-    ) -> Option<ShareRequests> {
-        let rs = self.tenant_rates();
-        let mine = ask.rows.iter().any(|q| rs.get(&q.tenant_key).is_some_and(|r| self.share_epoch(r.0, now).is_some()));
-        if !mine || self.membership.registrations.is_sure(by, SURE, now) {
-            return Some(ask);
-        }
-        if self.membership.registrations.wait.get(&by).is_none_or(|w| w.ask.n < ask.n)
-            && self.membership.registrations.wait.len() < MOST
-        {
-            self.membership.registrations.wait.insert(by, Wait { at: now, ask });
-        }
-        self.register_waiting(now);
-        None
+/// The voter's side.
+impl Node {
+    /// All incarnations that this voter has registered.
+    pub(in crate::node) fn registered_incarnations(&self) -> Vec<RegisteredIncarnation> {
+        let row = |((node_id, incarnation), registration): (&NodeIncarnation, &Registration)| RegisteredIncarnation {
+            node_id: *node_id,
+            incarnation: *incarnation,
+            addr: registration.addr.clone(),
+        };
+        self.membership.registrations.registered.iter().map(row).collect()
     }
 
-    /// One message for all who wait, and for those who will ask.
-    fn register_waiting(&mut self, now: Micros) {
-        let set = self.voter_set();
-        let v = &self.membership.registrations;
-        let fresh = |o: &&Open| o.set == set && now < o.at + AGAIN;
-        let under: BTreeSet<_> = v.open.values().filter(fresh).flat_map(|o| &o.rows).copied().collect();
-        let need = |l: (NodeId, Incarnation)| !under.contains(&l) && !v.is_sure(l, RENEW, now);
-        let life = |l: (NodeId, Incarnation)| {
-            Some(RegisteredIncarnation {
-                node_id: l.0,
-                incarnation: l.1,
-                addr: self.dissemination.peers.address(l.0)?.to_owned(),
-            })
-        };
-        let front = self
-            .dissemination
-            .peers
-            .live(now)
-            .filter(|p| !p.is_core || v.sure.contains_key(&(p.node_id, p.incarnation)));
-        let all: BTreeSet<_> = front.map(|p| (p.node_id, p.incarnation)).chain(v.wait.keys().copied()).collect();
-        let rows: Vec<_> = all.into_iter().filter(|l| need(*l)).filter_map(life).take(MOST).collect();
-        if rows.is_empty() {
-            return;
-        }
-        let n = self.next_request_id();
-        let ids = rows.iter().map(|l| (l.node_id, l.incarnation)).collect();
-        self.membership.registrations.open.insert(n, Open { at: now, set, rows: ids, got: BTreeSet::new() });
-        let to: Vec<_> = self.consensus.state.voters().iter().map(|c| c.node_id).collect();
-        for c in to {
-            self.send(
-                c,
-                Message::Membership(MembershipMessage::Register {
-                    voter_set: set,
-                    request_id: n,
-                    incarnations: rows.clone(),
-                }),
-                now,
-            );
+    /// Records the registrations among writes that another voter handed over.
+    pub(in crate::node) fn record_registrations(&mut self, writes: &[DurableWrite], now: Micros) {
+        for write in writes {
+            if let DurableWrite::Register(incarnations) = write {
+                incarnations.iter().for_each(|i| self.membership.registrations.record(i, now));
+            }
         }
     }
 
-    /// A voter that saw a later set confirms nothing for a holder of an older one: what it
-    /// hands over would lack it.
+    /// Registers incarnations for a lease holder. A voter that knows of a later set of voters confirms nothing to
+    /// a lease holder of an earlier one: what it handed over to the later set would lack it.
     pub(in crate::node) fn on_register(
         &mut self,
-        by: NodeId,
-        set: Version,
-        n: u64,
-        rows: Vec<RegisteredIncarnation>,
+        from: NodeId,
+        voter_set: Version,
+        request_id: u64,
+        incarnations: Vec<RegisteredIncarnation>,
         now: Micros,
     ) {
-        if !self.voter() || set != self.voter_set() {
+        if !self.voter() || voter_set != self.voter_set() {
             return;
         }
-        let kept = &mut self.membership.registrations.kept;
-        let (old, new): (Vec<_>, Vec<_>) =
-            rows.into_iter().partition(|l| kept.contains_key(&(l.node_id, l.incarnation)));
-        if kept.len() + new.len() > MOST {
+        let registrations = &mut self.membership.registrations;
+        let is_known = |i: &RegisteredIncarnation| registrations.registered.contains_key(&(i.node_id, i.incarnation));
+        let (known, new): (Vec<_>, Vec<_>) = incarnations.into_iter().partition(is_known);
+        if registrations.registered.len() + new.len() > MAX_INCARNATIONS {
             return;
         }
-        for l in old.iter().chain(&new) {
-            kept.insert((l.node_id, l.incarnation), (l.addr.clone(), now));
-        }
-        let m = Message::Membership(MembershipMessage::Registered { voter_set: set, request_id: n });
+        known.iter().chain(&new).for_each(|i| registrations.record(i, now));
+        let message = Message::Membership(MembershipMessage::Registered { voter_set, request_id });
         if !new.is_empty() {
-            let then = self.send_effect(by, m, now).into_iter().collect();
+            let then = self.send_effect(from, message, now).into_iter().collect();
             self.persist(vec![DurableWrite::Register(new)], then);
-        } else if let Some(effect) = self.send_effect(by, m, now) {
+        } else if let Some(effect) = self.send_effect(from, message, now) {
             // What was known may still be on its way to the disk.
             if let Err(effect) = self.outbox.defer(effect) {
                 self.emit(effect);
             }
         }
     }
+}
 
-    pub(in crate::node) fn on_registered(&mut self, by: NodeId, set: Version, n: u64, now: Micros) {
-        let now_set = self.voter_set();
-        let Some(o) = self.membership.registrations.open.get_mut(&n).filter(|o| o.set == set && set == now_set) else {
+/// The lease holder's side.
+impl Node {
+    /// Returns requests that may be answered now; others wait for the registration of their sender.
+    pub(in crate::node) fn admit_share_requests(
+        &mut self,
+        from: (NodeId, Incarnation),
+        batch: ShareRequests,
+        now: Micros,
+    ) -> Option<ShareRequests> {
+        let rates = self.tenant_rates();
+        let is_granted_here = |key: &u64| rates.get(key).is_some_and(|t| self.share_epoch(t.role, now).is_some());
+        let any_is_granted_here = batch.requests.iter().any(|request| is_granted_here(&request.tenant_key));
+        let registrations = &mut self.membership.registrations;
+        if !any_is_granted_here || registrations.is_confirmed(from, REGISTRATION_VALIDITY, now) {
+            return Some(batch);
+        }
+        let waiting = &mut registrations.waiting;
+        if waiting.get(&from).is_none_or(|older| older.batch.request_id < batch.request_id)
+            && waiting.len() < MAX_INCARNATIONS
+        {
+            waiting.insert(from, WaitingRequests { received_at: now, batch });
+        }
+        self.register_incarnations(now);
+        None
+    }
+
+    /// Registers, in one message, the senders of waiting requests and all nodes that will send some.
+    fn register_incarnations(&mut self, now: Micros) {
+        let incarnations = self.unregistered_incarnations(now);
+        if incarnations.is_empty() {
             return;
+        }
+        let request_id = self.next_request_id();
+        let voter_set = self.voter_set();
+        let pending = PendingRegistration {
+            sent_at: now,
+            voter_set,
+            incarnations: incarnations.iter().map(|i| (i.node_id, i.incarnation)).collect(),
+            confirmed_by: BTreeSet::new(),
         };
-        o.got.insert(by);
-        if !is_majority(self.consensus.state.voters(), &o.got) {
+        self.membership.registrations.pending.insert(request_id, pending);
+        let message = MembershipMessage::Register { voter_set, request_id, incarnations };
+        self.broadcast_to_voters(&Message::Membership(message), now);
+    }
+
+    /// The incarnations whose registration is due and not pending.
+    fn unregistered_incarnations(&self, now: Micros) -> Vec<RegisteredIncarnation> {
+        let voter_set = self.voter_set();
+        let registrations = &self.membership.registrations;
+        let is_fresh = |p: &&PendingRegistration| p.voter_set == voter_set && now < p.sent_at + RESPONSE_TIMEOUT;
+        let pending: BTreeSet<_> =
+            registrations.pending.values().filter(is_fresh).flat_map(|p| &p.incarnations).copied().collect();
+        let is_due = |incarnation: &NodeIncarnation| {
+            !pending.contains(incarnation) && !registrations.is_confirmed(*incarnation, RENEW_AFTER, now)
+        };
+        let with_addr = |(node_id, incarnation): NodeIncarnation| {
+            let addr = self.dissemination.peers.address(node_id)?.to_owned();
+            Some(RegisteredIncarnation { node_id, incarnation, addr })
+        };
+        let peers = self.dissemination.peers.live(now).map(|peer| (peer.is_core, (peer.node_id, peer.incarnation)));
+        let requesters = peers.filter(|(is_core, i)| !is_core || registrations.confirmed.contains_key(i));
+        let all: BTreeSet<_> =
+            requesters.map(|(_, incarnation)| incarnation).chain(registrations.waiting.keys().copied()).collect();
+        all.into_iter().filter(is_due).filter_map(with_addr).take(MAX_INCARNATIONS).collect()
+    }
+
+    /// A voter has registrations on disk; once a majority has, the requests that wait for them are answered.
+    pub(in crate::node) fn on_registered(&mut self, from: NodeId, voter_set: Version, request_id: u64, now: Micros) {
+        let current_set = self.voter_set();
+        let pending = self.membership.registrations.pending.get_mut(&request_id);
+        let Some(pending) = pending.filter(|p| p.voter_set == voter_set && voter_set == current_set) else { return };
+        pending.confirmed_by.insert(from);
+        if !is_majority(self.consensus.state.voters(), &pending.confirmed_by) {
             return;
         }
-        let Some(o) = self.membership.registrations.open.remove(&n) else { return };
-        for l in o.rows {
-            let e = self.membership.registrations.sure.entry(l).or_insert(o.at);
-            *e = (*e).max(o.at);
-            if let Some(w) = self.membership.registrations.wait.remove(&l) {
-                self.on_share_requests(l, w.ask, now);
+        let Some(pending) = self.membership.registrations.pending.remove(&request_id) else { return };
+        for incarnation in pending.incarnations {
+            let registrations = &mut self.membership.registrations;
+            let requested_at = registrations.confirmed.entry(incarnation).or_insert(pending.sent_at);
+            *requested_at = (*requested_at).max(pending.sent_at);
+            if let Some(waiting) = registrations.waiting.remove(&incarnation) {
+                self.on_share_requests(incarnation, waiting.batch, now);
             }
         }
     }
 
+    /// Drops what is out of date, renews registrations, and probes suspects.
     pub(in crate::node) fn tick_registrations(&mut self, now: Micros) {
-        if now >= self.membership.registrations.swept + SEC {
-            self.membership.registrations.swept = now;
-            let old: Vec<_> =
-                self.membership.registrations.kept.iter().filter(|l| now > l.1.1 + KEEP).map(|l| *l.0).collect();
-            if !old.is_empty() {
-                self.membership.registrations.kept.retain(|l, _| !old.contains(l));
-                self.persist(vec![DurableWrite::Deregister(old)], Vec::new());
-            }
-            self.membership.registrations.sure.retain(|_, at| now < *at + SURE);
-            self.membership.registrations.open.retain(|_, o| now < o.at + SEC);
-            self.membership.registrations.wait.retain(|_, w| now < w.at + SEC);
+        if now >= self.membership.registrations.cleaned_up_at + CLEANUP_INTERVAL {
+            self.clean_up_registrations(now);
         }
-        let ds = self.quota.share_pools.roles();
-        if ds.is_empty() {
+        let roles = self.quota.share_pools.roles();
+        if roles.is_empty() {
             return;
         }
-        self.register_waiting(now);
-        if now < self.membership.registrations.probed + PROBE {
-            return;
+        self.register_incarnations(now);
+        if now >= self.membership.registrations.probed_at + PROBE_INTERVAL {
+            self.probe_suspects(&roles, now);
+        }
+    }
+
+    fn clean_up_registrations(&mut self, now: Micros) {
+        let registrations = &mut self.membership.registrations;
+        registrations.cleaned_up_at = now;
+        let outdated = registrations.remove_outdated(now);
+        registrations.confirmed.retain(|_, requested_at| now < *requested_at + REGISTRATION_VALIDITY);
+        registrations.pending.retain(|_, pending| now < pending.sent_at + PENDING_RETENTION);
+        registrations.waiting.retain(|_, waiting| now < waiting.received_at + PENDING_RETENTION);
+        if !outdated.is_empty() {
+            self.persist(vec![DurableWrite::Deregister(outdated)], Vec::new());
         }
-        self.membership.registrations.probed = now;
-        let mut to: BTreeMap<String, Vec<LeaseClaim>> = BTreeMap::new();
-        for d in ds {
-            let Some(m) = self.lease_claim(d, now) else { continue };
-            let at: BTreeSet<_> = self.quota.share_pools.suspects(d, now).into_iter().map(|l| l.addr).collect();
-            for a in at {
-                to.entry(a).or_default().push(m);
+    }
+
+    /// Probes the addresses of the incarnations that may hold shares of earlier leases.
+    fn probe_suspects(&mut self, roles: &[u32], now: Micros) {
+        self.membership.registrations.probed_at = now;
+        let mut claims_by_addr: BTreeMap<String, Vec<LeaseClaim>> = BTreeMap::new();
+        for role in roles {
+            let Some(claim) = self.lease_claim(*role, now) else { continue };
+            let suspects = self.quota.share_pools.suspects(*role, now);
+            let addrs: BTreeSet<_> = suspects.into_iter().map(|suspect| suspect.addr).collect();
+            for addr in addrs {
+                claims_by_addr.entry(addr).or_default().push(claim);
             }
         }
-        for (a, marks) in to {
-            self.send_to_address(&a, Message::Quota(QuotaMessage::ShareProbe { claims: marks }), now);
+        for (addr, claims) in claims_by_addr {
+            self.send_to_address(&addr, Message::Quota(QuotaMessage::ShareProbe { claims }), now);
         }
     }
 
-    fn lease_claim(&self, d: u32, now: Micros) -> Option<LeaseClaim> {
-        let epoch = self.share_epoch(d, now)?;
-        Some(LeaseClaim { role: d, voter_set: self.voter_set(), epoch, holder: self.settings.node_id })
+    /// This node's claim to the lease of a role, where it may grant shares under it.
+    fn lease_claim(&self, role: u32, now: Micros) -> Option<LeaseClaim> {
+        let epoch = self.share_epoch(role, now)?;
+        Some(LeaseClaim { role, voter_set: self.voter_set(), epoch, holder: self.settings.node_id })
     }
 
-    /// Nodes that hold nothing yet ask for it now.
-    pub(in crate::node) fn solicit_share_requests(&mut self, ds: &[u32], now: Micros) {
-        let marks: Vec<_> = ds.iter().filter_map(|d| self.lease_claim(*d, now)).collect();
-        if marks.is_empty() {
+    /// Makes all nodes but the cores send their share requests for these roles now.
+    pub(in crate::node) fn solicit_share_requests(&mut self, roles: &[u32], now: Micros) {
+        let claims: Vec<_> = roles.iter().filter_map(|role| self.lease_claim(*role, now)).collect();
+        if claims.is_empty() {
             return;
         }
-        let to: Vec<_> = self.dissemination.peers.live(now).filter(|p| !p.is_core).map(|p| p.node_id).collect();
-        for n in to {
-            self.send(n, Message::Quota(QuotaMessage::ShareProbe { claims: marks.clone() }), now);
+        let peers = self.dissemination.peers.live(now).filter(|peer| !peer.is_core);
+        let to: Vec<_> = peers.map(|peer| peer.node_id).collect();
+        for node_id in to {
+            self.send(node_id, Message::Quota(QuotaMessage::ShareProbe { claims: claims.clone() }), now);
         }
-        self.membership.registrations.probed = 0;
+        self.membership.registrations.probed_at = 0;
     }
 
-    /// A life that answers a probe of this term was alive in it.
+    /// An incarnation that replies to a probe of a lease was alive under it.
     pub(in crate::node) fn on_share_probe_reply(
         &mut self,
-        by: (NodeId, Incarnation),
+        from: (NodeId, Incarnation),
         addr: &str,
-        marks: &[LeaseClaim],
+        claims: &[LeaseClaim],
         age: Micros,
         now: Micros,
     ) {
-        let mut lit = Vec::new();
-        for m in marks {
-            let e = self.share_epoch(m.role, now);
-            if m.voter_set == self.voter_set()
-                && e == Some(m.epoch)
-                && self.quota.share_pools.record_alive(m.role, by, addr, age, now)
+        let mut accounted_roles = Vec::new();
+        for claim in claims {
+            let epoch = self.share_epoch(claim.role, now);
+            if claim.voter_set == self.voter_set()
+                && epoch == Some(claim.epoch)
+                && self.quota.share_pools.record_alive(claim.role, from, addr, age, now)
             {
-                lit.push(m.role);
+                accounted_roles.push(claim.role);
             }
         }
-        self.solicit_share_requests(&lit, now);
+        self.solicit_share_requests(&accounted_roles, now);
     }
 }
--- a/crates/core/src/node/quota/mod.rs
+++ b/crates/core/src/node/quota/mod.rs
@@ -1,7 +1,8 @@
 //! Quotas over all nodes together: slices of windows and shares of rates.
 //!
-//! [`windows`] grants units of counting windows, which are on a majority's disks before they are given out.
-//! [`shares`] lends shares of rates, which end by time.
+//! [`windows`] grants units of counting windows; a grant is on the disks of a majority of voters before the node
+//! receives it. [`shares`] lends shares of rates, which expire by time and are on no disk. What both do alike
+//! stands here: finding the lease holder, trying the next voter after a time-out, and fencing.
 
 mod shares;
 mod windows;
@@ -12,28 +13,29 @@
 use crate::base::{Micros, NodeId};
 use crate::config::CompiledConfig;
 use crate::consensus::DurableState;
-use crate::protocol::{QuotaMessage, WindowGrant};
+use crate::protocol::{Message, QuotaMessage, WindowGrant};
 use crate::quota::{SharePools, WindowLedger, WindowSlices};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What a node keeps for quotas: as a lease holder, as a voter, and for its own calls.
+/// A node's state of quotas: as a lease holder, as a voter, and for its own calls.
 #[derive(Clone, Debug)]
 pub struct Quota {
     /// As a lease holder: what it granted of each tenant's window.
     pub window_ledger: WindowLedger,
     /// As a lease holder: what it lent of each tenant's rate.
     pub share_pools: SharePools,
-    /// For its own calls: the units and shares at hand, which the data plane takes from.
+    /// For its own calls: the slices and shares that the data plane takes units from.
     pub slices: Arc<WindowSlices>,
-    /// As a voter: the grants that are on its disk, or on the way there.
+    /// As a voter: the grants that are on its disk, or are being written.
     pub(in crate::node) grants: BTreeMap<(String, NodeId), WindowGrant>,
     /// The newest window of each tenant with a grant, and when it began as far as this node knows.
     pub(in crate::node) windows: BTreeMap<String, (u64, Micros)>,
     /// Requests for slices that the lease holder has not answered, by tenant.
     pub(in crate::node) slice_requests: BTreeMap<String, windows::PendingSliceRequest>,
-    /// As a lease holder: grants that are not yet on a majority's disks, by their number.
+    /// As a lease holder: grants that are not yet on a majority's disks, by the number of the request to voters.
     pub(in crate::node) pending_grants: BTreeMap<u64, windows::PendingGrants>,
+    /// For its own calls: requests for shares, and what is known of the lease holders.
     pub(in crate::node) share_client: shares::ShareClient,
 }
 
@@ -47,7 +49,7 @@
             share_pools: SharePools::default(),
             slices,
             grants: durable.grants.clone(),
-            windows: durable.grants.values().map(|g| (g.tenant.clone(), (g.window, now))).collect(),
+            windows: durable.grants.values().map(|grant| (grant.tenant.clone(), (grant.window, now))).collect(),
             slice_requests: BTreeMap::new(),
             pending_grants: BTreeMap::new(),
             share_client: shares::ShareClient::default(),
@@ -58,42 +60,83 @@
 impl Node {
     /// Handles a message about quotas.
     pub(super) fn on_quota_message(&mut self, envelope: &Envelope, message: QuotaMessage, now: Micros) {
-        let by = envelope.from;
+        let from = envelope.from;
         match message {
-            QuotaMessage::ReplicateGrants { voter_set: set, role: duty, epoch, request_id: n, grants: rows } => {
-                self.on_replicate_grants(by, set, duty, epoch, n, rows, envelope.delay, now)
+            QuotaMessage::ReplicateGrants { voter_set, role, epoch, request_id, grants } => {
+                let batch = windows::GrantBatch { voter_set, role, epoch, request_id, grants };
+                self.on_replicate_grants(from, batch, envelope.delay, now)
             }
-            QuotaMessage::GrantsSynced { role: duty, epoch, request_id: n } => {
-                self.on_grants_synced(by, duty, epoch, n, now)
+            QuotaMessage::GrantsSynced { role, epoch, request_id } => {
+                self.on_grants_synced(from, role, epoch, request_id, now)
             }
-            QuotaMessage::SliceRequest { request_id: n, tenant, wanted_units: want, window, returned } => {
-                self.on_slice_request(by, n, &tenant, want, (window, returned), now)
+            QuotaMessage::SliceRequest { request_id, tenant, wanted_units, window, returned } => {
+                self.on_slice_request(from, request_id, &tenant, wanted_units, (window, returned), now)
             }
-            QuotaMessage::SliceGranted { request_id: n, tenant, window, granted_total, remaining: left, epoch } => {
-                self.on_slice_granted(n, &tenant, window, granted_total, left, epoch)
+            QuotaMessage::SliceGranted { request_id, tenant, window, granted_total, remaining, epoch } => {
+                self.on_slice_granted(request_id, &tenant, window, granted_total, remaining, epoch)
             }
-            QuotaMessage::WindowSpent { request_id: n, tenant, window, remaining: left } => {
-                self.on_window_spent(n, &tenant, (window, left), envelope.delay, now)
+            QuotaMessage::WindowSpent { request_id, tenant, window, remaining } => {
+                self.on_window_spent(request_id, &tenant, (window, remaining), envelope.delay, now)
             }
-            QuotaMessage::NotLeaseHolder { request_id: n, tenant, holder } => {
-                self.on_not_lease_holder(by, n, &tenant, holder, now)
+            QuotaMessage::NotLeaseHolder { request_id, tenant, holder } => {
+                self.on_not_lease_holder(from, request_id, &tenant, holder, now)
             }
             QuotaMessage::RecallSlice { tenant, window, epoch } => {
-                self.on_recall_slice(by, &tenant, window, epoch, now)
+                self.on_recall_slice(from, &tenant, window, epoch, now)
             }
             QuotaMessage::ReturnSlice { tenant, window, returned } => {
-                self.on_return_slice(by, &tenant, window, returned, now)
+                self.on_return_slice(from, &tenant, window, returned, now)
             }
-            QuotaMessage::ShareProbe { claims: marks } => self.on_share_probe(by, &marks, now),
-            QuotaMessage::ShareProbeReply { addr, claims: marks, age } => {
-                self.on_share_probe_reply(envelope.incarnation_of_sender(), &addr, &marks, age, now)
+            QuotaMessage::ShareProbe { claims } => self.on_share_probe(from, &claims, now),
+            QuotaMessage::ShareProbeReply { addr, claims, age } => {
+                self.on_share_probe_reply(envelope.incarnation_of_sender(), &addr, &claims, age, now)
             }
-            QuotaMessage::ShareRequests { request_id: n, requests: rows, claims: marks, idle_for: idle } => {
-                self.on_share_requests(envelope.incarnation_of_sender(), ShareRequests { n, rows, idle, marks }, now)
+            QuotaMessage::ShareRequests { request_id, requests, claims, idle_for } => {
+                let batch = ShareRequests { request_id, requests, idle_for, claims };
+                self.on_share_requests(envelope.incarnation_of_sender(), batch, now)
             }
-            QuotaMessage::ShareGrants { request_id: n, grants: rows, claims: marks } => {
-                self.on_share_grants(by, n, &rows, &marks, now)
+            QuotaMessage::ShareGrants { request_id, grants, claims } => {
+                self.on_share_grants(from, request_id, &grants, &claims, now)
             }
         }
     }
+
+    fn send_quota(&mut self, to: NodeId, message: QuotaMessage, now: Micros) {
+        self.send(to, Message::Quota(message), now);
+    }
+
+    fn live_node_count(&self, now: Micros) -> u64 {
+        self.dissemination.peers.live(now).count() as u64
+    }
+
+    /// The lease holder of a role as far as this node knows as a grantor; the default id where it knows none.
+    fn other_lease_holder(&self, role: u32, now: Micros) -> NodeId {
+        let granted = self.leases.grantor.granted.get(&role);
+        let other = granted.filter(|lease| lease.expires_at > now && lease.holder != self.settings.node_id);
+        other.map(|lease| lease.holder).unwrap_or_default()
+    }
+
+    /// The voter to send a request for a role to: `preferred` or else the last known lease holder, where that is
+    /// still a voter, or else the voter that ranks first for the role.
+    fn voter_to_request_from(&self, role: u32, preferred: Option<NodeId>) -> Option<NodeId> {
+        let candidate = preferred.or_else(|| self.leases.held.holder_hints.get(&role).copied());
+        let voter = candidate.filter(|node_id| self.consensus.state.is_voter(*node_id));
+        voter.or_else(|| self.ranked_voters(role).first().copied())
+    }
+
+    /// The voter after one that did not respond; it knows who holds the lease now.
+    fn voter_after(&self, unresponsive: NodeId) -> Option<NodeId> {
+        let voters = self.consensus.state.voters();
+        let next = voters.iter().position(|voter| voter.node_id == unresponsive).map_or(0, |index| index + 1);
+        voters.get(next % voters.len().max(1)).map(|voter| voter.node_id)
+    }
+
+    /// Whether a message is of a lease that a later one has fenced; counts it if so.
+    fn is_message_fenced(&mut self, role: u32, epoch: u64) -> bool {
+        let is_fenced = self.leases.grantor.is_fenced(role, epoch);
+        if is_fenced {
+            self.counters.messages_fenced += 1;
+        }
+        is_fenced
+    }
 }
--- a/crates/core/src/node/quota/shares.rs
+++ b/crates/core/src/node/quota/shares.rs
@@ -1,293 +1,393 @@
-//! Shares of rates between those who spend them and who holds their tenants' duties.
+//! Shares of rates: requested by the nodes that use them, granted by the lease holders of their tenants' roles.
+//!
+//! Requests for the tenants of several roles go in one message to each lease holder. A request without a response
+//! after [`RESPONSE_TIMEOUT`] is sent to the next voter, which knows who holds the lease now. A node remembers the
+//! fencing token of the newest lease of each role and ignores grants of an earlier one; a lease holder that learns
+//! of a later lease grants nothing.
 
-use crate::base::{Incarnation, MS, Micros, NodeId, SEC};
-use crate::config::{Limit, Rate};
+use super::{Node, NodeId};
+use crate::base::{Incarnation, MS, Micros, SEC, Version};
+use crate::config::{Limit, Rate, Tenant};
 use crate::lease::quota_role;
-use crate::node::{Effect, Node};
-use crate::protocol::{LeaseClaim, Message, QuotaMessage, ShareGrant, ShareRequest};
-use crate::quota::{AGAIN, tenant_key};
+use crate::node::Effect;
+use crate::protocol::{LeaseClaim, QuotaMessage, ShareGrant, ShareRequest};
+use crate::quota::{RESPONSE_TIMEOUT, tenant_key};
+use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The duty and the rate of a tenant by the hash of its name.
-type ByKey = BTreeMap<u64, (u32, Rate)>;
+/// How long a request is remembered for a late response, in microseconds.
+const REQUEST_RETENTION: Micros = 4 * SEC;
+/// The interval at which a lease holder drops expired shares, in microseconds.
+const EXPIRY_INTERVAL: Micros = 200 * MS;
 
-/// What a node asks of the holder of some duties: the shares of their tenants' rates, and the newest
-/// holders that it has heard of.
+/// A tenant's rate, and the role whose lease holder lends it.
+#[derive(Clone, Copy, Debug)]
+pub(in crate::node) struct TenantRate {
+    pub(in crate::node) role: u32,
+    rate: Rate,
+}
+
+/// The tenants that have a rate, by the hash of the name.
+type RatesByKey = BTreeMap<u64, TenantRate>;
+
+/// The rates of one version of the configuration.
+#[derive(Clone, Debug)]
+struct CachedRates {
+    version: Version,
+    by_key: Arc<RatesByKey>,
+}
+
+/// A lease's place in the order of all leases of its role.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+struct FencingToken {
+    voter_set: Version,
+    epoch: u64,
+}
+
+impl From<&LeaseClaim> for FencingToken {
+    fn from(claim: &LeaseClaim) -> Self {
+        FencingToken { voter_set: claim.voter_set, epoch: claim.epoch }
+    }
+}
+
+/// A node's requests to a lease holder, as one message carries them.
 #[derive(Clone, Debug)]
 pub(in crate::node) struct ShareRequests {
-    pub(in crate::node) n: u64,
-    pub(in crate::node) rows: Vec<ShareRequest>,
-    /// For how long the asking life held just its share of each row and was given nothing.
-    pub(in crate::node) idle: Vec<Micros>,
-    pub(in crate::node) marks: Vec<LeaseClaim>,
+    pub(in crate::node) request_id: u64,
+    pub(in crate::node) requests: Vec<ShareRequest>,
+    /// For how long the requesting incarnation held just its share of each and was granted nothing, in
+    /// microseconds.
+    pub(in crate::node) idle_for: Vec<Micros>,
+    /// The newest leases that the requester knows of.
+    pub(in crate::node) claims: Vec<LeaseClaim>,
 }
 
-/// An ask that its core has not answered yet.
+/// A message of requests without a response.
 #[derive(Clone, Debug)]
-struct Open {
+struct PendingShareRequests {
     to: NodeId,
-    at: Micros,
-    late: bool,
-    rows: Vec<String>,
+    sent_at: Micros,
+    has_timed_out: bool,
+    tenants: Vec<String>,
 }
 
+/// The state of a node that requests shares.
 #[derive(Clone, Debug, Default)]
 pub(in crate::node) struct ShareClient {
-    open: BTreeMap<u64, Open>,
-    /// The newest holder that a duty was heard of, by the set of cores and its epoch there.
-    top: BTreeMap<u32, (u64, u64)>,
-    /// Whom to ask next where the last one said nothing or knew nobody.
-    turn: BTreeMap<u32, NodeId>,
-    waits: BTreeMap<String, u64>,
-    swept: Micros,
-    /// The rates of a version by the hash of the tenant's name.
-    rates: (u64, Arc<ByKey>),
+    pending: BTreeMap<u64, PendingShareRequests>,
+    /// The newest lease of each role that this node knows of.
+    newest_leases: BTreeMap<u32, FencingToken>,
+    /// The voter to send the next request of a role to, where the last one did not respond or redirected.
+    next_voters: BTreeMap<u32, NodeId>,
+    /// The units that calls of a tenant wait for.
+    waiting_units: BTreeMap<String, u64>,
+    pools_expired_at: Micros,
+    rates: Option<CachedRates>,
 }
 
+/// Requests and grants, for this node's own calls.
 impl Node {
-    pub(in crate::node) fn tenant_rates(&mut self) -> Arc<ByKey> {
-        let version = self.config.version + 1;
-        if self.quota.share_client.rates.0 != version {
-            let of = |t: &Arc<crate::config::Tenant>| match t.quota {
-                Limit::Rate(r) => Some((tenant_key(&t.name), (quota_role(&t.name), r))),
-                _ => None,
-            };
-            self.quota.share_client.rates = (version, Arc::new(self.config.tenants.values().filter_map(of).collect()));
+    /// The rates of the configuration in force, by the hash of the tenant's name.
+    pub(in crate::node) fn tenant_rates(&mut self) -> Arc<RatesByKey> {
+        let version = self.config.version;
+        if let Some(cached) = self.quota.share_client.rates.as_ref().filter(|cached| cached.version == version) {
+            return cached.by_key.clone();
         }
-        self.quota.share_client.rates.1.clone()
+        let tenant_rate = |tenant: &Arc<Tenant>| match tenant.quota {
+            Limit::Rate(rate) => Some((tenant_key(&tenant.name), TenantRate { role: quota_role(&tenant.name), rate })),
+            _ => None,
+        };
+        let by_key: Arc<RatesByKey> = Arc::new(self.config.tenants.values().filter_map(tenant_rate).collect());
+        self.quota.share_client.rates = Some(CachedRates { version, by_key: by_key.clone() });
+        by_key
     }
 
-    pub(in crate::node) fn on_rate_needed(&mut self, t: &str, waiting: u64, now: Micros) {
-        self.quota.slices.rates.request_soon(t);
-        let w = self.quota.share_client.waits.entry(t.to_owned()).or_default();
-        *w = (*w).max(waiting);
+    /// Calls of a tenant wait for `waiting` units, or its bucket runs low.
+    pub(in crate::node) fn on_rate_needed(&mut self, tenant: &str, waiting: u64, now: Micros) {
+        self.quota.slices.rates.request_soon(tenant);
+        let waiting_units = self.quota.share_client.waiting_units.entry(tenant.to_owned()).or_default();
+        *waiting_units = (*waiting_units).max(waiting);
         self.tick_shares(now);
     }
 
+    /// Sends the requests that are due, one message to each lease holder.
     pub(in crate::node) fn tick_shares(&mut self, now: Micros) {
         self.expire_share_pools(now);
         self.time_out_share_requests(now);
         if self.version().is_none() {
             return;
         }
-        let mut by: BTreeMap<NodeId, Vec<String>> = BTreeMap::new();
-        for t in self.quota.slices.rates.due_requests(!self.settings.is_core && !self.draining, now) {
-            if let Some(to) = self.share_holder(quota_role(&t)) {
-                by.entry(to).or_default().push(t);
+        let eager = !self.settings.is_core && !self.draining;
+        let mut by_holder: BTreeMap<NodeId, Vec<String>> = BTreeMap::new();
+        for tenant in self.quota.slices.rates.due_requests(eager, now) {
+            if let Some(holder) = self.share_holder(quota_role(&tenant)) {
+                by_holder.entry(holder).or_default().push(tenant);
             }
         }
-        for (to, ts) in by {
-            self.request_shares(to, ts, now);
+        for (holder, tenants) in by_holder {
+            self.request_shares(holder, tenants, now);
         }
     }
 
-    fn request_shares(&mut self, to: NodeId, ts: Vec<String>, now: Micros) {
-        let n = self.next_request_id();
-        let ds: BTreeSet<_> = ts.iter().map(|t| quota_role(t)).collect();
-        let (rows, idle) = ts
+    fn request_shares(&mut self, to: NodeId, tenants: Vec<String>, now: Micros) {
+        let request_id = self.next_request_id();
+        let roles: BTreeSet<_> = tenants.iter().map(|tenant| quota_role(tenant)).collect();
+        let (requests, idle_for) = tenants
             .iter()
-            .filter_map(|t| {
-                let w = self.quota.share_client.waits.remove(t).unwrap_or(0);
-                let idle = self.quota.slices.rates.idle_for(t, now);
-                Some((self.quota.slices.rates.make_request(t, n, w, now)?, idle))
+            .filter_map(|tenant| {
+                let waiting = self.quota.share_client.waiting_units.remove(tenant).unwrap_or(0);
+                let idle_for = self.quota.slices.rates.idle_for(tenant, now);
+                Some((self.quota.slices.rates.make_request(tenant, request_id, waiting, now)?, idle_for))
             })
             .unzip();
-        let top = &self.quota.share_client.top;
-        let marks = ds
-            .iter()
-            .filter_map(|d| {
-                let (set, epoch) = *top.get(d)?;
-                Some(LeaseClaim { role: *d, voter_set: set, epoch, holder: NodeId::default() })
-            })
-            .collect();
+        let claims = roles.iter().filter_map(|role| self.newest_claim(*role)).collect();
         self.counters.share_requests += 1;
-        self.quota.share_client.open.insert(n, Open { to, at: now, late: false, rows: ts });
-        self.send(
-            to,
-            Message::Quota(QuotaMessage::ShareRequests {
-                request_id: n,
-                requests: rows,
-                claims: marks,
-                idle_for: idle,
-            }),
-            now,
-        );
+        let pending = PendingShareRequests { to, sent_at: now, has_timed_out: false, tenants };
+        self.quota.share_client.pending.insert(request_id, pending);
+        self.send_quota(to, QuotaMessage::ShareRequests { request_id, requests, claims, idle_for }, now);
+    }
+
+    /// The newest lease of a role that this node knows of, without its holder.
+    fn newest_claim(&self, role: u32) -> Option<LeaseClaim> {
+        let FencingToken { voter_set, epoch } = *self.quota.share_client.newest_leases.get(&role)?;
+        Some(LeaseClaim { role, voter_set, epoch, holder: NodeId::default() })
     }
 
-    /// Who holds some duties wants to know at once what this node holds of their tenants.
-    pub(in crate::node) fn on_share_probe(&mut self, by: NodeId, marks: &[LeaseClaim], now: Micros) {
+    /// Records that `holder` claims a lease; false where a later lease of the role is known.
+    fn accept_lease_claim(&mut self, claim: &LeaseClaim, holder: NodeId) -> bool {
+        let newest = self.quota.share_client.newest_leases.entry(claim.role).or_default();
+        let token = FencingToken::from(claim);
+        if token < *newest {
+            return false;
+        }
+        *newest = token;
+        self.quota.share_client.next_voters.remove(&claim.role);
+        self.leases.held.holder_hints.insert(claim.role, holder);
+        true
+    }
+
+    /// A lease holder wants to know at once which shares this node holds: replies, and sends its requests.
+    pub(in crate::node) fn on_share_probe(&mut self, from: NodeId, claims: &[LeaseClaim], now: Micros) {
         let addr = self.settings.addr.clone();
         let age = now.saturating_sub(self.clock.started_at);
-        self.send(by, Message::Quota(QuotaMessage::ShareProbeReply { addr, claims: marks.to_vec(), age }), now);
-        let mut ds = BTreeSet::new();
-        for m in marks {
-            let top = self.quota.share_client.top.entry(m.role).or_default();
-            if (m.voter_set, m.epoch) >= *top {
-                *top = (m.voter_set, m.epoch);
-                self.quota.share_client.turn.remove(&m.role);
-                self.leases.held.holder_hints.insert(m.role, by);
-                ds.insert(m.role);
+        self.send_quota(from, QuotaMessage::ShareProbeReply { addr, claims: claims.to_vec(), age }, now);
+        let mut roles = BTreeSet::new();
+        for claim in claims {
+            if self.accept_lease_claim(claim, from) {
+                roles.insert(claim.role);
             }
         }
-        if self.version().is_none() || self.draining || ds.is_empty() {
+        if self.version().is_none() || self.draining || roles.is_empty() {
             return;
         }
-        let all =
-            self.config.tenants.keys().filter(|t| ds.contains(&quota_role(t)) && self.quota.slices.rates.is_rate(t));
-        let ts: Vec<_> = all.cloned().collect();
-        if !ts.is_empty() {
-            self.request_shares(by, ts, now);
+        let has_share = |name: &&String| roles.contains(&quota_role(name)) && self.quota.slices.rates.is_rate(name);
+        let tenants: Vec<_> = self.config.tenants.keys().filter(has_share).cloned().collect();
+        if !tenants.is_empty() {
+            self.request_shares(from, tenants, now);
         }
     }
 
-    fn share_holder(&self, d: u32) -> Option<NodeId> {
-        let t = self.quota.share_client.turn.get(&d).or_else(|| self.leases.held.holder_hints.get(&d)).copied();
-        t.filter(|n| self.consensus.state.is_voter(*n)).or_else(|| self.ranked_voters(d).first().copied())
+    fn share_holder(&self, role: u32) -> Option<NodeId> {
+        self.voter_to_request_from(role, self.quota.share_client.next_voters.get(&role).copied())
     }
 
-    /// Who does not answer is not asked again: another core knows who holds the duty now.
+    /// A node that did not respond is not sent the request again: another voter knows who holds the lease now.
     fn time_out_share_requests(&mut self, now: Micros) {
-        let late: Vec<_> =
-            self.quota.share_client.open.iter().filter(|o| !o.1.late && now >= o.1.at + AGAIN).map(|o| *o.0).collect();
-        for n in late {
-            let Some(o) = self.quota.share_client.open.get_mut(&n) else { continue };
-            o.late = true;
-            let (to, rows) = (o.to, o.rows.clone());
-            self.counters.share_requests_timed_out += 1;
-            let ds: BTreeSet<_> = rows.iter().map(|t| quota_role(t)).collect();
-            for d in ds {
-                if self.share_holder(d) == Some(to) {
-                    self.try_next_voter(d, to);
-                }
+        let pending = &mut self.quota.share_client.pending;
+        let is_late =
+            |request: &PendingShareRequests| !request.has_timed_out && now >= request.sent_at + RESPONSE_TIMEOUT;
+        let late: Vec<_> = pending.iter().filter(|(_, request)| is_late(request)).map(|(id, _)| *id).collect();
+        for request_id in late {
+            self.time_out_share_request(request_id);
+        }
+        self.quota.share_client.pending.retain(|_, request| now < request.sent_at + REQUEST_RETENTION);
+    }
+
+    fn time_out_share_request(&mut self, request_id: u64) {
+        let Some(request) = self.quota.share_client.pending.get_mut(&request_id) else { return };
+        request.has_timed_out = true;
+        let (to, tenants) = (request.to, request.tenants.clone());
+        self.counters.share_requests_timed_out += 1;
+        let roles: BTreeSet<_> = tenants.iter().map(|tenant| quota_role(tenant)).collect();
+        for role in roles {
+            if self.share_holder(role) == Some(to) {
+                self.try_next_voter(role, to);
             }
-            for t in rows {
-                self.quota.slices.rates.request_timed_out(&t, n);
+        }
+        for tenant in tenants {
+            self.quota.slices.rates.request_timed_out(&tenant, request_id);
+        }
+    }
+
+    fn try_next_voter(&mut self, role: u32, unresponsive: NodeId) {
+        self.leases.held.holder_hints.remove(&role);
+        if let Some(voter) = self.voter_after(unresponsive) {
+            self.quota.share_client.next_voters.insert(role, voter);
+        }
+    }
+
+    /// The response to this node's requests.
+    pub(in crate::node) fn on_share_grants(
+        &mut self,
+        from: NodeId,
+        request_id: u64,
+        grants: &[ShareGrant],
+        claims: &[LeaseClaim],
+        now: Micros,
+    ) {
+        let Some(pending) = self.quota.share_client.pending.remove(&request_id) else { return };
+        if pending.to != from || pending.tenants.len() != grants.len() {
+            return;
+        }
+        let fenced_roles = self.observe_claims(from, claims);
+        for (tenant, grant) in pending.tenants.iter().zip(grants) {
+            if grant.granted && !fenced_roles.contains(&quota_role(tenant)) {
+                if self.quota.slices.rates.apply_grant(tenant, request_id, *grant, pending.sent_at, now) {
+                    self.outbox.push(Effect::WakeTenant { tenant: tenant.clone() });
+                }
+            } else {
+                self.quota.slices.rates.request_rejected(tenant, request_id);
             }
         }
-        self.quota.share_client.open.retain(|_, o| now < o.at + 4 * SEC);
+        // Calls that came while the request was pending need not wait for the next tick.
+        self.tick_shares(now);
     }
 
-    fn try_next_voter(&mut self, d: u32, to: NodeId) {
-        self.leases.held.holder_hints.remove(&d);
-        if let Some(n) = self.voter_after(to) {
-            self.quota.share_client.turn.insert(d, n);
+    /// Learns from a response who holds which lease. Returns the roles of which a later lease is known, so that
+    /// the grants of this one must be ignored.
+    fn observe_claims(&mut self, from: NodeId, claims: &[LeaseClaim]) -> BTreeSet<u32> {
+        let mut fenced_roles = BTreeSet::new();
+        for claim in claims {
+            if claim.holder == from {
+                if !self.accept_lease_claim(claim, from) {
+                    fenced_roles.insert(claim.role);
+                }
+            } else if self.share_holder(claim.role) == Some(from) {
+                if claim.holder == NodeId::default() {
+                    self.try_next_voter(claim.role, from);
+                } else {
+                    self.quota.share_client.next_voters.insert(claim.role, claim.holder);
+                }
+            }
         }
+        fenced_roles
+    }
+}
+
+/// What all requests of one message have in common, for the lease holder.
+struct RequestContext<'a> {
+    from: (NodeId, Incarnation),
+    request_id: u64,
+    claims: &'a [LeaseClaim],
+    voter_set: Version,
+    live_nodes: u64,
+}
+
+impl RequestContext<'_> {
+    /// Whether the requester knows of a later lease of the role than this one.
+    fn knows_later_lease(&self, role: u32, token: FencingToken) -> bool {
+        self.claims.iter().any(|claim| claim.role == role && FencingToken::from(claim) > token)
     }
 
+    /// Whether the requester knows of just this lease.
+    fn knows_lease(&self, role: u32, token: FencingToken) -> bool {
+        self.claims.iter().any(|claim| claim.role == role && FencingToken::from(claim) == token)
+    }
+}
+
+/// The lease holder's side.
+impl Node {
     fn expire_share_pools(&mut self, now: Micros) {
-        if now < self.quota.share_client.swept + 200 * MS {
+        if now < self.quota.share_client.pools_expired_at + EXPIRY_INTERVAL {
             return;
         }
-        self.quota.share_client.swept = now;
-        for d in self.quota.share_pools.roles() {
-            if self.leases.held.valid_epoch(d, now).is_none() {
-                self.quota.share_pools.end_lease(d);
+        self.quota.share_client.pools_expired_at = now;
+        for role in self.quota.share_pools.roles() {
+            if self.leases.held.valid_epoch(role, now).is_none() {
+                self.quota.share_pools.end_lease(role);
             }
         }
-        let rs = self.tenant_rates();
-        self.quota.share_pools.expire(|k| rs.get(&k).map(|r| r.1), now);
+        let rates = self.tenant_rates();
+        self.quota.share_pools.expire(|key| rates.get(&key).map(|tenant| tenant.rate), now);
     }
 
-    /// The epoch of a duty under which shares may be given: a holder waits until a majority
-    /// knows that there was one, so that no later one takes itself for the first.
-    pub fn share_epoch(&self, d: u32, now: Micros) -> Option<u64> {
-        let e = self.leases.held.valid_epoch(d, now)?;
-        self.leases.held.by_role.get(&d).filter(|h| h.is_renewed).map(|_| e)
+    /// The epoch of a lease under which shares may be granted: a lease holder waits until a majority knows that
+    /// the lease was held, so that no later one takes itself for the first.
+    pub fn share_epoch(&self, role: u32, now: Micros) -> Option<u64> {
+        let epoch = self.leases.held.valid_epoch(role, now)?;
+        self.leases.held.by_role.get(&role).filter(|lease| lease.is_renewed).map(|_| epoch)
     }
 
-    pub(in crate::node) fn on_share_requests(&mut self, by: (NodeId, Incarnation), ask: ShareRequests, now: Micros) {
-        let rs = self.tenant_rates();
-        let set = self.voter_set();
-        let nodes = self.dissemination.peers.live(now).count() as u64;
-        let Some(ShareRequests { n, rows, idle, marks }) = self.admit_share_requests(by, ask, now) else { return };
-        let over = |d: u32, e: u64| marks.iter().any(|m| m.role == d && (m.voter_set, m.epoch) > (set, e));
-        let mut out: BTreeMap<u32, LeaseClaim> = BTreeMap::new();
-        let mut given = Vec::with_capacity(rows.len());
-        for (i, q) in rows.iter().enumerate() {
-            let mut g = None;
-            if let Some((d, r)) = rs.get(&q.tenant_key).copied() {
-                // Who asks has heard of a later holder.
-                let e = self.share_epoch(d, now).filter(|e| !over(d, *e));
-                out.entry(d).or_insert_with(|| {
-                    let row = self
-                        .leases
-                        .grantor
-                        .granted
-                        .get(&d)
-                        .filter(|r| r.expires_at > now && r.holder != self.settings.node_id);
-                    let holder =
-                        if e.is_some() { self.settings.node_id } else { row.map(|r| r.holder).unwrap_or_default() };
-                    LeaseClaim { role: d, voter_set: set, epoch: e.unwrap_or(0), holder }
-                });
-                if let Some(e) = e {
-                    // An older ask may have been overtaken by what an older holder gave.
-                    if marks.iter().any(|m| (m.role, m.voter_set, m.epoch) == (d, set, e)) {
-                        self.quota.share_pools.record_request(d, q, by, r, idle.get(i).copied().unwrap_or(0), now);
-                    }
-                    g = self
-                        .quota
-                        .share_pools
-                        .pool(d, q.tenant_key, r, now)
-                        .and_then(|pool| pool.request(by, n, q, r, nodes, now));
-                }
-            }
-            let g = g.unwrap_or_default();
-            if g.granted {
-                let c = &mut self.counters;
-                match g.share.cmp(&q.held_share) {
-                    std::cmp::Ordering::Greater => c.shares_grown += 1,
-                    std::cmp::Ordering::Less => c.shares_shrunk += 1,
-                    std::cmp::Ordering::Equal => c.shares_renewed += 1,
-                }
+    /// Grants shares and loans, one for each request, and says who holds the leases.
+    pub(in crate::node) fn on_share_requests(
+        &mut self,
+        from: (NodeId, Incarnation),
+        batch: ShareRequests,
+        now: Micros,
+    ) {
+        let rates = self.tenant_rates();
+        let Some(batch) = self.admit_share_requests(from, batch, now) else { return };
+        let ShareRequests { request_id, requests, idle_for, claims } = batch;
+        let voter_set = self.voter_set();
+        let live_nodes = self.live_node_count(now);
+        let context = RequestContext { from, request_id, claims: &claims, voter_set, live_nodes };
+        let mut own_claims: BTreeMap<u32, LeaseClaim> = BTreeMap::new();
+        let mut grants = Vec::with_capacity(requests.len());
+        for (index, request) in requests.iter().enumerate() {
+            let mut grant = None;
+            if let Some(tenant) = rates.get(&request.tenant_key).copied() {
+                let epoch = self.grantable_epoch(tenant.role, &context, now);
+                own_claims.entry(tenant.role).or_insert_with(|| self.own_claim(tenant.role, epoch, voter_set, now));
+                let idle_for = idle_for.get(index).copied().unwrap_or(0);
+                grant = epoch.and_then(|epoch| self.grant_share(&context, tenant, epoch, request, idle_for, now));
             }
-            given.push(g);
+            let grant = grant.unwrap_or_default();
+            self.count_share_grant(&grant, request);
+            grants.push(grant);
         }
-        let marks = out.into_values().collect();
-        self.send(by.0, Message::Quota(QuotaMessage::ShareGrants { request_id: n, grants: given, claims: marks }), now);
+        let claims = own_claims.into_values().collect();
+        self.send_quota(from.0, QuotaMessage::ShareGrants { request_id, grants, claims }, now);
     }
 
-    pub(in crate::node) fn on_share_grants(
+    /// The epoch under which a role's shares may be granted, unless the requester knows of a later lease.
+    fn grantable_epoch(&self, role: u32, context: &RequestContext<'_>, now: Micros) -> Option<u64> {
+        let voter_set = context.voter_set;
+        self.share_epoch(role, now)
+            .filter(|epoch| !context.knows_later_lease(role, FencingToken { voter_set, epoch: *epoch }))
+    }
+
+    fn own_claim(&self, role: u32, epoch: Option<u64>, voter_set: Version, now: Micros) -> LeaseClaim {
+        let holder = if epoch.is_some() { self.settings.node_id } else { self.other_lease_holder(role, now) };
+        LeaseClaim { role, voter_set, epoch: epoch.unwrap_or(0), holder }
+    }
+
+    fn grant_share(
         &mut self,
-        by: NodeId,
-        n: u64,
-        rows: &[ShareGrant],
-        marks: &[LeaseClaim],
+        context: &RequestContext<'_>,
+        tenant: TenantRate,
+        epoch: u64,
+        request: &ShareRequest,
+        idle_for: Micros,
         now: Micros,
-    ) {
-        let Some(o) = self.quota.share_client.open.remove(&n) else { return };
-        if o.to != by || o.rows.len() != rows.len() {
-            return;
+    ) -> Option<ShareGrant> {
+        let TenantRate { role, rate } = tenant;
+        // A request that was sent before this lease was known may be older than grants of an earlier lease.
+        if context.knows_lease(role, FencingToken { voter_set: context.voter_set, epoch }) {
+            self.quota.share_pools.record_request(role, request, context.from, rate, idle_for, now);
         }
-        let mut old = BTreeSet::new();
-        for m in marks {
-            if m.holder == by {
-                let top = self.quota.share_client.top.entry(m.role).or_default();
-                if (m.voter_set, m.epoch) < *top {
-                    old.insert(m.role);
-                    continue;
-                }
-                *top = (m.voter_set, m.epoch);
-                self.quota.share_client.turn.remove(&m.role);
-                self.leases.held.holder_hints.insert(m.role, by);
-            } else if self.share_holder(m.role) == Some(by) {
-                if m.holder == NodeId::default() {
-                    self.try_next_voter(m.role, by);
-                } else {
-                    self.quota.share_client.turn.insert(m.role, m.holder);
-                }
-            }
+        let pool = self.quota.share_pools.pool(role, request.tenant_key, rate, now)?;
+        pool.request(context.from, context.request_id, request, rate, context.live_nodes, now)
+    }
+
+    fn count_share_grant(&mut self, grant: &ShareGrant, request: &ShareRequest) {
+        if !grant.granted {
+            return;
         }
-        for (t, g) in o.rows.iter().zip(rows) {
-            if g.granted && !old.contains(&quota_role(t)) {
-                if self.quota.slices.rates.apply_grant(t, n, *g, o.at, now) {
-                    self.outbox.push(Effect::WakeTenant { tenant: t.clone() });
-                }
-            } else {
-                self.quota.slices.rates.request_rejected(t, n);
-            }
+        match grant.share.cmp(&request.held_share) {
+            Ordering::Greater => self.counters.shares_grown += 1,
+            Ordering::Less => self.counters.shares_shrunk += 1,
+            Ordering::Equal => self.counters.shares_renewed += 1,
         }
-        // Calls that came while the ask was open need not wait for the next tick.
-        self.tick_shares(now);
     }
 }
--- a/crates/core/src/node/quota/windows.rs
+++ b/crates/core/src/node/quota/windows.rs
@@ -1,4 +1,8 @@
-//! Units of windows: asked for, granted on a majority's disks, recalled and returned.
+//! Slices of counting windows: requested, granted on a majority's disks, recalled and returned.
+//!
+//! Guarantees that a node receives a grant only once a majority of voters has it on disk, so that every later
+//! lease holder counts it, and that messages of an earlier lease are fenced by its epoch. A request without a
+//! response is sent to the next voter after [`RESPONSE_TIMEOUT`], but only as calls go on to need units.
 
 use crate::base::{MS, Micros, NodeId, SEC, Version};
 use crate::config::{Limit, WindowQuota};
@@ -9,405 +13,443 @@
 use crate::quota::{LedgerAction, SliceRequest};
 use std::collections::{BTreeSet, VecDeque};
 
-const AGAIN: Micros = 250 * MS;
-/// So many asks that were overtaken by newer ones are remembered for each tenant.
-const EARLIER_ASKS: usize = 8;
+/// After this long, in microseconds, a request counts as timed out.
+const RESPONSE_TIMEOUT: Micros = 250 * MS;
+/// How many requests of each tenant that newer ones have replaced are remembered.
+const MAX_REPLACED_REQUESTS: usize = 8;
+/// How often a request follows a redirection to another lease holder.
+const MAX_REDIRECTIONS: u8 = 3;
+/// Grants that no majority has on disk by then, in microseconds, are dropped.
+const GRANT_TIMEOUT: Micros = 2 * SEC;
 
-/// An ask of this node that its tenant's holder has not answered.
+/// A request that a newer one has replaced.
+#[derive(Clone, Copy, Debug)]
+struct ReplacedRequest {
+    request_id: u64,
+    sent_at: Micros,
+}
+
+/// This node's newest request for a tenant's units.
 #[derive(Clone, Debug)]
 pub(in crate::node) struct PendingSliceRequest {
-    n: u64,
-    /// Asks that a newer one took the place of, and when each was sent.
-    earlier: VecDeque<(u64, Micros)>,
+    request_id: u64,
+    sent_at: Micros,
     to: NodeId,
-    at: Micros,
+    /// Earlier requests whose grants may still come, oldest first.
+    replaced: VecDeque<ReplacedRequest>,
+    /// How many calls began to wait while it was pending.
     waiting: u64,
-    hops: u8,
-    idle: bool,
-    next: bool,
+    redirections: u8,
+    /// Whether a response came.
+    is_answered: bool,
+    /// The receiver knew no lease holder: the next request goes to the next voter.
+    is_next_voter_due: bool,
 }
 
 impl PendingSliceRequest {
-    /// The asks whose slices may still come once a newer ask takes this one's place.
-    fn overtaken(self) -> VecDeque<(u64, Micros)> {
-        let mut earlier = self.earlier;
-        earlier.push_back((self.n, self.at));
-        while earlier.len() > EARLIER_ASKS {
-            earlier.pop_front();
+    /// The requests whose grants may still come once a newer request replaces this one.
+    fn into_replaced(self) -> VecDeque<ReplacedRequest> {
+        let mut replaced = self.replaced;
+        replaced.push_back(ReplacedRequest { request_id: self.request_id, sent_at: self.sent_at });
+        while replaced.len() > MAX_REPLACED_REQUESTS {
+            replaced.pop_front();
         }
-        earlier
+        replaced
     }
 
-    /// When the ask was sent whose slice came late, or after another answer to it: an ask that comes
-    /// twice is answered twice.
-    fn late(&self, n: u64) -> Option<Micros> {
-        if self.idle && self.n == n {
-            return Some(self.at);
+    /// When the request was sent whose grant comes late, or after another response to it: a request that is
+    /// delivered twice is answered twice.
+    fn sent_at_of_late_grant(&self, request_id: u64) -> Option<Micros> {
+        if self.is_answered && self.request_id == request_id {
+            return Some(self.sent_at);
         }
-        self.earlier.iter().find(|e| e.0 == n).map(|e| e.1)
+        self.replaced.iter().find(|replaced| replaced.request_id == request_id).map(|replaced| replaced.sent_at)
     }
 }
 
-/// Slices that go out once a majority has them on disk.
+/// A grant that answers a request of a node.
+#[derive(Clone, Debug)]
+struct RequestedGrant {
+    request_id: u64,
+    grant: WindowGrant,
+    /// How long the window still lasted when it was granted, in microseconds.
+    remaining: Micros,
+}
+
+/// Grants that are sent to their nodes once a majority of voters has them on disk.
 #[derive(Clone, Debug)]
 pub(in crate::node) struct PendingGrants {
-    duty: u32,
+    role: u32,
     epoch: u64,
-    at: Micros,
-    got: BTreeSet<NodeId>,
-    gives: Vec<(u64, WindowGrant, Micros)>,
+    requested_at: Micros,
+    synced_by: BTreeSet<NodeId>,
+    grants: Vec<RequestedGrant>,
+}
+
+/// Grants that a lease holder asks a voter to put on disk.
+#[derive(Debug)]
+pub(super) struct GrantBatch {
+    pub voter_set: Version,
+    pub role: u32,
+    pub epoch: u64,
+    pub request_id: u64,
+    pub grants: Vec<WindowGrant>,
 }
 
+/// Requests and grants, for this node's own calls.
 impl Node {
-    fn window_quota(&self, t: &str) -> Option<WindowQuota> {
-        match self.config.tenants.get(t)?.quota {
-            Limit::Window(q) => Some(q),
+    fn window_quota(&self, tenant: &str) -> Option<WindowQuota> {
+        match self.config.tenants.get(tenant)?.quota {
+            Limit::Window(quota) => Some(quota),
             _ => None,
         }
     }
 
     /// Calls of a tenant wait here, or its slice runs low.
-    pub(in crate::node) fn on_quota_needed(&mut self, t: &str, waiting: u64, now: Micros) {
-        if self.window_quota(t).is_none() {
-            if self.quota.slices.rates.is_rate(t) {
-                self.on_rate_needed(t, waiting, now);
+    pub(in crate::node) fn on_quota_needed(&mut self, tenant: &str, waiting: u64, now: Micros) {
+        if self.window_quota(tenant).is_none() {
+            if self.quota.slices.rates.is_rate(tenant) {
+                self.on_rate_needed(tenant, waiting, now);
             }
             return;
         }
         let mut to = None;
-        if let Some(a) = self.quota.slice_requests.get(t).filter(|a| a.next) {
-            to = self.voter_after(a.to);
-        } else if let Some(a) = self.quota.slice_requests.get_mut(t).filter(|a| !a.idle) {
-            if now.saturating_sub(a.at) < AGAIN {
-                a.waiting = a.waiting.max(waiting);
+        if let Some(request) = self.quota.slice_requests.get(tenant).filter(|request| request.is_next_voter_due) {
+            to = self.voter_after(request.to);
+        } else if let Some(request) = self.quota.slice_requests.get_mut(tenant).filter(|request| !request.is_answered) {
+            if now.saturating_sub(request.sent_at) < RESPONSE_TIMEOUT {
+                request.waiting = request.waiting.max(waiting);
                 return;
             }
-            let mute = a.to;
-            self.leases.held.holder_hints.remove(&quota_role(t));
-            to = self.voter_after(mute);
+            let unresponsive = request.to;
+            self.leases.held.holder_hints.remove(&quota_role(tenant));
+            to = self.voter_after(unresponsive);
         }
-        self.request_slice(t, waiting, 0, to, now);
+        self.request_slice(tenant, waiting, 0, to, now);
     }
 
-    /// The core after one that does not answer; it knows who holds the duty now.
-    pub(in crate::node) fn voter_after(&self, mute: NodeId) -> Option<NodeId> {
-        let cs = self.consensus.state.voters();
-        let i = cs.iter().position(|c| c.node_id == mute).map_or(0, |i| i + 1);
-        cs.get(i % cs.len().max(1)).map(|c| c.node_id)
+    fn request_slice(&mut self, tenant: &str, waiting: u64, redirections: u8, to: Option<NodeId>, now: Micros) {
+        let to = to.or_else(|| self.voter_to_request_from(quota_role(tenant), None));
+        let Some(to) = to else { return };
+        let request_id = self.next_request_id();
+        let (wanted_units, window, returned) = self.quota.slices.demand(tenant, waiting, now);
+        let previous = self.quota.slice_requests.remove(tenant);
+        let request = PendingSliceRequest {
+            request_id,
+            sent_at: now,
+            to,
+            replaced: previous.map_or_else(VecDeque::new, PendingSliceRequest::into_replaced),
+            waiting: 0,
+            redirections,
+            is_answered: false,
+            is_next_voter_due: false,
+        };
+        self.quota.slice_requests.insert(tenant.to_owned(), request);
+        let tenant = tenant.to_owned();
+        self.send_quota(to, QuotaMessage::SliceRequest { request_id, tenant, wanted_units, window, returned }, now);
     }
 
-    fn request_slice(&mut self, t: &str, waiting: u64, hops: u8, to: Option<NodeId>, now: Micros) {
-        let d = quota_role(t);
-        let hint = self.leases.held.holder_hints.get(&d).copied().filter(|h| self.consensus.state.is_voter(*h));
-        let Some(to) = to.or(hint).or_else(|| self.ranked_voters(d).first().copied()) else { return };
-        let n = self.next_request_id();
-        let (want, window, returned) = self.quota.slices.demand(t, waiting, now);
-        let earlier = self.quota.slice_requests.remove(t).map_or_else(VecDeque::new, PendingSliceRequest::overtaken);
-        self.quota.slice_requests.insert(
-            t.to_owned(),
-            PendingSliceRequest { n, earlier, to, at: now, waiting: 0, hops, idle: false, next: false },
-        );
-        self.send(
-            to,
-            Message::Quota(QuotaMessage::SliceRequest {
-                request_id: n,
-                tenant: t.to_owned(),
-                wanted_units: want,
-                window,
-                returned,
-            }),
-            now,
-        );
+    /// The pending request that this is the first response to, now marked as answered.
+    fn answer_slice_request(&mut self, request_id: u64, tenant: &str) -> Option<&PendingSliceRequest> {
+        let request = self.quota.slice_requests.get_mut(tenant)?;
+        if request.request_id != request_id || request.is_answered {
+            return None;
+        }
+        request.is_answered = true;
+        Some(request)
+    }
+
+    /// Adds granted units to this node's slice; they are valid as counted from the moment of the request.
+    pub(in crate::node) fn on_slice_granted(
+        &mut self,
+        request_id: u64,
+        tenant: &str,
+        window: u64,
+        granted_total: u64,
+        remaining: Micros,
+        epoch: u64,
+    ) {
+        let role = quota_role(tenant);
+        if self.is_message_fenced(role, epoch) {
+            return;
+        }
+        // The lease holder counts the units as this node's whenever they arrive, so late ones are used too.
+        let pending = self.quota.slice_requests.get(tenant);
+        let late = pending.and_then(|request| request.sent_at_of_late_grant(request_id)).map(|sent_at| (sent_at, 0));
+        let answered = late.or_else(|| self.answer_slice_request(request_id, tenant).map(|r| (r.sent_at, r.waiting)));
+        let Some((sent_at, waiting)) = answered else { return };
+        if !self.settings.is_core {
+            self.leases.grantor.observe_epoch(role, epoch);
+        }
+        self.quota.slices.add_granted(tenant, window, granted_total, sent_at + remaining);
+        self.outbox.push(Effect::WakeTenant { tenant: tenant.to_owned() });
+        if waiting > 0 {
+            self.request_slice(tenant, waiting, 0, None, self.clock.last_step);
+        }
+    }
+
+    /// The lease holder reports that nothing is left of a window. The report was under way for `delay`
+    /// microseconds: the window went on meanwhile, and where it ended, units are requested anew.
+    pub(in crate::node) fn on_window_spent(
+        &mut self,
+        request_id: u64,
+        tenant: &str,
+        (window, remaining): (u64, Micros),
+        delay: Micros,
+        now: Micros,
+    ) {
+        let Some(request) = self.answer_slice_request(request_id, tenant) else { return };
+        if remaining <= delay {
+            let waiting = request.waiting.max(1);
+            self.request_slice(tenant, waiting, 0, None, now);
+            return;
+        }
+        self.quota.slices.mark_spent(tenant, window, now + remaining - delay, now);
+        self.outbox.push(Effect::WakeTenant { tenant: tenant.to_owned() });
+    }
+
+    /// The receiver of a request holds no lease: follows its redirection, or tries the next voter later.
+    pub(in crate::node) fn on_not_lease_holder(
+        &mut self,
+        from: NodeId,
+        request_id: u64,
+        tenant: &str,
+        holder: NodeId,
+        now: Micros,
+    ) {
+        let Some(request) = self.quota.slice_requests.get(tenant) else { return };
+        if request.request_id != request_id || request.is_answered {
+            return;
+        }
+        let (redirections, waiting) = (request.redirections, request.waiting);
+        let role = quota_role(tenant);
+        if self.leases.held.holder_hints.get(&role) == Some(&from) {
+            self.leases.held.holder_hints.remove(&role);
+        }
+        if holder != NodeId::default() && holder != from && redirections < MAX_REDIRECTIONS {
+            self.leases.held.holder_hints.insert(role, holder);
+            self.request_slice(tenant, waiting.max(1), redirections + 1, Some(holder), now);
+        } else if let Some(request) = self.quota.slice_requests.get_mut(tenant) {
+            // It knows no lease holder: the calls that wait soon cause a request to the next voter.
+            request.is_answered = true;
+            request.is_next_voter_due = true;
+        }
     }
 
+    /// Returns idle units to the lease holder.
+    pub(in crate::node) fn on_recall_slice(
+        &mut self,
+        from: NodeId,
+        tenant: &str,
+        window: u64,
+        epoch: u64,
+        now: Micros,
+    ) {
+        if self.is_message_fenced(quota_role(tenant), epoch) {
+            return;
+        }
+        let returned = self.quota.slices.return_idle(tenant, window, now).unwrap_or(0);
+        self.send_quota(from, QuotaMessage::ReturnSlice { tenant: tenant.to_owned(), window, returned }, now);
+    }
+}
+
+/// The lease holder's side.
+impl Node {
+    /// Grants units, or says who else holds the lease.
     pub(in crate::node) fn on_slice_request(
         &mut self,
-        by: NodeId,
-        n: u64,
-        t: &str,
-        want: u64,
+        from: NodeId,
+        request_id: u64,
+        tenant: &str,
+        wanted_units: u64,
         returned: (u64, u64),
         now: Micros,
     ) {
-        let d = quota_role(t);
-        if self.leases.held.valid_epoch(d, now).is_none() {
-            let row =
-                self.leases.grantor.granted.get(&d).filter(|r| r.expires_at > now && r.holder != self.settings.node_id);
-            let holder = row.map(|r| r.holder).unwrap_or_default();
-            self.send(
-                by,
-                Message::Quota(QuotaMessage::NotLeaseHolder { request_id: n, tenant: t.to_owned(), holder }),
-                now,
-            );
+        let role = quota_role(tenant);
+        if self.leases.held.valid_epoch(role, now).is_none() {
+            let holder = self.other_lease_holder(role, now);
+            let tenant = tenant.to_owned();
+            self.send_quota(from, QuotaMessage::NotLeaseHolder { request_id, tenant, holder }, now);
             return;
         }
-        let Some(q) = self.window_quota(t) else { return };
-        let nodes = self.dissemination.peers.live(now).count() as u64;
-        let ask = SliceRequest { node_id: by, request_id: n, wanted_units: want, received_at: now };
-        let v = self.quota.window_ledger.request(t, q, ask, returned, nodes, now);
-        self.run_ledger_actions(t, v, now);
+        let Some(quota) = self.window_quota(tenant) else { return };
+        let nodes = self.live_node_count(now);
+        let request = SliceRequest { node_id: from, request_id, wanted_units, received_at: now };
+        let actions = self.quota.window_ledger.request(tenant, quota, request, returned, nodes, now);
+        self.run_ledger_actions(tenant, actions, now);
     }
 
-    pub(in crate::node) fn on_return_slice(&mut self, by: NodeId, t: &str, window: u64, returned: u64, now: Micros) {
-        let Some(q) = self.window_quota(t) else { return };
-        if self.leases.held.valid_epoch(quota_role(t), now).is_some() {
-            let nodes = self.dissemination.peers.live(now).count() as u64;
-            let v = self.quota.window_ledger.return_units(t, q, by, window, returned, nodes, now);
-            self.run_ledger_actions(t, v, now);
+    /// A node has returned units of a window.
+    pub(in crate::node) fn on_return_slice(
+        &mut self,
+        from: NodeId,
+        tenant: &str,
+        window: u64,
+        returned: u64,
+        now: Micros,
+    ) {
+        let Some(quota) = self.window_quota(tenant) else { return };
+        if self.leases.held.valid_epoch(quota_role(tenant), now).is_some() {
+            let nodes = self.live_node_count(now);
+            let actions = self.quota.window_ledger.return_units(tenant, quota, from, window, returned, nodes, now);
+            self.run_ledger_actions(tenant, actions, now);
         }
     }
 
+    /// Serves the requests that wait, and drops what belongs to leases that have ended.
     pub(in crate::node) fn tick_windows(&mut self, now: Micros) {
-        self.quota.pending_grants.retain(|_, o| now.saturating_sub(o.at) < 2 * SEC);
-        let nodes = self.dissemination.peers.live(now).count() as u64;
-        for (t, ..) in self.quota.window_ledger.list() {
-            match (self.leases.held.valid_epoch(quota_role(&t), now), self.window_quota(&t)) {
-                (Some(_), Some(q)) => {
-                    let v = self.quota.window_ledger.tick(&t, q, nodes, now);
-                    self.run_ledger_actions(&t, v, now);
+        self.quota.pending_grants.retain(|_, pending| now.saturating_sub(pending.requested_at) < GRANT_TIMEOUT);
+        let nodes = self.live_node_count(now);
+        for (tenant, ..) in self.quota.window_ledger.list() {
+            match (self.leases.held.valid_epoch(quota_role(&tenant), now), self.window_quota(&tenant)) {
+                (Some(_), Some(quota)) => {
+                    let actions = self.quota.window_ledger.tick(&tenant, quota, nodes, now);
+                    self.run_ledger_actions(&tenant, actions, now);
                 }
-                // Who is not in this node's version may be in the next one.
+                // A tenant that is not in this node's configuration may be in the next one.
                 (Some(_), None) => {}
-                (None, _) => self.quota.window_ledger.forget(&t),
+                (None, _) => self.quota.window_ledger.forget(&tenant),
             }
         }
     }
 
-    fn run_ledger_actions(&mut self, t: &str, v: Vec<LedgerAction>, now: Micros) {
-        let d = quota_role(t);
-        let Some(epoch) = self.leases.held.valid_epoch(d, now) else { return };
-        let mut gives = Vec::new();
-        for x in v {
-            match x {
-                LedgerAction::Grant { request_id: n, grant: g, remaining: left } => gives.push((n, g, left)),
+    fn run_ledger_actions(&mut self, tenant: &str, actions: Vec<LedgerAction>, now: Micros) {
+        let role = quota_role(tenant);
+        let Some(epoch) = self.leases.held.valid_epoch(role, now) else { return };
+        let mut grants = Vec::new();
+        for action in actions {
+            match action {
+                LedgerAction::Grant { request_id, grant, remaining } => {
+                    grants.push(RequestedGrant { request_id, grant, remaining });
+                }
                 LedgerAction::Recall { to, window } => {
                     self.counters.slices_recalled += 1;
-                    for n in to {
-                        self.send(
-                            n,
-                            Message::Quota(QuotaMessage::RecallSlice { tenant: t.to_owned(), window, epoch }),
-                            now,
-                        );
+                    for node_id in to {
+                        let tenant = tenant.to_owned();
+                        self.send_quota(node_id, QuotaMessage::RecallSlice { tenant, window, epoch }, now);
                     }
                 }
-                LedgerAction::Spent { node_id, request_id: n, window, remaining: left } => {
+                LedgerAction::Spent { node_id, request_id, window, remaining } => {
                     self.counters.windows_spent += 1;
-                    self.send(
-                        node_id,
-                        Message::Quota(QuotaMessage::WindowSpent {
-                            request_id: n,
-                            tenant: t.to_owned(),
-                            window,
-                            remaining: left,
-                        }),
-                        now,
-                    );
+                    let tenant = tenant.to_owned();
+                    let message = QuotaMessage::WindowSpent { request_id, tenant, window, remaining };
+                    self.send_quota(node_id, message, now);
                 }
             }
         }
-        if gives.is_empty() {
-            return;
-        }
-        let rows: Vec<_> = gives.iter().map(|g| g.1.clone()).collect();
-        let n = self.next_request_id();
-        self.quota.pending_grants.insert(n, PendingGrants { duty: d, epoch, at: now, got: BTreeSet::new(), gives });
-        let set = self.voter_set();
-        self.broadcast_to_voters(
-            &Message::Quota(QuotaMessage::ReplicateGrants {
-                voter_set: set,
-                role: d,
-                epoch,
-                request_id: n,
-                grants: rows,
-            }),
-            now,
-        );
-    }
-
-    /// Takes a grant into the rows that a successor will read; true if it is news.
-    pub(in crate::node) fn record_grant(&mut self, g: &WindowGrant, now: Micros) -> bool {
-        let top = self.quota.windows.get(&g.tenant).map_or(0, |w| w.0);
-        if g.window < top {
-            return false;
-        }
-        // How long it has run may be known as little to whoever tells of it just after a start.
-        self.leases.grantor.role_fences.entry(quota_role(&g.tenant)).or_insert(self.clock.started_at + LEASE_DURATION);
-        let from = now.saturating_sub(g.age);
-        if g.window > top {
-            self.quota.grants.retain(|(t, _), _| *t != g.tenant);
-            self.quota.windows.insert(g.tenant.clone(), (g.window, from));
-        } else if let Some(w) = self.quota.windows.get_mut(&g.tenant) {
-            w.1 = w.1.min(from);
-        }
-        let k = (g.tenant.clone(), g.node_id);
-        if self.quota.grants.get(&k).is_some_and(|o| o.granted_total >= g.granted_total) {
-            return false;
+        if !grants.is_empty() {
+            self.replicate_grants(role, epoch, grants, now);
         }
-        self.quota.grants.insert(k, g.clone());
-        true
     }
 
-    pub(in crate::node) fn grants_of(&self, f: impl Fn(&str) -> bool, now: Micros) -> Vec<WindowGrant> {
-        self.quota
-            .grants
-            .values()
-            .filter(|g| f(&g.tenant))
-            .map(|g| {
-                let age = self.quota.windows.get(&g.tenant).map_or(0, |w| now.saturating_sub(w.1));
-                WindowGrant { age, ..g.clone() }
-            })
-            .collect()
+    fn replicate_grants(&mut self, role: u32, epoch: u64, grants: Vec<RequestedGrant>, now: Micros) {
+        let rows = grants.iter().map(|requested| requested.grant.clone()).collect();
+        let request_id = self.next_request_id();
+        let pending = PendingGrants { role, epoch, requested_at: now, synced_by: BTreeSet::new(), grants };
+        self.quota.pending_grants.insert(request_id, pending);
+        let voter_set = self.voter_set();
+        let message = QuotaMessage::ReplicateGrants { voter_set, role, epoch, request_id, grants: rows };
+        self.broadcast_to_voters(&Message::Quota(message), now);
     }
 
-    #[allow(clippy::too_many_arguments)]
-    pub(in crate::node) fn on_replicate_grants(
+    /// A voter has grants on disk; once a majority has, and the lease is still the same, they are sent.
+    pub(in crate::node) fn on_grants_synced(
         &mut self,
-        by: NodeId,
-        set: Version,
-        d: u32,
+        from: NodeId,
+        role: u32,
         epoch: u64,
-        n: u64,
-        mut rows: Vec<WindowGrant>,
-        lag: Micros,
+        request_id: u64,
         now: Micros,
     ) {
-        if !self.is_ready() || set != self.voter_set() {
+        let Some(pending) = self.quota.pending_grants.get_mut(&request_id) else { return };
+        if pending.role != role || pending.epoch != epoch {
             return;
         }
-        if self.leases.grantor.is_fenced(d, epoch) {
-            self.counters.messages_fenced += 1;
+        pending.synced_by.insert(from);
+        if !is_majority(self.consensus.state.voters(), &pending.synced_by) {
             return;
         }
-        for g in &mut rows {
-            g.age = g.age.saturating_add(lag);
-        }
-        // An older window can't be kept beside a newer one, so it is not vouched for.
-        if rows.iter().any(|g| self.quota.windows.get(&g.tenant).is_some_and(|w| w.0 > g.window)) {
-            return;
-        }
-        rows.retain(|g| self.record_grant(g, now));
-        let then =
-            self.send_effect(by, Message::Quota(QuotaMessage::GrantsSynced { role: d, epoch, request_id: n }), now);
-        let ops = rows.into_iter().map(DurableWrite::Grant).collect();
-        self.persist(ops, then.into_iter().collect());
-    }
-
-    pub(in crate::node) fn on_grants_synced(&mut self, by: NodeId, d: u32, epoch: u64, n: u64, now: Micros) {
-        let cores = self.consensus.state.voters().to_vec();
-        let Some(o) = self.quota.pending_grants.get_mut(&n) else { return };
-        if o.duty != d || o.epoch != epoch {
+        let Some(pending) = self.quota.pending_grants.remove(&request_id) else { return };
+        if self.leases.held.valid_epoch(role, now) != Some(epoch) {
             return;
         }
-        o.got.insert(by);
-        if !is_majority(&cores, &o.got) {
-            return;
-        }
-        let Some(o) = self.quota.pending_grants.remove(&n) else { return };
-        if self.leases.held.valid_epoch(d, now) != Some(epoch) {
-            return;
-        }
-        let late = now.saturating_sub(o.at);
-        for (n, g, left) in o.gives {
+        let elapsed = now.saturating_sub(pending.requested_at);
+        for RequestedGrant { request_id, grant, remaining } in pending.grants {
             self.counters.slices_granted += 1;
-            let left = left.saturating_sub(late);
-            self.send(
-                g.node_id,
-                Message::Quota(QuotaMessage::SliceGranted {
-                    request_id: n,
-                    tenant: g.tenant,
-                    window: g.window,
-                    granted_total: g.granted_total,
-                    remaining: left,
-                    epoch,
-                }),
-                now,
-            );
+            let message = QuotaMessage::SliceGranted {
+                request_id,
+                tenant: grant.tenant,
+                window: grant.window,
+                granted_total: grant.granted_total,
+                remaining: remaining.saturating_sub(elapsed),
+                epoch,
+            };
+            self.send_quota(grant.node_id, message, now);
         }
     }
+}
 
-    /// A slice counts from the moment that this node asked for it.
-    fn take_slice_request(&mut self, n: u64, t: &str) -> Option<(Micros, u64)> {
-        let a = self.quota.slice_requests.get_mut(t)?;
-        if a.n != n || a.idle {
-            return None;
+/// The voter's side.
+impl Node {
+    /// Puts grants on disk, unless they are of a fenced lease, another set of voters or an earlier window.
+    pub(super) fn on_replicate_grants(&mut self, from: NodeId, batch: GrantBatch, delay: Micros, now: Micros) {
+        let GrantBatch { voter_set, role, epoch, request_id, mut grants } = batch;
+        if !self.is_ready() || voter_set != self.voter_set() {
+            return;
         }
-        a.idle = true;
-        Some((a.at, a.waiting))
-    }
-
-    pub(in crate::node) fn on_slice_granted(
-        &mut self,
-        n: u64,
-        t: &str,
-        window: u64,
-        granted_total: u64,
-        left: Micros,
-        epoch: u64,
-    ) {
-        let d = quota_role(t);
-        if self.leases.grantor.is_fenced(d, epoch) {
-            self.counters.messages_fenced += 1;
+        if self.is_message_fenced(role, epoch) {
             return;
         }
-        // The holder counts a slice as this node's whenever it comes, so a late one is taken too.
-        let late = self.quota.slice_requests.get(t).and_then(|a| a.late(n)).map(|at| (at, 0));
-        let Some((at, more)) = late.or_else(|| self.take_slice_request(n, t)) else { return };
-        if !self.settings.is_core {
-            self.leases.grantor.observe_epoch(d, epoch);
+        for grant in &mut grants {
+            grant.age = grant.age.saturating_add(delay);
         }
-        self.quota.slices.add_granted(t, window, granted_total, at + left);
-        self.outbox.push(Effect::WakeTenant { tenant: t.to_owned() });
-        if more > 0 {
-            let now = self.clock.last_step;
-            self.request_slice(t, more, 0, None, now);
+        // A grant of an earlier window can't be kept beside one of a newer window, so it is not confirmed.
+        if grants.iter().any(|grant| grant.window < self.newest_window(&grant.tenant)) {
+            return;
         }
+        grants.retain(|grant| self.record_grant(grant, now));
+        let message = Message::Quota(QuotaMessage::GrantsSynced { role, epoch, request_id });
+        let then = self.send_effect(from, message, now);
+        let writes = grants.into_iter().map(DurableWrite::Grant).collect();
+        self.persist(writes, then.into_iter().collect());
     }
 
-    /// The holder's word that nothing is left of a window. `lag` is how long it was under way: the
-    /// window went on meanwhile, and where it ended on the way, whoever waits is asked for anew.
-    pub(in crate::node) fn on_window_spent(
-        &mut self,
-        n: u64,
-        t: &str,
-        (window, left): (u64, Micros),
-        lag: Micros,
-        now: Micros,
-    ) {
-        let Some((_, waiting)) = self.take_slice_request(n, t) else { return };
-        if left <= lag {
-            self.request_slice(t, waiting.max(1), 0, None, now);
-            return;
-        }
-        self.quota.slices.mark_spent(t, window, now + left - lag, now);
-        self.outbox.push(Effect::WakeTenant { tenant: t.to_owned() });
+    /// The newest window of a tenant with a grant; zero where there is none.
+    fn newest_window(&self, tenant: &str) -> u64 {
+        self.quota.windows.get(tenant).map_or(0, |window| window.0)
     }
 
-    pub(in crate::node) fn on_not_lease_holder(&mut self, by: NodeId, n: u64, t: &str, holder: NodeId, now: Micros) {
-        let Some(a) = self.quota.slice_requests.get(t) else { return };
-        if a.n != n || a.idle {
-            return;
+    /// Records a grant among those that the next lease holder will read; true if it was not known.
+    pub(in crate::node) fn record_grant(&mut self, grant: &WindowGrant, now: Micros) -> bool {
+        let newest = self.newest_window(&grant.tenant);
+        if grant.window < newest {
+            return false;
         }
-        let (hops, waiting) = (a.hops, a.waiting);
-        let d = quota_role(t);
-        if self.leases.held.holder_hints.get(&d) == Some(&by) {
-            self.leases.held.holder_hints.remove(&d);
+        // A sender that started a moment ago may not know how long the window has run.
+        let fence_until = self.clock.started_at + LEASE_DURATION;
+        self.leases.grantor.role_fences.entry(quota_role(&grant.tenant)).or_insert(fence_until);
+        let started_at = now.saturating_sub(grant.age);
+        if grant.window > newest {
+            self.quota.grants.retain(|(tenant, _), _| *tenant != grant.tenant);
+            self.quota.windows.insert(grant.tenant.clone(), (grant.window, started_at));
+        } else if let Some(window) = self.quota.windows.get_mut(&grant.tenant) {
+            window.1 = window.1.min(started_at);
         }
-        if holder != NodeId::default() && holder != by && hops < 3 {
-            self.leases.held.holder_hints.insert(d, holder);
-            self.request_slice(t, waiting.max(1), hops + 1, Some(holder), now);
-        } else if let Some(a) = self.quota.slice_requests.get_mut(t) {
-            // Nobody holds it as far as that one knows: those who wait ask the next one soon.
-            a.idle = true;
-            a.next = true;
+        let key = (grant.tenant.clone(), grant.node_id);
+        if self.quota.grants.get(&key).is_some_and(|known| known.granted_total >= grant.granted_total) {
+            return false;
         }
+        self.quota.grants.insert(key, grant.clone());
+        true
     }
 
-    pub(in crate::node) fn on_recall_slice(&mut self, by: NodeId, t: &str, window: u64, epoch: u64, now: Micros) {
-        if self.leases.grantor.is_fenced(quota_role(t), epoch) {
-            self.counters.messages_fenced += 1;
-            return;
-        }
-        let returned = self.quota.slices.return_idle(t, window, now).unwrap_or(0);
-        self.send(by, Message::Quota(QuotaMessage::ReturnSlice { tenant: t.to_owned(), window, returned }), now);
+    /// The grants of the tenants that `filter` accepts, with the age of their windows by now.
+    pub(in crate::node) fn grants_of(&self, filter: impl Fn(&str) -> bool, now: Micros) -> Vec<WindowGrant> {
+        let with_age = |grant: &WindowGrant| {
+            let window = self.quota.windows.get(&grant.tenant);
+            let age = window.map_or(0, |(_, started_at)| now.saturating_sub(*started_at));
+            WindowGrant { age, ..grant.clone() }
+        };
+        self.quota.grants.values().filter(|grant| filter(&grant.tenant)).map(with_age).collect()
     }
 }
--- a/crates/core/src/protocol/quota.rs
+++ b/crates/core/src/protocol/quota.rs
@@ -1,26 +1,35 @@
 //! Messages of quotas: grants of windows, slices of them, and shares of rates.
+//!
+//! Windows are granted by messages 20 to 29 and rates by 35 to 38. Times are in microseconds and are always
+//! durations, never points in time, as the clocks of two nodes are unrelated.
 
 use crate::base::{Micros, NodeId, Version};
 use musli::{Decode, Encode};
 
-/// How much of one tenant's window one node was ever granted.
+/// All units that one node was ever granted of one tenant's window.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct WindowGrant {
+    /// The tenant's name.
     pub tenant: String,
+    /// The number of the window, which only grows.
     pub window: u64,
+    /// The node that the units were granted to.
     pub node_id: NodeId,
+    /// The sum of all grants to this node in this window, which only grows.
     pub granted_total: u64,
+    /// How long ago the window started as far as the sender knows, in microseconds.
     pub age: Micros,
 }
 
 impl WindowGrant {
-    /// The same so much later.
-    pub fn aged_by(self, by: Micros) -> WindowGrant {
-        WindowGrant { age: self.age.saturating_add(by), ..self }
+    /// The same grant, `elapsed` microseconds later.
+    #[must_use]
+    pub fn aged_by(self, elapsed: Micros) -> WindowGrant {
+        WindowGrant { age: self.age.saturating_add(elapsed), ..self }
     }
 }
 
-/// What one node holds of one tenant's rate, and what it looks for.
+/// One node's share of one tenant's rate, and its demand.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 #[musli(packed)]
 pub struct ShareRequest {
@@ -28,40 +37,45 @@
     pub tenant_key: u64,
     /// The share held, in millionths.
     pub held_share: u32,
-    /// Thousandths of units that came free when the share shrank.
+    /// Thousandths of units that the bucket lost when the share shrank, for the lease holder's pool.
     pub returned_milli: u64,
-    /// Thousandths of units looked for in a second.
+    /// The demand in thousandths of units a second.
     pub demand_milli: u64,
-    /// The units of calls that find nothing here.
+    /// The units of calls that the bucket could not serve.
     pub missing_units: u32,
-    /// The fewest units that any of these calls takes, of use only together.
+    /// The units of the smallest of these calls; fewer are of no use.
     pub smallest_call: u32,
-    /// The units of a usual call.
+    /// The units of a usual call, a moving average.
     pub usual_call: u32,
-    /// Thousandths of calls looked for in a second.
+    /// The demand in thousandths of calls a second.
     pub call_rate_milli: u64,
 }
 
-/// The answer to the row in the same place of an ask.
+/// The response to the [`ShareRequest`] at the same index of a message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 #[musli(packed)]
 pub struct ShareGrant {
-    /// False where the answerer doesn't hold the duty, or not this row.
+    /// False where the responder doesn't hold the lease of the role, or a later request overtook this one.
     pub granted: bool,
+    /// The share from now on, in millionths.
     pub share: u32,
     /// Thousandths of units that may be used at once on top.
     pub burst_milli: u64,
-    /// Units for calls that wait now, which may go whatever is held.
+    /// Units lent to calls that wait now, independent of the share.
     pub loaned_units: u32,
 }
 
-/// Who holds a duty: `set` and `epoch` only grow, and the nid is nought where nobody is known.
+/// A claim to the lease of a role. The pair of `voter_set` and `epoch` only grows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 #[musli(packed)]
 pub struct LeaseClaim {
+    /// The number of the role.
     pub role: u32,
+    /// The version of the set of voters that the lease was granted under.
     pub voter_set: u64,
+    /// The lease's epoch, its fencing token; zero where the sender doesn't hold it.
     pub epoch: u64,
+    /// The lease holder; the default id where none is known.
     pub holder: NodeId,
 }
 
@@ -72,56 +86,154 @@
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[musli(name(type = usize))]
 pub enum QuotaMessage {
+    /// From a lease holder to the voters: put these grants on disk.
     #[musli(name = 20)]
-    ReplicateGrants { voter_set: Version, role: u32, epoch: u64, request_id: u64, grants: Vec<WindowGrant> },
+    ReplicateGrants {
+        /// The version of the set of voters.
+        voter_set: Version,
+        /// The role whose lease the sender holds.
+        role: u32,
+        /// The lease's epoch, by which older holders are fenced.
+        epoch: u64,
+        /// The number that the response repeats.
+        request_id: u64,
+        /// The grants.
+        grants: Vec<WindowGrant>,
+    },
 
+    /// From a voter: the grants of that request are on its disk.
     #[musli(name = 21)]
-    GrantsSynced { role: u32, epoch: u64, request_id: u64 },
+    GrantsSynced {
+        /// The role of the request.
+        role: u32,
+        /// The epoch of the request.
+        epoch: u64,
+        /// The number of the request.
+        request_id: u64,
+    },
 
+    /// A node requests units of a window.
     #[musli(name = 24)]
-    SliceRequest { request_id: u64, tenant: String, wanted_units: u64, window: u64, returned: u64 },
+    SliceRequest {
+        /// The number that the response repeats.
+        request_id: u64,
+        /// The tenant's name.
+        tenant: String,
+        /// How many units the node would use.
+        wanted_units: u64,
+        /// The newest window that the node knows.
+        window: u64,
+        /// The sum of units that it returned in that window.
+        returned: u64,
+    },
 
+    /// Units are granted; sent once a majority of voters has the grant on disk.
     #[musli(name = 25)]
-    SliceGranted { request_id: u64, tenant: String, window: u64, granted_total: u64, remaining: Micros, epoch: u64 },
+    SliceGranted {
+        /// The number of the request.
+        request_id: u64,
+        /// The tenant's name.
+        tenant: String,
+        /// The number of the window.
+        window: u64,
+        /// The sum of all grants to the node in this window.
+        granted_total: u64,
+        /// How long the units may be used from the moment of the request, in microseconds.
+        remaining: Micros,
+        /// The lease's epoch.
+        epoch: u64,
+    },
 
+    /// Nothing is left of the window.
     #[musli(name = 26)]
-    WindowSpent { request_id: u64, tenant: String, window: u64, remaining: Micros },
+    WindowSpent {
+        /// The number of the request.
+        request_id: u64,
+        /// The tenant's name.
+        tenant: String,
+        /// The number of the window.
+        window: u64,
+        /// How long the window still lasts, in microseconds.
+        remaining: Micros,
+    },
 
+    /// The receiver of a request does not hold the lease.
     #[musli(name = 27)]
-    NotLeaseHolder { request_id: u64, tenant: String, holder: NodeId },
+    NotLeaseHolder {
+        /// The number of the request.
+        request_id: u64,
+        /// The tenant's name.
+        tenant: String,
+        /// The lease holder by what the sender knows; the default id where it knows none.
+        holder: NodeId,
+    },
 
+    /// The lease holder asks for idle units back.
     #[musli(name = 28)]
-    RecallSlice { tenant: String, window: u64, epoch: u64 },
+    RecallSlice {
+        /// The tenant's name.
+        tenant: String,
+        /// The number of the window.
+        window: u64,
+        /// The lease's epoch.
+        epoch: u64,
+    },
 
+    /// The response to a recall.
     #[musli(name = 29)]
-    ReturnSlice { tenant: String, window: u64, returned: u64 },
+    ReturnSlice {
+        /// The tenant's name.
+        tenant: String,
+        /// The number of the window.
+        window: u64,
+        /// The sum of all units that the node returned in this window.
+        returned: u64,
+    },
 
-    /// Who holds these duties wants to be asked now.
+    /// The lease holder of these roles wants to receive share requests now.
     #[musli(name = 35)]
-    ShareProbe { claims: Vec<LeaseClaim> },
+    ShareProbe {
+        /// The leases that the sender holds.
+        claims: Vec<LeaseClaim>,
+    },
 
-    /// Who lives at the address that was probed.
+    /// Which incarnation listens at the address that was probed.
     #[musli(name = 36)]
     ShareProbeReply {
+        /// The sender's own address.
         addr: String,
+        /// The claims of the probe.
         claims: Vec<LeaseClaim>,
-        /// How long ago this life began, which had the address for itself from then on.
+        /// How long ago this incarnation started, in microseconds; it had the address to itself since then.
         #[musli(default)]
         age: Micros,
     },
 
+    /// A node requests shares of several rates from one lease holder.
     #[musli(name = 37)]
     ShareRequests {
+        /// The number that the response repeats.
         request_id: u64,
+        /// One request for each tenant.
         requests: Vec<ShareRequest>,
+        /// The newest claims that the sender knows for the roles of these tenants.
         claims: Vec<LeaseClaim>,
-        /// For how long this life was given nothing and held the same share, in the order of the rows.
+        /// For how long this incarnation was granted nothing and held the same share, in microseconds and in
+        /// the order of `requests`.
         #[musli(default)]
         idle_for: Vec<Micros>,
     },
 
+    /// The response to [`ShareRequests`](QuotaMessage::ShareRequests).
     #[musli(name = 38)]
-    ShareGrants { request_id: u64, grants: Vec<ShareGrant>, claims: Vec<LeaseClaim> },
+    ShareGrants {
+        /// The number of the request.
+        request_id: u64,
+        /// One grant for each request, in the same order.
+        grants: Vec<ShareGrant>,
+        /// The lease holders of these roles by what the sender knows.
+        claims: Vec<LeaseClaim>,
+    },
 }
 
 impl QuotaMessage {
--- a/crates/core/src/quota/mod.rs
+++ b/crates/core/src/quota/mod.rs
@@ -1,4 +1,9 @@
-//! Limits of tenants over all nodes: windows lent in slices, rates lent in shares.
+//! Limits of tenants over all nodes: slices of counting windows, and shares of rates.
+//!
+//! A node takes units for its calls from what it holds already, without a message to anyone. A window's units
+//! are granted by the lease holder ([`WindowLedger`]) to the nodes' slices ([`WindowSlices`]); a rate is lent by
+//! the lease holder ([`SharePools`]) as shares to the nodes' token buckets ([`RateShares`]). In both, the sum
+//! over all nodes never exceeds the limit, also across a change of the lease holder.
 
 mod rates;
 mod share_bucket;
@@ -7,7 +12,7 @@
 mod window_ledger;
 
 pub use rates::{RateShares, tenant_key};
-pub use share_bucket::{AGAIN, FULL_SHARE, LOAN_DURATION, SHARE_LEASE, ShareBucket, UNIT};
+pub use share_bucket::{FULL_SHARE, LOAN_DURATION, RESPONSE_TIMEOUT, SHARE_LEASE, ShareBucket, UNIT};
 pub use share_pool::{SharePool, SharePools};
 pub use slices::{TakeOutcome, WindowSlices};
 pub use window_ledger::{LedgerAction, SliceRequest, WindowLedger};
--- a/crates/core/src/quota/rates.rs
+++ b/crates/core/src/quota/rates.rs
@@ -1,171 +1,181 @@
-//! A node's buckets by tenant.
+//! A node's shares of rates by tenant.
+//!
+//! Holds a [`ShareBucket`] for each tenant with a rate, and knows the tenants without a limit. Tenants with
+//! counting windows are not here: methods answer `None` or `false` for them, and the caller goes on to
+//! [`WindowSlices`](super::WindowSlices).
 
 use super::{ShareBucket, TakeOutcome};
 use crate::base::{Micros, Shards, hash64};
-use crate::config::{CompiledConfig, Limit};
+use crate::config::{CompiledConfig, Limit, Rate};
 use crate::protocol::{ShareGrant, ShareRequest};
 use std::sync::OnceLock;
 
 #[derive(Clone, Debug)]
-enum Kept {
-    Free,
-    Rate(Box<ShareBucket>),
+enum TenantRate {
+    Unlimited,
+    Limited(Box<ShareBucket>),
 }
 
-/// This node's shares of every tenant that has a rate, and who has no limit.
+/// This node's share of every tenant's rate, and the tenants without a limit.
 #[derive(Clone, Debug, Default)]
 pub struct RateShares {
-    kept: Shards<Kept>,
-    /// When this life of the node began: the time of the first version, also an empty one.
-    born: OnceLock<Micros>,
-    /// Set once a version named any tenant.
-    named: OnceLock<()>,
+    tenants: Shards<TenantRate>,
+    /// When this incarnation of the node started: the time of the first configuration, even of an empty one.
+    started_at: OnceLock<Micros>,
+    /// Set once a configuration named any tenant.
+    has_seen_tenants: OnceLock<()>,
 }
 
-/// The name of a tenant between nodes.
-pub fn tenant_key(t: &str) -> u64 {
-    hash64(t.as_bytes())
+/// The hash of a tenant's name, by which nodes name it to each other.
+pub fn tenant_key(name: &str) -> u64 {
+    hash64(name.as_bytes())
 }
 
 impl RateShares {
-    /// A version comes into force: shares stay, and what they bring follows the version.
-    pub fn apply_plan(&self, p: &CompiledConfig, now: Micros) {
-        let born = *self.born.get_or_init(|| now);
-        let first = self.named.get().is_none();
-        if !p.tenants.is_empty() {
-            self.named.get_or_init(|| ());
+    /// Puts a configuration into force: shares stay, and their refill follows the new rates.
+    pub fn apply_plan(&self, config: &CompiledConfig, now: Micros) {
+        let started_at = *self.started_at.get_or_init(|| now);
+        let is_first = self.has_seen_tenants.get().is_none();
+        if !config.tenants.is_empty() {
+            self.has_seen_tenants.get_or_init(|| ());
         }
-        // A later version may bring a tenant back that this node held something of before.
-        let bucket = |r| if first { ShareBucket::first_of_incarnation(r, born, now) } else { ShareBucket::new(r, now) };
-        for mut g in self.kept.lock_each() {
-            g.retain(|t, _| p.tenants.get(t).is_some_and(|t| !matches!(t.quota, Limit::Window(_))));
+        for mut tenants in self.tenants.lock_each() {
+            tenants.retain(|name, _| {
+                config.tenants.get(name).is_some_and(|tenant| !matches!(tenant.quota, Limit::Window(_)))
+            });
         }
-        for (n, t) in &p.tenants {
-            let mut g = self.kept.lock_shard(n);
-            match (t.quota, g.get_mut(n)) {
+        // A later configuration may bring back a tenant that this node held a share of before.
+        let new_bucket = |rate: Rate| match is_first {
+            true => ShareBucket::first_of_incarnation(rate, started_at, now),
+            false => ShareBucket::new(rate, now),
+        };
+        for (name, tenant) in &config.tenants {
+            let mut tenants = self.tenants.lock_shard(name);
+            match (tenant.quota, tenants.get_mut(name)) {
                 (Limit::Window(_), _) => {}
                 (Limit::Unlimited, _) => {
-                    g.insert(n.clone(), Kept::Free);
+                    tenants.insert(name.clone(), TenantRate::Unlimited);
                 }
-                (Limit::Rate(r), Some(Kept::Rate(b))) => b.set_rate(r, now),
-                (Limit::Rate(r), _) => {
-                    g.insert(n.clone(), Kept::Rate(Box::new(bucket(r))));
+                (Limit::Rate(rate), Some(TenantRate::Limited(bucket))) => bucket.set_rate(rate, now),
+                (Limit::Rate(rate), _) => {
+                    tenants.insert(name.clone(), TenantRate::Limited(Box::new(new_bucket(rate))));
                 }
             }
         }
     }
 
-    fn with<R>(&self, t: &str, f: impl FnOnce(&mut ShareBucket) -> R) -> Option<R> {
-        match self.kept.lock_shard(t).get_mut(t)? {
-            Kept::Free => None,
-            Kept::Rate(b) => Some(f(b)),
+    /// Runs `action` on the tenant's bucket; none where the tenant has no rate.
+    fn with_bucket<R>(&self, tenant: &str, action: impl FnOnce(&mut ShareBucket) -> R) -> Option<R> {
+        match self.tenants.lock_shard(tenant).get_mut(tenant)? {
+            TenantRate::Unlimited => None,
+            TenantRate::Limited(bucket) => Some(action(bucket)),
         }
     }
 
-    /// None where the tenant's limit is of another form.
-    pub fn take(&self, t: &str, units: u32, now: Micros) -> Option<TakeOutcome> {
-        match self.kept.lock_shard(t).get_mut(t)? {
-            Kept::Free => Some(TakeOutcome::Taken { window: 0, until: Micros::MAX, low: false }),
-            Kept::Rate(b) => Some(b.take_units(units, now)),
+    /// Takes the units of a call that comes now; none where the tenant has neither a rate nor no limit.
+    pub fn take(&self, tenant: &str, units: u32, now: Micros) -> Option<TakeOutcome> {
+        match self.tenants.lock_shard(tenant).get_mut(tenant)? {
+            TenantRate::Unlimited => Some(TakeOutcome::Taken { window: 0, until: Micros::MAX, low: false }),
+            TenantRate::Limited(bucket) => Some(bucket.take_units(units, now)),
         }
     }
 
-    /// For one who waited, and was counted when it came.
-    pub fn take_for_waiter(&self, t: &str, units: u32, now: Micros) -> Option<TakeOutcome> {
-        self.with(t, |b| b.take_for_waiter(units, now))
+    /// See [`ShareBucket::take_for_waiter`].
+    pub fn take_for_waiter(&self, tenant: &str, units: u32, now: Micros) -> Option<TakeOutcome> {
+        self.with_bucket(tenant, |bucket| bucket.take_for_waiter(units, now))
     }
 
-    /// For one who comes while others wait.
-    pub fn peek(&self, t: &str, units: u32, now: Micros) -> Option<TakeOutcome> {
-        self.with(t, |b| b.peek(units, now))
+    /// See [`ShareBucket::peek`].
+    pub fn peek(&self, tenant: &str, units: u32, now: Micros) -> Option<TakeOutcome> {
+        self.with_bucket(tenant, |bucket| bucket.peek(units, now))
     }
 
-    /// See [`Bucket::set_first`].
-    pub fn set_smallest_call(&self, t: &str, units: u32) {
-        self.with(t, |b| b.set_smallest_call(units));
+    /// See [`ShareBucket::set_smallest_call`].
+    pub fn set_smallest_call(&self, tenant: &str, units: u32) {
+        self.with_bucket(tenant, |bucket| bucket.set_smallest_call(units));
     }
 
-    /// False where the tenant's limit is of another form.
-    pub fn refund(&self, t: &str, at: Micros) -> bool {
-        match self.kept.lock_shard(t).get_mut(t) {
+    /// Refunds unused units, see [`ShareBucket::refund`]; false where the tenant has neither a rate nor no
+    /// limit.
+    pub fn refund(&self, tenant: &str, taken_at: Micros) -> bool {
+        match self.tenants.lock_shard(tenant).get_mut(tenant) {
             None => false,
-            Some(Kept::Free) => true,
-            Some(Kept::Rate(b)) => {
-                b.refund(at, at);
+            Some(TenantRate::Unlimited) => true,
+            Some(TenantRate::Limited(bucket)) => {
+                bucket.refund(taken_at, taken_at);
                 true
             }
         }
     }
 
     /// Whether the tenant has a rate, or no limit.
-    pub fn contains(&self, t: &str) -> bool {
-        self.kept.lock_shard(t).contains_key(t)
+    pub fn contains(&self, tenant: &str) -> bool {
+        self.tenants.lock_shard(tenant).contains_key(tenant)
     }
 
     /// Whether the tenant's limit is a rate.
-    pub fn is_rate(&self, t: &str) -> bool {
-        self.with(t, |_| ()).is_some()
+    pub fn is_rate(&self, tenant: &str) -> bool {
+        self.with_bucket(tenant, |_| ()).is_some()
     }
 
-    /// See [`Bucket::urge`].
-    pub fn request_soon(&self, t: &str) {
-        self.with(t, ShareBucket::request_soon);
+    /// See [`ShareBucket::request_soon`].
+    pub fn request_soon(&self, tenant: &str) {
+        self.with_bucket(tenant, ShareBucket::request_soon);
     }
 
-    /// See [`Bucket::mute`].
-    pub fn request_timed_out(&self, t: &str, n: u64) {
-        self.with(t, |b| b.request_timed_out(n));
+    /// See [`ShareBucket::request_timed_out`].
+    pub fn request_timed_out(&self, tenant: &str, request_id: u64) {
+        self.with_bucket(tenant, |bucket| bucket.request_timed_out(request_id));
     }
 
-    /// See [`Bucket::deny`].
-    pub fn request_rejected(&self, t: &str, n: u64) {
-        self.with(t, |b| b.request_rejected(n));
+    /// See [`ShareBucket::request_rejected`].
+    pub fn request_rejected(&self, tenant: &str, request_id: u64) {
+        self.with_bucket(tenant, |bucket| bucket.request_rejected(request_id));
     }
 
-    /// The tenants whose holder should be asked now.
+    /// The tenants, sorted by name, for which a request to the lease holder should go now.
     pub fn due_requests(&self, eager: bool, now: Micros) -> Vec<String> {
-        let mut v = Vec::new();
-        for mut g in self.kept.lock_each() {
-            for (t, k) in g.iter_mut() {
-                if let Kept::Rate(b) = k
-                    && b.is_request_due(eager, now)
+        let mut due = Vec::new();
+        for mut tenants in self.tenants.lock_each() {
+            for (name, rate) in tenants.iter_mut() {
+                if let TenantRate::Limited(bucket) = rate
+                    && bucket.is_request_due(eager, now)
                 {
-                    v.push(t.clone());
+                    due.push(name.clone());
                 }
             }
         }
-        v.sort();
-        v
+        due.sort();
+        due
     }
 
-    /// See [`Bucket::ask`].
-    pub fn make_request(&self, t: &str, n: u64, waits: u64, now: Micros) -> Option<ShareRequest> {
-        self.with(t, |b| b.make_request(tenant_key(t), n, waits, now))
+    /// See [`ShareBucket::make_request`].
+    pub fn make_request(&self, tenant: &str, request_id: u64, waits: u64, now: Micros) -> Option<ShareRequest> {
+        self.with_bucket(tenant, |bucket| bucket.make_request(tenant_key(tenant), request_id, waits, now))
     }
 
-    /// For how long this life of the node was given nothing of the tenant, and held the same share.
-    pub fn idle_for(&self, t: &str, now: Micros) -> Micros {
-        self.with(t, |b| b.idle_for(now)).unwrap_or(0)
+    /// See [`ShareBucket::idle_for`]; zero where the tenant has no rate.
+    pub fn idle_for(&self, tenant: &str, now: Micros) -> Micros {
+        self.with_bucket(tenant, |bucket| bucket.idle_for(now)).unwrap_or(0)
     }
 
-    /// See [`Bucket::answer`]; false where it is of no use.
-    pub fn apply_grant(&self, t: &str, n: u64, g: ShareGrant, at: Micros, now: Micros) -> bool {
-        self.with(t, |b| b.apply_grant(n, g, at, now)).unwrap_or(false)
+    /// See [`ShareBucket::apply_grant`]; false where the grant was ignored.
+    pub fn apply_grant(&self, tenant: &str, request_id: u64, grant: ShareGrant, sent_at: Micros, now: Micros) -> bool {
+        self.with_bucket(tenant, |bucket| bucket.apply_grant(request_id, grant, sent_at, now)).unwrap_or(false)
     }
 
-    /// For comparison and metrics: tenant, share in millionths, whole units at hand.
+    /// For comparison and metrics, sorted: tenant, share in millionths, whole units that are free.
     pub fn list(&self) -> Vec<(String, u32, u64)> {
-        let mut v = Vec::new();
-        for g in self.kept.lock_each() {
-            v.extend(g.iter().filter_map(|(t, k)| match k {
-                Kept::Free => None,
-                Kept::Rate(b) => {
-                    let (s, f) = b.list();
-                    Some((t.clone(), s, f))
+        let mut rows = Vec::new();
+        for tenants in self.tenants.lock_each() {
+            for (name, rate) in tenants.iter() {
+                if let TenantRate::Limited(bucket) = rate {
+                    let (share, free) = bucket.list();
+                    rows.push((name.clone(), share, free));
                 }
-            }));
+            }
         }
-        v.sort();
-        v
+        rows.sort();
+        rows
     }
 }
--- a/crates/core/src/quota/share_bucket.rs
+++ b/crates/core/src/quota/share_bucket.rs
@@ -1,4 +1,10 @@
-//! One node's share of one tenant's rate.
+//! One node's share of one tenant's rate, as a token bucket.
+//!
+//! Calls take units from the bucket without a message to anyone. The node's share is a lease of
+//! [`SHARE_LEASE`] from the lease holder; the bucket is refilled by that share of the rate, and its burst is
+//! that share of the rate's burst. A bucket that runs dry requests more: at once, then every [`LOAN_INTERVAL`]
+//! as long as the lease holder lends units, every [`REQUEST_BACKOFF`] where it has none, and after time-outs
+//! with a backoff that doubles from [`RESPONSE_TIMEOUT`].
 
 use super::TakeOutcome;
 use crate::base::{MS, Micros, SEC};
@@ -6,127 +12,158 @@
 use crate::protocol::{ShareGrant, ShareRequest};
 use std::collections::VecDeque;
 
-/// All of a tenant's rate, in the units that shares are counted in.
+/// The whole of a tenant's rate, in the unit that shares are counted in (millionths).
 pub const FULL_SHARE: u32 = 1_000_000;
-/// How long a share is held from the moment that its holder sent its ask.
+/// How long a share is valid from the moment that the node sent its request, in microseconds.
 pub const SHARE_LEASE: Micros = 4 * SEC;
-/// One unit: thousandths of it, times millionths of a share, times microseconds.
+/// One unit in a bucket's scale: thousandths of units, times millionths of a share, times microseconds.
 pub const UNIT: u128 = 1_000 * MILLI;
-/// A thousandth of a unit.
+/// A thousandth of a unit in a bucket's scale.
 pub const MILLI: u128 = 1_000_000 * 1_000_000;
-/// A unit that was not sent by then needs another one.
-const KEEP: Micros = 500 * MS;
-/// A unit that comes back later than this brings nothing.
-const BACK: Micros = 2 * SEC;
-const EVERY: Micros = 500 * MS;
-const EARLY: Micros = 100 * MS;
-/// As long as the holder has units for calls that wait, they are asked for one by one.
-const SOON: Micros = 4 * MS;
-/// What is lent is of use for so long after it was asked for.
+/// How long units are of use after they were lent, from the moment of the request, in microseconds.
 pub const LOAN_DURATION: Micros = 200 * MS;
-/// For so many calls at once.
-const MOST: u32 = 64;
-/// The usual call follows the last eight or so.
-const USUAL: u64 = 8;
-/// An ask unanswered for so long is sent anew, to another core.
-pub const AGAIN: Micros = 250 * MS;
-/// An idle share is renewed when it has less than this left.
-const RENEW: Micros = 2_500 * MS;
-/// For so long after a node's first answer its holder's pool may be filling up from empty, as it
-/// does after a loss of all power: who finds nothing there waits rather than being refused.
-const FILLS: Micros = SEC;
-/// Fewer thousandths of units a second are none.
-const NOTHING: u64 = 50;
-/// How much of what was looked for before is kept each half second.
-const FADE: (u64, u64) = (3, 4);
-
-/// What is looked for in a second, after so much was seen; `over` where that was seen for long enough.
-/// What doubles counts at once; what wavers is smoothed.
-fn follow(was: u64, seen: u64, over: bool) -> u64 {
-    match seen > 2 * was {
-        true => seen,
-        false if over => (was * FADE.0 + seen) / FADE.1,
-        false => was,
+/// After this long, in microseconds, a request counts as timed out and is sent to another voter.
+pub const RESPONSE_TIMEOUT: Micros = 250 * MS;
+
+/// A call must have started this long after it took its units, in microseconds; a later one needs new units.
+const UNIT_VALIDITY: Micros = 500 * MS;
+/// Units that are refunded later than this, in microseconds, are worth nothing.
+const REFUND_WINDOW: Micros = 2 * SEC;
+/// The shortest interval over which the demand is measured, and between requests that nothing urges, in
+/// microseconds.
+const DEMAND_INTERVAL: Micros = 500 * MS;
+/// The shortest interval between requests where no call misses units that the lease holder may have, in
+/// microseconds.
+const REQUEST_BACKOFF: Micros = 100 * MS;
+/// The shortest interval between requests while calls miss units that the lease holder may have, in
+/// microseconds.
+const LOAN_INTERVAL: Micros = 4 * MS;
+/// A request is for at most this many usual calls.
+const MAX_REQUESTED_CALLS: u32 = 64;
+/// The usual call is a moving average over about this many calls.
+const USUAL_CALL_WEIGHT: u64 = 8;
+/// An idle share is renewed when it is valid for less than this, in microseconds.
+const RENEW_BEFORE: Micros = 2_500 * MS;
+/// For this long after a node's first response, in microseconds, the lease holder's pool may be filling up from
+/// empty, as after a power loss of all nodes: calls that find nothing there wait and are not rejected.
+const POOL_WARM_UP: Micros = SEC;
+/// A demand below this, in thousandths of units a second, counts as none.
+const NEGLIGIBLE_DEMAND_MILLI: u64 = 50;
+/// The weight of the previous demand against one new measurement each [`DEMAND_INTERVAL`].
+const DEMAND_WEIGHT: u64 = 3;
+/// The longest wait that is reported, in microseconds.
+const LONGEST_WAIT: Micros = Micros::MAX / 4;
+
+/// The demand after a measurement; `is_complete` where that covers a full [`DEMAND_INTERVAL`]. A demand that
+/// more than doubles counts at once, any other change is smoothed.
+fn smoothed_demand(previous: u64, measured: u64, is_complete: bool) -> u64 {
+    match measured > 2 * previous {
+        true => measured,
+        false if is_complete => (previous * DEMAND_WEIGHT + measured) / (DEMAND_WEIGHT + 1),
+        false => previous,
     }
 }
 
-/// What a share may hold at most.
-pub fn share_capacity(r: Rate, share: u32) -> u128 {
-    u128::from(r.burst_milli) * u128::from(share) * 1_000_000
+/// The burst of a share: what its bucket holds at most, in the scale of [`UNIT`].
+pub fn share_capacity(rate: Rate, share: u32) -> u128 {
+    u128::from(rate.burst_milli) * u128::from(share) * 1_000_000
 }
 
-/// What a share brings in so long a time.
-pub fn share_refill(r: Rate, share: u32, t: Micros) -> u128 {
-    u128::from(r.milli_per_second) * u128::from(share) * u128::from(t)
+/// The refill of a share in `elapsed` microseconds, in the scale of [`UNIT`].
+pub fn share_refill(rate: Rate, share: u32, elapsed: Micros) -> u128 {
+    u128::from(rate.milli_per_second) * u128::from(share) * u128::from(elapsed)
 }
 
-/// One node's share of one tenant's rate, spent without asking anybody.
+/// Units that a call took and may still refund.
+#[derive(Clone, Copy, Debug)]
+struct Refundable {
+    /// When they were taken, or a moment later: unique, it identifies them.
+    taken_at: Micros,
+    /// What a refund is worth, in the scale of [`UNIT`].
+    units: u128,
+}
+
+/// Units lent by the lease holder for calls that wait.
+#[derive(Clone, Copy, Debug, Default)]
+struct Loan {
+    units: u32,
+    expires_at: Micros,
+}
+
+/// One node's share of one tenant's rate, from which calls take units without a message to anyone.
 ///
-/// Of the shares that nodes hold at any time the sum is at most one, no share holds more
-/// than its part of the burst, and units move between nodes only as part of a share. So
-/// what is there at any moment is at most the burst, and what comes in after it at most
-/// the rate: no interval sees more than both.
+/// Invariants: of the shares that nodes hold at any time the sum is at most one, no bucket holds more than its
+/// share of the burst, and units move between nodes only as part of a share. So what all buckets hold at any
+/// moment is at most the burst, and what they are refilled with afterwards at most the rate: no interval sees
+/// more than both.
 #[derive(Clone, Debug, Default)]
 pub struct ShareBucket {
     rate: Option<Rate>,
+    /// In millionths of the rate; valid until `share_expires_at`.
     share: u32,
-    until: Micros,
+    share_expires_at: Micros,
+    /// What calls may take, in the scale of [`UNIT`]; refilled up to `refilled_at`.
     free: u128,
-    at: Micros,
-    /// What each unit taken lately brings if it comes back unused. It is no more than the
-    /// bucket would hold had that unit stayed: all of them and what is free fit into it.
-    out: VecDeque<(Micros, u128)>,
-    credit: u128,
-    /// What a smaller share could not hold, for the holder.
+    refilled_at: Micros,
+    /// Units taken lately, oldest first. A refund is worth no more than the bucket would hold had the units
+    /// stayed: all of them and `free` together fit into the burst.
+    refundable: VecDeque<Refundable>,
+    /// The sum over `refundable`.
+    refundable_total: u128,
+    /// What a smaller share could not hold, to be returned to the lease holder, in the scale of [`UNIT`].
     returned: u128,
-    looked: u64,
-    /// The calls that looked for them.
-    came: u64,
-    /// The units of a usual call.
-    each: u32,
-    /// Units that calls found missing, and the fewest that any of these calls takes.
-    short: u32,
-    first: u32,
-    since: Micros,
-    want: u64,
-    calls: u64,
-    /// The newest ask; answers to others say nothing.
-    n: u64,
-    asked: Micros,
-    open: bool,
-    /// Asks in a row that nobody answered.
-    mute: u32,
-    /// When the last ask that was answered was sent.
-    heard: Option<Micros>,
-    urgent: bool,
-    /// Units lent for calls that wait, and when they end.
-    loan: (u32, Micros),
-    /// How many units the newest ask was for, and the fewest that would have been of use.
-    need: u32,
-    least: u32,
-    /// The last answer had not even so many units; nought where it had some.
-    vain: u32,
-    /// Until then an answer that has nothing does not say that the rate is spent.
-    fills: Micros,
-    /// Since when this life of the node was given nothing of the tenant, and held the same share.
+    /// The units and the calls that wanted them, since `demand_since`.
+    demanded_units: u64,
+    demanded_calls: u64,
+    demand_since: Micros,
+    /// The measured demand, in thousandths of units and of calls a second.
+    demand_milli: u64,
+    call_rate_milli: u64,
+    /// The units of a usual call; zero before the first call.
+    usual_call: u32,
+    /// Units that calls found missing since they were last requested, and the smallest of these calls.
+    missing_units: u32,
+    smallest_missing_call: u32,
+    /// The newest request; responses to others are ignored.
+    request_id: u64,
+    requested_at: Micros,
+    is_awaiting_response: bool,
+    /// How many units the newest request was for, and the smallest call among these.
+    requested_units: u32,
+    requested_smallest_call: u32,
+    /// Requests in a row without a response.
+    unanswered_requests: u32,
+    /// When the newest request with a response was sent.
+    last_answered_request_at: Option<Micros>,
+    /// A request should go as soon as the backoff allows.
+    is_urgent: bool,
+    loan: Loan,
+    /// The last response had too little for calls of this size or larger; zero where it had some.
+    exhausted_for_call: u32,
+    /// Until then a response without units does not mean that the rate is exhausted.
+    pool_warm_up_until: Micros,
+    /// Since when this incarnation of the node was granted nothing of the tenant and held the same share.
     idle_since: Micros,
 }
 
 impl ShareBucket {
     /// A bucket without a share.
-    pub fn new(r: Rate, now: Micros) -> Self {
-        // An earlier bucket of the tenant may have given units that are used still.
-        ShareBucket { rate: Some(r), at: now, since: now, idle_since: now + KEEP, ..ShareBucket::default() }
+    pub fn new(rate: Rate, now: Micros) -> Self {
+        // An earlier bucket of the tenant may have handed out units that are still in use.
+        let idle_since = now + UNIT_VALIDITY;
+        ShareBucket { rate: Some(rate), refilled_at: now, demand_since: now, idle_since, ..ShareBucket::default() }
     }
 
-    /// The first bucket that this life of the node has for the tenant: it was given nothing since then.
-    pub fn first_of_incarnation(r: Rate, idle_since: Micros, now: Micros) -> Self {
-        ShareBucket { idle_since, ..ShareBucket::new(r, now) }
+    /// The first bucket that this incarnation of the node has for the tenant: it was granted nothing since
+    /// `idle_since`.
+    pub fn first_of_incarnation(rate: Rate, idle_since: Micros, now: Micros) -> Self {
+        ShareBucket { idle_since, ..ShareBucket::new(rate, now) }
     }
 
-    /// For how long this life was given nothing, neither units nor a loan, and held the same share.
+    /// For how long this incarnation was granted nothing, neither units nor a loan, and held the same share, in
+    /// microseconds.
     pub fn idle_for(&mut self, now: Micros) -> Micros {
-        self.turn(now);
+        self.refill(now);
         now.saturating_sub(self.idle_since)
     }
 
@@ -135,278 +172,322 @@
         self.rate.unwrap_or(Rate { milli_per_second: 0, burst_milli: 0 })
     }
 
-    /// A version in force here: what the new burst can't hold is gone.
-    pub fn set_rate(&mut self, r: Rate, now: Micros) {
-        if self.rate != Some(r) {
-            self.turn(now);
-            self.rate = Some(r);
-            self.free = self.free.min(share_capacity(r, self.share));
-            self.forget();
+    /// Puts a rate into force: what the new burst can't hold is lost.
+    pub fn set_rate(&mut self, rate: Rate, now: Micros) {
+        if self.rate != Some(rate) {
+            self.refill(now);
+            self.rate = Some(rate);
+            self.free = self.free.min(share_capacity(rate, self.share));
+            self.forget_refundable();
         }
     }
 
-    fn forget(&mut self) {
-        self.out.clear();
-        self.credit = 0;
+    fn forget_refundable(&mut self) {
+        self.refundable.clear();
+        self.refundable_total = 0;
     }
 
-    /// The oldest units lose first what no longer fits.
-    fn spill(&mut self, full: u128, now: Micros) {
-        let mut over = (self.free + self.credit).saturating_sub(full);
-        while let Some((at, c)) = self.out.front_mut() {
-            let old = *at + BACK < now || *c == 0;
-            let n = if old { *c } else { over.min(*c) };
-            *c -= n;
-            self.credit -= n;
-            over -= over.min(n);
-            if *c > 0 {
+    /// Reduces refunds, the oldest first, until they fit into the burst; drops those past the refund window.
+    fn limit_refundable(&mut self, capacity: u128, now: Micros) {
+        let mut excess = (self.free + self.refundable_total).saturating_sub(capacity);
+        while let Some(oldest) = self.refundable.front_mut() {
+            let is_over = oldest.taken_at + REFUND_WINDOW < now || oldest.units == 0;
+            let reduction = if is_over { oldest.units } else { excess.min(oldest.units) };
+            oldest.units -= reduction;
+            self.refundable_total -= reduction;
+            excess -= excess.min(reduction);
+            if oldest.units > 0 {
                 break;
             }
-            self.out.pop_front();
+            self.refundable.pop_front();
         }
     }
 
-    fn turn(&mut self, now: Micros) {
-        let r = self.rate();
-        let t = now.min(self.until);
-        if t > self.at {
-            let full = share_capacity(r, self.share);
-            self.free = (self.free + share_refill(r, self.share, t - self.at)).min(full);
-            self.spill(full, now);
+    /// Refills the bucket up to now, and drops a share that has expired.
+    fn refill(&mut self, now: Micros) {
+        let rate = self.rate();
+        let refill_until = now.min(self.share_expires_at);
+        if refill_until > self.refilled_at {
+            let capacity = share_capacity(rate, self.share);
+            let refill = share_refill(rate, self.share, refill_until - self.refilled_at);
+            self.free = (self.free + refill).min(capacity);
+            self.limit_refundable(capacity, now);
         }
-        self.at = self.at.max(now);
-        if now >= self.until && self.share > 0 {
-            self.idle_since = self.idle_since.max(self.until);
+        self.refilled_at = self.refilled_at.max(now);
+        if now >= self.share_expires_at && self.share > 0 {
+            self.idle_since = self.idle_since.max(self.share_expires_at);
             (self.share, self.free) = (0, 0);
-            self.forget();
+            self.forget_refundable();
         }
     }
 
     /// The share held now, in millionths.
     pub fn share(&mut self, now: Micros) -> u32 {
-        self.turn(now);
+        self.refill(now);
         self.share
     }
 
-    /// One unit for a call that comes now.
+    /// Takes one unit for a call that comes now.
     pub fn take(&mut self, now: Micros) -> TakeOutcome {
         self.take_units(1, now)
     }
 
-    /// The units of a call that comes now, all or none.
+    /// Takes the units of a call that comes now, all or none.
     pub fn take_units(&mut self, units: u32, now: Micros) -> TakeOutcome {
-        self.look_for(units);
-        let t = self.take_for_waiter(units, now);
-        if !matches!(t, TakeOutcome::RateExhausted { .. } | TakeOutcome::Empty) {
-            return t;
+        self.count_demand(units);
+        let outcome = self.take_for_waiter(units, now);
+        if !matches!(outcome, TakeOutcome::RateExhausted { .. } | TakeOutcome::Empty) {
+            return outcome;
         }
-        self.miss(units);
-        self.dry(units, now)
+        self.count_missing(units);
+        self.exhausted(units, now)
     }
 
-    fn look_for(&mut self, units: u32) {
-        self.looked += u64::from(units);
-        self.came += 1;
-        let usual = (u64::from(self.each.max(1)) * (USUAL - 1) + u64::from(units) + USUAL / 2) / USUAL;
-        self.each = if self.each == 0 { units } else { u32::try_from(usual).unwrap_or(u32::MAX) };
+    fn count_demand(&mut self, units: u32) {
+        self.demanded_units += u64::from(units);
+        self.demanded_calls += 1;
+        let weighted = u64::from(self.usual_call.max(1)) * (USUAL_CALL_WEIGHT - 1) + u64::from(units);
+        let usual_call = (weighted + USUAL_CALL_WEIGHT / 2) / USUAL_CALL_WEIGHT;
+        self.usual_call = if self.usual_call == 0 { units } else { u32::try_from(usual_call).unwrap_or(u32::MAX) };
     }
 
-    fn miss(&mut self, units: u32) {
-        self.first = if self.short == 0 { units } else { self.first.min(units) };
-        self.short = self.short.saturating_add(units);
+    fn count_missing(&mut self, units: u32) {
+        let is_first = self.missing_units == 0;
+        self.smallest_missing_call = if is_first { units } else { self.smallest_missing_call.min(units) };
+        self.missing_units = self.missing_units.saturating_add(units);
     }
 
-    /// The fewest units that are of use to those who wait.
+    /// Sets the fewest units that are of use to the calls that wait.
     pub fn set_smallest_call(&mut self, units: u32) {
-        self.first = units;
+        self.smallest_missing_call = units;
     }
 
-    /// As `take_units` does, for one who was counted already.
+    /// As [`take_units`](Self::take_units), for a call that waited and was counted when it came.
     pub fn take_for_waiter(&mut self, units: u32, now: Micros) -> TakeOutcome {
-        self.turn(now);
+        self.refill(now);
         let price = u128::from(units) * UNIT;
         if self.free >= price {
             let window = self.spend(price, now);
-            let low = self.free < share_capacity(self.rate(), self.share) / 4 && self.early(now);
-            return TakeOutcome::Taken { window, until: now + KEEP, low };
+            let low = self.free < share_capacity(self.rate(), self.share) / 4 && self.may_request(now);
+            return TakeOutcome::Taken { window, until: now + UNIT_VALIDITY, low };
         }
-        let lent = if now < self.loan.1 { self.loan.0 } else { 0 };
+        let lent = if now < self.loan.expires_at { self.loan.units } else { 0 };
         if lent >= units {
-            self.loan.0 -= units;
-            // What comes back of it brings nothing: it was spent where it was lent.
-            return TakeOutcome::Taken { window: 0, until: self.loan.1, low: false };
+            self.loan.units -= units;
+            // A refund of lent units is worth nothing: they were spent where they were lent.
+            return TakeOutcome::Taken { window: 0, until: self.loan.expires_at, low: false };
         }
         let rest = price - u128::from(lent) * UNIT;
         if lent > 0 && self.free >= rest {
-            self.loan.0 = 0;
-            return TakeOutcome::Taken { window: self.spend(rest, now), until: self.loan.1, low: false };
+            self.loan.units = 0;
+            return TakeOutcome::Taken { window: self.spend(rest, now), until: self.loan.expires_at, low: false };
         }
-        self.dry(units, now)
+        self.exhausted(units, now)
     }
 
-    /// Takes so much of what is free, under a number by which it may come back.
+    /// Spends free units, and returns the number by which they can be refunded.
     fn spend(&mut self, price: u128, now: Micros) -> Micros {
-        let window = self.out.back().map_or(now, |last| now.max(last.0 + 1));
+        let taken_at = self.refundable.back().map_or(now, |last| now.max(last.taken_at + 1));
         self.free -= price;
-        self.credit += price;
-        self.out.push_back((window, price));
-        window
+        self.refundable_total += price;
+        self.refundable.push_back(Refundable { taken_at, units: price });
+        taken_at
     }
 
-    /// What one finds who stands behind others.
+    /// The outcome for a call that comes while others wait, and so takes nothing.
     pub fn peek(&mut self, units: u32, now: Micros) -> TakeOutcome {
-        self.look_for(units);
-        self.miss(units);
-        self.turn(now);
-        self.dry(units, now)
+        self.count_demand(units);
+        self.count_missing(units);
+        self.refill(now);
+        self.exhausted(units, now)
     }
 
-    fn dry(&self, units: u32, now: Micros) -> TakeOutcome {
-        if self.heard.is_none_or(|h| now >= h + SHARE_LEASE) {
+    /// The outcome for a call that found too little.
+    fn exhausted(&self, units: u32, now: Micros) -> TakeOutcome {
+        if self.knows_nothing(now) {
             return TakeOutcome::Empty;
         }
-        // The holder's word that it has none counts for those who are no smaller.
-        let vain = self.vain > 0 && units >= self.vain;
-        let unasked = !vain && self.short > 0;
-        let more = self.open || unasked || (vain && now < self.fills) || self.early(now);
-        let (r, s) = (self.rate(), self.share);
-        let pace = share_refill(r, s, 1);
+        let may_get_more = self.may_get_more(units, now);
+        let (rate, share) = (self.rate(), self.share);
+        let refill = share_refill(rate, share, 1);
         let price = u128::from(units) * UNIT;
-        if pace == 0 || share_capacity(r, s) < price {
-            return TakeOutcome::RateExhausted { wait: Micros::MAX / 4, interval: Micros::MAX / 4, may_get_more: more };
+        if refill == 0 || share_capacity(rate, share) < price {
+            return TakeOutcome::RateExhausted { wait: LONGEST_WAIT, interval: LONGEST_WAIT, may_get_more };
         }
-        let wait = Micros::try_from(price.saturating_sub(self.free).div_ceil(pace)).unwrap_or(Micros::MAX / 4);
-        let each = Micros::try_from(price.div_ceil(pace)).unwrap_or(Micros::MAX / 4);
-        TakeOutcome::RateExhausted { wait, interval: each, may_get_more: more }
+        let refill_time = |units: u128| Micros::try_from(units.div_ceil(refill)).unwrap_or(LONGEST_WAIT);
+        let wait = refill_time(price.saturating_sub(self.free));
+        TakeOutcome::RateExhausted { wait, interval: refill_time(price), may_get_more }
+    }
+
+    /// Whether no response is known that is younger than a share's lease.
+    fn knows_nothing(&self, now: Micros) -> bool {
+        self.last_answered_request_at.is_none_or(|sent_at| now >= sent_at + SHARE_LEASE)
     }
 
-    /// A unit that was taken at `at` and not used.
-    pub fn refund(&mut self, at: Micros, now: Micros) {
-        self.turn(now);
-        let i = self.out.partition_point(|o| o.0 < at);
-        if let Some((t, c)) = self.out.get_mut(i)
-            && *t == at
+    /// Whether the lease holder may have units for a call of this size.
+    fn may_get_more(&self, units: u32, now: Micros) -> bool {
+        // A response without units counts for calls that are no smaller than those it was for.
+        let is_exhausted = self.exhausted_for_call > 0 && units >= self.exhausted_for_call;
+        let is_unrequested = !is_exhausted && self.missing_units > 0;
+        let is_warming_up = is_exhausted && now < self.pool_warm_up_until;
+        self.is_awaiting_response || is_unrequested || is_warming_up || self.may_request(now)
+    }
+
+    /// Refunds unused units by their number: when they were taken.
+    pub fn refund(&mut self, taken_at: Micros, now: Micros) {
+        self.refill(now);
+        let index = self.refundable.partition_point(|entry| entry.taken_at < taken_at);
+        if let Some(entry) = self.refundable.get(index).copied()
+            && entry.taken_at == taken_at
         {
-            let c = std::mem::take(c);
-            self.credit -= c;
-            self.free += c;
-            self.out.remove(i);
+            self.refundable_total -= entry.units;
+            self.free += entry.units;
+            self.refundable.remove(index);
         }
     }
 
-    /// A new ask makes answers to the one before worthless, so it gives that one time.
-    fn early(&self, now: Micros) -> bool {
-        let gap = match self.open {
-            true => AGAIN << self.mute.min(2),
-            false if self.short == 0 || (self.vain > 0 && self.first >= self.vain) => EARLY,
-            false => SOON,
+    /// Whether the backoff allows a request now. A new request makes responses to the previous one worthless, so
+    /// it gives that one time.
+    fn may_request(&self, now: Micros) -> bool {
+        let is_exhausted = self.exhausted_for_call > 0 && self.smallest_missing_call >= self.exhausted_for_call;
+        let backoff = match self.is_awaiting_response {
+            true => RESPONSE_TIMEOUT << self.unanswered_requests.min(2),
+            false if self.missing_units == 0 || is_exhausted => REQUEST_BACKOFF,
+            false => LOAN_INTERVAL,
         };
-        self.asked == 0 || now >= self.asked + gap
+        self.requested_at == 0 || now >= self.requested_at + backoff
     }
 
-    /// A call waits: the holder is asked as soon as may be.
+    /// A call waits: the next request goes as soon as the backoff allows.
     pub fn request_soon(&mut self) {
-        self.urgent = true;
+        self.is_urgent = true;
     }
 
-    /// The ask went unanswered.
-    pub fn request_timed_out(&mut self, n: u64) {
-        if self.n == n && self.open {
-            self.urgent = true;
+    /// The request got no response in time.
+    pub fn request_timed_out(&mut self, request_id: u64) {
+        if self.request_id == request_id && self.is_awaiting_response {
+            self.is_urgent = true;
         }
     }
 
-    /// The ask reached one who can't answer it.
-    pub fn request_rejected(&mut self, n: u64) {
-        if self.n == n && self.open {
-            (self.open, self.urgent) = (false, true);
+    /// The request reached a node that can't answer it.
+    pub fn request_rejected(&mut self, request_id: u64) {
+        if self.request_id == request_id && self.is_awaiting_response {
+            (self.is_awaiting_response, self.is_urgent) = (false, true);
         }
     }
 
-    /// Whether an ask should go now; `eager` nodes hold shares before any call comes.
+    /// Whether a request should go now; `eager` nodes hold shares before any call comes.
     pub fn is_request_due(&mut self, eager: bool, now: Micros) -> bool {
-        self.turn(now);
-        if !self.early(now) {
+        self.refill(now);
+        if !self.may_request(now) {
             return false;
         }
-        if self.urgent {
+        if self.is_urgent {
             return true;
         }
-        if self.asked > 0 && now < self.asked + EVERY {
+        if self.requested_at > 0 && now < self.requested_at + DEMAND_INTERVAL {
             return false;
         }
-        let busy = self.looked > 0 || self.want > 0 || self.returned >= MILLI || self.open;
-        let ends = self.share > 0 && self.until < now + RENEW;
-        let idle = eager && now >= self.asked + if self.heard.is_some() { SHARE_LEASE } else { SEC };
-        busy || ends || (idle && self.share == 0) || self.asked == 0 && eager
-    }
-
-    /// What to ask the holder for; `n` numbers the ask, `waits` is how many units calls wait for.
-    pub fn make_request(&mut self, key: u64, n: u64, waits: u64, now: Micros) -> ShareRequest {
-        self.turn(now);
-        let gap = now.saturating_sub(self.since);
-        let a_second = |n: u64| n.saturating_mul(1_000 * SEC) / gap.max(EVERY);
-        let over = gap >= EVERY;
-        self.want = follow(self.want, a_second(self.looked), over);
-        self.calls = follow(self.calls, a_second(self.came), over);
-        if over {
-            self.want = if self.want < NOTHING { 0 } else { self.want };
-            (self.looked, self.came, self.since) = (0, 0, now);
-        }
-        self.mute = if self.open { self.mute + 1 } else { 0 };
-        let returned = u64::try_from(self.returned / MILLI).unwrap_or(0);
-        // Until an answer comes those that found nothing are asked for again.
-        let each = self.each.max(1);
-        let need = self.short.max(u32::try_from(waits).unwrap_or(u32::MAX)).min(MOST.saturating_mul(each));
-        let first = self.first.clamp(1, need.max(1));
-        (self.short, self.need, self.least) = (self.short.min(need), need, first);
-        (self.n, self.asked, self.open, self.returned, self.urgent) = (n, now, true, 0, false);
+        let is_in_use =
+            self.demanded_units > 0 || self.demand_milli > 0 || self.returned >= MILLI || self.is_awaiting_response;
+        let expires_soon = self.share > 0 && self.share_expires_at < now + RENEW_BEFORE;
+        is_in_use || expires_soon || (eager && self.is_eager_request_due(now))
+    }
+
+    /// Whether a node without a share should request one although no call came.
+    fn is_eager_request_due(&self, now: Micros) -> bool {
+        let interval = if self.last_answered_request_at.is_some() { SHARE_LEASE } else { SEC };
+        self.requested_at == 0 || (self.share == 0 && now >= self.requested_at + interval)
+    }
+
+    /// Makes the request that goes now. `waits` is how many units calls wait for.
+    pub fn make_request(&mut self, key: u64, request_id: u64, waits: u64, now: Micros) -> ShareRequest {
+        self.refill(now);
+        self.measure_demand(now);
+        self.unanswered_requests = if self.is_awaiting_response { self.unanswered_requests + 1 } else { 0 };
+        let returned_milli = u64::try_from(self.returned / MILLI).unwrap_or(0);
+        // Until a response comes, calls that found nothing are requested for again.
+        let usual_call = self.usual_call.max(1);
+        let waiting_units = u32::try_from(waits).unwrap_or(u32::MAX);
+        let most = MAX_REQUESTED_CALLS.saturating_mul(usual_call);
+        self.requested_units = self.missing_units.max(waiting_units).min(most);
+        self.requested_smallest_call = self.smallest_missing_call.clamp(1, self.requested_units.max(1));
+        self.missing_units = self.missing_units.min(self.requested_units);
+        (self.request_id, self.requested_at) = (request_id, now);
+        (self.is_awaiting_response, self.is_urgent) = (true, false);
+        self.returned = 0;
         ShareRequest {
             tenant_key: key,
             held_share: self.share,
-            returned_milli: returned,
-            demand_milli: self.want,
-            missing_units: need,
-            smallest_call: first,
-            usual_call: each,
-            call_rate_milli: self.calls,
+            returned_milli,
+            demand_milli: self.demand_milli,
+            missing_units: self.requested_units,
+            smallest_call: self.requested_smallest_call,
+            usual_call,
+            call_rate_milli: self.call_rate_milli,
+        }
+    }
+
+    fn measure_demand(&mut self, now: Micros) {
+        let elapsed = now.saturating_sub(self.demand_since);
+        let milli_per_second = |count: u64| count.saturating_mul(1_000 * SEC) / elapsed.max(DEMAND_INTERVAL);
+        let is_complete = elapsed >= DEMAND_INTERVAL;
+        let (units_milli, calls_milli) = (milli_per_second(self.demanded_units), milli_per_second(self.demanded_calls));
+        self.demand_milli = smoothed_demand(self.demand_milli, units_milli, is_complete);
+        self.call_rate_milli = smoothed_demand(self.call_rate_milli, calls_milli, is_complete);
+        if is_complete {
+            if self.demand_milli < NEGLIGIBLE_DEMAND_MILLI {
+                self.demand_milli = 0;
+            }
+            (self.demanded_units, self.demanded_calls, self.demand_since) = (0, 0, now);
         }
     }
 
-    /// The holder's word on the ask `n` that was sent at `at`.
-    pub fn apply_grant(&mut self, n: u64, g: ShareGrant, at: Micros, now: Micros) -> bool {
-        if n != self.n || !self.open || at + SHARE_LEASE <= now {
+    /// Applies the response to the request that was sent at `sent_at`. False where it is ignored: it is not the
+    /// response to the newest request, or its share has expired.
+    pub fn apply_grant(&mut self, request_id: u64, grant: ShareGrant, sent_at: Micros, now: Micros) -> bool {
+        if request_id != self.request_id || !self.is_awaiting_response || sent_at + SHARE_LEASE <= now {
             return false;
         }
-        self.turn(now);
-        if (g.share, g.burst_milli, g.loaned_units) != (self.share, 0, 0) {
+        self.refill(now);
+        if (grant.share, grant.burst_milli, grant.loaned_units) != (self.share, 0, 0) {
             self.idle_since = self.idle_since.max(now);
         }
-        (self.open, self.mute) = (false, 0);
-        if self.heard.is_none_or(|h| now >= h + SHARE_LEASE) {
-            self.fills = now + FILLS;
+        self.record_response(sent_at, now);
+        self.change_share(grant, sent_at);
+        true
+    }
+
+    fn record_response(&mut self, sent_at: Micros, now: Micros) {
+        (self.is_awaiting_response, self.unanswered_requests) = (false, 0);
+        if self.knows_nothing(now) {
+            self.pool_warm_up_until = now + POOL_WARM_UP;
         }
-        self.heard = self.heard.max(Some(at));
-        let r = self.rate();
-        let full = share_capacity(r, g.share);
-        if g.share < self.share {
-            self.forget();
-            self.returned += self.free.saturating_sub(full);
+        self.last_answered_request_at = self.last_answered_request_at.max(Some(sent_at));
+    }
+
+    fn change_share(&mut self, grant: ShareGrant, sent_at: Micros) {
+        let capacity = share_capacity(self.rate(), grant.share);
+        if grant.share < self.share {
+            self.forget_refundable();
+            self.returned += self.free.saturating_sub(capacity);
         } else {
-            self.free += u128::from(g.burst_milli) * MILLI;
+            self.free += u128::from(grant.burst_milli) * MILLI;
         }
-        self.short -= self.short.min(self.need);
-        self.loan = (g.loaned_units, at + LOAN_DURATION);
-        let none = self.need > 0 && g.loaned_units == 0 && self.free < u128::from(self.least) * UNIT;
-        self.vain = if none { self.least } else { 0 };
-        self.urgent |= self.short > 0;
-        self.free = self.free.min(full);
-        self.share = g.share;
-        self.until = self.until.max(at + SHARE_LEASE);
-        true
+        self.missing_units -= self.missing_units.min(self.requested_units);
+        self.loan = Loan { units: grant.loaned_units, expires_at: sent_at + LOAN_DURATION };
+        let is_exhausted = self.requested_units > 0
+            && grant.loaned_units == 0
+            && self.free < u128::from(self.requested_smallest_call) * UNIT;
+        self.exhausted_for_call = if is_exhausted { self.requested_smallest_call } else { 0 };
+        self.is_urgent |= self.missing_units > 0;
+        self.free = self.free.min(capacity);
+        self.share = grant.share;
+        self.share_expires_at = self.share_expires_at.max(sent_at + SHARE_LEASE);
     }
 
-    /// For metrics: the share in millionths, and the whole units at hand.
+    /// For metrics: the share in millionths, and the whole units that are free.
     pub fn list(&self) -> (u32, u64) {
         (self.share, u64::try_from(self.free / UNIT).unwrap_or(u64::MAX))
     }
--- a/crates/core/src/quota/share_pool.rs
+++ b/crates/core/src/quota/share_pool.rs
@@ -1,4 +1,13 @@
-//! The holder of a rate: which share each node holds, and what is free.
+//! The lease holder's pool of a rate: which share each node holds, and what is not lent.
+//!
+//! Guarantees that the shares of a rate that nodes may hold never sum up to more than the whole rate. Nothing
+//! of it is on disk: a new lease holder counts every share as held (*unaccounted*) that it can't prove to be
+//! free, until the shares granted by earlier holders have expired, or until every incarnation that may hold
+//! one (every *suspect*) has reported its share or is proven dead.
+//!
+//! Half of the rate follows the nodes' demand as shares; the rest stays in the pool and is lent call by call.
+//! A pool that can't grant a share in full marks a shortage, during which nodes with a surplus return it at
+//! once.
 
 use super::share_bucket::{FULL_SHARE, MILLI, SHARE_LEASE, UNIT, share_capacity, share_refill};
 use crate::base::{Incarnation, MS, Micros, NodeId};
@@ -6,332 +15,426 @@
 use crate::protocol::{RegisteredIncarnation, ShareGrant, ShareRequest};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A holder counts a lease for longer than who has it, whose clock may be slower.
-const GRACE: Micros = 100 * MS;
-/// Who no voter has registered any more as a term begins has held nothing for longer than this: voters
-/// forget a life 20 s after a holder last relied on it for 8 s, and a share ends a lease after that.
-const FORGOTTEN: Micros = SHARE_LEASE;
-/// Of what a node's clock counts this many fiftieths have passed at least.
+/// The lease holder counts a share as held for this much longer than the node itself does, in microseconds, as
+/// the node's clock may be slower.
+const EXPIRY_GRACE: Micros = 100 * MS;
+/// An incarnation that no voter has registered any more when a lease starts has held nothing for longer than
+/// this, in microseconds: voters forget a registration 20 s after a lease holder last relied on it for 8 s, and
+/// a share expires one share lease after that.
+const UNREGISTERED_IDLE: Micros = SHARE_LEASE;
+/// Of 50 microseconds on a node's clock at least this many have passed.
 const SLOWEST_CLOCK: u64 = 49;
-/// Thousandths of calls a second from which on a node holds a share by what it looks for.
-const STEADY: u64 = 4_000;
-/// For so long after somebody got less than its due, others give back the least surplus.
-const LACK: Micros = 1_000 * MS;
+/// From this demand on, in thousandths of calls a second, a node holds a share in proportion to it.
+const STEADY_CALL_RATE_MILLI: u64 = 4_000;
+/// For this long after a node could not be granted all of its share, in microseconds, others return even the
+/// smallest surplus.
+const SHORTAGE_DURATION: Micros = 1_000 * MS;
 
-/// What one life of a node may hold, as far as the holder knows.
+/// One incarnation of a node.
+type NodeIncarnation = (NodeId, Incarnation);
+
+/// What one incarnation may hold, as far as the lease holder knows.
 #[derive(Clone, Debug, Default)]
-struct Part {
-    n: u64,
+struct HeldShare {
+    /// The newest request; older ones that arrive later are ignored.
+    request_id: u64,
+    /// In millionths of the rate.
+    share: u32,
+    expires_at: Micros,
+    demand_milli: u64,
+}
+
+/// A share that nobody held for some time, and whose refill is credited to the pool.
+#[derive(Clone, Copy, Debug)]
+struct IdleShare {
+    /// In millionths of the rate.
     share: u32,
-    until: Micros,
-    want: u64,
+    duration: Micros,
 }
 
-/// One tenant's rate as its holder hands it out.
+/// One tenant's rate as its lease holder lends it.
+///
+/// Invariants: `held_total` and `demand_total_milli` are the sums over `held`; `held_total` and
+/// `unaccounted_share` together never exceed [`FULL_SHARE`] by what this pool grants; `free` never exceeds
+/// the burst of the rest.
 #[derive(Clone, Debug, Default)]
 pub struct SharePool {
-    parts: BTreeMap<(NodeId, Incarnation), Part>,
-    /// What all parts hold and look for together.
-    held: u64,
-    want: u64,
-    /// What nodes that were not heard of yet may hold, until then.
-    dark: u64,
-    light: Micros,
-    /// Lives that may hold some of the unknown; none are left, and it ends at once.
-    doubt: BTreeSet<(NodeId, Incarnation)>,
-    /// Since when nothing was given to anybody, by the words on those who were in doubt; counts
-    /// only once none are left.
+    held: BTreeMap<NodeIncarnation, HeldShare>,
+    held_total: u64,
+    demand_total_milli: u64,
+    /// What incarnations that have not reported yet may hold, in millionths, until `unaccounted_until`.
+    unaccounted_share: u64,
+    unaccounted_until: Micros,
+    /// Incarnations that may hold some of the unaccounted share; once none is left it ends at once.
+    suspects: BTreeSet<NodeIncarnation>,
+    /// Since when nothing was granted to anybody, by the reports on the suspects; meaningful only once none is
+    /// left.
     idle_since: Micros,
-    /// The part of the unknown that is proven to be nobody's, and for how long.
-    idle: Option<(u32, Micros)>,
-    /// Somebody got less than its due lately, until then.
-    lack: Micros,
-    /// Units of the part that nobody holds.
+    /// The part of the unaccounted share that proved to be nobody's, until it is credited.
+    idle_share: Option<IdleShare>,
+    /// A node was recently granted less than its part; until then others return any surplus.
+    shortage_until: Micros,
+    /// Units of the part that nobody holds, in the scale of [`UNIT`].
     free: u128,
-    at: Micros,
+    refilled_at: Micros,
 }
 
 impl SharePool {
-    /// `from` is when any share that another holder gave has ended.
-    pub fn new(r: Rate, from: Micros, now: Micros) -> Self {
-        let dark = if now < from { u64::from(FULL_SHARE) } else { 0 };
-        let free = share_refill(r, FULL_SHARE, now.saturating_sub(from)).min(share_capacity(r, FULL_SHARE));
-        SharePool { dark, light: from, free, at: now, ..SharePool::default() }
+    /// A pool after another lease holder's. All shares that the other one granted have expired by `from`.
+    pub fn new(rate: Rate, from: Micros, now: Micros) -> Self {
+        let unaccounted_share = if now < from { u64::from(FULL_SHARE) } else { 0 };
+        let refill = share_refill(rate, FULL_SHARE, now.saturating_sub(from));
+        let free = refill.min(share_capacity(rate, FULL_SHARE));
+        SharePool { unaccounted_share, unaccounted_until: from, free, refilled_at: now, ..SharePool::default() }
     }
 
-    /// Nobody ever held anything of it.
-    pub fn full(r: Rate, now: Micros) -> Self {
-        SharePool { free: share_capacity(r, FULL_SHARE), at: now, light: now, ..SharePool::default() }
+    /// A full pool of a rate that nobody ever held a share of.
+    pub fn full(rate: Rate, now: Micros) -> Self {
+        let free = share_capacity(rate, FULL_SHARE);
+        SharePool { free, refilled_at: now, unaccounted_until: now, ..SharePool::default() }
     }
 
-    fn left(&self) -> u32 {
-        u32::try_from(u64::from(FULL_SHARE).saturating_sub(self.held + self.dark)).unwrap_or(0)
+    /// The part that nobody can hold, in millionths.
+    fn unheld_share(&self) -> u32 {
+        let taken = self.held_total + self.unaccounted_share;
+        u32::try_from(u64::from(FULL_SHARE).saturating_sub(taken)).unwrap_or(0)
     }
 
-    /// What came free since the last turn brings nothing for the time before.
-    fn turn(&mut self, r: Rate, now: Micros) {
-        let l = self.left();
-        self.free = (self.free + share_refill(r, l, now.saturating_sub(self.at))).min(share_capacity(r, l));
-        self.at = self.at.max(now);
-        if now >= self.light {
-            self.dark = 0;
+    fn cap_free(&mut self, rate: Rate) {
+        self.free = self.free.min(share_capacity(rate, self.unheld_share()));
+    }
+
+    /// Refills the pool up to now. A share that became free since the last refill brings nothing for the time
+    /// before.
+    fn refill(&mut self, rate: Rate, now: Micros) {
+        let unheld = self.unheld_share();
+        let refill = share_refill(rate, unheld, now.saturating_sub(self.refilled_at));
+        self.free = (self.free + refill).min(share_capacity(rate, unheld));
+        self.refilled_at = self.refilled_at.max(now);
+        if now >= self.unaccounted_until {
+            self.unaccounted_share = 0;
         }
-        // What nobody held and nobody was given anything of is as full as the rate filled it.
-        if let Some((share, idle)) = self.idle.take() {
-            let credit = share_refill(r, share, idle).min(share_capacity(r, share));
-            self.free = (self.free + credit).min(share_capacity(r, self.left()));
+        // What nobody held, and nobody was granted anything of, is as full as the rate filled it.
+        if let Some(IdleShare { share, duration }) = self.idle_share.take() {
+            self.free += share_refill(rate, share, duration).min(share_capacity(rate, share));
+            self.cap_free(rate);
         }
     }
 
-    /// Forgets who let its share end.
-    pub fn expire(&mut self, r: Rate, now: Micros) {
-        self.turn(r, now);
-        let (mut held, mut want) = (0, 0);
-        self.parts.retain(|_, p| {
-            if now >= p.until {
-                return false;
+    /// Drops the shares that have expired.
+    pub fn expire(&mut self, rate: Rate, now: Micros) {
+        self.refill(rate, now);
+        let (mut held_total, mut demand_total_milli) = (0, 0);
+        self.held.retain(|_, held| {
+            let is_valid = now < held.expires_at;
+            if is_valid {
+                held_total += u64::from(held.share);
+                demand_total_milli += held.demand_milli;
             }
-            held += u64::from(p.share);
-            want += p.want;
-            true
+            is_valid
         });
-        (self.held, self.want) = (held, want);
+        (self.held_total, self.demand_total_milli) = (held_total, demand_total_milli);
     }
 
-    /// What `by` should hold: by what it looks for against the others.
-    fn aim(&self, r: Rate, q: &ShareRequest, nodes: u64) -> u32 {
+    /// The share that a node should hold, by its demand against that of the others.
+    fn target_share(&self, rate: Rate, request: &ShareRequest, nodes: u64) -> u32 {
         let whole = u64::from(FULL_SHARE);
-        // Less than this never brings the units of a usual call.
-        let each = u64::from(q.usual_call.max(1));
-        let one = (whole * 1_000 * each).div_ceil(r.burst_milli.max(1)).min(whole);
-        let all = self.want.max(1);
-        // Half follows what is looked for, where that is steady enough to be measured; the
-        // rest stays here, for who finds nothing.
-        let steady = if q.call_rate_milli >= STEADY { q.demand_milli } else { 0 };
-        let share = part(steady, whole / 2, all.max(r.milli_per_second / 2));
-        let near = q.demand_milli > 0 && self.want <= r.milli_per_second || self.want * 2 <= r.milli_per_second;
-        let floor = if near && one * nodes.max(1) * 4 <= whole { one } else { 0 };
-        let aim = if share < 2 * one { floor } else { share.max(floor) };
-        u32::try_from(aim.min(whole)).unwrap_or(FULL_SHARE)
+        let demand_total = self.demand_total_milli;
+        // A share smaller than this never holds the units of a usual call.
+        let usual_call = u64::from(request.usual_call.max(1));
+        let one_call = (whole * 1_000 * usual_call).div_ceil(rate.burst_milli.max(1)).min(whole);
+        // Half of the rate follows the demand, where that is steady enough to be measured; the rest stays in
+        // the pool for nodes whose buckets are empty.
+        let steady = if request.call_rate_milli >= STEADY_CALL_RATE_MILLI { request.demand_milli } else { 0 };
+        let proportional = proportion(steady, whole / 2, demand_total.max(1).max(rate.milli_per_second / 2));
+        let low_load = request.demand_milli > 0 && demand_total <= rate.milli_per_second
+            || demand_total * 2 <= rate.milli_per_second;
+        let minimum = if low_load && one_call * nodes.max(1) * 4 <= whole { one_call } else { 0 };
+        let target = if proportional < 2 * one_call { minimum } else { proportional.max(minimum) };
+        u32::try_from(target.min(whole)).unwrap_or(FULL_SHARE)
     }
 
-    /// None for an ask that a later one of its sender has overtaken.
+    /// Grants a share, and lends units to calls that wait. None where a later request of the same sender has
+    /// overtaken this one.
     pub fn request(
         &mut self,
         by: (NodeId, Incarnation),
-        n: u64,
-        q: &ShareRequest,
-        r: Rate,
+        request_id: u64,
+        request: &ShareRequest,
+        rate: Rate,
         nodes: u64,
         now: Micros,
     ) -> Option<ShareGrant> {
-        self.turn(r, now);
-        let old = self.parts.get(&by).cloned().unwrap_or_default();
-        if n <= old.n {
+        self.refill(rate, now);
+        let previous = self.held.get(&by).cloned().unwrap_or_default();
+        if request_id <= previous.request_id {
             return None;
         }
-        // What it holds now is what it says: it takes no answer to an earlier ask.
-        if q.held_share > old.share {
-            let more = u64::from(q.held_share - old.share);
-            self.dark -= self.dark.min(more);
+        self.account_for(&previous, request, rate);
+        let target = self.target_share(rate, request, nodes);
+        let is_far = self.is_far_from_target(target, request, rate, now);
+        let mut grant = ShareGrant { granted: true, share: request.held_share, ..ShareGrant::default() };
+        grant.loaned_units = self.lend(request);
+        if target > request.held_share && is_far {
+            self.grow(&mut grant, target, rate, now);
+        } else if target < request.held_share && is_far {
+            grant.share = target;
         }
-        self.held = self.held - u64::from(old.share) + u64::from(q.held_share);
-        self.want = self.want - old.want.min(self.want) + q.demand_milli;
-        let gone = old.share.saturating_sub(q.held_share);
-        let returned = (u128::from(q.returned_milli) * MILLI).min(share_capacity(r, gone));
-        self.free = (self.free + returned).min(share_capacity(r, self.left()));
-
-        let aim = self.aim(r, q, nodes);
-        let usual = 1_000 * u64::from(q.usual_call.max(1));
-        let step = (u64::from(q.held_share) / 8).max(usual * u64::from(FULL_SHARE) / r.burst_milli.max(1) / 2);
-        let far = u64::from(aim.abs_diff(q.held_share)) >= if now < self.lack && aim < q.held_share { 1 } else { step };
-        let mut give = ShareGrant { granted: true, share: q.held_share, ..ShareGrant::default() };
-        // Who finds nothing is lent units at once: they are spent here, and are of no use
-        // there once a moment has passed, so they need no share to be held in.
-        // A part of a call's units is of no use.
-        let first = u64::from(q.smallest_call.max(1));
-        let whole_calls = u64::try_from(self.free / UNIT).unwrap_or(0) / first * first;
-        let lend = u64::from(q.missing_units).min(whole_calls);
-        self.free -= u128::from(lend) * UNIT;
-        give.loaned_units = u32::try_from(lend).unwrap_or(0);
-        if aim > q.held_share && far {
-            let more = (aim - q.held_share).min(self.left());
-            if more < aim - q.held_share {
-                self.lack = now + LACK;
-            }
-            let add = (self.free / 2).min(share_capacity(r, more)) / MILLI;
-            self.free -= add * MILLI;
-            give.share += more;
-            give.burst_milli = u64::try_from(add).unwrap_or(0);
-        } else if aim < q.held_share && far {
-            give.share = aim;
+        // A share that shrinks counts in full until its holder confirms that it is smaller.
+        let share = grant.share.max(request.held_share);
+        self.held_total += u64::from(share - request.held_share);
+        self.cap_free(rate);
+        let expires_at = now + SHARE_LEASE + EXPIRY_GRACE;
+        self.held.insert(by, HeldShare { request_id, share, expires_at, demand_milli: request.demand_milli });
+        Some(grant)
+    }
+
+    /// Replaces what was known of a node by its report: what it holds now is what it says, as it accepts no
+    /// response to an earlier request.
+    fn account_for(&mut self, previous: &HeldShare, request: &ShareRequest, rate: Rate) {
+        if request.held_share > previous.share {
+            let unknown = u64::from(request.held_share - previous.share);
+            self.unaccounted_share -= self.unaccounted_share.min(unknown);
+        }
+        self.held_total = self.held_total - u64::from(previous.share) + u64::from(request.held_share);
+        self.demand_total_milli =
+            self.demand_total_milli - previous.demand_milli.min(self.demand_total_milli) + request.demand_milli;
+        let shrunk_by = previous.share.saturating_sub(request.held_share);
+        self.free += (u128::from(request.returned_milli) * MILLI).min(share_capacity(rate, shrunk_by));
+        self.cap_free(rate);
+    }
+
+    /// Whether a share differs enough from its target to be changed: by an eighth, or by half a usual call.
+    fn is_far_from_target(&self, target: u32, request: &ShareRequest, rate: Rate, now: Micros) -> bool {
+        let difference = u64::from(target.abs_diff(request.held_share));
+        if now < self.shortage_until && target < request.held_share {
+            return difference >= 1;
+        }
+        let usual_call_milli = 1_000 * u64::from(request.usual_call.max(1));
+        let half_a_call = usual_call_milli * u64::from(FULL_SHARE) / rate.burst_milli.max(1) / 2;
+        difference >= (u64::from(request.held_share) / 8).max(half_a_call)
+    }
+
+    /// Lends units at once to calls that wait: they count as spent here, and are worth nothing to the node a
+    /// moment later, so they need no share to be held in. Only whole calls are lent, as a part of a call's
+    /// units is of no use.
+    fn lend(&mut self, request: &ShareRequest) -> u32 {
+        let smallest_call = u64::from(request.smallest_call.max(1));
+        let whole_calls = u64::try_from(self.free / UNIT).unwrap_or(0) / smallest_call * smallest_call;
+        let lent = u64::from(request.missing_units).min(whole_calls);
+        self.free -= u128::from(lent) * UNIT;
+        u32::try_from(lent).unwrap_or(0)
+    }
+
+    /// Grows a share towards its target as far as the unheld part allows, with half of the free units on top.
+    fn grow(&mut self, grant: &mut ShareGrant, target: u32, rate: Rate, now: Micros) {
+        let wanted = target - grant.share;
+        let added = wanted.min(self.unheld_share());
+        if added < wanted {
+            self.shortage_until = now + SHORTAGE_DURATION;
         }
-        let share = give.share.max(q.held_share);
-        self.held += u64::from(share - q.held_share);
-        self.free = self.free.min(share_capacity(r, self.left()));
-        self.parts.insert(by, Part { n, share, until: now + SHARE_LEASE + GRACE, want: q.demand_milli });
-        Some(give)
+        let burst_milli = (self.free / 2).min(share_capacity(rate, added)) / MILLI;
+        self.free -= burst_milli * MILLI;
+        grant.share += added;
+        grant.burst_milli = u64::try_from(burst_milli).unwrap_or(0);
     }
 
-    /// What this life holds is what its asks say from now on: so much now, and the same since then, as
-    /// it was given nothing since.
-    fn clear(&mut self, by: (NodeId, Incarnation), has: u32, idle_since: Micros, now: Micros) {
-        if !self.doubt.remove(&by) {
+    /// A suspect is cleared: from now on its requests say what it holds. It holds `held_share` now, and since
+    /// `idle_since` it held the same and was granted nothing.
+    fn clear_suspect(&mut self, by: NodeIncarnation, held_share: u32, idle_since: Micros, now: Micros) {
+        if !self.suspects.remove(&by) {
             return;
         }
         self.idle_since = self.idle_since.max(idle_since);
-        if self.doubt.is_empty() && self.dark > 0 {
-            let known = self.parts.get(&by).map_or(0, |p| p.share);
-            let unheld = self.dark.saturating_sub(u64::from(has.saturating_sub(known)));
-            self.idle = Some((u32::try_from(unheld).unwrap_or(0), now.saturating_sub(self.idle_since)));
+        if !self.suspects.is_empty() {
+            return;
         }
-        if self.doubt.is_empty() {
-            self.light = self.light.min(now);
+        if self.unaccounted_share > 0 {
+            let known = self.held.get(&by).map_or(0, |held| held.share);
+            let unheld = self.unaccounted_share.saturating_sub(u64::from(held_share.saturating_sub(known)));
+            let share = u32::try_from(unheld).unwrap_or(0);
+            self.idle_share = Some(IdleShare { share, duration: now.saturating_sub(self.idle_since) });
         }
+        self.unaccounted_until = self.unaccounted_until.min(now);
     }
 
-    /// For comparison: what is held, in millionths, and what may be held unheard of.
+    /// For comparison, in millionths: the shares held, and the share that is unaccounted for.
     pub fn list(&self) -> (u64, u64) {
-        (self.held, self.dark)
+        (self.held_total, self.unaccounted_share)
     }
 }
 
-/// When a time that a node told began at the latest, by this node's clock.
-fn since(told: Micros, now: Micros) -> Micros {
-    now.saturating_sub(told / (SLOWEST_CLOCK + 1) * SLOWEST_CLOCK)
+/// When a duration that another node measured started at the latest, by this node's clock.
+fn latest_start(measured: Micros, now: Micros) -> Micros {
+    now.saturating_sub(measured / (SLOWEST_CLOCK + 1) * SLOWEST_CLOCK)
 }
 
-fn part(n: u64, whole: u64, all: u64) -> u64 {
-    u64::try_from(u128::from(n) * u128::from(whole) / u128::from(all.max(1))).unwrap_or(u64::MAX)
+/// `whole` times `part` over `total`.
+fn proportion(part: u64, whole: u64, total: u64) -> u64 {
+    u64::try_from(u128::from(part) * u128::from(whole) / u128::from(total.max(1))).unwrap_or(u64::MAX)
 }
 
+/// What is known of earlier lease holders' shares under a lease that this node holds.
 #[derive(Clone, Debug)]
-struct Begun {
-    /// There was never a holder before, so nobody holds anything.
-    first: bool,
-    from: Micros,
-    /// Who was given shares by holders before, and is not proven dead.
-    doubt: BTreeMap<(NodeId, Incarnation), String>,
-    /// Since when none of those that were proven dead, or are forgotten, can have held anything.
+struct RoleLease {
+    /// There was no lease holder before, so nobody holds anything.
+    is_first: bool,
+    /// All shares that earlier lease holders granted have expired by then.
+    unaccounted_until: Micros,
+    /// The incarnations, with their addresses, that earlier lease holders may have granted shares to and that
+    /// are not proven dead.
+    suspects: BTreeMap<NodeIncarnation, String>,
+    /// Since when none of those that are proven dead, or no longer registered, can have held anything.
     idle_since: Micros,
-    /// All of them were proven dead.
-    proven: bool,
+    /// All suspects were proven dead.
+    suspects_proven_dead: bool,
 }
 
-/// What a core hands out of the rates of all duties that it holds. Nothing of it is on
-/// disk: who takes over counts all as held that it can't know to be free.
+/// A pool and the role that its tenant belongs to.
+#[derive(Clone, Debug)]
+struct RolePool {
+    role: u32,
+    pool: SharePool,
+}
+
+/// The pools of all roles whose lease this node holds.
 #[derive(Clone, Debug, Default)]
 pub struct SharePools {
-    duties: BTreeMap<u32, Begun>,
-    pools: BTreeMap<u64, (u32, SharePool)>,
+    leases: BTreeMap<u32, RoleLease>,
+    /// By the hash of the tenant's name.
+    pools: BTreeMap<u64, RolePool>,
 }
 
 impl SharePools {
-    /// A term begins. Asks that an earlier holder may have answered were sent before now,
-    /// or `late` after it.
-    pub fn begin_lease(&mut self, d: u32, first: bool, now: Micros, late: Micros) {
-        self.end_lease(d);
-        let from = now + late + SHARE_LEASE + GRACE;
-        let idle_since = now.saturating_sub(FORGOTTEN);
-        self.duties.insert(d, Begun { first, from, doubt: BTreeMap::new(), idle_since, proven: false });
+    /// A lease starts. Requests that an earlier lease holder may have answered were sent before now, or at most
+    /// `late` microseconds after it.
+    pub fn begin_lease(&mut self, role: u32, first: bool, now: Micros, late: Micros) {
+        self.end_lease(role);
+        let lease = RoleLease {
+            is_first: first,
+            unaccounted_until: now + late + SHARE_LEASE + EXPIRY_GRACE,
+            suspects: BTreeMap::new(),
+            idle_since: now.saturating_sub(UNREGISTERED_IDLE),
+            suspects_proven_dead: false,
+        };
+        self.leases.insert(role, lease);
     }
 
-    /// Nobody but these lives was ever given a share; none tell nothing.
-    pub fn set_suspects(&mut self, d: u32, lives: &[RegisteredIncarnation]) {
-        if let Some(b) = self.duties.get_mut(&d) {
-            b.doubt = lives.iter().map(|l| ((l.node_id, l.incarnation), l.addr.clone())).collect();
+    /// Sets the only incarnations that earlier lease holders can have granted shares to. With an empty list
+    /// nothing is known, and unaccounted shares end by time alone.
+    pub fn set_suspects(&mut self, role: u32, incarnations: &[RegisteredIncarnation]) {
+        if let Some(lease) = self.leases.get_mut(&role) {
+            lease.suspects = incarnations.iter().map(|i| ((i.node_id, i.incarnation), i.addr.clone())).collect();
         }
     }
 
-    /// Who is to be heard of before the unknown ends.
-    pub fn suspects(&self, d: u32, now: Micros) -> Vec<RegisteredIncarnation> {
-        let Some(b) = self.duties.get(&d).filter(|b| now < b.from) else { return Vec::new() };
-        let mut ps = self.pools.values().filter(|p| p.0 == d).peekable();
-        let open = ps.peek().is_none() || ps.any(|p| now < p.1.light && !p.1.doubt.is_empty());
-        let of = |(k, a): (&(NodeId, Incarnation), &String)| RegisteredIncarnation {
-            node_id: k.0,
-            incarnation: k.1,
-            addr: a.clone(),
+    /// The incarnations that must report before the unaccounted shares end early.
+    pub fn suspects(&self, role: u32, now: Micros) -> Vec<RegisteredIncarnation> {
+        let Some(lease) = self.leases.get(&role).filter(|lease| now < lease.unaccounted_until) else {
+            return Vec::new();
+        };
+        let mut pools = self.pools.values().filter(|entry| entry.role == role).map(|entry| &entry.pool).peekable();
+        let is_open =
+            pools.peek().is_none() || pools.any(|pool| now < pool.unaccounted_until && !pool.suspects.is_empty());
+        if !is_open {
+            return Vec::new();
+        }
+        let suspect = |((node_id, incarnation), addr): (&NodeIncarnation, &String)| RegisteredIncarnation {
+            node_id: *node_id,
+            incarnation: *incarnation,
+            addr: addr.clone(),
         };
-        if open { b.doubt.iter().map(of).collect() } else { Vec::new() }
+        lease.suspects.iter().map(suspect).collect()
     }
 
-    /// A life that answered this term has its address for itself: those before it there, which
-    /// were given shares before the term, had ended when it began, which is `age` ago. True if no
-    /// unknown is left by that.
-    pub fn record_alive(&mut self, d: u32, by: (NodeId, Incarnation), addr: &str, age: Micros, now: Micros) -> bool {
-        let Some(b) = self.duties.get_mut(&d) else { return false };
-        let dead = |k: &(NodeId, Incarnation), a: &str| *k != by && (a == addr || (k.0 == by.0 && k.1 < by.1));
-        let gone: Vec<_> = b.doubt.iter().filter(|x| dead(x.0, x.1)).map(|x| *x.0).collect();
-        let ended = since(age, now);
-        for g in &gone {
-            b.doubt.remove(g);
-            b.idle_since = b.idle_since.max(ended);
-            for (_, p) in self.pools.values_mut().filter(|p| p.0 == d) {
-                p.clear(*g, 0, ended, now);
+    /// An incarnation that replied under this lease has its address to itself: earlier ones at that address or
+    /// of that node, which were granted shares before the lease, had ended when it started, `age` microseconds
+    /// ago. True if no suspect is left by this.
+    pub fn record_alive(&mut self, role: u32, by: (NodeId, Incarnation), addr: &str, age: Micros, now: Micros) -> bool {
+        let Some(lease) = self.leases.get_mut(&role) else { return false };
+        let is_dead = |suspect: &NodeIncarnation, suspect_addr: &str| {
+            *suspect != by && (suspect_addr == addr || (suspect.0 == by.0 && suspect.1 < by.1))
+        };
+        let dead: Vec<_> = lease
+            .suspects
+            .iter()
+            .filter(|(suspect, addr)| is_dead(suspect, addr))
+            .map(|(suspect, _)| *suspect)
+            .collect();
+        let ended_at = latest_start(age, now);
+        for suspect in &dead {
+            lease.suspects.remove(suspect);
+            lease.idle_since = lease.idle_since.max(ended_at);
+            for entry in self.pools.values_mut().filter(|entry| entry.role == role) {
+                entry.pool.clear_suspect(*suspect, 0, ended_at, now);
             }
         }
-        let end = !gone.is_empty() && b.doubt.is_empty();
-        if end {
-            b.from = b.from.min(now);
-            b.proven = true;
+        let none_left = !dead.is_empty() && lease.suspects.is_empty();
+        if none_left {
+            lease.unaccounted_until = lease.unaccounted_until.min(now);
+            lease.suspects_proven_dead = true;
         }
-        end
+        none_left
     }
 
-    /// An ask that was sent in this term says what its sender holds of one tenant's rate, and for how
-    /// long it held just that and was given nothing.
+    /// A request that was sent under this lease says what its sender holds of one tenant's rate, and that for
+    /// `idle` microseconds it held the same and was granted nothing.
     pub fn record_request(
         &mut self,
-        d: u32,
-        q: &ShareRequest,
+        role: u32,
+        request: &ShareRequest,
         by: (NodeId, Incarnation),
-        r: Rate,
+        rate: Rate,
         idle: Micros,
         now: Micros,
     ) {
-        if let Some(p) = self.pool(d, q.tenant_key, r, now) {
-            p.turn(r, now);
-            p.clear(by, q.held_share, since(idle, now), now);
-            p.turn(r, now);
+        if let Some(pool) = self.pool(role, request.tenant_key, rate, now) {
+            pool.refill(rate, now);
+            pool.clear_suspect(by, request.held_share, latest_start(idle, now), now);
+            pool.refill(rate, now);
         }
     }
 
-    /// The pool of a tenant's rate, by the hash of its name, where its duty's term runs here.
-    pub fn pool(&mut self, d: u32, key: u64, r: Rate, now: Micros) -> Option<&mut SharePool> {
-        let b = self.duties.get(&d)?;
-        let new = || {
-            let from = if b.proven { b.idle_since } else { b.from };
-            let mut p = if b.first { SharePool::full(r, now) } else { SharePool::new(r, from, now) };
-            p.doubt = b.doubt.keys().copied().collect();
-            p.idle_since = b.idle_since;
-            (d, p)
+    /// The pool of a tenant's rate, by the hash of its name; none where this node holds no lease of the role.
+    pub fn pool(&mut self, role: u32, key: u64, rate: Rate, now: Micros) -> Option<&mut SharePool> {
+        let lease = self.leases.get(&role)?;
+        let new_pool = || {
+            let from = if lease.suspects_proven_dead { lease.idle_since } else { lease.unaccounted_until };
+            let mut pool = if lease.is_first { SharePool::full(rate, now) } else { SharePool::new(rate, from, now) };
+            pool.suspects = lease.suspects.keys().copied().collect();
+            pool.idle_since = lease.idle_since;
+            RolePool { role, pool }
         };
-        Some(&mut self.pools.entry(key).or_insert_with(new).1)
+        Some(&mut self.pools.entry(key).or_insert_with(new_pool).pool)
     }
 
-    /// The term ended.
-    pub fn end_lease(&mut self, d: u32) {
-        self.duties.remove(&d);
-        self.pools.retain(|_, p| p.0 != d);
+    /// The lease has ended: its pools are dropped.
+    pub fn end_lease(&mut self, role: u32) {
+        self.leases.remove(&role);
+        self.pools.retain(|_, entry| entry.role != role);
     }
 
-    /// The duties whose terms run here.
+    /// The roles whose lease this node holds.
     pub fn roles(&self) -> Vec<u32> {
-        self.duties.keys().copied().collect()
+        self.leases.keys().copied().collect()
     }
 
-    /// Some pools need the rate that is in force to go on.
+    /// Drops expired shares from all pools. `rate` tells the rate in force of a tenant by the hash of its name;
+    /// a tenant without one is refilled with nothing.
     pub fn expire(&mut self, rate: impl Fn(u64) -> Option<Rate>, now: Micros) {
-        for (k, (_, p)) in &mut self.pools {
-            let r = rate(*k).unwrap_or(Rate { milli_per_second: 0, burst_milli: 0 });
-            p.expire(r, now);
+        for (key, entry) in &mut self.pools {
+            let rate = rate(*key).unwrap_or(Rate { milli_per_second: 0, burst_milli: 0 });
+            entry.pool.expire(rate, now);
         }
     }
 
-    /// For comparison: the hash of a tenant's name, what is held of it, in millionths, and
-    /// what may be held unheard of.
+    /// For comparison: the hash of a tenant's name, and in millionths the shares held and the share that is
+    /// unaccounted for.
     pub fn list(&self) -> Vec<(u64, u64, u64)> {
-        self.pools.iter().map(|(k, (_, p))| (*k, p.list().0, p.list().1)).collect()
+        let row = |(key, entry): (&u64, &RolePool)| {
+            let (held, unaccounted) = entry.pool.list();
+            (*key, held, unaccounted)
+        };
+        self.pools.iter().map(row).collect()
     }
 }
