--- a/crates/core/src/quota/slices.rs
+++ b/crates/core/src/quota/slices.rs
@@ -1,59 +1,125 @@
-//! A node's slices of windows by tenant.
+//! A node's slices of counting windows by tenant.
+//!
+//! Calls take units from the node's own slice without a message to anyone. A slice is granted by the lease
+//! holder and is valid until its window ends; afterwards its units are worth nothing. Where the slice is empty
+//! the node requests more; it believes a report that the window is spent for at most [`SPENT_BELIEVED`], as
+//! units may be returned meanwhile.
 
 use super::RateShares;
 use crate::base::{MS, Micros, Shards};
 
-/// A slice is cut for so long.
-const AHEAD: Micros = 500 * MS;
+/// A slice is sized for the demand of this long, in microseconds.
+const SLICE_DURATION: Micros = 500 * MS;
+/// A request that is younger than this, in microseconds, is given time before a low slice asks for more.
+const LOW_REQUEST_BACKOFF: Micros = 50 * MS;
+/// How long a report that the window is spent is believed at most, in microseconds.
+const SPENT_BELIEVED: Micros = 200 * MS;
+/// A tenant without calls for this long, in microseconds, is idle here.
+const IDLE_AFTER: Micros = 300 * MS;
 
 /// A node's part of one tenant's window.
+///
+/// Invariant: `free + parked + returned` never exceeds `granted_total`; the rest was used by calls.
 #[derive(Clone, Debug, Default)]
 struct Slice {
     window: u64,
-    got: u64,
+    /// All units that this node was ever granted in the window.
+    granted_total: u64,
+    /// All units of these that it returned.
     returned: u64,
+    /// Units that a call may take now.
     free: u64,
-    /// Units of calls that wait for a place: kept for these until the holder recalls what is idle.
+    /// Units of calls that wait for a slot: reserved for them until the lease holder recalls idle units.
     parked: u64,
-    /// Until then its units may be used.
-    until: Micros,
-    /// Until then the holder's word that nothing is left of the window is believed.
-    spent: Micros,
-    /// When the window ends by that word, which is late rather than early: nothing is used by it.
-    ends: Micros,
-    /// Calls that looked for a unit since then, for the size of the next slice.
-    looked: u64,
-    since: Micros,
-    rate: u64,
-    asked: Micros,
-    last: Micros,
+    /// The units may be used until then.
+    valid_until: Micros,
+    /// Until then the window counts as spent, by the lease holder's report.
+    spent_until: Micros,
+    /// When the window ends by that report, late rather than early; used only to tell callers how long to wait.
+    window_ends_at: Micros,
+    /// Calls that requested a unit since `demand_since`, for the size of the next slice.
+    demanded: u64,
+    demand_since: Micros,
+    /// Units used up in [`SLICE_DURATION`], by the last measurement.
+    demand: u64,
+    requested_at: Micros,
+    last_call_at: Micros,
 }
 
 impl Slice {
-    /// A later window begins: only what is known of the demand goes on.
-    fn turn(&mut self, window: u64) {
+    /// Starts a later window: only the measured demand is kept.
+    fn start_window(&mut self, window: u64) {
         if window > self.window {
-            let Slice { looked, since, rate, asked, last, .. } = *self;
-            *self = Slice { window, looked, since, rate, asked, last, ..Slice::default() };
+            let Slice { demanded, demand_since, demand, requested_at, last_call_at, .. } = *self;
+            *self = Slice { window, demanded, demand_since, demand, requested_at, last_call_at, ..Slice::default() };
+        }
+    }
+
+    /// Whether a unit of this slice is with a call, so that it may be refunded or parked.
+    fn has_units_in_use(&self) -> bool {
+        self.free + self.parked + self.returned < self.granted_total
+    }
+
+    /// Takes one unit, where there is one that is still valid.
+    fn take_one(&mut self, now: Micros) -> TakeOutcome {
+        self.demanded += 1;
+        self.last_call_at = now;
+        if now < self.valid_until && self.free > 0 {
+            self.free -= 1;
+            let low = self.free <= self.demand / 2 && now.saturating_sub(self.requested_at) > LOW_REQUEST_BACKOFF;
+            return TakeOutcome::Taken { window: self.window, until: self.valid_until, low };
+        }
+        if now < self.spent_until {
+            let ends_at = self.window_ends_at.max(self.valid_until).max(self.spent_until);
+            return TakeOutcome::WindowSpent { remaining: ends_at - now };
+        }
+        TakeOutcome::Empty
+    }
+
+    /// Measures the demand anew once [`SLICE_DURATION`] has passed; before that it only grows.
+    fn measure_demand(&mut self, now: Micros) {
+        let elapsed = now.saturating_sub(self.demand_since);
+        if elapsed >= SLICE_DURATION {
+            self.demand = self.demanded.saturating_mul(SLICE_DURATION) / elapsed;
+            self.demanded = 0;
+            self.demand_since = now;
+        } else {
+            self.demand = self.demand.max(self.demanded);
         }
     }
 }
 
-/// What a call finds that looks for a unit.
+/// The outcome for a call that needs units.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TakeOutcome {
-    /// Taken from this window; more should be fetched if `low`.
-    Taken { window: u64, until: Micros, low: bool },
-    /// Nothing here: ask the holder and wait.
+    /// The units were taken.
+    Taken {
+        /// The window, or of a rate the number, by which the units can be refunded.
+        window: u64,
+        /// The call must have started by then, in microseconds of this node's clock.
+        until: Micros,
+        /// Whether more units should be requested soon.
+        low: bool,
+    },
+    /// Nothing is here, and nothing is known: request units from the lease holder and wait.
     Empty,
-    /// The holder said that the window is spent; it ends after this long.
-    WindowSpent { remaining: Micros },
-    /// The share of a rate is used up: the next unit comes after `wait`, later ones every
-    /// `each`; `more` if the holder may have some.
-    RateExhausted { wait: Micros, interval: Micros, may_get_more: bool },
+    /// The lease holder reported that the window is spent.
+    WindowSpent {
+        /// How long the window lasts at most, in microseconds.
+        remaining: Micros,
+    },
+    /// This node's share of a rate is used up.
+    RateExhausted {
+        /// How long until the units have been refilled, in microseconds.
+        wait: Micros,
+        /// How long each further call of this size takes to refill, in microseconds.
+        interval: Micros,
+        /// Whether the lease holder may have some.
+        may_get_more: bool,
+    },
 }
 
-/// Every tenant's slice on this node.
+/// Every tenant's quota on this node: slices of windows, and shares of rates.
 #[derive(Clone, Debug, Default)]
 pub struct WindowSlices {
     slices: Shards<Slice>,
@@ -62,137 +128,123 @@
 }
 
 impl WindowSlices {
-    /// One unit for a call that comes now.
-    pub fn take(&self, t: &str, now: Micros) -> TakeOutcome {
-        self.take_units(t, 1, now)
+    /// Takes one unit for a call that comes now.
+    pub fn take(&self, tenant: &str, now: Micros) -> TakeOutcome {
+        self.take_units(tenant, 1, now)
     }
 
-    /// The units of a call that comes now; of a window each call takes one.
-    pub fn take_units(&self, t: &str, units: u32, now: Micros) -> TakeOutcome {
-        if let Some(r) = self.rates.take(t, units, now) {
-            return r;
-        }
-        let mut g = self.slices.lock_shard(t);
-        let s = g.entry(t.to_owned()).or_default();
-        s.looked += 1;
-        s.last = now;
-        if now < s.until && s.free > 0 {
-            s.free -= 1;
-            let low = s.free <= s.rate / 2 && now.saturating_sub(s.asked) > 50 * MS;
-            return TakeOutcome::Taken { window: s.window, until: s.until, low };
-        }
-        if now < s.spent {
-            return TakeOutcome::WindowSpent { remaining: s.ends.max(s.until).max(s.spent) - now };
+    /// Takes the units of a call that comes now; of a window each call takes one.
+    pub fn take_units(&self, tenant: &str, units: u32, now: Micros) -> TakeOutcome {
+        if let Some(outcome) = self.rates.take(tenant, units, now) {
+            return outcome;
         }
-        TakeOutcome::Empty
+        self.slices.lock_shard(tenant).entry(tenant.to_owned()).or_default().take_one(now)
     }
 
-    /// A call that was turned away unrun gives its unit back to its own window.
-    pub fn refund(&self, t: &str, window: u64) {
-        if self.rates.refund(t, window) {
+    /// Gives back the unit of a call that was rejected unrun, to its own window.
+    pub fn refund(&self, tenant: &str, window: u64) {
+        if self.rates.refund(tenant, window) {
             return;
         }
-        if let Some(s) = self.slices.lock_shard(t).get_mut(t)
-            && s.window == window
-            && s.free + s.parked + s.returned < s.got
+        if let Some(slice) = self.slices.lock_shard(tenant).get_mut(tenant)
+            && slice.window == window
+            && slice.has_units_in_use()
         {
-            s.free += 1;
+            slice.free += 1;
         }
     }
 
-    /// A call that has a unit begins to wait for a place: until it has one, its unit is given back
-    /// if the holder recalls what is idle. False where the unit stays with the call: one of a rate,
-    /// which ends soon and may be of no use to others, or one of a window that has ended.
-    pub fn park(&self, t: &str, window: u64) -> bool {
-        if self.rates.contains(t) {
+    /// A call that has a unit starts to wait for a slot: until it has one, its unit is returned if the lease
+    /// holder recalls idle units. False where the unit stays with the call: one of a rate, which expires soon
+    /// and may be of no use to others, or one of a window that has ended.
+    pub fn park(&self, tenant: &str, window: u64) -> bool {
+        if self.rates.contains(tenant) {
             return false;
         }
-        let mut g = self.slices.lock_shard(t);
-        let Some(s) = g.get_mut(t).filter(|s| s.window == window && s.free + s.parked + s.returned < s.got) else {
-            return false;
-        };
-        s.parked += 1;
+        let mut slices = self.slices.lock_shard(tenant);
+        let slice = slices.get_mut(tenant).filter(|slice| slice.window == window && slice.has_units_in_use());
+        let Some(slice) = slice else { return false };
+        slice.parked += 1;
         true
     }
 
-    /// A call that waited for a place takes its unit up again; false if it was given back meanwhile.
-    pub fn unpark(&self, t: &str, window: u64) -> bool {
-        let mut g = self.slices.lock_shard(t);
-        let Some(s) = g.get_mut(t).filter(|s| s.window == window && s.parked > 0) else { return false };
-        s.parked -= 1;
+    /// A call that waited for a slot uses its unit again; false if the unit was returned meanwhile.
+    pub fn unpark(&self, tenant: &str, window: u64) -> bool {
+        let mut slices = self.slices.lock_shard(tenant);
+        let slice = slices.get_mut(tenant).filter(|slice| slice.window == window && slice.parked > 0);
+        let Some(slice) = slice else { return false };
+        slice.parked -= 1;
         true
     }
 
-    /// What to ask for: as much as was lately looked for, and those who wait.
-    pub fn demand(&self, t: &str, waiting: u64, now: Micros) -> (u64, u64, u64) {
-        let mut g = self.slices.lock_shard(t);
-        let s = g.entry(t.to_owned()).or_default();
-        let gap = now.saturating_sub(s.since);
-        if gap >= AHEAD {
-            s.rate = s.looked.saturating_mul(AHEAD) / gap;
-            s.looked = 0;
-            s.since = now;
-        } else {
-            s.rate = s.rate.max(s.looked);
-        }
-        s.asked = now;
-        let want = waiting.max(1) + s.rate.saturating_sub(s.free.min(s.rate));
-        (want, s.window, s.returned)
+    /// What to request now: the units wanted by recent demand and by the calls that wait, the current window,
+    /// and the sum returned in it.
+    pub fn demand(&self, tenant: &str, waiting: u64, now: Micros) -> (u64, u64, u64) {
+        let mut slices = self.slices.lock_shard(tenant);
+        let slice = slices.entry(tenant.to_owned()).or_default();
+        slice.measure_demand(now);
+        slice.requested_at = now;
+        let wanted = waiting.max(1) + slice.demand.saturating_sub(slice.free.min(slice.demand));
+        (wanted, slice.window, slice.returned)
     }
 
-    /// The holder's word on all that this node was ever granted in a window.
-    pub fn add_granted(&self, t: &str, window: u64, granted_total: u64, until: Micros) {
-        let mut g = self.slices.lock_shard(t);
-        let s = g.entry(t.to_owned()).or_default();
-        if window < s.window {
+    /// Applies a grant: `granted_total` is the sum of all that this node was ever granted in the window.
+    /// Idempotent; grants of older windows are ignored.
+    pub fn add_granted(&self, tenant: &str, window: u64, granted_total: u64, until: Micros) {
+        let mut slices = self.slices.lock_shard(tenant);
+        let slice = slices.entry(tenant.to_owned()).or_default();
+        if window < slice.window {
             return;
         }
-        s.turn(window);
-        if granted_total > s.got {
-            s.free += granted_total - s.got;
-            s.got = granted_total;
-            s.spent = 0;
+        slice.start_window(window);
+        if granted_total > slice.granted_total {
+            slice.free += granted_total - slice.granted_total;
+            slice.granted_total = granted_total;
+            slice.spent_until = 0;
         }
-        s.until = s.until.max(until);
+        slice.valid_until = slice.valid_until.max(until);
     }
 
-    /// The holder's word that nothing is left of a window, which ends at about `ends`.
-    pub fn mark_spent(&self, t: &str, window: u64, ends: Micros, now: Micros) {
-        let mut g = self.slices.lock_shard(t);
-        let s = g.entry(t.to_owned()).or_default();
-        if window >= s.window {
-            s.turn(window);
-            s.spent = ends.min(now + 200 * MS);
-            s.ends = ends;
+    /// The lease holder reports that nothing is left of a window, which ends at about `ends`.
+    pub fn mark_spent(&self, tenant: &str, window: u64, ends: Micros, now: Micros) {
+        let mut slices = self.slices.lock_shard(tenant);
+        let slice = slices.entry(tenant.to_owned()).or_default();
+        if window >= slice.window {
+            slice.start_window(window);
+            slice.spent_until = ends.min(now + SPENT_BELIEVED);
+            slice.window_ends_at = ends;
         }
     }
 
-    /// Gives back what is idle, also the units of calls that wait for a place. The sum given back
-    /// in the window is told.
-    pub fn return_idle(&self, t: &str, window: u64, now: Micros) -> Option<u64> {
-        let mut g = self.slices.lock_shard(t);
-        let s = g.get_mut(t)?;
-        if s.window != window || now >= s.until {
+    /// Returns all idle units, also those of calls that wait for a slot, and tells the sum returned in the
+    /// window; none for a window that is not the current one or has ended.
+    pub fn return_idle(&self, tenant: &str, window: u64, now: Micros) -> Option<u64> {
+        let mut slices = self.slices.lock_shard(tenant);
+        let slice = slices.get_mut(tenant)?;
+        if slice.window != window || now >= slice.valid_until {
             return None;
         }
-        s.returned += s.free + s.parked;
-        s.free = 0;
-        s.parked = 0;
-        Some(s.returned)
+        slice.returned += slice.free + slice.parked;
+        slice.free = 0;
+        slice.parked = 0;
+        Some(slice.returned)
     }
 
-    /// Whether no call looked for a unit lately.
-    pub fn is_idle(&self, t: &str, now: Micros) -> bool {
-        self.slices.lock_shard(t).get(t).is_none_or(|s| now.saturating_sub(s.last) > 300 * MS)
+    /// Whether no call requested a unit lately.
+    pub fn is_idle(&self, tenant: &str, now: Micros) -> bool {
+        let slices = self.slices.lock_shard(tenant);
+        slices.get(tenant).is_none_or(|slice| now.saturating_sub(slice.last_call_at) > IDLE_AFTER)
     }
 
-    /// For comparison and metrics: tenant, window, granted, given back, free.
+    /// For comparison and metrics: tenant, window, granted, returned and free units.
     pub fn list(&self) -> Vec<(String, u64, u64, u64, u64)> {
-        let mut v = Vec::new();
-        for g in self.slices.lock_each() {
-            v.extend(g.iter().map(|(t, s)| (t.clone(), s.window, s.got, s.returned, s.free)));
+        let mut rows = Vec::new();
+        for slices in self.slices.lock_each() {
+            rows.extend(slices.iter().map(|(tenant, slice)| {
+                (tenant.clone(), slice.window, slice.granted_total, slice.returned, slice.free)
+            }));
         }
-        v.sort();
-        v
+        rows.sort();
+        rows
     }
 }
--- a/crates/core/src/quota/window_ledger.rs
+++ b/crates/core/src/quota/window_ledger.rs
@@ -1,242 +1,309 @@
-//! The holder of windows: what it granted to whom, and what came back.
+//! The lease holder's record of counting windows: what each node was granted and what it returned.
+//!
+//! Guarantees that within one window the granted units less the returned ones never exceed the window's
+//! quota. The ledger itself is volatile: a grant leaves the lease holder only once a majority of voters has
+//! it on disk, and a successor rebuilds the ledger from these grants with [`WindowLedger::inherit`].
+//!
+//! Where nothing is left, the lease holder recalls idle units from every node that may have some, and reports
+//! the window as spent only after that recall; it starts no further recall for [`RECALL_BACKOFF`].
 
 use crate::base::{MS, Micros, NodeId};
 use crate::config::WindowQuota;
 use crate::protocol::WindowGrant;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One node's ask that can't be met at once.
+/// How long a recall waits for the nodes that have not replied, in microseconds.
+const RECALL_TIMEOUT: Micros = 150 * MS;
+/// Nodes that have not replied by then are sent the recall once more, in microseconds: a single late or lost
+/// frame must not make a window count as spent.
+const RECALL_RETRY_AFTER: Micros = 75 * MS;
+/// After a finished recall the next one starts no sooner than this, in microseconds.
+const RECALL_BACKOFF: Micros = 100 * MS;
+
+/// One node's request for units that can't be met at once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SliceRequest {
+    /// The requesting node.
     pub node_id: NodeId,
+    /// The requester's number for the request, which the response repeats.
     pub request_id: u64,
+    /// How many units the node would use.
     pub wanted_units: u64,
+    /// When the lease holder received it, in microseconds of its clock.
     pub received_at: Micros,
 }
 
-/// A question to all who may have idle units.
+/// A recall of idle units that is in progress.
 #[derive(Clone, Debug)]
-struct Poll {
-    began: Micros,
-    /// Those who have not answered.
-    left: BTreeSet<NodeId>,
-    /// They were asked a second time.
-    again: bool,
+struct Recall {
+    started_at: Micros,
+    /// The nodes that have not replied.
+    unanswered: BTreeSet<NodeId>,
+    /// Whether the unanswered nodes were sent the recall a second time.
+    retried: bool,
 }
 
+/// The current window of one tenant.
+///
+/// Invariant: `returned` of a node never exceeds its `granted_total`; both only grow within a window.
 #[derive(Clone, Debug, Default)]
-struct Book {
+struct TenantWindow {
+    /// The number of the window; zero before the first one.
     window: u64,
-    from: Micros,
+    started_at: Micros,
     granted_total: BTreeMap<NodeId, u64>,
     returned: BTreeMap<NodeId, u64>,
-    wait: Vec<SliceRequest>,
-    polled: Option<Poll>,
-    calm: Micros,
+    /// Requests that could not be met yet, at most one of each node, oldest first.
+    waiting: Vec<SliceRequest>,
+    recall: Option<Recall>,
+    /// No recall starts before this.
+    next_recall_at: Micros,
 }
 
-/// What the holder does next.
+/// What the lease holder does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LedgerAction {
-    /// Make this durable on a majority, then tell the node.
+    /// Replicate this grant to a majority of voters, then send it to the node.
     Grant {
+        /// The request that is answered.
         request_id: u64,
+        /// The grant, with the sum of all units granted to the node in this window.
         grant: WindowGrant,
+        /// How long the window still lasts, in microseconds.
         remaining: Micros,
     },
+    /// Ask these nodes to return their idle units of a window.
     Recall {
+        /// The nodes that may have idle units.
         to: Vec<NodeId>,
+        /// The number of the window.
         window: u64,
     },
+    /// Tell a node that nothing is left of the window.
     Spent {
+        /// The node that requested units.
         node_id: NodeId,
+        /// The request that is answered.
         request_id: u64,
+        /// The number of the window.
         window: u64,
+        /// How long the window still lasts, in microseconds.
         remaining: Micros,
     },
 }
 
-/// What the holder of a tenant's quota keeps while its term lasts.
+/// The windows of all tenants whose quota lease this node holds.
 #[derive(Clone, Debug, Default)]
 pub struct WindowLedger {
-    books: BTreeMap<String, Book>,
+    tenants: BTreeMap<String, TenantWindow>,
 }
 
-const POLL: Micros = 150 * MS;
-/// Who has not answered by then is asked once more: one frame that is late or lost must not
-/// make a window pass for spent.
-const POLL_AGAIN: Micros = 75 * MS;
-
 impl WindowLedger {
-    /// Takes over what a voter knows. A window whose beginning nobody knows begins now.
-    pub fn inherit(&mut self, g: &WindowGrant, now: Micros) {
-        let from = now.saturating_sub(g.age);
-        let b = self.books.entry(g.tenant.clone()).or_default();
-        if g.window > b.window {
-            *b = Book { window: g.window, from, ..Book::default() };
+    /// Takes over a grant that a voter knows of. A window whose start nobody knows starts now.
+    pub fn inherit(&mut self, grant: &WindowGrant, now: Micros) {
+        let started_at = now.saturating_sub(grant.age);
+        let state = self.tenants.entry(grant.tenant.clone()).or_default();
+        if grant.window > state.window {
+            *state = TenantWindow { window: grant.window, started_at, ..TenantWindow::default() };
         }
-        if g.window == b.window {
-            let c = b.granted_total.entry(g.node_id).or_insert(0);
-            *c = (*c).max(g.granted_total);
-            b.from = b.from.min(from);
+        if grant.window == state.window {
+            let granted_total = state.granted_total.entry(grant.node_id).or_insert(0);
+            *granted_total = (*granted_total).max(grant.granted_total);
+            state.started_at = state.started_at.min(started_at);
         }
     }
 
-    /// The term ended, or the tenant is gone.
-    pub fn forget(&mut self, t: &str) {
-        self.books.remove(t);
+    /// Drops a tenant, as the lease has ended or the tenant was removed.
+    pub fn forget(&mut self, tenant: &str) {
+        self.tenants.remove(tenant);
     }
 
-    /// How long this window has run, as far as it is known.
-    pub fn age(&self, t: &str, window: u64, now: Micros) -> Micros {
-        self.books.get(t).filter(|b| b.window == window).map_or(0, |b| now.saturating_sub(b.from))
-    }
-
-    fn roll(b: &mut Book, q: WindowQuota, now: Micros) {
-        if b.window == 0 || now >= b.from + q.window {
-            *b = Book { window: b.window + 1, from: now, wait: std::mem::take(&mut b.wait), ..Book::default() };
-        }
+    /// How long this window has run as far as it is known, in microseconds; zero for any other window.
+    pub fn age(&self, tenant: &str, window: u64, now: Micros) -> Micros {
+        let current = self.tenants.get(tenant).filter(|state| state.window == window);
+        current.map_or(0, |state| now.saturating_sub(state.started_at))
     }
 
-    /// A node asks for units and tells what it returned: a window and the sum in it.
+    /// A node requests units and reports what it returned: a window and the sum returned in it.
     pub fn request(
         &mut self,
-        t: &str,
-        q: WindowQuota,
-        mut a: SliceRequest,
+        tenant: &str,
+        quota: WindowQuota,
+        mut request: SliceRequest,
         returned: (u64, u64),
         nodes: u64,
         now: Micros,
     ) -> Vec<LedgerAction> {
-        let b = self.books.entry(t.to_owned()).or_default();
-        Self::roll(b, q, now);
-        if returned.0 == b.window {
-            Self::returned(b, a.node_id, returned.1);
+        let state = self.tenants.entry(tenant.to_owned()).or_default();
+        state.start_next_if_over(quota, now);
+        if returned.0 == state.window {
+            state.record_returned(request.node_id, returned.1);
         }
-        a.received_at = now;
-        b.wait.retain(|w| w.node_id != a.node_id);
-        b.wait.push(a);
-        Self::turn(t, b, q, nodes, now)
+        request.received_at = now;
+        state.waiting.retain(|waiting| waiting.node_id != request.node_id);
+        state.waiting.push(request);
+        state.serve_waiting(tenant, quota, nodes, now)
     }
 
-    /// A node returned so many units of a window in all.
+    /// A node has returned `returned` units of a window in all.
     #[allow(clippy::too_many_arguments)]
     pub fn return_units(
         &mut self,
-        t: &str,
-        q: WindowQuota,
+        tenant: &str,
+        quota: WindowQuota,
         node_id: NodeId,
         window: u64,
         returned: u64,
         nodes: u64,
         now: Micros,
     ) -> Vec<LedgerAction> {
-        let Some(b) = self.books.get_mut(t) else { return Vec::new() };
-        if b.window == window {
-            Self::returned(b, node_id, returned);
-            if let Some(p) = &mut b.polled {
-                p.left.remove(&node_id);
+        let Some(state) = self.tenants.get_mut(tenant) else { return Vec::new() };
+        if state.window == window {
+            state.record_returned(node_id, returned);
+            if let Some(recall) = &mut state.recall {
+                recall.unanswered.remove(&node_id);
             }
         }
-        Self::turn(t, b, q, nodes, now)
+        state.serve_waiting(tenant, quota, nodes, now)
     }
 
-    /// Time passes for those who wait.
-    pub fn tick(&mut self, t: &str, q: WindowQuota, nodes: u64, now: Micros) -> Vec<LedgerAction> {
-        let Some(b) = self.books.get_mut(t) else { return Vec::new() };
-        if b.wait.is_empty() {
+    /// Advances the time for the requests of a tenant that wait.
+    pub fn tick(&mut self, tenant: &str, quota: WindowQuota, nodes: u64, now: Micros) -> Vec<LedgerAction> {
+        let Some(state) = self.tenants.get_mut(tenant) else { return Vec::new() };
+        if state.waiting.is_empty() {
             return Vec::new();
         }
-        Self::roll(b, q, now);
-        Self::turn(t, b, q, nodes, now)
+        state.start_next_if_over(quota, now);
+        state.serve_waiting(tenant, quota, nodes, now)
+    }
+
+    /// For comparison: tenant, window, granted and returned units over all nodes.
+    pub fn list(&self) -> Vec<(String, u64, u64, u64)> {
+        let row = |(tenant, state): (&String, &TenantWindow)| {
+            (tenant.clone(), state.window, state.granted_total.values().sum(), state.returned.values().sum())
+        };
+        self.tenants.iter().map(row).collect()
+    }
+}
+
+impl TenantWindow {
+    /// Starts the next window where this one is over; requests that wait go on waiting in it.
+    fn start_next_if_over(&mut self, quota: WindowQuota, now: Micros) {
+        if self.window == 0 || now >= self.started_at + quota.window {
+            *self = TenantWindow {
+                window: self.window + 1,
+                started_at: now,
+                waiting: std::mem::take(&mut self.waiting),
+                ..TenantWindow::default()
+            };
+        }
     }
 
-    fn returned(b: &mut Book, node_id: NodeId, returned: u64) {
-        let cap = b.granted_total.get(&node_id).copied().unwrap_or(0);
-        let r = b.returned.entry(node_id).or_insert(0);
-        *r = (*r).max(returned.min(cap));
+    /// Records the sum that a node returned. Idempotent; never more than the node was granted.
+    fn record_returned(&mut self, node_id: NodeId, returned: u64) {
+        let cap = self.granted_total.get(&node_id).copied().unwrap_or(0);
+        let recorded = self.returned.entry(node_id).or_insert(0);
+        *recorded = (*recorded).max(returned.min(cap));
     }
 
-    fn left(b: &Book, q: WindowQuota) -> u64 {
-        let out: u64 = b.granted_total.values().sum::<u64>() - b.returned.values().sum::<u64>();
-        q.calls.saturating_sub(out)
+    fn unused_units(&self, quota: WindowQuota) -> u64 {
+        let outstanding: u64 = self.granted_total.values().sum::<u64>() - self.returned.values().sum::<u64>();
+        quota.calls.saturating_sub(outstanding)
     }
 
-    fn turn(t: &str, b: &mut Book, q: WindowQuota, nodes: u64, now: Micros) -> Vec<LedgerAction> {
-        let mut out = Vec::new();
-        let end = (b.from + q.window).saturating_sub(now);
-        while let Some(a) = b.wait.first().cloned() {
-            let l = Self::left(b, q);
-            if l == 0 {
-                break;
-            }
-            b.wait.remove(0);
-            let fair = (l / (2 * nodes.max(1))).max(1);
-            let n = a.wanted_units.min(fair.max(l / 4)).max(1).min(l);
-            let c = b.granted_total.entry(a.node_id).or_insert(0);
-            *c += n;
-            let g = WindowGrant {
-                tenant: t.to_owned(),
-                window: b.window,
-                node_id: a.node_id,
-                granted_total: *c,
-                age: now.saturating_sub(b.from),
-            };
-            out.push(LedgerAction::Grant { request_id: a.request_id, grant: g, remaining: end });
+    /// Grants what is left, then recalls idle units for those who got nothing, then reports the window as spent.
+    fn serve_waiting(&mut self, tenant: &str, quota: WindowQuota, nodes: u64, now: Micros) -> Vec<LedgerAction> {
+        let mut actions = Vec::new();
+        let remaining = (self.started_at + quota.window).saturating_sub(now);
+        while let Some(action) = self.grant_next(tenant, quota, nodes, remaining, now) {
+            actions.push(action);
         }
-        if b.wait.is_empty() {
-            b.polled = None;
-            return out;
+        if self.waiting.is_empty() {
+            self.recall = None;
+            return actions;
         }
-        // A word that all is spent rests on a poll that began after the ask.
-        let polled_at = match &mut b.polled {
-            Some(p) if p.left.is_empty() || now >= p.began + POLL => Some(p.began),
-            Some(p) => {
-                if !p.again && now >= p.began + POLL_AGAIN {
-                    p.again = true;
-                    out.push(LedgerAction::Recall { to: p.left.iter().copied().collect(), window: b.window });
-                }
-                None
-            }
-            None if now < b.calm => None,
-            None => {
-                let to: Vec<_> = b
-                    .granted_total
-                    .iter()
-                    .filter(|(n, c)| **c > b.returned.get(n).copied().unwrap_or(0))
-                    .map(|x| *x.0)
-                    .collect();
-                if to.is_empty() {
-                    Some(now)
-                } else {
-                    b.polled = Some(Poll { began: now, left: to.iter().copied().collect(), again: false });
-                    out.push(LedgerAction::Recall { to, window: b.window });
-                    None
-                }
-            }
+        if let Some(recalled_at) = self.advance_recall(&mut actions, now) {
+            self.report_spent(recalled_at, remaining, &mut actions, now);
+        }
+        actions
+    }
+
+    /// Grants units to the oldest request; none where none waits or no unit is left.
+    fn grant_next(
+        &mut self,
+        tenant: &str,
+        quota: WindowQuota,
+        nodes: u64,
+        remaining: Micros,
+        now: Micros,
+    ) -> Option<LedgerAction> {
+        let request = self.waiting.first().cloned()?;
+        let unused = self.unused_units(quota);
+        if unused == 0 {
+            return None;
+        }
+        self.waiting.remove(0);
+        // Half of an equal part, so that the others find something too; where few nodes ask, a quarter of all.
+        let fair = (unused / (2 * nodes.max(1))).max(1);
+        let units = request.wanted_units.min(fair.max(unused / 4)).max(1).min(unused);
+        let granted_total = self.granted_total.entry(request.node_id).or_insert(0);
+        *granted_total += units;
+        let grant = WindowGrant {
+            tenant: tenant.to_owned(),
+            window: self.window,
+            node_id: request.node_id,
+            granted_total: *granted_total,
+            age: now.saturating_sub(self.started_at),
         };
-        if let Some(polled_at) = polled_at {
-            b.polled = None;
-            b.calm = now + 100 * MS;
-            let (before, after): (Vec<_>, _) = b.wait.drain(..).partition(|a| a.received_at <= polled_at);
-            b.wait = after;
-            for a in before {
-                out.push(LedgerAction::Spent {
-                    node_id: a.node_id,
-                    request_id: a.request_id,
-                    window: b.window,
-                    remaining: end,
-                });
-            }
+        Some(LedgerAction::Grant { request_id: request.request_id, grant, remaining })
+    }
+
+    /// Starts, retries or finishes a recall. Returns when a finished one started: the window is spent for
+    /// requests that were received by then.
+    fn advance_recall(&mut self, actions: &mut Vec<LedgerAction>, now: Micros) -> Option<Micros> {
+        let Some(recall) = &mut self.recall else { return self.start_recall(actions, now) };
+        if recall.unanswered.is_empty() || now >= recall.started_at + RECALL_TIMEOUT {
+            return Some(recall.started_at);
         }
-        out
+        if !recall.retried && now >= recall.started_at + RECALL_RETRY_AFTER {
+            recall.retried = true;
+            let to = recall.unanswered.iter().copied().collect();
+            actions.push(LedgerAction::Recall { to, window: self.window });
+        }
+        None
     }
 
-    /// For comparison: tenant, window, granted and returned over all nodes.
-    pub fn list(&self) -> Vec<(String, u64, u64, u64)> {
-        self.books
-            .iter()
-            .map(|(t, b)| (t.clone(), b.window, b.granted_total.values().sum(), b.returned.values().sum()))
-            .collect()
+    /// Starts a recall, unless the last one finished a moment ago. Where no node has any unit it is finished at
+    /// once.
+    fn start_recall(&mut self, actions: &mut Vec<LedgerAction>, now: Micros) -> Option<Micros> {
+        if now < self.next_recall_at {
+            return None;
+        }
+        let returned = |node_id: &NodeId| self.returned.get(node_id).copied().unwrap_or(0);
+        let holds_units = |(node_id, granted): &(&NodeId, &u64)| **granted > returned(node_id);
+        let to: Vec<_> = self.granted_total.iter().filter(holds_units).map(|(node_id, _)| *node_id).collect();
+        if to.is_empty() {
+            return Some(now);
+        }
+        self.recall = Some(Recall { started_at: now, unanswered: to.iter().copied().collect(), retried: false });
+        actions.push(LedgerAction::Recall { to, window: self.window });
+        None
+    }
+
+    /// Reports the window as spent to the requests that were received before the recall started; later ones
+    /// wait for another recall, as units may have been idle for them.
+    fn report_spent(&mut self, recalled_at: Micros, remaining: Micros, actions: &mut Vec<LedgerAction>, now: Micros) {
+        self.recall = None;
+        self.next_recall_at = now + RECALL_BACKOFF;
+        let (before, after): (Vec<_>, _) =
+            self.waiting.drain(..).partition(|request| request.received_at <= recalled_at);
+        self.waiting = after;
+        let window = self.window;
+        actions.extend(before.into_iter().map(|request| LedgerAction::Spent {
+            node_id: request.node_id,
+            request_id: request.request_id,
+            window,
+            remaining,
+        }));
     }
 }
--- a/crates/core/tests/slices.rs
+++ b/crates/core/tests/slices.rs
@@ -1,5 +1,5 @@
-//! How the holder of a window's quota answers asks while it polls for what is idle, and what a
-//! node makes of its word.
+//! How the lease holder of a window answers requests while it recalls idle units, and how a node applies the
+//! responses.
 
 mod fleet;
 
@@ -14,61 +14,63 @@
 const TENANT: &str = "t";
 const NODES: u64 = 1;
 
-fn ask(ledger: &mut WindowLedger, node: u64, want: u64, now: Micros) -> Vec<LedgerAction> {
-    let ask = SliceRequest { node_id: NodeId(node), request_id: node, wanted_units: want, received_at: now };
-    ledger.request(TENANT, QUOTA, ask, (0, 0), NODES, now)
+fn request(ledger: &mut WindowLedger, node: u64, wanted_units: u64, now: Micros) -> Vec<LedgerAction> {
+    let request = SliceRequest { node_id: NodeId(node), request_id: node, wanted_units, received_at: now };
+    ledger.request(TENANT, QUOTA, request, (0, 0), NODES, now)
 }
 
-fn told_spent(turns: &[LedgerAction]) -> Vec<u64> {
-    turns
+fn nodes_reported_spent(actions: &[LedgerAction]) -> Vec<u64> {
+    actions
         .iter()
-        .filter_map(|t| if let LedgerAction::Spent { node_id, .. } = t { Some(node_id.0) } else { None })
+        .filter_map(|action| if let LedgerAction::Spent { node_id, .. } = action { Some(node_id.0) } else { None })
         .collect()
 }
 
-/// Gives all units of the window to node 1.
-fn all_given_to_one(ledger: &mut WindowLedger, now: Micros) {
-    let given = |turns: &[LedgerAction]| {
-        let of = |t: &LedgerAction| if let LedgerAction::Grant { grant: g, .. } = t { g.granted_total } else { 0 };
-        turns.iter().map(of).max().unwrap_or(0)
+/// Grants all units of the window to node 1.
+fn grant_all_to_one(ledger: &mut WindowLedger, now: Micros) {
+    let largest_total = |actions: &[LedgerAction]| {
+        let granted_total = |action: &LedgerAction| {
+            if let LedgerAction::Grant { grant, .. } = action { grant.granted_total } else { 0 }
+        };
+        actions.iter().map(granted_total).max().unwrap_or(0)
     };
-    let mut most = 0;
-    while most < QUOTA.calls {
-        most = given(&ask(ledger, 1, QUOTA.calls, now));
-        assert!(most > 0, "the window is free at its beginning");
+    let mut granted = 0;
+    while granted < QUOTA.calls {
+        granted = largest_total(&request(ledger, 1, QUOTA.calls, now));
+        assert!(granted > 0, "nothing of the window is granted at its start");
     }
 }
 
-/// What a poll brings in proves nothing to those who asked after it began.
+/// A recall proves nothing for requests that came after it started.
 #[test]
-fn an_ask_that_comes_during_a_poll_is_told_spent_only_after_a_poll_of_its_own() {
+fn a_request_during_a_recall_is_reported_spent_only_after_a_recall_of_its_own() {
     let mut ledger = WindowLedger::default();
     let start = 10 * SEC;
-    all_given_to_one(&mut ledger, start);
+    grant_all_to_one(&mut ledger, start);
 
-    let first = ask(&mut ledger, 2, 1, start + 10 * MS);
+    let first = request(&mut ledger, 2, 1, start + 10 * MS);
     assert!(matches!(&first[..], [LedgerAction::Recall { to, window: 1 }] if to == &[NodeId(1)]), "{first:?}");
-    let second = ask(&mut ledger, 3, 1, start + 20 * MS);
-    assert!(second.is_empty(), "the poll is under way: {second:?}");
+    let second = request(&mut ledger, 3, 1, start + 20 * MS);
+    assert!(second.is_empty(), "the recall is in progress: {second:?}");
 
     let nothing = ledger.return_units(TENANT, QUOTA, NodeId(1), 1, 0, NODES, start + 30 * MS);
-    assert_eq!(told_spent(&nothing), [2], "node 3 asked after the poll began: {nothing:?}");
+    assert_eq!(nodes_reported_spent(&nothing), [2], "node 3 requested after the recall started: {nothing:?}");
 
     let again = ledger.tick(TENANT, QUOTA, NODES, start + 200 * MS);
     assert!(matches!(&again[..], [LedgerAction::Recall { to, window: 1 }] if to == &[NodeId(1)]), "{again:?}");
     let some = ledger.return_units(TENANT, QUOTA, NodeId(1), 1, 5, NODES, start + 210 * MS);
     assert!(
         matches!(&some[..], [LedgerAction::Grant { request_id: 3, .. }]),
-        "what came back goes to who waits: {some:?}"
+        "what was returned is granted to the waiting request: {some:?}"
     );
 }
 
 #[test]
-fn who_does_not_answer_a_poll_is_asked_once_more() {
+fn a_node_that_does_not_answer_a_recall_is_sent_it_once_more() {
     let mut ledger = WindowLedger::default();
     let start = 10 * SEC;
-    all_given_to_one(&mut ledger, start);
-    ask(&mut ledger, 2, 1, start + 10 * MS);
+    grant_all_to_one(&mut ledger, start);
+    request(&mut ledger, 2, 1, start + 10 * MS);
 
     let early = ledger.tick(TENANT, QUOTA, NODES, start + 60 * MS);
     assert!(early.is_empty(), "{early:?}");
@@ -77,44 +79,49 @@
     let more = ledger.tick(TENANT, QUOTA, NODES, start + 120 * MS);
     assert!(more.is_empty(), "twice is enough: {more:?}");
     let over = ledger.tick(TENANT, QUOTA, NODES, start + 170 * MS);
-    assert_eq!(told_spent(&over), [2], "{over:?}");
+    assert_eq!(nodes_reported_spent(&over), [2], "{over:?}");
 }
 
-/// A call that waits for a place keeps its unit until others need it more.
+/// A call that waits for a slot keeps its unit until others need it more.
 #[test]
-fn the_unit_of_a_call_that_waits_for_a_place_is_given_back_on_a_recall() {
+fn the_unit_of_a_call_that_waits_for_a_slot_is_returned_on_a_recall() {
     let start = 10 * SEC;
-    // What happens while it waits; whether it has its unit then, and what is given back and free.
+    // What happens while it waits; whether it has its unit afterwards, and what is returned and free.
     type Meanwhile = fn(&WindowSlices, u64);
     let cases: [(&str, Meanwhile, bool, (u64, u64)); 4] = [
         ("nothing", |_, _| {}, true, (0, 1)),
-        ("a recall", |s, now| assert_eq!(s.return_idle(TENANT, 1, now), Some(2)), false, (2, 0)),
-        ("a recall of another window", |s, now| assert_eq!(s.return_idle(TENANT, 2, now), None), true, (0, 1)),
-        ("the next window", |s, now| s.add_granted(TENANT, 2, 5, now + SEC), false, (0, 5)),
+        ("a recall", |slices, now| assert_eq!(slices.return_idle(TENANT, 1, now), Some(2)), false, (2, 0)),
+        (
+            "a recall of another window",
+            |slices, now| assert_eq!(slices.return_idle(TENANT, 2, now), None),
+            true,
+            (0, 1),
+        ),
+        ("the next window", |slices, now| slices.add_granted(TENANT, 2, 5, now + SEC), false, (0, 5)),
     ];
-    for (name, meanwhile, keeps, (returned, free)) in cases {
+    for (name, meanwhile, keeps_unit, (returned, free)) in cases {
         let slices = WindowSlices::default();
         slices.add_granted(TENANT, 1, 2, start + SEC);
         assert!(matches!(slices.take(TENANT, start), TakeOutcome::Taken { window: 1, .. }), "{name}");
         assert!(slices.park(TENANT, 1), "{name}");
         assert!(!slices.park(TENANT, 1), "{name}: no more than was taken");
         meanwhile(&slices, start + 10 * MS);
-        assert_eq!(slices.unpark(TENANT, 1), keeps, "{name}");
+        assert_eq!(slices.unpark(TENANT, 1), keeps_unit, "{name}");
         assert!(!slices.unpark(TENANT, 1), "{name}: once");
-        let list = slices.list();
-        assert_eq!((list[0].3, list[0].4), (returned, free), "{name}");
+        let rows = slices.list();
+        assert_eq!((rows[0].3, rows[0].4), (returned, free), "{name}");
         slices.refund(TENANT, 1);
-        assert_eq!(slices.list()[0].4, free + u64::from(keeps), "{name}: nothing comes back twice");
+        assert_eq!(slices.list()[0].4, free + u64::from(keeps_unit), "{name}: nothing is refunded twice");
     }
     let slices = WindowSlices::default();
-    let plan = r#"{"tenants":{"t":{"keys":[],"quota":{"rate":9,"burst":9}}}}"#;
-    slices.rates.apply_plan(&CompiledConfig::compile(1, plan), start);
+    let document = r#"{"tenants":{"t":{"keys":[],"quota":{"rate":9,"burst":9}}}}"#;
+    slices.rates.apply_plan(&CompiledConfig::compile(1, document), start);
     assert!(!slices.park(TENANT, 0), "a unit of a rate stays with its call");
 }
 
-/// The word counts the window's end later than it is, by its time on the way.
+/// A report has the window end later than it does, by the time that the report was under way.
 #[test]
-fn the_word_that_a_window_is_spent_lengthens_no_unit() {
+fn a_report_that_a_window_is_spent_prolongs_no_unit() {
     let slices = WindowSlices::default();
     let start = 10 * SEC;
     slices.add_granted(TENANT, 1, 5, start + 100 * MS);
@@ -125,30 +132,30 @@
     assert_eq!(after, TakeOutcome::WindowSpent { remaining: 150 * MS }, "the slice ended 50 ms ago");
 }
 
-/// A core that is not the first one nominated for the tenant's duty.
-const ASKER: u64 = 2;
+/// A core that does not rank first for the tenant's role.
+const REQUESTER: u64 = 2;
 
-/// One core of three, to which another one can answer as the holder of the tenant's duty.
-fn asker() -> (Fleet, u64, u64) {
-    let mut zero = decree(0, 0, &[], &[1, 2, 3]);
-    zero.body = r#"{"defaults":{"quota":{"calls":60,"window_ms":1000}},"pools":{"llm":{}},
+/// One core of three, to which another one can respond as the lease holder of the tenant's role.
+fn requester() -> (Fleet, u64, u64) {
+    let mut initial = decree(0, 0, &[], &[1, 2, 3]);
+    initial.body = r#"{"defaults":{"quota":{"calls":60,"window_ms":1000}},"pools":{"llm":{}},
         "matches":{"chat":{"path":"/v1/chat","pool":"llm","kind":"chat"}},
         "tenants":{"t":{"keys":["sha256:0000000000000000000000000000000000000000000000000000000000000000"]}}}"#
         .into();
     let mut fleet = Fleet::default();
     fleet.auto = false;
-    fleet.start(ASKER, kept(ASKER, &[zero], Some(0)));
+    fleet.start(REQUESTER, kept(REQUESTER, &[initial], Some(0)));
     fleet.run(100 * MS);
-    let effects = fleet.step(ASKER, Event::QuotaNeeded { tenant: TENANT.into(), waiting: 2 });
-    fleet.carry(ASKER, effects);
-    let (holder, n) = newest_ask(&fleet).expect("it asks");
-    (fleet, holder, n)
+    let effects = fleet.step(REQUESTER, Event::QuotaNeeded { tenant: TENANT.into(), waiting: 2 });
+    fleet.carry(REQUESTER, effects);
+    let (holder, request_id) = newest_request(&fleet).expect("it sends a request");
+    (fleet, holder, request_id)
 }
 
-fn newest_ask(fleet: &Fleet) -> Option<(u64, u64)> {
-    fleet.sent.iter().rev().find_map(|(_, f)| {
-        if let Message::Quota(QuotaMessage::SliceRequest { request_id: n, .. }) = f.message {
-            Some((f.to.0, n))
+fn newest_request(fleet: &Fleet) -> Option<(u64, u64)> {
+    fleet.sent.iter().rev().find_map(|(_, frame)| {
+        if let Message::Quota(QuotaMessage::SliceRequest { request_id, .. }) = frame.message {
+            Some((frame.to.0, request_id))
         } else {
             None
         }
@@ -156,46 +163,46 @@
 }
 
 #[test]
-fn a_word_about_a_window_that_ended_on_its_way_refuses_nobody() {
-    // Told as left, on the way longer than others, and whether the window runs when it comes.
-    for (left, late, runs) in [
+fn a_report_of_a_window_that_ended_meanwhile_rejects_nobody() {
+    // The remaining time as reported, the additional delay, and whether the window still runs on arrival.
+    for (remaining, delay, runs) in [
         (58 * MS, 0, true),
         (58 * MS, 57 * MS, true),
         (58 * MS, 58 * MS, false),
         (58 * MS, 180 * MS, false),
         (123 * MS, 161 * MS, false),
     ] {
-        let (mut fleet, holder, n) = asker();
-        fleet.tell(holder, ASKER, Message::Consensus(ConsensusMessage::Synced { version: 0 }));
-        let spent = Message::Quota(QuotaMessage::WindowSpent {
-            request_id: n,
-            tenant: TENANT.into(),
-            window: 24,
-            remaining: left,
-        });
-        fleet.tell_late(holder, ASKER, spent, late);
+        let (mut fleet, holder, request_id) = requester();
+        fleet.tell(holder, REQUESTER, Message::Consensus(ConsensusMessage::Synced { version: 0 }));
+        let spent =
+            Message::Quota(QuotaMessage::WindowSpent { request_id, tenant: TENANT.into(), window: 24, remaining });
+        fleet.tell_late(holder, REQUESTER, spent, delay);
         let now = fleet.now;
-        let takes = fleet.node(ASKER).quota.slices.take(TENANT, now);
-        let asks_anew = newest_ask(&fleet).is_some_and(|a| a.1 != n);
+        let outcome = fleet.node(REQUESTER).quota.slices.take(TENANT, now);
+        let requests_again = newest_request(&fleet).is_some_and(|newest| newest.1 != request_id);
         if runs {
-            assert_eq!(takes, TakeOutcome::WindowSpent { remaining: left - late }, "{left} left, {late} late");
-            assert!(!asks_anew, "{left} left, {late} late: the window is spent");
+            assert_eq!(
+                outcome,
+                TakeOutcome::WindowSpent { remaining: remaining - delay },
+                "{remaining} remaining, {delay} delay"
+            );
+            assert!(!requests_again, "{remaining} remaining, {delay} delay: the window is spent");
         } else {
-            assert_eq!(takes, TakeOutcome::Empty, "{left} left, {late} late: a new window has begun");
-            assert!(asks_anew, "{left} left, {late} late: who waits is asked for in the new window");
+            assert_eq!(outcome, TakeOutcome::Empty, "{remaining} remaining, {delay} delay: a new window has begun");
+            assert!(requests_again, "{remaining} remaining, {delay} delay: units are requested of the new window");
         }
     }
 }
 
-/// The holder counts as this node's whatever it granted, also for an ask that came to it twice.
+/// The lease holder counts whatever it granted as this node's, also for a request that was delivered twice.
 #[test]
-fn units_of_an_ask_that_came_twice_are_heard_of() {
-    for answer_between in [false, true] {
-        let (mut fleet, holder, n) = asker();
-        fleet.tell(holder, ASKER, Message::Consensus(ConsensusMessage::Synced { version: 0 }));
-        let slice = |granted_total| {
+fn units_for_a_request_that_was_delivered_twice_are_applied() {
+    for has_response_between in [false, true] {
+        let (mut fleet, holder, request_id) = requester();
+        fleet.tell(holder, REQUESTER, Message::Consensus(ConsensusMessage::Synced { version: 0 }));
+        let granted = |granted_total| {
             Message::Quota(QuotaMessage::SliceGranted {
-                request_id: n,
+                request_id,
                 tenant: TENANT.into(),
                 window: 1,
                 granted_total,
@@ -203,22 +210,22 @@
                 epoch: 1,
             })
         };
-        fleet.tell(holder, ASKER, slice(1));
-        if answer_between {
+        fleet.tell(holder, REQUESTER, granted(1));
+        if has_response_between {
             let now = fleet.now;
-            fleet.step(ASKER, Event::QuotaNeeded { tenant: TENANT.into(), waiting: 1 });
-            let newer = newest_ask(&fleet).expect("it asked").1;
+            fleet.step(REQUESTER, Event::QuotaNeeded { tenant: TENANT.into(), waiting: 1 });
+            let newer = newest_request(&fleet).expect("it sent a request").1;
             let spent = Message::Quota(QuotaMessage::WindowSpent {
                 request_id: newer,
                 tenant: TENANT.into(),
                 window: 1,
                 remaining: 500 * MS,
             });
-            fleet.tell(holder, ASKER, spent);
+            fleet.tell(holder, REQUESTER, spent);
             assert_eq!(fleet.now, now);
         }
-        fleet.tell(holder, ASKER, slice(2));
-        let rows = fleet.node(ASKER).quota.slices.list();
+        fleet.tell(holder, REQUESTER, granted(2));
+        let rows = fleet.node(REQUESTER).quota.slices.list();
         assert_eq!(rows, [(TENANT.to_owned(), 1, 2, 0, 2)], "tenant, window, granted, returned, free");
     }
 }
