--- /dev/null
+++ b/crates/core/tests/call/waiting.rs
@@ -0,0 +1,208 @@
+//! Waiting for a quota unit or a slot, and what is released.
+
+use super::fixture::*;
+
+#[test]
+fn a_call_that_waited_releases_what_it_held() {
+    check(vec![
+        (
+            "the window ends while connecting, the next one has units",
+            "/chat",
+            2,
+            4,
+            9,
+            vec![
+                (Deliver(Event::Wake), "read body"),
+                (DeliverBody, "connect"),
+                (Advance(1_100 * MS), ""),
+                (GrantUnits(2), ""),
+                (Deliver(Event::Connected), "send window 2"),
+                (Deliver(Event::ClientDisconnected), ""),
+            ],
+            4,
+        ),
+        (
+            "the window ends while connecting, the next one is unknown",
+            "/chat",
+            2,
+            4,
+            9,
+            vec![
+                (Deliver(Event::Wake), "read body"),
+                (DeliverBody, "connect"),
+                (Advance(1_100 * MS), ""),
+                (Deliver(Event::Connected), "close, request units"),
+                (AnswerQuota(2), "connect again"),
+                (Deliver(Event::Connected), "send window 2"),
+                (Deliver(Event::ClientDisconnected), ""),
+            ],
+            4,
+        ),
+        (
+            "the key is revoked while the call waits for a unit",
+            "/chat",
+            2,
+            4,
+            0,
+            vec![
+                (Deliver(Event::Wake), "read body"),
+                (DeliverBody, "request units"),
+                (Deliver(Event::Wake), ""),
+                (RevokeKey, ""),
+                (Deliver(Event::Wake), "401 key no"),
+            ],
+            0,
+        ),
+        (
+            "no answer of the lease holder",
+            "/chat",
+            2,
+            4,
+            0,
+            vec![
+                (Deliver(Event::Wake), "read body"),
+                (DeliverBody, "request units"),
+                (Advance(1_400 * MS), ""),
+                (Deliver(Event::Wake), ""),
+                (Advance(100 * MS), ""),
+                (Deliver(Event::Wake), "503 quota_unsettled no"),
+            ],
+            0,
+        ),
+        (
+            "the window is spent",
+            "/chat",
+            2,
+            4,
+            0,
+            vec![(Deliver(Event::Wake), "read body"), (DeliverBody, "request units"), (AnswerQuota(0), "429 quota no")],
+            0,
+        ),
+        (
+            "no worker: nothing to wait for",
+            "/chat",
+            0,
+            4,
+            9,
+            vec![(Deliver(Event::Wake), "read body"), (DeliverBody, "503 no_worker no")],
+            9,
+        ),
+        (
+            "the client disconnects before the call was sent",
+            "/chat",
+            2,
+            4,
+            9,
+            vec![
+                (Deliver(Event::Wake), "read body"),
+                (DeliverBody, "connect"),
+                (Deliver(Event::ClientDisconnected), ""),
+            ],
+            9,
+        ),
+        (
+            "the client disconnects after the call was sent",
+            "/chat",
+            2,
+            4,
+            9,
+            after_send(vec![(Deliver(Event::ClientDisconnected), "")]),
+            8,
+        ),
+    ]);
+}
+
+#[test]
+fn a_call_that_waits_for_a_slot_is_woken_in_turn() {
+    let mut call = CallFixture::new("/chat", 1, 1, 9);
+    run("first", &mut call, until_sent());
+    let first = call.next_call(2, "/chat");
+    assert_eq!(call.step(Event::Wake), "read body");
+    assert_eq!(call.step(Event::RequestBody(Ok(Bytes::from_static(b"{\"prompt\":\"x\"}")))), "", "it waits");
+    assert_eq!(call.holdings(), Holdings::of(1, (1, 0), 7));
+    // The first call ends, which assigns its slot to the second one.
+    let second = std::mem::replace(&mut call.machine, first);
+    let endpoint = call.last_endpoint.clone().expect("a slot");
+    assert_eq!(call.step(Event::ClientDisconnected), "wake 2");
+    assert_eq!(call.holdings(), Holdings::of(1, (0, 0), 7), "the slot is assigned to it");
+    // The second call left meanwhile: the slot and the unit are free again.
+    call.machine = second;
+    assert_eq!(call.step(Event::ClientDisconnected), "");
+    assert_eq!(call.step(Event::SlotAssigned(endpoint)), "");
+    assert_eq!(call.holdings(), Holdings::of(0, (0, 0), 8));
+}
+
+/// A first call holds the only slot, and a second one waits for it.
+fn one_call_waiting() -> (CallFixture, CallMachine) {
+    let mut call = CallFixture::new("/chat", 1, 1, 2);
+    run("first", &mut call, until_sent());
+    let first = call.next_call(2, "/chat");
+    run("second", &mut call, vec![(Deliver(Event::Wake), "read body"), (DeliverBody, "request units")]);
+    assert_eq!(call.holdings(), Holdings::of(1, (1, 0), 0), "it waits");
+    (call, first)
+}
+
+#[test]
+fn a_unit_is_recalled_from_a_call_that_waits_for_a_slot() {
+    let recall = |call: &CallFixture| call.shared.slices.return_idle("t", 1, call.now);
+    let (mut call, first) = one_call_waiting();
+    assert_eq!(recall(&call), Some(1), "the unit of the call that waits, not of the one that was sent");
+    assert_eq!(recall(&call), Some(1), "once");
+    // The first call ends: the second one gets the slot, but has no unit.
+    let second = std::mem::replace(&mut call.machine, first);
+    let endpoint = call.last_endpoint.clone().expect("a slot");
+    assert_eq!(call.step(Event::ClientDisconnected), "wake 2");
+    call.machine = second;
+    run("no unit", &mut call, vec![(Deliver(Event::SlotAssigned(endpoint.clone())), "request units")]);
+    assert_eq!(call.holdings(), Holdings::of(0, (0, 1), 0), "the slot is free for others while it waits for a unit");
+    run(
+        "a unit",
+        &mut call,
+        vec![
+            (AnswerQuota(2), "connect again"),
+            (Deliver(Event::Connected), "send window 2"),
+            (Deliver(Event::ClientDisconnected), ""),
+        ],
+    );
+
+    let (mut call, first) = one_call_waiting();
+    recall(&call);
+    call.shared.slices.add_granted("t", 1, 4, START + SEC);
+    let second = std::mem::replace(&mut call.machine, first);
+    assert_eq!(call.step(Event::ClientDisconnected), "wake 2");
+    call.machine = second;
+    run(
+        "another unit",
+        &mut call,
+        vec![(Deliver(Event::SlotAssigned(endpoint)), "connect again"), (Deliver(Event::Connected), "send window 1")],
+    );
+    assert_eq!(call.holdings().free_units, 1);
+
+    let (mut call, _first) = one_call_waiting();
+    recall(&call);
+    assert_eq!(call.step(Event::ClientDisconnected), "");
+    assert_eq!(call.holdings().free_units, 0, "what was recalled does not come back twice");
+}
+
+#[test]
+fn a_client_that_disconnects_while_waiting_for_a_slot_refunds_its_unit() {
+    let (mut call, _first) = one_call_waiting();
+    assert_eq!(call.step(Event::ClientDisconnected), "");
+    assert_eq!(call.holdings().free_units, 1);
+    assert_eq!(call.shared.slices.return_idle("t", 1, call.now), Some(1));
+}
+
+#[test]
+fn a_full_queue_wakes_the_call_that_it_displaces() {
+    // Eight drafts wait for a unit; a lookup comes, whose kind has more weight.
+    let mut call = CallFixture::new("/draft", 1, 1, 0);
+    let mut machines = Vec::new();
+    for id in 1..=9 {
+        let path = if id == 9 { "/confirm" } else { "/draft" };
+        machines.push(call.next_call(id, path));
+        assert_eq!(call.step(Event::Wake), "read body");
+        let effects = call.step(Event::RequestBody(Ok(Bytes::from_static(b"{\"prompt\":\"x\"}"))));
+        assert_eq!(effects, if id == 9 { "wake 8, request units" } else { "request units" }, "{id}");
+    }
+    assert_eq!(call.holdings().waiting, (0, 8));
+}
--- a/crates/core/tests/routes.rs
+++ b/crates/core/tests/routes.rs
@@ -1,26 +1,26 @@
-//! Which match takes a call, and which of its pools.
+//! Which match a call is routed by, and to which of its pools.
 
 use sumacvale_core::config::{CompiledConfig, validate};
 
-fn plan(matches: &str) -> CompiledConfig {
-    let t = format!("{{\"pools\":{{\"p\":{{}},\"q\":{{}},\"r\":{{}}}},\"matches\":{{{matches}}}}}");
-    validate(&t).unwrap_or_else(|e| panic!("{t}\n{e:?}"))
+fn config(matches: &str) -> CompiledConfig {
+    let document = format!("{{\"pools\":{{\"p\":{{}},\"q\":{{}},\"r\":{{}}}},\"matches\":{{{matches}}}}}");
+    validate(&document).unwrap_or_else(|errors| panic!("{document}\n{errors:?}"))
 }
 
-fn named(p: &CompiledConfig, method: &str, host: &str, path: &str) -> String {
-    p.find(method, host, path).map_or_else(String::new, |m| m.name.clone())
+fn matched_name(config: &CompiledConfig, method: &str, host: &str, path: &str) -> String {
+    config.find(method, host, path).map_or_else(String::new, |matched| matched.name.clone())
 }
 
 #[test]
-fn a_call_is_taken_by_its_path_then_its_host_then_the_longest_beginning() {
-    let p = plan(concat!(
+fn a_call_is_routed_by_its_path_then_its_host_then_the_longest_prefix() {
+    let config = config(concat!(
         r#""exact":{"path":"/v1/chat","pool":"p"},"got":{"path":"/v1/chat","method":"GET","pool":"p"},"#,
         r#""part":{"path":"/v1/{id}/x","pool":"p"},"#,
         r#""one":{"host":"one.test","under":"/","pool":"p"},"one-v1":{"host":"one.test","under":"/v1/","pool":"p"},"#,
         r#""one-deep":{"host":"one.test","under":"/v1/a/b/","pool":"p"},"#,
         r#""two":{"host":"Two.Test","under":"/v1/","pool":"p"},"any":{"under":"/v1/a/","pool":"p"}"#
     ));
-    for (method, host, path, want) in [
+    for (method, host, path, expected) in [
         ("POST", "one.test", "/v1/chat", "exact"),
         ("GET", "one.test", "/v1/chat", "got"),
         ("PUT", "one.test", "/v1/chat", "one-v1"),
@@ -33,30 +33,30 @@
         ("POST", "one.test", "", ""),
         ("POST", "one.test", "//", "one"),
         ("POST", "two.test", "/v1/z", "two"),
-        // The host's own before those of every host, also where these are longer.
+        // Matches of the host have precedence over those of all hosts, even over longer ones.
         ("POST", "two.test", "/v1/a/z", "two"),
         ("POST", "six.test", "/v1/a/z", "any"),
         ("POST", "", "/v1/a/z", "any"),
         ("POST", "six.test", "/v1/z", ""),
         ("POST", "Two.Test", "/v1/z", ""),
     ] {
-        assert_eq!(named(&p, method, host, path), want, "{method} {host} {path}");
+        assert_eq!(matched_name(&config, method, host, path), expected, "{method} {host} {path}");
     }
 }
 
 #[test]
-fn a_match_with_a_host_takes_no_calls_of_another() {
-    let t = r#"{"pools":{"p":{}},"matches":{"m":{"host":"one.test","path":"/x","pool":"p"}}}"#;
-    // Refused or kept, but never taken without effect.
-    let Ok(p) = validate(t) else { return };
-    assert_eq!(named(&p, "POST", "one.test", "/x"), "m");
-    assert_eq!(named(&p, "POST", "two.test", "/x"), "", "it names one.test");
+fn a_match_with_a_host_routes_no_calls_of_another() {
+    let document = r#"{"pools":{"p":{}},"matches":{"m":{"host":"one.test","path":"/x","pool":"p"}}}"#;
+    // The document is rejected or its host is respected, but the host is never ignored.
+    let Ok(config) = validate(document) else { return };
+    assert_eq!(matched_name(&config, "POST", "one.test", "/x"), "m");
+    assert_eq!(matched_name(&config, "POST", "two.test", "/x"), "", "the match names one.test");
 }
 
 #[test]
-fn pools_share_calls_by_weight() {
-    // The split; how many of a round go to p, q and r.
-    for (split, round, want) in [
+fn calls_are_split_between_pools_by_weight() {
+    // The split, the calls of a round, and how many of them go to p, q and r.
+    for (split, round, expected) in [
         (r#"{"p":1}"#, 1, [1, 0, 0]),
         (r#"{"p":9,"q":1}"#, 10, [9, 1, 0]),
         (r#"{"p":0,"q":2}"#, 2, [0, 2, 0]),
@@ -64,19 +64,20 @@
         (r#"{"p":2,"q":3,"r":5}"#, 10, [2, 3, 5]),
         (r#"{"p":1000000,"q":1000000}"#, 2_000_000, [1_000_000, 1_000_000, 0]),
     ] {
-        let p = plan(&format!("\"m\":{{\"under\":\"/\",\"split\":{split}}}"));
-        let m = p.find("GET", "h", "/").expect("found");
-        let mut got = [0; 3];
-        for n in 0..round {
-            let i = ["p", "q", "r"].iter().position(|p| *p == m.pool_for(n)).expect("one of them");
-            got[i] += 1;
+        let config = config(&format!("\"m\":{{\"under\":\"/\",\"split\":{split}}}"));
+        let matched = config.find("GET", "h", "/").expect("found");
+        let mut calls = [0; 3];
+        for hash in 0..round {
+            let pool = ["p", "q", "r"].iter().position(|pool| *pool == matched.pool_for(hash)).expect("a known pool");
+            calls[pool] += 1;
         }
-        assert_eq!(got, want, "{split}");
-        let may: Vec<_> = m.pools().collect();
-        let some: Vec<_> = ["p", "q", "r"].into_iter().zip(want).filter(|x| x.1 > 0).map(|x| x.0).collect();
-        assert_eq!(may, some, "{split}: what has no weight may not serve");
+        assert_eq!(calls, expected, "{split}");
+        let allowed: Vec<_> = matched.pools().collect();
+        let weighted: Vec<_> =
+            ["p", "q", "r"].into_iter().zip(expected).filter(|(_, calls)| *calls > 0).map(|(pool, _)| pool).collect();
+        assert_eq!(allowed, weighted, "{split}: a pool without weight gets no calls");
     }
-    let p = plan(r#""m":{"under":"/","pool":"q"}"#);
-    let m = p.find("GET", "h", "/").expect("found");
-    assert!([0, 1, u64::MAX].iter().all(|n| m.pool_for(*n) == "q"));
+    let config = config(r#""m":{"under":"/","pool":"q"}"#);
+    let matched = config.find("GET", "h", "/").expect("found");
+    assert!([0, 1, u64::MAX].iter().all(|hash| matched.pool_for(*hash) == "q"));
 }
