--- /dev/null
+++ b/crates/node/src/control/effects.rs
@@ -0,0 +1,83 @@
+//! Carries out the effects of the node, in the order in which it returned them.
+
+use super::ControlThread;
+use crate::clock;
+use crate::disk::WriteJob;
+use std::sync::Arc;
+use sumacvale_core::base::MS;
+use sumacvale_core::node::{Effect, View};
+use sumacvale_core::protocol::{Frame, encode_frame};
+
+impl ControlThread {
+    pub(super) fn apply(&mut self, effect: Effect) {
+        match effect {
+            Effect::Send { to, frame } => self.send_frame(&to, &frame),
+            Effect::Reconnect { to } => self.links.reconnect(&to),
+            Effect::Write { token, writes } => {
+                if let Some(jobs) = &self.disk_jobs {
+                    let _ = jobs.send(WriteJob { token, writes });
+                }
+            }
+            Effect::CompleteChange { request_id, outcome } => {
+                if let Some(reply) = self.pending.changes.remove(&request_id) {
+                    let _ = reply.send(outcome);
+                }
+            }
+            Effect::AcknowledgeReport { request_id, is_accepted } => {
+                if let Some(reply) = self.pending.reports.remove(&request_id) {
+                    let _ = reply.send(is_accepted);
+                }
+            }
+            Effect::WakeTenant { tenant } => {
+                for wakeup in self.shared.call_state.serve_quota_queue(&tenant, clock::now()) {
+                    self.shared.deliver_wakeup(wakeup);
+                }
+            }
+            Effect::Publish(view) => self.publish(view),
+        }
+    }
+
+    fn send_frame(&mut self, addr: &str, frame: &Frame) {
+        match encode_frame(frame) {
+            Ok(bytes) => {
+                let is_cross_zone = self.is_in_other_zone(addr);
+                self.links.send(addr, bytes, is_cross_zone);
+            }
+            Err(error) => tracing::error!(trouble = %error, "a frame was not sent"),
+        }
+    }
+
+    fn is_in_other_zone(&self, addr: &str) -> bool {
+        let own_zone = &self.node.settings.zone;
+        let mut peers = self.node.dissemination.peers.entries.values();
+        peers.any(|peer| peer.record.addr == addr && peer.record.zone != *own_zone)
+    }
+
+    /// Makes a view the one by which calls are served.
+    fn publish(&mut self, view: Arc<View>) {
+        let previous_version = *self.receivers.published_version.borrow();
+        let version = view.version;
+        let workers_changed = self.view_log.record(&view);
+        self.shared.view.store(view);
+        if previous_version != version {
+            tracing::info!(version = version, "a version is in force");
+            let _ = self.receivers.published_version.send(version);
+        }
+        if workers_changed {
+            for pool in self.node.config.pools.keys() {
+                self.shared.call_state.caches.routes.delete(pool);
+            }
+            self.shared.expire_waiters();
+        }
+    }
+
+    /// Once a second while calls are rejected: how many, by reason, and the state of this node's view.
+    pub(super) fn log_rejections(&mut self) {
+        let now = clock::now();
+        let Some(counts) = self.rejection_log.line(&self.shared.call_state.rejections, now) else { return };
+        let view = self.shared.view.load();
+        let stamp_age_ms = view.confirmed_at.map(|confirmed_at| now.saturating_sub(confirmed_at) / MS);
+        let (workers, version) = (view.workers.len(), view.version);
+        tracing::warn!(%counts, ?version, ?stamp_age_ms, workers, "calls are refused");
+    }
+}
--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -1,4 +1,33 @@
-//! The thread that steps the node: frames, timers, writes and pictures.
+//! The control thread: it alone steps the [`Node`] and carries out the effects that the node returns.
+//!
+//! # Threads
+//!
+//! | thread    | runs                                                             | ends |
+//! |-----------|------------------------------------------------------------------|------|
+//! | `control` | [`ControlThread::run`], the listener for peers and all outbound links, on one thread | with the process; the process exits with 70 if it panics |
+//! | `disk`    | [`crate::disk::DiskWriter`], on cores only                       | when `WriteJob`s can no longer be sent; the process exits with 70 if it panics |
+//! | `calls`   | tokio's workers: listeners for callers and operators, one task for each connection, one [`crate::front`] task for each call | with the process, after the graceful shutdown of [`crate::run`] |
+//!
+//! # Channels
+//!
+//! | channel             | capacity        | from                      | to              | when full or closed |
+//! |---------------------|-----------------|---------------------------|-----------------|---------------------|
+//! | commands            | [`COMMAND_CAPACITY`] | all tasks, by [`Shared`] | `control`   | reports without acknowledgement and requests for quota are rejected when full; others wait; `run` returns when all senders are gone |
+//! | peer frames         | [`FRAME_CAPACITY`] | connections of peers   | `control`       | the connection's reader waits, so TCP slows the peer |
+//! | outbound frames     | 1024 for each peer | `control`              | one task for each peer | the frame is dropped and counted |
+//! | write jobs          | unbounded       | `control`                 | `disk`          | never closed while the node runs |
+//! | synced tokens       | unbounded       | `disk`                    | `control`       | never closed while the node runs |
+//! | published version   | 1 (the newest)  | `control`                 | calls that wait for a new view | receivers see the last value |
+//! | call events         | unbounded for each call | any task          | the call's task | the event is handed to the next waiter |
+//!
+//! Shutdown: [`crate::run`] sends [`Command::Shutdown`]; the node then leaves its leases and announces
+//! that it drains. The thread steps the node on until the process exits.
+
+mod channels;
+mod effects;
+mod view_log;
+
+pub use channels::{COMMAND_CAPACITY, ControlReceivers, ControlSenders, channels};
 
 use crate::clock;
 use crate::disk::WriteJob;
@@ -7,186 +36,154 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
-use sumacvale_core::base::{MS, NodeId, Version};
 use sumacvale_core::call::RejectionLog;
-use sumacvale_core::node::{Effect, Event, Node};
-use sumacvale_core::protocol::{ChangeOutcome, Frame, encode_frame};
+use sumacvale_core::node::{Event, Node};
+use sumacvale_core::protocol::{ChangeOutcome, Frame};
 use tokio::net::TcpListener;
-use tokio::sync::{mpsc, oneshot, watch};
+use tokio::sync::{mpsc, oneshot};
+use view_log::ViewLog;
 
-/// The task that steps the core's node.
-pub struct Brain {
-    pub node: Node,
-    pub shared: Arc<Shared>,
-    pub inbox: mpsc::Receiver<Command>,
-    pub synced: mpsc::UnboundedReceiver<u64>,
-    pub disk: Option<std::sync::mpsc::Sender<WriteJob>>,
-    pub version: watch::Sender<Option<Version>>,
-    pub tally: Arc<LinkCounters>,
-}
+/// How many frames of peers may wait for the node.
+pub const FRAME_CAPACITY: usize = 4_096;
+/// How often the node is stepped where nothing else happens.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
-struct Open {
-    waits: HashMap<u64, oneshot::Sender<ChangeOutcome>>,
-    tells: HashMap<u64, oneshot::Sender<bool>>,
-    n: u64,
+/// The node and all that its effects act on; owned by the thread `control`.
+pub struct ControlThread {
+    node: Node,
+    shared: Arc<Shared>,
+    receivers: ControlReceivers,
+    /// Jobs for the disk; `None` on a node that is no core.
+    disk_jobs: Option<std::sync::mpsc::Sender<WriteJob>>,
     links: OutboundLinks,
-    workers: Arc<Vec<sumacvale_core::protocol::WorkerReport>>,
-    known: HashMap<NodeId, bool>,
-    refusals: RejectionLog,
+    pending: PendingReplies,
+    view_log: ViewLog,
+    rejection_log: RejectionLog,
 }
 
-const TICK: Duration = Duration::from_millis(25);
+/// Callers that wait for the node's answer, by the id of their request.
+#[derive(Default)]
+struct PendingReplies {
+    /// Invariant: each id in the maps is at most this.
+    last_request_id: u64,
+    changes: HashMap<u64, oneshot::Sender<ChangeOutcome>>,
+    reports: HashMap<u64, oneshot::Sender<bool>>,
+}
 
-impl Brain {
-    /// Steps the node until the process stops.
-    pub async fn run(mut self, l: TcpListener) {
-        let (ftx, mut frx) = mpsc::channel::<Frame>(4096);
-        let got = async move |f: Frame| {
-            let _ = ftx.send(f).await;
-        };
-        tokio::task::spawn_local(listen(l, self.tally.clone(), got));
-        let mut o = Open {
-            waits: HashMap::new(),
-            tells: HashMap::new(),
-            n: 0,
-            links: OutboundLinks::new(self.tally.clone()),
-            workers: Arc::default(),
-            known: HashMap::new(),
-            refusals: RejectionLog::default(),
-        };
-        let mut t = tokio::time::interval(TICK);
-        t.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        loop {
-            let e = tokio::select! {
-                biased;
-                _ = t.tick() => Event::Tick,
-                Some(n) = self.synced.recv() => Event::Synced(n),
-                Some(f) = frx.recv() => Event::Frame(Box::new(f)),
-                i = self.inbox.recv() => match i {
-                    None => return,
-                    Some(Command::Report(r)) => Event::Report(r),
-                    Some(Command::ReportWithAck { report: row, reply: back }) => {
-                        o.n += 1;
-                        o.tells.insert(o.n, back);
-                        Event::ReportWithAck { request_id: o.n, report: row }
-                    }
-                    Some(Command::QuotaNeeded { tenant, waiting }) => Event::QuotaNeeded { tenant, waiting },
-                    Some(Command::Shutdown) => Event::Shutdown,
-                    Some(Command::SeedsChanged(s)) => Event::SeedsChanged(s),
-                    Some(Command::SubmitChange { change_id, is_first_send: fresh, base, change, reply: back }) => {
-                        o.n += 1;
-                        o.waits.insert(o.n, back);
-                        Event::SubmitChange { request_id: o.n, change_id, is_first_send: fresh, base, change }
-                    }
-                },
-            };
-            let tick = matches!(e, Event::Tick);
-            self.step(e, &mut o);
-            if tick {
-                self.log_refusals(&mut o.refusals);
-                for (tenant, waiting) in self.shared.expire_waiters() {
-                    self.step(Event::QuotaNeeded { tenant, waiting }, &mut o);
-                }
+impl PendingReplies {
+    fn next_request_id(&mut self) -> u64 {
+        self.last_request_id += 1;
+        self.last_request_id
+    }
+
+    /// Turns a command into the node's event, and keeps the sender of its reply.
+    fn to_event(&mut self, command: Command) -> Event {
+        match command {
+            Command::Report(report) => Event::Report(report),
+            Command::ReportWithAck { report, reply } => {
+                let request_id = self.next_request_id();
+                self.reports.insert(request_id, reply);
+                Event::ReportWithAck { request_id, report }
+            }
+            Command::QuotaNeeded { tenant, waiting } => Event::QuotaNeeded { tenant, waiting },
+            Command::Shutdown => Event::Shutdown,
+            Command::SeedsChanged(seeds) => Event::SeedsChanged(seeds),
+            Command::SubmitChange { change_id, is_first_send, base, change, reply } => {
+                let request_id = self.next_request_id();
+                self.changes.insert(request_id, reply);
+                Event::SubmitChange { request_id, change_id, is_first_send, base, change }
             }
         }
     }
+}
 
-    fn step(&mut self, e: Event, o: &mut Open) {
-        for e in self.node.step(e, clock::now()) {
-            self.carry(e, o);
+impl ControlThread {
+    /// The state of the thread; nothing runs before [`ControlThread::spawn`].
+    pub fn new(
+        node: Node,
+        shared: Arc<Shared>,
+        receivers: ControlReceivers,
+        disk_jobs: Option<std::sync::mpsc::Sender<WriteJob>>,
+    ) -> Self {
+        ControlThread {
+            node,
+            links: OutboundLinks::new(shared.link_counters.clone()),
+            shared,
+            receivers,
+            disk_jobs,
+            pending: PendingReplies::default(),
+            view_log: ViewLog::default(),
+            rejection_log: RejectionLog::default(),
         }
     }
 
-    fn carry(&mut self, e: Effect, o: &mut Open) {
-        match e {
-            Effect::Send { to, frame } => match encode_frame(&frame) {
-                Ok(b) => {
-                    let far = self
-                        .node
-                        .dissemination
-                        .peers
-                        .entries
-                        .values()
-                        .any(|s| s.record.addr == to && s.record.zone != self.node.settings.zone);
-                    o.links.send(&to, b, far);
-                }
-                Err(e) => tracing::error!(trouble = %e, "a frame was not sent"),
-            },
-            Effect::Reconnect { to } => o.links.reconnect(&to),
-            Effect::Write { token, writes: ops } => {
-                if let Some(d) = &self.disk {
-                    let _ = d.send(WriteJob { token, writes: ops });
-                }
-            }
-            Effect::CompleteChange { request_id: req, outcome: fate } => {
-                if let Some(b) = o.waits.remove(&req) {
-                    let _ = b.send(fate);
-                }
-            }
-            Effect::AcknowledgeReport { request_id: req, is_accepted: ok } => {
-                if let Some(b) = o.tells.remove(&req) {
-                    let _ = b.send(ok);
-                }
-            }
-            Effect::WakeTenant { tenant } => {
-                for r in self.shared.call_state.serve_quota_queue(&tenant, clock::now()) {
-                    self.shared.deliver_wakeup(r);
-                }
+    /// Starts the thread `control`, which accepts peers on `listener`.
+    ///
+    /// # Errors
+    /// Where the operating system gives no thread.
+    pub fn spawn(self, listener: std::net::TcpListener) -> std::io::Result<()> {
+        let run = move || {
+            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+            let local_tasks = tokio::task::LocalSet::new();
+            local_tasks.block_on(&runtime, async move {
+                self.run(TcpListener::from_std(listener)?).await;
+                std::io::Result::Ok(())
+            })
+        };
+        std::thread::Builder::new().name("control".into()).spawn(move || {
+            // A node whose view is no longer updated must not go on serving by it.
+            let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(run));
+            if !matches!(result, Ok(Ok(()))) {
+                crate::exit_after_lost_thread("the control thread ended");
             }
-            Effect::Publish(v) => {
-                let before = *self.version.borrow();
-                let news = !Arc::ptr_eq(&o.workers, &v.workers);
-                let version = v.version;
-                self.log(&v, o);
-                o.workers = v.workers.clone();
-                self.shared.view.store(v);
-                if before != version {
-                    tracing::info!(version = version, "a version is in force");
-                    let _ = self.version.send(version);
-                }
-                if news {
-                    for p in self.node.config.pools.keys() {
-                        self.shared.call_state.caches.routes.delete(p);
-                    }
-                    self.shared.expire_waiters();
-                }
+        })?;
+        Ok(())
+    }
+
+    /// Steps the node until all senders of commands are gone.
+    async fn run(mut self, listener: TcpListener) {
+        let mut frames = accept_peers(listener, self.shared.link_counters.clone());
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
+        ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        loop {
+            let event = tokio::select! {
+                biased;
+                _ = ticks.tick() => Event::Tick,
+                Some(token) = self.receivers.synced.recv() => Event::Synced(token),
+                Some(frame) = frames.recv() => Event::Frame(Box::new(frame)),
+                command = self.receivers.commands.recv() => match command {
+                    None => return,
+                    Some(command) => self.pending.to_event(command),
+                },
+            };
+            let is_tick = matches!(event, Event::Tick);
+            self.step(event);
+            if is_tick {
+                self.after_tick();
             }
         }
     }
 
-    /// Once a second while calls are refused: how many, by reason, and what this node stands on.
-    fn log_refusals(&self, log: &mut RejectionLog) {
-        let now = clock::now();
-        let Some(counts) = log.line(&self.shared.call_state.rejections, now) else { return };
-        let view = self.shared.view.load();
-        let stamp_age_ms = view.confirmed_at.map(|at| now.saturating_sub(at) / MS);
-        let (workers, version) = (view.workers.len(), view.version);
-        tracing::warn!(%counts, ?version, ?stamp_age_ms, workers, "calls are refused");
+    fn step(&mut self, event: Event) {
+        for effect in self.node.step(event, clock::now()) {
+            self.apply(effect);
+        }
     }
 
-    fn log(&self, v: &sumacvale_core::node::View, o: &mut Open) {
-        for (p, alive) in &v.nodes {
-            if o.known.insert(p.node_id, *alive) != Some(*alive) {
-                if *alive {
-                    tracing::info!(node = %p.node_id, addr = %p.addr, zone = %p.zone, "a node is here");
-                } else {
-                    tracing::warn!(node = %p.node_id, addr = %p.addr, "a node is gone");
-                }
-            }
-        }
-        if o.known.len() > v.nodes.len() {
-            o.known.retain(|n, _| v.nodes.iter().any(|x| x.0.node_id == *n));
-        }
-        let ids =
-            |ws: &[sumacvale_core::protocol::WorkerReport]| ws.iter().map(|r| r.worker_id.clone()).collect::<Vec<_>>();
-        if !Arc::ptr_eq(&o.workers, &v.workers) {
-            let (a, b) = (ids(&o.workers), ids(&v.workers));
-            for w in b.iter().filter(|w| !a.contains(w)) {
-                tracing::info!(worker = %w, "a worker takes calls");
-            }
-            for w in a.iter().filter(|w| !b.contains(w)) {
-                tracing::warn!(worker = %w, "a worker takes no calls");
-            }
+    fn after_tick(&mut self) {
+        self.log_rejections();
+        for (tenant, waiting) in self.shared.expire_waiters() {
+            self.step(Event::QuotaNeeded { tenant, waiting });
         }
     }
 }
+
+/// Starts the listener for peers as a task of this thread; returns the frames that it receives.
+fn accept_peers(listener: TcpListener, counters: Arc<LinkCounters>) -> mpsc::Receiver<Frame> {
+    let (sender, frames) = mpsc::channel::<Frame>(FRAME_CAPACITY);
+    let on_frame = async move |frame: Frame| {
+        let _ = sender.send(frame).await;
+    };
+    tokio::task::spawn_local(listen(listener, counters, on_frame));
+    frames
+}
--- a/crates/node/src/link/inbound.rs
+++ b/crates/node/src/link/inbound.rs
@@ -2,6 +2,7 @@
 
 use super::LinkCounters;
 use crate::net;
+use std::io::{Error, ErrorKind};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -10,69 +11,96 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
 
-/// Takes frames from any node; what is no frame ends its connection and no other.
-pub async fn listen(l: TcpListener, t: Arc<LinkCounters>, got: impl AsyncFn(Frame) + Clone + 'static) {
-    let room = Arc::new(Semaphore::new(1024));
+/// At most this many peers are connected at once; further ones wait to be accepted.
+const MAX_CONNECTIONS: usize = 1_024;
+/// Pause after a failed accept, as when file descriptors have run out.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// Most bytes of a frame that are read, and allocated, at once.
+const MAX_PART_BYTES: usize = 64 << 10;
+/// How long each part of a frame may take.
+const PART_TIMEOUT: Duration = Duration::from_secs(10);
+/// A larger buffer is given back after its frame.
+const MAX_KEPT_BUFFER_BYTES: usize = 1 << 20;
+
+/// Accepts peers and passes their frames to `on_frame`, one at a time for each connection. Bytes that
+/// are no frame close their connection and no other.
+pub async fn listen(
+    listener: TcpListener,
+    counters: Arc<LinkCounters>,
+    on_frame: impl AsyncFn(Frame) + Clone + 'static,
+) {
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
-        let Ok(p) = room.clone().acquire_owned().await else { return };
-        let Ok((s, from)) = l.accept().await else {
-            tokio::time::sleep(Duration::from_millis(50)).await;
+        let Ok(permit) = permits.clone().acquire_owned().await else { return };
+        let Ok((stream, from)) = listener.accept().await else {
+            tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
             continue;
         };
-        let (t, got) = (t.clone(), got.clone());
+        let (counters, on_frame) = (counters.clone(), on_frame.clone());
         tokio::task::spawn_local(async move {
-            let _p = p;
-            if let Err(e) = read(s, &t, got).await
-                && e.kind() == std::io::ErrorKind::InvalidData
+            let _permit = permit;
+            if let Err(error) = read_frames(stream, &counters, on_frame).await
+                && error.kind() == ErrorKind::InvalidData
             {
-                t.invalid_frames.fetch_add(1, Ordering::Relaxed);
-                tracing::warn!(%from, trouble = %e, "closed a peer connection");
+                counters.invalid_frames.fetch_add(1, Ordering::Relaxed);
+                tracing::warn!(%from, trouble = %error, "closed a peer connection");
             }
         });
     }
 }
 
-async fn read(mut s: TcpStream, t: &LinkCounters, got: impl AsyncFn(Frame)) -> std::io::Result<()> {
-    net::tune(&s, net::PEER);
-    t.accepted_connections.fetch_add(1, Ordering::Relaxed);
-    let bad = |e: String| std::io::Error::new(std::io::ErrorKind::InvalidData, e);
-    let mut buf = Vec::new();
+/// Reads frames until the connection ends; an error of kind `InvalidData` is the peer's fault.
+async fn read_frames(
+    mut stream: TcpStream,
+    counters: &LinkCounters,
+    on_frame: impl AsyncFn(Frame),
+) -> std::io::Result<()> {
+    net::tune(&stream, net::PEER);
+    counters.accepted_connections.fetch_add(1, Ordering::Relaxed);
+    let mut buffer = Vec::new();
     let mut peer_is_known = false;
     loop {
-        let n = s.read_u32_le().await? as usize;
-        if n > MAX_FRAME_BYTES {
-            return Err(bad(format!("a frame of {n} bytes")));
-        }
-        buf.clear();
-        let mut left = n;
-        // Memory is taken as the bytes come, not as they are announced.
-        while left > 0 {
-            let part = left.min(64 << 10);
-            let at = buf.len();
-            buf.resize(at + part, 0);
-            tokio::time::timeout(Duration::from_secs(10), s.read_exact(&mut buf[at..]))
-                .await
-                .map_err(|_| bad("a frame that does not end".into()))??;
-            left -= part;
-        }
-        match decode_frame(&buf) {
-            Ok(f) => {
+        read_frame_bytes(&mut stream, &mut buffer).await?;
+        match decode_frame(&buffer) {
+            Ok(frame) => {
                 peer_is_known = true;
-                got(f).await;
+                on_frame(frame).await;
             }
-            Err(e @ FrameError::Undecodable(_)) if peer_is_known => skip_unread(t, &e),
-            Err(e) => return Err(bad(e.to_string())),
+            Err(error @ FrameError::Undecodable(_)) if peer_is_known => count_skipped_frame(counters, &error),
+            Err(error) => return Err(invalid_data(error.to_string())),
         }
-        if buf.capacity() > 1 << 20 {
-            buf = Vec::new();
+        if buffer.capacity() > MAX_KEPT_BUFFER_BYTES {
+            buffer = Vec::new();
         }
     }
 }
 
-/// A peer of another release may send messages that this one has no word for: the frame is whole,
-/// so the ones behind it are read.
-fn skip_unread(t: &LinkCounters, e: &FrameError) {
-    if t.skipped_frames.fetch_add(1, Ordering::Relaxed) == 0 {
-        tracing::warn!(trouble = %e, "skipped a peer's frame; later ones are only counted");
+/// Reads the length of a frame and its bytes into `buffer`.
+async fn read_frame_bytes(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> std::io::Result<()> {
+    let length = stream.read_u32_le().await? as usize;
+    if length > MAX_FRAME_BYTES {
+        return Err(invalid_data(format!("a frame of {length} bytes")));
+    }
+    buffer.clear();
+    // Memory is allocated as bytes arrive, not by the announced length.
+    while buffer.len() < length {
+        let start = buffer.len();
+        buffer.resize(start + (length - start).min(MAX_PART_BYTES), 0);
+        tokio::time::timeout(PART_TIMEOUT, stream.read_exact(&mut buffer[start..]))
+            .await
+            .map_err(|_| invalid_data("a frame that does not end".into()))??;
+    }
+    Ok(())
+}
+
+fn invalid_data(reason: String) -> Error {
+    Error::new(ErrorKind::InvalidData, reason)
+}
+
+/// A peer of another release may send messages that this one doesn't know: the frame is complete, so
+/// the ones behind it are read.
+fn count_skipped_frame(counters: &LinkCounters, error: &FrameError) {
+    if counters.skipped_frames.fetch_add(1, Ordering::Relaxed) == 0 {
+        tracing::warn!(trouble = %error, "skipped a peer's frame; later ones are only counted");
     }
 }
--- a/crates/node/src/link/outbound.rs
+++ b/crates/node/src/link/outbound.rs
@@ -7,208 +7,242 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
-use tokio::io::AsyncWriteExt;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, mpsc};
 use tokio::time::{Instant, sleep, timeout};
 
-const ROOM: usize = 1024;
-const OLD: Duration = Duration::from_secs(1);
-const IDLE: Duration = Duration::from_secs(30);
-const CONNECT: Duration = Duration::from_millis(300);
-const BACK: Duration = Duration::from_millis(10);
-const BACK_MOST: Duration = Duration::from_millis(160);
-/// How much is put into one write.
-const BATCH: usize = 64 << 10;
-
-/// How many bytes may wait for all nodes together before large frames are dropped.
+/// How many frames may wait for one peer.
+const QUEUE_CAPACITY: usize = 1_024;
+/// An older frame is dropped: its content is repeated by then.
+const MAX_FRAME_AGE: Duration = Duration::from_secs(1);
+/// A link with nothing to send is closed after this time.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Backoff after the first refused connection; it doubles up to [`MAX_BACKOFF`].
+const MIN_BACKOFF: Duration = Duration::from_millis(10);
+const MAX_BACKOFF: Duration = Duration::from_millis(160);
+/// Most bytes of frames in one write, unless one frame is larger.
+const MAX_BATCH_BYTES: usize = 64 << 10;
+/// A larger write buffer is given back after its write.
+const MAX_KEPT_BUFFER_BYTES: usize = 4 * MAX_BATCH_BYTES;
+/// The length before each frame, in bytes.
+const LENGTH_BYTES: u64 = 4;
+
+/// How many bytes may wait for all peers together before large frames are dropped.
 pub const MAX_QUEUED_BYTES: usize = 48 << 20;
-/// Smaller frames, such as those by which nodes know each other alive, are never dropped for it.
-const SMALL: usize = 64 << 10;
+/// Frames up to this size, such as heartbeats, are never dropped for [`MAX_QUEUED_BYTES`].
+const MAX_SMALL_FRAME_BYTES: usize = 64 << 10;
 
-/// A frame that waits, counted for as long as it does.
-struct Item {
-    since: Instant,
+/// A frame that waits; its bytes are counted in `queued_bytes` until it is dropped.
+struct QueuedFrame {
+    queued_at: Instant,
     bytes: Vec<u8>,
-    waiting: Arc<AtomicUsize>,
+    queued_bytes: Arc<AtomicUsize>,
 }
 
-impl Item {
-    fn new(bytes: Vec<u8>, waiting: &Arc<AtomicUsize>) -> Item {
-        waiting.fetch_add(bytes.len(), Ordering::Relaxed);
-        Item { since: Instant::now(), bytes, waiting: waiting.clone() }
+impl QueuedFrame {
+    fn new(bytes: Vec<u8>, queued_bytes: &Arc<AtomicUsize>) -> QueuedFrame {
+        queued_bytes.fetch_add(bytes.len(), Ordering::Relaxed);
+        QueuedFrame { queued_at: Instant::now(), bytes, queued_bytes: queued_bytes.clone() }
     }
 }
 
-impl Drop for Item {
+impl Drop for QueuedFrame {
     fn drop(&mut self) {
-        self.waiting.fetch_sub(self.bytes.len(), Ordering::Relaxed);
+        self.queued_bytes.fetch_sub(self.bytes.len(), Ordering::Relaxed);
     }
 }
 
-/// What goes to one address: its queue, and the word that its connection is to be opened anew.
+/// The handle of the task that writes to one peer.
 struct Link {
-    queue: mpsc::Sender<Item>,
+    queue: mpsc::Sender<QueuedFrame>,
+    /// Notified when the connection is to be opened anew.
     reconnect: Arc<Notify>,
 }
 
-/// Connections to other nodes, one for each address, opened when needed.
+/// Links to other nodes by their address; each is opened when needed.
 pub struct OutboundLinks {
-    to: HashMap<String, Link>,
-    tally: Arc<LinkCounters>,
-    waiting: Arc<AtomicUsize>,
+    links: HashMap<String, Link>,
+    counters: Arc<LinkCounters>,
+    /// Bytes of all frames that wait, whichever their peer.
+    queued_bytes: Arc<AtomicUsize>,
 }
 
 impl OutboundLinks {
-    /// No connections yet.
-    pub fn new(tally: Arc<LinkCounters>) -> Self {
-        OutboundLinks { to: HashMap::new(), tally, waiting: Arc::default() }
+    /// No links yet.
+    pub fn new(counters: Arc<LinkCounters>) -> Self {
+        OutboundLinks { links: HashMap::new(), counters, queued_bytes: Arc::default() }
     }
 
     /// The bytes of all frames that wait.
     pub fn queued_bytes(&self) -> usize {
-        self.waiting.load(Ordering::Relaxed)
+        self.queued_bytes.load(Ordering::Relaxed)
     }
 
-    /// Never waits: what finds no room is dropped, as on a broken wire.
-    pub fn send(&mut self, to: &str, b: Vec<u8>, far: bool) {
-        self.tally.bytes_sent.fetch_add(b.len() as u64 + 4, Ordering::Relaxed);
-        if far {
-            self.tally.cross_zone_bytes_sent.fetch_add(b.len() as u64 + 4, Ordering::Relaxed);
-        }
-        if b.len() > SMALL && self.queued_bytes() + b.len() > MAX_QUEUED_BYTES {
-            self.tally.dropped_frames.fetch_add(1, Ordering::Relaxed);
+    /// Queues a frame for the peer at `addr`. Never waits: a frame that finds no room is dropped, as
+    /// on a network that loses packets. Must be called within a `LocalSet`.
+    pub fn send(&mut self, addr: &str, bytes: Vec<u8>, is_cross_zone: bool) {
+        self.count_sent(bytes.len(), is_cross_zone);
+        if bytes.len() > MAX_SMALL_FRAME_BYTES && self.queued_bytes() + bytes.len() > MAX_QUEUED_BYTES {
+            self.counters.dropped_frames.fetch_add(1, Ordering::Relaxed);
             return;
         }
-        let mut b = Item::new(b, &self.waiting);
-        if let Some(link) = self.to.get(to) {
-            match link.queue.try_send(b) {
+        let mut frame = QueuedFrame::new(bytes, &self.queued_bytes);
+        if let Some(link) = self.links.get(addr) {
+            match link.queue.try_send(frame) {
                 Ok(()) => return,
                 Err(mpsc::error::TrySendError::Full(_)) => {
-                    self.tally.dropped_frames.fetch_add(1, Ordering::Relaxed);
+                    self.counters.dropped_frames.fetch_add(1, Ordering::Relaxed);
                     return;
                 }
-                Err(mpsc::error::TrySendError::Closed(x)) => b = x,
+                Err(mpsc::error::TrySendError::Closed(unsent)) => frame = unsent,
             }
         }
-        self.to.retain(|_, link| !link.queue.is_closed());
-        let (tx, rx) = mpsc::channel(ROOM);
-        let _ = tx.try_send(b);
+        self.open_link(addr, frame);
+    }
+
+    fn count_sent(&self, length: usize, is_cross_zone: bool) {
+        let sent = length as u64 + LENGTH_BYTES;
+        self.counters.bytes_sent.fetch_add(sent, Ordering::Relaxed);
+        if is_cross_zone {
+            self.counters.cross_zone_bytes_sent.fetch_add(sent, Ordering::Relaxed);
+        }
+    }
+
+    /// Starts the task of a new link with its first frame, and forgets links that ended.
+    fn open_link(&mut self, addr: &str, first: QueuedFrame) {
+        self.links.retain(|_, link| !link.queue.is_closed());
+        let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
+        let _ = sender.try_send(first);
         let reconnect = Arc::new(Notify::new());
-        self.to.insert(to.to_owned(), Link { queue: tx, reconnect: reconnect.clone() });
-        let q = Queue { rx, next: None, buf: BytesMut::new(), tally: self.tally.clone() };
-        tokio::task::spawn_local(run(to.to_owned(), q, reconnect));
+        self.links.insert(addr.to_owned(), Link { queue: sender, reconnect: reconnect.clone() });
+        let queue = FrameQueue { receiver, next: None, buffer: BytesMut::new(), counters: self.counters.clone() };
+        tokio::task::spawn_local(run_link(addr.to_owned(), queue, reconnect));
     }
 
-    /// Opens the connection to this address anew, if there is one; what waits is kept.
-    pub fn reconnect(&self, to: &str) {
-        if let Some(link) = self.to.get(to) {
+    /// Opens the connection to this address anew, if there is one; frames that wait are kept.
+    pub fn reconnect(&self, addr: &str) {
+        if let Some(link) = self.links.get(addr) {
             link.reconnect.notify_one();
         }
     }
 }
 
-/// Frames on their way to one node.
-struct Queue {
-    rx: mpsc::Receiver<Item>,
-    /// The oldest one that was taken out and not yet put into a write.
-    next: Option<Item>,
-    buf: BytesMut,
-    tally: Arc<LinkCounters>,
+/// Frames on their way to one peer.
+struct FrameQueue {
+    receiver: mpsc::Receiver<QueuedFrame>,
+    /// The oldest frame, received and not yet put into a write.
+    next: Option<QueuedFrame>,
+    /// The bytes of the next write.
+    buffer: BytesMut,
+    counters: Arc<LinkCounters>,
 }
 
-impl Queue {
-    fn drop_one(&self) {
-        self.tally.dropped_frames.fetch_add(1, Ordering::Relaxed);
-    }
-
-    /// Leaves out what nobody needs any more; the rest stays.
-    fn prune(&mut self) {
+impl FrameQueue {
+    /// Drops frames that are too old, up to the first that is not.
+    fn drop_expired(&mut self) {
         loop {
             if self.next.is_none() {
-                self.next = self.rx.try_recv().ok();
+                self.next = self.receiver.try_recv().ok();
             }
             match &self.next {
-                Some(item) if item.since.elapsed() > OLD => self.next = None,
+                Some(frame) if frame.queued_at.elapsed() > MAX_FRAME_AGE => self.next = None,
                 _ => return,
             }
-            self.drop_one();
+            self.counters.dropped_frames.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Waits for something worth sending; false when nothing came for long.
-    async fn some(&mut self) -> bool {
+    /// Waits for a frame; false when none came for [`IDLE_TIMEOUT`].
+    async fn wait_for_frame(&mut self) -> bool {
         loop {
-            self.prune();
+            self.drop_expired();
             if self.next.is_some() {
                 return true;
             }
-            match timeout(IDLE, self.rx.recv()).await {
-                Ok(Some(x)) => self.next = Some(x),
+            match timeout(IDLE_TIMEOUT, self.receiver.recv()).await {
+                Ok(Some(frame)) => self.next = Some(frame),
                 _ => return false,
             }
         }
     }
 
-    /// Puts all that waits, up to a batch, into one piece.
-    fn fill(&mut self) {
-        self.buf.clear();
+    /// Puts the frames that wait, up to a batch, into the buffer.
+    fn fill_buffer(&mut self) {
+        self.buffer.clear();
         loop {
-            self.prune();
-            let room = |item: &mut Item| self.buf.is_empty() || self.buf.len() + item.bytes.len() < BATCH;
-            let Some(item) = self.next.take_if(room) else { return };
-            let b = &item.bytes;
-            self.buf.extend_from_slice(&u32::try_from(b.len()).unwrap_or(0).to_le_bytes());
-            self.buf.extend_from_slice(b);
+            self.drop_expired();
+            let fits = |frame: &mut QueuedFrame| {
+                self.buffer.is_empty() || self.buffer.len() + frame.bytes.len() < MAX_BATCH_BYTES
+            };
+            let Some(frame) = self.next.take_if(fits) else { return };
+            let length = u32::try_from(frame.bytes.len()).unwrap_or(0);
+            self.buffer.extend_from_slice(&length.to_le_bytes());
+            self.buffer.extend_from_slice(&frame.bytes);
         }
     }
 }
 
-async fn run(to: String, mut q: Queue, reconnect: Arc<Notify>) {
-    let mut wait = BACK;
-    while q.some().await {
-        let opened = tokio::select! {
+/// Why a connection was closed.
+enum Closed {
+    /// Nothing was to be sent for [`IDLE_TIMEOUT`]: the link ends.
+    Idle,
+    /// It broke, or is to be opened anew.
+    Broken,
+}
+
+/// The task of a link: connects, writes, and connects again while frames wait.
+async fn run_link(addr: String, mut queue: FrameQueue, reconnect: Arc<Notify>) {
+    let mut backoff = MIN_BACKOFF;
+    while queue.wait_for_frame().await {
+        let connected = tokio::select! {
             biased;
             () = reconnect.notified() => continue,
-            opened = timeout(CONNECT, TcpStream::connect(&to)) => opened,
+            connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(&addr)) => connected,
         };
-        let mut s = match opened {
-            Ok(Ok(s)) => s,
-            // A node that says nothing has made us wait already.
-            Err(_) => continue,
-            Ok(Err(_)) => {
-                sleep(wait).await;
-                wait = (wait * 2).min(BACK_MOST);
+        let stream = match connected {
+            Ok(Ok(stream)) => stream,
+            // The time-out itself was the pause.
+            Err(_timed_out) => continue,
+            Ok(Err(_refused)) => {
+                sleep(backoff).await;
+                backoff = (backoff * 2).min(MAX_BACKOFF);
                 continue;
             }
         };
-        wait = BACK;
-        net::tune(&s, net::PEER);
-        let mut b = [0; 1];
-        loop {
-            // The other side never writes: whatever comes from there is the end of this connection.
-            let go = tokio::select! {
-                biased;
-                () = reconnect.notified() => None,
-                _ = tokio::io::AsyncReadExt::read(&mut s, &mut b) => None,
-                go = q.some() => Some(go),
-            };
-            match go {
-                Some(true) => q.fill(),
-                Some(false) => return,
-                None => break,
-            }
-            let written = tokio::select! {
-                biased;
-                () = reconnect.notified() => break,
-                written = timeout(net::PEER, s.write_all(&q.buf)) => written,
-            };
-            if !matches!(written, Ok(Ok(()))) {
-                break;
-            }
-            if q.buf.capacity() > 4 * BATCH {
-                q.buf = BytesMut::new();
-            }
+        backoff = MIN_BACKOFF;
+        net::tune(&stream, net::PEER);
+        if let Closed::Idle = write_frames(stream, &mut queue, &reconnect).await {
+            return;
+        }
+    }
+}
+
+async fn write_frames(mut stream: TcpStream, queue: &mut FrameQueue, reconnect: &Notify) -> Closed {
+    let mut unexpected = [0; 1];
+    loop {
+        // The other side never writes: any byte from it, or its end, means that the connection is gone.
+        let has_frame = tokio::select! {
+            biased;
+            () = reconnect.notified() => return Closed::Broken,
+            _ = stream.read(&mut unexpected) => return Closed::Broken,
+            has_frame = queue.wait_for_frame() => has_frame,
+        };
+        if !has_frame {
+            return Closed::Idle;
+        }
+        queue.fill_buffer();
+        let written = tokio::select! {
+            biased;
+            () = reconnect.notified() => return Closed::Broken,
+            written = timeout(net::PEER, stream.write_all(&queue.buffer)) => written,
+        };
+        if !matches!(written, Ok(Ok(()))) {
+            return Closed::Broken;
+        }
+        if queue.buffer.capacity() > MAX_KEPT_BUFFER_BYTES {
+            queue.buffer = BytesMut::new();
         }
     }
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -3,49 +3,56 @@
 use sumacvale_node::admin;
 use sumacvale_node::protocol_adapter::STANDARD_ADAPTER;
 use sumacvale_node::run::{NodeSetup, init_logging, run};
-use sumacvale_node::settings::{CommandLineAction, parse_command_line};
+use sumacvale_node::settings::{CommandLineAction, Settings, SettingsError, parse_command_line};
+
+/// Exit code for a wrong command line or wrong settings.
+const EXIT_INVALID_SETTINGS: i32 = 2;
 
 fn main() {
     let args: Vec<String> = std::env::args().skip(1).collect();
-    let code = match parse_command_line(&args) {
-        CommandLineAction::Print(s) => {
-            println!("{s}");
-            0
-        }
-        CommandLineAction::Import(s, out) => {
-            println!("{s}");
-            for o in out {
-                eprintln!("left out: {o}");
-            }
-            0
-        }
-        CommandLineAction::Checked(_) => {
-            println!("the settings are good");
-            0
-        }
-        CommandLineAction::Invalid(v) => {
-            for t in v {
-                eprintln!("sumacvale: {t}");
-            }
-            2
-        }
-        CommandLineAction::Run(e) => {
-            init_logging();
-            let callers = admin::downstream;
-            match run(NodeSetup {
-                settings: *e,
-                adapter: &STANDARD_ADAPTER,
-                caller_routes: callers,
-                extra_listeners: Vec::new(),
-                reload: None,
-            }) {
-                Ok(()) => 0,
-                Err((c, t)) => {
-                    eprintln!("sumacvale: {t}");
-                    c
-                }
-            }
-        }
+    std::process::exit(execute(parse_command_line(&args)));
+}
+
+/// Does what the command line asks for; returns the exit code.
+fn execute(action: CommandLineAction) -> i32 {
+    match action {
+        CommandLineAction::Print(text) => println!("{text}"),
+        CommandLineAction::Import(tree, skipped) => print_import(&tree, &skipped),
+        CommandLineAction::Checked(_) => println!("the settings are good"),
+        CommandLineAction::Invalid(errors) => return report_errors(&errors),
+        CommandLineAction::Run(settings) => return run_node(*settings),
+    }
+    0
+}
+
+fn print_import(tree: &str, skipped: &[String]) {
+    println!("{tree}");
+    for operation in skipped {
+        eprintln!("left out: {operation}");
+    }
+}
+
+fn report_errors(errors: &[SettingsError]) -> i32 {
+    for error in errors {
+        eprintln!("sumacvale: {error}");
+    }
+    EXIT_INVALID_SETTINGS
+}
+
+fn run_node(settings: Settings) -> i32 {
+    init_logging();
+    let setup = NodeSetup {
+        settings,
+        adapter: &STANDARD_ADAPTER,
+        caller_routes: admin::downstream,
+        extra_listeners: Vec::new(),
+        reload: None,
     };
-    std::process::exit(code);
+    match run(setup) {
+        Ok(()) => 0,
+        Err(error) => {
+            eprintln!("sumacvale: {error}");
+            error.exit_code()
+        }
+    }
 }
--- /dev/null
+++ b/crates/node/src/run/mod.rs
@@ -0,0 +1,75 @@
+//! A node from its settings to its exit: start, reload of the settings, graceful shutdown.
+//!
+//! [`run`] opens, in this order, the disk, the listener for peers, the runtime of calls and the other
+//! listeners; then it starts the control thread and serves until SIGTERM or SIGINT. What is shared
+//! between the threads, and their channels, is documented in [`crate::control`]; the order of the
+//! shutdown in the module `shutdown`.
+
+mod bootstrap;
+mod error;
+mod reload;
+mod shutdown;
+
+pub use error::StartError;
+
+use crate::protocol_adapter::ProtocolAdapter;
+use crate::settings::Settings;
+use crate::shared::Shared;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::sync::Arc;
+use viz::Router;
+
+/// Makes the routes of one listener.
+pub type RouterFactory = fn(&Arc<Shared>) -> Router;
+
+/// Settings that are read anew while the node runs.
+pub struct SettingsReload {
+    /// The file, which is watched for changes.
+    pub file: PathBuf,
+    /// Reads the settings; `None` where they can't be used.
+    pub read: fn() -> Option<Settings>,
+}
+
+/// All that a node needs to run.
+pub struct NodeSetup {
+    /// The settings, already checked.
+    pub settings: Settings,
+    /// Names and formats of the protocol with callers, workers and operators.
+    pub adapter: &'static ProtocolAdapter,
+    /// Routes of the listener for callers.
+    pub caller_routes: RouterFactory,
+    /// Further listeners, open until the process exits.
+    pub extra_listeners: Vec<(SocketAddr, RouterFactory)>,
+    /// Where the settings are read anew; `None` for settings that stay.
+    pub reload: Option<SettingsReload>,
+}
+
+/// Sends logs to standard error.
+pub fn init_logging() {
+    tracing_subscriber::fmt()
+        .with_writer(std::io::stderr)
+        .with_ansi(false)
+        .with_target(false)
+        .log_internal_errors(false)
+        .init();
+}
+
+/// Runs a node until SIGTERM or SIGINT, and then through its graceful shutdown.
+///
+/// # Errors
+/// A [`StartError`] where the node can't start; none once it serves.
+pub fn run(setup: NodeSetup) -> Result<(), StartError> {
+    let NodeSetup { settings, adapter, caller_routes, extra_listeners, reload } = setup;
+    ignore_file_size_signal();
+    let started = bootstrap::start(settings, adapter, extra_listeners)?;
+    started.runtime.block_on(shutdown::serve_until_signal(started.shared, started.listeners, caller_routes, reload))
+}
+
+/// A file that may not grow is an error of the disk, which is logged and retried.
+fn ignore_file_size_signal() {
+    // SAFETY: ignoring a signal touches no memory of ours.
+    unsafe {
+        libc::signal(libc::SIGXFSZ, libc::SIG_IGN);
+    }
+}
--- a/crates/node/src/shared/call_events.rs
+++ b/crates/node/src/shared/call_events.rs
@@ -1,15 +1,18 @@
 //! Events for calls, from whichever task they come.
 
 use std::collections::HashMap;
-use std::sync::{Mutex, MutexGuard};
+use std::sync::{Mutex, MutexGuard, PoisonError};
 use sumacvale_core::call::Event;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
 const SHARDS: usize = 16;
 
-/// Where each call hears what others have to tell it, in shards with a lock each.
+/// Senders of events by the id of the call.
+type Subscribers = HashMap<u64, UnboundedSender<Event>>;
+
+/// The channel of each open call, in shards with a lock each.
 #[derive(Debug)]
-pub struct CallEvents(Vec<Mutex<HashMap<u64, UnboundedSender<Event>>>>);
+pub struct CallEvents(Vec<Mutex<Subscribers>>);
 
 impl Default for CallEvents {
     fn default() -> Self {
@@ -18,30 +21,32 @@
 }
 
 impl CallEvents {
-    fn at(&self, n: u64) -> MutexGuard<'_, HashMap<u64, UnboundedSender<Event>>> {
-        match self.0[usize::try_from(n % SHARDS as u64).unwrap_or(0)].lock() {
-            Ok(g) => g,
-            Err(e) => e.into_inner(),
-        }
+    fn shard(&self, call_id: u64) -> MutexGuard<'_, Subscribers> {
+        let index = usize::try_from(call_id % SHARDS as u64).unwrap_or(0);
+        self.0[index].lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The events for the call with this number.
-    pub fn subscribe(&self, n: u64) -> UnboundedReceiver<Event> {
-        let (tx, rx) = unbounded_channel();
-        self.at(n).insert(n, tx);
-        rx
+    /// The events for this call, from now on.
+    #[must_use]
+    pub fn subscribe(&self, call_id: u64) -> UnboundedReceiver<Event> {
+        let (sender, receiver) = unbounded_channel();
+        self.shard(call_id).insert(call_id, sender);
+        receiver
     }
 
-    /// The call ended.
-    pub fn unsubscribe(&self, n: u64) {
-        self.at(n).remove(&n);
+    /// The call has ended.
+    pub fn unsubscribe(&self, call_id: u64) {
+        self.shard(call_id).remove(&call_id);
     }
 
-    /// Gives the event back where nobody hears it any more.
-    pub fn deliver(&self, n: u64, e: Event) -> Result<(), Event> {
-        match self.at(n).get(&n) {
-            Some(tx) => tx.send(e).map_err(|x| x.0),
-            None => Err(e),
+    /// Delivers an event to the call.
+    ///
+    /// # Errors
+    /// The event itself, where the call has ended.
+    pub fn deliver(&self, call_id: u64, event: Event) -> Result<(), Event> {
+        match self.shard(call_id).get(&call_id) {
+            Some(sender) => sender.send(event).map_err(|error| error.0),
+            None => Err(event),
         }
     }
 }
--- a/crates/node/src/shared/mod.rs
+++ b/crates/node/src/shared/mod.rs
@@ -1,7 +1,9 @@
 //! What all tasks of this process share.
 
 mod call_events;
+mod command;
 mod state;
 
 pub use call_events::CallEvents;
-pub use state::{Command, PublishedVersion, Shared};
+pub use command::Command;
+pub use state::{PublishedVersion, Shared};
--- a/crates/node/tests/upstream.rs
+++ b/crates/node/tests/upstream.rs
@@ -247,7 +247,7 @@
 
 #[test]
 fn a_broken_answer_is_told_and_its_connection_is_gone() -> Res {
-    for (act, want) in [(Act::Half, "broke"), (Act::Nothing, "Lost")] {
+    for (act, want) in [(Act::Half, "broke"), (Act::Nothing, "MaybeSent")] {
         rt(async {
             let s = Standin::new(&[act])?;
             let (w, to) = (UpstreamPool::default(), s.target("a", 1));
