--- a/crates/core/src/lease/grantor.rs
+++ b/crates/core/src/lease/grantor.rs
@@ -8,7 +8,7 @@
 use crate::base::{MS, Micros, NodeId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The longest back-off that a voter asks for because of a fence, in microseconds: a fence may be lifted
+/// The longest back-off that a voter demands because of a fence, in microseconds: a fence may be lifted
 /// before its time.
 const MAX_FENCE_BACKOFF: Micros = 50 * MS;
 
--- a/crates/core/src/lease/holder.rs
+++ b/crates/core/src/lease/holder.rs
@@ -115,7 +115,7 @@
     }
 
     /// Records that a request was sent now; it replaces an earlier one.
-    pub(crate) fn open_request(&mut self, request_id: u64, now: Micros) {
+    pub(crate) fn record_request(&mut self, request_id: u64, now: Micros) {
         self.open_request = Some(OpenRequest { request_id, sent_at: now, granted_by: BTreeSet::new() });
     }
 
--- a/crates/core/src/node/lease/holder.rs
+++ b/crates/core/src/node/lease/holder.rs
@@ -69,7 +69,7 @@
         if !is_held {
             lease.start_new_epoch(highest_granted.max(epoch_base(voter_set)));
         }
-        lease.open_request(request_id, now);
+        lease.record_request(request_id, now);
         let (epoch, is_new_epoch) = (lease.epoch, lease.is_new_epoch);
         self.send_lease_request(LeaseRequest { voter_set, role, epoch, request_id, is_new_epoch }, now);
     }
--- a/crates/core/src/node/membership/voters.rs
+++ b/crates/core/src/node/membership/voters.rs
@@ -38,7 +38,7 @@
 /// The condition of a voter, in ascending order of how certainly it must be replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum VoterStanding {
-    /// It was heard of within [`SILENCE_TIMEOUT`].
+    /// It was last seen less than [`SILENCE_TIMEOUT`] ago.
     Live,
     /// It is silent, but has failed only if a candidate is recent.
     Silent,
@@ -186,7 +186,7 @@
     PROPOSAL_RANK_DELAY * rank as u64
 }
 
-/// Whether no other node at the same address was heard of later: of two, the later one is running.
+/// Whether no other node at the same address was seen later: of two, the later one is running.
 fn is_latest_at_address(peer: &PeerEntry, peers: &BTreeMap<NodeId, PeerEntry>) -> bool {
     !peers.values().any(|other| {
         other.record.node_id != peer.record.node_id
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Whether this node may stop: a majority that doesn't count it, and was heard of lately, has on its
+    /// Whether this node may stop: a majority that doesn't count it, and was seen recently, has on its
     /// disks what this node has. While it votes and a core is live that could replace it, it waits for that.
     #[must_use]
     pub fn may_stop(&self, now: Micros) -> bool {
@@ -261,7 +261,7 @@
         self.consensus.state.accepted.is_none() && is_majority(voters, &up_to_date)
     }
 
-    /// Whether a voter was heard of lately, has this version on its disk, and is ready for the newest set.
+    /// Whether a voter was seen recently, has this version on its disk, and is ready for the newest set.
     fn is_up_to_date(&self, node: NodeId, version: Version, now: Micros) -> bool {
         let peer = self.dissemination.peers.entries.get(&node);
         let is_live = peer.is_some_and(|peer| now.saturating_sub(peer.heard_at) < FAILURE_TIMEOUT);
@@ -305,7 +305,7 @@
     }
 
     /// The voters by their condition, but with no silence taken for a failure just after a start or a
-    /// resumption, when this node has heard of nobody for a while.
+    /// resumption, when this node has seen no peer for a while.
     fn voter_slots_after_grace(&self, now: Micros) -> Vec<VoterSlot> {
         let mut slots = self.voter_slots(now);
         if now.saturating_sub(self.clock.started_at.max(self.clock.resumed_at)) <= FAILURE_TIMEOUT {
--- a/crates/core/tests/takeover.rs
+++ b/crates/core/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! Taking over what an earlier set of voters granted, under losses that follow one another.
+//! Takeover of what an earlier set of voters granted, with losses in quick succession.
 
 mod fleet;
 
@@ -17,59 +17,68 @@
 const D: u64 = 4;
 const E: u64 = 5;
 
-fn ids(fleet: &Fleet, n: u64) -> Vec<u64> {
-    fleet.node(n).consensus.state.voters().iter().map(|c| c.node_id.0).collect()
+fn voter_ids(fleet: &Fleet, n: u64) -> Vec<u64> {
+    fleet.node(n).consensus.state.voters().iter().map(|voter| voter.node_id.0).collect()
 }
 
-fn duties_held(fleet: &Fleet, n: u64) -> Vec<u32> {
-    (0..ROLE_COUNT).filter(|d| fleet.node(n).leases.held.valid_epoch(*d, fleet.now).is_some()).collect()
+fn held_roles(fleet: &Fleet, n: u64) -> Vec<u32> {
+    (0..ROLE_COUNT).filter(|role| fleet.node(n).leases.held.valid_epoch(*role, fleet.now).is_some()).collect()
 }
 
-/// B was lost and replaced by D; A is lost before anyone took over what it granted with B.
-fn second_loss() -> Fleet {
+/// Whether these nodes hold all roles between them.
+fn are_all_roles_held(fleet: &Fleet, nodes: &[u64]) -> bool {
+    nodes.iter().map(|n| held_roles(fleet, *n).len()).sum::<usize>() == ROLE_COUNT as usize
+}
+
+/// A fleet in which B was lost and replaced by D, and A is lost before any voter took over what A and B
+/// granted.
+fn fleet_after_second_loss() -> Fleet {
     let first = decree(0, 0, &[], &[A, B, C]);
     let second = decree(1, 1, &[A, B, C], &[A, C, D]);
     let mut fleet = Fleet::default();
-    let mut c = kept(C, &[first, second.clone()], Some(0));
-    c.epochs = (0..ROLE_COUNT).map(|d| (d, 3)).collect();
-    fleet.start(C, c);
+    let mut durable = kept(C, &[first, second.clone()], Some(0));
+    durable.epochs = (0..ROLE_COUNT).map(|role| (role, 3)).collect();
+    fleet.start(C, durable);
     fleet.start(D, kept(D, &[second], None));
     fleet
 }
 
 #[test]
-fn a_second_loss_before_the_handover_leaves_a_fleet_that_goes_on() {
-    let mut fleet = second_loss();
+fn a_fleet_recovers_from_a_second_loss_before_the_takeover() {
+    let mut fleet = fleet_after_second_loss();
     fleet.start(E, kept(E, &[], None));
-    let full = |f: &Fleet| {
-        let set = ids(f, C);
-        set.contains(&E) && [C, D, E].iter().all(|n| ids(f, *n) == set)
+    let has_replaced_a = |fleet: &Fleet| {
+        let voters = voter_ids(fleet, C);
+        voters.contains(&E) && [C, D, E].iter().all(|n| voter_ids(fleet, *n) == voters)
     };
-    let replaced = fleet.run_until(10 * SEC, full);
-    assert!(replaced.is_some(), "A is not replaced: the voters are still {:?}", ids(&fleet, C));
-    let granted = |f: &Fleet| [C, D, E].iter().map(|n| duties_held(f, *n).len()).sum::<usize>() == ROLE_COUNT as usize;
-    let terms = fleet.run_until(20 * SEC, granted);
-    assert!(terms.is_some(), "nobody holds the duties 20 s later");
-    println!("replaced after {replaced:?} us, all duties held {terms:?} us later");
+    let replaced = fleet.run_until(10 * SEC, has_replaced_a);
+    assert!(replaced.is_some(), "A is not replaced: the voters are still {:?}", voter_ids(&fleet, C));
+    let granted = |fleet: &Fleet| are_all_roles_held(fleet, &[C, D, E]);
+    let held = fleet.run_until(20 * SEC, granted);
+    assert!(held.is_some(), "some roles have no holder 20 s later");
+    println!("replaced after {replaced:?} µs, all roles held {held:?} µs later");
 }
 
 #[test]
-fn a_later_set_outbids_epochs_that_it_knows_nothing_of() {
-    let mut fleet = second_loss();
-    let all = |f: &Fleet| [C, D].iter().map(|n| duties_held(f, *n).len()).sum::<usize>() == ROLE_COUNT as usize;
-    assert!(fleet.run_until(20 * SEC, all).is_some(), "the duties are not held");
-    // A and B may have granted any number of epochs that C never heard of.
+fn a_later_set_uses_higher_epochs_than_unknown_earlier_ones() {
+    let mut fleet = fleet_after_second_loss();
+    let all = |fleet: &Fleet| are_all_roles_held(fleet, &[C, D]);
+    assert!(fleet.run_until(20 * SEC, all).is_some(), "some roles have no holder");
+    // A and B may have granted any number of epochs that C does not know of.
     for n in [C, D] {
-        for d in duties_held(&fleet, n) {
-            let epoch = fleet.node(n).leases.held.by_role[&d].epoch;
-            assert!(epoch > 1_000_000, "duty {d} is held by epoch {epoch}: nodes that heard of a higher one refuse it");
+        for role in held_roles(&fleet, n) {
+            let epoch = fleet.node(n).leases.held.by_role[&role].epoch;
+            assert!(
+                epoch > 1_000_000,
+                "role {role} is held with epoch {epoch}: nodes that know of a higher one reject it"
+            );
         }
     }
 }
 
-/// What the lost voters gave of a window is not known, so all of it counts as given.
+/// What the lost voters granted of a window is not known, so all of it counts as granted.
 #[test]
-fn a_window_counts_as_spent_once_when_nobody_can_hand_it_over() {
+fn one_window_counts_as_spent_after_a_takeover_by_timeout() {
     let body = r#"{"defaults":{"quota":{"calls":50,"window_ms":5000}},"pools":{"llm":{}},
         "matches":{"chat":{"path":"/v1/chat","pool":"llm","kind":"chat"}},
         "tenants":{"home":{"keys":["sha256:0000000000000000000000000000000000000000000000000000000000000000"]}}}"#;
@@ -80,17 +89,17 @@
     fleet.start(C, kept(C, std::slice::from_ref(&second), Some(0)));
     fleet.start(D, kept(D, &[second], None));
     let home = quota_role("home");
-    let holder = |f: &Fleet| [C, D].into_iter().find(|n| duties_held(f, *n).contains(&home));
-    assert!(fleet.run_until(10 * SEC, |f| holder(f).is_some()).is_some(), "nobody holds the duty");
-    let begin = fleet.now;
-    let asks = |fleet: &mut Fleet, n| {
+    let holder = |fleet: &Fleet| [C, D].into_iter().find(|n| held_roles(fleet, *n).contains(&home));
+    assert!(fleet.run_until(10 * SEC, |f| holder(f).is_some()).is_some(), "the role has no holder");
+    let held_since = fleet.now;
+    let request_slice = |fleet: &mut Fleet, request_id| {
         let to = holder(fleet).expect("a holder");
         fleet.sent.clear();
         fleet.tell(
             90,
             to,
             Message::Quota(QuotaMessage::SliceRequest {
-                request_id: n,
+                request_id,
                 tenant: "home".into(),
                 wanted_units: 5,
                 window: 7,
@@ -98,16 +107,17 @@
             }),
         );
         fleet.run(200 * MS);
-        let said = fleet.sent.iter().map(|s| &s.1.message);
-        let slice = |m: &Message| {
-            if let Message::Quota(QuotaMessage::SliceGranted { window, .. }) = m { Some(*window) } else { None }
+        let replies = fleet.sent.iter().map(|(_, frame)| &frame.message);
+        let granted_window = |message: &Message| match message {
+            Message::Quota(QuotaMessage::SliceGranted { window, .. }) => Some(*window),
+            _ => None,
         };
         (
-            said.clone().find_map(slice),
-            said.filter(|m| matches!(m, Message::Quota(QuotaMessage::WindowSpent { .. }))).count(),
+            replies.clone().find_map(granted_window),
+            replies.filter(|message| matches!(message, Message::Quota(QuotaMessage::WindowSpent { .. }))).count(),
         )
     };
-    // The asker must be known, else nothing can be sent to it.
+    // The requester must be a known peer, else nothing can be sent to it.
     let front = PeerRecord {
         node_id: NodeId(90),
         incarnation: 1,
@@ -120,10 +130,10 @@
         version: 1,
     };
     for n in [C, D] {
-        let rows = vec![front.clone()];
+        let records = vec![front.clone()];
         let gossip = Message::Dissemination(DisseminationMessage::Gossip {
             heartbeats: vec![],
-            records: rows,
+            records,
             unknown_nodes: vec![],
             wants_reply: false,
             incarnation_set: 0,
@@ -131,82 +141,80 @@
         });
         fleet.tell(90, n, gossip);
     }
-    let (slice, spent) = asks(&mut fleet, 1);
-    assert!(slice.is_none() && spent > 0, "{slice:?} {spent}: the window may be spent");
-    fleet.run((begin + 5_100 * MS).saturating_sub(fleet.now));
-    let (slice, _) = asks(&mut fleet, 2);
-    assert!(slice.is_some_and(|w| w > 1_000_000), "{slice:?}: a later window, with a number above all before it");
+    let (granted_window, spent) = request_slice(&mut fleet, 1);
+    assert!(granted_window.is_none() && spent > 0, "{granted_window:?} {spent}: the window may be spent");
+    fleet.run((held_since + 5_100 * MS).saturating_sub(fleet.now));
+    let (granted_window, _) = request_slice(&mut fleet, 2);
+    assert!(
+        granted_window.is_some_and(|window| window > 1_000_000),
+        "{granted_window:?}: a later window, with a number above all before it"
+    );
 }
 
-/// Of rates nothing is proven free by the lives that happen to be known here.
+/// The incarnations that happen to be known here prove no share of a rate to be free.
 #[test]
-fn who_takes_over_alone_proves_nobody_dead() {
-    let mut fleet = second_loss();
+fn a_takeover_by_timeout_registers_an_unknown_incarnation() {
+    let mut fleet = fleet_after_second_loss();
     fleet.run(5 * SEC);
     for n in [C, D] {
-        let unknown = fleet.kept(n).registered.keys().any(|l| l.0 == NodeId::default());
-        assert!(unknown, "{n} holds shares of lives that it never heard of for ended");
+        let has_unknown = fleet.kept(n).registered.keys().any(|(node_id, _)| *node_id == NodeId::default());
+        assert!(has_unknown, "{n} takes the shares of incarnations that it does not know for free");
     }
 }
 
 #[test]
-fn the_founding_set_has_nobody_to_take_over_from() {
+fn the_first_set_is_ready_without_a_takeover() {
     let mut fleet = Fleet::default();
     for n in [A, B] {
-        // They were down when version 0 was decided, and were taught a later one.
+        // They were down when version 0 was decided, and a later one was replicated to them.
         fleet.start(n, kept(n, &[decree(3, 0, &[], &[A, B, C])], None));
     }
-    let held = |f: &Fleet| [A, B].iter().map(|n| duties_held(f, *n).len()).sum::<usize>() == ROLE_COUNT as usize;
-    assert!(fleet.run_until(3 * SEC, held).is_some(), "both wait for each other");
+    let held = |fleet: &Fleet| are_all_roles_held(fleet, &[A, B]);
+    assert!(fleet.run_until(3 * SEC, held).is_some(), "each waits for the other");
 }
 
-/// C became a voter with version 5 and had not taken over yet when B was lost.
+/// C became a voter with version 5 and was not ready yet when B was lost.
 #[test]
-fn a_member_that_never_took_its_set_over_is_a_voice_of_it() {
+fn a_voter_that_was_never_ready_counts_for_its_set() {
     let five = decree(5, 5, &[A, B, E], &[A, B, C]);
     let six = decree(6, 6, &[A, B, C], &[A, C, D]);
     let mut fleet = Fleet::default();
     fleet.start(A, kept(A, &[decree(0, 0, &[], &[A, B, E]), five.clone(), six.clone()], Some(5)));
     fleet.start(C, kept(C, &[five, six.clone()], None));
     fleet.start(D, kept(D, &[six], None));
-    let held = |f: &Fleet| [A, C, D].iter().map(|n| duties_held(f, *n).len()).sum::<usize>() == ROLE_COUNT as usize;
-    let t = fleet.run_until(3 * SEC, held);
-    assert!(t.is_some(), "A alone can't hand over, C may not: nothing is granted");
+    let held = |fleet: &Fleet| are_all_roles_held(fleet, &[A, C, D]);
+    let held_after = fleet.run_until(3 * SEC, held);
+    assert!(held_after.is_some(), "A alone can't hand over, C may not: nothing is granted");
 }
 
-fn handed(set: u64, rows: Vec<WindowGrant>) -> Message {
-    Message::Membership(MembershipMessage::TakeoverReply {
-        voter_set: set,
-        is_complete: false,
-        grants: rows,
-        registered: vec![],
-    })
+fn takeover_reply(voter_set: u64, grants: Vec<WindowGrant>) -> Message {
+    Message::Membership(MembershipMessage::TakeoverReply { voter_set, is_complete: false, grants, registered: vec![] })
 }
 
-/// Suspicion: a voice that knows only an older set counts as one of the set before. It does,
-/// and that is safe: of any majority one knows each grant of that set.
+/// A voter that knows only an older set counts as one of the set before. That is safe: of any majority one
+/// knows each grant of that set.
 #[test]
-fn a_voice_that_skipped_a_set_counts_and_no_grant_is_lost() {
+fn a_voter_that_skipped_a_set_counts_and_no_grant_is_lost() {
     let six = decree(6, 6, &[A, B, C], &[A, C, D]);
     let grant = WindowGrant { tenant: "t".into(), window: 9, node_id: NodeId(90), granted_total: 7, age: 0 };
-    let takes_over = |voices: &[(u64, Vec<WindowGrant>)]| {
+    let take_over_from = |voters: &[(u64, Vec<WindowGrant>)]| {
         let mut fleet = Fleet::default();
         fleet.start(D, kept(D, std::slice::from_ref(&six), None));
         fleet.run(100 * MS);
-        for (n, rows) in voices {
-            fleet.tell(*n, D, handed(6, rows.clone()));
+        for (n, grants) in voters {
+            fleet.tell(*n, D, takeover_reply(6, grants.clone()));
         }
-        let kept = fleet.kept(D).clone();
-        (kept.ready_set, kept.grants.into_values().map(|g| g.granted_total).collect::<Vec<_>>())
+        let durable = fleet.kept(D).clone();
+        (durable.ready_set, durable.grants.into_values().map(|g| g.granted_total).collect::<Vec<_>>())
     };
-    // C was taught the newest version only; A confirmed the grant together with B, which is lost.
-    assert_eq!(takes_over(&[(C, vec![])]), (None, vec![]), "one voice of three");
-    assert_eq!(takes_over(&[(C, vec![]), (E, vec![])]), (None, vec![]), "who was no voter is no voice");
-    assert_eq!(takes_over(&[(C, vec![]), (A, vec![grant])]), (Some(6), vec![7]));
+    // Only the newest version was replicated to C; A confirmed the grant together with B, which is lost.
+    assert_eq!(take_over_from(&[(C, vec![])]), (None, vec![]), "one voter of three");
+    assert_eq!(take_over_from(&[(C, vec![]), (E, vec![])]), (None, vec![]), "a node that was no voter does not count");
+    assert_eq!(take_over_from(&[(C, vec![]), (A, vec![grant])]), (Some(6), vec![7]));
 }
 
 #[test]
-fn a_voice_is_given_only_once_the_new_set_is_on_its_disk() {
+fn a_voter_hands_over_only_once_the_new_set_is_on_its_disk() {
     let six = decree(6, 6, &[A, B, C], &[A, C, D]);
     let mut fleet = Fleet::default();
     fleet.start(A, kept(A, &[decree(5, 5, &[], &[A, B, C])], Some(5)));
@@ -215,22 +223,23 @@
     fleet.tell(C, A, Message::Consensus(ConsensusMessage::Replicate { entries: vec![six] }));
     fleet.sent.clear();
     fleet.tell(D, A, Message::Membership(MembershipMessage::TakeoverRequest { voter_set: 6 }));
-    let replies = |f: &Fleet| {
-        f.sent
+    let replies = |fleet: &Fleet| {
+        fleet
+            .sent
             .iter()
             .filter(|s| matches!(s.1.message, Message::Membership(MembershipMessage::TakeoverReply { .. })))
             .count()
     };
-    assert_eq!(replies(&fleet), 0, "after a loss of power it would act for the old set again");
+    assert_eq!(replies(&fleet), 0, "after a loss of power it would act under the old set again");
     fleet.stuck.remove(&A);
     fleet.run(100 * MS);
     fleet.tell(D, A, Message::Membership(MembershipMessage::TakeoverRequest { voter_set: 6 }));
     assert!(replies(&fleet) > 0, "it hands over once the set is synced");
 }
 
-/// A and C decided on the new set, then A's disk stalls and A hears of nobody but B.
+/// A and C decided on the new set, then A's disk stalls and A receives messages of B only.
 #[test]
-fn no_duty_is_held_in_two_sets_at_once() {
+fn no_role_is_held_under_two_sets_at_once() {
     let zero = decree(0, 0, &[], &[A, B, C]);
     let one = decree(1, 1, &[A, B, C], &[A, C, D]);
     let mut held_before = BTreeMap::new();
@@ -240,11 +249,11 @@
         fleet.start(n, kept(n, std::slice::from_ref(&zero), Some(0)));
     }
     fleet.run(4 * SEC);
-    // All duties of C fall to the others while it is cut off.
+    // The others take over all roles of C while it is partitioned.
     fleet.part(&[A, B], &[C, D]);
     fleet.run(4 * SEC);
     for n in [A, B] {
-        held_before.insert(n, duties_held(&fleet, n));
+        held_before.insert(n, held_roles(&fleet, n));
     }
     assert_eq!(held_before.values().map(Vec::len).sum::<usize>(), ROLE_COUNT as usize, "{held_before:?}");
     let ballot = Ballot { number: 99, node_id: NodeId(C), incarnation: 1 };
@@ -256,23 +265,23 @@
     let mut later = 0;
     for _ in 0..800 {
         fleet.run(25 * MS);
-        let mut by = BTreeMap::new();
+        let mut holders = BTreeMap::new();
         for n in [A, B, C, D] {
-            for d in duties_held(&fleet, n) {
-                if let Some(other) = by.insert(d, n) {
-                    panic!("{}: duty {d} is held by {other} and by {n}", fleet.now);
+            for role in held_roles(&fleet, n) {
+                if let Some(other) = holders.insert(role, n) {
+                    panic!("{}: role {role} is held by {other} and by {n}", fleet.now);
                 }
             }
         }
-        later = duties_held(&fleet, C).len() + duties_held(&fleet, D).len();
+        later = held_roles(&fleet, C).len() + held_roles(&fleet, D).len();
     }
-    assert_eq!(later, ROLE_COUNT as usize, "the new set goes on by itself");
+    assert_eq!(later, ROLE_COUNT as usize, "the new set grants all roles by itself");
 }
 
-/// C holds duties by the votes of B and its own, and A never heard of them. B goes and is replaced by
-/// D: A and D are a majority of the new set, and neither knows of a term of C's.
+/// C holds roles by the votes of B and its own, unknown to A. B stops and is replaced by D: A and D are a
+/// majority of the new set, and neither knows of a lease of C.
 #[test]
-fn a_new_member_gives_no_duty_away_that_an_earlier_set_may_have_granted() {
+fn a_new_voter_grants_no_role_that_an_earlier_set_may_have_granted() {
     let zero = decree(0, 0, &[], &[A, B, C]);
     let one = decree(1, 1, &[A, B, C], &[A, C, D]);
     let mut fleet = Fleet::default();
@@ -282,26 +291,26 @@
         fleet.start(n, kept(n, std::slice::from_ref(&zero), Some(0)));
     }
     fleet.run(4 * SEC);
-    let before = duties_held(&fleet, C);
+    let before = held_roles(&fleet, C);
     assert!(!before.is_empty(), "C holds nothing by the votes of B and C");
-    // A and B decided on the new set, and B's word is enough for A and D to take it over.
+    // A and B decided on the new set, and the reply of B is enough for A and D to take over.
     fleet.part(&[A, B, D], &[C]);
     for n in [A, B, D] {
         fleet.tell(C, n, Message::Consensus(ConsensusMessage::Replicate { entries: vec![one.clone()] }));
     }
     for _ in 0..160 {
-        let later: Vec<_> = [A, B, D].iter().flat_map(|n| duties_held(&fleet, *n)).collect();
-        let twice: Vec<_> = duties_held(&fleet, C).into_iter().filter(|d| later.contains(d)).collect();
-        assert!(twice.is_empty(), "{}: {twice:?} are held by C and under the next set", fleet.now);
+        let later: Vec<_> = [A, B, D].iter().flat_map(|n| held_roles(&fleet, *n)).collect();
+        let held_twice: Vec<_> = held_roles(&fleet, C).into_iter().filter(|role| later.contains(role)).collect();
+        assert!(held_twice.is_empty(), "{}: {held_twice:?} are held by C and under the next set", fleet.now);
         fleet.run(25 * MS);
     }
-    let later: usize = [A, D].iter().map(|n| duties_held(&fleet, *n).len()).sum();
-    assert_eq!(later, ROLE_COUNT as usize, "the new set goes on");
+    let later: usize = [A, D].iter().map(|n| held_roles(&fleet, *n).len()).sum();
+    assert_eq!(later, ROLE_COUNT as usize, "the new set grants all roles");
 }
 
-/// Where all voters but the lost one answer, the newcomer's vote is not needed, so nothing waits for it.
+/// Where all voters but the lost one reply, the new voter's vote is not needed, so nothing waits for it.
 #[test]
-fn a_change_of_voters_leaves_no_duty_vacant_where_those_who_stay_agree() {
+fn a_change_of_voters_leaves_no_role_vacant_where_the_remaining_voters_reply() {
     let zero = decree(0, 0, &[], &[A, B, C]);
     let one = decree(1, 1, &[A, B, C], &[A, C, D]);
     let mut fleet = Fleet::default();
@@ -315,15 +324,15 @@
     for n in [A, C, D] {
         fleet.tell(B, n, Message::Consensus(ConsensusMessage::Replicate { entries: vec![one.clone()] }));
     }
-    let all = |f: &Fleet| [A, C, D].iter().map(|n| duties_held(f, *n).len()).sum::<usize>() == ROLE_COUNT as usize;
-    // The terms of B end a second after its last renewal, at most.
-    let took = fleet.run_until(4 * SEC, all).expect("all duties are held again");
-    assert!(took <= 600 * MS, "duties were vacant for {took} us after the change");
+    let all = |fleet: &Fleet| are_all_roles_held(fleet, &[A, C, D]);
+    // The leases of B expire at most a second after its last renewal.
+    let vacant_for = fleet.run_until(4 * SEC, all).expect("all roles are held again");
+    assert!(vacant_for <= 600 * MS, "roles were vacant for {vacant_for} µs after the change");
 }
 
-/// A disk that was lost gives a new member at the old address: it has no vote to give twice.
+/// A lost disk makes a new node at the old address, which can't vote a second time in the old one's place.
 #[test]
-fn a_wiped_voter_promises_nothing_under_its_old_place() {
+fn a_voter_that_lost_its_disk_does_not_promise_as_its_former_node() {
     let zero = decree(0, 0, &[], &[A, B, C]);
     let mut fleet = Fleet::default();
     fleet.start_at(77, A, kept(77, &[], None));
@@ -341,7 +350,7 @@
 }
 
 #[test]
-fn a_disk_is_lost_twice_and_its_machine_votes_again_each_time() {
+fn a_machine_that_loses_its_disk_repeatedly_votes_again_each_time() {
     let mut fleet = Fleet::default();
     for n in [A, B, C] {
         fleet.start(n, kept(n, &[decree(0, 0, &[], &[A, B, C])], Some(0)));
@@ -351,19 +360,19 @@
         fleet.stop(A);
         fleet.run(500 * MS);
         fleet.start_at(new, A, kept(new, &[], None));
-        let votes = |f: &Fleet| f.node(B).consensus.state.is_voter(NodeId(new)) && f.node(A).voter();
-        let t = fleet.run_until(4 * SEC, votes);
-        assert!(t.is_some(), "loss {i}: the voters are {:?}", ids(&fleet, B));
-        assert_eq!(ids(&fleet, B).len(), 3);
+        let votes = |fleet: &Fleet| fleet.node(B).consensus.state.is_voter(NodeId(new)) && fleet.node(A).voter();
+        let votes_after = fleet.run_until(4 * SEC, votes);
+        assert!(votes_after.is_some(), "loss {i}: the voters are {:?}", voter_ids(&fleet, B));
+        assert_eq!(voter_ids(&fleet, B).len(), 3);
         fleet.run(4 * SEC);
     }
 }
 
 #[test]
-fn an_accepted_change_of_voters_stops_new_terms_until_its_end_is_known() {
+fn an_accepted_change_of_voters_stops_new_leases_until_its_outcome_is_known() {
     let zero = decree(0, 0, &[], &[A, B, C]);
     let one = decree(1, 1, &[A, B, C], &[A, C, D]);
-    let ask = |fleet: &mut Fleet, epoch| {
+    let is_granted = |fleet: &mut Fleet, epoch| {
         fleet.sent.clear();
         fleet.tell(
             B,
@@ -375,40 +384,41 @@
     let mut fleet = Fleet::default();
     fleet.start(A, kept(A, &[zero], Some(0)));
     fleet.run(3 * SEC);
-    assert!(ask(&mut fleet, 40), "it grants before");
-    let mut other = one.clone();
-    (other.voters_since, other.voters, other.previous_voters) = (0, vec![core(A), core(B), core(C)], vec![]);
+    assert!(is_granted(&mut fleet, 40), "it grants a lease before");
+    let mut same_voters = one.clone();
+    (same_voters.voters_since, same_voters.voters, same_voters.previous_voters) =
+        (0, vec![core(A), core(B), core(C)], vec![]);
     let ballot = |n| Ballot { number: n, node_id: NodeId(C), incarnation: 1 };
-    fleet.tell(C, A, Message::Consensus(ConsensusMessage::Accept { ballot: ballot(9_000), entry: other }));
+    fleet.tell(C, A, Message::Consensus(ConsensusMessage::Accept { ballot: ballot(9_000), entry: same_voters }));
     fleet.run(2 * SEC);
-    assert!(ask(&mut fleet, 50), "other changes stop nothing");
+    assert!(is_granted(&mut fleet, 50), "other changes stop no leases");
     fleet.tell(C, A, Message::Consensus(ConsensusMessage::Accept { ballot: ballot(9_000_000), entry: one }));
     fleet.run(2 * SEC);
-    assert!(!ask(&mut fleet, 60), "the set may have changed");
+    assert!(!is_granted(&mut fleet, 60), "the set may have changed");
     fleet.restart(A);
     fleet.run(3 * SEC);
-    assert!(!ask(&mut fleet, 70), "also after a start");
+    assert!(!is_granted(&mut fleet, 70), "also after a start");
 }
 
-/// What is told of a window's beginning counts from when it was told, also where others are
-/// waited for meanwhile.
+/// The age of a window that a voter hands over counts from when it was sent, also where the replies of
+/// others are awaited meanwhile.
 #[test]
-fn a_window_grows_no_longer_on_its_way_to_a_new_voter() {
+fn the_age_of_a_window_includes_its_transit_to_a_new_voter() {
     let six = decree(6, 6, &[A, B, C], &[A, C, D]);
-    let row = |granted_total, age| {
+    let grants = |granted_total, age| {
         vec![WindowGrant { tenant: "t".into(), window: 9, node_id: NodeId(90), granted_total, age }]
     };
-    // The other voice knows of the window too, or knows nothing of it.
-    for second in [row(7, 100 * MS), vec![]] {
+    // The other voter knows of the window too, or does not.
+    for second_reply in [grants(7, 100 * MS), vec![]] {
         let mut fleet = Fleet::default();
         fleet.start(D, kept(D, std::slice::from_ref(&six), None));
         fleet.run(100 * MS);
         for n in [A, C] {
             fleet.tell(n, D, Message::Consensus(ConsensusMessage::Synced { version: 6 }));
         }
-        fleet.tell_late(A, D, handed(6, row(3, 400 * MS)), 200 * MS);
+        fleet.tell_late(A, D, takeover_reply(6, grants(3, 400 * MS)), 200 * MS);
         fleet.run(300 * MS);
-        fleet.tell(C, D, handed(6, second));
+        fleet.tell(C, D, takeover_reply(6, second_reply));
         fleet.run(50 * MS);
         fleet.sent.clear();
         fleet.tell(A, D, Message::Membership(MembershipMessage::TakeoverRequest { voter_set: 6 }));
@@ -423,33 +433,41 @@
                 }
             })
             .collect();
-        assert_eq!(ages, [950 * MS], "400 told, 200 on the way, 300 and 50 since");
+        assert_eq!(ages, [950 * MS], "400 ms as sent, 200 in transit, 300 and 50 since");
     }
 }
 
-/// A core that asks for the duty of a tenant with a window of 1 s, in touch with a majority by B's word.
-fn asks_for_a_window() -> (Fleet, u32, u64, u64) {
+/// A lease that a core has requested.
+struct Requested {
+    fleet: Fleet,
+    role: u32,
+    epoch: u64,
+    request_id: u64,
+}
+
+/// A core that requests the role of a tenant with a window of 1 s, in contact with a majority by the replies
+/// of B.
+fn request_role_of_a_window() -> Requested {
     let mut zero = decree(0, 0, &[], &[A, B, C]);
     zero.body = r#"{"defaults":{"quota":{"calls":50,"window_ms":1000}},"pools":{"llm":{}},
         "matches":{"chat":{"path":"/v1/chat","pool":"llm","kind":"chat"}},
         "tenants":{"home":{"keys":["sha256:0000000000000000000000000000000000000000000000000000000000000000"]}}}"#
         .into();
-    let home = quota_role("home");
+    let role = quota_role("home");
     let mut fleet = Fleet::default();
     fleet.auto = false;
     fleet.start(A, kept(A, &[zero], Some(0)));
-    let asked =
-        |f: &Fleet| {
-            f.sent.iter().rev().find_map(|s| match s.1.message {
-                Message::Lease(LeaseMessage::Request {
-                    role: duty, epoch, request_id: n, is_new_epoch: true, ..
-                }) if duty == home => Some((epoch, n)),
-                _ => None,
-            })
-        };
+    let requested = |fleet: &Fleet| {
+        fleet.sent.iter().rev().find_map(|s| match s.1.message {
+            Message::Lease(LeaseMessage::Request {
+                role: requested, epoch, request_id, is_new_epoch: true, ..
+            }) if requested == role => Some((epoch, request_id)),
+            _ => None,
+        })
+    };
     fleet.tell(B, A, Message::Consensus(ConsensusMessage::Synced { version: 0 }));
     for _ in 0..120 {
-        // B confirms each round, so that A is in touch with a majority.
+        // B replies to each probe, so that A is in contact with a majority.
         fleet.run(25 * MS);
         let seq = fleet.sent.iter().rev().find_map(|s| {
             if let Message::Consensus(ConsensusMessage::FreshnessProbe { seq, .. }) = s.1.message {
@@ -471,16 +489,16 @@
                 }),
             );
         }
-        if asked(&fleet).is_some() {
+        if requested(&fleet).is_some() {
             break;
         }
     }
-    let (epoch, n) = asked(&fleet).expect("it asks");
-    (fleet, home, epoch, n)
+    let (epoch, request_id) = requested(&fleet).expect("it requests the role");
+    Requested { fleet, role, epoch, request_id }
 }
 
-/// The windows of which the holder gives a slice when it is asked now.
-fn given(fleet: &mut Fleet) -> Vec<u64> {
+/// The windows of which the holder grants a slice that is requested now.
+fn granted_windows(fleet: &mut Fleet) -> Vec<u64> {
     fleet.sent.clear();
     fleet.tell(
         91,
@@ -504,66 +522,60 @@
 }
 
 #[test]
-fn a_window_grows_no_longer_on_its_way_to_a_new_holder() {
-    let (mut fleet, home, epoch, n) = asks_for_a_window();
-    let rows =
+fn the_age_of_a_window_includes_its_transit_to_a_new_holder() {
+    let Requested { mut fleet, role, epoch, request_id } = request_role_of_a_window();
+    let grants =
         vec![WindowGrant { tenant: "home".into(), window: 9, node_id: NodeId(90), granted_total: 50, age: 900 * MS }];
-    let yes = Message::Lease(LeaseMessage::Granted {
-        role: home,
+    let vote = Message::Lease(LeaseMessage::Granted {
+        role,
         epoch,
-        request_id: n,
-        grants: rows,
+        request_id,
+        grants,
         has_no_predecessor: false,
         registered: vec![],
     });
-    fleet.tell_late(B, A, yes, 200 * MS);
-    assert_eq!(duties_held(&fleet, A), [home]);
-    let wins = given(&mut fleet);
+    fleet.tell_late(B, A, vote, 200 * MS);
+    assert_eq!(held_roles(&fleet, A), [role]);
+    let windows = granted_windows(&mut fleet);
     assert!(
-        !wins.is_empty() && wins.iter().all(|w| *w == 10),
-        "{wins:?}: the window of 1 s is over, 900 ms told and 200 on the way"
+        !windows.is_empty() && windows.iter().all(|window| *window == 10),
+        "{windows:?}: the window of 1 s has ended, 900 ms old as sent and 200 ms in transit"
     );
 }
 
-/// A holder that is the only one of its majority to know of a window votes for itself once its disk has
-/// the vote: the window went on meanwhile.
+/// A holder that is the only one of its majority to know of a window votes for itself once the vote is on
+/// its disk: the window went on meanwhile.
 #[test]
-fn a_window_grows_no_longer_while_the_new_holder_waits_for_its_own_disk() {
-    let (mut fleet, home, epoch, n) = asks_for_a_window();
-    let rows =
+fn the_age_of_a_window_includes_the_wait_for_the_new_holders_disk() {
+    let Requested { mut fleet, role, epoch, request_id } = request_role_of_a_window();
+    let grants =
         vec![WindowGrant { tenant: "home".into(), window: 9, node_id: NodeId(90), granted_total: 50, age: 850 * MS }];
     fleet.tell(
         B,
         A,
-        Message::Quota(QuotaMessage::ReplicateGrants {
-            voter_set: 0,
-            role: home,
-            epoch: epoch - 1,
-            request_id: 1,
-            grants: rows,
-        }),
+        Message::Quota(QuotaMessage::ReplicateGrants { voter_set: 0, role, epoch: epoch - 1, request_id: 1, grants }),
     );
     fleet.stuck.insert(A);
     fleet.tell(
         B,
         A,
         Message::Lease(LeaseMessage::Granted {
-            role: home,
+            role,
             epoch,
-            request_id: n,
+            request_id,
             grants: vec![],
             has_no_predecessor: false,
             registered: vec![],
         }),
     );
     fleet.run(200 * MS);
-    assert!(duties_held(&fleet, A).is_empty(), "its own vote is not on its disk");
+    assert!(held_roles(&fleet, A).is_empty(), "its own vote is not on its disk");
     fleet.stuck.clear();
     fleet.run(25 * MS);
-    assert_eq!(duties_held(&fleet, A), [home]);
-    let wins = given(&mut fleet);
+    assert_eq!(held_roles(&fleet, A), [role]);
+    let windows = granted_windows(&mut fleet);
     assert!(
-        !wins.is_empty() && wins.iter().all(|w| *w == 10),
-        "{wins:?}: the window of 1 s is over, 850 ms told and 200 until its vote was on disk"
+        !windows.is_empty() && windows.iter().all(|window| *window == 10),
+        "{windows:?}: the window of 1 s has ended, 850 ms old as sent and 200 ms until its own vote was on disk"
     );
 }
--- /dev/null
+++ b/crates/core/tests/voters.rs
@@ -0,0 +1,202 @@
+//! Changes of the set of voters: who is replaced when and by whom, and who proposes it.
+
+use std::collections::BTreeMap;
+use sumacvale_core::base::{MS, Micros, NodeId, SEC};
+use sumacvale_core::node::membership::voters::{
+    Candidate, PROPOSAL_RANK_DELAY, REPLACEMENT_MARGIN, SILENCE_TIMEOUT, VoterSlot, VoterStanding, choose_voters,
+    proposal_delay, target_voter_count, voter_standing,
+};
+use sumacvale_core::peers::{FAILURE_TIMEOUT, PeerEntry};
+use sumacvale_core::protocol::{PeerRecord, Voter};
+
+fn voter(n: u64) -> Voter {
+    Voter { node_id: NodeId(n), addr: format!("10.0.0.{n}:7000") }
+}
+
+fn slot(n: u64, zone: &str, standing: VoterStanding) -> VoterSlot {
+    VoterSlot { voter: voter(n), zone: Some(zone.into()), standing }
+}
+
+fn candidate(n: u64, zone: &str) -> Candidate {
+    Candidate { node: voter(n), zone: zone.into(), is_recent: false }
+}
+
+fn recent_candidate(n: u64, zone: &str) -> Candidate {
+    Candidate { is_recent: true, ..candidate(n, zone) }
+}
+
+fn node_ids(voters: Option<Vec<Voter>>) -> Vec<u64> {
+    voters.unwrap_or_default().iter().map(|voter| voter.node_id.0).collect()
+}
+
+#[test]
+fn the_voter_count_tolerates_the_losses_and_is_odd() {
+    for (losses, cores, expected) in
+        [(1, 3, 3), (1, 8, 3), (2, 3, 3), (2, 4, 3), (2, 5, 5), (2, 8, 5), (3, 6, 5), (1, 2, 1)]
+    {
+        assert_eq!(target_voter_count(losses, cores), expected, "{losses} losses of {cores}");
+    }
+}
+
+#[test]
+fn voters_are_replaced_one_at_a_time_and_only_by_a_candidate() {
+    use VoterStanding::{Draining, Failed, Live, Replaced, Silent};
+    let three = |standings: [VoterStanding; 3]| {
+        let [first, second, third] = standings;
+        vec![slot(1, "a", first), slot(2, "b", second), slot(3, "c", third)]
+    };
+    type Case = (&'static str, Vec<VoterSlot>, Vec<Candidate>, u32, &'static [u64]);
+    let cases: Vec<Case> = vec![
+        ("all live", three([Live; 3]), vec![candidate(4, "a")], 1, &[]),
+        ("no candidate", three([Live, Live, Failed]), vec![], 1, &[]),
+        ("replaced, no candidate", three([Live, Live, Replaced]), vec![], 1, &[]),
+        ("failed", three([Live, Live, Failed]), vec![candidate(4, "a")], 1, &[1, 2, 4]),
+        ("draining", three([Live, Draining, Live]), vec![candidate(4, "a")], 1, &[1, 3, 4]),
+        ("silent, a candidate known for long", three([Live, Silent, Live]), vec![candidate(4, "a")], 1, &[]),
+        ("silent, a recent candidate", three([Live, Silent, Live]), vec![recent_candidate(4, "a")], 1, &[1, 3, 4]),
+        (
+            "silent, the recent one of two candidates",
+            three([Live, Silent, Live]),
+            vec![candidate(5, "b"), recent_candidate(4, "a")],
+            1,
+            &[1, 3, 4],
+        ),
+        ("replaced before failed", three([Replaced, Failed, Live]), vec![candidate(4, "b")], 1, &[2, 3, 4]),
+        (
+            "the zone with the fewest",
+            three([Live, Live, Failed]),
+            vec![candidate(4, "a"), candidate(5, "c")],
+            1,
+            &[1, 2, 5],
+        ),
+        ("two grow to three", three([Live; 3])[..2].to_vec(), vec![candidate(4, "a")], 1, &[1, 2, 4]),
+        ("one stays one with one candidate", three([Live; 3])[..1].to_vec(), vec![candidate(4, "b")], 1, &[]),
+        (
+            "three to four on the way to five",
+            three([Live; 3]),
+            vec![candidate(4, "a"), candidate(5, "d")],
+            2,
+            &[1, 2, 3, 5],
+        ),
+        ("no fourth without a fifth", three([Live; 3]), vec![candidate(4, "d")], 2, &[]),
+        (
+            "a loss before growth",
+            three([Live, Live, Failed]),
+            vec![candidate(4, "a"), candidate(5, "d")],
+            2,
+            &[1, 2, 5],
+        ),
+    ];
+    for (name, slots, candidates, losses, expected) in cases {
+        assert_eq!(node_ids(choose_voters(&slots, &candidates, losses)), expected, "{name}");
+    }
+}
+
+#[test]
+fn the_candidate_at_the_removed_address_is_preferred_within_its_zone() {
+    let slots = vec![
+        slot(1, "a", VoterStanding::Live),
+        slot(2, "b", VoterStanding::Live),
+        slot(3, "c", VoterStanding::Replaced),
+    ];
+    for n in 4..40 {
+        let at_same_address =
+            Candidate { node: Voter { node_id: NodeId(n), addr: voter(3).addr }, ..candidate(n, "c") };
+        let chosen =
+            node_ids(choose_voters(&slots, &[candidate(n + 100, "c"), at_same_address, candidate(n + 200, "c")], 1));
+        assert_eq!(chosen, [1, 2, n]);
+    }
+}
+
+fn peer(n: u64, machine: u64, first_heard_at: Micros, heard_at: Micros, contacted_at: Micros) -> (NodeId, PeerEntry) {
+    let record = PeerRecord {
+        node_id: NodeId(n),
+        incarnation: 1,
+        heartbeat: 1,
+        addr: voter(machine).addr,
+        admin: String::new(),
+        zone: "a".into(),
+        is_core: true,
+        draining: false,
+        version: 0,
+    };
+    (NodeId(n), PeerEntry { record, heard_at, first_heard_at, contacted_at, changed_at: first_heard_at })
+}
+
+#[test]
+fn a_voters_standing_follows_from_when_it_and_its_successor_were_in_contact() {
+    let now = 100 * SEC;
+    let ago = |t: Micros| now - t;
+    let own = |t: Micros| peer(1, 1, SEC, ago(t), ago(t));
+    let draining = || {
+        let mut entry = own(0);
+        entry.1.record.draining = true;
+        entry
+    };
+    let front = || {
+        let mut entry = peer(2, 1, ago(SEC), ago(0), ago(0));
+        entry.1.record.is_core = false;
+        entry
+    };
+    let cases = [
+        ("seen now", vec![own(0)], VoterStanding::Live),
+        ("just before silent", vec![own(SILENCE_TIMEOUT - 1)], VoterStanding::Live),
+        ("silent", vec![own(SILENCE_TIMEOUT)], VoterStanding::Silent),
+        ("just before failed", vec![own(FAILURE_TIMEOUT - 1)], VoterStanding::Silent),
+        ("failed", vec![own(FAILURE_TIMEOUT)], VoterStanding::Failed),
+        ("unknown", vec![], VoterStanding::Failed),
+        ("reported by others only", vec![peer(1, 1, SEC, ago(0), 0)], VoterStanding::Live),
+        ("draining", vec![draining()], VoterStanding::Draining),
+        ("another at its address", vec![own(SEC), peer(2, 1, ago(500 * MS), now, now)], VoterStanding::Replaced),
+        ("another, hardly later", vec![own(REPLACEMENT_MARGIN), peer(2, 1, ago(0), now, now)], VoterStanding::Live),
+        (
+            "another, just late enough",
+            vec![own(REPLACEMENT_MARGIN + 1), peer(2, 1, ago(0), now, now)],
+            VoterStanding::Replaced,
+        ),
+        ("another known for longer than it", vec![own(SEC), peer(2, 1, 0, now, now)], VoterStanding::Live),
+        ("another, reported by others only", vec![own(SEC), peer(2, 1, ago(500 * MS), now, 0)], VoterStanding::Live),
+        (
+            "another that failed too",
+            vec![own(9 * SEC), peer(2, 1, ago(8 * SEC), ago(FAILURE_TIMEOUT), ago(FAILURE_TIMEOUT))],
+            VoterStanding::Failed,
+        ),
+        (
+            "reported by others after its successor was in contact",
+            vec![
+                peer(1, 1, ago(REPLACEMENT_MARGIN + 1), now, 0),
+                peer(2, 1, ago(REPLACEMENT_MARGIN + 20 * MS), now, now),
+            ],
+            VoterStanding::Replaced,
+        ),
+        (
+            "reported by others, its successor not in contact for long enough",
+            vec![peer(1, 1, ago(REPLACEMENT_MARGIN), now, 0), peer(2, 1, ago(REPLACEMENT_MARGIN + 20 * MS), now, now)],
+            VoterStanding::Live,
+        ),
+        ("a front there", vec![own(SEC), front()], VoterStanding::Live),
+        ("a core elsewhere", vec![own(SEC), peer(2, 2, ago(500 * MS), now, now)], VoterStanding::Live),
+    ];
+    for (name, entries, expected) in cases {
+        let peers = entries.into_iter().collect::<BTreeMap<_, _>>();
+        assert_eq!(voter_standing(&voter(1), &peers, now), expected, "{name}");
+    }
+}
+
+#[test]
+fn live_voters_propose_one_after_the_other() {
+    use VoterStanding::{Draining, Failed, Live, Replaced, Silent};
+    for version in 0..20 {
+        let standings = [Live, Silent, Live, Failed, Live, Draining, Replaced];
+        let slots: Vec<_> = standings.iter().enumerate().map(|(i, s)| slot(i as u64 + 1, "a", *s)).collect();
+        let delay = |n: u64| proposal_delay(NodeId(n), &slots, version);
+        let mut live = [delay(1), delay(3), delay(5)];
+        live.sort_unstable();
+        assert_eq!(live, [0, PROPOSAL_RANK_DELAY, 2 * PROPOSAL_RANK_DELAY], "version {version}");
+        assert_eq!(delay(2), 3 * PROPOSAL_RANK_DELAY, "the silent one comes last");
+        assert!([4, 6, 7].iter().all(|n| delay(*n) > 3 * PROPOSAL_RANK_DELAY), "voters that are lost come after all");
+    }
+    let all_live: Vec<_> = (1..4).map(|n| slot(n, "a", Live)).collect();
+    let first = |version: u64| (1..4).find(|n| proposal_delay(NodeId(*n), &all_live, version) == 0);
+    assert!((0..50).map(first).collect::<std::collections::BTreeSet<_>>().len() > 1, "the order differs by version");
+}
