--- a/crates/core/tests/ballots.rs
+++ b/crates/core/tests/ballots.rs
@@ -1,4 +1,4 @@
-//! Proposers that meet: one whose voter heeds another's ballot gives it the time that it needs.
+//! Competing proposers: a core that voted for another proposer's ballot leaves it the time that it needs.
 
 mod fleet;
 
@@ -7,76 +7,78 @@
 use sumacvale_core::node::Event;
 use sumacvale_core::protocol::{Ballot, Change, ConsensusMessage, Message};
 
-/// Three voters with version 1, of which the third does not run: the test speaks for it.
+/// Three voters with version 1, of which the third does not run: the test sends its messages.
 fn two_of_three() -> Fleet {
-    let mut f = Fleet::default();
-    f.auto = false;
+    let mut fleet = Fleet::default();
+    fleet.auto = false;
     let versions = [decree(0, 0, &[], &[1, 2, 3]), decree(1, 0, &[], &[1, 2, 3])];
-    f.start(1, kept(1, &versions, Some(0)));
-    f.start(2, kept(2, &versions, Some(0)));
-    f.run(SEC);
-    f
+    fleet.start(1, kept(1, &versions, Some(0)));
+    fleet.start(2, kept(2, &versions, Some(0)));
+    fleet.run(SEC);
+    fleet
 }
 
-fn change(f: &mut Fleet, base: u64) {
+fn submit_change(fleet: &mut Fleet, base: u64) {
     let change = Change::Tree("{}".into());
-    let order = Event::SubmitChange { request_id: 1, change_id: ChangeId(77), is_first_send: true, base, change };
-    let effects = f.step(1, order);
-    f.carry(1, effects);
+    let event = Event::SubmitChange { request_id: 1, change_id: ChangeId(77), is_first_send: true, base, change };
+    let effects = fleet.step(1, event);
+    fleet.carry(1, effects);
 }
 
-/// The ballot of another core, higher than all before it.
-fn of_another(n: u64) -> Ballot {
-    Ballot { number: n, node_id: NodeId(3), incarnation: 1 }
+/// A ballot of the third voter, higher than all before it.
+fn competing_ballot(number: u64) -> Ballot {
+    Ballot { number, node_id: NodeId(3), incarnation: 1 }
 }
 
-/// How many ballots this voter began since.
-fn begun(f: &Fleet, since: usize) -> usize {
-    f.sent[since..]
+/// How many prepares the first voter has sent since then.
+fn prepares_sent(fleet: &Fleet, since: usize) -> usize {
+    fleet.sent[since..]
         .iter()
-        .filter(|(m, x)| *m == 1 && matches!(x.message, Message::Consensus(ConsensusMessage::Prepare { .. })))
+        .filter(|(machine, frame)| {
+            *machine == 1 && matches!(frame.message, Message::Consensus(ConsensusMessage::Prepare { .. }))
+        })
         .count()
 }
 
 #[test]
-fn a_voter_begins_no_ballot_while_that_of_another_is_under_way() {
-    let mut f = two_of_three();
-    f.tell(3, 1, Message::Consensus(ConsensusMessage::Prepare { instance: 2, ballot: of_another(50) }));
-    let since = f.sent.len();
-    change(&mut f, 1);
-    f.run(350 * MS);
-    assert_eq!(begun(&f, since), 0, "it outbid a ballot that had no time to end");
+fn a_voter_starts_no_ballot_while_that_of_another_proposer_is_under_way() {
+    let mut fleet = two_of_three();
+    fleet.tell(3, 1, Message::Consensus(ConsensusMessage::Prepare { instance: 2, ballot: competing_ballot(50) }));
+    let since = fleet.sent.len();
+    submit_change(&mut fleet, 1);
+    fleet.run(350 * MS);
+    assert_eq!(prepares_sent(&fleet, since), 0, "it pre-empted a ballot that had no time to complete");
 
-    // The other goes on to its second step, which takes a write as well.
+    // The other proposer goes on to its accept phase, which takes a write as well.
     let next = decree(2, 0, &[], &[1, 2, 3]);
-    f.tell(3, 1, Message::Consensus(ConsensusMessage::Accept { ballot: of_another(50), entry: next }));
-    f.run(350 * MS);
-    assert_eq!(begun(&f, since), 0, "it outbid a ballot in its second step");
-    // The change still waits, and is refused once the other's version is known.
-    f.run(SEC);
-    assert_eq!(f.node(1).version(), Some(2));
-    assert_eq!(f.kept(1).entries[&2].change_id, ChangeId(2));
+    fleet.tell(3, 1, Message::Consensus(ConsensusMessage::Accept { ballot: competing_ballot(50), entry: next }));
+    fleet.run(350 * MS);
+    assert_eq!(prepares_sent(&fleet, since), 0, "it pre-empted a ballot in its accept phase");
+    // The change is still pending, and is rejected once the other's version is known.
+    fleet.run(SEC);
+    assert_eq!(fleet.node(1).version(), Some(2));
+    assert_eq!(fleet.kept(1).entries[&2].change_id, ChangeId(2));
 }
 
 #[test]
-fn a_ballot_that_comes_to_nothing_holds_nobody_up_for_long() {
-    let mut f = two_of_three();
-    f.tell(3, 1, Message::Consensus(ConsensusMessage::Prepare { instance: 2, ballot: of_another(50) }));
-    let since = f.sent.len();
-    f.run(100 * MS);
-    change(&mut f, 1);
-    let begins = |f: &Fleet| begun(f, since) > 0;
-    assert!(f.run_until(325 * MS, begins).is_some(), "it still waits for one who may be gone");
+fn an_abandoned_ballot_does_not_block_other_proposers_for_long() {
+    let mut fleet = two_of_three();
+    fleet.tell(3, 1, Message::Consensus(ConsensusMessage::Prepare { instance: 2, ballot: competing_ballot(50) }));
+    let since = fleet.sent.len();
+    fleet.run(100 * MS);
+    submit_change(&mut fleet, 1);
+    let has_started = |fleet: &Fleet| prepares_sent(fleet, since) > 0;
+    assert!(fleet.run_until(325 * MS, has_started).is_some(), "it still yields to a proposer that may have failed");
 }
 
 #[test]
-fn once_the_version_is_known_the_next_ballot_may_begin() {
-    let mut f = two_of_three();
-    f.tell(3, 1, Message::Consensus(ConsensusMessage::Prepare { instance: 2, ballot: of_another(50) }));
-    f.tell(3, 1, Message::Consensus(ConsensusMessage::Replicate { entries: vec![decree(2, 0, &[], &[1, 2, 3])] }));
-    assert_eq!(f.node(1).version(), Some(2));
-    let since = f.sent.len();
-    change(&mut f, 2);
-    f.run(50 * MS);
-    assert!(begun(&f, since) > 0, "it waits for a ballot that has ended");
+fn the_next_ballot_may_start_once_the_version_is_decided() {
+    let mut fleet = two_of_three();
+    fleet.tell(3, 1, Message::Consensus(ConsensusMessage::Prepare { instance: 2, ballot: competing_ballot(50) }));
+    fleet.tell(3, 1, Message::Consensus(ConsensusMessage::Replicate { entries: vec![decree(2, 0, &[], &[1, 2, 3])] }));
+    assert_eq!(fleet.node(1).version(), Some(2));
+    let since = fleet.sent.len();
+    submit_change(&mut fleet, 2);
+    fleet.run(50 * MS);
+    assert!(prepares_sent(&fleet, since) > 0, "it yields to a ballot that is decided");
 }
--- a/crates/core/tests/cutoff.rs
+++ b/crates/core/tests/cutoff.rs
@@ -1,4 +1,4 @@
-//! A control machine that is cut off from its majority: what it answers to each kind of caller, and how soon.
+//! A core that is partitioned from its majority: its reply to each kind of call, and how soon it comes.
 
 mod nodes;
 
@@ -9,68 +9,71 @@
 use sumacvale_core::node::{Effect, Event, Node};
 use sumacvale_core::protocol::{Change, ChangeOutcome, ConsensusMessage, Frame, Message, WorkerReport};
 
-/// What is said of a call in the end.
+/// The reply to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Answer {
-    Yes,
-    /// 5xx: promises nothing.
-    Unclear,
-    /// A final word against it.
-    No(String),
+enum Reply {
+    /// The call is done.
+    Success,
+    /// 5xx: the outcome is unknown.
+    Unknown,
+    /// The call is rejected for good.
+    Rejected(String),
 }
 
-/// Who calls.
+/// The kind of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Caller {
-    Order,
+enum CallKind {
+    Change,
     Read,
-    Beat,
+    Report,
     NewWorker,
     Drain,
-    Leave,
+    Removal,
 }
 
-const CALLERS: [Caller; 6] =
-    [Caller::Order, Caller::Read, Caller::Beat, Caller::NewWorker, Caller::Drain, Caller::Leave];
+const CALL_KINDS: [CallKind; 6] =
+    [CallKind::Change, CallKind::Read, CallKind::Report, CallKind::NewWorker, CallKind::Drain, CallKind::Removal];
 
-/// Which frames of a machine are lost.
+/// Which frames of a partitioned machine are lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Cut {
-    Silent,
-    /// It hears nothing.
-    Deaf,
-    /// Nobody hears it.
-    Mute,
+enum Partition {
+    /// Those from it and to it.
+    Both,
+    /// Those to it.
+    Inbound,
+    /// Those from it.
+    Outbound,
 }
 
-const CUTS: [Cut; 3] = [Cut::Silent, Cut::Deaf, Cut::Mute];
+const PARTITIONS: [Partition; 3] = [Partition::Both, Partition::Inbound, Partition::Outbound];
 
-/// Nodes with wires of a millisecond; cores come first, then fronts.
+/// Nodes with a network latency of one millisecond; cores come first, then nodes without a vote.
 struct Net {
     now: Micros,
     nodes: Vec<Node>,
-    wires: BTreeMap<(Micros, u64), (usize, usize, Frame)>,
-    syncs: BTreeMap<(Micros, u64), (usize, u64)>,
-    kept: Vec<DurableState>,
-    /// Frames from the first to the second don't arrive.
-    cut: Vec<(usize, usize)>,
-    /// Processes that stand still.
-    still: Vec<usize>,
-    /// How long a sync takes.
-    sync: Micros,
-    /// So many of a hundred frames don't arrive.
-    lost: u64,
-    /// Frames are late by up to this.
-    late: Micros,
+    in_flight: BTreeMap<(Micros, u64), (usize, usize, Frame)>,
+    pending_syncs: BTreeMap<(Micros, u64), (usize, u64)>,
+    disks: Vec<DurableState>,
+    /// Frames from the first to the second node are lost.
+    blocked_links: Vec<(usize, usize)>,
+    /// Nodes whose process is paused.
+    paused: Vec<usize>,
+    /// How long a sync to disk takes, in microseconds.
+    sync_delay: Micros,
+    /// How many of a hundred frames are lost.
+    loss_percent: u64,
+    /// The most that a frame is delayed, in microseconds.
+    max_delay: Micros,
     rng: Rng,
-    n: u64,
-    answers: BTreeMap<u64, (Answer, Micros)>,
-    told: BTreeMap<u64, String>,
-    /// Answers to orders and reads, as they were given.
-    fates: BTreeMap<u64, ChangeOutcome>,
+    /// The newest number of a frame, sync or call.
+    sequence: u64,
+    replies: BTreeMap<u64, (Reply, Micros)>,
+    contents: BTreeMap<u64, String>,
+    /// The outcomes of changes and reads.
+    outcomes: BTreeMap<u64, ChangeOutcome>,
 }
 
-fn row(worker: &str, seq: u64) -> WorkerReport {
+fn report(worker: &str, seq: u64) -> WorkerReport {
     WorkerReport {
         worker_id: worker.into(),
         incarnation: 1,
@@ -85,95 +88,96 @@
 
 impl Net {
     fn new(seed: u64, cores: usize, fronts: usize) -> Self {
-        let k = founded(cores, doc(1, "p"), 1);
-        let kept: Vec<_> =
-            (0..cores + fronts).map(|i| if i < cores { k.clone() } else { DurableState::default() }).collect();
+        let disk = founded(cores, doc(1, "p"), 1);
+        let disks: Vec<_> =
+            (0..cores + fronts).map(|i| if i < cores { disk.clone() } else { DurableState::default() }).collect();
         let me = |i: usize| me(i, cores, SEC);
-        let nodes = kept.iter().enumerate().map(|(i, k)| Node::new(me(i), k, seed * 10 + i as u64, SEC)).collect();
-        let mut n = Net {
+        let nodes =
+            disks.iter().enumerate().map(|(i, disk)| Node::new(me(i), disk, seed * 10 + i as u64, SEC)).collect();
+        let mut net = Net {
             now: SEC,
             nodes,
-            wires: BTreeMap::new(),
-            syncs: BTreeMap::new(),
-            kept,
-            cut: Vec::new(),
-            still: Vec::new(),
-            sync: 0,
-            lost: 0,
-            late: 0,
+            in_flight: BTreeMap::new(),
+            pending_syncs: BTreeMap::new(),
+            disks,
+            blocked_links: Vec::new(),
+            paused: Vec::new(),
+            sync_delay: 0,
+            loss_percent: 0,
+            max_delay: 0,
             rng: Rng::new(seed),
-            n: 0,
-            answers: BTreeMap::new(),
-            told: BTreeMap::new(),
-            fates: BTreeMap::new(),
+            sequence: 0,
+            replies: BTreeMap::new(),
+            contents: BTreeMap::new(),
+            outcomes: BTreeMap::new(),
         };
-        n.run(4 * SEC);
-        n
+        net.run(4 * SEC);
+        net
     }
 
-    fn step(&mut self, i: usize, e: Event) {
+    fn step(&mut self, i: usize, event: Event) {
         let now = self.now;
-        for e in self.nodes[i].step(e, now) {
-            self.carry(i, e);
+        for effect in self.nodes[i].step(event, now) {
+            self.apply_effect(i, effect);
         }
     }
 
-    fn carry(&mut self, i: usize, e: Effect) {
-        self.n += 1;
-        match e {
+    fn apply_effect(&mut self, i: usize, effect: Effect) {
+        self.sequence += 1;
+        match effect {
             Effect::Send { to, frame } => {
                 let Some(j) = (0..self.nodes.len()).find(|j| addr(*j) == to) else { return };
-                if self.lost > 0 && self.rng.chance(self.lost) {
+                if self.loss_percent > 0 && self.rng.chance(self.loss_percent) {
                     return;
                 }
-                let late = if self.late > 0 { self.rng.below(self.late) } else { 0 };
-                self.wires.insert((self.now + MS + late, self.n), (i, j, *frame));
+                let delay = if self.max_delay > 0 { self.rng.below(self.max_delay) } else { 0 };
+                self.in_flight.insert((self.now + MS + delay, self.sequence), (i, j, *frame));
             }
-            Effect::Write { token, writes: ops } => {
-                ops.iter().for_each(|o| self.kept[i].apply(o));
-                self.syncs.insert((self.now + self.sync, self.n), (i, token));
+            Effect::Write { token, writes } => {
+                writes.iter().for_each(|write| self.disks[i].apply(write));
+                self.pending_syncs.insert((self.now + self.sync_delay, self.sequence), (i, token));
             }
-            Effect::CompleteChange { request_id: req, outcome: fate } => {
-                self.fates.insert(req, fate.clone());
-                let a = match &fate {
-                    ChangeOutcome::Committed { .. } | ChangeOutcome::Content { .. } => Answer::Yes,
-                    ChangeOutcome::NoQuorum | ChangeOutcome::Unknown => Answer::Unclear,
-                    f => Answer::No(format!("{f:?}")),
+            Effect::CompleteChange { request_id, outcome } => {
+                self.outcomes.insert(request_id, outcome.clone());
+                let reply = match &outcome {
+                    ChangeOutcome::Committed { .. } | ChangeOutcome::Content { .. } => Reply::Success,
+                    ChangeOutcome::NoQuorum | ChangeOutcome::Unknown => Reply::Unknown,
+                    other => Reply::Rejected(format!("{other:?}")),
                 };
-                if let ChangeOutcome::Content { text } = fate {
-                    self.told.insert(req, text);
+                if let ChangeOutcome::Content { text } = outcome {
+                    self.contents.insert(request_id, text);
                 }
-                self.answers.insert(req, (a, self.now));
+                self.replies.insert(request_id, (reply, self.now));
             }
-            Effect::AcknowledgeReport { request_id: req, is_accepted: ok } => {
-                self.answers.insert(req, (if ok { Answer::Yes } else { Answer::Unclear }, self.now));
+            Effect::AcknowledgeReport { request_id, is_accepted } => {
+                self.replies.insert(request_id, (if is_accepted { Reply::Success } else { Reply::Unknown }, self.now));
             }
             _ => {}
         }
     }
 
-    fn run(&mut self, t: Micros) {
-        let end = self.now + t;
+    fn run(&mut self, duration: Micros) {
+        let end = self.now + duration;
         while self.now < end {
             self.now += MS;
-            while let Some(e) = self.syncs.first_entry().filter(|e| e.key().0 <= self.now) {
-                let (i, token) = e.remove();
+            while let Some(entry) = self.pending_syncs.first_entry().filter(|entry| entry.key().0 <= self.now) {
+                let (i, token) = entry.remove();
                 self.step(i, Event::Synced(token));
             }
-            while let Some(e) = self.wires.first_entry().filter(|e| e.key().0 <= self.now) {
-                let ((at, n), (i, j, f)) = e.remove_entry();
-                if self.cut.contains(&(i, j)) {
+            while let Some(entry) = self.in_flight.first_entry().filter(|entry| entry.key().0 <= self.now) {
+                let ((due, sequence), (i, j, frame)) = entry.remove_entry();
+                if self.blocked_links.contains(&(i, j)) {
                     continue;
                 }
-                if self.still.contains(&j) {
-                    self.wires.insert((at.max(self.now) + MS, n), (i, j, f));
+                if self.paused.contains(&j) {
+                    self.in_flight.insert((due.max(self.now) + MS, sequence), (i, j, frame));
                     continue;
                 }
-                self.step(j, Event::Frame(Box::new(f)));
+                self.step(j, Event::Frame(Box::new(frame)));
             }
             if self.now.is_multiple_of(25 * MS) {
                 for i in 0..self.nodes.len() {
-                    if !self.still.contains(&i) {
+                    if !self.paused.contains(&i) {
                         self.step(i, Event::Tick);
                     }
                 }
@@ -181,69 +185,66 @@
         }
     }
 
-    /// Cuts these machines from all others.
-    fn cut_off(&mut self, of: &[usize], how: Cut) {
+    /// Partitions these nodes from all others.
+    fn partition(&mut self, partitioned: &[usize], partition: Partition) {
         let all = self.nodes.len();
-        for i in of {
-            for j in (0..all).filter(|j| !of.contains(j)) {
-                if how != Cut::Mute {
-                    self.cut.push((j, *i));
+        for i in partitioned {
+            for j in (0..all).filter(|j| !partitioned.contains(j)) {
+                if partition != Partition::Outbound {
+                    self.blocked_links.push((j, *i));
                 }
-                if how != Cut::Deaf {
-                    self.cut.push((*i, j));
+                if partition != Partition::Inbound {
+                    self.blocked_links.push((*i, j));
                 }
             }
         }
     }
 
-    /// One who calls node `i`; the number of the call.
-    fn call(&mut self, i: usize, who: Caller) -> u64 {
-        self.n += 1;
-        let req = 1_000_000 + self.n;
-        match who {
-            Caller::Order => {
-                let base = self.newest();
-                self.order(i, req, base, &doc(base + 1, &format!("o{req}")));
+    /// Sends a call to a node; returns the identifier of the request.
+    fn send_call(&mut self, i: usize, kind: CallKind) -> u64 {
+        self.sequence += 1;
+        let request_id = 1_000_000 + self.sequence;
+        match kind {
+            CallKind::Change => {
+                let base = self.newest_revision();
+                self.submit_document(i, request_id, base, &doc(base + 1, &format!("o{request_id}")));
             }
-            Caller::Read => {
+            CallKind::Read => {
                 let change = Change::ReadNewest;
                 self.step(
                     i,
-                    Event::SubmitChange {
-                        request_id: req,
-                        change_id: ChangeId(0),
-                        is_first_send: false,
-                        base: 0,
-                        change,
-                    },
+                    Event::SubmitChange { request_id, change_id: ChangeId(0), is_first_send: false, base: 0, change },
                 );
             }
-            Caller::Beat => self.step(i, Event::ReportWithAck { request_id: req, report: row("old", req) }),
-            Caller::NewWorker => {
-                self.step(i, Event::ReportWithAck { request_id: req, report: row(&format!("w{req}"), 1) })
+            CallKind::Report => self.step(i, Event::ReportWithAck { request_id, report: report("old", request_id) }),
+            CallKind::NewWorker => {
+                self.step(i, Event::ReportWithAck { request_id, report: report(&format!("w{request_id}"), 1) })
             }
-            Caller::Drain => self.step(
+            CallKind::Drain => self.step(
                 i,
-                Event::ReportWithAck { request_id: req, report: WorkerReport { draining: true, ..row("drains", req) } },
+                Event::ReportWithAck {
+                    request_id,
+                    report: WorkerReport { draining: true, ..report("drains", request_id) },
+                },
             ),
-            Caller::Leave => {
-                self.step(i, Event::ReportWithAck { request_id: req, report: WorkerReport::removal("leaves", 1) })
+            CallKind::Removal => {
+                self.step(i, Event::ReportWithAck { request_id, report: WorkerReport::removal("leaves", 1) })
             }
         }
-        req
+        request_id
     }
 
-    /// The number of the newest document that any node holds.
-    fn newest(&self) -> u64 {
-        self.nodes.iter().map(|x| x.consensus.state.newest().map_or(0, |d| d.revision)).max().unwrap_or(0)
+    /// The newest revision that any node holds.
+    fn newest_revision(&self) -> u64 {
+        self.nodes.iter().map(|node| node.consensus.state.newest().map_or(0, |entry| entry.revision)).max().unwrap_or(0)
     }
 
-    fn order(&mut self, i: usize, req: u64, base: u64, body: &str) {
+    fn submit_document(&mut self, i: usize, request_id: u64, base: u64, body: &str) {
         let change_id = ChangeId(hash64(body.as_bytes()).max(1));
         self.step(
             i,
             Event::SubmitChange {
-                request_id: req,
+                request_id,
                 change_id,
                 is_first_send: false,
                 base,
@@ -252,126 +253,130 @@
         );
     }
 
-    /// Waits for the end of a call: the answer and how long it took.
-    fn end(&mut self, req: u64) -> (Answer, Micros) {
+    /// Waits for the reply to a call; returns it and how long it took.
+    fn wait_for_reply(&mut self, request_id: u64) -> (Reply, Micros) {
         let at = self.now;
-        while !self.answers.contains_key(&req) && self.now < at + 6 * SEC {
+        while !self.replies.contains_key(&request_id) && self.now < at + 6 * SEC {
             self.run(MS);
         }
-        let (a, t) = self.answers.get(&req).cloned().unwrap_or((Answer::No("never".into()), self.now));
-        (a, t.saturating_sub(at))
+        let (reply, replied_at) =
+            self.replies.get(&request_id).cloned().unwrap_or((Reply::Rejected("never".into()), self.now));
+        (reply, replied_at.saturating_sub(at))
     }
 
-    fn ask(&mut self, i: usize, who: Caller) -> (Answer, Micros) {
-        let req = self.call(i, who);
-        self.end(req)
+    fn call(&mut self, i: usize, kind: CallKind) -> (Reply, Micros) {
+        let request_id = self.send_call(i, kind);
+        self.wait_for_reply(request_id)
     }
 
-    /// Workers are known, so that beats are nothing new.
-    fn workers(&mut self) {
-        for (i, w) in ["old", "drains", "leaves"].iter().enumerate() {
-            self.step(i, Event::ReportWithAck { request_id: i as u64, report: row(w, 1) });
+    /// Registers workers, so that their later reports are no news.
+    fn register_workers(&mut self) {
+        for (i, worker) in ["old", "drains", "leaves"].iter().enumerate() {
+            self.step(i, Event::ReportWithAck { request_id: i as u64, report: report(worker, 1) });
         }
         self.run(200 * MS);
     }
 }
 
-/// How long after the cut callers come.
-const AGES: [Micros; 7] = [0, 100 * MS, 300 * MS, 700 * MS, 1_300 * MS, 4_000 * MS, 20_000 * MS];
-/// Well within a caller's second of silence, on its way there and back.
-const SOON: Micros = 450 * MS;
-/// One last look whether it is back.
-const AT_ONCE: Micros = 75 * MS;
-/// By then a core knows that its majority is gone.
-const KNOWN: Micros = 1_300 * MS;
-/// A beat may still be acknowledged on the strength of the last confirmation.
-const TRUSTED: Micros = 700 * MS;
-
-fn word(c: Caller) -> bool {
-    matches!(c, Caller::Beat | Caller::NewWorker)
+/// How long after the partition calls come.
+const PARTITION_AGES: [Micros; 7] = [0, 100 * MS, 300 * MS, 700 * MS, 1_300 * MS, 4_000 * MS, 20_000 * MS];
+/// Well within the time-out of a caller (one second), there and back.
+const MAX_REPLY_TIME: Micros = 450 * MS;
+/// The time of one last probe whether the majority is back.
+const REPLY_TIME_ONCE_KNOWN: Micros = 75 * MS;
+/// By then a core knows that it has lost its majority.
+const LOSS_KNOWN_AFTER: Micros = 1_300 * MS;
+/// For so long a report may still be acknowledged by the last confirmation.
+const CONFIRMATION_TRUSTED: Micros = 700 * MS;
+
+fn may_use_last_confirmation(kind: CallKind) -> bool {
+    matches!(kind, CallKind::Report | CallKind::NewWorker)
 }
 
 #[test]
-fn a_core_without_its_majority_says_so_at_once() {
-    for who in CALLERS {
-        for how in CUTS {
-            for age in AGES {
-                let mut n = Net::new(3, 3, 1);
-                n.workers();
-                n.cut_off(&[0], how);
-                n.run(age);
-                let name = format!("{who:?} {how:?}, {} ms after the cut", age / MS);
-                let (a, t) = n.ask(0, who);
-                if word(who) && age < TRUSTED {
+fn a_core_without_its_majority_replies_unknown_at_once() {
+    for kind in CALL_KINDS {
+        for partition in PARTITIONS {
+            for age in PARTITION_AGES {
+                let mut net = Net::new(3, 3, 1);
+                net.register_workers();
+                net.partition(&[0], partition);
+                net.run(age);
+                let name = format!("{kind:?} {partition:?}, {} ms after the partition", age / MS);
+                let (reply, elapsed) = net.call(0, kind);
+                if may_use_last_confirmation(kind) && age < CONFIRMATION_TRUSTED {
                     continue;
                 }
-                assert_eq!(a, Answer::Unclear, "{name}");
-                let most = if age >= KNOWN { AT_ONCE } else { SOON };
-                assert!(t <= most, "{name}: answered after {} ms", t / MS);
+                assert_eq!(reply, Reply::Unknown, "{name}");
+                let max_elapsed = if age >= LOSS_KNOWN_AFTER { REPLY_TIME_ONCE_KNOWN } else { MAX_REPLY_TIME };
+                assert!(elapsed <= max_elapsed, "{name}: reply after {} ms", elapsed / MS);
             }
         }
     }
 }
 
 #[test]
-fn a_core_that_loses_its_majority_while_callers_wait_says_so_soon() {
-    for who in [Caller::Order, Caller::Read, Caller::Drain, Caller::Leave] {
-        for how in CUTS {
+fn a_core_that_loses_its_majority_while_calls_wait_replies_soon() {
+    for kind in [CallKind::Change, CallKind::Read, CallKind::Drain, CallKind::Removal] {
+        for partition in PARTITIONS {
             for after in 0..6 {
-                let mut n = Net::new(4, 3, 1);
-                n.workers();
-                let req = n.call(0, who);
-                n.run(after * MS);
-                n.cut_off(&[0], how);
-                let (a, t) = n.end(req);
-                let name = format!("{who:?} {how:?}, cut {after} ms after it came: {a:?} after {} ms", t / MS);
-                assert!(matches!(a, Answer::Yes | Answer::Unclear), "{name}");
-                assert!(t <= 2 * SOON, "{name}");
+                let mut net = Net::new(4, 3, 1);
+                net.register_workers();
+                let request_id = net.send_call(0, kind);
+                net.run(after * MS);
+                net.partition(&[0], partition);
+                let (reply, elapsed) = net.wait_for_reply(request_id);
+                let name = format!(
+                    "{kind:?} {partition:?}, partitioned {after} ms after it came: {reply:?} after {} ms",
+                    elapsed / MS
+                );
+                assert!(matches!(reply, Reply::Success | Reply::Unknown), "{name}");
+                assert!(elapsed <= 2 * MAX_REPLY_TIME, "{name}");
             }
         }
     }
 }
 
 #[test]
-fn a_node_without_a_vote_says_so_too() {
-    for who in CALLERS {
-        for how in CUTS {
-            for age in AGES {
-                let mut n = Net::new(3, 3, 1);
-                n.workers();
-                n.cut_off(&[3], how);
-                n.run(age);
-                let name = format!("{who:?} {how:?}, {} ms after the cut", age / MS);
-                let (a, t) = n.ask(3, who);
-                // Its stamp is up to a second older than the cores' own.
-                if word(who) && age < 1_600 * MS {
+fn a_partitioned_node_without_a_vote_replies_unknown_soon() {
+    for kind in CALL_KINDS {
+        for partition in PARTITIONS {
+            for age in PARTITION_AGES {
+                let mut net = Net::new(3, 3, 1);
+                net.register_workers();
+                net.partition(&[3], partition);
+                net.run(age);
+                let name = format!("{kind:?} {partition:?}, {} ms after the partition", age / MS);
+                let (reply, elapsed) = net.call(3, kind);
+                // Its confirmation is up to a second older than that of the cores.
+                if may_use_last_confirmation(kind) && age < 1_600 * MS {
                     continue;
                 }
-                assert_eq!(a, Answer::Unclear, "{name}");
-                assert!(t <= SOON, "{name}: answered after {} ms", t / MS);
+                assert_eq!(reply, Reply::Unknown, "{name}");
+                assert!(elapsed <= MAX_REPLY_TIME, "{name}: reply after {} ms", elapsed / MS);
             }
         }
     }
 }
 
 #[test]
-fn a_front_goes_on_to_a_core_that_can() {
-    // Its nearest core is cut off from it, from the other cores, or from all.
+fn a_change_is_forwarded_to_a_core_with_a_majority() {
+    // Its nearest core is partitioned from the other cores, or from all nodes.
     for (name, to_front) in [("from all", true), ("from the cores", false)] {
-        for how in CUTS {
-            for who in [Caller::Order, Caller::Read] {
-                for age in &AGES[..6] {
+        for partition in PARTITIONS {
+            for kind in [CallKind::Change, CallKind::Read] {
+                for age in &PARTITION_AGES[..6] {
                     for near in 0..3 {
-                        let mut n = Net::new(3, 3, 3);
-                        n.cut_off(&[near], how);
+                        let mut net = Net::new(3, 3, 3);
+                        net.partition(&[near], partition);
                         if !to_front {
-                            n.cut.retain(|(i, j)| *i < 3 && *j < 3);
+                            net.blocked_links.retain(|(i, j)| *i < 3 && *j < 3);
                         }
-                        n.run(*age);
-                        let (a, t) = n.ask(3 + near, who);
-                        let case = format!("{who:?}, core {near} {how:?} {name} for {} ms", age / MS);
-                        assert_eq!(a, Answer::Yes, "{case}, after {} ms", t / MS);
-                        assert!(t < 900 * MS, "{case}: after {} ms", t / MS);
+                        net.run(*age);
+                        let (reply, elapsed) = net.call(3 + near, kind);
+                        let case = format!("{kind:?}, core {near} {partition:?} {name} for {} ms", age / MS);
+                        assert_eq!(reply, Reply::Success, "{case}, after {} ms", elapsed / MS);
+                        assert!(elapsed < 900 * MS, "{case}: after {} ms", elapsed / MS);
                     }
                 }
             }
@@ -380,8 +385,8 @@
 }
 
 #[test]
-fn a_core_in_touch_sends_nobody_away() {
-    // Name, sync, frames lost of a hundred, lateness, a core that is cut off.
+fn a_core_with_its_majority_redirects_no_call() {
+    // Name, sync delay, frames lost of a hundred, most delay of a frame, partitioned core.
     let cases: [(&str, Micros, u64, Micros, &[usize]); 7] = [
         ("well", 0, 0, 0, &[]),
         ("disks of 2 ms", 2 * MS, 0, 0, &[]),
@@ -391,108 +396,115 @@
         ("a core is lost, disks of 50 ms", 50 * MS, 0, 5 * MS, &[2]),
         ("a core is lost, late frames, some lost", 2 * MS, 2, 60 * MS, &[2]),
     ];
-    for (name, sync, lost, late, gone) in cases {
-        let mut n = Net::new(9, 3, 1);
-        n.workers();
-        n.cut_off(gone, Cut::Silent);
-        (n.sync, n.lost, n.late) = (sync, lost, late);
-        n.run(4 * SEC);
+    for (name, sync_delay, loss_percent, max_delay, partitioned) in cases {
+        let mut net = Net::new(9, 3, 1);
+        net.register_workers();
+        net.partition(partitioned, Partition::Both);
+        (net.sync_delay, net.loss_percent, net.max_delay) = (sync_delay, loss_percent, max_delay);
+        net.run(4 * SEC);
         let mut worst = 0;
         for round in 0..40 {
-            n.run(137 * MS);
-            for who in CALLERS {
+            net.run(137 * MS);
+            for kind in CALL_KINDS {
                 let i = [0, 1, 3][round % 3];
-                let (a, t) = n.ask(i, who);
-                worst = worst.max(t);
-                assert_eq!(a, Answer::Yes, "{name}: {who:?} at {i}, round {round}, after {} ms", t / MS);
+                let (reply, elapsed) = net.call(i, kind);
+                worst = worst.max(elapsed);
+                assert_eq!(reply, Reply::Success, "{name}: {kind:?} at {i}, round {round}, after {} ms", elapsed / MS);
             }
         }
-        println!("{name}: the slowest answer after {} ms", worst / MS);
+        println!("{name}: the slowest reply after {} ms", worst / MS);
     }
 }
 
 #[test]
-fn a_core_that_stood_still_is_not_taken_for_cut_off() {
-    for still in [300 * MS, SEC, 3 * SEC, 30 * SEC] {
-        for who in CALLERS {
-            let mut n = Net::new(6, 3, 1);
-            n.workers();
-            n.still.push(0);
-            n.run(still);
-            n.still.clear();
-            let (a, t) = n.ask(0, who);
-            assert_eq!(a, Answer::Yes, "{who:?} after a standstill of {} ms, told after {} ms", still / MS, t / MS);
+fn a_paused_core_is_not_taken_for_partitioned() {
+    for paused in [300 * MS, SEC, 3 * SEC, 30 * SEC] {
+        for kind in CALL_KINDS {
+            let mut net = Net::new(6, 3, 1);
+            net.register_workers();
+            net.paused.push(0);
+            net.run(paused);
+            net.paused.clear();
+            let (reply, elapsed) = net.call(0, kind);
+            assert_eq!(
+                reply,
+                Reply::Success,
+                "{kind:?} after a pause of {} ms, reply after {} ms",
+                paused / MS,
+                elapsed / MS
+            );
         }
     }
 }
 
 #[test]
-fn a_core_that_is_back_takes_calls_again_soon() {
-    for how in CUTS {
-        for who in CALLERS {
-            let mut n = Net::new(7, 3, 1);
-            n.workers();
-            n.cut_off(&[0], how);
-            n.run(20 * SEC);
-            n.cut.clear();
-            let at = n.now;
-            while n.ask(0, who).0 != Answer::Yes {
-                assert!(n.now < at + 400 * MS, "{who:?} {how:?}: refused for too long after the cut");
-                n.run(10 * MS);
+fn a_core_accepts_calls_again_soon_after_a_partition() {
+    for partition in PARTITIONS {
+        for kind in CALL_KINDS {
+            let mut net = Net::new(7, 3, 1);
+            net.register_workers();
+            net.partition(&[0], partition);
+            net.run(20 * SEC);
+            net.blocked_links.clear();
+            let at = net.now;
+            while net.call(0, kind).0 != Reply::Success {
+                assert!(net.now < at + 400 * MS, "{kind:?} {partition:?}: rejected for too long after the partition");
+                net.run(10 * MS);
             }
         }
     }
 }
 
-/// Cores that can bring a leaving to each other, and to nobody else, are no majority.
+/// Cores that reach only each other are no majority.
 #[test]
 fn two_of_five_cores_acknowledge_nothing() {
-    for who in [Caller::Order, Caller::Read, Caller::Drain, Caller::Leave] {
-        let mut n = Net::new(5, 5, 2);
-        n.workers();
-        n.cut_off(&[0, 1], Cut::Silent);
+    for kind in [CallKind::Change, CallKind::Read, CallKind::Drain, CallKind::Removal] {
+        let mut net = Net::new(5, 5, 2);
+        net.register_workers();
+        net.partition(&[0, 1], Partition::Both);
         for age in [10 * MS, 2 * SEC, 2 * SEC] {
-            n.run(age);
-            assert_eq!(n.ask(0, who).0, Answer::Unclear, "{who:?} at the fewer");
+            net.run(age);
+            assert_eq!(net.call(0, kind).0, Reply::Unknown, "{kind:?} in the minority");
         }
-        assert_eq!(n.ask(3, who).0, Answer::Yes, "{who:?} at the more");
+        assert_eq!(net.call(3, kind).0, Reply::Success, "{kind:?} in the majority");
     }
 }
 
 #[test]
-fn a_core_without_its_majority_holds_no_duty() {
-    for how in CUTS {
+fn a_core_without_its_majority_holds_no_lease() {
+    for partition in PARTITIONS {
         for i in 0..3 {
-            let mut n = Net::new(11, 3, 1);
-            let held =
-                |n: &Net, i: usize| (0..8).filter(|d| n.nodes[i].leases.held.valid_epoch(*d, n.now).is_some()).count();
-            n.cut_off(&[i], how);
-            n.run(SEC);
-            assert_eq!(held(&n, i), 0, "core {i} {how:?}: still grants a second after the cut");
-            n.run(SEC);
-            let others: usize = (0..3).filter(|j| *j != i).map(|j| held(&n, j)).sum();
-            assert_eq!(others, 8, "core {i} {how:?}: the others hold all duties");
+            let mut net = Net::new(11, 3, 1);
+            let held = |net: &Net, i: usize| {
+                (0..8).filter(|role| net.nodes[i].leases.held.valid_epoch(*role, net.now).is_some()).count()
+            };
+            net.partition(&[i], partition);
+            net.run(SEC);
+            assert_eq!(held(&net, i), 0, "core {i} {partition:?}: still grants a second after the partition");
+            net.run(SEC);
+            let others: usize = (0..3).filter(|j| *j != i).map(|j| held(&net, j)).sum();
+            assert_eq!(others, 8, "core {i} {partition:?}: the others hold all leases");
         }
     }
 }
 
 #[test]
-fn whoever_reads_reads_all_that_was_acknowledged() {
+fn a_read_returns_all_acknowledged_changes() {
     for seed in 0..12 {
-        let mut n = Net::new(seed, 3, 2);
-        (n.sync, n.late, n.lost) = (2 * MS, 20 * MS, seed % 3 * 4);
-        for k in 0..12 {
-            let at = k % 5;
-            let base = n.newest();
-            let (body, req) = (doc(base + 3, &format!("k{k}")), 10 + k as u64);
-            n.order(at, req, base, &body);
-            if n.end(req).0 != Answer::Yes {
+        let mut net = Net::new(seed, 3, 2);
+        (net.sync_delay, net.max_delay, net.loss_percent) = (2 * MS, 20 * MS, seed % 3 * 4);
+        for index in 0..12 {
+            let at = index % 5;
+            let base = net.newest_revision();
+            let (body, request_id) = (doc(base + 3, &format!("k{index}")), 10 + index as u64);
+            net.submit_document(at, request_id, base, &body);
+            if net.wait_for_reply(request_id).0 != Reply::Success {
                 continue;
             }
-            let reads: Vec<_> = (0..5).map(|i| n.call(i, Caller::Read)).collect();
-            for (i, r) in reads.into_iter().enumerate() {
-                if n.end(r).0 == Answer::Yes {
-                    assert_eq!(n.told.get(&r), Some(&body), "seed {seed}: read at {i} after an order at {at}");
+            let reads: Vec<_> = (0..5).map(|i| net.send_call(i, CallKind::Read)).collect();
+            for (i, read) in reads.into_iter().enumerate() {
+                if net.wait_for_reply(read).0 == Reply::Success {
+                    assert_eq!(net.contents.get(&read), Some(&body), "seed {seed}: read at {i} after a change at {at}");
                 }
             }
         }
@@ -500,95 +512,106 @@
 }
 
 #[test]
-fn an_order_with_an_unclear_answer_is_neither_lost_nor_refused() {
-    let mut unclear = 0;
-    for how in CUTS {
+fn a_change_with_an_unknown_outcome_is_neither_lost_nor_rejected() {
+    let mut unknown = 0;
+    for partition in PARTITIONS {
         for after in 0..12 {
-            let mut n = Net::new(after, 3, 1);
-            n.sync = 2 * MS;
+            let mut net = Net::new(after, 3, 1);
+            net.sync_delay = 2 * MS;
             let (body, other) = (doc(5, "mine"), doc(6, "other"));
-            n.order(0, 1, 1, &body);
-            n.run(after * MS);
-            n.cut_off(&[0], how);
-            let first = n.end(1).0;
-            let name = format!("{how:?} {after} ms after it was sent, then told {first:?}");
-            unclear += u32::from(first == Answer::Unclear);
-            // The same again, elsewhere, as its caller does.
-            n.order(1, 2, 1, &body);
-            assert_eq!(n.end(2).0, Answer::Yes, "{name}");
-            n.order(2, 3, 1, &other);
-            assert!(matches!(n.end(3).0, Answer::No(_)), "{name}: two on one base");
-            n.run(18 * SEC);
-            // At the core that was cut off, while it is and when it is back.
-            n.order(0, 4, 1, &body);
-            assert!(matches!(n.end(4).0, Answer::Yes | Answer::Unclear), "{name}");
-            n.order(0, 5, 1, &other);
-            assert!(matches!(n.end(5).0, Answer::No(_) | Answer::Unclear), "{name}");
-            n.cut.clear();
-            n.run(SEC);
-            n.order(0, 6, 1, &body);
-            assert_eq!(n.end(6).0, Answer::Yes, "{name}, back");
-            n.order(0, 7, 1, &other);
-            assert!(matches!(n.end(7).0, Answer::No(_)), "{name}, back: two on one base");
-            n.run(SEC);
+            net.submit_document(0, 1, 1, &body);
+            net.run(after * MS);
+            net.partition(&[0], partition);
+            let first = net.wait_for_reply(1).0;
+            let name = format!("{partition:?} {after} ms after it was sent, then the reply {first:?}");
+            unknown += u32::from(first == Reply::Unknown);
+            // A retry at another core, as the caller does.
+            net.submit_document(1, 2, 1, &body);
+            assert_eq!(net.wait_for_reply(2).0, Reply::Success, "{name}");
+            net.submit_document(2, 3, 1, &other);
+            assert!(matches!(net.wait_for_reply(3).0, Reply::Rejected(_)), "{name}: two on one base");
+            net.run(18 * SEC);
+            // At the partitioned core, during the partition and after it.
+            net.submit_document(0, 4, 1, &body);
+            assert!(matches!(net.wait_for_reply(4).0, Reply::Success | Reply::Unknown), "{name}");
+            net.submit_document(0, 5, 1, &other);
+            assert!(matches!(net.wait_for_reply(5).0, Reply::Rejected(_) | Reply::Unknown), "{name}");
+            net.blocked_links.clear();
+            net.run(SEC);
+            net.submit_document(0, 6, 1, &body);
+            assert_eq!(net.wait_for_reply(6).0, Reply::Success, "{name}, back");
+            net.submit_document(0, 7, 1, &other);
+            assert!(matches!(net.wait_for_reply(7).0, Reply::Rejected(_)), "{name}, back: two on one base");
+            net.run(SEC);
             for i in 0..3 {
-                assert_eq!(n.nodes[i].consensus.state.newest().map(|d| d.body.clone()), Some(body.clone()), "{name}");
+                assert_eq!(
+                    net.nodes[i].consensus.state.newest().map(|entry| entry.body.clone()),
+                    Some(body.clone()),
+                    "{name}"
+                );
             }
         }
     }
-    assert!(unclear > 10, "only {unclear} orders had an unclear answer");
+    assert!(unknown > 10, "only {unknown} changes had an unknown outcome");
 }
 
-/// A core that hears nobody goes on sending; the others' orders must not suffer by it.
+/// A core that receives nothing goes on sending; the changes of the others must not suffer by it.
 #[test]
-fn a_core_that_hears_nobody_holds_up_no_order_of_the_others() {
+fn a_core_that_receives_nothing_delays_no_change_of_the_others() {
     for after in 0..8 {
-        let mut n = Net::new(after, 3, 1);
-        n.sync = 2 * MS;
-        n.call(0, Caller::Order);
-        n.run(after * MS);
-        n.cut_off(&[0], Cut::Deaf);
-        n.run(2 * SEC);
-        for k in 0..12 {
-            let (a, t) = n.ask(1 + k % 2, Caller::Order);
-            assert_eq!(a, Answer::Yes, "cut {after} ms after an order, the others' order {k}");
-            assert!(t < 500 * MS, "cut {after} ms after an order, the others' order {k}: {} ms", t / MS);
-            n.call(0, Caller::Order);
-            n.run(300 * MS);
+        let mut net = Net::new(after, 3, 1);
+        net.sync_delay = 2 * MS;
+        net.send_call(0, CallKind::Change);
+        net.run(after * MS);
+        net.partition(&[0], Partition::Inbound);
+        net.run(2 * SEC);
+        for index in 0..12 {
+            let (reply, elapsed) = net.call(1 + index % 2, CallKind::Change);
+            assert_eq!(reply, Reply::Success, "partitioned {after} ms after a change, change {index} of the others");
+            assert!(
+                elapsed < 500 * MS,
+                "partitioned {after} ms after a change, change {index} of the others: {} ms",
+                elapsed / MS
+            );
+            net.send_call(0, CallKind::Change);
+            net.run(300 * MS);
         }
     }
 }
 
-/// The voter that a front asked first sends the order in a ballot, and its process ends. Its next
-/// life knows nothing of that and says "not sent here" when the front asks once more.
+/// The voter that was first sent the change proposes it in a ballot, and is restarted. Its next incarnation
+/// knows nothing of that and declines the change when it is forwarded once more.
 #[test]
-fn a_voter_that_began_anew_does_not_speak_for_its_former_life() {
+fn a_restarted_voter_does_not_decline_for_its_earlier_incarnation() {
     let (cores, front) = (3, 3);
     for seed in 1..6 {
-        let mut n = Net::new(seed, cores, 1);
-        let req = n.call(front, Caller::Order);
-        let casts = |n: &Net| {
-            n.wires
+        let mut net = Net::new(seed, cores, 1);
+        let request_id = net.send_call(front, CallKind::Change);
+        let proposing_core = |net: &Net| {
+            net.in_flight
                 .values()
-                .find(|w| matches!(w.2.message, Message::Consensus(ConsensusMessage::Accept { .. })) && w.0 != w.1)
-                .map(|w| w.0)
+                .find(|(from, to, frame)| {
+                    matches!(frame.message, Message::Consensus(ConsensusMessage::Accept { .. })) && from != to
+                })
+                .map(|(from, ..)| *from)
         };
-        let end = n.now + SEC;
-        while casts(&n).is_none() && n.now < end {
-            n.run(MS);
+        let end = net.now + SEC;
+        while proposing_core(&net).is_none() && net.now < end {
+            net.run(MS);
         }
-        let voter = casts(&n).expect("the order is sent in a ballot");
-        // No core hears another one from now on; the front hears all of them.
-        n.cut.extend((0..cores).flat_map(|i| (0..cores).filter(move |j| i != *j).map(move |j| (i, j))));
-        let now = n.now;
-        n.nodes[voter] = Node::new(me(voter, cores, now), &n.kept[voter], seed, now);
-        n.end(req);
-        n.cut.clear();
-        n.run(8 * SEC);
-        let taken = n.nodes.iter().all(|x| x.consensus.state.newest().is_some_and(|d| d.revision == 2));
-        assert!(taken, "seed {seed}: the order that was sent stands in the end");
+        let voter = proposing_core(&net).expect("the change is proposed in a ballot");
+        // From now on the cores receive nothing from each other; the node without a vote reaches all of them.
+        net.blocked_links.extend((0..cores).flat_map(|i| (0..cores).filter(move |j| i != *j).map(move |j| (i, j))));
+        let now = net.now;
+        net.nodes[voter] = Node::new(me(voter, cores, now), &net.disks[voter], seed, now);
+        net.wait_for_reply(request_id);
+        net.blocked_links.clear();
+        net.run(8 * SEC);
+        let is_decided =
+            net.nodes.iter().all(|node| node.consensus.state.newest().is_some_and(|entry| entry.revision == 2));
+        assert!(is_decided, "seed {seed}: the proposed change is decided in the end");
         assert_eq!(
-            n.fates.get(&req),
+            net.outcomes.get(&request_id),
             Some(&ChangeOutcome::Unknown),
             "seed {seed}: the answer must not promise that it never will"
         );
--- a/crates/core/tests/documents/main.rs
+++ b/crates/core/tests/documents/main.rs
@@ -1,4 +1,4 @@
-//! Operators' documents with numbers of their own, agreed by cores that are stepped directly.
+//! Changes of documents with revisions, decided by cores that are stepped directly.
 
 mod net;
 #[path = "../nodes/mod.rs"]
@@ -19,41 +19,45 @@
 };
 
 #[test]
-fn documents_build_on_one_another_by_their_own_numbers() {
-    type Sent = (usize, u64, String, &'static str);
+fn documents_build_on_one_another_by_their_revisions() {
+    type Submitted = (usize, u64, String, &'static str);
     let d = doc;
-    // Name; the node, its base, the document, and how it ends; versions in the end.
-    let cases: Vec<(&str, Vec<Sent>, u64)> = vec![
-        ("the first one", vec![(0, 0, d(1, "a"), "done")], 1),
-        ("at a front", vec![(FRONT, 0, d(1, "a"), "done")], 1),
-        ("uneven steps", vec![(0, 0, d(5, "a"), "done"), (1, 5, d(90, "b"), "done"), (2, 90, d(91, "c"), "done")], 3),
-        ("the same again", vec![(0, 0, d(5, "a"), "done"), (0, 0, d(5, "a"), "done")], 1),
-        ("the same elsewhere", vec![(0, 0, d(5, "a"), "done"), (FRONT, 0, d(5, "a"), "done")], 1),
+    // Name; the node, base, document and outcome of each change; the version in the end.
+    let cases: Vec<(&str, Vec<Submitted>, u64)> = vec![
+        ("the first one", vec![(0, 0, d(1, "a"), "committed")], 1),
+        ("at a front", vec![(FRONT, 0, d(1, "a"), "committed")], 1),
+        (
+            "uneven steps",
+            vec![(0, 0, d(5, "a"), "committed"), (1, 5, d(90, "b"), "committed"), (2, 90, d(91, "c"), "committed")],
+            3,
+        ),
+        ("the same again", vec![(0, 0, d(5, "a"), "committed"), (0, 0, d(5, "a"), "committed")], 1),
+        ("the same elsewhere", vec![(0, 0, d(5, "a"), "committed"), (FRONT, 0, d(5, "a"), "committed")], 1),
         (
             "the same after others",
-            vec![(0, 0, d(5, "a"), "done"), (1, 5, d(6, "b"), "done"), (2, 0, d(5, "a"), "done")],
+            vec![(0, 0, d(5, "a"), "committed"), (1, 5, d(6, "b"), "committed"), (2, 0, d(5, "a"), "committed")],
             2,
         ),
-        ("a base that is passed", vec![(0, 0, d(5, "a"), "done"), (1, 0, d(6, "b"), "stale")], 1),
-        ("a passed base within a step", vec![(0, 0, d(5, "a"), "done"), (1, 3, d(6, "b"), "stale")], 1),
-        ("a base that never was", vec![(0, 0, d(5, "a"), "done"), (1, 7, d(8, "b"), "stale")], 1),
-        ("an equal number", vec![(0, 0, d(5, "a"), "done"), (1, 5, d(5, "b"), "invalid")], 1),
-        ("a lower number", vec![(0, 0, d(5, "a"), "done"), (1, 5, d(4, "b"), "invalid")], 1),
+        ("a base that is passed", vec![(0, 0, d(5, "a"), "committed"), (1, 0, d(6, "b"), "stale")], 1),
+        ("a passed base within a step", vec![(0, 0, d(5, "a"), "committed"), (1, 3, d(6, "b"), "stale")], 1),
+        ("a base that never was", vec![(0, 0, d(5, "a"), "committed"), (1, 7, d(8, "b"), "stale")], 1),
+        ("an equal number", vec![(0, 0, d(5, "a"), "committed"), (1, 5, d(5, "b"), "invalid")], 1),
+        ("a lower number", vec![(0, 0, d(5, "a"), "committed"), (1, 5, d(4, "b"), "invalid")], 1),
         ("no number", vec![(0, 0, "{}".into(), "invalid")], 0),
         ("not read whole", vec![(0, 0, "{\"revision\":1,".into(), "invalid")], 0),
-        ("refused, then mended", vec![(0, 0, d(0, "a"), "invalid"), (0, 0, d(2, "a"), "done")], 1),
+        ("refused, then mended", vec![(0, 0, d(0, "a"), "invalid"), (0, 0, d(2, "a"), "committed")], 1),
     ];
     for (name, sent, vers) in cases {
-        let mut n = Net::new(1);
+        let mut net = Net::new(1);
         let mut last = "{}".to_owned();
-        for (k, (i, base, body, want)) in sent.into_iter().enumerate() {
-            let before = n.held().0;
-            assert_eq!(n.put_now(i, base, &body), want, "{name}, {k}");
-            if n.held().0 > before {
+        for (index, (i, base, body, want)) in sent.into_iter().enumerate() {
+            let before = net.decided().0;
+            assert_eq!(net.submit_and_run(i, base, &body), want, "{name}, {index}");
+            if net.decided().0 > before {
                 last = body;
             }
         }
-        assert_eq!(n.held(), (vers, last), "{name}");
+        assert_eq!(net.decided(), (vers, last), "{name}");
     }
 }
 
@@ -61,18 +65,18 @@
 fn of_two_documents_on_one_base_exactly_one_wins() {
     for seed in 0..20 {
         for (a, b) in [(0, 1), (1, 2), (2, 2), (FRONT, 0), (FRONT, FRONT)] {
-            let mut n = Net::new(seed);
-            assert_eq!(n.put_now(0, 0, &doc(3, "zero")), "done");
-            n.put(a, 1, 3, &doc(7, "a"));
-            n.put(b, 2, 3, &doc(4, "b"));
-            n.run(4 * SEC);
-            let ends = (n.end(1), n.end(2));
-            let want = if ends.0 == "done" { doc(7, "a") } else { doc(4, "b") };
+            let mut net = Net::new(seed);
+            assert_eq!(net.submit_and_run(0, 0, &doc(3, "zero")), "committed");
+            net.submit(a, 1, 3, &doc(7, "a"));
+            net.submit(b, 2, 3, &doc(4, "b"));
+            net.run(4 * SEC);
+            let ends = (net.outcome(1), net.outcome(2));
+            let want = if ends.0 == "committed" { doc(7, "a") } else { doc(4, "b") };
             assert!(
-                matches!((ends.0.as_str(), ends.1.as_str()), ("done", "stale") | ("stale", "done")),
+                matches!((ends.0.as_str(), ends.1.as_str()), ("committed", "stale") | ("stale", "committed")),
                 "seed {seed}, at {a} and {b}: {ends:?}"
             );
-            assert_eq!(n.held(), (2, want), "seed {seed}, at {a} and {b}");
+            assert_eq!(net.decided(), (2, want), "seed {seed}, at {a} and {b}");
         }
     }
 }
@@ -80,146 +84,160 @@
 #[test]
 fn one_document_sent_twice_at_once_is_one_change() {
     for seed in 0..10 {
-        let mut n = Net::new(seed);
-        for (i, req) in [(0, 1), (1, 2), (FRONT, 3)] {
-            n.put(i, req, 0, &doc(9, "a"));
+        let mut net = Net::new(seed);
+        for (i, request_id) in [(0, 1), (1, 2), (FRONT, 3)] {
+            net.submit(i, request_id, 0, &doc(9, "a"));
         }
-        n.run(4 * SEC);
-        assert_eq!([1, 2, 3].map(|r| n.end(r)), ["done", "done", "done"], "seed {seed}");
-        assert_eq!(n.held(), (1, doc(9, "a")));
+        net.run(4 * SEC);
+        assert_eq!([1, 2, 3].map(|r| net.outcome(r)), ["committed", "committed", "committed"], "seed {seed}");
+        assert_eq!(net.decided(), (1, doc(9, "a")));
     }
 }
 
 #[test]
-fn a_change_of_the_cores_outdates_no_document() {
+fn a_change_of_voters_makes_no_document_stale() {
     // Between two documents.
-    let mut n = Net::new(3);
-    assert_eq!(n.put_now(0, 0, &doc(5, "a")), "done");
-    n.cores(1, 1, &[0, 1]);
-    n.run(4 * SEC);
-    assert_eq!((n.end(1), n.held()), ("done".into(), (2, doc(5, "a"))));
-    assert_eq!(n.put_now(1, 5, &doc(6, "b")), "done");
-    assert_eq!(n.put_now(0, 0, &doc(5, "a")), "done", "the first one again");
-    assert_eq!(n.put_now(0, 0, &doc(7, "c")), "stale");
-    assert_eq!(n.held(), (3, doc(6, "b")));
+    let mut net = Net::new(3);
+    assert_eq!(net.submit_and_run(0, 0, &doc(5, "a")), "committed");
+    net.submit_voters(1, 1, &[0, 1]);
+    net.run(4 * SEC);
+    assert_eq!((net.outcome(1), net.decided()), ("committed".into(), (2, doc(5, "a"))));
+    assert_eq!(net.submit_and_run(1, 5, &doc(6, "b")), "committed");
+    assert_eq!(net.submit_and_run(0, 0, &doc(5, "a")), "committed", "the first one again");
+    assert_eq!(net.submit_and_run(0, 0, &doc(7, "c")), "stale");
+    assert_eq!(net.decided(), (3, doc(6, "b")));
     // At the same time: whichever comes first.
     for seed in 0..10 {
-        let mut n = Net::new(seed);
-        n.cores(1, 0, &[0, 1]);
-        n.put(1, 2, 0, &doc(5, "a"));
-        n.run(6 * SEC);
-        assert_eq!(n.end(2), "done", "seed {seed}: {}", n.end(1));
-        assert_eq!(n.held().1, doc(5, "a"), "seed {seed}");
+        let mut net = Net::new(seed);
+        net.submit_voters(1, 0, &[0, 1]);
+        net.submit(1, 2, 0, &doc(5, "a"));
+        net.run(6 * SEC);
+        assert_eq!(net.outcome(2), "committed", "seed {seed}: {}", net.outcome(1));
+        assert_eq!(net.decided().1, doc(5, "a"), "seed {seed}");
     }
 }
 
 #[test]
-fn a_core_that_was_cut_off_tells_what_became_of_old_documents() {
+fn a_core_knows_the_outcomes_of_old_documents_after_a_partition() {
     // What is sent to it after it missed three, and how that ends.
     for (name, base, body, want) in [
-        ("the first it missed", 0, doc(2, "a"), "done"),
-        ("the second", 2, doc(4, "b"), "done"),
-        ("the newest", 4, doc(6, "c"), "done"),
+        ("the first it missed", 0, doc(2, "a"), "committed"),
+        ("the second", 2, doc(4, "b"), "committed"),
+        ("the newest", 4, doc(6, "c"), "committed"),
         ("another on the base that it holds", 0, doc(3, "x"), "stale"),
         ("another within", 2, doc(5, "x"), "stale"),
-        ("one on the newest", 6, doc(7, "x"), "done"),
+        ("one on the newest", 6, doc(7, "x"), "committed"),
     ] {
-        let mut n = Net::new(5);
-        n.cut.push(2);
+        let mut net = Net::new(5);
+        net.partitioned.push(2);
         for (b, r, w) in [(0, 2, "a"), (2, 4, "b"), (4, 6, "c")] {
-            assert_eq!(n.put_now(0, b, &doc(r, w)), "done", "{name}");
+            assert_eq!(net.submit_and_run(0, b, &doc(r, w)), "committed", "{name}");
         }
-        n.cut.clear();
-        assert_eq!(n.put_now(2, base, &body), want, "{name}");
+        net.partitioned.clear();
+        assert_eq!(net.submit_and_run(2, base, &body), want, "{name}");
     }
 }
 
 #[test]
-fn a_document_without_a_clear_end_is_sent_again_and_stands_once() {
-    let mut n = Net::new(8);
-    n.cut.push(0);
-    n.put(0, 1, 0, &doc(2, "a"));
-    n.run(4 * SEC);
-    assert!(!["done", "stale", "invalid"].contains(&n.end(1).as_str()), "nobody could know: {}", n.end(1));
-    assert_eq!(n.put_now(1, 0, &doc(2, "a")), "done");
-    n.cut.clear();
-    n.run(2 * SEC);
-    assert_eq!(n.put_now(0, 0, &doc(2, "a")), "done");
-    assert_eq!(n.held(), (1, doc(2, "a")));
+fn a_document_with_an_unknown_outcome_is_retried_and_committed_once() {
+    let mut net = Net::new(8);
+    net.partitioned.push(0);
+    net.submit(0, 1, 0, &doc(2, "a"));
+    net.run(4 * SEC);
+    assert!(
+        !["committed", "stale", "invalid"].contains(&net.outcome(1).as_str()),
+        "nobody could know: {}",
+        net.outcome(1)
+    );
+    assert_eq!(net.submit_and_run(1, 0, &doc(2, "a")), "committed");
+    net.partitioned.clear();
+    net.run(2 * SEC);
+    assert_eq!(net.submit_and_run(0, 0, &doc(2, "a")), "committed");
+    assert_eq!(net.decided(), (1, doc(2, "a")));
 }
 
-/// One operator's document on its way.
-struct Sent {
+/// A document whose outcome is awaited.
+struct Submitted {
     base: u64,
     revision: u64,
     body: String,
-    req: u64,
-    at: Micros,
-    since: Micros,
+    request_id: u64,
+    submitted_at: Micros,
+    first_submitted_at: Micros,
 }
 
 #[test]
-fn whatever_is_lost_an_acknowledged_document_stays_and_a_refused_one_never_was() {
-    let (mut took, mut stale) = (0, 0);
+fn despite_losses_an_acknowledged_document_stays_and_a_rejected_one_is_never_decided() {
+    let (mut committed, mut stale) = (0, 0);
     for seed in 0..24 {
-        let mut n = Net::new(seed);
-        let mut r = Rng::new(1_000 + seed);
-        n.lost = 2;
-        let mut ops: [Option<Sent>; 2] = [None, None];
+        let mut net = Net::new(seed);
+        let mut rng = Rng::new(1_000 + seed);
+        net.loss_percent = 2;
+        let mut submissions: [Option<Submitted>; 2] = [None, None];
         let (mut done, mut refused) = (Vec::<(u64, String)>::new(), Vec::new());
-        let (mut req, mut serial) = (1, 0);
+        let (mut request_id, mut serial) = (1, 0);
         let mut all = BTreeMap::new();
-        while n.now < 40 * SEC {
-            n.run(100 * MS);
-            n.known(&mut all);
-            // One core at a time is cut off or ends; a while later it is back.
-            if r.chance(5) && n.cut.is_empty() && n.dead.is_empty() {
-                let i = usize::try_from(r.below(3)).expect("small");
-                if r.chance(50) { n.cut.push(i) } else { n.dead.push(i) }
-            } else if r.chance(8) {
-                n.cut.clear();
-                n.dead.clone().into_iter().for_each(|i| n.start(i));
+        while net.now < 40 * SEC {
+            net.run(100 * MS);
+            net.collect_decided(&mut all);
+            // One core at a time is partitioned or stopped, and later back.
+            if rng.chance(5) && net.partitioned.is_empty() && net.stopped.is_empty() {
+                let i = usize::try_from(rng.below(3)).expect("small");
+                if rng.chance(50) { net.partitioned.push(i) } else { net.stopped.push(i) }
+            } else if rng.chance(8) {
+                net.partitioned.clear();
+                net.stopped.clone().into_iter().for_each(|i| net.restart(i));
             }
-            for (k, o) in ops.iter_mut().enumerate() {
-                let to = usize::try_from(r.below(4)).expect("small");
-                let Some(s) = o else {
-                    if !r.chance(15) {
+            for (index, submission) in submissions.iter_mut().enumerate() {
+                let to = usize::try_from(rng.below(4)).expect("small");
+                let Some(submitted) = submission else {
+                    if !rng.chance(15) {
                         continue;
                     }
-                    // What it builds on is what some core holds, which may be old.
-                    let i = usize::try_from(r.below(3)).expect("small");
-                    let base = n.nodes[i].consensus.state.newest().map_or(0, |d| d.revision);
+                    // The base is what some core holds, which may be stale.
+                    let i = usize::try_from(rng.below(3)).expect("small");
+                    let base = net.nodes[i].consensus.state.newest().map_or(0, |d| d.revision);
                     serial += 1;
-                    let revision = base + 1 + r.below(9);
-                    let body = doc(revision, &format!("by{k}n{serial}"));
-                    req += 1;
-                    n.put(to, req, base, &body);
-                    *o = Some(Sent { base, revision, body, req, at: n.now, since: n.now });
+                    let revision = base + 1 + rng.below(9);
+                    let body = doc(revision, &format!("by{index}n{serial}"));
+                    request_id += 1;
+                    net.submit(to, request_id, base, &body);
+                    *submission = Some(Submitted {
+                        base,
+                        revision,
+                        body,
+                        request_id,
+                        submitted_at: net.now,
+                        first_submitted_at: net.now,
+                    });
                     continue;
                 };
-                match n.end(s.req).as_str() {
-                    "done" => done.push((s.base, s.body.clone())),
-                    "stale" => refused.push(s.body.clone()),
-                    "invalid" => panic!("seed {seed}: {} on {} is valid", s.revision, s.base),
-                    "none" if n.now < s.at + 4 * SEC => continue,
+                match net.outcome(submitted.request_id).as_str() {
+                    "committed" => done.push((submitted.base, submitted.body.clone())),
+                    "stale" => refused.push(submitted.body.clone()),
+                    "invalid" => panic!("seed {seed}: {} on {} is valid", submitted.revision, submitted.base),
+                    "pending" if net.now < submitted.submitted_at + 4 * SEC => continue,
                     _ => {
-                        // No clear answer: the same again, anywhere.
-                        assert!(n.now < s.since + 30 * SEC, "seed {seed}: no clear answer in half a minute");
-                        req += 1;
-                        n.put(to, req, s.base, &s.body);
-                        (s.req, s.at) = (req, n.now);
+                        // The outcome is unknown: a retry at any node.
+                        assert!(
+                            net.now < submitted.first_submitted_at + 30 * SEC,
+                            "seed {seed}: no clear answer in half a minute"
+                        );
+                        request_id += 1;
+                        net.submit(to, request_id, submitted.base, &submitted.body);
+                        (submitted.request_id, submitted.submitted_at) = (request_id, net.now);
                         continue;
                     }
                 }
-                *o = None;
+                *submission = None;
             }
         }
-        n.cut.clear();
-        n.dead.clone().into_iter().for_each(|i| n.start(i));
-        n.lost = 0;
-        n.run(6 * SEC);
-        n.held();
-        n.known(&mut all);
+        net.partitioned.clear();
+        net.stopped.clone().into_iter().for_each(|i| net.restart(i));
+        net.loss_percent = 0;
+        net.run(6 * SEC);
+        net.decided();
+        net.collect_decided(&mut all);
         let revs: Vec<_> = all.values().map(|x| x.0).collect();
         assert!(revs.is_sorted_by(|a, b| a < b), "seed {seed}: numbers rise: {revs:?}");
         let bodies: BTreeSet<_> = all.values().map(|x| x.1.clone()).collect();
@@ -231,71 +249,79 @@
         for d in &refused {
             assert!(!bodies.contains(d), "seed {seed}: refused and in force: {d}");
         }
-        (took, stale) = (took + done.len(), stale + refused.len());
+        (committed, stale) = (committed + done.len(), stale + refused.len());
     }
-    assert!(took > 200 && stale > 20, "enough happened: {took} taken, {stale} refused");
+    assert!(committed > 200 && stale > 20, "enough happened: {committed} taken, {stale} refused");
 }
 
 #[test]
-fn an_order_is_answered_after_hundreds_of_others_through_any_node_and_any_loss() {
-    let mut n = Net::new(11);
+fn the_outcome_of_a_change_is_known_after_hundreds_of_others_at_any_node_and_after_any_loss() {
+    let mut net = Net::new(11);
     for (revision, what) in [(1, "a"), (2, "b"), (3, "c")] {
-        assert_eq!(n.put_soon(0, revision - 1, &doc(revision, what)), "done");
+        assert_eq!(net.submit_and_wait(0, revision - 1, &doc(revision, what)), "committed");
     }
-    let last = n.many(3, 150, |r| doc(r, "later"));
-    let all_ends = |n: &mut Net, when: &str| {
+    let last = net.submit_many(3, 150, |r| doc(r, "later"));
+    let check_outcomes = |net: &mut Net, when: &str| {
         for i in 0..ALL {
             for (revision, what) in [(1, "a"), (2, "b"), (3, "c")] {
-                assert_eq!(n.put_soon(i, revision - 1, &doc(revision, what)), "done", "{when}: taken, again at {i}");
-                assert_eq!(n.put_soon(i, revision - 1, &doc(revision, "x")), "stale", "{when}: another one at {i}");
+                assert_eq!(
+                    net.submit_and_wait(i, revision - 1, &doc(revision, what)),
+                    "committed",
+                    "{when}: taken, again at {i}"
+                );
+                assert_eq!(
+                    net.submit_and_wait(i, revision - 1, &doc(revision, "x")),
+                    "stale",
+                    "{when}: another one at {i}"
+                );
             }
         }
     };
-    all_ends(&mut n, "later");
-    n.start(0);
-    n.run(2 * SEC);
-    all_ends(&mut n, "after a new start");
-    // Each disk is lost once, one after the other: nobody has seen the orders themselves.
+    check_outcomes(&mut net, "later");
+    net.restart(0);
+    net.run(2 * SEC);
+    check_outcomes(&mut net, "after a new start");
+    // Each disk is lost once, one after the other: no node has seen the changes themselves.
     for i in 0..CORES {
-        n.wipe(i);
-        n.run(4 * SEC);
+        net.lose_disk(i);
+        net.run(4 * SEC);
     }
-    all_ends(&mut n, "after the loss of every disk");
-    assert_eq!(n.many(last, 2, |r| doc(r, "last")), last + 2);
+    check_outcomes(&mut net, "after the loss of every disk");
+    assert_eq!(net.submit_many(last, 2, |r| doc(r, "last")), last + 2);
 }
 
 #[test]
-fn a_core_that_joined_by_a_snapshot_refuses_nothing_that_may_have_been_taken() {
-    let mut n = Net::new(12);
+fn a_core_that_joined_by_a_snapshot_rejects_nothing_that_may_have_been_decided() {
+    let mut net = Net::new(12);
     for revision in 1..=5 {
-        assert_eq!(n.put_soon(0, revision - 1, &doc(revision, "a")), "done");
+        assert_eq!(net.submit_and_wait(0, revision - 1, &doc(revision, "a")), "committed");
     }
     let grown = |r| doc(r, "a") + &" ".repeat(300_000);
-    n.many(5, 20, grown);
-    // It learns the newest version and hears nothing of what it skipped.
-    n.mute = vec!["DigestReply"];
-    n.wipe(2);
-    n.run(4 * SEC);
+    net.submit_many(5, 20, grown);
+    // It learns the newest version but no digests of those that it skipped.
+    net.dropped_kinds = vec!["DigestReply"];
+    net.lose_disk(2);
+    net.run(4 * SEC);
     for revision in 1..=5 {
         for what in ["a", "x"] {
-            let end = n.put_soon(2, revision - 1, &doc(revision, what));
+            let end = net.submit_and_wait(2, revision - 1, &doc(revision, what));
             assert!(!["stale", "invalid"].contains(&end.as_str()), "{revision} {what}: {end}");
         }
     }
-    n.mute.clear();
-    n.run(SEC);
-    assert_eq!(n.put_soon(2, 0, &doc(1, "a")), "done");
-    assert_eq!(n.put_soon(2, 0, &doc(1, "x")), "stale");
+    net.dropped_kinds.clear();
+    net.run(SEC);
+    assert_eq!(net.submit_and_wait(2, 0, &doc(1, "a")), "committed");
+    assert_eq!(net.submit_and_wait(2, 0, &doc(1, "x")), "stale");
 }
 
 #[test]
-fn a_change_that_a_front_may_have_handed_to_another_core_is_not_refused_by_one_that_skipped_it() {
-    let mut n = Net::new(13);
+fn a_change_that_may_have_been_forwarded_to_another_core_is_not_rejected_by_one_that_skipped_it() {
+    let mut net = Net::new(13);
     let body = doc(2, "a");
     let change_id = ChangeId(hash64(body.as_bytes()).max(1));
-    n.cut.push(0);
-    // The front came here first; this core can't reach the others.
-    let msg = Message::Consensus(ConsensusMessage::Forward {
+    net.partitioned.push(0);
+    // The change was first forwarded to this core, which cannot reach the others.
+    let message = Message::Consensus(ConsensusMessage::Forward {
         request_id: 9,
         change_id,
         is_first_send: true,
@@ -307,29 +333,24 @@
         to: core(0).node_id,
         incarnation: SEC,
         fleet_id: 7,
-        sent_at: n.now,
-        message: msg,
-    };
-    n.step(0, Event::Frame(Box::new(frame)));
-    // It went on to another one, which took it, and so was a further one.
-    assert_eq!(n.put_soon(1, 0, &body), "done");
-    assert_eq!(n.put_soon(1, 2, &doc(4, "b")), "done");
-    let newest = n.nodes[1].consensus.state.newest().expect("has a version").clone();
-    let msg = Message::Consensus(ConsensusMessage::Replicate { entries: vec![newest] });
-    let frame = Frame {
-        from: core(1).node_id,
-        to: core(0).node_id,
-        incarnation: SEC,
-        fleet_id: 7,
-        sent_at: n.now,
-        message: msg,
+        sent_at: net.now,
+        message,
     };
-    n.sent.clear();
-    n.step(0, Event::Frame(Box::new(frame)));
-    n.run(4 * SEC);
-    let said: Vec<_> = n.sent.iter().filter(|s| s.0 == 0).filter_map(|s| s.2.clone()).collect();
-    assert!(!said.is_empty(), "it says something in the end");
-    assert!(!said.iter().any(|f| matches!(f, ChangeOutcome::Stale { .. })), "taken and refused: {said:?}");
+    net.step(0, Event::Frame(Box::new(frame)));
+    // It was forwarded to another core, which had it decided, and so was a later change.
+    assert_eq!(net.submit_and_wait(1, 0, &body), "committed");
+    assert_eq!(net.submit_and_wait(1, 2, &doc(4, "b")), "committed");
+    let newest = net.nodes[1].consensus.state.newest().expect("has a version").clone();
+    let message = Message::Consensus(ConsensusMessage::Replicate { entries: vec![newest] });
+    let frame =
+        Frame { from: core(1).node_id, to: core(0).node_id, incarnation: SEC, fleet_id: 7, sent_at: net.now, message };
+    net.sent.clear();
+    net.step(0, Event::Frame(Box::new(frame)));
+    net.run(4 * SEC);
+    let outcomes: Vec<_> =
+        net.sent.iter().filter(|message| message.from == 0).filter_map(|message| message.outcome.clone()).collect();
+    assert!(!outcomes.is_empty(), "it says something in the end");
+    assert!(!outcomes.iter().any(|f| matches!(f, ChangeOutcome::Stale { .. })), "taken and refused: {outcomes:?}");
 }
 
 /// A document with 350 matches, as a large fleet has.
@@ -345,33 +366,33 @@
 
 #[test]
 fn a_core_that_was_down_through_500_large_changes_catches_up_at_once_and_votes_on_nothing_old() {
-    let mut n = Net::new(14);
-    assert_eq!(n.put_soon(0, 0, &large(1)), "done");
+    let mut net = Net::new(14);
+    assert_eq!(net.submit_and_wait(0, 0, &large(1)), "committed");
     let bytes = large(1).len();
-    n.dead.push(2);
-    let last = n.many(1, 500, large);
-    n.run(2 * SEC);
-    n.sent.clear();
-    n.start(2);
-    let from = n.now;
-    while n.nodes[2].version() != n.nodes[0].version() && n.now < from + 10 * SEC {
-        n.run(MS);
+    net.stopped.push(2);
+    let last = net.submit_many(1, 500, large);
+    net.run(2 * SEC);
+    net.sent.clear();
+    net.restart(2);
+    let from = net.now;
+    while net.nodes[2].version() != net.nodes[0].version() && net.now < from + 10 * SEC {
+        net.run(MS);
     }
-    let caught = n.now - from;
-    let old: Vec<_> = n.sent.iter().filter(|s| s.0 == 2).map(|s| s.1).collect();
-    let acts = ["Prepare", "Promise", "Accept", "Accepted", "Replicate", "TakeoverReply", "LeaseGranted"];
-    assert!(!old.iter().any(|k| acts.contains(k)), "acted on old state: {old:?}");
-    assert!(caught <= SEC, "{} ms until it held the newest version", caught / MS);
-    assert_eq!(n.put_soon(2, 0, &large(1)), "done");
-    assert_eq!(n.put_soon(2, 250, &large(251)), "done", "one that it never heard of");
-    assert_eq!(n.put_soon(2, 250, &(large(251) + " ")), "stale");
-    let answered = n.now - from;
-    assert!(answered <= 4 * SEC, "{} ms until it could tell of every order", answered / MS);
-    n.many(last, 3, large);
+    let caught_up_after = net.now - from;
+    let sent_kinds: Vec<_> = net.sent.iter().filter(|message| message.from == 2).map(|message| message.kind).collect();
+    let forbidden_kinds = ["Prepare", "Promise", "Accept", "Accepted", "Replicate", "TakeoverReply", "LeaseGranted"];
+    assert!(!sent_kinds.iter().any(|index| forbidden_kinds.contains(index)), "acted on old state: {sent_kinds:?}");
+    assert!(caught_up_after <= SEC, "{} ms until it held the newest version", caught_up_after / MS);
+    assert_eq!(net.submit_and_wait(2, 0, &large(1)), "committed");
+    assert_eq!(net.submit_and_wait(2, 250, &large(251)), "committed", "one that it never heard of");
+    assert_eq!(net.submit_and_wait(2, 250, &(large(251) + " ")), "stale");
+    let known_after = net.now - from;
+    assert!(known_after <= 4 * SEC, "{} ms until it could tell of every order", known_after / MS);
+    net.submit_many(last, 3, large);
     println!(
         "500 changes of {bytes} bytes: newest version after {} ms, all orders after {} ms",
-        caught / MS,
-        answered / MS
+        caught_up_after / MS,
+        known_after / MS
     );
 }
 
@@ -381,44 +402,44 @@
 }
 
 #[test]
-fn bodies_in_memory_are_bounded_in_bytes_also_while_a_disk_stands_still() {
-    let mut n = Net::new(15);
-    let last = n.many(0, 8, huge);
-    n.stalled.push(2);
+fn bodies_in_memory_are_bounded_in_bytes_while_a_disk_is_stalled() {
+    let mut net = Net::new(15);
+    let last = net.submit_many(0, 8, huge);
+    net.stalled_disks.push(2);
     let mut most = 0;
     let mut stalled = last;
     for _ in 0..12 {
-        // Through the others: the stalled one can't tell that it is on its disk.
+        // Through the others: the stalled core cannot acknowledge what is not on its disk.
         let by = usize::try_from(stalled % 2).expect("small");
-        assert_eq!(n.put_soon(by, stalled, &huge(stalled + 1)), "done");
+        assert_eq!(net.submit_and_wait(by, stalled, &huge(stalled + 1)), "committed");
         stalled += 1;
-        most = most.max(n.waiting.iter().flat_map(|w| &w.2).map(DurableWrite::size).sum());
+        most = most.max(net.pending_writes.iter().flat_map(|pending| &pending.writes).map(DurableWrite::size).sum());
     }
     let held: Vec<usize> =
-        n.nodes.iter().map(|x| x.consensus.state.history.values().map(|d| d.body.len()).sum()).collect();
+        net.nodes.iter().map(|x| x.consensus.state.history.values().map(|d| d.body.len()).sum()).collect();
     println!("20 versions of 4 MiB: bodies held {held:?}, at most {most} bytes waited for the disk");
     assert!(held.iter().all(|b| *b <= MAX_HISTORY_BYTES), "{held:?}");
-    assert_eq!(n.nodes[FRONT].consensus.state.history.len(), 1, "a front holds the newest alone");
+    assert_eq!(net.nodes[FRONT].consensus.state.history.len(), 1, "a front holds the newest alone");
     assert_eq!(held[FRONT], huge(stalled).len());
     assert!(most <= MAX_UNSYNCED_BYTES + 2 * huge(1).len(), "{most}");
-    n.resume();
-    n.run(2 * SEC);
-    assert_eq!(n.nodes[2].version(), n.nodes[0].version(), "it learns what it missed");
+    net.resume_disks();
+    net.run(2 * SEC);
+    assert_eq!(net.nodes[2].version(), net.nodes[0].version(), "it learns what it missed");
     for i in 0..CORES {
-        assert_eq!(n.put_soon(i, 3, &huge(4)), "done", "at {i}");
-        assert_eq!(n.put_soon(i, 3, &doc(4, "x")), "stale", "at {i}");
+        assert_eq!(net.submit_and_wait(i, 3, &huge(4)), "committed", "at {i}");
+        assert_eq!(net.submit_and_wait(i, 3, &doc(4, "x")), "stale", "at {i}");
     }
 }
 
-/// Reads any text as a document with the number 1.
+/// Reads any text as a document with revision 1.
 fn read_anything(_: &str) -> Result<CompiledConfig, Vec<ConfigError>> {
     Ok(CompiledConfig { revision: 1, ..CompiledConfig::default() })
 }
 
 #[test]
-fn a_change_that_no_frame_could_bring_on_is_refused() {
-    let n = Net::new(16);
-    let kept = n.kept[0].clone();
+fn a_change_too_large_for_a_frame_is_rejected() {
+    let net = Net::new(16);
+    let kept = net.disks[0].clone();
     let mut node = Node::new(NodeSettings { config_reader: read_anything, ..me(0, SEC) }, &kept, 1, SEC);
     for (size, refused) in [(MAX_BODY_BYTES, false), (MAX_BODY_BYTES + 1, true)] {
         let change = Change::Document(" ".repeat(size));
@@ -433,24 +454,24 @@
 }
 
 #[test]
-fn changes_that_wait_at_one_core_are_bounded_in_bytes() {
-    let mut n = Net::new(17);
-    n.cut.push(0);
-    // Retries of the same count too: nobody looks whether their asker still waits.
-    for req in 1..=8 {
-        n.put(0, req, 0, &huge(1));
+fn pending_changes_of_a_core_are_bounded_in_bytes() {
+    let mut net = Net::new(17);
+    net.partitioned.push(0);
+    // Retries of the same change count too, whether or not their caller still waits.
+    for request_id in 1..=8 {
+        net.submit(0, request_id, 0, &huge(1));
     }
-    let open = |n: &Net| (1..=8).filter(|r| n.end(*r) == "none").count();
-    assert_eq!(open(&n), 8, "so many fit");
-    n.put(0, 9, 0, &huge(1));
-    assert_eq!(n.end(9), "Unknown", "said at once, and nothing more than that");
-    assert_eq!(open(&n), 8);
+    let open = |net: &Net| (1..=8).filter(|r| net.outcome(*r) == "pending").count();
+    assert_eq!(open(&net), 8, "so many fit");
+    net.submit(0, 9, 0, &huge(1));
+    assert_eq!(net.outcome(9), "Unknown", "said at once, and nothing more than that");
+    assert_eq!(open(&net), 8);
 }
 
 #[test]
-fn a_large_version_is_handed_to_a_few_askers_at_a_time() {
-    const ASKERS: u64 = 12;
-    let mut n = Net::new(18);
+fn a_large_version_is_sent_to_a_few_subscribers_at_a_time() {
+    const SUBSCRIBERS: u64 = 12;
+    let mut net = Net::new(18);
     let peer = |i: u64| PeerRecord {
         node_id: NodeId(900 + i),
         incarnation: 1,
@@ -462,17 +483,17 @@
         draining: false,
         version: 0,
     };
-    let frame = |n: &Net, from, msg| Frame {
+    let frame = |net: &Net, from, message| Frame {
         from,
         to: core(0).node_id,
         incarnation: 1,
         fleet_id: 7,
-        sent_at: n.now,
-        message: msg,
+        sent_at: net.now,
+        message,
     };
-    for i in 0..ASKERS {
+    for i in 0..SUBSCRIBERS {
         let rows = vec![peer(i)];
-        let msg = Message::Dissemination(DisseminationMessage::Gossip {
+        let message = Message::Dissemination(DisseminationMessage::Gossip {
             heartbeats: vec![],
             records: rows,
             unknown_nodes: vec![],
@@ -480,8 +501,8 @@
             incarnation_set: 0,
             compact_heartbeats: vec![],
         });
-        let f = frame(&n, peer(i).node_id, msg);
-        n.step(0, Event::Frame(Box::new(f)));
+        let f = frame(&net, peer(i).node_id, message);
+        net.step(0, Event::Frame(Box::new(f)));
         let ask = Message::Dissemination(DisseminationMessage::Subscribe {
             seq: 1,
             next_version: 1,
@@ -489,19 +510,19 @@
             incarnation: 0,
             topics: vec!["config".into()],
         });
-        let f = frame(&n, peer(i).node_id, ask);
-        n.step(0, Event::Frame(Box::new(f)));
+        let f = frame(&net, peer(i).node_id, ask);
+        net.step(0, Event::Frame(Box::new(f)));
     }
-    n.told.clear();
-    // Text that does not get smaller by packing it.
+    net.update_bytes.clear();
+    // Text that compression does not make smaller.
     let mut rng = Rng::new(18);
     let noise: String = (0..3 << 16).map(|_| format!("{:016x}", rng.next_u64())).collect();
-    assert_eq!(n.put_soon(1, 0, &doc(1, &noise)), "done");
-    n.run(SEC / 2);
-    let by_zero: Vec<_> = n.told.iter().filter(|t| t.0.0 == 0).map(|t| *t.1).collect();
-    let (most, sum) = (by_zero.iter().max().copied().unwrap_or(0), by_zero.iter().sum::<usize>());
-    let one = n.nodes[0].consensus.state.newest().map_or(0, |d| d.without_body().size());
+    assert_eq!(net.submit_and_wait(1, 0, &doc(1, &noise)), "committed");
+    net.run(SEC / 2);
+    let by_first_core: Vec<_> = net.update_bytes.iter().filter(|t| t.0.0 == 0).map(|t| *t.1).collect();
+    let (most, sum) = (by_first_core.iter().max().copied().unwrap_or(0), by_first_core.iter().sum::<usize>());
+    let one = net.nodes[0].consensus.state.newest().map_or(0, |d| d.without_body().size());
     assert!(one > noise.len() / 3 && one < noise.len(), "{one} bytes packed of {}", noise.len());
     assert!(most <= one, "{most} bytes in one step, {one} for one");
-    assert!(sum >= one * usize::try_from(ASKERS).expect("small"), "all were told: {sum}");
+    assert!(sum >= one * usize::try_from(SUBSCRIBERS).expect("small"), "all were told: {sum}");
 }
--- a/crates/core/tests/documents/patches.rs
+++ b/crates/core/tests/documents/patches.rs
@@ -1,4 +1,4 @@
-//! Changes of single items: what they make of a document, and how nodes agree on them.
+//! Patches of documents: what they make of a document, and how nodes agree on them.
 
 use super::net::{ALL, CORES, FRONT, Net};
 use sumacvale_core::base::{ChangeId, SEC};
@@ -78,7 +78,7 @@
 }
 
 /// Nodes that read documents of rows.
-fn net(seed: u64) -> Net {
+fn patch_net(seed: u64) -> Net {
     let mut net = Net::new(seed);
     for node in &mut net.nodes {
         node.settings.config_reader = read;
@@ -86,37 +86,37 @@
     net
 }
 
-fn send(net: &mut Net, node: usize, req: u64, base: u64, patch: &Patch) {
+fn send_patch(net: &mut Net, node: usize, request_id: u64, base: u64, patch: &Patch) {
     let [a, b, c, d, ..] = patch.hash();
     let change_id = ChangeId(u64::from(u32::from_be_bytes([a, b, c, d])).max(1));
     let change = Change::Patch(patch.clone());
-    net.step(node, Event::SubmitChange { request_id: req, change_id, is_first_send: false, base, change });
+    net.step(node, Event::SubmitChange { request_id, change_id, is_first_send: false, base, change });
 }
 
-fn put(net: &mut Net, node: usize, base: u64, patch: &Patch) -> String {
-    net.n += 1;
-    let req = 10_000 + net.n;
-    send(net, node, req, base, patch);
-    net.wait(req, 5 * SEC)
+fn submit_patch(net: &mut Net, node: usize, base: u64, patch: &Patch) -> String {
+    net.sequence += 1;
+    let request_id = 10_000 + net.sequence;
+    send_patch(net, node, request_id, base, patch);
+    net.wait_for_outcome(request_id, 5 * SEC)
 }
 
-/// A document of many rows, agreed by all.
-fn begun(seed: u64) -> (Net, Vec<(&'static str, u64)>) {
-    let mut net = net(seed);
+/// A network whose newest document has three rows.
+fn net_with_document(seed: u64) -> (Net, Vec<(&'static str, u64)>) {
+    let mut net = patch_net(seed);
     let rows = vec![("a", 1), ("b", 2), ("c", 3)];
-    assert_eq!(net.put_soon(0, 0, &document(5, &rows)), "done");
+    assert_eq!(net.submit_and_wait(0, 0, &document(5, &rows)), "committed");
     net.run(SEC);
     (net, rows)
 }
 
 #[test]
-fn a_patch_is_agreed_and_read_back_as_one_document() {
-    let (mut net, _) = begun(1);
-    assert_eq!(put(&mut net, FRONT, 5, &patch(7, &[("d", 4)], &["a"])), "done");
-    assert_eq!(put(&mut net, 2, 7, &patch(8, &[("b", 9)], &[])), "done");
+fn a_patch_is_decided_and_read_back_as_one_document() {
+    let (mut net, _) = net_with_document(1);
+    assert_eq!(submit_patch(&mut net, FRONT, 5, &patch(7, &[("d", 4)], &["a"])), "committed");
+    assert_eq!(submit_patch(&mut net, 2, 7, &patch(8, &[("b", 9)], &[])), "committed");
     net.run(SEC);
     let want = document(8, &[("b", 9), ("c", 3), ("d", 4)]);
-    assert_eq!(net.held(), (3, want.clone()));
+    assert_eq!(net.decided(), (3, want.clone()));
     assert_eq!(net.nodes[FRONT].consensus.state.newest().map(|d| d.body.clone()), Some(want.clone()));
     net.step(
         FRONT,
@@ -128,16 +128,16 @@
             change: Change::ReadNewest,
         },
     );
-    assert_eq!(net.wait(1, SEC), format!("{:?}", ChangeOutcome::Content { text: want }));
-    // A whole document follows a patch, and a patch that one.
-    assert_eq!(net.put_soon(1, 8, &document(9, &[("x", 1)])), "done");
-    assert_eq!(put(&mut net, 0, 9, &patch(10, &[("y", 2)], &[])), "done");
+    assert_eq!(net.wait_for_outcome(1, SEC), format!("{:?}", ChangeOutcome::Content { text: want }));
+    // A document follows a patch, and a patch follows that document.
+    assert_eq!(net.submit_and_wait(1, 8, &document(9, &[("x", 1)])), "committed");
+    assert_eq!(submit_patch(&mut net, 0, 9, &patch(10, &[("y", 2)], &[])), "committed");
     net.run(SEC);
-    assert_eq!(net.held().1, document(10, &[("x", 1), ("y", 2)]));
+    assert_eq!(net.decided().1, document(10, &[("x", 1), ("y", 2)]));
 }
 
 #[test]
-fn patches_end_under_the_terms_of_whole_documents() {
+fn patches_have_the_same_outcomes_as_documents() {
     for (name, base, number, puts, remove, want) in [
         ("on another base", 4, 9, vec![("d", 1)], vec![], "stale"),
         ("on a base that never was", 6, 9, vec![("d", 1)], vec![], "stale"),
@@ -148,27 +148,27 @@
         ("one that is invalid in part", 5, 9, vec![("d", 1), ("e", 666_666)], vec!["a"], "invalid"),
     ] {
         for node in 0..ALL {
-            let (mut net, rows) = begun(2);
-            let before = net.held();
-            assert_eq!(put(&mut net, node, base, &patch(number, &puts, &remove)), want, "{name} at {node}");
-            assert_eq!(net.held(), before, "{name} at {node}: nothing changed");
-            assert_eq!(before.1, document(5, &rows));
+            let (mut net, rows) = net_with_document(2);
+            let previous = net.decided();
+            assert_eq!(submit_patch(&mut net, node, base, &patch(number, &puts, &remove)), want, "{name} at {node}");
+            assert_eq!(net.decided(), previous, "{name} at {node}: nothing changed");
+            assert_eq!(previous.1, document(5, &rows));
         }
     }
 }
 
 #[test]
-fn a_patch_sent_again_is_acknowledged_again_after_hundreds_of_others() {
-    let (mut net, _) = begun(3);
+fn a_retried_patch_is_acknowledged_again_after_hundreds_of_others() {
+    let (mut net, _) = net_with_document(3);
     let first = patch(6, &[("d", 1)], &["a"]);
-    assert_eq!(put(&mut net, 0, 5, &first), "done");
+    assert_eq!(submit_patch(&mut net, 0, 5, &first), "committed");
     for number in 7..250 {
         let node = usize::try_from(number).expect("small") % ALL;
-        assert_eq!(put(&mut net, node, number - 1, &patch(number, &[("d", number)], &[])), "done");
+        assert_eq!(submit_patch(&mut net, node, number - 1, &patch(number, &[("d", number)], &[])), "committed");
     }
     for node in 0..ALL {
-        assert_eq!(put(&mut net, node, 5, &first), "done", "at {node}");
-        assert_eq!(put(&mut net, node, 5, &patch(6, &[("d", 2)], &["a"])), "stale", "another one at {node}");
+        assert_eq!(submit_patch(&mut net, node, 5, &first), "committed", "at {node}");
+        assert_eq!(submit_patch(&mut net, node, 5, &patch(6, &[("d", 2)], &["a"])), "stale", "another one at {node}");
     }
 }
 
@@ -176,130 +176,136 @@
 fn of_two_patches_on_one_base_exactly_one_wins() {
     for seed in 0..20 {
         for (a, b) in [(0, 1), (2, 2), (FRONT, 0), (FRONT, FRONT)] {
-            let (mut net, _) = begun(seed);
-            send(&mut net, a, 1, 5, &patch(7, &[("d", 1)], &[]));
-            send(&mut net, b, 2, 5, &patch(6, &[("e", 1)], &[]));
+            let (mut net, _) = net_with_document(seed);
+            send_patch(&mut net, a, 1, 5, &patch(7, &[("d", 1)], &[]));
+            send_patch(&mut net, b, 2, 5, &patch(6, &[("e", 1)], &[]));
             net.run(4 * SEC);
-            let ends = [net.end(1), net.end(2)];
-            let won: Vec<_> = ends.iter().filter(|e| *e == "done").collect();
-            assert!(won.len() == 1 && ends.contains(&"stale".to_owned()), "seed {seed}, at {a} and {b}: {ends:?}");
-            net.held();
+            let outcomes = [net.outcome(1), net.outcome(2)];
+            let winners: Vec<_> = outcomes.iter().filter(|e| *e == "committed").collect();
+            assert!(
+                winners.len() == 1 && outcomes.contains(&"stale".to_owned()),
+                "seed {seed}, at {a} and {b}: {outcomes:?}"
+            );
+            net.decided();
         }
     }
 }
 
 #[test]
-fn whoever_missed_patches_learns_the_document_that_they_made() {
+fn a_node_that_missed_patches_learns_the_document_that_they_made() {
     for behind in [0, 1, 2, FRONT] {
         for missed in [1, 5, 200] {
-            let (mut net, _) = begun(4);
-            net.cut.push(behind);
-            let by = (0..CORES).find(|i| *i != behind).expect("another core");
+            let (mut net, _) = net_with_document(4);
+            net.partitioned.push(behind);
+            let other = (0..CORES).find(|i| *i != behind).expect("another core");
             for number in 6..6 + missed {
-                assert_eq!(put(&mut net, by, number - 1, &patch(number, &[("d", number)], &[])), "done");
+                assert_eq!(
+                    submit_patch(&mut net, other, number - 1, &patch(number, &[("d", number)], &[])),
+                    "committed"
+                );
             }
-            net.cut.clear();
+            net.partitioned.clear();
             net.run(3 * SEC);
             let body = |i: usize| net.nodes[i].consensus.state.newest().map(|d| d.body.clone());
-            assert_eq!(body(behind), body(by), "{behind} missed {missed}");
+            assert_eq!(body(behind), body(other), "{behind} missed {missed}");
         }
     }
 }
 
 #[test]
-fn a_core_that_starts_anew_goes_on_from_patches_on_its_disk() {
-    let (mut net, _) = begun(5);
+fn a_restarted_core_goes_on_from_patches_on_its_disk() {
+    let (mut net, _) = net_with_document(5);
     for number in 6..20 {
-        assert_eq!(put(&mut net, 0, number - 1, &patch(number, &[("d", number)], &[])), "done");
+        assert_eq!(submit_patch(&mut net, 0, number - 1, &patch(number, &[("d", number)], &[])), "committed");
     }
     for i in 0..CORES {
-        net.start(i);
+        net.restart(i);
         net.nodes[i].settings.config_reader = read;
     }
     net.run(3 * SEC);
-    assert_eq!(put(&mut net, 1, 19, &patch(20, &[("e", 1)], &["d"])), "done");
+    assert_eq!(submit_patch(&mut net, 1, 19, &patch(20, &[("e", 1)], &["d"])), "committed");
     net.run(SEC);
-    assert_eq!(net.held().1, document(20, &[("a", 1), ("b", 2), ("c", 3), ("e", 1)]));
+    assert_eq!(net.decided().1, document(20, &[("a", 1), ("b", 2), ("c", 3), ("e", 1)]));
 }
 
 #[test]
-fn whatever_is_lost_patches_stand_once_and_in_order() {
+fn despite_losses_patches_are_committed_once_and_in_order() {
     for seed in 0..12 {
-        let (mut net, _) = begun(seed);
-        net.lost = 5;
+        let (mut net, _) = net_with_document(seed);
+        net.loss_percent = 5;
         let mut number = 5;
         for step in 0..60 {
             let node = usize::try_from(net.rng.below(4)).expect("small");
             if step % 9 == 4 {
-                net.cut = vec![usize::try_from(net.rng.below(3)).expect("small")];
+                net.partitioned = vec![usize::try_from(net.rng.below(3)).expect("small")];
             } else if step % 9 == 7 {
-                net.cut.clear();
+                net.partitioned.clear();
             }
             let next = patch(number + 1, &[("d", number)], &[]);
-            // No clear answer: the same again, anywhere.
-            let mut end = put(&mut net, node, number, &next);
+            // The outcome is unknown: a retry at any node.
+            let mut outcome = submit_patch(&mut net, node, number, &next);
             for again in 0..8 {
-                if end == "done" {
+                if outcome == "committed" {
                     break;
                 }
-                assert!(end != "stale" && end != "invalid", "seed {seed}: {end} for the only change");
-                end = put(&mut net, again % ALL, number, &next);
+                assert!(outcome != "stale" && outcome != "invalid", "seed {seed}: {outcome} for the only change");
+                outcome = submit_patch(&mut net, again % ALL, number, &next);
             }
-            assert_eq!(end, "done", "seed {seed}, step {step}");
+            assert_eq!(outcome, "committed", "seed {seed}, step {step}");
             number += 1;
         }
-        net.lost = 0;
-        net.cut.clear();
+        net.loss_percent = 0;
+        net.partitioned.clear();
         net.run(4 * SEC);
         let want = document(number, &[("a", 1), ("b", 2), ("c", 3), ("d", number - 1)]);
-        assert_eq!(net.held().1, want, "seed {seed}");
+        assert_eq!(net.decided().1, want, "seed {seed}");
     }
 }
 
-/// What goes over the wires for one route among 1,600, against the whole.
+/// The bytes on the wire for one row among 1,600, compared to the whole document.
 #[test]
 fn a_change_of_one_item_among_many_costs_a_tenth_at_most() {
     let names: Vec<String> = (0..1_600).map(|i| format!("row-{i:04}-with-a-name-as-long-as-those-of-routes")).collect();
     let rows: Vec<_> = names.iter().map(|n| (n.as_str(), 1)).collect();
     let bytes = |change: &dyn Fn(&mut Net) -> String| {
-        let mut net = net(6);
-        assert_eq!(net.put_soon(0, 0, &document(5, &rows)), "done");
+        let mut net = patch_net(6);
+        assert_eq!(net.submit_and_wait(0, 0, &document(5, &rows)), "committed");
         net.run(2 * SEC);
-        net.bytes = 0;
-        assert_eq!(change(&mut net), "done");
+        net.entry_bytes = 0;
+        assert_eq!(change(&mut net), "committed");
         net.run(SEC);
         assert_eq!(net.nodes[FRONT].version(), Some(2), "it reached the front");
-        net.bytes
+        net.entry_bytes
     };
     let mut changed = rows.clone();
     changed[800].1 = 2;
-    let whole = bytes(&|net| net.put_soon(0, 5, &document(6, &changed)));
-    let one = bytes(&|net| put(net, 0, 5, &patch(6, &[(rows[800].0, 2)], &[])));
+    let whole = bytes(&|net| net.submit_and_wait(0, 5, &document(6, &changed)));
+    let one = bytes(&|net| submit_patch(net, 0, 5, &patch(6, &[(rows[800].0, 2)], &[])));
     println!("one row of 1,600: {one} bytes as a patch, {whole} whole");
     assert!(one * 10 < whole, "{one} of {whole}");
 }
 
 #[test]
-fn a_version_without_its_body_needs_the_one_before() {
-    let base = LogEntry { version: 4, body: document(5, &[("a", 1)]), ..decree() };
+fn an_entry_without_its_body_needs_the_previous_one() {
+    let base = LogEntry { version: 4, body: document(5, &[("a", 1)]), ..entry() };
     let whole = LogEntry {
         version: 5,
         body: document(6, &[("a", 1), ("b", 2)]),
         patch: Some(patch(6, &[("b", 2)], &[])),
-        ..decree()
+        ..entry()
     };
     let stripped = whole.without_body();
     assert!(stripped.lacks_body() && !whole.lacks_body());
     assert_eq!(stripped.clone().with_body_from(&base), Some(whole.clone()));
-    assert_eq!(whole.clone().with_body_from(&decree()), Some(whole), "a whole one needs nothing");
-    for before in [decree(), LogEntry { version: 3, ..base.clone() }, LogEntry { version: 5, ..base.clone() }] {
-        assert_eq!(stripped.clone().with_body_from(&before), None, "on {}", before.version);
+    assert_eq!(whole.clone().with_body_from(&entry()), Some(whole), "a whole one needs nothing");
+    for previous in [entry(), LogEntry { version: 3, ..base.clone() }, LogEntry { version: 5, ..base.clone() }] {
+        assert_eq!(stripped.clone().with_body_from(&previous), None, "on {}", previous.version);
     }
     let other = LogEntry { body: "[]".into(), ..base };
     assert_eq!(stripped.with_body_from(&other), None, "on what is no document");
 }
 
-fn decree() -> LogEntry {
+fn entry() -> LogEntry {
     LogEntry {
         version: 0,
         change_id: ChangeId(1),
