--- a/crates/core/src/cache/shared.rs
+++ b/crates/core/src/cache/shared.rs
@@ -70,7 +70,7 @@
 
 /// A lock that is held for a key.
 #[derive(Debug)]
-struct HeldLock {
+struct KeyLock {
     number: u64,
     expires_at: Micros,
 }
@@ -81,7 +81,7 @@
     /// Negative entries have a capacity of their own, so that unknown keys evict no known ones.
     negatives: Zone<V>,
     /// The locks of fetches in progress, by key. They use none of the capacity.
-    locks: HashMap<String, HeldLock>,
+    locks: HashMap<String, KeyLock>,
     /// The number of the last lock.
     last_lock: u64,
 }
@@ -110,7 +110,7 @@
     fn lock_key(&mut self, key: &str, expires_at: Micros) -> FetchLock {
         self.last_lock += 1;
         let number = self.last_lock;
-        self.locks.insert(key.to_owned(), HeldLock { number, expires_at });
+        self.locks.insert(key.to_owned(), KeyLock { number, expires_at });
         FetchLock { number }
     }
 
@@ -219,13 +219,7 @@
                 let entry = Entry { value, expires_at, version: context.version, weight, is_stale: false };
                 (entry, CacheLevel::Fetched)
             }
-            Err(error @ FetchError::Aborted(_)) => return Err(error),
-            Err(error) => {
-                let Some(stale_ttl) = self.options.stale_ttl else { return Err(error) };
-                let Some(entry) = shard.any_value(key, context).cloned() else { return Err(error) };
-                let expires_at = context.now.saturating_add(stale_ttl);
-                (Entry { expires_at, is_stale: true, ..entry }, CacheLevel::Stale)
-            }
+            Err(error) => (self.stale_entry(&shard, key, error, context)?, CacheLevel::Stale),
         };
         let value = entry.value.clone();
         if holds_lock {
@@ -236,6 +230,23 @@
         Ok(Found { value, level })
     }
 
+    /// The expired entry that replaces a failed fetch, or the error of the fetch.
+    fn stale_entry(
+        &self,
+        shard: &Shard<V>,
+        key: &str,
+        error: FetchError,
+        context: LookupContext,
+    ) -> Result<Entry<V>, FetchError> {
+        if matches!(error, FetchError::Aborted(_)) {
+            return Err(error);
+        }
+        let Some(stale_ttl) = self.options.stale_ttl else { return Err(error) };
+        let Some(entry) = shard.any_value(key, context).cloned() else { return Err(error) };
+        let expires_at = context.now.saturating_add(stale_ttl);
+        Ok(Entry { expires_at, is_stale: true, ..entry })
+    }
+
     /// The stale value for a caller that waited too long for the fetch of another one. It is not
     /// kept for others.
     ///
--- a/crates/core/src/call/lookup.rs
+++ b/crates/core/src/call/lookup.rs
@@ -3,6 +3,7 @@
 
 use super::caches::Cached;
 use super::context::StepContext;
+use super::counters::CallCounters;
 use crate::base::Micros;
 use crate::cache::{CacheLevel, FetchError, FetchResult, Lookup, LookupContext, look_up};
 use crate::node::View;
@@ -52,15 +53,19 @@
     };
     match found {
         Ok(found) => {
-            match found.level {
-                CacheLevel::Local => &counters.cache_l1,
-                CacheLevel::Shared => &counters.cache_l2,
-                CacheLevel::Fetched => &counters.cache_l3,
-                CacheLevel::Stale => &counters.cache_stale,
-            }
-            .increment();
+            count_lookup(counters, found.level);
             LookupOutcome::Found(found.value)
         }
         Err(error) => LookupOutcome::Failed(error),
     }
 }
+
+fn count_lookup(counters: &CallCounters, level: CacheLevel) {
+    let counter = match level {
+        CacheLevel::Local => &counters.cache_l1,
+        CacheLevel::Shared => &counters.cache_l2,
+        CacheLevel::Fetched => &counters.cache_l3,
+        CacheLevel::Stale => &counters.cache_stale,
+    };
+    counter.increment();
+}
--- a/crates/core/src/stream/sse.rs
+++ b/crates/core/src/stream/sse.rs
@@ -19,12 +19,12 @@
 pub enum StreamError {
     /// an event has more than 1 MiB; the worker must send smaller ones
     EventTooLarge,
-    /// event {got} came where {want} was due; the worker must number its events without gaps
+    /// event {received} came where {expected} was due; the worker must number its events without gaps
     EventGap {
         /// The number of the event.
-        got: u64,
+        received: u64,
         /// The number that was due.
-        want: u64,
+        expected: u64,
     },
     /// an event without a number came where a stream is resumed; the worker must number its events
     MissingEventId,
@@ -208,12 +208,12 @@
             self.has_unnumbered = true;
             return if self.is_resuming { Err(StreamError::MissingEventId) } else { Ok(true) };
         };
-        let want = self.last_id.map_or(number, |last| last.saturating_add(1));
-        if number < want && self.is_resuming {
+        let expected = self.last_id.map_or(number, |last| last.saturating_add(1));
+        if number < expected && self.is_resuming {
             return Ok(false);
         }
-        if number != want {
-            return Err(StreamError::EventGap { got: number, want });
+        if number != expected {
+            return Err(StreamError::EventGap { received: number, expected });
         }
         self.is_resuming = false;
         self.has_unnumbered = false;
--- a/crates/core/tests/stream.rs
+++ b/crates/core/tests/stream.rs
@@ -107,9 +107,9 @@
 #[test]
 fn the_numbers_of_a_resumable_stream_have_no_gaps() {
     for (name, stream, error) in [
-        ("a gap", "id: 0\ndata: a\n\nid: 2\ndata: c\n\n", StreamError::EventGap { got: 2, want: 1 }),
-        ("a repeat", "id: 0\ndata: a\n\nid: 0\ndata: a\n\n", StreamError::EventGap { got: 0, want: 1 }),
-        ("a step back", "id: 3\ndata: a\n\nid: 2\ndata: a\n\n", StreamError::EventGap { got: 2, want: 4 }),
+        ("a gap", "id: 0\ndata: a\n\nid: 2\ndata: c\n\n", StreamError::EventGap { received: 2, expected: 1 }),
+        ("a repeat", "id: 0\ndata: a\n\nid: 0\ndata: a\n\n", StreamError::EventGap { received: 0, expected: 1 }),
+        ("a step back", "id: 3\ndata: a\n\nid: 2\ndata: a\n\n", StreamError::EventGap { received: 2, expected: 4 }),
     ] {
         let bytes = stream.as_bytes();
         assert_eq!(EventSplitter::new(true, None).push(bytes), Err(error), "{name} within one worker's stream");
@@ -124,7 +124,7 @@
     assert_eq!(events.concat(), b"id: 4\ndata: b\n\n");
     assert_eq!(
         EventSplitter::new(true, Some(3)).push(b"id: 5\ndata: a\n\n"),
-        Err(StreamError::EventGap { got: 5, want: 4 }),
+        Err(StreamError::EventGap { received: 5, expected: 4 }),
         "what the client did not receive is not skipped"
     );
 }
