--- a/crates/checker/src/quota.rs
+++ b/crates/checker/src/quota.rs
@@ -15,7 +15,7 @@
 use sumacvale_core::lease::quota_role;
 use sumacvale_core::node::{Event, Scope, digest_of};
 use sumacvale_core::protocol::{Frame, Message, QuotaMessage};
-use sumacvale_core::quota::{FULL_SHARE, LOAN_DURATION, SHARE_LEASE, TakeOutcome};
+use sumacvale_core::quota::{AcquireOutcome, FULL_SHARE, LOAN_DURATION, SHARE_LEASE};
 
 const TENANT: &str = "home";
 /// Timers run so often while time passes.
@@ -224,15 +224,17 @@
         let Some(front) = machine.checked_sub(cores) else { return };
         while self.callers[front].waiting > 0 {
             let slices = &self.machines[machine].node_mut().quota.slices;
-            let take =
-                slices.rates.take_for_waiter(TENANT, 1, self.now).unwrap_or_else(|| slices.take(TENANT, self.now));
+            let take = slices
+                .rates
+                .acquire_for_waiter(TENANT, 1, self.now)
+                .unwrap_or_else(|| slices.acquire_unit(TENANT, self.now));
             match take {
-                TakeOutcome::Taken { window, .. } => {
+                AcquireOutcome::Acquired { window, .. } => {
                     self.callers[front].waiting -= 1;
                     self.callers[front].spent.push(Spent { at: self.now, window });
                 }
-                TakeOutcome::WindowSpent { .. } => self.callers[front].waiting = 0,
-                TakeOutcome::Empty | TakeOutcome::RateExhausted { .. } => return,
+                AcquireOutcome::WindowSpent { .. } => self.callers[front].waiting = 0,
+                AcquireOutcome::Empty | AcquireOutcome::RateExhausted { .. } => return,
             }
         }
     }
@@ -244,19 +246,19 @@
         let waits = self.callers[front].waiting > 0;
         let slices = &self.machines[machine].node_mut().quota.slices;
         let look = if waits {
-            slices.rates.peek(TENANT, 1, now).unwrap_or(TakeOutcome::Empty)
+            slices.rates.peek(TENANT, 1, now).unwrap_or(AcquireOutcome::Empty)
         } else {
-            slices.take(TENANT, now)
+            slices.acquire_unit(TENANT, now)
         };
         match look {
-            TakeOutcome::Taken { window, low, .. } => {
+            AcquireOutcome::Acquired { window, low, .. } => {
                 self.callers[front].spent.push(Spent { at: now, window });
                 if low {
                     self.step(machine, Event::QuotaNeeded { tenant: TENANT.into(), waiting: 0 });
                 }
             }
-            TakeOutcome::WindowSpent { .. } => {}
-            TakeOutcome::Empty | TakeOutcome::RateExhausted { .. } => {
+            AcquireOutcome::WindowSpent { .. } => {}
+            AcquireOutcome::Empty | AcquireOutcome::RateExhausted { .. } => {
                 self.callers[front].waiting += 1;
                 self.step(machine, Event::QuotaNeeded { tenant: TENANT.into(), waiting: 1 });
             }
--- a/crates/core/src/call/quota_queue.rs
+++ b/crates/core/src/call/quota_queue.rs
@@ -9,7 +9,7 @@
 use super::io::{Effect, Effects, Event, Wakeup};
 use super::queue_entries::{QueuedCall, TenantQueue, UnitWaiter};
 use crate::base::{MS, Micros, SEC};
-use crate::quota::TakeOutcome;
+use crate::quota::AcquireOutcome;
 
 /// A new lease holder answers within this time; without an answer for longer, waiting is hopeless.
 /// In microseconds.
@@ -68,7 +68,7 @@
     /// This call got its units.
     Granted(Wakeup),
     /// No call could be served; this is what the first one met.
-    Refused(TakeOutcome),
+    Refused(AcquireOutcome),
     /// There was no call to serve.
     Nothing,
 }
@@ -79,21 +79,21 @@
         let mut queues = self.quota_queues.lock_shard(call.tenant);
         let queue = queues.entry(call.tenant.to_owned()).or_insert_with(|| TenantQueue::new(self.queue_capacity, now));
         if queue.waiters.is_empty() {
-            match self.slices.take_units(call.tenant, call.units, now) {
-                TakeOutcome::Taken { window, until, low } => {
+            match self.slices.acquire_units(call.tenant, call.units, now) {
+                AcquireOutcome::Acquired { window, until, low } => {
                     return UnitOutcome::Granted { unit: QuotaUnit { window, expires_at: until }, is_low: low };
                 }
-                TakeOutcome::WindowSpent { remaining } => return UnitOutcome::Exhausted { retry_after: remaining },
-                TakeOutcome::RateExhausted { wait, interval, may_get_more } => {
+                AcquireOutcome::WindowSpent { remaining } => return UnitOutcome::Exhausted { retry_after: remaining },
+                AcquireOutcome::RateExhausted { wait, interval, may_get_more } => {
                     return queue.wait_for_rate(call, RateRefill { wait, interval, may_get_more }, now);
                 }
-                TakeOutcome::Empty => {}
+                AcquireOutcome::Empty => {}
             }
             // Nobody asked for a while, so the lease holder had nothing to answer.
             if now.saturating_sub(queue.last_request_at) > SEC {
                 queue.unanswered_since = None;
             }
-        } else if let Some(TakeOutcome::RateExhausted { wait, interval, may_get_more }) =
+        } else if let Some(AcquireOutcome::RateExhausted { wait, interval, may_get_more }) =
             self.slices.rates.peek(call.tenant, call.units, now)
         {
             return queue.wait_for_rate(call, RateRefill { wait, interval, may_get_more }, now);
@@ -121,14 +121,14 @@
             match self.grant_next(queue, tenant, now) {
                 NextGrant::Granted(wakeup) => wakeups.push(wakeup),
                 NextGrant::Nothing => break,
-                NextGrant::Refused(TakeOutcome::WindowSpent { remaining }) => {
+                NextGrant::Refused(AcquireOutcome::WindowSpent { remaining }) => {
                     wakeups.extend(queue.drop_all(tenant, Event::WindowSpent(remaining)));
                 }
-                NextGrant::Refused(TakeOutcome::RateExhausted { wait, interval, may_get_more }) => {
+                NextGrant::Refused(AcquireOutcome::RateExhausted { wait, interval, may_get_more }) => {
                     wakeups.extend(queue.drop_late(tenant, RateRefill { wait, interval, may_get_more }, now));
                     break;
                 }
-                NextGrant::Refused(TakeOutcome::Empty | TakeOutcome::Taken { .. }) => {
+                NextGrant::Refused(AcquireOutcome::Empty | AcquireOutcome::Acquired { .. }) => {
                     queue.unanswered_since = if wakeups.is_empty() { unanswered_since } else { Some(now) };
                     break;
                 }
@@ -143,9 +143,9 @@
         };
         let mut first_refusal = None;
         let next = queue.waiters.pop(|waiter| {
-            let from_rate = self.slices.rates.take_for_waiter(tenant, waiter.units, now);
-            match from_rate.unwrap_or_else(|| self.slices.take(tenant, now)) {
-                TakeOutcome::Taken { window, until, .. } => Some(QuotaUnit { window, expires_at: until }),
+            let from_rate = self.slices.rates.acquire_for_waiter(tenant, waiter.units, now);
+            match from_rate.unwrap_or_else(|| self.slices.acquire_unit(tenant, now)) {
+                AcquireOutcome::Acquired { window, until, .. } => Some(QuotaUnit { window, expires_at: until }),
                 refusal => {
                     first_refusal.get_or_insert(refusal);
                     None
@@ -168,8 +168,8 @@
 
     /// Behind a call that needs too many units of a rate there may be one that needs fewer.
     fn grant_smaller(&self, queue: &mut TenantQueue, tenant: &str, now: Micros) -> Option<(UnitWaiter, QuotaUnit)> {
-        queue.waiters.pop_any(|waiter| match self.slices.rates.take_for_waiter(tenant, waiter.units, now)? {
-            TakeOutcome::Taken { window, until, .. } => Some(QuotaUnit { window, expires_at: until }),
+        queue.waiters.pop_any(|waiter| match self.slices.rates.acquire_for_waiter(tenant, waiter.units, now)? {
+            AcquireOutcome::Acquired { window, until, .. } => Some(QuotaUnit { window, expires_at: until }),
             _ => None,
         })
     }
--- a/crates/core/src/call/steps/acquire_unit.rs
+++ b/crates/core/src/call/steps/acquire_unit.rs
@@ -15,7 +15,7 @@
 use crate::call::rejections::RejectionReason;
 use crate::call::release::wake_calls;
 use crate::call::state::{BodyRead, Call, CallState, QuotaGranted};
-use crate::quota::TakeOutcome;
+use crate::quota::AcquireOutcome;
 
 /// The unit of calls without a tenant, which need no quota.
 const ANONYMOUS_UNIT: QuotaUnit = QuotaUnit { window: 0, expires_at: Micros::MAX };
@@ -115,8 +115,8 @@
 #[must_use]
 pub(super) fn replace_unit(granted: &mut QuotaGranted, context: &StepContext) -> bool {
     let tenant = &granted.request.route.tenant.name;
-    let taken = context.shared.slices.take_units(tenant, granted.request.units, context.now);
-    let TakeOutcome::Taken { window, until, .. } = taken else { return false };
+    let taken = context.shared.slices.acquire_units(tenant, granted.request.units, context.now);
+    let AcquireOutcome::Acquired { window, until, .. } = taken else { return false };
     granted.unit = QuotaUnit { window, expires_at: until };
     true
 }
--- a/crates/core/src/quota/rates.rs
+++ b/crates/core/src/quota/rates.rs
@@ -4,7 +4,7 @@
 //! counting windows are not here: methods answer `None` or `false` for them, and the caller goes on to
 //! [`WindowSlices`](super::WindowSlices).
 
-use super::{ShareBucket, TakeOutcome};
+use super::{AcquireOutcome, ShareBucket};
 use crate::base::{Micros, Shards, hash64};
 use crate::config::{CompiledConfig, Limit, Rate};
 use crate::protocol::{ShareGrant, ShareRequest};
@@ -73,20 +73,20 @@
     }
 
     /// Takes the units of a call that comes now; none where the tenant has neither a rate nor no limit.
-    pub fn take(&self, tenant: &str, units: u32, now: Micros) -> Option<TakeOutcome> {
+    pub fn acquire_units(&self, tenant: &str, units: u32, now: Micros) -> Option<AcquireOutcome> {
         match self.tenants.lock_shard(tenant).get_mut(tenant)? {
-            TenantRate::Unlimited => Some(TakeOutcome::Taken { window: 0, until: Micros::MAX, low: false }),
-            TenantRate::Limited(bucket) => Some(bucket.take_units(units, now)),
+            TenantRate::Unlimited => Some(AcquireOutcome::Acquired { window: 0, until: Micros::MAX, low: false }),
+            TenantRate::Limited(bucket) => Some(bucket.acquire_units(units, now)),
         }
     }
 
-    /// See [`ShareBucket::take_for_waiter`].
-    pub fn take_for_waiter(&self, tenant: &str, units: u32, now: Micros) -> Option<TakeOutcome> {
-        self.with_bucket(tenant, |bucket| bucket.take_for_waiter(units, now))
+    /// See [`ShareBucket::acquire_for_waiter`].
+    pub fn acquire_for_waiter(&self, tenant: &str, units: u32, now: Micros) -> Option<AcquireOutcome> {
+        self.with_bucket(tenant, |bucket| bucket.acquire_for_waiter(units, now))
     }
 
     /// See [`ShareBucket::peek`].
-    pub fn peek(&self, tenant: &str, units: u32, now: Micros) -> Option<TakeOutcome> {
+    pub fn peek(&self, tenant: &str, units: u32, now: Micros) -> Option<AcquireOutcome> {
         self.with_bucket(tenant, |bucket| bucket.peek(units, now))
     }
 
--- a/crates/core/src/quota/share_bucket.rs
+++ b/crates/core/src/quota/share_bucket.rs
@@ -6,7 +6,7 @@
 //! as long as the lease holder lends units, every [`REQUEST_BACKOFF`] where it has none, and after time-outs
 //! with a backoff that doubles from [`RESPONSE_TIMEOUT`].
 
-use super::TakeOutcome;
+use super::AcquireOutcome;
 use crate::base::{MS, Micros, SEC};
 use crate::config::Rate;
 use crate::protocol::{ShareGrant, ShareRequest};
@@ -228,15 +228,15 @@
     }
 
     /// Takes one unit for a call that comes now.
-    pub fn take(&mut self, now: Micros) -> TakeOutcome {
-        self.take_units(1, now)
+    pub fn acquire_unit(&mut self, now: Micros) -> AcquireOutcome {
+        self.acquire_units(1, now)
     }
 
     /// Takes the units of a call that comes now, all or none.
-    pub fn take_units(&mut self, units: u32, now: Micros) -> TakeOutcome {
+    pub fn acquire_units(&mut self, units: u32, now: Micros) -> AcquireOutcome {
         self.count_demand(units);
-        let outcome = self.take_for_waiter(units, now);
-        if !matches!(outcome, TakeOutcome::RateExhausted { .. } | TakeOutcome::Empty) {
+        let outcome = self.acquire_for_waiter(units, now);
+        if !matches!(outcome, AcquireOutcome::RateExhausted { .. } | AcquireOutcome::Empty) {
             return outcome;
         }
         self.count_missing(units);
@@ -262,25 +262,25 @@
         self.smallest_missing_call = units;
     }
 
-    /// As [`take_units`](Self::take_units), for a call that waited and was counted when it came.
-    pub fn take_for_waiter(&mut self, units: u32, now: Micros) -> TakeOutcome {
+    /// As [`acquire_units`](Self::acquire_units), for a call that waited and was counted when it came.
+    pub fn acquire_for_waiter(&mut self, units: u32, now: Micros) -> AcquireOutcome {
         self.refill(now);
         let price = u128::from(units) * UNIT;
         if self.free >= price {
             let window = self.spend(price, now);
             let low = self.free < share_capacity(self.rate(), self.share) / 4 && self.may_request(now);
-            return TakeOutcome::Taken { window, until: now + UNIT_VALIDITY, low };
+            return AcquireOutcome::Acquired { window, until: now + UNIT_VALIDITY, low };
         }
         let lent = if now < self.loan.expires_at { self.loan.units } else { 0 };
         if lent >= units {
             self.loan.units -= units;
             // A refund of lent units is worth nothing: they were spent where they were lent.
-            return TakeOutcome::Taken { window: 0, until: self.loan.expires_at, low: false };
+            return AcquireOutcome::Acquired { window: 0, until: self.loan.expires_at, low: false };
         }
         let rest = price - u128::from(lent) * UNIT;
         if lent > 0 && self.free >= rest {
             self.loan.units = 0;
-            return TakeOutcome::Taken { window: self.spend(rest, now), until: self.loan.expires_at, low: false };
+            return AcquireOutcome::Acquired { window: self.spend(rest, now), until: self.loan.expires_at, low: false };
         }
         self.exhausted(units, now)
     }
@@ -295,7 +295,7 @@
     }
 
     /// The outcome for a call that comes while others wait, and so takes nothing.
-    pub fn peek(&mut self, units: u32, now: Micros) -> TakeOutcome {
+    pub fn peek(&mut self, units: u32, now: Micros) -> AcquireOutcome {
         self.count_demand(units);
         self.count_missing(units);
         self.refill(now);
@@ -303,20 +303,20 @@
     }
 
     /// The outcome for a call that found too little.
-    fn exhausted(&self, units: u32, now: Micros) -> TakeOutcome {
+    fn exhausted(&self, units: u32, now: Micros) -> AcquireOutcome {
         if self.knows_nothing(now) {
-            return TakeOutcome::Empty;
+            return AcquireOutcome::Empty;
         }
         let may_get_more = self.may_get_more(units, now);
         let (rate, share) = (self.rate(), self.share);
         let refill = share_refill(rate, share, 1);
         let price = u128::from(units) * UNIT;
         if refill == 0 || share_capacity(rate, share) < price {
-            return TakeOutcome::RateExhausted { wait: LONGEST_WAIT, interval: LONGEST_WAIT, may_get_more };
+            return AcquireOutcome::RateExhausted { wait: LONGEST_WAIT, interval: LONGEST_WAIT, may_get_more };
         }
         let refill_time = |units: u128| Micros::try_from(units.div_ceil(refill)).unwrap_or(LONGEST_WAIT);
         let wait = refill_time(price.saturating_sub(self.free));
-        TakeOutcome::RateExhausted { wait, interval: refill_time(price), may_get_more }
+        AcquireOutcome::RateExhausted { wait, interval: refill_time(price), may_get_more }
     }
 
     /// Whether no response is known that is younger than a share's lease.
--- a/crates/core/src/quota/slices.rs
+++ b/crates/core/src/quota/slices.rs
@@ -61,19 +61,19 @@
     }
 
     /// Takes one unit, where there is one that is still valid.
-    fn take_one(&mut self, now: Micros) -> TakeOutcome {
+    fn acquire_one(&mut self, now: Micros) -> AcquireOutcome {
         self.demanded += 1;
         self.last_call_at = now;
         if now < self.valid_until && self.free > 0 {
             self.free -= 1;
             let low = self.free <= self.demand / 2 && now.saturating_sub(self.requested_at) > LOW_REQUEST_BACKOFF;
-            return TakeOutcome::Taken { window: self.window, until: self.valid_until, low };
+            return AcquireOutcome::Acquired { window: self.window, until: self.valid_until, low };
         }
         if now < self.spent_until {
             let ends_at = self.window_ends_at.max(self.valid_until).max(self.spent_until);
-            return TakeOutcome::WindowSpent { remaining: ends_at - now };
+            return AcquireOutcome::WindowSpent { remaining: ends_at - now };
         }
-        TakeOutcome::Empty
+        AcquireOutcome::Empty
     }
 
     /// Measures the demand anew once [`SLICE_DURATION`] has passed; before that it only grows.
@@ -91,9 +91,9 @@
 
 /// The outcome for a call that needs units.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TakeOutcome {
+pub enum AcquireOutcome {
     /// The units were taken.
-    Taken {
+    Acquired {
         /// The window, or of a rate the number, by which the units can be refunded.
         window: u64,
         /// The call must have started by then, in microseconds of this node's clock.
@@ -129,16 +129,16 @@
 
 impl WindowSlices {
     /// Takes one unit for a call that comes now.
-    pub fn take(&self, tenant: &str, now: Micros) -> TakeOutcome {
-        self.take_units(tenant, 1, now)
+    pub fn acquire_unit(&self, tenant: &str, now: Micros) -> AcquireOutcome {
+        self.acquire_units(tenant, 1, now)
     }
 
     /// Takes the units of a call that comes now; of a window each call takes one.
-    pub fn take_units(&self, tenant: &str, units: u32, now: Micros) -> TakeOutcome {
-        if let Some(outcome) = self.rates.take(tenant, units, now) {
+    pub fn acquire_units(&self, tenant: &str, units: u32, now: Micros) -> AcquireOutcome {
+        if let Some(outcome) = self.rates.acquire_units(tenant, units, now) {
             return outcome;
         }
-        self.slices.lock_shard(tenant).entry(tenant.to_owned()).or_default().take_one(now)
+        self.slices.lock_shard(tenant).entry(tenant.to_owned()).or_default().acquire_one(now)
     }
 
     /// Gives back the unit of a call that was rejected unrun, to its own window.
--- a/crates/core/tests/machines.rs
+++ b/crates/core/tests/machines.rs
@@ -9,7 +9,7 @@
     Frame, FrameError, Message, QuotaMessage, WindowGrant, WorkerReport, decode_frame, encode_frame,
 };
 use sumacvale_core::queue::FairQueue;
-use sumacvale_core::quota::{LedgerAction, SliceRequest, TakeOutcome, WindowLedger, WindowSlices};
+use sumacvale_core::quota::{AcquireOutcome, LedgerAction, SliceRequest, WindowLedger, WindowSlices};
 use sumacvale_core::retry::{Execution, FailurePoint, RetryBudget, RetryDecision, decide};
 use sumacvale_core::stream::{EventSplitter, StreamError};
 use sumacvale_core::workers::{MergeOutcome, WorkerTable};
@@ -165,25 +165,25 @@
 #[test]
 fn a_slice_ends_inside_its_window() {
     let s = WindowSlices::default();
-    assert_eq!(s.take("t", 0), TakeOutcome::Empty);
+    assert_eq!(s.acquire_unit("t", 0), AcquireOutcome::Empty);
     s.add_granted("t", 1, 2, SEC);
-    assert!(matches!(s.take("t", 0), TakeOutcome::Taken { window: 1, .. }));
+    assert!(matches!(s.acquire_unit("t", 0), AcquireOutcome::Acquired { window: 1, .. }));
     s.refund("t", 1);
-    assert!(matches!(s.take("t", 1), TakeOutcome::Taken { .. }));
-    assert!(matches!(s.take("t", 2), TakeOutcome::Taken { .. }));
-    assert_eq!(s.take("t", 3), TakeOutcome::Empty);
+    assert!(matches!(s.acquire_unit("t", 1), AcquireOutcome::Acquired { .. }));
+    assert!(matches!(s.acquire_unit("t", 2), AcquireOutcome::Acquired { .. }));
+    assert_eq!(s.acquire_unit("t", 3), AcquireOutcome::Empty);
     s.add_granted("t", 1, 3, SEC);
-    assert_eq!(s.take("t", SEC), TakeOutcome::Empty, "the window is over");
+    assert_eq!(s.acquire_unit("t", SEC), AcquireOutcome::Empty, "the window is over");
     s.add_granted("t", 1, 3, SEC);
-    assert!(matches!(s.take("t", SEC - 1), TakeOutcome::Taken { .. }), "told twice, counted once");
-    assert_eq!(s.take("t", SEC - 1), TakeOutcome::Empty);
+    assert!(matches!(s.acquire_unit("t", SEC - 1), AcquireOutcome::Acquired { .. }), "told twice, counted once");
+    assert_eq!(s.acquire_unit("t", SEC - 1), AcquireOutcome::Empty);
     s.add_granted("t", 2, 5, 2 * SEC);
     s.refund("t", 1);
     assert_eq!(s.return_idle("t", 2, SEC), Some(5), "a refund of an older window adds nothing");
     assert_eq!(s.return_idle("t", 2, SEC), Some(5), "given back once");
-    assert_eq!(s.take("t", SEC), TakeOutcome::Empty);
+    assert_eq!(s.acquire_unit("t", SEC), AcquireOutcome::Empty);
     s.add_granted("t", 1, 9, 3 * SEC);
-    assert_eq!(s.take("t", SEC), TakeOutcome::Empty, "an older window comes too late");
+    assert_eq!(s.acquire_unit("t", SEC), AcquireOutcome::Empty, "an older window comes too late");
 }
 
 #[test]
--- a/crates/core/tests/rates.rs
+++ b/crates/core/tests/rates.rs
@@ -5,7 +5,9 @@
 use sumacvale_core::config::{CompiledConfig, Limit, Rate, effective, validate};
 use sumacvale_core::lease::{LEASE_DURATION, LeaseDecision, LeaseGrantor};
 use sumacvale_core::protocol::{RegisteredIncarnation, ShareGrant, ShareRequest};
-use sumacvale_core::quota::{FULL_SHARE, LOAN_DURATION, SHARE_LEASE, ShareBucket, SharePool, SharePools, TakeOutcome};
+use sumacvale_core::quota::{
+    AcquireOutcome, FULL_SHARE, LOAN_DURATION, SHARE_LEASE, ShareBucket, SharePool, SharePools,
+};
 
 const RATE: Rate = Rate { milli_per_second: 10_000, burst_milli: 10_000 };
 
@@ -14,7 +16,7 @@
 }
 
 fn units_taken(bucket: &mut ShareBucket, now: Micros) -> u64 {
-    (0..1_000).take_while(|_| matches!(bucket.take(now), TakeOutcome::Taken { .. })).count() as u64
+    (0..1_000).take_while(|_| matches!(bucket.acquire_unit(now), AcquireOutcome::Acquired { .. })).count() as u64
 }
 
 /// A bucket that was granted a share at the time of its request.
@@ -84,9 +86,10 @@
         [("at once", MS, 0, 5), ("others were taken", MS, 2, 3), ("the bucket was full meanwhile", SEC, 5, 0)]
     {
         let mut bucket = granted_bucket(500_000, 5_000, SEC);
-        let TakeOutcome::Taken { window, .. } = bucket.take(SEC + 1) else { panic!("{name}") };
+        let AcquireOutcome::Acquired { window, .. } = bucket.acquire_unit(SEC + 1) else { panic!("{name}") };
         let refunded_at = SEC + 1 + elapsed;
-        let spent = (0..spend).filter(|_| matches!(bucket.take(refunded_at), TakeOutcome::Taken { .. })).count();
+        let spent =
+            (0..spend).filter(|_| matches!(bucket.acquire_unit(refunded_at), AcquireOutcome::Acquired { .. })).count();
         assert_eq!(spent, spend, "{name}");
         bucket.refund(window, refunded_at);
         assert_eq!(units_taken(&mut bucket, refunded_at), expected, "{name}");
@@ -104,11 +107,11 @@
 #[test]
 fn an_empty_bucket_reports_when_the_next_unit_is_refilled() {
     let mut bucket = ShareBucket::new(RATE, SEC);
-    assert_eq!(bucket.take(SEC), TakeOutcome::Empty, "no response came yet");
+    assert_eq!(bucket.acquire_unit(SEC), AcquireOutcome::Empty, "no response came yet");
     let mut bucket = granted_bucket(500_000, 0, SEC);
     assert_eq!(
-        bucket.take(SEC),
-        TakeOutcome::RateExhausted { wait: 200 * MS, interval: 200 * MS, may_get_more: true },
+        bucket.acquire_unit(SEC),
+        AcquireOutcome::RateExhausted { wait: 200 * MS, interval: 200 * MS, may_get_more: true },
         "it was not requested yet"
     );
     // The lease holder has none, and its pool is no longer filling up.
@@ -116,22 +119,22 @@
     assert_eq!(bucket.make_request(0, 2, 0, 3 * SEC).missing_units, 2);
     assert!(bucket.apply_grant(2, grant_of(500_000, 0), 3 * SEC, 3 * SEC));
     assert_eq!(
-        bucket.take(3 * SEC),
-        TakeOutcome::RateExhausted { wait: 200 * MS, interval: 200 * MS, may_get_more: false }
+        bucket.acquire_unit(3 * SEC),
+        AcquireOutcome::RateExhausted { wait: 200 * MS, interval: 200 * MS, may_get_more: false }
     );
     let mut bucket = granted_bucket(500_000, 0, SEC);
     assert!(
-        matches!(bucket.take(SEC + 100 * MS), TakeOutcome::RateExhausted { wait, may_get_more: true, .. } if wait == 100 * MS)
+        matches!(bucket.acquire_unit(SEC + 100 * MS), AcquireOutcome::RateExhausted { wait, may_get_more: true, .. } if wait == 100 * MS)
     );
-    assert_eq!(bucket.take(SEC + SHARE_LEASE), TakeOutcome::Empty, "the share has expired");
+    assert_eq!(bucket.acquire_unit(SEC + SHARE_LEASE), AcquireOutcome::Empty, "the share has expired");
     let mut bucket = granted_bucket(0, 0, SEC);
     assert!(
-        matches!(bucket.take(SEC), TakeOutcome::RateExhausted { may_get_more: true, wait, .. } if wait > 3_600 * SEC)
+        matches!(bucket.acquire_unit(SEC), AcquireOutcome::RateExhausted { may_get_more: true, wait, .. } if wait > 3_600 * SEC)
     );
     bucket.make_request(0, 2, 0, 3 * SEC);
     assert!(bucket.apply_grant(2, grant_of(0, 0), 3 * SEC, 3 * SEC), "there is none");
     assert!(
-        matches!(bucket.take(3 * SEC), TakeOutcome::RateExhausted { may_get_more: false, wait, .. } if wait > 3_600 * SEC)
+        matches!(bucket.acquire_unit(3 * SEC), AcquireOutcome::RateExhausted { may_get_more: false, wait, .. } if wait > 3_600 * SEC)
     );
 }
 
@@ -140,7 +143,7 @@
 #[test]
 fn calls_wait_for_the_pool_to_fill_right_after_a_start() {
     let waits = |bucket: &mut ShareBucket, now: Micros| {
-        matches!(bucket.take(now), TakeOutcome::RateExhausted { may_get_more: true, .. })
+        matches!(bucket.acquire_unit(now), AcquireOutcome::RateExhausted { may_get_more: true, .. })
     };
     let respond_with_nothing = |bucket: &mut ShareBucket, request_id: u64, now: Micros| {
         bucket.make_request(0, request_id, 1, now);
@@ -296,7 +299,7 @@
     let slices = sumacvale_core::quota::WindowSlices::default();
     slices.rates.apply_plan(&CompiledConfig::compile(1, r#"{"tenants":{"b":{"keys":[],"quota":"none"}}}"#), 0);
     for now in 0..1_000 {
-        assert!(matches!(slices.take("b", now), TakeOutcome::Taken { low: false, .. }));
+        assert!(matches!(slices.acquire_unit("b", now), AcquireOutcome::Acquired { low: false, .. }));
     }
     assert!(slices.rates.due_requests(true, SEC).is_empty());
 }
@@ -498,15 +501,15 @@
             }
             let local_now = now + front.clock_offset;
             if draw < front.load {
-                match front.bucket.take(local_now) {
-                    TakeOutcome::Taken { window, .. } => {
+                match front.bucket.acquire_unit(local_now) {
+                    AcquireOutcome::Acquired { window, .. } => {
                         if self.loss > 0 && self.rng.chance(5) {
                             front.bucket.refund(window, local_now);
                         } else {
                             self.ran.push(now);
                         }
                     }
-                    TakeOutcome::RateExhausted { wait, may_get_more: more, .. } if more || wait < PATIENCE => {
+                    AcquireOutcome::RateExhausted { wait, may_get_more: more, .. } if more || wait < PATIENCE => {
                         front.bucket.request_soon();
                         front.waiting.push_back(now + PATIENCE);
                     }
@@ -517,7 +520,7 @@
                 }
             }
             while !front.waiting.is_empty()
-                && matches!(front.bucket.take_for_waiter(1, local_now), TakeOutcome::Taken { .. })
+                && matches!(front.bucket.acquire_for_waiter(1, local_now), AcquireOutcome::Acquired { .. })
             {
                 front.waiting.pop_front();
                 self.ran.push(now);
--- a/crates/core/tests/recovery.rs
+++ b/crates/core/tests/recovery.rs
@@ -9,7 +9,7 @@
 use sumacvale_core::lease::{ROLE_COUNT, quota_role};
 use sumacvale_core::node::{Effect, Event, Node, NodeSettings};
 use sumacvale_core::protocol::{Frame, LeaseMessage, Message};
-use sumacvale_core::quota::TakeOutcome;
+use sumacvale_core::quota::AcquireOutcome;
 
 const CORES: usize = 3;
 const ALL: usize = 9;
@@ -269,7 +269,7 @@
 fn fronts_without_shares(net: &Net) -> Vec<usize> {
     let has_share = |i: usize, t: usize| {
         let node = net.nodes[i].as_ref().expect("it runs");
-        !matches!(node.quota.slices.take(&format!("t{t}"), net.now), TakeOutcome::Empty)
+        !matches!(node.quota.slices.acquire_unit(&format!("t{t}"), net.now), AcquireOutcome::Empty)
     };
     (CORES..ALL).filter(|i| !(0..TENANTS).all(|t| has_share(*i, t))).collect()
 }
@@ -489,8 +489,8 @@
         for WaitingCall { front, tenant, received_at } in std::mem::take(&mut self.waiting) {
             let now = net.now;
             let Some(node) = net.nodes[front].as_ref() else { continue };
-            match node.quota.slices.rates.take_for_waiter(&tenant, 1, now) {
-                Some(TakeOutcome::Taken { .. }) => self.served.push(now),
+            match node.quota.slices.rates.acquire_for_waiter(&tenant, 1, now) {
+                Some(AcquireOutcome::Acquired { .. }) => self.served.push(now),
                 _ if now >= received_at + CALL_TIMEOUT => {
                     self.rejected.push(RejectedCall { received_at, cause: cause(net, &tenant) });
                 }
@@ -505,9 +505,9 @@
     fn call(&mut self, net: &Net, front: usize, tenant: String) {
         let node = net.nodes[front].as_ref().expect("it runs");
         let received_at = net.now;
-        match node.quota.slices.take(&tenant, received_at) {
-            TakeOutcome::Taken { .. } => self.served.push(received_at),
-            TakeOutcome::RateExhausted { wait, may_get_more, .. } if !may_get_more && wait > CALL_TIMEOUT => {
+        match node.quota.slices.acquire_unit(&tenant, received_at) {
+            AcquireOutcome::Acquired { .. } => self.served.push(received_at),
+            AcquireOutcome::RateExhausted { wait, may_get_more, .. } if !may_get_more && wait > CALL_TIMEOUT => {
                 self.rejected.push(RejectedCall { received_at, cause: cause(net, &tenant) });
             }
             _ => self.waiting.push(WaitingCall { front, tenant, received_at }),
--- a/crates/core/tests/self_recovery.rs
+++ b/crates/core/tests/self_recovery.rs
@@ -9,7 +9,7 @@
 };
 use sumacvale_core::protocol::{ShareGrant, WorkerReport};
 use sumacvale_core::queue::FairQueue;
-use sumacvale_core::quota::{ShareBucket, TakeOutcome, WindowSlices};
+use sumacvale_core::quota::{AcquireOutcome, ShareBucket, WindowSlices};
 use sumacvale_core::retry::RetryBudget;
 
 const WORKERS: usize = 6;
@@ -133,7 +133,7 @@
     let (mut now, mut last) = (SEC, None);
     for n in 1..40_000u64 {
         now += 5 * MS;
-        let _ = bucket.take(now);
+        let _ = bucket.acquire_unit(now);
         if bucket.is_request_due(true, now) {
             bucket.make_request(1, n, 1, now);
             last = Some((n, now));
@@ -143,15 +143,15 @@
     assert!(now - sent_at <= 1_005 * MS, "the last request was sent {} µs ago", now - sent_at);
     let grant = ShareGrant { granted: true, share: 500_000, burst_milli: 20_000, ..ShareGrant::default() };
     assert!(bucket.apply_grant(n, grant, sent_at, now));
-    assert!(matches!(bucket.take(now), TakeOutcome::Taken { .. }), "the first reply is enough");
+    assert!(matches!(bucket.acquire_unit(now), AcquireOutcome::Acquired { .. }), "the first reply is enough");
 }
 
 #[test]
 fn a_spent_window_expires_though_its_holder_is_lost() {
     let slices = WindowSlices::default();
     slices.mark_spent("t", 3, 60 * SEC, SEC);
-    assert!(matches!(slices.take("t", SEC), TakeOutcome::WindowSpent { .. }));
-    assert!(matches!(slices.take("t", SEC + 200 * MS), TakeOutcome::Empty), "a slice is requested again");
+    assert!(matches!(slices.acquire_unit("t", SEC), AcquireOutcome::WindowSpent { .. }));
+    assert!(matches!(slices.acquire_unit("t", SEC + 200 * MS), AcquireOutcome::Empty), "a slice is requested again");
 }
 
 #[test]
--- a/crates/core/tests/slices.rs
+++ b/crates/core/tests/slices.rs
@@ -8,7 +8,7 @@
 use sumacvale_core::config::{CompiledConfig, WindowQuota};
 use sumacvale_core::node::Event;
 use sumacvale_core::protocol::{ConsensusMessage, Message, QuotaMessage};
-use sumacvale_core::quota::{LedgerAction, SliceRequest, TakeOutcome, WindowLedger, WindowSlices};
+use sumacvale_core::quota::{AcquireOutcome, LedgerAction, SliceRequest, WindowLedger, WindowSlices};
 
 const QUOTA: WindowQuota = WindowQuota { calls: 60, window: SEC };
 const TENANT: &str = "t";
@@ -102,7 +102,7 @@
     for (name, meanwhile, keeps_unit, (returned, free)) in cases {
         let slices = WindowSlices::default();
         slices.add_granted(TENANT, 1, 2, start + SEC);
-        assert!(matches!(slices.take(TENANT, start), TakeOutcome::Taken { window: 1, .. }), "{name}");
+        assert!(matches!(slices.acquire_unit(TENANT, start), AcquireOutcome::Acquired { window: 1, .. }), "{name}");
         assert!(slices.park(TENANT, 1), "{name}");
         assert!(!slices.park(TENANT, 1), "{name}: no more than was taken");
         meanwhile(&slices, start + 10 * MS);
@@ -126,10 +126,13 @@
     let start = 10 * SEC;
     slices.add_granted(TENANT, 1, 5, start + 100 * MS);
     slices.mark_spent(TENANT, 1, start + 300 * MS, start + 90 * MS);
-    let before = slices.take(TENANT, start + 95 * MS);
-    assert!(matches!(before, TakeOutcome::Taken { window: 1, until, .. } if until == start + 100 * MS), "{before:?}");
-    let after = slices.take(TENANT, start + 150 * MS);
-    assert_eq!(after, TakeOutcome::WindowSpent { remaining: 150 * MS }, "the slice ended 50 ms ago");
+    let before = slices.acquire_unit(TENANT, start + 95 * MS);
+    assert!(
+        matches!(before, AcquireOutcome::Acquired { window: 1, until, .. } if until == start + 100 * MS),
+        "{before:?}"
+    );
+    let after = slices.acquire_unit(TENANT, start + 150 * MS);
+    assert_eq!(after, AcquireOutcome::WindowSpent { remaining: 150 * MS }, "the slice ended 50 ms ago");
 }
 
 /// A core that does not rank first for the tenant's role.
@@ -178,17 +181,17 @@
             Message::Quota(QuotaMessage::WindowSpent { request_id, tenant: TENANT.into(), window: 24, remaining });
         fleet.tell_late(holder, REQUESTER, spent, delay);
         let now = fleet.now;
-        let outcome = fleet.node(REQUESTER).quota.slices.take(TENANT, now);
+        let outcome = fleet.node(REQUESTER).quota.slices.acquire_unit(TENANT, now);
         let requests_again = newest_request(&fleet).is_some_and(|newest| newest.1 != request_id);
         if runs {
             assert_eq!(
                 outcome,
-                TakeOutcome::WindowSpent { remaining: remaining - delay },
+                AcquireOutcome::WindowSpent { remaining: remaining - delay },
                 "{remaining} remaining, {delay} delay"
             );
             assert!(!requests_again, "{remaining} remaining, {delay} delay: the window is spent");
         } else {
-            assert_eq!(outcome, TakeOutcome::Empty, "{remaining} remaining, {delay} delay: a new window has begun");
+            assert_eq!(outcome, AcquireOutcome::Empty, "{remaining} remaining, {delay} delay: a new window has begun");
             assert!(requests_again, "{remaining} remaining, {delay} delay: units are requested of the new window");
         }
     }
--- a/crates/core/tests/token_rates.rs
+++ b/crates/core/tests/token_rates.rs
@@ -4,7 +4,7 @@
 use sumacvale_core::base::{MS, Micros, NodeId, Rng, SEC};
 use sumacvale_core::config::{Limit, Measure, Rate, validate};
 use sumacvale_core::protocol::{ShareGrant, ShareRequest};
-use sumacvale_core::quota::{FULL_SHARE, LOAN_DURATION, ShareBucket, SharePool, TakeOutcome};
+use sumacvale_core::quota::{AcquireOutcome, FULL_SHARE, LOAN_DURATION, ShareBucket, SharePool};
 
 const RATE: Rate = Rate { milli_per_second: 900_000_000, burst_milli: 900_000_000 };
 
@@ -20,8 +20,8 @@
     bucket
 }
 
-fn is_taken(outcome: TakeOutcome) -> bool {
-    matches!(outcome, TakeOutcome::Taken { .. })
+fn is_taken(outcome: AcquireOutcome) -> bool {
+    matches!(outcome, AcquireOutcome::Acquired { .. })
 }
 
 #[test]
@@ -82,9 +82,9 @@
         ("a share too small for it", FULL_SHARE / 100, 9_000_000, 0, 50_000, false),
     ] {
         let mut bucket = granted_bucket(grant_of(share, burst_milli, loaned_units), SEC);
-        assert_eq!(is_taken(bucket.take_units(units, SEC)), expected, "{name}");
+        assert_eq!(is_taken(bucket.acquire_units(units, SEC)), expected, "{name}");
         if !expected {
-            let left = (0..100).take_while(|_| is_taken(bucket.take_units(1_000, SEC))).count() as u64;
+            let left = (0..100).take_while(|_| is_taken(bucket.acquire_units(1_000, SEC))).count() as u64;
             let held = (burst_milli / 1_000).min(RATE.burst_milli / 1_000 * u64::from(share) / u64::from(FULL_SHARE));
             assert!(left + 1 >= held / 1_000, "{name}: {left} smaller ones of {held} units");
         }
@@ -94,26 +94,26 @@
 #[test]
 fn a_refund_is_worth_what_was_taken() {
     let mut bucket = granted_bucket(grant_of(FULL_SHARE, 100_000_000, 0), SEC);
-    let take = |bucket: &mut ShareBucket, units| match bucket.take_units(units, SEC) {
-        TakeOutcome::Taken { window, .. } => window,
+    let take = |bucket: &mut ShareBucket, units| match bucket.acquire_units(units, SEC) {
+        AcquireOutcome::Acquired { window, .. } => window,
         other => panic!("{other:?}"),
     };
-    // Taken at the same moment, and still distinguished.
+    // Acquired at the same moment, and still distinguished.
     let (small, large) = (take(&mut bucket, 2_000), take(&mut bucket, 60_000));
     assert_ne!(small, large);
     bucket.refund(large, SEC);
-    assert!(is_taken(bucket.take_units(98_000, SEC)), "all but what the small one took");
+    assert!(is_taken(bucket.acquire_units(98_000, SEC)), "all but what the small one took");
     bucket.refund(small, SEC);
     bucket.refund(small, SEC);
-    assert!(is_taken(bucket.take_units(2_000, SEC)));
-    assert!(!is_taken(bucket.take_units(1, SEC)), "nothing is refunded twice");
+    assert!(is_taken(bucket.acquire_units(2_000, SEC)));
+    assert!(!is_taken(bucket.acquire_units(1, SEC)), "nothing is refunded twice");
     // A loan is not refunded.
     let mut bucket = granted_bucket(grant_of(FULL_SHARE, 1_000_000, 4_000), SEC);
     let both = take(&mut bucket, 4_500);
     bucket.refund(both, SEC);
-    assert!(is_taken(bucket.take_units(1_000, SEC)) && !is_taken(bucket.take_units(1, SEC)));
+    assert!(is_taken(bucket.acquire_units(1_000, SEC)) && !is_taken(bucket.acquire_units(1, SEC)));
     let mut bucket = granted_bucket(grant_of(0, 0, 4_000), SEC);
-    assert!(!is_taken(bucket.take_units(1_000, SEC + LOAN_DURATION)), "a loan expires");
+    assert!(!is_taken(bucket.acquire_units(1_000, SEC + LOAN_DURATION)), "a loan expires");
 }
 
 #[test]
@@ -201,8 +201,8 @@
             let units = size(&mut rng);
             outcome.calls += 1;
             let front = &mut fronts[index];
-            match front.bucket.take_units(units, now) {
-                TakeOutcome::Taken { .. } => outcome.ran.push((now, units)),
+            match front.bucket.acquire_units(units, now) {
+                AcquireOutcome::Acquired { .. } => outcome.ran.push((now, units)),
                 _ => {
                     front.bucket.request_soon();
                     front.waiting.push_back((now + PATIENCE, units));
@@ -212,7 +212,7 @@
         for (index, front) in fronts.iter_mut().enumerate() {
             while let Some((_, units)) = front.waiting.front().copied() {
                 front.bucket.set_smallest_call(units);
-                if !is_taken(front.bucket.take_for_waiter(units, now)) {
+                if !is_taken(front.bucket.acquire_for_waiter(units, now)) {
                     break;
                 }
                 outcome.ran.push((now, units));
@@ -293,10 +293,10 @@
 fn a_single_large_call_changes_no_share() {
     let mut bucket = ShareBucket::new(RATE, SEC);
     for second in 1..=8 {
-        bucket.take_units(1_000, second * SEC);
+        bucket.acquire_units(1_000, second * SEC);
         bucket.make_request(7, second, 0, second * SEC);
     }
-    bucket.take_units(60_000, 9 * SEC);
+    bucket.acquire_units(60_000, 9 * SEC);
     let request = bucket.make_request(7, 9, 0, 9 * SEC);
     let mut pool = SharePool::full(RATE, SEC);
     let grant = pool.request((NodeId(1), 1), 1, &request, RATE, 90, 9 * SEC).expect("a response");
@@ -304,7 +304,7 @@
     // Many calls in each second are.
     let mut bucket = ShareBucket::new(RATE, SEC);
     (0..40).for_each(|_| {
-        bucket.take_units(10_000, SEC);
+        bucket.acquire_units(10_000, SEC);
     });
     let request = bucket.make_request(7, 1, 0, SEC + 500 * MS);
     let grant =
@@ -315,43 +315,45 @@
 /// A call that came while a request was pending is not part of it: the response means nothing for this call.
 #[test]
 fn a_call_during_a_pending_request_is_requested_for_before_it_is_rejected() {
-    let may_get_more = |outcome: TakeOutcome| matches!(outcome, TakeOutcome::RateExhausted { may_get_more: true, .. });
+    let may_get_more =
+        |outcome: AcquireOutcome| matches!(outcome, AcquireOutcome::RateExhausted { may_get_more: true, .. });
     let mut bucket = granted_bucket(grant_of(0, 0, 0), SEC);
     let now = 2 * SEC;
-    assert!(may_get_more(bucket.take_units(2_000, now)));
+    assert!(may_get_more(bucket.acquire_units(2_000, now)));
     assert_eq!(bucket.make_request(7, 2, 0, now).missing_units, 2_000);
-    assert!(may_get_more(bucket.take_units(3_000, now + MS)), "a response is awaited");
+    assert!(may_get_more(bucket.acquire_units(3_000, now + MS)), "a response is awaited");
     assert!(bucket.apply_grant(2, grant_of(0, 0, 2_000), now, now + MS));
-    assert!(is_taken(bucket.take_for_waiter(2_000, now + MS)));
-    assert!(may_get_more(bucket.take_for_waiter(3_000, now + MS)), "it is requested for next");
+    assert!(is_taken(bucket.acquire_for_waiter(2_000, now + MS)));
+    assert!(may_get_more(bucket.acquire_for_waiter(3_000, now + MS)), "it is requested for next");
     bucket.request_soon();
     assert!(bucket.is_request_due(true, now + 5 * MS));
     assert_eq!(bucket.make_request(7, 3, 0, now + 5 * MS).missing_units, 3_000);
     // Now the lease holder has responded that it has none.
     assert!(bucket.apply_grant(3, grant_of(0, 0, 0), now + 5 * MS, now + 6 * MS));
-    assert!(!may_get_more(bucket.take_for_waiter(3_000, now + 6 * MS)));
+    assert!(!may_get_more(bucket.acquire_for_waiter(3_000, now + 6 * MS)));
 }
 
 /// Too few units for a large call may be enough for smaller ones.
 #[test]
 fn a_large_call_that_finds_too_few_units_causes_no_rejection_of_a_small_one() {
-    let may_get_more = |outcome: TakeOutcome| matches!(outcome, TakeOutcome::RateExhausted { may_get_more: true, .. });
+    let may_get_more =
+        |outcome: AcquireOutcome| matches!(outcome, AcquireOutcome::RateExhausted { may_get_more: true, .. });
     let mut bucket = granted_bucket(grant_of(0, 0, 0), SEC);
     let now = 10 * SEC;
     bucket.make_request(7, 2, 0, now - 2 * SEC);
     assert!(bucket.apply_grant(2, grant_of(0, 0, 0), now - 2 * SEC, now - 2 * SEC));
-    assert!(may_get_more(bucket.take_units(50_000, now)));
+    assert!(may_get_more(bucket.acquire_units(50_000, now)));
     bucket.make_request(7, 3, 0, now);
     assert!(bucket.apply_grant(3, grant_of(0, 0, 0), now, now + MS));
-    assert!(!may_get_more(bucket.take_for_waiter(50_000, now + 2 * MS)), "for this one there is too little");
-    assert!(may_get_more(bucket.take_units(2_000, now + 2 * MS)), "a smaller one is requested for");
+    assert!(!may_get_more(bucket.acquire_for_waiter(50_000, now + 2 * MS)), "for this one there is too little");
+    assert!(may_get_more(bucket.acquire_units(2_000, now + 2 * MS)), "a smaller one is requested for");
     bucket.request_soon();
     assert!(bucket.is_request_due(true, now + 6 * MS), "soon");
     let request = bucket.make_request(7, 4, 0, now + 6 * MS);
     assert_eq!(request.smallest_call, 2_000, "and what is enough for it is enough");
     assert!(bucket.apply_grant(4, grant_of(0, 0, 2_000), now + 6 * MS, now + 7 * MS));
     assert!(
-        !is_taken(bucket.take_for_waiter(50_000, now + 7 * MS))
-            && is_taken(bucket.take_for_waiter(2_000, now + 7 * MS))
+        !is_taken(bucket.acquire_for_waiter(50_000, now + 7 * MS))
+            && is_taken(bucket.acquire_for_waiter(2_000, now + 7 * MS))
     );
 }
--- a/crates/testbed/src/hollow/world.rs
+++ b/crates/testbed/src/hollow/world.rs
@@ -10,7 +10,7 @@
 use sumacvale_core::consensus::DurableState;
 use sumacvale_core::node::{Effect, Event, Node, NodeSettings, View};
 use sumacvale_core::protocol::{Change, ChangeOutcome, Frame, LogEntry, Voter, decode_frame, encode_frame};
-use sumacvale_core::quota::TakeOutcome;
+use sumacvale_core::quota::AcquireOutcome;
 
 const TICK: Micros = 25 * MS;
 /// One way: within a zone, between zones, between regions.
@@ -247,7 +247,7 @@
         let now = self.now;
         let b = &mut self.bodies[i];
         let Some(v) = b.waits.get_mut(t) else { return };
-        while !v.is_empty() && matches!(b.node.quota.slices.take(t, now), TakeOutcome::Taken { .. }) {
+        while !v.is_empty() && matches!(b.node.quota.slices.acquire_unit(t, now), AcquireOutcome::Acquired { .. }) {
             v.remove(0);
             self.served += 1;
         }
@@ -283,15 +283,15 @@
             let t = format!("t{}", self.rng.below(self.s.tenants));
             let now = self.now;
             let b = &mut self.bodies[i];
-            let waiting = match b.node.quota.slices.take(&t, now) {
-                TakeOutcome::Taken { low, .. } => {
+            let waiting = match b.node.quota.slices.acquire_unit(&t, now) {
+                AcquireOutcome::Acquired { low, .. } => {
                     self.served += 1;
                     if !low {
                         continue;
                     }
                     0
                 }
-                TakeOutcome::Empty | TakeOutcome::WindowSpent { .. } | TakeOutcome::RateExhausted { .. } => {
+                AcquireOutcome::Empty | AcquireOutcome::WindowSpent { .. } | AcquireOutcome::RateExhausted { .. } => {
                     let v = b.waits.entry(t.clone()).or_default();
                     v.push(now + GIVE_UP);
                     v.len() as u64
