--- a/crates/core/src/quota/mod.rs
+++ b/crates/core/src/quota/mod.rs
@@ -12,7 +12,7 @@
 mod window_ledger;
 
 pub use rates::{RateShares, tenant_key};
-pub use share_bucket::{FULL_SHARE, LOAN_DURATION, RESPONSE_TIMEOUT, SHARE_LEASE, ShareBucket, UNIT};
+pub use share_bucket::{FULL_SHARE, LOAN_DURATION, RESPONSE_TIMEOUT, SHARE_LEASE, ShareBucket};
 pub use share_pool::{SharePool, SharePools};
 pub use slices::{AcquireOutcome, WindowSlices};
 pub use window_ledger::{LedgerAction, SliceRequest, WindowLedger};
--- a/crates/core/src/quota/share_bucket.rs
+++ b/crates/core/src/quota/share_bucket.rs
@@ -17,9 +17,9 @@
 /// How long a share is valid from the moment that the node sent its request, in microseconds.
 pub const SHARE_LEASE: Micros = 4 * SEC;
 /// One unit in a bucket's scale: thousandths of units, times millionths of a share, times microseconds.
-pub const UNIT: u128 = 1_000 * MILLI;
+pub(super) const UNIT: u128 = 1_000 * MILLI;
 /// A thousandth of a unit in a bucket's scale.
-pub const MILLI: u128 = 1_000_000 * 1_000_000;
+pub(super) const MILLI: u128 = 1_000_000 * 1_000_000;
 /// How long units are of use after they were lent, from the moment of the request, in microseconds.
 pub const LOAN_DURATION: Micros = 200 * MS;
 /// After this long, in microseconds, a request counts as timed out and is sent to another voter.
@@ -65,12 +65,12 @@
 }
 
 /// The burst of a share: what its bucket holds at most, in the scale of [`UNIT`].
-pub fn share_capacity(rate: Rate, share: u32) -> u128 {
+pub(super) fn share_capacity(rate: Rate, share: u32) -> u128 {
     u128::from(rate.burst_milli) * u128::from(share) * 1_000_000
 }
 
 /// The refill of a share in `elapsed` microseconds, in the scale of [`UNIT`].
-pub fn share_refill(rate: Rate, share: u32, elapsed: Micros) -> u128 {
+pub(super) fn share_refill(rate: Rate, share: u32, elapsed: Micros) -> u128 {
     u128::from(rate.milli_per_second) * u128::from(share) * u128::from(elapsed)
 }
 
@@ -168,7 +168,7 @@
     }
 
     /// The rate that is in force here.
-    pub fn rate(&self) -> Rate {
+    fn rate(&self) -> Rate {
         self.rate.unwrap_or(Rate { milli_per_second: 0, burst_milli: 0 })
     }
 
@@ -221,12 +221,6 @@
         }
     }
 
-    /// The share held now, in millionths.
-    pub fn share(&mut self, now: Micros) -> u32 {
-        self.refill(now);
-        self.share
-    }
-
     /// Takes one unit for a call that comes now.
     pub fn acquire_unit(&mut self, now: Micros) -> AcquireOutcome {
         self.acquire_units(1, now)
--- a/crates/core/src/quota/slices.rs
+++ b/crates/core/src/quota/slices.rs
@@ -14,8 +14,6 @@
 const LOW_REQUEST_BACKOFF: Micros = 50 * MS;
 /// How long a report that the window is spent is believed at most, in microseconds.
 const SPENT_BELIEVED: Micros = 200 * MS;
-/// A tenant without calls for this long, in microseconds, is idle here.
-const IDLE_AFTER: Micros = 300 * MS;
 
 /// A node's part of one tenant's window.
 ///
@@ -43,15 +41,14 @@
     /// Units used up in [`SLICE_DURATION`], by the last measurement.
     demand: u64,
     requested_at: Micros,
-    last_call_at: Micros,
 }
 
 impl Slice {
     /// Starts a later window: only the measured demand is kept.
     fn start_window(&mut self, window: u64) {
         if window > self.window {
-            let Slice { demanded, demand_since, demand, requested_at, last_call_at, .. } = *self;
-            *self = Slice { window, demanded, demand_since, demand, requested_at, last_call_at, ..Slice::default() };
+            let Slice { demanded, demand_since, demand, requested_at, .. } = *self;
+            *self = Slice { window, demanded, demand_since, demand, requested_at, ..Slice::default() };
         }
     }
 
@@ -63,7 +60,6 @@
     /// Takes one unit, where there is one that is still valid.
     fn acquire_one(&mut self, now: Micros) -> AcquireOutcome {
         self.demanded += 1;
-        self.last_call_at = now;
         if now < self.valid_until && self.free > 0 {
             self.free -= 1;
             let low = self.free <= self.demand / 2 && now.saturating_sub(self.requested_at) > LOW_REQUEST_BACKOFF;
@@ -230,12 +226,6 @@
         Some(slice.returned)
     }
 
-    /// Whether no call requested a unit lately.
-    pub fn is_idle(&self, tenant: &str, now: Micros) -> bool {
-        let slices = self.slices.lock_shard(tenant);
-        slices.get(tenant).is_none_or(|slice| now.saturating_sub(slice.last_call_at) > IDLE_AFTER)
-    }
-
     /// For comparison and metrics: tenant, window, granted, returned and free units.
     pub fn list(&self) -> Vec<(String, u64, u64, u64, u64)> {
         let mut rows = Vec::new();
--- a/crates/core/src/quota/window_ledger.rs
+++ b/crates/core/src/quota/window_ledger.rs
@@ -118,12 +118,6 @@
         self.tenants.remove(tenant);
     }
 
-    /// How long this window has run as far as it is known, in microseconds; zero for any other window.
-    pub fn age(&self, tenant: &str, window: u64, now: Micros) -> Micros {
-        let current = self.tenants.get(tenant).filter(|state| state.window == window);
-        current.map_or(0, |state| now.saturating_sub(state.started_at))
-    }
-
     /// A node requests units and reports what it returned: a window and the sum returned in it.
     pub fn request(
         &mut self,
--- a/crates/core/tests/rates.rs
+++ b/crates/core/tests/rates.rs
@@ -436,115 +436,149 @@
         }
     }
 
+    /// Advances by a millisecond.
     fn step(&mut self) {
         self.now += MS;
         let now = self.now;
-        let due: Vec<_> = {
-            let (due, later): (Vec<_>, Vec<_>) =
-                std::mem::take(&mut self.in_flight).into_iter().partition(|packet| packet.0 <= now);
-            self.in_flight = later;
-            due
-        };
+        let (due, later): (Vec<_>, Vec<_>) =
+            std::mem::take(&mut self.in_flight).into_iter().partition(|packet| packet.0 <= now);
+        self.in_flight = later;
         for (_, to_previous, packet) in due {
             match packet {
-                Packet::Request(by, n, request, (age, idle)) => {
-                    let nodes = self.fronts.len() as u64;
-                    let at = self.fronts.iter().position(|front| front.id == by);
-                    if !to_previous
-                        && now >= self.holder_down_until
-                        && let Some(registered) = &mut self.registered
-                    {
-                        let Some(i) = at else { continue };
-                        registered.insert(by, (i, now));
-                        // As for a request that carries the claim of this lease.
-                        let front = &self.fronts[i];
-                        if front
-                            .sent
-                            .get(&n)
-                            .is_some_and(|local_now| local_now - front.clock_offset >= self.lease_began_at)
-                        {
-                            let age = if self.planted == Planted::OverstatesAge { age + 5 * SEC } else { age };
-                            let idle = if self.planted == Planted::OverstatesIdleTime { 5 * SEC } else { idle };
-                            self.pools.record_alive(0, by, &i.to_string(), age, now);
-                            self.pools.record_request(0, &request, by, self.rate, idle, now);
-                        }
-                    }
-                    let pools = match &mut self.previous_pools {
-                        Some((p, end)) if to_previous && now < *end => Some(p),
-                        _ if to_previous || now < self.holder_down_until => None,
-                        _ => Some(&mut self.pools),
-                    };
-                    let pool = pools.and_then(|pools| pools.pool(0, request.tenant_key, self.rate, now));
-                    let grant = pool.and_then(|pool| pool.request(by, n, &request, self.rate, nodes, now));
-                    if let Some(grant) = grant
-                        && let Some(i) = self.fronts.iter().position(|front| front.id == by)
-                    {
-                        self.send(to_previous, || Packet::Grant(i, n, grant));
-                    }
-                }
-                Packet::Grant(i, n, grant) => {
-                    let front = &mut self.fronts[i];
-                    if front.frozen_until <= now
-                        && front.cut_off_until <= now
-                        && let Some(at) = front.sent.get(&n)
-                    {
-                        front.bucket.apply_grant(n, grant, *at, now + front.clock_offset);
-                    }
+                Packet::Request(by, request_id, request, age_and_idle) => {
+                    self.on_request(to_previous, by, request_id, request, age_and_idle);
                 }
+                Packet::Grant(index, request_id, grant) => self.on_grant(index, request_id, grant),
             }
         }
-        for i in 0..self.fronts.len() {
+        for index in 0..self.fronts.len() {
             let draw = self.rng.below(1_000_000);
-            let front = &mut self.fronts[i];
-            if front.frozen_until > now {
-                continue;
+            if self.fronts[index].frozen_until <= now {
+                self.serve_calls(index, draw);
+                self.send_request_if_due(index);
             }
-            let local_now = now + front.clock_offset;
-            if draw < front.load {
-                match front.bucket.acquire_unit(local_now) {
-                    AcquireOutcome::Acquired { window, .. } => {
-                        if self.loss > 0 && self.rng.chance(5) {
-                            front.bucket.refund(window, local_now);
-                        } else {
-                            self.ran.push(now);
-                        }
-                    }
-                    AcquireOutcome::RateExhausted { wait, may_get_more: more, .. } if more || wait < PATIENCE => {
-                        front.bucket.request_soon();
-                        front.waiting.push_back(now + PATIENCE);
-                    }
-                    _ => {
-                        front.bucket.request_soon();
-                        self.rejected.push(now);
+        }
+        if now.is_multiple_of(200 * MS) {
+            let rate = self.rate;
+            self.pools.expire(|_| Some(rate), now);
+        }
+    }
+
+    fn front_of(&self, id: (NodeId, u64)) -> Option<usize> {
+        self.fronts.iter().position(|front| front.id == id)
+    }
+
+    /// A lease holder receives a request.
+    fn on_request(
+        &mut self,
+        to_previous: bool,
+        by: (NodeId, u64),
+        request_id: u64,
+        request: ShareRequest,
+        age_and_idle: (Micros, Micros),
+    ) {
+        let now = self.now;
+        let nodes = self.fronts.len() as u64;
+        if !to_previous && now >= self.holder_down_until && self.registered.is_some() {
+            let Some(index) = self.front_of(by) else { return };
+            self.record_report(index, request_id, &request, age_and_idle);
+        }
+        let pools = match &mut self.previous_pools {
+            Some((previous, ends_at)) if to_previous && now < *ends_at => Some(previous),
+            _ if to_previous || now < self.holder_down_until => None,
+            _ => Some(&mut self.pools),
+        };
+        let pool = pools.and_then(|pools| pools.pool(0, request.tenant_key, self.rate, now));
+        let grant = pool.and_then(|pool| pool.request(by, request_id, &request, self.rate, nodes, now));
+        if let Some(grant) = grant
+            && let Some(index) = self.front_of(by)
+        {
+            self.send(to_previous, || Packet::Grant(index, request_id, grant));
+        }
+    }
+
+    /// The current lease holder registers a front, and records what it reports under this lease.
+    fn record_report(&mut self, index: usize, request_id: u64, request: &ShareRequest, (age, idle): (Micros, Micros)) {
+        let now = self.now;
+        let front = &self.fronts[index];
+        let by = front.id;
+        if let Some(registered) = &mut self.registered {
+            registered.insert(by, (index, now));
+        }
+        // As for a request that carries the claim of this lease.
+        let sent_at = front.sent.get(&request_id);
+        if sent_at.is_some_and(|sent_at| sent_at - front.clock_offset >= self.lease_began_at) {
+            let age = if self.planted == Planted::OverstatesAge { age + 5 * SEC } else { age };
+            let idle = if self.planted == Planted::OverstatesIdleTime { 5 * SEC } else { idle };
+            self.pools.record_alive(0, by, &index.to_string(), age, now);
+            self.pools.record_request(0, request, by, self.rate, idle, now);
+        }
+    }
+
+    /// A front receives a grant.
+    fn on_grant(&mut self, index: usize, request_id: u64, grant: ShareGrant) {
+        let now = self.now;
+        let front = &mut self.fronts[index];
+        if front.frozen_until <= now
+            && front.cut_off_until <= now
+            && let Some(sent_at) = front.sent.get(&request_id)
+        {
+            front.bucket.apply_grant(request_id, grant, *sent_at, now + front.clock_offset);
+        }
+    }
+
+    /// A call comes to a front by chance; those that wait get units or give up.
+    fn serve_calls(&mut self, index: usize, draw: u64) {
+        let now = self.now;
+        let front = &mut self.fronts[index];
+        let local_now = now + front.clock_offset;
+        if draw < front.load {
+            match front.bucket.acquire_unit(local_now) {
+                AcquireOutcome::Acquired { window, .. } => {
+                    if self.loss > 0 && self.rng.chance(5) {
+                        front.bucket.refund(window, local_now);
+                    } else {
+                        self.ran.push(now);
                     }
                 }
-            }
-            while !front.waiting.is_empty()
-                && matches!(front.bucket.acquire_for_waiter(1, local_now), AcquireOutcome::Acquired { .. })
-            {
-                front.waiting.pop_front();
-                self.ran.push(now);
-            }
-            while front.waiting.front().is_some_and(|w| *w <= now) {
-                front.waiting.pop_front();
-                self.rejected.push(now);
-            }
-            if front.bucket.is_request_due(true, local_now) {
-                front.last_request_id += 1;
-                front.sent.insert(front.last_request_id, local_now);
-                let (by, n) = (front.id, front.last_request_id);
-                let age_and_idle = (local_now - front.started_at, front.bucket.idle_for(local_now));
-                let request = front.bucket.make_request(7, n, 0, local_now);
-                let to_previous = self.previous_pools.is_some() && self.rng.chance(30);
-                if self.fronts[i].cut_off_until > now {
-                    continue;
+                AcquireOutcome::RateExhausted { wait, may_get_more, .. } if may_get_more || wait < PATIENCE => {
+                    front.bucket.request_soon();
+                    front.waiting.push_back(now + PATIENCE);
+                }
+                _ => {
+                    front.bucket.request_soon();
+                    self.rejected.push(now);
                 }
-                self.send(to_previous, || Packet::Request(by, n, request, age_and_idle));
             }
         }
-        if now.is_multiple_of(200 * MS) {
-            let r = self.rate;
-            self.pools.expire(|_| Some(r), now);
+        while !front.waiting.is_empty()
+            && matches!(front.bucket.acquire_for_waiter(1, local_now), AcquireOutcome::Acquired { .. })
+        {
+            front.waiting.pop_front();
+            self.ran.push(now);
+        }
+        while front.waiting.front().is_some_and(|deadline| *deadline <= now) {
+            front.waiting.pop_front();
+            self.rejected.push(now);
+        }
+    }
+
+    fn send_request_if_due(&mut self, index: usize) {
+        let now = self.now;
+        let front = &mut self.fronts[index];
+        let local_now = now + front.clock_offset;
+        if !front.bucket.is_request_due(true, local_now) {
+            return;
+        }
+        front.last_request_id += 1;
+        let (by, request_id) = (front.id, front.last_request_id);
+        front.sent.insert(request_id, local_now);
+        let age_and_idle = (local_now - front.started_at, front.bucket.idle_for(local_now));
+        let request = front.bucket.make_request(7, request_id, 0, local_now);
+        let is_cut_off = front.cut_off_until > now;
+        let to_previous = self.previous_pools.is_some() && self.rng.chance(30);
+        if !is_cut_off {
+            self.send(to_previous, || Packet::Request(by, request_id, request, age_and_idle));
         }
     }
 
