--- a/crates/core/tests/fleet/mod.rs
+++ b/crates/core/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A few cores in one test: frames arrive at once, disks sync at once unless they are stuck.
+//! A few cores in one test: frames arrive at once, and disks sync at once unless they are stalled.
 
 #![allow(dead_code)]
 
@@ -12,13 +12,15 @@
 use sumacvale_core::node::{Effect, Event, Node, NodeSettings};
 use sumacvale_core::protocol::{Frame, LogEntry, Message, Voter};
 
+/// How often each node is ticked.
 const TICK: Micros = 25 * MS;
 
 /// The core with this node id at the address of the machine with the same number.
-pub fn core(n: u64) -> Voter {
-    core_at(n, index(n))
+pub fn core(machine: u64) -> Voter {
+    core_at(machine, index(machine))
 }
 
+/// The address of a machine.
 pub fn address(machine: u64) -> String {
     addr(index(machine))
 }
@@ -27,16 +29,17 @@
     usize::try_from(machine).expect("machines have small numbers")
 }
 
-pub fn decree(version: u64, since: u64, old: &[u64], cores: &[u64]) -> LogEntry {
-    let all = |v: &[u64]| v.iter().map(|n| core(*n)).collect::<Vec<_>>();
-    let (old, cores) = (all(old), all(cores));
+/// A log entry with an empty document; `voters` are the voters since version `voters_since`, and
+/// `previous_voters` those before.
+pub fn decree(version: u64, voters_since: u64, previous_voters: &[u64], voters: &[u64]) -> LogEntry {
+    let cores = |machines: &[u64]| machines.iter().map(|machine| core(*machine)).collect::<Vec<_>>();
     LogEntry {
         version,
         change_id: ChangeId(version),
         fleet_id: FLEET,
-        voters_since: since,
-        previous_voters: old,
-        voters: cores,
+        voters_since,
+        previous_voters: cores(previous_voters),
+        voters: cores(voters),
         revision: 0,
         body: "{}".into(),
         patch: None,
@@ -44,31 +47,49 @@
     }
 }
 
-/// What is on a disk that holds these versions, and the set that was taken over there.
-pub fn kept(node_id: u64, decrees: &[LogEntry], ready: Option<u64>) -> DurableState {
-    let decrees = decrees.iter().map(|d| (d.version, d.clone())).collect();
-    DurableState { node_id: NodeId(node_id), entries: decrees, ready_set: ready, ..DurableState::default() }
+/// The state of a disk that holds these versions; `ready_set` is the set of voters whose takeover it has.
+pub fn kept(node_id: u64, entries: &[LogEntry], ready_set: Option<u64>) -> DurableState {
+    let entries = entries.iter().map(|entry| (entry.version, entry.clone())).collect();
+    DurableState { node_id: NodeId(node_id), entries, ready_set, ..DurableState::default() }
 }
 
 #[derive(Default)]
 struct Machine {
+    /// The node that runs, if it does.
     node: Option<Node>,
-    kept: DurableState,
-    life: u64,
-    unsynced: VecDeque<(u64, Vec<DurableWrite>)>,
+    /// What is synced to the disk.
+    disk: DurableState,
+    incarnation: u64,
+    /// Writes that are not synced yet, the oldest first.
+    unsynced: VecDeque<UnsyncedWrite>,
 }
 
-/// Machines by number, with what is under way between them.
+struct UnsyncedWrite {
+    token: u64,
+    writes: Vec<DurableWrite>,
+}
+
+/// A frame that is under way.
+struct FrameOnWire {
+    from_machine: u64,
+    to_address: String,
+    frame: Frame,
+}
+
+/// Machines by number, with the frames that are under way between them.
 pub struct Fleet {
+    /// The virtual time, in microseconds.
     pub now: Micros,
+    /// Whether cores that start from now on change the set of voters without an operator.
     pub auto: bool,
     /// Machines whose disks sync nothing.
     pub stuck: BTreeSet<u64>,
-    /// All frames that were sent, by machine.
+    /// All frames that were sent, with the machine that sent each.
     pub sent: Vec<(u64, Frame)>,
     machines: BTreeMap<u64, Machine>,
-    mail: VecDeque<(u64, String, Frame)>,
-    cuts: BTreeSet<(u64, u64)>,
+    on_wire: VecDeque<FrameOnWire>,
+    /// Pairs of machines between which frames are lost, from the first to the second.
+    partitions: BTreeSet<(u64, u64)>,
 }
 
 impl Default for Fleet {
@@ -79,21 +100,22 @@
             stuck: BTreeSet::new(),
             sent: Vec::new(),
             machines: BTreeMap::new(),
-            mail: VecDeque::new(),
-            cuts: BTreeSet::new(),
+            on_wire: VecDeque::new(),
+            partitions: BTreeSet::new(),
         }
     }
 }
 
 impl Fleet {
-    pub fn start(&mut self, n: u64, kept: DurableState) {
-        self.start_at(n, n, kept);
+    /// Starts a core on the machine with the same number.
+    pub fn start(&mut self, machine: u64, disk: DurableState) {
+        self.start_at(machine, machine, disk);
     }
 
     /// Starts a core with this node id on a machine.
-    pub fn start_at(&mut self, node_id: u64, machine: u64, kept: DurableState) {
-        let life = self.machines.get(&machine).map_or(0, |m| m.life) + 1;
-        let me = NodeSettings {
+    pub fn start_at(&mut self, node_id: u64, machine: u64, disk: DurableState) {
+        let incarnation = self.machines.get(&machine).map_or(0, |known| known.incarnation) + 1;
+        let settings = NodeSettings {
             node_id: NodeId(node_id),
             zone: format!("z{machine}"),
             seeds: (1..4).map(address).collect(),
@@ -102,80 +124,84 @@
             manages_voters: self.auto,
             report_interval: 500 * MS,
             reports_to_cores_only: false,
-            ..me(index(machine), 0, life)
+            ..me(index(machine), 0, incarnation)
         };
-        let node = Node::new(me, &kept, node_id * 1_000 + life, self.now);
-        self.machines.insert(machine, Machine { node: Some(node), kept, life, unsynced: VecDeque::new() });
+        let node = Node::new(settings, &disk, node_id * 1_000 + incarnation, self.now);
+        self.machines.insert(machine, Machine { node: Some(node), disk, incarnation, unsynced: VecDeque::new() });
     }
 
-    /// The process ends and begins anew with what was synced.
+    /// Restarts the process of a machine with what was synced.
     pub fn restart(&mut self, machine: u64) {
-        let kept = self.kept(machine).clone();
-        self.start_at(kept.node_id.0, machine, kept);
+        let disk = self.kept(machine).clone();
+        self.start_at(disk.node_id.0, machine, disk);
     }
 
+    /// Kills the process of a machine: writes that were not synced are lost.
     pub fn stop(&mut self, machine: u64) {
-        if let Some(m) = self.machines.get_mut(&machine) {
-            m.node = None;
-            m.unsynced.clear();
+        if let Some(stopped) = self.machines.get_mut(&machine) {
+            stopped.node = None;
+            stopped.unsynced.clear();
         }
     }
 
+    /// The node that runs on a machine.
     pub fn node(&self, machine: u64) -> &Node {
         self.machines[&machine].node.as_ref().expect("it runs")
     }
 
+    /// What is synced to the disk of a machine.
     pub fn kept(&self, machine: u64) -> &DurableState {
-        &self.machines[&machine].kept
+        &self.machines[&machine].disk
     }
 
-    /// Nothing passes between these and those any more.
+    /// Loses all frames between these machines and those from now on.
     pub fn part(&mut self, these: &[u64], those: &[u64]) {
-        for a in these {
-            for b in those {
-                self.cuts.insert((*a, *b));
-                self.cuts.insert((*b, *a));
+        for this in these {
+            for that in those {
+                self.partitions.insert((*this, *that));
+                self.partitions.insert((*that, *this));
             }
         }
     }
 
-    /// A frame from one core's node to a machine, whatever is cut, and all that follows.
-    pub fn tell(&mut self, from: u64, machine: u64, msg: Message) {
-        self.tell_late(from, machine, msg, 0);
+    /// Delivers a message from a node to a machine, whatever partitions there are, and all that follows.
+    pub fn tell(&mut self, from: u64, machine: u64, message: Message) {
+        self.tell_late(from, machine, message, 0);
     }
 
     /// The same with a frame that was under way for so much longer than others.
-    pub fn tell_late(&mut self, from: u64, machine: u64, msg: Message, late: Micros) {
-        let sent = self.now - late;
+    pub fn tell_late(&mut self, from: u64, machine: u64, message: Message, delay: Micros) {
         let frame = Frame {
             from: NodeId(from),
             to: NodeId::default(),
             incarnation: 1,
             fleet_id: FLEET,
-            sent_at: sent,
-            message: msg,
+            sent_at: self.now - delay,
+            message,
         };
         let effects = self.step(machine, Event::Frame(Box::new(frame)));
         self.carry(machine, effects);
         self.deliver();
     }
 
-    pub fn step(&mut self, machine: u64, e: Event) -> Vec<Effect> {
+    /// Steps the node of a machine; the effects are not carried out.
+    pub fn step(&mut self, machine: u64, event: Event) -> Vec<Effect> {
         let now = self.now;
-        let Some(m) = self.machines.get_mut(&machine) else { return Vec::new() };
-        m.node.as_mut().map(|n| n.step(e, now)).unwrap_or_default()
+        let Some(stepped) = self.machines.get_mut(&machine) else { return Vec::new() };
+        stepped.node.as_mut().map(|node| node.step(event, now)).unwrap_or_default()
     }
 
+    /// Carries out the effects of a step: frames are under way, and writes wait to be synced.
     pub fn carry(&mut self, machine: u64, effects: Vec<Effect>) {
-        for e in effects {
-            match e {
+        for effect in effects {
+            match effect {
                 Effect::Send { to, frame } => {
                     self.sent.push((machine, (*frame).clone()));
-                    self.mail.push_back((machine, to, *frame));
+                    self.on_wire.push_back(FrameOnWire { from_machine: machine, to_address: to, frame: *frame });
                 }
-                Effect::Write { token, writes: ops } => {
-                    if let Some(m) = self.machines.get_mut(&machine) {
-                        m.unsynced.push_back((token, ops));
+                Effect::Write { token, writes } => {
+                    if let Some(writer) = self.machines.get_mut(&machine) {
+                        writer.unsynced.push_back(UnsyncedWrite { token, writes });
                     }
                 }
                 _ => {}
@@ -183,28 +209,30 @@
         }
     }
 
-    /// What disks that are not stuck have taken in is synced.
+    /// Syncs the oldest write of each disk that is not stalled; whether there was any.
     fn sync(&mut self) -> bool {
-        let all: Vec<u64> = self.machines.keys().copied().filter(|n| !self.stuck.contains(n)).collect();
-        let mut any = false;
-        for n in all {
-            let Some(m) = self.machines.get_mut(&n) else { continue };
-            let Some((token, ops)) = m.unsynced.pop_front() else { continue };
-            ops.iter().for_each(|o| m.kept.apply(o));
-            any = true;
-            let effects = self.step(n, Event::Synced(token));
-            self.carry(n, effects);
+        let running: Vec<u64> = self.machines.keys().copied().filter(|machine| !self.stuck.contains(machine)).collect();
+        let mut has_synced = false;
+        for number in running {
+            let Some(machine) = self.machines.get_mut(&number) else { continue };
+            let Some(UnsyncedWrite { token, writes }) = machine.unsynced.pop_front() else { continue };
+            writes.iter().for_each(|write| machine.disk.apply(write));
+            has_synced = true;
+            let effects = self.step(number, Event::Synced(token));
+            self.carry(number, effects);
         }
-        any
+        has_synced
     }
 
+    /// Delivers all frames and syncs all writes, until there are none.
     fn deliver(&mut self) {
         loop {
-            if let Some((from, to, frame)) = self.mail.pop_front() {
-                let at = self.machines.keys().copied().find(|n| address(*n) == to);
-                if let Some(n) = at.filter(|n| !self.cuts.contains(&(from, *n))) {
-                    let effects = self.step(n, Event::Frame(Box::new(frame)));
-                    self.carry(n, effects);
+            if let Some(FrameOnWire { from_machine, to_address, frame }) = self.on_wire.pop_front() {
+                let receiver = self.machines.keys().copied().find(|machine| address(*machine) == to_address);
+                let is_connected = |machine: &u64| !self.partitions.contains(&(from_machine, *machine));
+                if let Some(machine) = receiver.filter(is_connected) {
+                    let effects = self.step(machine, Event::Frame(Box::new(frame)));
+                    self.carry(machine, effects);
                 }
             } else if !self.sync() {
                 return;
@@ -212,25 +240,26 @@
         }
     }
 
+    /// Runs for a span of virtual time, in microseconds.
     pub fn run(&mut self, span: Micros) {
         self.run_until(span, |_| false);
     }
 
-    /// Runs until this holds; how long that took, or nothing if it did not hold in time.
-    pub fn run_until(&mut self, most: Micros, holds: impl Fn(&Fleet) -> bool) -> Option<Micros> {
-        let begin = self.now;
-        while self.now < begin + most {
+    /// Runs until a condition holds; how long that took, or none if it did not hold within `limit`.
+    pub fn run_until(&mut self, limit: Micros, holds: impl Fn(&Fleet) -> bool) -> Option<Micros> {
+        let started_at = self.now;
+        while self.now < started_at + limit {
             if holds(self) {
-                return Some(self.now - begin);
+                return Some(self.now - started_at);
             }
             self.now += TICK;
             self.deliver();
-            for n in self.machines.keys().copied().collect::<Vec<_>>() {
-                let effects = self.step(n, Event::Tick);
-                self.carry(n, effects);
+            for machine in self.machines.keys().copied().collect::<Vec<_>>() {
+                let effects = self.step(machine, Event::Tick);
+                self.carry(machine, effects);
             }
             self.deliver();
         }
-        holds(self).then_some(most)
+        holds(self).then_some(limit)
     }
 }
