--- a/crates/core/src/node/dissemination/removals.rs
+++ b/crates/core/src/node/dissemination/removals.rs
@@ -137,7 +137,7 @@
         let Some(entry) = entries.get(&removal.key.worker_id).filter(|entry| entry.report.is_out_of_service()) else {
             return;
         };
-        let report = WorkerReport { age: now.saturating_sub(entry.heard_at), ..entry.report.clone() };
+        let report = WorkerReport { age: now.saturating_sub(entry.reported_at), ..entry.report.clone() };
         for node in live_nodes.iter().filter(|node| !removal.known_by.contains(&node.node_id)) {
             round.reports.entry(node.node_id).or_default().push(report.clone());
         }
--- a/crates/core/src/node/dissemination/reports.rs
+++ b/crates/core/src/node/dissemination/reports.rs
@@ -131,7 +131,7 @@
         let mut reports_to: BTreeMap<NodeId, Vec<WorkerReport>> = BTreeMap::new();
         for worker_id in unsent {
             let Some(entry) = self.dissemination.workers.entries.get(&worker_id) else { continue };
-            let report = WorkerReport { age: now.saturating_sub(entry.heard_at), ..entry.report.clone() };
+            let report = WorkerReport { age: now.saturating_sub(entry.reported_at), ..entry.report.clone() };
             let homes = zones.iter().flat_map(|zone| self.dissemination.peers.home_nodes(&report.pool, zone, now));
             for home in homes.filter(|home| *home != self.settings.node_id) {
                 reports_to.entry(home).or_default().push(report.clone());
--- a/crates/core/src/node/membership/voters.rs
+++ b/crates/core/src/node/membership/voters.rs
@@ -94,13 +94,13 @@
 /// may still report a voter that never contacted this incarnation long after its loss, so the time when it
 /// was first reported proves nothing then.
 fn is_successor(other: &PeerEntry, voter: &PeerEntry) -> bool {
-    let is_known_later = voter.contacted_at == 0 || other.first_heard_at >= voter.first_heard_at;
-    is_known_later && other.contacted_at > voter.contacted_at.max(voter.first_heard_at) + REPLACEMENT_MARGIN
+    let is_known_later = voter.contacted_at == 0 || other.discovered_at >= voter.discovered_at;
+    is_known_later && other.contacted_at > voter.contacted_at.max(voter.discovered_at) + REPLACEMENT_MARGIN
 }
 
 /// Whether another node runs at the address of a voter now. `own` is the voter's own entry.
 fn replaces(other: &PeerEntry, voter: &Voter, own: Option<&PeerEntry>, now: Micros) -> bool {
-    let is_live = !other.record.draining && now.saturating_sub(other.heard_at) < FAILURE_TIMEOUT;
+    let is_live = !other.record.draining && now.saturating_sub(other.heartbeat_at) < FAILURE_TIMEOUT;
     other.record.is_core
         && other.record.node_id != voter.node_id
         && other.record.addr == voter.addr
@@ -116,7 +116,7 @@
         return VoterStanding::Replaced;
     }
     let Some(own) = own else { return VoterStanding::Failed };
-    match now.saturating_sub(own.heard_at.max(own.contacted_at)) {
+    match now.saturating_sub(own.heartbeat_at.max(own.contacted_at)) {
         _ if own.record.draining => VoterStanding::Draining,
         silence if silence >= FAILURE_TIMEOUT => VoterStanding::Failed,
         silence if silence >= SILENCE_TIMEOUT => VoterStanding::Silent,
@@ -191,7 +191,7 @@
     !peers.values().any(|other| {
         other.record.node_id != peer.record.node_id
             && other.record.addr == peer.record.addr
-            && other.heard_at > peer.heard_at
+            && other.heartbeat_at > peer.heartbeat_at
     })
 }
 
@@ -232,11 +232,11 @@
     }
 
     fn candidate(&self, peer: &PeerEntry, now: Micros) -> Candidate {
-        let is_new = now.saturating_sub(peer.first_heard_at) < RECENT_PERIOD;
+        let is_new = now.saturating_sub(peer.discovered_at) < RECENT_PERIOD;
         Candidate {
             node: Voter { node_id: peer.record.node_id, addr: peer.record.addr.clone() },
             zone: peer.record.zone.clone(),
-            is_recent: is_new && peer.first_heard_at > self.clock.started_at + DISCOVERY_PERIOD,
+            is_recent: is_new && peer.discovered_at > self.clock.started_at + DISCOVERY_PERIOD,
         }
     }
 
@@ -264,7 +264,7 @@
     /// Whether a voter was seen recently, has this version on its disk, and is ready for the newest set.
     fn is_up_to_date(&self, node: NodeId, version: Version, now: Micros) -> bool {
         let peer = self.dissemination.peers.entries.get(&node);
-        let is_live = peer.is_some_and(|peer| now.saturating_sub(peer.heard_at) < FAILURE_TIMEOUT);
+        let is_live = peer.is_some_and(|peer| now.saturating_sub(peer.heartbeat_at) < FAILURE_TIMEOUT);
         let has_version = self.consensus.state.synced_versions.get(&node).is_some_and(|synced| *synced >= version);
         is_live && has_version && self.consensus.state.ready_sets.get(&node) == Some(&self.voter_set())
     }
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -58,9 +58,9 @@
     /// The newest record of the node.
     pub record: PeerRecord,
     /// When its heartbeat was last seen to advance.
-    pub heard_at: Micros,
+    pub heartbeat_at: Micros,
     /// When it entered the table.
-    pub first_heard_at: Micros,
+    pub discovered_at: Micros,
     /// When the last frame came from the node itself; 0 if none did.
     pub contacted_at: Micros,
     /// When something other than its heartbeat changed last.
@@ -69,7 +69,7 @@
 
 impl PeerEntry {
     fn new(record: PeerRecord, now: Micros) -> Self {
-        PeerEntry { record, heard_at: now, first_heard_at: now, contacted_at: 0, changed_at: now }
+        PeerEntry { record, heartbeat_at: now, discovered_at: now, contacted_at: 0, changed_at: now }
     }
 
     fn heartbeat(&self) -> Heartbeat {
@@ -87,7 +87,7 @@
     }
 
     fn has_advanced_lately(&self, now: Micros) -> bool {
-        now.saturating_sub(self.heard_at) < FAILURE_TIMEOUT
+        now.saturating_sub(self.heartbeat_at) < FAILURE_TIMEOUT
     }
 
     fn is_alive(&self, now: Micros) -> bool {
@@ -101,7 +101,7 @@
     /// The last that was known of it.
     stamp: HeartbeatStamp,
     /// When its heartbeat was last seen to advance.
-    heard_at: Micros,
+    heartbeat_at: Micros,
 }
 
 impl ReplacedPeer {
@@ -149,7 +149,7 @@
                     entry.changed_at = now;
                 }
                 entry.record = record.clone();
-                entry.heard_at = now;
+                entry.heartbeat_at = now;
                 true
             }
             // Other nodes may keep it for longer; it counts only if its heartbeat advanced since.
@@ -224,15 +224,15 @@
         let newest_at = self.newest_by_address();
         let replaced = &mut self.replaced;
         self.entries.retain(|node_id, entry| {
-            let silence = now.saturating_sub(entry.heard_at);
+            let silence = now.saturating_sub(entry.heartbeat_at);
             let has_address = || newest_at.get(&entry.record.addr).is_none_or(|newest| newest.1 == *node_id);
             let keep = silence < FORGET_AFTER && (silence < FAILURE_TIMEOUT || has_address());
             if !keep && silence < FORGET_AFTER {
-                replaced.insert(*node_id, ReplacedPeer { stamp: entry.stamp(), heard_at: entry.heard_at });
+                replaced.insert(*node_id, ReplacedPeer { stamp: entry.stamp(), heartbeat_at: entry.heartbeat_at });
             }
             keep
         });
-        self.replaced.retain(|_, replaced| now.saturating_sub(replaced.heard_at) < FORGET_AFTER);
+        self.replaced.retain(|_, replaced| now.saturating_sub(replaced.heartbeat_at) < FORGET_AFTER);
         let entries = &self.entries;
         self.sent_heartbeats.retain(|peer, _| entries.contains_key(peer));
         self.incarnation_sets.retain(|peer, _| entries.contains_key(peer));
@@ -242,7 +242,7 @@
     fn newest_by_address(&self) -> BTreeMap<String, (Micros, NodeId)> {
         let mut newest_at = BTreeMap::new();
         for entry in self.entries.values() {
-            let candidate = (entry.heard_at, entry.record.node_id);
+            let candidate = (entry.heartbeat_at, entry.record.node_id);
             let newest = newest_at.entry(entry.record.addr.clone()).or_insert(candidate);
             *newest = (*newest).max(candidate);
         }
@@ -297,7 +297,7 @@
             let advance = low_bits.wrapping_sub(entry.record.heartbeat) & COMPACT_MASK;
             if entry.record.node_id != own_id && advance > 0 && advance < COMPACT_HALF {
                 entry.record.heartbeat += advance;
-                entry.heard_at = now;
+                entry.heartbeat_at = now;
             }
         }
         true
@@ -375,7 +375,7 @@
         entry.record.version = heartbeat.version;
         entry.record.draining = heartbeat.draining;
         if !is_version_only {
-            entry.heard_at = now;
+            entry.heartbeat_at = now;
         }
         Some(true)
     }
--- a/crates/core/src/workers/table.rs
+++ b/crates/core/src/workers/table.rs
@@ -27,7 +27,7 @@
     /// Its newest report.
     pub report: WorkerReport,
     /// When that was made, in microseconds by this node's clock.
-    pub heard_at: Micros,
+    pub reported_at: Micros,
     /// The [`WorkerTable::change_index`] of the entry's last change.
     pub change_index: u64,
     /// Whether all nodes that were live then know its removal.
@@ -141,9 +141,10 @@
     }
 
     /// How long a worker was silent while a core could have received its reports, in microseconds.
-    pub fn silence_since(&self, heard_at: Micros, now: Micros) -> Micros {
-        let unreachable: Micros = self.unreachable_periods.iter().map(|period| period.duration_after(heard_at)).sum();
-        now.saturating_sub(heard_at).saturating_sub(unreachable)
+    pub fn silence_since(&self, reported_at: Micros, now: Micros) -> Micros {
+        let unreachable: Micros =
+            self.unreachable_periods.iter().map(|period| period.duration_after(reported_at)).sum();
+        now.saturating_sub(reported_at).saturating_sub(unreachable)
     }
 
     /// Notes that no core was in contact from `from` until now; extends the last period if they overlap.
@@ -171,7 +172,7 @@
     /// stays out of service until it is forgotten, as a late report must not bring it back.
     pub fn resolve_incarnation(&self, report: &WorkerReport, now: Micros) -> Incarnation {
         let Some(known) = self.entries.get(&report.worker_id) else { return FIRST_INCARNATION };
-        let is_silent = self.silence_since(known.heard_at, now) >= self.report_timeout();
+        let is_silent = self.silence_since(known.reported_at, now) >= self.report_timeout();
         let starts_over =
             is_silent && report.seq < known.report.seq && !report.removed && !known.report.is_out_of_service();
         known.report.incarnation + Incarnation::from(starts_over)
@@ -201,7 +202,7 @@
             self.note_shared_address(&report);
         }
         self.change_index += 1;
-        let entry = WorkerEntry { heard_at: made_at, change_index: self.change_index, known_by_all, report };
+        let entry = WorkerEntry { reported_at: made_at, change_index: self.change_index, known_by_all, report };
         self.entries.insert(entry.report.worker_id.clone(), entry);
         MergeOutcome::Applied
     }
@@ -223,7 +224,9 @@
         let last_at = self.last_by_shared_address();
         self.entries
             .values()
-            .filter(move |entry| !entry.report.is_out_of_service() && self.silence_since(entry.heard_at, now) < timeout)
+            .filter(move |entry| {
+                !entry.report.is_out_of_service() && self.silence_since(entry.reported_at, now) < timeout
+            })
             .map(|entry| &entry.report)
             .filter(move |report| last_at.get(report.addr.as_str()).is_none_or(|last| last.1 == report.worker_id))
     }
@@ -234,7 +237,7 @@
         if self.has_shared_addresses {
             for entry in self.entries.values() {
                 let last = last_at.entry(&entry.report.addr).or_default();
-                *last = (*last).max((entry.heard_at, &entry.report.worker_id));
+                *last = (*last).max((entry.reported_at, &entry.report.worker_id));
             }
         }
         last_at
@@ -251,15 +254,15 @@
         changed
             .into_iter()
             .filter(|entry| {
-                entry.report.is_out_of_service() || self.silence_since(entry.heard_at, now) < self.report_timeout()
+                entry.report.is_out_of_service() || self.silence_since(entry.reported_at, now) < self.report_timeout()
             })
-            .map(|entry| WorkerReport { age: now.saturating_sub(entry.heard_at), ..entry.report.clone() })
+            .map(|entry| WorkerReport { age: now.saturating_sub(entry.reported_at), ..entry.report.clone() })
             .collect()
     }
 
     /// Forgets workers, subscribers, removals and unreachable periods that are long past.
     pub fn expire(&mut self, now: Micros) {
-        self.entries.retain(|_, entry| now.saturating_sub(entry.heard_at) < FORGET_AFTER);
+        self.entries.retain(|_, entry| now.saturating_sub(entry.reported_at) < FORGET_AFTER);
         self.subscribers.retain(|_, subscriber| now.saturating_sub(subscriber.subscribed_at) < SUBSCRIPTION_TIMEOUT);
         self.removals.expire(now);
         self.unreachable_periods.retain(|period| now.saturating_sub(period.until) < FORGET_AFTER);
@@ -286,7 +289,7 @@
         return None;
     }
     if order == known_order {
-        known.heard_at = known.heard_at.max(made_at);
+        known.reported_at = known.reported_at.max(made_at);
     }
     Some(MergeOutcome::Outdated)
 }
--- a/crates/core/tests/machines.rs
+++ b/crates/core/tests/machines.rs
@@ -46,7 +46,7 @@
         let mut n = WorkerTable::default();
         assert_eq!(n.merge(&row("w", "z", 2, 5), 5, 5), MergeOutcome::Applied);
         assert_eq!(n.merge(&row("w", "z", incarnation, seq), at, 10), want, "{name}");
-        assert_eq!(n.entries["w"].heard_at, heard, "{name}");
+        assert_eq!(n.entries["w"].reported_at, heard, "{name}");
     }
 }
 
--- a/crates/core/tests/peers.rs
+++ b/crates/core/tests/peers.rs
@@ -54,8 +54,8 @@
         assert_eq!(compact.len(), 4, "{name}");
         assert!(receiver.merge_compact_heartbeats(NodeId(1), set, &compact, SEC), "{name}");
         assert_eq!(heartbeat_of(&receiver, 2), expected, "{name}");
-        assert_eq!(receiver.entries[&NodeId(2)].heard_at, if expected > known { SEC } else { 0 }, "{name}");
-        let own = (heartbeat_of(&receiver, 1), receiver.entries[&NodeId(1)].heard_at);
+        assert_eq!(receiver.entries[&NodeId(2)].heartbeat_at, if expected > known { SEC } else { 0 }, "{name}");
+        let own = (heartbeat_of(&receiver, 1), receiver.entries[&NodeId(1)].heartbeat_at);
         assert_eq!(own, (9, 0), "{name}: only a node itself advances its heartbeat");
     }
 }
--- a/crates/core/tests/voters.rs
+++ b/crates/core/tests/voters.rs
@@ -108,7 +108,13 @@
     }
 }
 
-fn peer(n: u64, machine: u64, first_heard_at: Micros, heard_at: Micros, contacted_at: Micros) -> (NodeId, PeerEntry) {
+fn peer(
+    n: u64,
+    machine: u64,
+    discovered_at: Micros,
+    heartbeat_at: Micros,
+    contacted_at: Micros,
+) -> (NodeId, PeerEntry) {
     let record = PeerRecord {
         node_id: NodeId(n),
         incarnation: 1,
@@ -120,7 +126,7 @@
         draining: false,
         version: 0,
     };
-    (NodeId(n), PeerEntry { record, heard_at, first_heard_at, contacted_at, changed_at: first_heard_at })
+    (NodeId(n), PeerEntry { record, heartbeat_at, discovered_at, contacted_at, changed_at: discovered_at })
 }
 
 #[test]
