--- a/crates/core/src/placement/cost.rs
+++ b/crates/core/src/placement/cost.rs
@@ -1,58 +1,109 @@
-//! What it costs to send a call to an engine.
+//! The cost of sending a call to an engine, as a fraction of the call's value.
 
 use super::engine::ExpectedLoad;
 use super::pool_model::PoolModel;
 use super::prompt::PromptRequest;
 use crate::config::PlacementWeights;
 
-/// Of a call's worth: what a thousand tokens read again cost, and a thousand bytes
-/// that cross between zones.
-const REREAD: f64 = 0.1;
-const CROSS: f64 = 0.003;
-/// From which part of the longest pause on reading at a stretch makes streams beside it
-/// late, and what of a call's worth each of them is.
-const PAUSE: (f64, f64) = (0.5, 0.02);
-/// By how much load is blurred: nodes that know the same don't all choose the same.
-const BLUR: (f64, f64) = (0.1, 0.002);
-
-/// The expected time to the first piece.
-pub fn first(m: &ExpectedLoad, p: &PoolModel, factor: f64, slots: f64) -> f64 {
-    let (base, each) = p.fit.line();
-    let over = (m.active + 1.0 - slots).max(0.0);
-    factor * (base + each * (m.ahead + m.unread)) + over * p.stay / slots + m.overdue
+/// The cost of a thousand tokens that are prefilled again although another engine has them cached.
+const REREAD_COST: f64 = 0.1;
+/// The cost of a thousand bytes that cross zones.
+const CROSS_ZONE_COST: f64 = 0.003;
+/// From this fraction of the longest stream gap on, a prefill delays the streams beside it ...
+const GAP_TOLERANCE: f64 = 0.5;
+/// ... and each of these costs this much.
+const DELAYED_STREAM_COST: f64 = 0.02;
+/// Random noise, so that nodes that know the same don't all choose the same: relative to the load ...
+const RELATIVE_NOISE: f64 = 0.1;
+/// ... and absolute.
+const ABSOLUTE_NOISE: f64 = 0.002;
+
+/// The expected time to first token, in microseconds, at an engine that is `slowness` times as slow
+/// as its pool and has this number of slots.
+pub fn time_to_first_token(load: &ExpectedLoad, pool: &PoolModel, slowness: f64, slots: f64) -> f64 {
+    let (base, per_token) = pool.fit.line();
+    let excess_calls = (load.active + 1.0 - slots).max(0.0);
+    slowness * (base + per_token * (load.tokens_ahead + load.unread)) + excess_calls * pool.stay / slots + load.overdue
+}
+
+/// Everything that the cost of a call at one engine depends on.
+pub struct CostModel<'a> {
+    /// The call.
+    pub request: &'a PromptRequest,
+    /// What it would meet there.
+    pub load: &'a ExpectedLoad,
+    /// What was learned of the pool.
+    pub pool: &'a PoolModel,
+    /// The weights of the pool.
+    pub weights: &'a PlacementWeights,
+    /// How many times as slow as its pool the engine is.
+    pub slowness: f64,
+    /// The slots of the worker, at least 1.
+    pub slots: f64,
+    /// The expected time to first token, in microseconds.
+    pub first_token_time: f64,
+    /// Whether the worker is in another zone.
+    pub crosses_zones: bool,
+    /// A random number from 0 to 1.
+    pub luck: f64,
+}
+
+impl CostModel<'_> {
+    /// The total cost. The terms are added in a fixed order, since nodes and tests rely on the same bits.
+    pub fn total(&self) -> f64 {
+        let load_cost =
+            self.lateness() + self.delay_of_streams() + self.occupancy() + self.cache_pressure() + self.silence();
+        percent(self.weights.load_spread)
+            * (load_cost * (1.0 + RELATIVE_NOISE * self.luck) + ABSOLUTE_NOISE * self.luck)
+            + percent(self.weights.prefix_affinity) * REREAD_COST * self.load.reread / 1_000.0
+            + self.cross_zone_bytes()
+    }
+
+    /// Late first tokens: little up to half of the latency target, then with the square of the excess.
+    fn lateness(&self) -> f64 {
+        let relative = (self.first_token_time / self.request.latency_target.max(1) as f64).min(50.0);
+        0.15 * relative + 2.0 * (relative - 0.5).max(0.0).powi(2)
+    }
+
+    /// Streams pause while prompts are prefilled beside them: what this call adds to that.
+    fn delay_of_streams(&self) -> f64 {
+        let load = self.load;
+        let per_token = self.pool.fit.line().1 * self.slowness / self.request.max_stream_gap.max(1) as f64;
+        let pause = |tokens: f64| (per_token * tokens - GAP_TOLERANCE).clamp(0.0, 1.0);
+        0.1 * load.unread * self.pool.fit.line().1 / 100_000.0 * (1.0 + load.running / 8.0)
+            + DELAYED_STREAM_COST * load.running * (pause(load.tokens_ahead + load.unread) - pause(load.tokens_ahead))
+    }
+
+    fn occupancy(&self) -> f64 {
+        let fraction = self.load.active / self.slots;
+        0.05 * fraction + 2.0 * (fraction - 0.85).max(0.0)
+    }
+
+    /// A KV cache that is nearly full evicts prefixes and preempts calls.
+    fn cache_pressure(&self) -> f64 {
+        match self.weights.kv_cache_tokens {
+            0 => 0.0,
+            capacity => {
+                let held = self.load.held + f64::from(self.request.max_output_tokens);
+                4.0 * (held / capacity as f64 - 0.85).max(0.0)
+            }
+        }
+    }
+
+    /// An engine without any first token since the last calls went there has yet to show that it works.
+    fn silence(&self) -> f64 {
+        0.02 * f64::from(self.load.unanswered_calls.saturating_sub(2))
+    }
+
+    fn cross_zone_bytes(&self) -> f64 {
+        if self.crosses_zones {
+            percent(self.weights.zone_locality) * CROSS_ZONE_COST * f64::from(self.request.bytes) / 1_000.0
+        } else {
+            0.0
+        }
+    }
 }
 
-/// What a worker costs a call, in parts of the call's worth; `t` is the expected time to
-/// the first piece and `luck` is drawn from 0 to 1.
-#[allow(clippy::too_many_arguments)]
-pub fn cost(
-    a: &PromptRequest,
-    m: &ExpectedLoad,
-    p: &PoolModel,
-    factor: f64,
-    t: f64,
-    far: bool,
-    slots: f64,
-    w: &PlacementWeights,
-    luck: f64,
-) -> f64 {
-    let x = (t / a.latency_target.max(1) as f64).min(50.0);
-    let late = 0.15 * x + 2.0 * (x - 0.5).max(0.0).powi(2);
-    // Streams beside it pause while prompts are read: what this call adds to that.
-    let each = p.fit.line().1 * factor / a.max_stream_gap.max(1) as f64;
-    let pause = |n: f64| (each * n - PAUSE.0).clamp(0.0, 1.0);
-    let harm = 0.1 * m.unread * p.fit.line().1 / 100_000.0 * (1.0 + m.running / 8.0)
-        + PAUSE.1 * m.running * (pause(m.ahead + m.unread) - pause(m.ahead));
-    let fill = m.active / slots;
-    let full = 0.05 * fill + 2.0 * (fill - 0.85).max(0.0);
-    let mem = match w.kv_cache_tokens {
-        0 => 0.0,
-        n => 4.0 * ((m.held + f64::from(a.max_output_tokens)) / n as f64 - 0.85).max(0.0),
-    };
-    // One that has not spoken since the last calls went there has yet to show that it lives.
-    let dark = 0.02 * f64::from(m.silent.saturating_sub(2));
-    let pct = |n: u32| f64::from(n) / 100.0;
-    pct(w.load_spread) * ((late + harm + full + mem + dark) * (1.0 + BLUR.0 * luck) + BLUR.1 * luck)
-        + pct(w.prefix_affinity) * REREAD * m.again / 1_000.0
-        + if far { pct(w.zone_locality) * CROSS * f64::from(a.bytes) / 1_000.0 } else { 0.0 }
+fn percent(hundredths: u32) -> f64 {
+    f64::from(hundredths) / 100.0
 }
--- a/crates/core/src/placement/engines.rs
+++ b/crates/core/src/placement/engines.rs
@@ -1,265 +1,402 @@
-//! All engines, and the choice among them.
+//! The models of all engines, and the choice among them.
 
-use super::cost::{cost, first};
+use super::cost::{CostModel, time_to_first_token};
 use super::engine::{ActiveCall, EngineModel};
-use super::lengths::{LengthClass, PENALTY};
+use super::lengths::{LengthClass, OTHER_PARTITION_PENALTY};
 use super::pool_model::PoolModel;
-use super::prompt::{PromptRequest, SegmentChain, home, mix};
+use super::prompt::{PromptRequest, SegmentChain, mix, shared_prefix_key};
 use super::{Endpoint, PlacementTable, WorkerLoads};
 use crate::base::{Micros, Rng, SEC, Shards};
 use crate::config::PlacementWeights;
 use smallvec::SmallVec;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Up to so many workers each is weighed; of more, the likely keepers and some others.
-const ALL: usize = 24;
-/// Workers with fewer slots are not parted by the lengths of prompts.
-const ROOMY: u32 = 32;
-const KEEPERS: u32 = 6;
-const FIRST: u32 = 3;
-const SOME: u64 = 8;
-const FORGET: Micros = 60 * SEC;
+/// Up to this number of workers each is a candidate; of more, the likely keepers and a random sample.
+const MAX_ALL_CANDIDATES: usize = 24;
+/// Workers with fewer slots are not partitioned by the lengths of prompts: all of them are needed to
+/// find a free slot.
+const MIN_PARTITION_SLOTS: u32 = 32;
+/// The likely keepers of a prefix: the first of all zones ...
+const KEEPERS: u32 = 3;
+/// ... and the first of the caller's zone.
+const ZONE_KEEPERS: u32 = 6;
+/// Random candidates of the caller's zone; half as many come from other zones and a quarter from the
+/// other partition.
+const SAMPLE: u64 = 8;
+/// Workers that this node has not used for this long are forgotten, in microseconds.
+const FORGET_AFTER: Micros = 60 * SEC;
+/// How much a new call counts for a pool's usual prefill and KV cache ...
+const LENGTH_LEARNING_RATE: f64 = 0.02;
+/// ... and for the usual stay at a worker.
+const STAY_LEARNING_RATE: f64 = 0.03;
 
-/// Where a choice is made.
+/// Where and when a choice is made.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementContext<'a> {
+    /// The name of the pool.
     pub pool: &'a str,
+    /// The zone of this node.
     pub zone: &'a str,
+    /// The weights of the pool.
     pub weights: &'a PlacementWeights,
+    /// The ids of workers that must not be chosen.
     pub excluded: &'a [String],
+    /// The current time.
     pub now: Micros,
 }
 
 /// How a call at a worker ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
+    /// The response is complete.
     Done,
-    /// The worker did not run it.
+    /// The worker did not run the call.
     Declined,
+    /// The call failed, or the caller left.
     Failed,
 }
 
-/// What this node knows of the workers that read prompts, a lock for each shard.
+/// What this node has learned of the engines, with one lock for each shard. Where both locks are
+/// needed, that of the pool is acquired first.
 #[derive(Debug, Default)]
 pub struct EngineModels {
-    each: Shards<EngineModel>,
+    /// By worker id.
+    engines: Shards<EngineModel>,
+    /// By name of the pool.
     pools: Shards<PoolModel>,
-    n: AtomicU64,
+    next_ticket: AtomicU64,
 }
 
 impl EngineModels {
-    /// The first ticket; nodes that begin with different ones draw differently.
+    /// No engines yet. Nodes with different seeds draw different random numbers.
     pub fn new(seed: u64) -> Self {
-        EngineModels { n: AtomicU64::new(mix(seed) >> 1), ..EngineModels::default() }
+        EngineModels { next_ticket: AtomicU64::new(mix(seed) >> 1), ..EngineModels::default() }
     }
 
-    /// The worker that costs this call least; none if no worker could serve it in time.
+    /// The index of the worker that costs this call least; none if no worker could serve it in time.
     pub fn choose(
         &self,
-        t: &PlacementTable,
-        a: &PromptRequest,
-        s: &PlacementContext,
+        table: &PlacementTable,
+        request: &PromptRequest,
+        context: &PlacementContext,
         loads: &WorkerLoads,
     ) -> Option<usize> {
-        let avoid = |w: &Endpoint| loads.has_failed(w);
-        // Where all of them failed a call lately, one that failed is better than none.
-        self.among(t, a, s, avoid).or_else(|| self.among(t, a, s, |_| false))
+        let has_failed = |endpoint: &Endpoint| loads.has_failed(endpoint);
+        // If all of them failed a call lately, one of these is better than none.
+        self.cheapest(table, request, context, has_failed).or_else(|| self.cheapest(table, request, context, |_| false))
     }
 
-    fn among(
+    fn cheapest(
         &self,
-        t: &PlacementTable,
-        a: &PromptRequest,
-        s: &PlacementContext,
+        table: &PlacementTable,
+        request: &PromptRequest,
+        context: &PlacementContext,
         avoid: impl Fn(&Endpoint) -> bool,
     ) -> Option<usize> {
-        let c = a.chain();
-        let mut rng = Rng::new(mix(self.n.fetch_add(1, Ordering::Relaxed)) ^ s.now);
-        let mut g = self.pools.lock_shard(s.pool);
-        let p = g.entry(s.pool.to_owned()).or_default();
-        let asked: SmallVec<[f64; 8]> = c.iter().map(|l| f64::from(p.demand.of(l.key, s.now))).collect();
-        let n = t.endpoints.len() as f64;
-        // Of a few workers each is weighed by what is known of it; where a worker has few slots, all are
-        // needed to find a free one.
-        let roomy = t.endpoints.iter().all(|w| w.slots >= ROOMY);
-        let side = if t.endpoints.len() > ALL && roomy { p.lengths.class_of(a.route) } else { None };
-        let mut best: Option<(f64, usize)> = None;
-        for (i, rank) in candidates(t, &c, s.zone, side, &mut rng) {
-            let w = &t.endpoints[i];
-            if s.excluded.contains(&w.worker_id) || avoid(w) {
+        let mut rng = Rng::new(mix(self.next_ticket.fetch_add(1, Ordering::Relaxed)) ^ context.now);
+        let mut pools = self.pools.lock_shard(context.pool);
+        let pool = pools.entry(context.pool.to_owned()).or_default();
+        let choice = Choice::new(table, request, context, pool);
+        let mut cheapest: Option<(f64, usize)> = None;
+        for candidate in choice.candidates(&mut rng) {
+            let endpoint = &table.endpoints[candidate.index];
+            if context.excluded.contains(&endpoint.worker_id) || avoid(endpoint) {
                 continue;
             }
-            let slots = f64::from(w.slots.max(1));
-            let mut g = self.each.lock_shard(&w.worker_id);
-            let fresh = EngineModel::default();
-            let e = match g.get_mut(&w.worker_id) {
-                Some(e) => {
-                    e.life(w.incarnation);
-                    &*e
+            let mut engines = self.engines.lock_shard(&endpoint.worker_id);
+            let unknown = EngineModel::default();
+            let engine = match engines.get_mut(&endpoint.worker_id) {
+                Some(engine) => {
+                    engine.observe_incarnation(endpoint.incarnation);
+                    &*engine
                 }
-                None => &fresh,
+                None => &unknown,
             };
-            if s.now < e.shut {
-                continue;
-            }
-            let deep = c.len().saturating_sub(2);
-            let likely = |j: usize| {
-                let d = asked[j];
-                let all = d / (d + 4.0 * n);
-                let here = if j <= deep && rank < 8 { d / (d + f64::from(1u32 << (2 * rank))) } else { 0.0 };
-                let own = if rank == 0 && j <= deep && c.len() > 1 { (d + 1.0) / (d + 1.3) } else { 0.0 };
-                if j + 1 == c.len() && c.len() > 1 { 0.0 } else { all.max(here).max(own) }
-            };
-            let m = e.meets(a, &c, likely, p, s.now);
-            let first = first(&m, p, e.factor, slots);
-            if first > a.time_left as f64 && !e.may_be_tried(s.now) {
-                continue;
-            }
-            let luck = rng.below(1000) as f64 / 1000.0;
-            let other_side = side.is_some_and(|side| !side.contains(t.standing[i]));
-            let x = cost(a, &m, p, e.factor, first, w.zone != s.zone, slots, s.weights, luck)
-                + if other_side { PENALTY * f64::from(s.weights.load_spread) / 100.0 } else { 0.0 };
-            if best.is_none_or(|b| x < b.0) {
-                best = Some((x, i));
+            let Some(cost) = choice.cost(candidate, engine, &mut rng) else { continue };
+            if cheapest.is_none_or(|(least, _)| cost < least) {
+                cheapest = Some((cost, candidate.index));
             }
         }
-        best.map(|b| b.1)
+        cheapest.map(|(_, index)| index)
     }
 
-    /// A call goes to a worker: the ticket by which its first piece and its end are told.
+    /// A call goes to a worker. Returns the ticket by which its first token and its end are recorded.
     pub fn record_start(
         &self,
-        pool: &str,
-        w: &Endpoint,
-        a: &PromptRequest,
-        set: &PlacementWeights,
+        pool_name: &str,
+        endpoint: &Endpoint,
+        request: &PromptRequest,
+        weights: &PlacementWeights,
         now: Micros,
     ) -> u64 {
-        let n = self.n.fetch_add(1, Ordering::Relaxed);
-        let c = a.chain();
-        let mut g = self.pools.lock_shard(pool);
-        let p = g.entry(pool.to_owned()).or_default();
-        let mut g = self.each.lock_shard(&w.worker_id);
-        let e = g.entry(w.worker_id.clone()).or_default();
-        e.life(w.incarnation);
-        let asked: SmallVec<[f64; 8]> = c.iter().map(|l| f64::from(p.demand.of(l.key, now))).collect();
-        let all = |j: usize| if j + 1 == c.len() { 0.0 } else { asked[j] / (asked[j] + 40.0) };
-        let m = e.meets(a, &c, all, p, now);
-        for l in &c {
-            p.demand.record(l.key, now);
-        }
-        p.lengths.record(a.route, a.tokens() as f64, m.unread, now);
-        let held = a.tokens() + u64::from(a.max_output_tokens);
-        p.unread += 0.02 * (m.unread - p.unread);
-        p.held += 0.02 * (held as f64 - p.held);
-        let want = first(&m, p, e.factor, f64::from(w.slots.max(1)));
-        let room = if set.kv_cache_tokens == 0 { u64::MAX } else { set.kv_cache_tokens / 10 * 7 };
-        e.kept.record(&c, room, now);
-        e.begin(ActiveCall {
-            n,
-            at: now,
-            unread: m.unread as u32,
-            ahead: m.ahead + m.unread,
+        let ticket = self.next_ticket.fetch_add(1, Ordering::Relaxed);
+        let chain = request.chain();
+        let mut pools = self.pools.lock_shard(pool_name);
+        let pool = pools.entry(pool_name.to_owned()).or_default();
+        let mut engines = self.engines.lock_shard(&endpoint.worker_id);
+        let engine = engines.entry(endpoint.worker_id.clone()).or_default();
+        engine.observe_incarnation(endpoint.incarnation);
+        let demand = demand(pool, &chain, now);
+        let likelihood =
+            |index: usize| if index + 1 == chain.len() { 0.0 } else { demand[index] / (demand[index] + 40.0) };
+        let load = engine.expected_load(request, &chain, likelihood, pool, now);
+        let held = request.tokens() + u64::from(request.max_output_tokens);
+        learn_request(pool, request, &chain, load.unread, held, now);
+        let slots = f64::from(endpoint.slots.max(1));
+        let expected_first_token = time_to_first_token(&load, pool, engine.slowness, slots);
+        engine.prefix_cache.record(&chain, max_cached_tokens(weights), now);
+        engine.begin(ActiveCall {
+            ticket,
+            started_at: now,
+            unread: load.unread as u32,
+            tokens_until_first: load.tokens_ahead + load.unread,
             held,
-            urgency: a.urgency,
-            want,
-            first: None,
-            keys: c.iter().map(|l| l.key).collect(),
+            urgency: request.urgency,
+            expected_first_token,
+            first_token_at: None,
+            keys: chain.iter().map(|segment| segment.key).collect(),
         });
-        n
+        ticket
     }
 
-    /// The first piece came.
-    pub fn record_first_token(&self, pool: &str, worker_id: &str, n: u64, now: Micros) {
-        let mut g = self.pools.lock_shard(pool);
-        let p = g.entry(pool.to_owned()).or_default();
-        let mut g = self.each.lock_shard(worker_id);
-        let Some(e) = g.get_mut(worker_id) else { return };
-        let Some(r) = e.first(n, now) else { return };
-        let x = p.fit.learn(r.ahead, now.saturating_sub(r.at), e.factor);
-        e.factor = (e.factor * (1.0 + 0.1 * (x - 1.0)) * 0.99 + 0.01).clamp(0.6, 8.0);
+    /// The first token of a call came.
+    pub fn record_first_token(&self, pool_name: &str, worker_id: &str, ticket: u64, now: Micros) {
+        let mut pools = self.pools.lock_shard(pool_name);
+        let pool = pools.entry(pool_name.to_owned()).or_default();
+        let mut engines = self.engines.lock_shard(worker_id);
+        let Some(engine) = engines.get_mut(worker_id) else { return };
+        let Some(call) = engine.record_first_token(ticket, now) else { return };
+        let duration = now.saturating_sub(call.started_at);
+        let ratio = pool.fit.learn(call.tokens_until_first, duration, engine.slowness);
+        engine.slowness = (engine.slowness * (1.0 + 0.1 * (ratio - 1.0)) * 0.99 + 0.01).clamp(0.6, 8.0);
     }
 
-    /// A call ended like this.
-    pub fn record_end(&self, pool: &str, worker_id: &str, n: u64, o: CallOutcome, now: Micros) {
-        let mut g = self.pools.lock_shard(pool);
-        let p = g.entry(pool.to_owned()).or_default();
-        let mut g = self.each.lock_shard(worker_id);
-        let Some(e) = g.get_mut(worker_id) else { return };
-        let Some(r) = e.end(n, now) else { return };
-        match o {
-            CallOutcome::Done => p.stay += 0.03 * (now.saturating_sub(r.at) as f64 - p.stay),
-            CallOutcome::Declined => {
-                e.declined(now);
-                e.kept.remove(&r.keys);
+    /// A call ended with this outcome.
+    pub fn record_end(&self, pool_name: &str, worker_id: &str, ticket: u64, outcome: CallOutcome, now: Micros) {
+        let mut pools = self.pools.lock_shard(pool_name);
+        let pool = pools.entry(pool_name.to_owned()).or_default();
+        let mut engines = self.engines.lock_shard(worker_id);
+        let Some(engine) = engines.get_mut(worker_id) else { return };
+        let Some(call) = engine.end(ticket, now) else { return };
+        match outcome {
+            CallOutcome::Done => {
+                pool.stay += STAY_LEARNING_RATE * (now.saturating_sub(call.started_at) as f64 - pool.stay);
             }
+            CallOutcome::Declined => engine.record_decline(&call, now),
             CallOutcome::Failed => {}
         }
     }
 
-    /// A worker told its load at the head of an answer.
-    pub fn record_load(&self, pool: &str, worker_id: &str, running: u32, waiting: u32, now: Micros) {
-        let mut g = self.pools.lock_shard(pool);
-        let p = g.entry(pool.to_owned()).or_default();
-        if let Some(e) = self.each.lock_shard(worker_id).get_mut(worker_id) {
-            e.hears(running, waiting, p, now);
+    /// A worker reported its load in the headers of a response.
+    pub fn record_load(&self, pool_name: &str, worker_id: &str, running: u32, waiting: u32, now: Micros) {
+        let mut pools = self.pools.lock_shard(pool_name);
+        let pool = pools.entry(pool_name.to_owned()).or_default();
+        if let Some(engine) = self.engines.lock_shard(worker_id).get_mut(worker_id) {
+            engine.record_load(running, waiting, pool, now);
         }
     }
 
-    /// Workers that this node has nothing at any more are forgotten.
+    /// Forgets the workers that this node has not used for a minute.
     pub fn expire(&self, now: Micros) {
-        for mut g in self.each.lock_each() {
-            g.retain(|_, e| !e.runs.is_empty() || now.saturating_sub(e.used) < FORGET);
+        for mut engines in self.engines.lock_each() {
+            engines.retain(|_, engine| !engine.is_idle_for(FORGET_AFTER, now));
         }
     }
 
-    /// How many workers are known, and how many kept parts of theirs.
+    /// How many workers are known, and how many cached prefixes of theirs.
     pub fn size(&self) -> (usize, usize) {
-        self.each
-            .lock_each()
-            .fold((0, 0), |a, g| (a.0 + g.len(), a.1 + g.values().map(|e| e.kept.len()).sum::<usize>()))
+        self.engines.lock_each().fold((0, 0), |(workers, prefixes), engines| {
+            let in_shard = engines.values().map(|engine| engine.prefix_cache.len()).sum::<usize>();
+            (workers + engines.len(), prefixes + in_shard)
+        })
     }
 }
 
-/// The workers to weigh, each with its rank as a keeper: by rendezvous over all zones, so
-/// that all nodes know the same keepers. Bytes between zones cost less than reading again.
-fn candidates(
-    t: &PlacementTable,
-    c: &SegmentChain,
-    zone: &str,
-    side: Option<LengthClass>,
-    rng: &mut Rng,
-) -> SmallVec<[(usize, u32); 32]> {
-    let n = t.endpoints.len();
-    let key = home(c);
-    let own_side = |i: usize| side.is_none_or(|s| s.contains(t.standing[i]));
-    let mut v: SmallVec<[(bool, u64, usize); 128]> =
-        (0..n).map(|i| (own_side(i), key.map_or(0, |k| mix(k ^ t.ids[i])), i)).collect();
-    if key.is_some() {
-        v.sort_unstable_by(|a, b| b.cmp(a));
+/// Adds a request to what is learned of its pool.
+fn learn_request(
+    pool: &mut PoolModel,
+    request: &PromptRequest,
+    chain: &SegmentChain,
+    unread: f64,
+    held: u64,
+    now: Micros,
+) {
+    for segment in chain {
+        pool.demand.record(segment.key, now);
     }
-    let mut near: u32 = 0;
-    let mut out = SmallVec::new();
-    let mut rest: SmallVec<[(usize, u32); 128]> = SmallVec::new();
-    for (r, (_, _, i)) in (0..).zip(v) {
-        let own = t.endpoints[i].zone == zone;
-        if n <= ALL || key.is_some() && (r < FIRST || own && near < KEEPERS) {
-            out.push((i, r));
-        } else {
-            rest.push((i, r));
+    pool.lengths.record(request.route, request.tokens() as f64, unread, now);
+    pool.unread += LENGTH_LEARNING_RATE * (unread - pool.unread);
+    pool.held += LENGTH_LEARNING_RATE * (held as f64 - pool.held);
+}
+
+/// How many tokens of prefixes a worker likely keeps: 70 % of its KV cache; the rest is for running calls.
+fn max_cached_tokens(weights: &PlacementWeights) -> u64 {
+    match weights.kv_cache_tokens {
+        0 => u64::MAX,
+        tokens => tokens / 10 * 7,
+    }
+}
+
+/// How often each prefix of a prompt was requested lately.
+fn demand(pool: &PoolModel, chain: &SegmentChain, now: Micros) -> SmallVec<[f64; 8]> {
+    chain.iter().map(|segment| f64::from(pool.demand.of(segment.key, now))).collect()
+}
+
+/// A worker whose cost is compared with that of others.
+#[derive(Clone, Copy)]
+struct Candidate {
+    /// Its index in the table.
+    index: usize,
+    /// Its rank as a keeper of the prompt's prefix, 0 first.
+    rank: u32,
+}
+
+/// The key by which workers are ranked as keepers, compared field by field; the greatest comes first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct KeeperScore {
+    in_partition: bool,
+    /// Rendezvous hashing (Thaler and Ravishankar, 1998): a hash of the worker and the prefix.
+    hash: u64,
+    index: usize,
+}
+
+/// One choice of a worker.
+struct Choice<'a> {
+    table: &'a PlacementTable,
+    request: &'a PromptRequest,
+    context: &'a PlacementContext<'a>,
+    pool: &'a PoolModel,
+    chain: SegmentChain,
+    /// How often each prefix of the prompt was requested lately.
+    demand: SmallVec<[f64; 8]>,
+    /// The partition of the workers that the call should go to.
+    partition: Option<LengthClass>,
+}
+
+impl<'a> Choice<'a> {
+    fn new(
+        table: &'a PlacementTable,
+        request: &'a PromptRequest,
+        context: &'a PlacementContext<'a>,
+        pool: &'a PoolModel,
+    ) -> Self {
+        let chain = request.chain();
+        let demand = demand(pool, &chain, context.now);
+        let has_many_slots = table.endpoints.iter().all(|endpoint| endpoint.slots >= MIN_PARTITION_SLOTS);
+        let is_partitioned = table.endpoints.len() > MAX_ALL_CANDIDATES && has_many_slots;
+        let partition = if is_partitioned { pool.lengths.class_of(request.route) } else { None };
+        Choice { table, request, context, pool, chain, demand, partition }
+    }
+
+    /// The cost of the call at a candidate; none if it could not serve the call in time.
+    fn cost(&self, candidate: Candidate, engine: &EngineModel, rng: &mut Rng) -> Option<f64> {
+        let now = self.context.now;
+        if engine.is_closed(now) {
+            return None;
         }
-        near += u32::from(own);
+        let endpoint = &self.table.endpoints[candidate.index];
+        let slots = f64::from(endpoint.slots.max(1));
+        let likelihood = |index: usize| self.cache_likelihood(index, candidate.rank);
+        let load = engine.expected_load(self.request, &self.chain, likelihood, self.pool, now);
+        let first_token_time = time_to_first_token(&load, self.pool, engine.slowness, slots);
+        if first_token_time > self.request.time_left as f64 && !engine.may_be_tried(now) {
+            return None;
+        }
+        let model = CostModel {
+            request: self.request,
+            load: &load,
+            pool: self.pool,
+            weights: self.context.weights,
+            slowness: engine.slowness,
+            slots,
+            first_token_time,
+            crosses_zones: endpoint.zone != self.context.zone,
+            luck: rng.below(1000) as f64 / 1000.0,
+        };
+        Some(model.total() + self.partition_penalty(candidate.index))
+    }
+
+    fn partition_penalty(&self, index: usize) -> f64 {
+        if self.is_in_partition(index) {
+            return 0.0;
+        }
+        OTHER_PARTITION_PENALTY * f64::from(self.context.weights.load_spread) / 100.0
+    }
+
+    /// How likely a worker of this rank has the prefix with this index cached because other nodes
+    /// sent it there: the more often it is requested, the more workers have it.
+    fn cache_likelihood(&self, index: usize, rank: u32) -> f64 {
+        let parts = self.chain.len();
+        // The last part is the call's own.
+        if index + 1 == parts && parts > 1 {
+            return 0.0;
+        }
+        let demand = self.demand[index];
+        let workers = self.table.endpoints.len() as f64;
+        let is_shared = index <= parts.saturating_sub(2);
+        let anywhere = demand / (demand + 4.0 * workers);
+        let at_rank = if is_shared && rank < 8 { demand / (demand + f64::from(1u32 << (2 * rank))) } else { 0.0 };
+        let at_first = if rank == 0 && is_shared && parts > 1 { (demand + 1.0) / (demand + 1.3) } else { 0.0 };
+        anywhere.max(at_rank).max(at_first)
+    }
+
+    fn is_in_partition(&self, index: usize) -> bool {
+        self.partition.is_none_or(|partition| partition.contains(self.table.zone_positions[index]))
+    }
+
+    fn is_in_zone(&self, index: usize) -> bool {
+        self.table.endpoints[index].zone == self.context.zone
+    }
+
+    /// The workers to compare: ranked over all zones, so that all nodes know the same keepers. Bytes
+    /// between zones cost less than prefilling again.
+    fn candidates(&self, rng: &mut Rng) -> SmallVec<[Candidate; 32]> {
+        let key = shared_prefix_key(&self.chain);
+        let workers = self.table.endpoints.len();
+        let mut zone_rank: u32 = 0;
+        let mut chosen = SmallVec::new();
+        let mut others: SmallVec<[Candidate; 128]> = SmallVec::new();
+        for (rank, score) in (0..).zip(self.ranked(key)) {
+            let candidate = Candidate { index: score.index, rank };
+            let in_zone = self.is_in_zone(score.index);
+            let is_keeper = key.is_some() && (rank < KEEPERS || in_zone && zone_rank < ZONE_KEEPERS);
+            if workers <= MAX_ALL_CANDIDATES || is_keeper {
+                chosen.push(candidate);
+            } else {
+                others.push(candidate);
+            }
+            zone_rank += u32::from(in_zone);
+        }
+        if !others.is_empty() {
+            self.sample(others, &mut chosen, rng);
+        }
+        chosen
     }
-    if rest.is_empty() {
-        return out;
+
+    /// All workers, the likeliest keeper of the prefix first; without a prefix in the table's order.
+    fn ranked(&self, key: Option<u64>) -> SmallVec<[KeeperScore; 128]> {
+        let score = |index: usize| KeeperScore {
+            in_partition: self.is_in_partition(index),
+            hash: key.map_or(0, |key| mix(key ^ self.table.id_hashes[index])),
+            index,
+        };
+        let mut ranked: SmallVec<[KeeperScore; 128]> = (0..self.table.endpoints.len()).map(score).collect();
+        if key.is_some() {
+            ranked.sort_unstable_by(|left, right| right.cmp(left));
+        }
+        ranked
     }
-    let (rest, other): (Vec<_>, Vec<_>) = rest.into_iter().partition(|x| own_side(x.0));
-    let (near, far): (Vec<_>, Vec<_>) = rest.into_iter().partition(|x| t.endpoints[x.0].zone == zone);
-    for (mut v, k) in [(near, SOME), (far, SOME / 2), (other, SOME / 4)] {
-        for _ in 0..k.min(v.len() as u64) {
-            let i = usize::try_from(rng.below(v.len() as u64)).unwrap_or(0);
-            out.push(v.swap_remove(i));
+
+    /// Adds a random sample of `others` to the chosen candidates.
+    fn sample(&self, others: SmallVec<[Candidate; 128]>, chosen: &mut SmallVec<[Candidate; 32]>, rng: &mut Rng) {
+        let (own_partition, other_partition): (Vec<_>, Vec<_>) =
+            others.into_iter().partition(|other| self.is_in_partition(other.index));
+        let (near, far): (Vec<_>, Vec<_>) = own_partition.into_iter().partition(|other| self.is_in_zone(other.index));
+        for (mut group, count) in [(near, SAMPLE), (far, SAMPLE / 2), (other_partition, SAMPLE / 4)] {
+            for _ in 0..count.min(group.len() as u64) {
+                let index = usize::try_from(rng.below(group.len() as u64)).unwrap_or(0);
+                chosen.push(group.swap_remove(index));
+            }
         }
     }
-    out
 }
--- a/crates/core/src/placement/lengths.rs
+++ b/crates/core/src/placement/lengths.rs
@@ -1,139 +1,165 @@
-//! Long and short prompts apart.
+//! Long and short prompts on workers of their own.
 //!
-//! A short prompt that comes to a worker which reads a long one waits for it, and no node knows
-//! where all others have just sent a long one. So the workers of a pool are parted by the work
-//! that long and short prompts make: all nodes part them alike without asking each other, and a
-//! prompt goes to the other part only where its own one is worse by more than [`PENALTY`].
+//! A short prompt that comes to a worker in the middle of a long prefill waits for it, and no node
+//! knows where all others have just sent a long one. So the workers of a pool are partitioned in
+//! proportion to the work that long and short prompts make. All nodes find the same partition without
+//! asking each other, and a prompt goes to the other partition only where its own one is worse by
+//! more than [`OTHER_PARTITION_PENALTY`].
 
 use crate::base::Micros;
 use std::collections::BTreeMap;
 
-/// What a worker of the other part costs, in parts of a call's worth.
-pub const PENALTY: f64 = 0.1;
-/// A route is long from so much above the pool's usual prompt on, and short from so much below.
-const LONG: f64 = 1.25;
-const SHORT: f64 = 0.8;
-/// So many calls must have been seen, and the prompts of the two kinds of routes must differ so much.
-const ENOUGH: u64 = 2;
-const APART: f64 = 2.0;
-/// Workers that are parted stay so until the prompts differ by less than this.
-const ALIKE: f64 = 1.3;
-/// Nothing is changed until so many more calls were seen.
-const SETTLE: u64 = 200;
+/// What a worker of the other partition costs, as a fraction of a call's value.
+pub const OTHER_PARTITION_PENALTY: f64 = 0.1;
+/// A route becomes long above this multiple of the pool's usual prompt ...
+const LONG_ABOVE: f64 = 1.25;
+/// ... and short again below this one.
+const SHORT_BELOW: f64 = 0.8;
+/// Workers are not partitioned before this many calls ...
+const MIN_CALLS: u64 = 2;
+/// ... and not before long prompts are this many times as long as short ones.
+const PARTITION_RATIO: f64 = 2.0;
+/// The partition ends once they are less than this many times as long.
+const MERGE_RATIO: f64 = 1.3;
+/// The partition is not changed again within this many calls.
+const SETTLING_CALLS: u64 = 200;
 /// How much a new prompt counts for the usual length.
-const FOLLOW: f64 = 0.02;
-/// Half of the work that was seen counts no more after so many microseconds.
-const HALF: f64 = 20_000_000.0;
-/// The part of the workers for short prompts is one of so many steps, and a third to begin with. It moves
-/// only once the work is more than a step away: nodes that each see a little of the traffic must agree
-/// on it, or the same prompt has another home at each of them.
+const LEARNING_RATE: f64 = 0.02;
+/// After this time work counts half, in microseconds.
+const WORK_HALF_LIFE: f64 = 20_000_000.0;
+/// The fraction of the workers for short prompts is a multiple of one step. It moves only once the
+/// work is more than a step away: nodes that each see a little of the traffic must agree on it, or
+/// the same prompt is placed differently by each of them.
 const STEPS: f64 = 6.0;
-const FIRST: f64 = 2.0 / STEPS;
-/// Routes that are known at most.
-const MOST: usize = 64;
+/// The first fraction for short prompts.
+const INITIAL_SHORT_FRACTION: f64 = 2.0 / STEPS;
+/// How many routes are remembered at most; the one seen longest ago is forgotten first.
+const MAX_ROUTES: usize = 64;
 
-/// What one route's prompts are like.
+/// What the prompts of one route are like.
 #[derive(Clone, Copy, Debug, Default)]
-struct Route {
+struct RouteLengths {
+    /// The usual length, in tokens.
     tokens: f64,
+    /// Tokens prefilled, decayed as of `updated_at`.
     work: f64,
-    at: Micros,
+    updated_at: Micros,
     calls: u64,
-    long: bool,
+    is_long: bool,
 }
 
-impl Route {
-    fn work(&self, now: Micros) -> f64 {
-        self.work * (-(now.saturating_sub(self.at) as f64) / HALF).exp2()
+impl RouteLengths {
+    fn decayed_work(&self, now: Micros) -> f64 {
+        self.work * (-(now.saturating_sub(self.updated_at) as f64) / WORK_HALF_LIFE).exp2()
     }
 }
 
+/// The work of all long or of all short routes.
+#[derive(Clone, Copy, Debug, Default)]
+struct ClassWork {
+    /// Tokens prefilled, decayed.
+    work: f64,
+    /// The sum of the routes' usual lengths, each weighted by its work.
+    weighted_tokens: f64,
+}
+
 /// The lengths of a pool's prompts, by route.
 #[derive(Clone, Debug, Default)]
 pub struct PromptLengths {
-    routes: BTreeMap<u64, Route>,
+    routes: BTreeMap<u64, RouteLengths>,
+    /// The usual length of all prompts, in tokens.
     tokens: f64,
     calls: u64,
-    /// The part of the workers that short prompts go to; none where they are not parted.
-    short: Option<f64>,
-    /// How many calls had been seen when that changed last.
-    settled: u64,
+    /// The fraction of the workers for short prompts; none while workers are not partitioned.
+    short_fraction: Option<f64>,
+    /// The number of calls when `short_fraction` changed last.
+    changed_at_call: u64,
 }
 
-/// Which part of the workers a call should go to: those below this place are for short prompts.
+/// Which partition of the workers a call should go to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LengthClass {
+    /// Whether the call belongs to the partition of long prompts.
     pub is_long: bool,
+    /// The fraction of the workers for short prompts, from 0 to 1.
     pub short_fraction: f64,
 }
 
 impl LengthClass {
-    /// Whether the worker at this place, from 0 to 1, is on this side.
-    pub fn contains(&self, place: f64) -> bool {
-        (place >= self.short_fraction) == self.is_long
+    /// Whether the worker at this position, from 0 to 1, is in this partition: those below
+    /// `short_fraction` are for short prompts.
+    pub fn contains(&self, position: f64) -> bool {
+        (position >= self.short_fraction) == self.is_long
     }
 }
 
 impl PromptLengths {
-    /// Where a call of this route should go.
+    /// The partition for calls of this route; none for an unknown route or while workers are not
+    /// partitioned.
     pub fn class_of(&self, route: u64) -> Option<LengthClass> {
-        let short_part = self.short?;
-        let long = self.routes.get(&route)?.long;
-        Some(LengthClass { is_long: long, short_fraction: short_part })
+        let short_fraction = self.short_fraction?;
+        let is_long = self.routes.get(&route)?.is_long;
+        Some(LengthClass { is_long, short_fraction })
     }
 
-    /// A call of this route has so many tokens, of which these are to be read.
+    /// Records a call of this route with `tokens` tokens, of which `unread` are to be prefilled.
     pub fn record(&mut self, route: u64, tokens: f64, unread: f64, now: Micros) {
-        if self.routes.len() >= MOST && !self.routes.contains_key(&route) {
+        if self.routes.len() >= MAX_ROUTES && !self.routes.contains_key(&route) {
             self.forget_oldest();
         }
         self.calls += 1;
-        let follow = |n: u64| FOLLOW.max(1.0 / n as f64);
-        self.tokens += follow(self.calls) * (tokens - self.tokens);
-        let r = self.routes.entry(route).or_default();
-        r.calls += 1;
-        r.tokens += follow(r.calls) * (tokens - r.tokens);
-        r.work = r.work(now) + unread;
-        r.at = now;
-        r.long = r.tokens > self.tokens * if r.long { SHORT } else { LONG };
+        // The first calls are averaged, later ones followed.
+        let rate = |calls: u64| LEARNING_RATE.max(1.0 / calls as f64);
+        self.tokens += rate(self.calls) * (tokens - self.tokens);
+        let lengths = self.routes.entry(route).or_default();
+        lengths.calls += 1;
+        lengths.tokens += rate(lengths.calls) * (tokens - lengths.tokens);
+        lengths.work = lengths.decayed_work(now) + unread;
+        lengths.updated_at = now;
+        lengths.is_long = lengths.tokens > self.tokens * if lengths.is_long { SHORT_BELOW } else { LONG_ABOVE };
         self.repartition(now);
     }
 
     fn forget_oldest(&mut self) {
-        if let Some(oldest) = self.routes.iter().min_by_key(|r| r.1.at).map(|r| *r.0) {
+        if let Some(oldest) = self.routes.iter().min_by_key(|(_, lengths)| lengths.updated_at).map(|(route, _)| *route)
+        {
             self.routes.remove(&oldest);
         }
     }
 
-    /// Parts the workers by the work of both.
+    /// Partitions the workers by the work of long and short prompts.
     fn repartition(&mut self, now: Micros) {
-        let sum = |long: bool| {
-            let of = self.routes.values().filter(|r| r.long == long);
-            of.fold((0.0, 0.0), |(work, weighed), r| {
-                let w = r.work(now);
-                (work + w, weighed + w * r.tokens)
-            })
+        let (long, short) = (self.class_work(true, now), self.class_work(false, now));
+        let length_ratio = if short.work > 0.0 {
+            (long.weighted_tokens / long.work.max(1.0)) / (short.weighted_tokens / short.work)
+        } else {
+            0.0
         };
-        let ((long, long_tokens), (short, short_tokens)) = (sum(true), sum(false));
-        let times = if short > 0.0 { (long_tokens / long.max(1.0)) / (short_tokens / short) } else { 0.0 };
-        let Some(part) = self.short else {
-            let begin = self.calls >= ENOUGH && times > APART;
-            self.short = begin.then_some(FIRST);
-            self.settled = self.calls;
+        let Some(current) = self.short_fraction else {
+            let begins = self.calls >= MIN_CALLS && length_ratio > PARTITION_RATIO;
+            self.short_fraction = begins.then_some(INITIAL_SHORT_FRACTION);
+            self.changed_at_call = self.calls;
             return;
         };
-        if self.calls < self.settled + SETTLE {
+        if self.calls < self.changed_at_call + SETTLING_CALLS {
             return;
         }
-        let wanted = short / (short + long).max(1.0);
-        let moved = (wanted * STEPS).round().clamp(1.0, STEPS - 1.0) / STEPS;
-        if times < ALIKE {
-            self.short = None;
-        } else if (wanted - part).abs() > 1.0 / STEPS {
-            self.short = Some(moved);
+        let wanted = short.work / (short.work + long.work).max(1.0);
+        if length_ratio < MERGE_RATIO {
+            self.short_fraction = None;
+        } else if (wanted - current).abs() > 1.0 / STEPS {
+            self.short_fraction = Some((wanted * STEPS).round().clamp(1.0, STEPS - 1.0) / STEPS);
         } else {
             return;
         }
-        self.settled = self.calls;
+        self.changed_at_call = self.calls;
+    }
+
+    fn class_work(&self, is_long: bool, now: Micros) -> ClassWork {
+        let of_class = self.routes.values().filter(|route| route.is_long == is_long);
+        of_class.fold(ClassWork::default(), |sum, route| {
+            let work = route.decayed_work(now);
+            ClassWork { work: sum.work + work, weighted_tokens: sum.weighted_tokens + work * route.tokens }
+        })
     }
 }
--- a/crates/core/src/placement/prefix_cache.rs
+++ b/crates/core/src/placement/prefix_cache.rs
@@ -1,60 +1,81 @@
-//! The prompts that an engine likely keeps in its memory.
+//! The prefixes that an engine likely has in its KV cache.
 
+use super::demand::wrapped_ms;
 use super::prompt::PromptSegment;
 use crate::base::Micros;
 
-/// The parts that a worker likely keeps, as far as this node sent them there.
-/// Bounded by number and by tokens; 16 bytes each.
+/// How many prefixes of one engine are remembered at most.
+const MAX_SEGMENTS: usize = 256;
+
+/// One prefix that was sent to the engine; 16 bytes.
+#[derive(Clone, Copy, Debug)]
+struct CachedSegment {
+    key: u64,
+    /// The lower 32 bits of the time of its last use, in milliseconds.
+    used_ms: u32,
+    tokens: u32,
+}
+
+/// The prefixes that an engine likely has in its KV cache, as far as this node sent them there.
+/// Bounded by number and by tokens; the least recently used ones are forgotten first.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixCache {
-    /// By key: when it was last used, in milliseconds, and its tokens.
-    rows: Vec<(u64, u32, u32)>,
+    /// In the order of their keys.
+    segments: Vec<CachedSegment>,
+    /// The sum of the segments' tokens.
     tokens: u64,
 }
 
-/// So many are remembered.
-pub const MOST: usize = 256;
-
 impl PrefixCache {
-    /// Whether this one is likely kept.
+    /// Whether the prefix with this key is likely cached.
     pub fn contains(&self, key: u64) -> bool {
-        self.rows.binary_search_by_key(&key, |r| r.0).is_ok()
+        self.position(key).is_ok()
     }
 
-    /// Notes that a chain was sent there; `room` is how many tokens may be kept.
-    pub fn record(&mut self, c: &[PromptSegment], room: u64, now: Micros) {
-        let ms = u32::try_from((now / 1000) & 0xFFFF_FFFF).unwrap_or(0);
-        for l in c {
-            match self.rows.binary_search_by_key(&l.key, |r| r.0) {
-                Ok(i) => self.rows[i].1 = ms,
-                Err(i) => {
-                    self.rows.insert(i, (l.key, ms, l.tokens));
-                    self.tokens += u64::from(l.tokens);
+    /// Notes that a prompt was sent to the engine, whose cache has room for `max_tokens` tokens.
+    pub fn record(&mut self, chain: &[PromptSegment], max_tokens: u64, now: Micros) {
+        let used_ms = wrapped_ms(now);
+        for segment in chain {
+            match self.position(segment.key) {
+                Ok(index) => self.segments[index].used_ms = used_ms,
+                Err(index) => {
+                    let PromptSegment { key, tokens } = *segment;
+                    self.segments.insert(index, CachedSegment { key, used_ms, tokens });
+                    self.tokens += u64::from(tokens);
                 }
             }
         }
-        while self.rows.len() > MOST || self.tokens > room {
-            let Some(i) = (0..self.rows.len()).min_by_key(|i| self.rows[*i].1) else { break };
-            self.tokens -= u64::from(self.rows.remove(i).2);
+        while self.segments.len() > MAX_SEGMENTS || self.tokens > max_tokens {
+            let oldest = (0..self.segments.len()).min_by_key(|index| self.segments[*index].used_ms);
+            let Some(oldest) = oldest else { break };
+            self.remove_at(oldest);
         }
     }
 
-    /// Parts that were not read after all.
+    /// Forgets prefixes that were not prefilled after all.
     pub fn remove(&mut self, keys: &[u64]) {
-        for k in keys {
-            if let Ok(i) = self.rows.binary_search_by_key(k, |r| r.0) {
-                self.tokens -= u64::from(self.rows.remove(i).2);
+        for key in keys {
+            if let Ok(index) = self.position(*key) {
+                self.remove_at(index);
             }
         }
     }
 
-    /// How many are remembered.
+    /// How many prefixes are remembered.
     pub fn len(&self) -> usize {
-        self.rows.len()
+        self.segments.len()
     }
 
-    /// Whether none is.
+    /// Whether no prefix is remembered.
     pub fn is_empty(&self) -> bool {
-        self.rows.is_empty()
+        self.segments.is_empty()
+    }
+
+    fn position(&self, key: u64) -> Result<usize, usize> {
+        self.segments.binary_search_by_key(&key, |segment| segment.key)
+    }
+
+    fn remove_at(&mut self, index: usize) {
+        self.tokens -= u64::from(self.segments.remove(index).tokens);
     }
 }
--- a/crates/core/src/placement/prompt.rs
+++ b/crates/core/src/placement/prompt.rs
@@ -1,36 +1,41 @@
-//! What a call asks of an engine: the parts of its prompt and their lengths.
+//! What a call requests from an engine: the parts of its prompt, their lengths and its deadlines.
 
 use crate::base::{MS, Micros, SEC};
 use smallvec::SmallVec;
 
-/// The hashes of all beginnings of a prompt, the shortest first.
+/// The hashes of all prefixes of a prompt, the shortest first.
 pub type SegmentChain = SmallVec<[PromptSegment; 8]>;
 
-/// What a call asks of the worker that will take it.
+/// The hash of the empty prefix; all nodes must use the same one.
+const CHAIN_SEED: u64 = 0x5EA7;
+
+/// What a call requests from the worker that will serve it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PromptRequest {
-    /// Names the route, whose prompts are of like length.
+    /// The hash of the route, whose prompts are of similar lengths.
     pub route: u64,
-    /// The parts of its prompt in order: their ids and how many tokens each has.
+    /// The parts of its prompt in order: the id of each and its number of tokens.
     pub parts: SmallVec<[(u64, u32); 8]>,
-    /// The most tokens it may put out.
+    /// The most tokens that it may generate.
     pub max_output_tokens: u32,
-    /// When its first piece is due to be worth all.
+    /// Within this time to first token the response has its full value, in microseconds; 500 ms by default.
     pub latency_target: Micros,
-    /// The longest pause that streams beside it bear.
+    /// The longest pause that streams beside it bear, in microseconds; 300 ms by default.
     pub max_stream_gap: Micros,
-    /// How much longer the caller waits.
+    /// How much longer the caller waits, in microseconds; 2 seconds by default.
     pub time_left: Micros,
-    /// 0 goes first.
+    /// Its rank, 0 first; 5 by default.
     pub urgency: u8,
-    /// What crosses between zones if its worker is in another: both ways.
+    /// The bytes of request and response, which cross zones if its worker is in another one.
     pub bytes: u32,
 }
 
-/// The beginning of a prompt up to the end of one part.
+/// The prefix of a prompt up to the end of one part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptSegment {
+    /// The hash of the part and of all parts before it.
     pub key: u64,
+    /// The tokens of the part alone.
     pub tokens: u32,
 }
 
@@ -50,37 +55,39 @@
 }
 
 impl PromptRequest {
-    /// Each part is kept only as the continuation of all before it, so it is known by all of them.
+    /// The prefixes of the prompt. A KV cache keeps a part only as the continuation of all parts
+    /// before it, so its key depends on all of them.
     pub fn chain(&self) -> SegmentChain {
-        let mut h = 0x5EA7;
+        let mut key = CHAIN_SEED;
         self.parts
             .iter()
-            .map(|(id, n)| {
-                h = mix(h ^ mix(*id).wrapping_add(u64::from(*n)));
-                PromptSegment { key: h, tokens: *n }
+            .map(|(id, tokens)| {
+                key = mix(key ^ mix(*id).wrapping_add(u64::from(*tokens)));
+                PromptSegment { key, tokens: *tokens }
             })
             .collect()
     }
 
-    /// The length of the whole prompt.
+    /// The length of the whole prompt, in tokens.
     pub fn tokens(&self) -> u64 {
-        self.parts.iter().map(|p| u64::from(p.1)).sum()
+        self.parts.iter().map(|(_, tokens)| u64::from(*tokens)).sum()
     }
 }
 
-/// What of a chain is worth being led by: the last part is the call's own.
-pub fn home(c: &[PromptSegment]) -> Option<u64> {
-    match c {
+/// The key of the prefix by which the likely keepers of a prompt are found: all but its last part,
+/// which is the call's own.
+pub fn shared_prefix_key(chain: &[PromptSegment]) -> Option<u64> {
+    match chain {
         [] => None,
-        [x] => Some(x.key),
-        [.., x, _] => Some(x.key),
+        [only] => Some(only.key),
+        [.., shared, _] => Some(shared.key),
     }
 }
 
-/// Spreads the bits of a number.
-pub fn mix(x: u64) -> u64 {
-    let z = x.wrapping_add(0x9E37_79B9_7F4A_7C15);
-    let z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
-    let z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
-    z ^ (z >> 31)
+/// Spreads the bits of a number (one step of SplitMix64; Steele, Lea and Flood, 2014).
+pub fn mix(number: u64) -> u64 {
+    let mixed = number.wrapping_add(0x9E37_79B9_7F4A_7C15);
+    let mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
+    let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
+    mixed ^ (mixed >> 31)
 }
--- a/crates/core/src/placement/table.rs
+++ b/crates/core/src/placement/table.rs
@@ -1,136 +1,158 @@
-//! The workers of a pool on a ring of virtual places.
+//! The workers of a pool on a hash ring, for consistent hashing with bounded loads.
 
 use crate::base::hash64;
 use crate::protocol::WorkerReport;
 use smallvec::SmallVec;
 use std::net::SocketAddr;
 
-/// Virtual places of one worker on the ring.
-const VIRTUAL: u32 = 64;
-/// How far above its even share a worker may be loaded, in hundredths.
-const BOUND: u64 = 125;
+/// Virtual nodes of one worker on the ring.
+const VIRTUAL_NODES: u32 = 64;
+/// How far above its even share a worker may be loaded, in hundredths (the factor c of Mirrokni,
+/// Thorup and Zadimoghaddam, Consistent Hashing with Bounded Loads).
+const LOAD_BOUND_PERCENT: u64 = 125;
 
-/// One worker of the table.
+/// One worker of a table, as its last report describes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Endpoint {
+    /// The worker's id.
     pub worker_id: String,
+    /// The incarnation that the report came from.
     pub incarnation: u64,
+    /// The number of the report within its incarnation.
     pub seq: u64,
+    /// Where the worker serves calls.
     pub addr: SocketAddr,
+    /// The zone that it runs in.
     pub zone: String,
+    /// How many calls it runs at once.
     pub slots: u32,
+    /// How many calls of all nodes it was running.
     pub busy: u32,
 }
 
-/// The workers of one pool and their ring; never changed, swapped whole.
+impl Endpoint {
+    /// None if the report's address is not an IP address and port.
+    fn from_report(report: &WorkerReport) -> Option<Endpoint> {
+        Some(Endpoint {
+            worker_id: report.worker_id.clone(),
+            incarnation: report.incarnation,
+            seq: report.seq,
+            addr: report.addr.parse().ok()?,
+            zone: report.zone.clone(),
+            slots: report.slots,
+            busy: report.busy,
+        })
+    }
+}
+
+/// The workers of one pool and their ring. Never changed: a new table replaces it as a whole.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlacementTable {
+    /// The workers, in the order of their ids. All other lists refer to them by index.
     pub endpoints: Vec<Endpoint>,
+    /// The virtual nodes: the hash of each and the index of its worker, in the order of the hashes.
     ring: Vec<(u64, u32)>,
-    /// A hash of each worker's id, and the number of its zone among so many.
-    pub(super) ids: Vec<u64>,
-    pub(super) zone: Vec<u16>,
-    pub(super) zones: u16,
-    /// Where each worker stands among those of its zone by its hash, from 0 to 1.
-    pub(super) standing: Vec<f64>,
+    /// The hash of each worker's id.
+    pub(super) id_hashes: Vec<u64>,
+    /// The position of each worker among those of its zone by its hash, from 0 to 1.
+    pub(super) zone_positions: Vec<f64>,
 }
 
 impl PlacementTable {
-    /// The table of these workers.
-    pub fn new<'a>(rows: impl Iterator<Item = &'a WorkerReport>) -> PlacementTable {
-        let mut places: Vec<_> = rows
-            .filter_map(|r| {
-                Some(Endpoint {
-                    worker_id: r.worker_id.clone(),
-                    incarnation: r.incarnation,
-                    seq: r.seq,
-                    addr: r.addr.parse().ok()?,
-                    zone: r.zone.clone(),
-                    slots: r.slots,
-                    busy: r.busy,
-                })
-            })
-            .collect();
-        places.sort_by(|a, b| a.worker_id.cmp(&b.worker_id));
-        let mut ring = Vec::with_capacity(places.len() * VIRTUAL as usize);
-        for (i, p) in places.iter().enumerate() {
-            for v in 0..VIRTUAL {
-                let mut k = p.worker_id.clone().into_bytes();
-                k.extend(v.to_le_bytes());
-                ring.push((hash64(&k), u32::try_from(i).unwrap_or(0)));
-            }
-        }
-        ring.sort_unstable();
-        let ids: Vec<u64> = places.iter().map(|p| hash64(p.worker_id.as_bytes())).collect();
-        let mut names: Vec<&str> = places.iter().map(|p| p.zone.as_str()).collect();
-        names.sort_unstable();
-        names.dedup();
-        let zone: Vec<u16> =
-            places.iter().map(|p| number(names.binary_search(&p.zone.as_str()).unwrap_or(0))).collect();
-        let zones = number(names.len());
-        let standing = standing(&ids, &zone);
-        PlacementTable { endpoints: places, ring, ids, zone, zones, standing }
+    /// The table of the workers with these reports; those without a valid address are left out.
+    pub fn new<'a>(reports: impl Iterator<Item = &'a WorkerReport>) -> PlacementTable {
+        let mut endpoints: Vec<_> = reports.filter_map(Endpoint::from_report).collect();
+        endpoints.sort_by(|left, right| left.worker_id.cmp(&right.worker_id));
+        let ring = ring(&endpoints);
+        let id_hashes: Vec<u64> = endpoints.iter().map(|endpoint| hash64(endpoint.worker_id.as_bytes())).collect();
+        let zone_positions = zone_positions(&endpoints, &id_hashes);
+        PlacementTable { endpoints, ring, id_hashes, zone_positions }
     }
 
-    /// Who serves this prefix: along the ring, the own zone first, past those
-    /// above their bound, then past those that are full. None: all are full.
-    pub fn nominate(&self, h: u64, zone: &str, load: &[u32], skip: &[String]) -> Option<usize> {
-        let ok = |i: usize| {
-            let p = &self.endpoints[i];
-            !skip.contains(&p.worker_id) && load.get(i).copied().unwrap_or(0) < p.slots
+    /// The index of the worker for a prefix with this hash: the first one along the ring that is below
+    /// its load bound, else the first one with a free slot; workers of the caller's zone come before
+    /// all others. None if all are full or excluded.
+    pub fn nominate(&self, hash: u64, zone: &str, loads: &[u32], excluded: &[String]) -> Option<usize> {
+        let load = |index: usize| loads.get(index).copied().unwrap_or(0);
+        let is_free = |index: usize| {
+            let endpoint = &self.endpoints[index];
+            !excluded.contains(&endpoint.worker_id) && load(index) < endpoint.slots
         };
-        let order = self.walk(h);
-        for own in [true, false] {
-            let near = |i: usize| (self.endpoints[i].zone == zone) == own;
-            let (mut sum, mut slots) = (1u64, 0u64);
-            for (i, p) in self.endpoints.iter().enumerate().filter(|x| near(x.0)) {
-                sum += u64::from(load.get(i).copied().unwrap_or(0));
-                slots += u64::from(p.slots);
-            }
-            let under = |i: usize| {
-                let l = u64::from(load.get(i).copied().unwrap_or(0));
-                l * slots * 100 < sum * u64::from(self.endpoints[i].slots) * BOUND
-            };
-            let mut it = order.iter().copied().filter(|i| near(*i) && ok(*i));
-            if let Some(i) = it.clone().find(|i| under(*i)).or_else(|| it.next()) {
-                return Some(i);
-            }
+        let order = self.ring_order(hash);
+        [true, false].into_iter().find_map(|in_zone| {
+            let is_candidate = |index: &usize| (self.endpoints[*index].zone == zone) == in_zone;
+            let bound = self.load_bound(loads, is_candidate);
+            let mut free = order.iter().copied().filter(|index| is_candidate(index) && is_free(*index));
+            let below_bound = |index: &usize| bound.allows(load(*index), self.endpoints[*index].slots);
+            free.clone().find(below_bound).or_else(|| free.next())
+        })
+    }
+
+    fn load_bound(&self, loads: &[u32], is_candidate: impl Fn(&usize) -> bool) -> LoadBound {
+        // The call to be placed counts as well.
+        let mut bound = LoadBound { total_load: 1, total_slots: 0 };
+        for (index, endpoint) in self.endpoints.iter().enumerate().filter(|(index, _)| is_candidate(index)) {
+            bound.total_load += u64::from(loads.get(index).copied().unwrap_or(0));
+            bound.total_slots += u64::from(endpoint.slots);
         }
-        None
+        bound
     }
 
-    /// Every worker once, in the order that the ring gives from `h` on.
-    fn walk(&self, h: u64) -> SmallVec<[usize; 32]> {
-        let at = self.ring.partition_point(|x| x.0 < h);
+    /// Every worker once, in the order of the ring from this hash on.
+    fn ring_order(&self, hash: u64) -> SmallVec<[usize; 32]> {
+        let start = self.ring.partition_point(|(virtual_node, _)| *virtual_node < hash);
         let mut seen = vec![false; self.endpoints.len()];
-        let mut out = SmallVec::new();
-        for (_, i) in self.ring[at..].iter().chain(&self.ring[..at]) {
-            let i = *i as usize;
-            if !seen[i] {
-                seen[i] = true;
-                out.push(i);
-                if out.len() == self.endpoints.len() {
+        let mut order = SmallVec::new();
+        for (_, index) in self.ring[start..].iter().chain(&self.ring[..start]) {
+            let index = *index as usize;
+            if !seen[index] {
+                seen[index] = true;
+                order.push(index);
+                if order.len() == self.endpoints.len() {
                     break;
                 }
             }
         }
-        out
+        order
+    }
+}
+
+/// The bound on the load of each of some workers, in proportion to its slots.
+struct LoadBound {
+    total_load: u64,
+    total_slots: u64,
+}
+
+impl LoadBound {
+    fn allows(&self, load: u32, slots: u32) -> bool {
+        u64::from(load) * self.total_slots * 100 < self.total_load * u64::from(slots) * LOAD_BOUND_PERCENT
     }
 }
 
-/// The place of each among those of its zone, in the middle of its part of 0 to 1.
-fn standing(ids: &[u64], zone: &[u16]) -> Vec<f64> {
-    let mut order: Vec<usize> = (0..ids.len()).collect();
-    order.sort_unstable_by_key(|i| (zone[*i], ids[*i]));
-    let mut out = vec![0.0; ids.len()];
-    for of_zone in order.chunk_by(|a, b| zone[*a] == zone[*b]) {
-        for (at, i) in of_zone.iter().enumerate() {
-            out[*i] = (at as f64 + 0.5) / of_zone.len() as f64;
+/// The virtual nodes of all workers, in the order of their hashes.
+fn ring(endpoints: &[Endpoint]) -> Vec<(u64, u32)> {
+    let mut ring = Vec::with_capacity(endpoints.len() * VIRTUAL_NODES as usize);
+    for (index, endpoint) in endpoints.iter().enumerate() {
+        for virtual_node in 0..VIRTUAL_NODES {
+            let mut key = endpoint.worker_id.clone().into_bytes();
+            key.extend(virtual_node.to_le_bytes());
+            ring.push((hash64(&key), u32::try_from(index).unwrap_or(0)));
         }
     }
-    out
+    ring.sort_unstable();
+    ring
 }
 
-fn number(n: usize) -> u16 {
-    u16::try_from(n).unwrap_or(u16::MAX)
+/// The position of each worker among those of its zone, in the middle of its fraction of 0 to 1.
+fn zone_positions(endpoints: &[Endpoint], id_hashes: &[u64]) -> Vec<f64> {
+    let zone = |index: usize| endpoints[index].zone.as_str();
+    let mut order: Vec<usize> = (0..endpoints.len()).collect();
+    order.sort_unstable_by_key(|index| (zone(*index), id_hashes[*index]));
+    let mut positions = vec![0.0; endpoints.len()];
+    for of_zone in order.chunk_by(|left, right| zone(*left) == zone(*right)) {
+        for (rank, index) in of_zone.iter().enumerate() {
+            positions[*index] = (rank as f64 + 0.5) / of_zone.len() as f64;
+        }
+    }
+    positions
 }
