--- a/crates/core/src/config/compiled/route.rs
+++ b/crates/core/src/config/compiled/route.rs
@@ -5,13 +5,13 @@
 /// The four kinds of traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
-    /// Short look-ups, which are served first.
+    /// Look-ups, with the greatest priority weight.
     Lookup,
     /// Conversations.
     Chat,
     /// Drafts of texts.
     Draft,
-    /// Summaries, which can wait.
+    /// Summaries, with the least priority weight.
     Summary,
 }
 
@@ -94,7 +94,7 @@
     pub max_stream_gap: Micros,
     /// How many attempts a call may have, each at another worker; 16 by default.
     pub max_attempts: u32,
-    /// The rank of its calls, 0 first; none leaves it to the node.
+    /// The rank of its calls, 0 first; none if not configured.
     pub urgency: Option<u8>,
     /// Whether calls need no key; false by default.
     pub allows_anonymous: bool,
--- a/crates/core/src/placement/cost.rs
+++ b/crates/core/src/placement/cost.rs
@@ -49,7 +49,7 @@
 }
 
 impl CostModel<'_> {
-    /// The total cost. The terms are added in a fixed order, since nodes and tests rely on the same bits.
+    /// The total cost. The order of evaluation is part of the result: rounding decides between near ties.
     pub fn total(&self) -> f64 {
         let load_cost =
             self.lateness() + self.delay_of_streams() + self.occupancy() + self.cache_pressure() + self.silence();
--- a/crates/core/src/placement/engines.rs
+++ b/crates/core/src/placement/engines.rs
@@ -52,7 +52,7 @@
     Done,
     /// The worker did not run the call.
     Declined,
-    /// The call failed, or the caller left.
+    /// Any other end.
     Failed,
 }
 
@@ -229,7 +229,7 @@
     pool.held += LENGTH_LEARNING_RATE * (held as f64 - pool.held);
 }
 
-/// How many tokens of prefixes a worker likely keeps: 70 % of its KV cache; the rest is for running calls.
+/// How many tokens of prefixes a worker likely keeps: 70 % of its KV cache.
 fn max_cached_tokens(weights: &PlacementWeights) -> u64 {
     match weights.kv_cache_tokens {
         0 => u64::MAX,
