--- a/crates/core/tests/machines.rs
+++ b/crates/core/tests/machines.rs
@@ -1,4 +1,4 @@
-//! Case tables for the small machines.
+//! Case tables for the small state machines: worker table, leases, quota, retries, streams, placement, queue.
 
 use std::collections::BTreeMap;
 use sumacvale_core::base::{MS, NodeId, SEC};
@@ -14,7 +14,7 @@
 use sumacvale_core::stream::{EventSplitter, StreamError};
 use sumacvale_core::workers::{MergeOutcome, WorkerTable};
 
-fn row(w: &str, zone: &str, incarnation: u64, seq: u64) -> WorkerReport {
+fn report(w: &str, zone: &str, incarnation: u64, seq: u64) -> WorkerReport {
     let n = w.bytes().map(u32::from).sum::<u32>() % 250 + 1;
     WorkerReport {
         worker_id: w.into(),
@@ -33,113 +33,113 @@
 }
 
 #[test]
-fn reports_merge_by_life_and_sequence() {
+fn reports_merge_by_incarnation_and_sequence() {
     for (name, incarnation, seq, at, want, heard) in [
         ("next", 2, 6, 10, MergeOutcome::Applied, 10),
-        ("the same again, heard later", 2, 5, 9, MergeOutcome::Outdated, 9),
-        ("the same again, heard earlier", 2, 5, 1, MergeOutcome::Outdated, 5),
+        ("the same again, received later", 2, 5, 9, MergeOutcome::Outdated, 9),
+        ("the same again, received earlier", 2, 5, 1, MergeOutcome::Outdated, 5),
         ("an older one", 2, 4, 10, MergeOutcome::Outdated, 5),
-        ("of an ended life", 1, 99, 10, MergeOutcome::EndedIncarnation, 5),
-        ("of a new life", 3, 1, 10, MergeOutcome::Applied, 10),
+        ("of an ended incarnation", 1, 99, 10, MergeOutcome::EndedIncarnation, 5),
+        ("of a new incarnation", 3, 1, 10, MergeOutcome::Applied, 10),
         ("from the future", 2, 6, 11, MergeOutcome::FromFuture, 5),
     ] {
         let mut n = WorkerTable::default();
-        assert_eq!(n.merge(&row("w", "z", 2, 5), 5, 5), MergeOutcome::Applied);
-        assert_eq!(n.merge(&row("w", "z", incarnation, seq), at, 10), want, "{name}");
+        assert_eq!(n.merge(&report("w", "z", 2, 5), 5, 5), MergeOutcome::Applied);
+        assert_eq!(n.merge(&report("w", "z", incarnation, seq), at, 10), want, "{name}");
         assert_eq!(n.entries["w"].reported_at, heard, "{name}");
     }
 }
 
 #[test]
-fn the_silent_and_the_draining_take_no_calls() {
+fn failed_and_draining_workers_are_not_live() {
     let mut n = WorkerTable::default();
-    n.merge(&row("w", "z", 1, 1), 0, 0);
+    n.merge(&report("w", "z", 1, 1), 0, 0);
     assert_eq!(n.live(1_499 * MS).count(), 1);
     assert_eq!(n.live(1_500 * MS).count(), 0);
-    n.merge(&WorkerReport { draining: true, ..row("w", "z", 1, 2) }, SEC, SEC);
+    n.merge(&WorkerReport { draining: true, ..report("w", "z", 1, 2) }, SEC, SEC);
     assert_eq!(n.live(SEC).count(), 0);
 }
 
 #[test]
-fn terms_are_granted_once_and_fenced() {
+fn leases_are_granted_once_and_fenced() {
     let (a, b) = (NodeId(1), NodeId(2));
     let yes = |w| LeaseDecision::Granted { is_new_epoch: w };
     let mut k = LeaseGrantor { fence_until: SEC, ..LeaseGrantor::default() };
     let no = |x: LeaseDecision| matches!(x, LeaseDecision::Rejected { .. });
-    assert!(no(k.request(0, a, 1, true, 0)), "quiet after a start");
+    assert!(no(k.request(0, a, 1, true, 0)), "fenced after a start");
     assert_eq!(k.request(0, a, 1, true, SEC), yes(true));
-    assert!(no(k.request(0, b, 2, true, SEC + LEASE_DURATION - 1)), "another's term runs");
+    assert!(no(k.request(0, b, 2, true, SEC + LEASE_DURATION - 1)), "the lease of another holder is valid");
     assert_eq!(k.request(0, a, 1, false, SEC + LEASE_DURATION - 1), yes(false), "a holder renews");
-    assert!(no(k.request(0, a, 1, true, SEC + LEASE_DURATION)), "a new term needs a new epoch");
-    assert_eq!(k.request(0, b, 2, true, SEC + 2 * LEASE_DURATION), yes(true), "ended: the next");
+    assert!(no(k.request(0, a, 1, true, SEC + LEASE_DURATION)), "a new lease needs a new epoch");
+    assert_eq!(k.request(0, b, 2, true, SEC + 2 * LEASE_DURATION), yes(true), "expired: the next holder");
     assert!(no(k.request(0, a, 1, false, SEC + 3 * LEASE_DURATION)), "an old epoch is not renewed");
     assert!(k.is_fenced(0, 1) && !k.is_fenced(0, 2) && !k.is_fenced(1, 0));
 }
 
-/// The quiet of all may end early; a duty whose windows an earlier life told of waits out its own.
+/// The fence of all roles may end early; a role with a fence of its own waits for the end of that.
 #[test]
-fn a_duty_with_a_quiet_of_its_own_is_granted_after_it_only() {
+fn a_role_with_a_fence_of_its_own_is_granted_only_after_it() {
     let (a, b) = (NodeId(1), NodeId(2));
-    let mut book = LeaseGrantor {
+    let mut grantor = LeaseGrantor {
         fence_until: LEASE_DURATION,
         role_fences: BTreeMap::from([(3, LEASE_DURATION)]),
         ..LeaseGrantor::default()
     };
-    book.fence_until = 0;
-    assert_eq!(book.request(4, a, 1, true, MS), LeaseDecision::Granted { is_new_epoch: true }, "another duty");
-    let refused = book.request(3, a, 1, true, LEASE_DURATION - MS);
+    grantor.fence_until = 0;
+    assert_eq!(grantor.request(4, a, 1, true, MS), LeaseDecision::Granted { is_new_epoch: true }, "another role");
+    let refused = grantor.request(3, a, 1, true, LEASE_DURATION - MS);
     assert!(
         matches!(refused, LeaseDecision::Rejected { holder, remaining: MS, .. } if holder == NodeId::default()),
         "{refused:?}"
     );
     assert_eq!(
-        book.request(3, b, 1, false, LEASE_DURATION - MS),
+        grantor.request(3, b, 1, false, LEASE_DURATION - MS),
         LeaseDecision::Granted { is_new_epoch: true },
         "a holder renews meanwhile"
     );
-    book.granted.clear();
+    grantor.granted.clear();
     assert_eq!(
-        book.request(3, a, 2, true, LEASE_DURATION),
+        grantor.request(3, a, 2, true, LEASE_DURATION),
         LeaseDecision::Granted { is_new_epoch: true },
-        "its quiet has ended"
+        "its fence has ended"
     );
 }
 
 #[test]
-fn a_holder_stops_before_its_grantors_think_so() {
+fn a_lease_ends_at_its_holder_before_it_ends_at_its_grantors() {
     let mut h = HeldLease::default();
     h.extend_from(100);
     assert!(h.is_valid(100 + LEASE_DURATION - HOLDER_MARGIN - 1));
     assert!(!h.is_valid(100 + LEASE_DURATION - HOLDER_MARGIN));
 }
 
-const Q: WindowQuota = WindowQuota { calls: 10, window: SEC };
+const QUOTA: WindowQuota = WindowQuota { calls: 10, window: SEC };
 
-fn ask(n: u64, want: u64) -> SliceRequest {
+fn slice_request(n: u64, want: u64) -> SliceRequest {
     SliceRequest { node_id: NodeId(n), request_id: 0, wanted_units: want, received_at: 0 }
 }
 
-fn given(v: &[LedgerAction]) -> u64 {
+fn granted_units(v: &[LedgerAction]) -> u64 {
     v.iter().map(|t| if let LedgerAction::Grant { grant: g, .. } = t { g.granted_total } else { 0 }).sum()
 }
 
 #[test]
-fn a_ledger_gives_no_more_than_the_quota_and_recalls_before_it_refuses() {
+fn a_ledger_grants_no_more_than_the_quota_and_recalls_before_it_rejects() {
     let mut l = WindowLedger::default();
     let mut sum = 0;
     for k in 0..10 {
-        sum += given(&l.request("t", Q, ask(k, 1), (0, 0), 1, 0));
+        sum += granted_units(&l.request("t", QUOTA, slice_request(k, 1), (0, 0), 1, 0));
     }
     assert_eq!(sum, 10);
-    let v = l.request("t", Q, ask(99, 1), (0, 0), 1, 1);
+    let v = l.request("t", QUOTA, slice_request(99, 1), (0, 0), 1, 1);
     assert!(matches!(&v[..], [LedgerAction::Recall { to, .. }] if to.len() == 10), "{v:?}");
-    let v = l.return_units("t", Q, NodeId(3), 1, 1, 1, 2);
+    let v = l.return_units("t", QUOTA, NodeId(3), 1, 1, 1, 2);
     assert!(matches!(&v[..], [LedgerAction::Grant { grant: g, .. }] if g.node_id == NodeId(99)), "{v:?}");
-    let v = l.request("t", Q, ask(98, 1), (0, 0), 1, 3);
+    let v = l.request("t", QUOTA, slice_request(98, 1), (0, 0), 1, 3);
     assert!(matches!(&v[..], [LedgerAction::Recall { .. }]), "{v:?}");
-    let v = l.tick("t", Q, 1, 3 + 150 * MS);
+    let v = l.tick("t", QUOTA, 1, 3 + 150 * MS);
     assert!(matches!(&v[..], [LedgerAction::Spent { remaining: left, .. }] if *left == SEC - 3 - 150 * MS), "{v:?}");
-    let v = l.request("t", Q, ask(98, 1), (0, 0), 1, SEC);
+    let v = l.request("t", QUOTA, slice_request(98, 1), (0, 0), 1, SEC);
     assert!(matches!(&v[..], [LedgerAction::Grant { grant: g, .. }] if g.window == 2), "a new window: {v:?}");
 }
 
@@ -156,7 +156,7 @@
         }
         let mut sum = 0;
         for k in 10..30 {
-            sum += given(&l.request("t", Q, ask(k, 1), (0, 0), 1, 10 * SEC + now));
+            sum += granted_units(&l.request("t", QUOTA, slice_request(k, 1), (0, 0), 1, 10 * SEC + now));
         }
         assert_eq!(sum, want, "{name}");
     }
@@ -175,20 +175,20 @@
     s.add_granted("t", 1, 3, SEC);
     assert_eq!(s.acquire_unit("t", SEC), AcquireOutcome::Empty, "the window is over");
     s.add_granted("t", 1, 3, SEC);
-    assert!(matches!(s.acquire_unit("t", SEC - 1), AcquireOutcome::Acquired { .. }), "told twice, counted once");
+    assert!(matches!(s.acquire_unit("t", SEC - 1), AcquireOutcome::Acquired { .. }), "granted twice, counted once");
     assert_eq!(s.acquire_unit("t", SEC - 1), AcquireOutcome::Empty);
     s.add_granted("t", 2, 5, 2 * SEC);
     s.refund("t", 1);
     assert_eq!(s.return_idle("t", 2, SEC), Some(5), "a refund of an older window adds nothing");
-    assert_eq!(s.return_idle("t", 2, SEC), Some(5), "given back once");
+    assert_eq!(s.return_idle("t", 2, SEC), Some(5), "returned once");
     assert_eq!(s.acquire_unit("t", SEC), AcquireOutcome::Empty);
     s.add_granted("t", 1, 9, 3 * SEC);
     assert_eq!(s.acquire_unit("t", SEC), AcquireOutcome::Empty, "an older window comes too late");
 }
 
 #[test]
-fn what_may_follow_a_trouble() {
-    for (spot, repeat, down, budget, want) in [
+fn retry_decisions_by_failure_point() {
+    for (failure_point, repeat, down, budget, want) in [
         (FailurePoint::Connect, false, false, true, RetryDecision::Retry),
         (FailurePoint::Connect, false, false, false, RetryDecision::Stop(Execution::NotRun)),
         (FailurePoint::Declined, false, false, true, RetryDecision::Retry),
@@ -198,14 +198,14 @@
         (FailurePoint::Body, true, true, true, RetryDecision::Stop(Execution::Ran)),
         (FailurePoint::Body, false, false, true, RetryDecision::Stop(Execution::Ran)),
     ] {
-        assert_eq!(decide(spot, repeat, down, || budget), want, "{spot:?} {repeat} {down} {budget}");
+        assert_eq!(decide(failure_point, repeat, down, || budget), want, "{failure_point:?} {repeat} {down} {budget}");
     }
 }
 
 #[test]
-fn second_tries_are_a_fifth_of_first_ones_from_the_start() {
+fn retries_are_a_fifth_of_first_attempts_from_the_start() {
     let b = RetryBudget::default();
-    assert!(!b.withdraw(), "no floor");
+    assert!(!b.withdraw(), "no initial budget");
     let mut n = 0;
     for _ in 0..1_000 {
         b.deposit();
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn streams_are_cut_into_whole_pieces_and_resumed_exactly() {
+fn streams_are_split_into_whole_events_and_resumed_exactly() {
     let feed = |p: &mut EventSplitter, s: &str| p.push(s.as_bytes()).map(|v| v.concat());
     let ok = |s: &str| Ok::<_, StreamError>(s.as_bytes().to_vec());
     let new = || EventSplitter::new(true, None);
@@ -242,7 +242,7 @@
 
 #[test]
 fn placement_keeps_prefixes_steps_past_the_full_and_stays_in_its_zone() {
-    let rs: Vec<_> = (0..9).map(|i| row(&format!("w{i}"), &format!("z{}", i % 3), 1, 1)).collect();
+    let rs: Vec<_> = (0..9).map(|i| report(&format!("w{i}"), &format!("z{}", i % 3), 1, 1)).collect();
     let t = PlacementTable::new(rs.iter());
     let none = vec![0; 9];
     let zone = |i: usize| t.endpoints[i].zone.clone();
@@ -259,7 +259,7 @@
         assert!(t.nominate(h, "z1", &none, &skip) != Some(i));
         let full: Vec<_> = (0..9).map(|k| if zone(k) == "z1" { 4 } else { 0 }).collect();
         assert!(zone(t.nominate(h, "z1", &full, &[]).expect("room elsewhere")) != "z1");
-        // One worker less moves only its own prefixes.
+        // The removal of a worker moves only its own prefixes.
         let less = PlacementTable::new(rs.iter().filter(|r| r.worker_id != "w4"));
         let k = less.nominate(h, "z1", &[0; 8], &[]).expect("room");
         if t.endpoints[i].worker_id != "w4" {
@@ -272,8 +272,8 @@
 }
 
 #[test]
-fn a_hot_prefix_is_spread_by_the_bound() {
-    let rs: Vec<_> = (0..4).map(|i| WorkerReport { slots: 100, ..row(&format!("w{i}"), "z", 1, 1) }).collect();
+fn a_hot_prefix_is_spread_by_the_load_bound() {
+    let rs: Vec<_> = (0..4).map(|i| WorkerReport { slots: 100, ..report(&format!("w{i}"), "z", 1, 1) }).collect();
     let t = PlacementTable::new(rs.iter());
     let mut load = vec![0u32; 4];
     for _ in 0..200 {
@@ -284,27 +284,27 @@
 }
 
 #[test]
-fn a_worker_that_failed_is_left_out_until_it_reports_anew() {
+fn a_failed_worker_is_excluded_until_it_reports_again() {
     let l = WorkerLoads::default();
-    let t = PlacementTable::new([row("w", "z", 1, 5)].iter());
+    let t = PlacementTable::new([report("w", "z", 1, 5)].iter());
     l.begin("w");
     assert_eq!(l.current(&t), [1]);
     l.mark_failed("w", 1, 5);
     assert_eq!(l.current(&t), [u32::MAX]);
-    assert_eq!(l.current(&PlacementTable::new([row("w", "z", 1, 6)].iter())), [1]);
-    let busy = WorkerReport { busy: 3, ..row("w", "z", 1, 7) };
+    assert_eq!(l.current(&PlacementTable::new([report("w", "z", 1, 6)].iter())), [1]);
+    let busy = WorkerReport { busy: 3, ..report("w", "z", 1, 7) };
     assert_eq!(l.current(&PlacementTable::new([busy.clone()].iter())), [3], "one own and two of others");
     l.begin("w");
     l.mark_full("w", 4);
-    assert_eq!(l.current(&PlacementTable::new([busy.clone()].iter())), [5], "it said that it is full");
+    assert_eq!(l.current(&PlacementTable::new([busy.clone()].iter())), [5], "it reported that it is full");
     l.end("w");
     l.end("w");
     assert_eq!(l.current(&PlacementTable::new([busy].iter())), [3], "room where own calls ended");
-    assert_eq!(l.current(&PlacementTable::new([row("w", "z", 1, 8)].iter())), [0]);
+    assert_eq!(l.current(&PlacementTable::new([report("w", "z", 1, 8)].iter())), [0]);
 }
 
 #[test]
-fn waiting_is_fair_bounded_and_ends_at_once() {
+fn the_queue_is_fair_and_bounded_and_rejects_at_once() {
     let k = |t: &str, x: Kind| (t.to_owned(), x);
     let mut w = FairQueue::new(100);
     for i in 0..50 {
@@ -318,7 +318,7 @@
     assert_eq!(w.drain_where(|_, due| due <= SEC).len(), 45);
     assert!(w.is_empty());
 
-    // Quick lookups are not stuck behind drafts of the same tenant.
+    // Lookups are not blocked by drafts of the same tenant.
     for i in 0..20 {
         let _ = w.push(k("t", Kind::Draft), 1, ("draft", i), 9 * SEC, SEC);
     }
@@ -326,14 +326,14 @@
     let got: Vec<_> = (0..2).filter_map(|_| w.pop(|_| Some(())).map(|x| x.0.0)).collect();
     assert!(got.contains(&"lookup"), "{got:?}");
 
-    // A full list lets the last of the longest flow go, never the small one's.
+    // A full queue evicts the last of the longest flow, never one of a short flow.
     let mut w = FairQueue::new(3);
     for i in 0..3 {
         assert!(matches!(w.push(k("big", Kind::Chat), 1, i, SEC, 0), Ok(None)));
     }
     assert!(matches!(w.push(k("small", Kind::Chat), 1, 9, SEC, 0), Ok(Some(2))));
     assert!(w.push(k("big", Kind::Chat), 1, 8, SEC, 0).is_err());
-    // What can't be served in time is refused at once.
+    // What cannot be served before its deadline is rejected at once.
     let mut w = FairQueue::new(100);
     for t in 0..10 {
         w.record_freed(t * 100 * MS);
@@ -346,7 +346,7 @@
 }
 
 #[test]
-fn frames_that_are_not_ours_are_typed_troubles() {
+fn invalid_frames_are_typed_errors() {
     let f = Frame {
         from: NodeId(1),
         to: NodeId(2),
@@ -366,15 +366,15 @@
     assert_eq!(decode_frame(&[]), Err(FrameError::Empty));
     assert_eq!(decode_frame(&[9, 1, 2]), Err(FrameError::Version(9)));
     assert!(matches!(decode_frame(&vec![1; 17 << 20]), Err(FrameError::TooLarge(_))));
-    // Any change of any byte is read as some frame or refused, and never more.
-    let mut r = sumacvale_core::base::Rng::new(7);
+    // Any change of any byte is decoded as some frame or rejected, without a panic.
+    let mut rng = sumacvale_core::base::Rng::new(7);
     for _ in 0..20_000 {
         let mut c = b.clone();
-        for _ in 0..=r.below(3) {
-            let i = usize::try_from(r.below(c.len() as u64)).expect("small");
-            c[i] = u8::try_from(r.below(256)).expect("byte");
+        for _ in 0..=rng.below(3) {
+            let i = usize::try_from(rng.below(c.len() as u64)).expect("small");
+            c[i] = u8::try_from(rng.below(256)).expect("byte");
         }
-        c.truncate(usize::try_from(r.below(c.len() as u64 + 1)).expect("small"));
+        c.truncate(usize::try_from(rng.below(c.len() as u64 + 1)).expect("small"));
         let _ = decode_frame(&c);
     }
 }
