--- a/crates/core/src/call/machine.rs
+++ b/crates/core/src/call/machine.rs
@@ -11,6 +11,7 @@
 use super::steps::{admit, attempt, placement, quota, read_body, streaming};
 use crate::base::Micros;
 use crate::node::View;
+use std::ops::ControlFlow;
 use std::sync::Arc;
 
 /// One call, stepped by events from its head to its end.
@@ -80,8 +81,8 @@
         let mut effects = Effects::new();
         let state = std::mem::replace(&mut self.state, CallState::Finished);
         self.state = match self.dispatch(state, event, context, &mut effects) {
-            Ok(next) | Err(Halt::Wait(next)) => next,
-            Err(Halt::Respond(response)) => {
+            ControlFlow::Continue(next) | ControlFlow::Break(Halt::Wait(next)) => next,
+            ControlFlow::Break(Halt::Respond(response)) => {
                 context.shared.rejections.add(response.reason);
                 effects.push(Effect::Respond(response.for_client()));
                 CallState::Finished
@@ -105,14 +106,14 @@
         match (state, event) {
             (CallState::Finished, event) => {
                 self.return_late_grant(event, context, effects);
-                Ok(CallState::Finished)
+                ControlFlow::Continue(CallState::Finished)
             }
             (state, Event::ClientDisconnected) => {
                 if !matches!(state, CallState::Received(_)) {
                     context.shared.counters.clients_gone.increment();
                 }
                 abandon(state, context, effects);
-                Ok(CallState::Finished)
+                ControlFlow::Continue(CallState::Finished)
             }
             (CallState::Received(call), _) => admit(call, context, effects),
             (CallState::Routed(call), Event::RequestBody(body)) => read_body(call, body, context, effects),
@@ -121,7 +122,7 @@
             (CallState::Connecting(call), event) => attempt::step_connecting(call, event, context, effects),
             (CallState::AwaitingHead(call), event) => attempt::step_awaiting_head(call, event, context, effects),
             (CallState::Streaming(call), event) => streaming::step(call, event, context, effects),
-            (state, _) => Ok(state),
+            (state, _) => ControlFlow::Continue(state),
         }
     }
 
--- a/crates/core/src/call/steps/acquire_slot.rs
+++ b/crates/core/src/call/steps/acquire_slot.rs
@@ -14,6 +14,7 @@
 use crate::call::slot_queue::{SlotOutcome, SlotRequest};
 use crate::call::state::{Call, CallState, Connecting, QuotaGranted};
 use crate::placement::Endpoint;
+use std::ops::ControlFlow;
 
 /// Reserves a slot at a worker now, or waits for one if that can succeed in time.
 pub(super) fn request_slot(
@@ -24,7 +25,7 @@
     let pool = call.state.request.route.pool.clone();
     let Some(table) = pool_table(context, &pool, call.lookup_since) else {
         call.lookup_since = call.lookup_since.or(Some(context.now));
-        return Err(Halt::Wait(CallState::QuotaGranted(call)));
+        return ControlFlow::Break(Halt::Wait(CallState::QuotaGranted(call)));
     };
     call.lookup_since = None;
     call.state.request.attempts.readmit_declined(&table);
@@ -40,7 +41,7 @@
         SlotOutcome::Reserved(endpoint) => open_connection(call, endpoint, context, effects),
         SlotOutcome::Queued => {
             park_unit(&mut call.state, context);
-            Ok(CallState::QuotaGranted(call))
+            ControlFlow::Continue(CallState::QuotaGranted(call))
         }
         SlotOutcome::Full { retry_after } => reject_full(call, retry_after, context, effects),
         SlotOutcome::NoWorker => reject_without_worker(call, context, effects),
@@ -89,7 +90,7 @@
     };
     let slot = ReservedSlot { pool, endpoint: endpoint.clone(), ticket };
     effects.push(Effect::Connect(endpoint));
-    Ok(CallState::Connecting(call.map_state(|granted| Connecting { granted, slot, since })))
+    ControlFlow::Continue(CallState::Connecting(call.map_state(|granted| Connecting { granted, slot, since })))
 }
 
 /// Ends a call for which all workers are busy for longer than it may wait.
@@ -129,7 +130,7 @@
     if call.state.stream.is_some() {
         context.shared.counters.streams_aborted.increment();
         effects.push(Effect::AbortResponse(response.code));
-        return Ok(CallState::Finished);
+        return ControlFlow::Continue(CallState::Finished);
     }
-    Err(Halt::Respond(response.with_execution(call.state.request.attempts.execution)))
+    ControlFlow::Break(Halt::Respond(response.with_execution(call.state.request.attempts.execution)))
 }
--- a/crates/core/src/call/steps/acquire_unit.rs
+++ b/crates/core/src/call/steps/acquire_unit.rs
@@ -16,6 +16,7 @@
 use crate::call::release::wake_calls;
 use crate::call::state::{BodyRead, Call, CallState, QuotaGranted};
 use crate::quota::AcquireOutcome;
+use std::ops::ControlFlow;
 
 /// The unit of calls without a tenant, which need no quota.
 const ANONYMOUS_UNIT: QuotaUnit = QuotaUnit { window: 0, expires_at: Micros::MAX };
@@ -41,13 +42,13 @@
         }
         UnitOutcome::Queued => {
             effects.push(Effect::RequestUnits { tenant, waiting: u64::from(units) });
-            Ok(CallState::BodyRead(call))
+            ControlFlow::Continue(CallState::BodyRead(call))
         }
-        UnitOutcome::Exhausted { retry_after } => Err(quota_exhausted(&call, retry_after)),
+        UnitOutcome::Exhausted { retry_after } => ControlFlow::Break(quota_exhausted(&call, retry_after)),
         UnitOutcome::HolderUnreachable { retry_after } => {
             // Later calls may find an answer, so the lease holder is asked all the same.
             effects.push(Effect::RequestUnits { tenant, waiting: u64::from(units) });
-            Err(quota_unsettled(&call, retry_after))
+            ControlFlow::Break(quota_unsettled(&call, retry_after))
         }
     }
 }
@@ -76,17 +77,19 @@
     match lookup(context, &view, tenant, call.lookup_since, fetch) {
         LookupOutcome::Found(Some(_)) => {
             call.lookup_since = None;
-            Ok(call)
+            ControlFlow::Continue(call)
         }
         LookupOutcome::InProgress => {
             call.lookup_since = call.lookup_since.or(Some(context.now));
-            Err(Halt::Wait(CallState::BodyRead(call)))
+            ControlFlow::Break(Halt::Wait(CallState::BodyRead(call)))
         }
         LookupOutcome::Found(None) | LookupOutcome::Failed(_) => {
             // A tenant that a newer version removed has no key either.
-            reauthorize(&call.state.route, context).map_err(|response| reject(&call, response))?;
+            if let Err(response) = reauthorize(&call.state.route, context) {
+                return ControlFlow::Break(reject(&call, response));
+            }
             let remedy = "the tenant's quota is not known here; try again";
-            Err(reject(&call, LocalResponse::new(RejectionReason::Lookup, remedy).with_retry_after(SEC)))
+            ControlFlow::Break(reject(&call, LocalResponse::new(RejectionReason::Lookup, remedy).with_retry_after(SEC)))
         }
     }
 }
@@ -101,7 +104,7 @@
     let route = &call.state.route;
     if let Err(response) = reauthorize(route, context) {
         wake_calls(context.shared.refund_unit(&route.tenant.name, unit, context.now), effects);
-        return Err(reject(&call, response));
+        return ControlFlow::Break(reject(&call, response));
     }
     context.shared.quota_wait.record(route.matched.kind, context.now.saturating_sub(call.received_at));
     // The wait for a slot ends early enough for the client to use the rest of its patience.
--- a/crates/core/src/call/steps/admission.rs
+++ b/crates/core/src/call/steps/admission.rs
@@ -7,10 +7,11 @@
 use crate::call::io::{Effect, Effects};
 use crate::call::local_response::LocalResponse;
 use crate::call::lookup::{LookupOutcome, lookup};
-use crate::call::progress::{Halt, StepResult};
+use crate::call::progress::{Halt, StepResult, or_respond};
 use crate::call::rejections::RejectionReason;
 use crate::call::state::{Authenticated, Call, CallRoute, CallState, Received, Routed};
 use crate::config::Tenant;
+use std::ops::ControlFlow;
 use std::sync::Arc;
 
 /// Longer API keys are treated as no key, in bytes.
@@ -25,15 +26,15 @@
     let call = authenticate(call, context)?;
     let call = choose_route(call)?;
     effects.push(Effect::ReadBody { max_bytes: call.state.route.matched.max_body });
-    Ok(CallState::Routed(call))
+    ControlFlow::Continue(CallState::Routed(call))
 }
 
 /// Nothing was decided for the call yet, so it begins with the newest view. A node that may have
 /// missed a version admits nothing.
 fn adopt_newest_view(mut call: Call<Received>, context: &StepContext) -> StepResult<Call<Received>> {
-    require_fresh_view(context).map_err(Halt::Respond)?;
+    or_respond(require_fresh_view(context))?;
     call.view = context.view.clone();
-    Ok(call)
+    ControlFlow::Continue(call)
 }
 
 fn authenticate(mut call: Call<Received>, context: &mut StepContext) -> StepResult<Call<Authenticated>> {
@@ -46,7 +47,7 @@
         LookupOutcome::Found(Some(tenant)) => {
             call.lookup_since = None;
             call.head.api_key = None;
-            Ok(call.map_state(|Received| Authenticated { key_hash, tenant }))
+            ControlFlow::Continue(call.map_state(|Received| Authenticated { key_hash, tenant }))
         }
         LookupOutcome::Found(None) => {
             call.lookup_since = None;
@@ -54,11 +55,11 @@
         }
         LookupOutcome::InProgress => {
             call.lookup_since = call.lookup_since.or(Some(context.now));
-            Err(Halt::Wait(CallState::Received(call)))
+            ControlFlow::Break(Halt::Wait(CallState::Received(call)))
         }
         LookupOutcome::Failed(error) => {
             let response = LocalResponse::new(RejectionReason::Lookup, &error.to_string());
-            Err(Halt::Respond(response.with_retry_after(SEC)))
+            ControlFlow::Break(Halt::Respond(response.with_retry_after(SEC)))
         }
     }
 }
@@ -68,10 +69,10 @@
     let config = &call.view.config;
     let matched = config.find(&call.head.method, &call.head.host, &call.head.path);
     if config.requires_key() && matched.is_none_or(|matched| !matched.allows_anonymous) {
-        return Err(Halt::Respond(invalid_key()));
+        return ControlFlow::Break(Halt::Respond(invalid_key()));
     }
     let tenant = Arc::new(Tenant::anonymous());
-    Ok(call.map_state(|Received| Authenticated { key_hash: String::new(), tenant }))
+    ControlFlow::Continue(call.map_state(|Received| Authenticated { key_hash: String::new(), tenant }))
 }
 
 fn choose_route(call: Call<Authenticated>) -> StepResult<Call<Routed>> {
@@ -80,11 +81,11 @@
     let matched = call.view.config.find(&call.head.method, &call.head.host, &call.head.path);
     let Some(matched) = matched.filter(|matched| may_use(&matched.name)).cloned() else {
         let remedy = "no match of your tenant has this method and path; ask the operator which there are";
-        return Err(Halt::Respond(LocalResponse::new(RejectionReason::NoMatch, remedy)));
+        return ControlFlow::Break(Halt::Respond(LocalResponse::new(RejectionReason::NoMatch, remedy)));
     };
     let pool = matched.pool_for(hash64(&call.id.to_le_bytes())).to_owned();
     let deadline = call.head.time_left.map_or(Micros::MAX, |time_left| call.received_at.saturating_add(time_left));
-    Ok(call.map_state(|Authenticated { key_hash, tenant }| Routed {
+    ControlFlow::Continue(call.map_state(|Authenticated { key_hash, tenant }| Routed {
         route: CallRoute { key_hash, tenant, matched, pool, deadline },
     }))
 }
--- a/crates/core/src/call/steps/attempt.rs
+++ b/crates/core/src/call/steps/attempt.rs
@@ -14,6 +14,7 @@
 use crate::call::state::{AwaitingHead, Call, CallState, Connecting, QuotaGranted};
 use crate::config::Limit;
 use crate::retry::{Execution, FailurePoint};
+use std::ops::ControlFlow;
 
 /// Steps a call whose connection to a worker is being opened.
 pub fn step_connecting(
@@ -33,7 +34,7 @@
             effects.push(Effect::CloseConnection);
             fail_over(FailedAttempt::connecting(call, FailurePoint::Connect), context, effects)
         }
-        _ => Ok(CallState::Connecting(call)),
+        _ => ControlFlow::Continue(CallState::Connecting(call)),
     }
 }
 
@@ -109,7 +110,7 @@
         urgency: granted.request.route.urgency(),
     });
     let since = context.now;
-    Ok(CallState::AwaitingHead(call.map_state(|Connecting { granted, slot, .. }| AwaitingHead {
+    ControlFlow::Continue(CallState::AwaitingHead(call.map_state(|Connecting { granted, slot, .. }| AwaitingHead {
         granted,
         slot,
         since,
@@ -136,7 +137,7 @@
         Event::ResponseHead(head) => receive_head(call, head, context, effects),
         Event::NotSent => {
             effects.push(Effect::Connect(call.state.slot.endpoint.clone()));
-            Ok(reconnect(call, context))
+            ControlFlow::Continue(reconnect(call, context))
         }
         Event::AttemptFailed(point) => fail_over(FailedAttempt::awaiting_head(call, point), context, effects),
         Event::Wake if context.now >= call.state.granted.request.route.head_deadline(call.state.since) => {
@@ -144,7 +145,7 @@
             fail_over(FailedAttempt::timed_out(call), context, effects)
         }
         Event::Wake if call.state.granted.request.route.is_revoked(context) => cut_on_revoke(call, context, effects),
-        _ => Ok(CallState::AwaitingHead(call)),
+        _ => ControlFlow::Continue(CallState::AwaitingHead(call)),
     }
 }
 
@@ -222,7 +223,7 @@
     let waited = context.now.saturating_sub(call.received_at);
     context.shared.time_to_first_byte.record(call.state.granted.request.route.matched.kind, waited);
     effects.push(Effect::ForwardHead);
-    Ok(start_stream(call, head, context))
+    ControlFlow::Continue(start_stream(call, head, context))
 }
 
 /// Whether a server error is better retried than forwarded. A 504 is not: the time is used up.
@@ -251,7 +252,7 @@
         return end_without_slot(call.map_state(|awaiting| awaiting.granted), response, context, effects);
     }
     context.shared.counters.streams_resumed.increment();
-    Ok(resume_stream(call, head, context))
+    ControlFlow::Continue(resume_stream(call, head, context))
 }
 
 fn record_run(granted: &mut QuotaGranted) {
--- a/crates/core/src/call/steps/body.rs
+++ b/crates/core/src/call/steps/body.rs
@@ -5,7 +5,7 @@
 use crate::call::context::StepContext;
 use crate::call::io::{BodyError, Effects, RequestHead};
 use crate::call::local_response::LocalResponse;
-use crate::call::progress::{Halt, StepResult};
+use crate::call::progress::{StepResult, or_respond};
 use crate::call::rejections::RejectionReason;
 use crate::call::state::{Attempts, BodyRead, Call, CallState, Routed};
 use crate::config::{Kind, Match};
@@ -31,9 +31,8 @@
     let body_size = body.as_ref().map_or(0, Bytes::len);
     let prefix_hash = body
         .map_err(|error| unusable_body(error, matched))
-        .and_then(|body| prefix_hash(call.id, &call.head, &body, matched))
-        .map_err(Halt::Respond)?
-        ^ hash64(matched.name.as_bytes());
+        .and_then(|body| prefix_hash(call.id, &call.head, &body, matched));
+    let prefix_hash = or_respond(prefix_hash)? ^ hash64(matched.name.as_bytes());
     let prompt = matched.has_prompt_parts.then(|| Arc::new(prompt_request(&call, body_size, context)));
     let units = call.state.route.tenant.measure.units(call.head.tokens);
     let call =
--- a/crates/core/src/call/steps/placement.rs
+++ b/crates/core/src/call/steps/placement.rs
@@ -10,6 +10,7 @@
 use crate::call::release::release_slot;
 use crate::call::state::{Call, CallState, QuotaGranted};
 use crate::placement::Endpoint;
+use std::ops::ControlFlow;
 
 /// Steps a call that waits for a slot.
 pub fn step(
@@ -23,7 +24,7 @@
         Event::DroppedFromQueue(retry_after) => reject_full(call, retry_after, context, effects),
         Event::Wake if call.lookup_since.is_some() => request_slot(call, context, effects),
         Event::Wake => recheck_wait(call, context, effects),
-        _ => Ok(CallState::QuotaGranted(call)),
+        _ => ControlFlow::Continue(CallState::QuotaGranted(call)),
     }
 }
 
@@ -34,7 +35,7 @@
     let is_late = context.now >= call.state.slot_deadline;
     // A call that is no longer in the queue was just assigned a slot, of which an event follows.
     if !((authorized.is_err() || is_late) && context.shared.leave_slot_queue(pool, call.id)) {
-        return Ok(CallState::QuotaGranted(call));
+        return ControlFlow::Continue(CallState::QuotaGranted(call));
     }
     match authorized {
         Err(response) => end_without_slot(call, response, context, effects),
--- a/crates/core/src/call/steps/quota.rs
+++ b/crates/core/src/call/steps/quota.rs
@@ -7,6 +7,7 @@
 use crate::call::io::{Effects, Event};
 use crate::call::progress::StepResult;
 use crate::call::state::{BodyRead, Call, CallState};
+use std::ops::ControlFlow;
 
 /// Steps a call that waits for quota.
 pub fn step(
@@ -17,22 +18,24 @@
 ) -> StepResult<CallState> {
     match event {
         Event::UnitGranted(unit) => use_unit(call, unit, context, effects),
-        Event::WindowSpent(retry_after) => Err(quota_exhausted(&call, retry_after)),
-        Event::DroppedFromQueue(retry_after) => Err(quota_unsettled(&call, retry_after)),
+        Event::WindowSpent(retry_after) => ControlFlow::Break(quota_exhausted(&call, retry_after)),
+        Event::DroppedFromQueue(retry_after) => ControlFlow::Break(quota_unsettled(&call, retry_after)),
         Event::Wake if call.lookup_since.is_some() => request_unit(call, context, effects),
         Event::Wake => recheck_wait(call, context),
-        _ => Ok(CallState::BodyRead(call)),
+        _ => ControlFlow::Continue(CallState::BodyRead(call)),
     }
 }
 
 /// Ends the wait if the call is no longer authorized or its deadline passed.
 fn recheck_wait(call: Call<BodyRead>, context: &StepContext) -> StepResult<CallState> {
-    let authorized = reauthorize(&call.state.route, context).map_err(|response| reject(&call, response));
+    let authorized = reauthorize(&call.state.route, context);
     let is_late = context.now >= call.unit_deadline();
     // A call that is no longer in the queue was just granted something, of which an event follows.
     if (authorized.is_err() || is_late) && context.shared.leave_quota_queue(&call.state.route.tenant.name, call.id) {
-        authorized?;
-        return Err(quota_unsettled(&call, SEC));
+        return ControlFlow::Break(match authorized {
+            Err(response) => reject(&call, response),
+            Ok(()) => quota_unsettled(&call, SEC),
+        });
     }
-    Ok(CallState::BodyRead(call))
+    ControlFlow::Continue(CallState::BodyRead(call))
 }
--- a/crates/core/src/call/steps/streaming.rs
+++ b/crates/core/src/call/steps/streaming.rs
@@ -8,6 +8,7 @@
 use crate::call::state::{Call, CallState, QuotaGranted, ResponseStream, Streaming};
 use crate::stream::EventSplitter;
 use bytes::Bytes;
+use std::ops::ControlFlow;
 
 /// Steps a call whose response is being forwarded.
 pub fn step(
@@ -22,7 +23,7 @@
             context.shared.counters.served.increment();
             release_slot(&call.state.slot, context, effects);
             effects.push(Effect::FinishResponse);
-            Ok(CallState::Finished)
+            ControlFlow::Continue(CallState::Finished)
         }
         Event::ResponseEnd | Event::ResponseAborted | Event::AttemptFailed(_) => {
             handle_broken_stream(call, context, effects)
@@ -32,7 +33,7 @@
             abort(call, "the key was withdrawn", context, effects)
         }
         Event::Wake if context.now >= call.state.stream.idle_deadline => handle_broken_stream(call, context, effects),
-        _ => Ok(CallState::Streaming(call)),
+        _ => ControlFlow::Continue(CallState::Streaming(call)),
     }
 }
 
@@ -65,7 +66,7 @@
     };
     stream.has_forwarded |= !chunks.is_empty();
     effects.extend(chunks.into_iter().map(Effect::ForwardChunk));
-    Ok(CallState::Streaming(call))
+    ControlFlow::Continue(CallState::Streaming(call))
 }
 
 /// The stream broke: another worker resumes it, if that is possible.
@@ -94,5 +95,5 @@
     context.shared.counters.streams_aborted.increment();
     effects.push(Effect::CloseConnection);
     effects.push(Effect::AbortResponse(reason));
-    Ok(CallState::Finished)
+    ControlFlow::Continue(CallState::Finished)
 }
