--- a/crates/node/src/front/call_task.rs
+++ b/crates/node/src/front/call_task.rs
@@ -179,7 +179,7 @@
                     }
                     Effect::FinishResponse => {
                         if let PendingIo::Flow(_, l) = std::mem::replace(&mut self.doing, PendingIo::Nothing) {
-                            l.keep(&self.h.upstreams);
+                            l.return_idle(&self.h.upstreams);
                         }
                         return None;
                     }
--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -1,11 +1,13 @@
-//! One connection to a worker from its naming to the end of an answer.
+//! One connection to a worker; its type tells its state: unconnected, connected, responding.
 
+use super::gate::ConnectionPermit;
 use super::keep_alive::KeepAliveHints;
 use super::pool::UpstreamPool;
 use super::socket::{self, Sender, SocketWatch};
 use super::target::Target;
 use crate::net;
 use bytes::Bytes;
+use displaydoc::Display;
 use futures::FutureExt;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -18,160 +20,190 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// A connection to a worker; its state tells how far it has come.
+/// A connection to a worker in the state `S`.
 #[derive(Debug)]
 pub struct UpstreamConnection<S> {
-    to: Target,
+    target: Target,
     state: S,
 }
 
-/// Only its target is known.
+/// State: only the target is known.
 #[derive(Debug)]
 pub struct Unconnected;
 
-/// It stands and nothing was sent on it.
+/// State: connected, and the request was not sent yet.
 #[derive(Debug)]
 pub struct Connected {
-    tx: Sender,
+    sender: Sender,
     watch: Arc<SocketWatch>,
-    old: bool,
+    is_reused: bool,
 }
 
-/// A request was sent on it and the head of an answer came.
+/// State: the request was sent and the head of a response was received.
 #[derive(Debug)]
 pub struct Responding {
-    tx: Sender,
+    sender: Sender,
     watch: Arc<SocketWatch>,
-    told: KeepAliveHints,
+    hints: KeepAliveHints,
 }
 
-/// What a request asks of its connection.
+/// What a request requires of its connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConnectionRequirements {
-    /// No kept one: one that was kept had ended.
+    /// Not an idle one, as one that was reused for this request had ended.
     pub must_be_new: bool,
-    /// The request can't be repeated, so only one that was busy a moment ago will do.
+    /// The request can't be repeated, so an idle connection must have been used a moment ago
+    /// ([`super::Timeouts::non_idempotent_idle`]).
     pub is_non_idempotent: bool,
-    /// How many connections this node may have to the worker, nought for any number.
+    /// How many connections this node may have to the worker; nought for any number.
     pub max_connections: usize,
 }
 
 /// Why there is no connection; nothing was sent.
-#[derive(Debug)]
+#[derive(Debug, Display, thiserror::Error)]
 pub enum ConnectError {
-    /// This node's part of the worker's connections is in use, which is no fault of the worker's.
+    /// this node's share of the worker's connections is in use; raise the worker's limit or add workers
     LimitReached,
+    /// the worker can't be connected: {0}; look at the worker and the network
     Io(std::io::Error),
 }
 
 /// How a send failed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Display, thiserror::Error)]
 pub enum SendError {
-    /// A connection that was kept had ended: nothing was written on it.
+    /// the idle connection had ended and nothing was written; send again on a new one
     StaleConnection,
-    /// Nothing was written, though the connection is new.
+    /// nothing was written, though the connection is new; try another worker
     NotSent,
-    /// It may have been read.
+    /// the connection broke and the worker may have read the request; repeat it only if it is idempotent
     MaybeSent,
 }
 
-fn micros(t: Micros) -> Duration {
-    Duration::from_micros(t)
+/// How long an idle connection may take to accept a request, in microseconds.
+const READY_TIMEOUT: Micros = 2_000;
+
+fn micros(duration: Micros) -> Duration {
+    Duration::from_micros(duration)
 }
 
 impl UpstreamConnection<Unconnected> {
-    /// A connection to this life of a worker, not yet made.
-    pub fn to(to: Target) -> Self {
-        UpstreamConnection { to, state: Unconnected }
+    /// A connection to this incarnation of a worker, not yet made.
+    pub fn to(target: Target) -> Self {
+        UpstreamConnection { target, state: Unconnected }
     }
 
-    /// Takes a connection that was kept and is quiet, or makes one.
+    /// Reuses an idle connection, or makes one; waits for [`super::Timeouts::permit_wait`] while there
+    /// are as many as may be.
+    ///
+    /// # Errors
+    /// [`ConnectError`]; nothing was sent.
     pub async fn open(
         self,
-        w: &UpstreamPool,
-        want: ConnectionRequirements,
+        pool: &UpstreamPool,
+        requirements: ConnectionRequirements,
     ) -> Result<UpstreamConnection<Connected>, ConnectError> {
-        let to = self.to;
-        let gate = w.gate(&to);
-        let cap = if want.max_connections == 0 { usize::MAX } else { want.max_connections };
-        let mut end = None;
-        let slot = loop {
-            let room = gate.room.notified();
-            tokio::pin!(room);
-            // It hears what comes free from here on.
-            room.as_mut().enable();
-            while let Some((mut tx, watch)) =
-                (!want.must_be_new).then(|| w.reuse_idle(&to, want.is_non_idempotent)).flatten()
+        let target = self.target;
+        let gate = pool.gate(&target);
+        let max_connections = match requirements.max_connections {
+            0 => usize::MAX,
+            limit => limit,
+        };
+        let mut deadline = None;
+        let permit = loop {
+            let released = gate.released.notified();
+            tokio::pin!(released);
+            // Registered before looking, so that no release in between is missed.
+            released.as_mut().enable();
+            if !requirements.must_be_new
+                && let Some((sender, watch)) = reuse(pool, &target, requirements.is_non_idempotent).await
             {
-                let ok = match tx.ready().now_or_never() {
-                    Some(r) => r.is_ok(),
-                    None => matches!(timeout(micros(2_000), tx.ready()).await, Ok(Ok(()))),
-                };
-                if ok {
-                    return Ok(UpstreamConnection { to, state: Connected { tx, watch, old: true } });
-                }
+                let state = Connected { sender, watch, is_reused: true };
+                return Ok(UpstreamConnection { target, state });
             }
-            if let Some(s) = gate.enter(cap) {
-                break s;
+            if let Some(permit) = gate.try_acquire(max_connections) {
+                break permit;
             }
-            // Those left are too old for this request; one makes room for a new one.
-            w.close_oldest_idle(&to);
-            let end = *end.get_or_insert_with(|| Instant::now() + micros(w.timeouts.permit_wait));
-            if timeout_at(end, room).await.is_err() {
+            // Idle ones that are left are too old for this request: one makes room for a new one.
+            pool.close_oldest_idle(&target);
+            let deadline = *deadline.get_or_insert_with(|| Instant::now() + micros(pool.timeouts.permit_wait));
+            if timeout_at(deadline, released).await.is_err() {
                 return Err(ConnectError::LimitReached);
             }
         };
-        let no = |e| ConnectError::Io(std::io::Error::other(e));
-        let s = match timeout(micros(w.timeouts.connect), TcpStream::connect(to.addr)).await {
-            Ok(s) => s.map_err(ConnectError::Io)?,
-            Err(_) => return Err(ConnectError::Io(std::io::ErrorKind::TimedOut.into())),
+        let (sender, watch) = connect(pool, &target, permit).await?;
+        Ok(UpstreamConnection { target, state: Connected { sender, watch, is_reused: false } })
+    }
+}
+
+/// The first idle connection that takes a request.
+async fn reuse(pool: &UpstreamPool, target: &Target, is_non_idempotent: bool) -> Option<(Sender, Arc<SocketWatch>)> {
+    while let Some((mut sender, watch)) = pool.reuse_idle(target, is_non_idempotent) {
+        let is_ready = match sender.ready().now_or_never() {
+            Some(result) => result.is_ok(),
+            None => matches!(timeout(micros(READY_TIMEOUT), sender.ready()).await, Ok(Ok(()))),
         };
-        net::tune(&s, net::WORKER);
-        let (s, watch) = socket::watch(s, slot);
-        let (tx, c) = Builder::new().handshake(TokioIo::new(s)).await.map_err(no)?;
-        tokio::spawn(async move {
-            let _ = c.await;
-        });
-        Ok(UpstreamConnection { to, state: Connected { tx, watch, old: false } })
+        if is_ready {
+            return Some((sender, watch));
+        }
     }
+    None
+}
+
+/// Makes a connection, whose permit is released when its socket closes.
+async fn connect(
+    pool: &UpstreamPool,
+    target: &Target,
+    permit: ConnectionPermit,
+) -> Result<(Sender, Arc<SocketWatch>), ConnectError> {
+    let stream = match timeout(micros(pool.timeouts.connect), TcpStream::connect(target.addr)).await {
+        Ok(connected) => connected.map_err(ConnectError::Io)?,
+        Err(_timed_out) => return Err(ConnectError::Io(std::io::ErrorKind::TimedOut.into())),
+    };
+    net::tune(&stream, net::WORKER);
+    let (stream, watch) = socket::watch(stream, permit);
+    let handshake = Builder::new().handshake(TokioIo::new(stream)).await;
+    let (sender, connection) = handshake.map_err(|error| ConnectError::Io(std::io::Error::other(error)))?;
+    tokio::spawn(async move {
+        let _ = connection.await;
+    });
+    Ok((sender, watch))
 }
 
 impl UpstreamConnection<Connected> {
     /// Whether this connection had been used before.
-    pub fn old(&self) -> bool {
-        self.state.old
+    pub fn is_reused(&self) -> bool {
+        self.state.is_reused
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of its response.
+    ///
+    /// # Errors
+    /// [`SendError`], which tells whether the worker may have read the request.
     pub async fn send(
-        mut self,
-        r: Request<Full<Bytes>>,
+        self,
+        request: Request<Full<Bytes>>,
     ) -> Result<(Response<Incoming>, UpstreamConnection<Responding>), SendError> {
-        let gone = if self.state.old { SendError::StaleConnection } else { SendError::NotSent };
-        if self.state.old {
+        let not_written = if self.state.is_reused { SendError::StaleConnection } else { SendError::NotSent };
+        if self.state.is_reused {
             self.state.watch.request_begins();
         }
-        match self.state.tx.try_send_request(r).await {
-            Ok(r) => {
-                let told = KeepAliveHints::from_headers(r.version(), r.headers());
-                Ok((
-                    r,
-                    UpstreamConnection {
-                        to: self.to,
-                        state: Responding { tx: self.state.tx, watch: self.state.watch, told },
-                    },
-                ))
+        let Connected { mut sender, watch, .. } = self.state;
+        match sender.try_send_request(request).await {
+            Ok(response) => {
+                let hints = KeepAliveHints::from_headers(response.version(), response.headers());
+                Ok((response, UpstreamConnection { target: self.target, state: Responding { sender, watch, hints } }))
             }
-            Err(mut e) => {
-                Err(if e.take_message().is_some() || self.state.watch.withheld() { gone } else { SendError::MaybeSent })
+            Err(mut error) => {
+                let was_not_written = error.take_message().is_some() || watch.withheld();
+                Err(if was_not_written { not_written } else { SendError::MaybeSent })
             }
         }
     }
 }
 
 impl UpstreamConnection<Responding> {
-    /// The response ended properly: the next call may use this connection.
-    pub fn keep(self, w: &UpstreamPool) {
-        w.return_idle(&self.to, self.state.told, self.state.tx, self.state.watch);
+    /// Returns the connection to the pool: its response ended properly.
+    pub fn return_idle(self, pool: &UpstreamPool) {
+        pool.return_idle(&self.target, self.state.hints, self.state.sender, self.state.watch);
     }
 }
--- a/crates/node/src/upstream/gate.rs
+++ b/crates/node/src/upstream/gate.rs
@@ -1,31 +1,32 @@
-//! The count of connections to one life of a worker.
+//! The count of connections to one incarnation of a worker.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio::sync::Notify;
 
-/// How many connections one life has from here, also those being made.
+/// How many connections one incarnation has from this node, also those being made.
 #[derive(Debug, Default)]
 pub struct ConnectionGate {
     open: AtomicUsize,
-    /// Rung when one closes or comes free.
-    pub room: Notify,
+    /// Notified when a connection closes or becomes idle.
+    pub released: Notify,
 }
 
-/// One of a gate's connections, until it is dropped.
+/// One connection of a gate, until it is dropped.
 #[derive(Debug)]
+#[must_use]
 pub struct ConnectionPermit(Arc<ConnectionGate>);
 
 impl ConnectionGate {
-    /// How many there are, also those being made.
+    /// How many connections there are, also those being made.
     pub fn count(&self) -> usize {
         self.open.load(Ordering::Acquire)
     }
 
-    /// One more, unless there are `cap`.
-    pub fn enter(self: &Arc<Self>, cap: usize) -> Option<ConnectionPermit> {
-        let more = |n: usize| (n < cap).then_some(n + 1);
-        self.open.fetch_update(Ordering::AcqRel, Ordering::Acquire, more).ok()?;
+    /// A permit for one more connection, unless there are `max_connections`.
+    pub fn try_acquire(self: &Arc<Self>, max_connections: usize) -> Option<ConnectionPermit> {
+        let increment = |open: usize| (open < max_connections).then_some(open + 1);
+        self.open.fetch_update(Ordering::AcqRel, Ordering::Acquire, increment).ok()?;
         Some(ConnectionPermit(self.clone()))
     }
 }
@@ -33,6 +34,6 @@
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.0.open.fetch_sub(1, Ordering::AcqRel);
-        self.0.room.notify_one();
+        self.0.released.notify_one();
     }
 }
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -55,6 +55,7 @@
 #[derive(Debug, Default)]
 pub struct UpstreamPool {
     by: [Mutex<HashMap<SocketAddr, Host>>; SHARDS],
+    /// How connections are made and kept.
     pub timeouts: Timeouts,
     swept: std::sync::atomic::AtomicU64,
 }
@@ -125,14 +126,14 @@
         let mut g = self.at(&w.addr);
         let Some(h) = g.get_mut(&w.addr).filter(|h| h.target == *w) else { return };
         h.told = t.idle_timeout.or(h.told);
-        let room = h.gate.clone();
+        let gate = h.gate.clone();
         if !t.closes {
             let until = now + h.told.map_or(self.timeouts.default_idle, safe_idle_time);
             h.kept.retain(|k| now < k.until && !k.tx.is_closed());
             h.kept.push(Kept { since: now, until, tx, watch });
         }
         drop(g);
-        room.room.notify_one();
+        gate.released.notify_one();
     }
 
     /// How many are kept and how many are open to this life.
--- a/crates/node/src/upstream/target.rs
+++ b/crates/node/src/upstream/target.rs
@@ -1,11 +1,14 @@
-//! Whom a connection belongs to.
+//! The worker that a connection leads to.
 
 use std::net::SocketAddr;
 
-/// One life of a worker at its address.
+/// One incarnation of a worker at its address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
+    /// Address of the worker.
     pub addr: SocketAddr,
+    /// Id of the worker.
     pub worker_id: String,
+    /// Its incarnation: a connection to an earlier one is never reused.
     pub incarnation: u64,
 }
--- a/crates/node/tests/upstream.rs
+++ b/crates/node/tests/upstream.rs
@@ -138,11 +138,11 @@
         ConnectError::LimitReached => "full".to_owned(),
         ConnectError::Io(e) => e.to_string(),
     })?;
-    let old = l.old();
+    let old = l.is_reused();
     let q = hyper::Request::get(path).header("host", "x").body(Full::new(Bytes::new())).map_err(|e| e.to_string())?;
     let (r, l) = l.send(q).await.map_err(|e: SendError| format!("{e:?}"))?;
     let b = r.into_body().collect().await.map_err(|_| "broke".to_owned())?.to_bytes();
-    l.keep(w);
+    l.return_idle(w);
     Ok((old, String::from_utf8_lossy(&b).into_owned()))
 }
 
@@ -201,7 +201,7 @@
             let (w, to) = (UpstreamPool::default(), s.target("a", 1));
             assert_eq!(call(&w, &to, MANY, "/1").await?, (false, "/1".into()));
             let l = UpstreamConnection::to(to.clone()).open(&w, ONCE).await.map_err(|e| format!("{e:?}"))?;
-            assert!(l.old(), "{act:?}");
+            assert!(l.is_reused(), "{act:?}");
             s.word()?;
             let q = hyper::Request::get("/2").header("host", "x").body(Full::new(Bytes::new()))?;
             assert_eq!(l.send(q).await.err(), Some(SendError::StaleConnection), "{act:?}");
