--- a/crates/testbed/src/engines/mod.rs
+++ b/crates/testbed/src/engines/mod.rs
@@ -1,12 +1,21 @@
-//! Model workers in virtual time (steps, prompts read piecewise, kept parts, put-back),
-//! driven by several fronts with the placement of `sumacvale-core` or with other ways.
+//! An emulator of model workers in virtual time (engine steps, chunked prefill, prefix cache,
+//! preemption), whose calls several fronts place by `sumacvale-core` or by other strategies.
+//!
+//! A run depends on its [`Case`] alone: the same seed gives the same events and the same
+//! [`Report`], except for the measured time of a choice.
 
-mod drive;
+mod case;
+mod choice;
+mod deployment;
+mod emulation;
+mod events;
+mod front;
+mod record;
 mod report;
-mod shape;
 mod traffic;
 mod worker;
 
-pub use drive::{Case, Way, run};
-pub use report::Report;
-pub use shape::Shape;
+pub use case::{Case, Strategy};
+pub use deployment::{CallKind, Deployment, EngineProfile, SizeDistribution};
+pub use emulation::run;
+pub use report::{KindReport, Report};
