--- a/crates/testbed/src/sim/lives.rs
+++ b/crates/testbed/src/sim/calls/call_driver.rs
@@ -1,10 +1,10 @@
 //! The life of calls in simulated processes: their events and the effects of these.
 
-use super::event::Happen;
-use super::hall::Alive;
-use super::outcome::{Outcome, Seen, Want};
-use super::worker::{Back, Mode, Sending};
-use super::world::World;
+use crate::sim::calls::call_registry::Alive;
+use crate::sim::calls::outcome::{Outcome, Seen, Want};
+use crate::sim::event::Happen;
+use crate::sim::workers::worker::{Back, Mode, Sending};
+use crate::sim::world::World;
 use bytes::Bytes;
 use std::sync::Arc;
 use sumacvale_core::base::MS;
@@ -38,7 +38,7 @@
     }
 
     /// Steps the calls' side of a machine that shows a new picture.
-    pub(super) fn show(&mut self, i: usize, v: Arc<View>) {
+    pub(in crate::sim) fn show(&mut self, i: usize, v: Arc<View>) {
         let h = &mut self.slots[i].hall;
         let news = !Arc::ptr_eq(&h.view.workers, &v.workers);
         let version = h.view.version != v.version;
@@ -65,7 +65,7 @@
         f(&mut StepContext { shared: &h.floor, thread_caches: &mut h.own, view: &h.view, now, clock: &clock })
     }
 
-    pub(super) fn sweep(&mut self, i: usize) {
+    pub(in crate::sim) fn sweep(&mut self, i: usize) {
         let (rs, need) = self.with(i, SharedCallState::expire_waiters);
         self.rings(i, rs);
         for (tenant, waiting) in need {
@@ -73,7 +73,7 @@
         }
     }
 
-    pub(super) fn refill(&mut self, i: usize, tenant: &str) {
+    pub(in crate::sim) fn refill(&mut self, i: usize, tenant: &str) {
         let rs = self.with(i, |cx| cx.shared.serve_quota_queue(tenant, cx.now));
         self.rings(i, rs);
     }
@@ -87,7 +87,7 @@
         }
     }
 
-    pub(super) fn bell(&mut self, i: usize, r: Wakeup) {
+    pub(in crate::sim) fn bell(&mut self, i: usize, r: Wakeup) {
         if self.slots[i].hall.lives.contains_key(&r.call_id) {
             self.live(i, r.call_id, r.event);
         } else {
@@ -105,7 +105,7 @@
     }
 
     /// What a worker said to one try; tries that were given up hear nothing.
-    pub(super) fn heard(&mut self, b: Back, e: Event) {
+    pub(in crate::sim) fn heard(&mut self, b: Back, e: Event) {
         let s = &self.slots[b.slot];
         if s.life == b.life && s.hall.lives.get(&b.call).is_some_and(|a| a.no == b.no && a.to.is_some()) {
             self.live(b.slot, b.call, e);
@@ -113,7 +113,7 @@
     }
 
     /// Gives one event to a call and carries its effects out.
-    pub(super) fn live(&mut self, i: usize, n: u64, e: Event) {
+    pub(in crate::sim) fn live(&mut self, i: usize, n: u64, e: Event) {
         let Some(mut a) = self.slots[i].hall.lives.remove(&n) else { return };
         let left = matches!(e, Event::ClientDisconnected);
         let out = self.with(i, |cx| a.life.step(e, cx));
@@ -206,7 +206,7 @@
     }
 
     /// The process is gone: its downstreams and its workers see their connections end.
-    pub(super) fn drop_calls(&mut self, i: usize) {
+    pub(in crate::sim) fn drop_calls(&mut self, i: usize) {
         let c = &self.slots[i].hall.floor.counters;
         self.tries.0 += c.attempts_first.get();
         self.tries.1 += c.retries.get();
--- a/crates/testbed/src/sim/hall.rs
+++ b/crates/testbed/src/sim/calls/call_registry.rs
@@ -1,6 +1,6 @@
 //! The data plane of one simulated process: its calls and what it holds for them.
 
-use super::outcome::Want;
+use crate::sim::calls::outcome::Want;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use sumacvale_core::base::Micros;
@@ -10,20 +10,20 @@
 /// A call that has not ended.
 #[derive(Debug)]
 pub struct Alive {
-    pub(super) life: CallMachine,
-    pub(super) want: Want,
-    pub(super) at: Micros,
-    pub(super) first: Option<Micros>,
-    pub(super) body: Vec<u8>,
+    pub(in crate::sim) life: CallMachine,
+    pub(in crate::sim) want: Want,
+    pub(in crate::sim) at: Micros,
+    pub(in crate::sim) first: Option<Micros>,
+    pub(in crate::sim) body: Vec<u8>,
     /// The try it is at, and the worker at the other end with the life it was opened to.
-    pub(super) no: u64,
-    pub(super) to: Option<(usize, u64)>,
-    pub(super) turn: Micros,
+    pub(in crate::sim) no: u64,
+    pub(in crate::sim) to: Option<(usize, u64)>,
+    pub(in crate::sim) turn: Micros,
 }
 
 impl Alive {
     /// Its timer went off, so another one may be set.
-    pub(super) fn turned(&mut self) {
+    pub(in crate::sim) fn turned(&mut self) {
         self.turn = 0;
     }
 }
--- /dev/null
+++ b/crates/testbed/src/sim/calls/mod.rs
@@ -0,0 +1,5 @@
+//! Calls of simulated clients: the data plane of each process, and what became of each call.
+
+pub(super) mod call_driver;
+pub(super) mod call_registry;
+pub(super) mod outcome;
--- a/crates/testbed/src/sim/outcome.rs
+++ b/crates/testbed/src/sim/calls/outcome.rs
@@ -1,6 +1,6 @@
 //! What a downstream asks for, and what became of its call.
 
-use super::responses::body;
+use crate::sim::workers::responses::body;
 use sumacvale_core::base::Micros;
 use sumacvale_core::retry::Execution;
 
--- a/crates/testbed/src/sim/judge.rs
+++ b/crates/testbed/src/sim/checks/calls.rs
@@ -1,7 +1,7 @@
-use super::check::{Breach, GONE, REVOKE};
-use super::documents::REVOCABLE;
-use super::outcome::{Outcome, Seen};
-use super::worker::Ran;
+use crate::sim::calls::outcome::{Outcome, Seen};
+use crate::sim::checks::safety::{Breach, GONE, REVOKE};
+use crate::sim::operators::documents::REVOCABLE;
+use crate::sim::workers::worker::Ran;
 use std::collections::{BTreeMap, BTreeSet};
 use sumacvale_core::base::{Micros, Version};
 use sumacvale_core::retry;
--- a/crates/testbed/src/sim/touch.rs
+++ b/crates/testbed/src/sim/checks/majority_contact.rs
@@ -1,7 +1,7 @@
 //! Which nodes could have had a majority of the voters, as only the simulator knows: by this
 //! refusals for want of a majority are judged.
 
-use super::world::World;
+use crate::sim::world::World;
 use std::collections::BTreeSet;
 use sumacvale_core::base::{Micros, NodeId, SEC};
 
--- a/crates/testbed/src/sim/recovery.rs
+++ b/crates/testbed/src/sim/checks/recovery.rs
@@ -1,16 +1,16 @@
 //! What must hold again once the last fault is over.
 
-use super::check::Breach;
-use super::ops::Ops;
-use super::outcome::Seen;
-use super::world::World;
+use crate::sim::calls::outcome::Seen;
+use crate::sim::checks::safety::Breach;
+use crate::sim::operators::traffic::Ops;
+use crate::sim::world::World;
 use sumacvale_core::base::{MS, Micros, SEC};
 
 /// After a fault all must serve again within this time.
-pub(super) const BACK: Micros = 12 * SEC;
+pub(in crate::sim) const BACK: Micros = 12 * SEC;
 
 /// When all calls have ended nothing is held for them: no place, no wait.
-pub(super) fn empty(w: &mut World) {
+pub(in crate::sim) fn empty(w: &mut World) {
     w.run(w.now + 8 * SEC);
     for s in &w.slots {
         let f = &s.hall.floor;
@@ -23,7 +23,7 @@
 }
 
 /// Twelve seconds after the last fault all must serve again.
-pub(super) fn recover(w: &mut World, o: &mut Ops, end: Micros) -> Option<Micros> {
+pub(in crate::sim) fn recover(w: &mut World, o: &mut Ops, end: Micros) -> Option<Micros> {
     let bad: Vec<_> = (0..w.slots.len())
         .filter(|i| {
             let s = &w.slots[*i];
@@ -79,7 +79,7 @@
 }
 
 /// When, after the last fault, the last of the fronts had served a call again.
-pub(super) fn serving(w: &mut World, end: Micros) -> Option<Micros> {
+pub(in crate::sim) fn serving(w: &mut World, end: Micros) -> Option<Micros> {
     let fronts = (0..w.slots.len()).filter(|i| !w.slots[*i].core && !w.slots[*i].gone);
     let again = |i: usize| {
         let whole = w.seen.iter().filter(|o| o.slot == i && o.at >= end && o.seen == Seen::Whole);
--- a/crates/testbed/src/sim/summary.rs
+++ b/crates/testbed/src/sim/checks/summary.rs
@@ -1,14 +1,14 @@
 //! What a run came to: its breaches, its counts and its times.
 
-use super::check::Breach;
-use super::control::Control;
-use super::documents::WINDOW;
-use super::judge::{Law, Rates, kept_back, needless, worst};
-use super::moves::Moves;
-use super::ops::Ops;
-use super::outcome::{Outcome, Seen};
-use super::worker::Ran;
-use super::world::World;
+use crate::sim::calls::outcome::{Outcome, Seen};
+use crate::sim::checks::calls::{Law, Rates, kept_back, needless, worst};
+use crate::sim::checks::safety::Breach;
+use crate::sim::faults::control::Control;
+use crate::sim::faults::membership_losses::Moves;
+use crate::sim::operators::documents::WINDOW;
+use crate::sim::operators::traffic::Ops;
+use crate::sim::workers::worker::Ran;
+use crate::sim::world::World;
 use std::collections::{BTreeMap, BTreeSet};
 use sumacvale_core::base::{MS, Micros};
 
@@ -124,7 +124,7 @@
 
 impl Summary {
     /// What the world, the operators and the troubles of the fleet came to.
-    pub(super) fn of(w: World, o: Ops, moves: Moves, law: &Law, rates: &Rates) -> Summary {
+    pub(in crate::sim) fn of(w: World, o: Ops, moves: Moves, law: &Law, rates: &Rates) -> Summary {
         let ends = ends(&w.seen);
         let begun: BTreeMap<u64, Micros> = w.seen.iter().map(|o| (o.call, o.at)).collect();
         let first = first_runs(&w.ran);
--- a/crates/testbed/src/sim/cutoff/judge.rs
+++ b/crates/testbed/src/sim/cutoff/judge.rs
@@ -3,7 +3,7 @@
 use super::Driver;
 use super::callers::{Open, number_of};
 use super::seen::{Caller, Ends};
-use crate::sim::check::Breach;
+use crate::sim::checks::safety::Breach;
 use std::collections::BTreeSet;
 use sumacvale_core::base::{MS, Micros, SEC};
 
--- a/crates/testbed/src/sim/cutoff/mod.rs
+++ b/crates/testbed/src/sim/cutoff/mod.rs
@@ -9,8 +9,8 @@
 
 pub use seen::{Answers, Caller, CutOff};
 
-use super::check::Breach;
-use super::world::World;
+use crate::sim::checks::safety::Breach;
+use crate::sim::world::World;
 use callers::{Open, Operator, Reporter};
 use std::collections::{BTreeMap, BTreeSet};
 use sumacvale_core::base::{MS, Micros, SEC};
--- a/crates/testbed/src/sim/cutoff/seen.rs
+++ b/crates/testbed/src/sim/cutoff/seen.rs
@@ -1,6 +1,6 @@
 //! What is asked of a run with cores that are cut off, and what was seen in it.
 
-use crate::sim::check::Breach;
+use crate::sim::checks::safety::Breach;
 use std::collections::BTreeMap;
 use sumacvale_core::base::Micros;
 
--- a/crates/testbed/src/sim/drive.rs
+++ b/crates/testbed/src/sim/drive.rs
@@ -1,18 +1,18 @@
 //! One run from a seed: faults, then healing, then what must hold again.
 
-use super::check::Breach;
-use super::control::{Control, Plan};
-use super::day::HOUR;
-use super::documents::{has_key, quotas};
-use super::judge::{Law, Rates, judge, sliding};
-use super::moves::Moves;
-use super::ops::Ops;
-use super::recovery::{BACK, empty, recover, serving};
-use super::repairs::Repairs;
-use super::settings::Run;
-use super::summary::{Orderly, Summary};
-use super::troubles::Troubles;
-use super::world::World;
+use crate::sim::checks::calls::{Law, Rates, judge, sliding};
+use crate::sim::checks::recovery::{BACK, empty, recover, serving};
+use crate::sim::checks::safety::Breach;
+use crate::sim::checks::summary::{Orderly, Summary};
+use crate::sim::faults::control::{Control, Plan};
+use crate::sim::faults::day::HOUR;
+use crate::sim::faults::injection::Troubles;
+use crate::sim::faults::membership_losses::Moves;
+use crate::sim::faults::repairs::Repairs;
+use crate::sim::operators::documents::{has_key, quotas};
+use crate::sim::operators::traffic::Ops;
+use crate::sim::settings::Run;
+use crate::sim::world::World;
 use sumacvale_core::base::{MS, Micros, SEC};
 
 /// How long one step is.
--- a/crates/testbed/src/sim/event.rs
+++ b/crates/testbed/src/sim/event.rs
@@ -1,6 +1,6 @@
 //! What happens at some moment in a simulated world.
 
-use super::worker::{Back, Sending};
+use crate::sim::workers::worker::{Back, Sending};
 use bytes::Bytes;
 use sumacvale_core::call::{Event as CallEvent, Wakeup};
 
--- a/crates/testbed/src/sim/control/checks.rs
+++ b/crates/testbed/src/sim/faults/control/checks.rs
@@ -1,7 +1,7 @@
 //! What must hold after a trouble of the control side.
 
 use super::plan::CATCH_UP;
-use crate::sim::check::Breach;
+use crate::sim::checks::safety::Breach;
 use crate::sim::world::World;
 use sumacvale_core::base::{Micros, SEC};
 
--- a/crates/testbed/src/sim/control/cuts.rs
+++ b/crates/testbed/src/sim/faults/control/cuts.rs
@@ -3,7 +3,7 @@
 use super::losses::Loss;
 use super::plan::{CATCH_UP, Cut};
 use super::{Act, Control};
-use crate::sim::orders::Pinned;
+use crate::sim::operators::orders::Pinned;
 use crate::sim::world::World;
 use sumacvale_core::base::{MS, Micros, SEC};
 use sumacvale_core::node::Event;
--- a/crates/testbed/src/sim/control/mod.rs
+++ b/crates/testbed/src/sim/faults/control/mod.rs
@@ -12,8 +12,8 @@
 
 pub use plan::{Plan, Trouble};
 
-use super::orders::{Orders, Pinned};
-use super::world::World;
+use crate::sim::operators::orders::{Orders, Pinned};
+use crate::sim::world::World;
 use checks::{caught_up, went_on};
 use leaving::{FIRST_LEAVE, Leaving};
 use losses::Loss;
--- a/crates/testbed/src/sim/control/plan.rs
+++ b/crates/testbed/src/sim/faults/control/plan.rs
@@ -1,6 +1,6 @@
 //! Which troubles a profile of the control side plays, and how its operator behaves meanwhile.
 
-use crate::sim::orders::Habits;
+use crate::sim::operators::orders::Habits;
 use sumacvale_core::base::{MS, SEC};
 
 /// How a machine is cut off from the others that count.
--- a/crates/testbed/src/sim/day.rs
+++ b/crates/testbed/src/sim/faults/day.rs
@@ -1,6 +1,6 @@
-use super::faults::Fault;
-use super::worker::Mode;
-use super::world::{MIX, World};
+use crate::sim::faults::profiles::Fault;
+use crate::sim::workers::worker::Mode;
+use crate::sim::world::{MIX, World};
 use sumacvale_core::base::{Micros, SEC};
 
 /// A whole day of one deployment, an hour in five seconds.
--- a/crates/testbed/src/sim/troubles.rs
+++ b/crates/testbed/src/sim/faults/injection.rs
@@ -1,10 +1,10 @@
 //! Faults begin, and end after their time: processes, wires, disks, workers and callers.
 
-use super::faults::Fault;
-use super::ops::Ops;
-use super::release::{Step, Turn};
-use super::worker::Mode;
-use super::world::World;
+use crate::sim::faults::profiles::Fault;
+use crate::sim::faults::rolling_release::{Step, Turn};
+use crate::sim::operators::traffic::Ops;
+use crate::sim::workers::worker::Mode;
+use crate::sim::world::World;
 use sumacvale_core::base::{MS, Micros, SEC};
 
 /// A slow machine runs in periods of at least this length; at most of these, on cores and on fronts.
@@ -21,7 +21,7 @@
 
 /// What is wrong now and ends by itself.
 #[derive(Default)]
-pub(super) struct Troubles {
+pub(in crate::sim) struct Troubles {
     downs: Vec<Down>,
     /// A core with an empty disk that an operator is to admit.
     admitted_next: Option<usize>,
--- a/crates/testbed/src/sim/moves.rs
+++ b/crates/testbed/src/sim/faults/membership_losses.rs
@@ -1,7 +1,7 @@
-use super::check::Breach;
-use super::faults::Fault;
-use super::ops::Ops;
-use super::world::World;
+use crate::sim::checks::safety::Breach;
+use crate::sim::faults::profiles::Fault;
+use crate::sim::operators::traffic::Ops;
+use crate::sim::world::World;
 use std::collections::{BTreeMap, BTreeSet};
 use sumacvale_core::base::{MS, Micros, SEC};
 use sumacvale_core::node::Event;
@@ -56,7 +56,7 @@
         self.acts.push((t, a));
     }
 
-    pub(super) fn some(w: &mut World, n: u64) -> Vec<usize> {
+    pub(in crate::sim) fn some(w: &mut World, n: u64) -> Vec<usize> {
         let mut v: Vec<_> = (0..w.slots.len()).filter(|i| w.slots[*i].core && w.slots[*i].node.is_some()).collect();
         let mut o = Vec::new();
         for _ in 0..n {
@@ -88,27 +88,27 @@
     }
 
     /// Nothing counts as lost, and nothing is to come.
-    pub(super) fn idle(&self) -> bool {
+    pub(in crate::sim) fn idle(&self) -> bool {
         self.last.is_none() && self.armed.is_none() && self.acts.is_empty()
     }
 
-    pub(super) fn repairs(&self) -> bool {
+    pub(in crate::sim) fn repairs(&self) -> bool {
         self.last.is_some()
     }
 
     /// The core that came last, if it lives.
-    pub(super) fn came_last(&self, w: &World) -> Option<usize> {
+    pub(in crate::sim) fn came_last(&self, w: &World) -> Option<usize> {
         self.came.filter(|i| w.slots[*i].core && w.slots[*i].node.is_some())
     }
 
     /// A loss begins that ends by itself.
-    pub(super) fn back_at(&mut self, now: Micros, until: Micros) {
+    pub(in crate::sim) fn back_at(&mut self, now: Micros, until: Micros) {
         self.begin(now);
         self.at(until, Act::Back);
     }
 
     /// All processes that run are killed in the midst of a repair.
-    pub(super) fn blink(&mut self, w: &mut World) {
+    pub(in crate::sim) fn blink(&mut self, w: &mut World) {
         let began = self.began;
         self.begin(w.now);
         self.began = began;
@@ -170,7 +170,7 @@
         true
     }
 
-    pub(super) fn empty(&mut self, w: &mut World, v: &[usize]) {
+    pub(in crate::sim) fn empty(&mut self, w: &mut World, v: &[usize]) {
         self.begin(w.now);
         for i in v {
             w.say(format!("{} loses its disk", w.slots[*i].addr));
@@ -240,7 +240,7 @@
             self.set = true;
             self.voted.push(now - at);
         }
-        let fresh = |s: &super::slot::Slot| s.node.as_ref().is_none_or(|n| n.is_fresh(s.clock(now)));
+        let fresh = |s: &crate::sim::machines::slot::Slot| s.node.as_ref().is_none_or(|n| n.is_fresh(s.clock(now)));
         if !self.fresh && w.slots.iter().all(fresh) {
             self.fresh = true;
             self.again.push(now - at);
@@ -272,7 +272,7 @@
 }
 
 /// A machine with its version and the cores that its list names, for a breach.
-fn stands(w: &World, s: &super::slot::Slot) -> String {
+fn stands(w: &World, s: &crate::sim::machines::slot::Slot) -> String {
     let Some(n) = &s.node else { return s.addr.clone() };
     let gone = |a: &String| w.slots.iter().any(|s| s.addr == *a && s.gone);
     let list: Vec<String> =
--- a/crates/testbed/src/sim/faults.rs
+++ b/crates/testbed/src/sim/faults/profiles.rs
@@ -1,4 +1,4 @@
-use super::worker::Mode;
+use crate::sim::workers::worker::Mode;
 use sumacvale_core::base::{MS, Micros, Rng, SEC};
 
 /// What may go wrong; the places and times are drawn from the seed.
@@ -102,10 +102,10 @@
         Profile { name: "wiped", faults: &[WipeCore], secs: 90, changes: 15 },
         Profile { name: "members", faults: MOVES, secs: 120, changes: 10 },
         Profile { name: "many", faults: MOVES, secs: 120, changes: 10 },
-        // Their losses come from sim/repairs.rs.
+        // Their losses come from `repairs.rs`.
         Profile { name: "repairs", faults: &[], secs: 120, changes: 10 },
         Profile { name: "repairs_two", faults: &[], secs: 120, changes: 10 },
-        // Their troubles come from sim/control/.
+        // Their troubles come from `control/`.
         Profile { name: "control_cut_off", faults: &[], secs: 60, changes: 0 },
         Profile { name: "control_numbers", faults: &[], secs: 60, changes: 0 },
         Profile { name: "control_second_loss", faults: &[], secs: 60, changes: 0 },
--- a/crates/testbed/src/sim/repairs.rs
+++ b/crates/testbed/src/sim/faults/repairs.rs
@@ -2,10 +2,10 @@
 //! last machine has had its time to catch up. Disks may be slow meanwhile, the machine that
 //! came last may go again, and all power may go in the midst of a repair.
 
-use super::faults::Fault;
-use super::moves::Moves;
-use super::ops::Ops;
-use super::world::World;
+use crate::sim::faults::membership_losses::Moves;
+use crate::sim::faults::profiles::Fault;
+use crate::sim::operators::traffic::Ops;
+use crate::sim::world::World;
 use sumacvale_core::base::{MS, Micros, SEC};
 
 /// How long disks are slow from a loss on: longer than a machine has to catch up.
--- a/crates/testbed/src/sim/release.rs
+++ b/crates/testbed/src/sim/faults/rolling_release.rs
@@ -1,18 +1,18 @@
 //! Workers of a model are replaced, one by one.
 
-use super::world::World;
+use crate::sim::world::World;
 use sumacvale_core::base::Micros;
 
 /// One step of a release: a worker drains, ends, and begins anew.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Turn {
-    pub(super) at: Micros,
-    pub(super) worker: usize,
-    pub(super) what: Step,
+pub(in crate::sim) struct Turn {
+    pub(in crate::sim) at: Micros,
+    pub(in crate::sim) worker: usize,
+    pub(in crate::sim) what: Step,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Step {
+pub(in crate::sim) enum Step {
     Drain,
     End,
     Begin,
@@ -20,7 +20,7 @@
 
 impl Turn {
     /// False once it was taken.
-    pub(super) fn take(&self, w: &mut World) -> bool {
+    pub(in crate::sim) fn take(&self, w: &mut World) -> bool {
         if self.at > w.now {
             return true;
         }
--- a/crates/testbed/src/sim/machines.rs
+++ b/crates/testbed/src/sim/machines/lifecycle.rs
@@ -1,10 +1,10 @@
 //! Machines of a simulated world begin, end, stand still, come and go.
 
-use super::disk::{Disk, RETRY};
-use super::event::Happen;
-use super::hall::Hall;
-use super::slot::{Slot, Slow};
-use super::world::{TICK, World};
+use crate::sim::calls::call_registry::Hall;
+use crate::sim::event::Happen;
+use crate::sim::machines::disk::{Disk, RETRY};
+use crate::sim::machines::slot::{Slot, Slow};
+use crate::sim::world::{TICK, World};
 use sumacvale_core::base::{MS, Micros, NodeId, SEC};
 use sumacvale_core::call::SharedCallState;
 use sumacvale_core::node::{Node, NodeSettings};
@@ -125,7 +125,7 @@
         self.push(now + d, Happen::Tick(i, life));
     }
 
-    pub(super) fn look_for_room(&mut self, i: usize, life: u64) {
+    pub(in crate::sim) fn look_for_room(&mut self, i: usize, life: u64) {
         let s = &self.slots[i];
         if s.node.is_some() || s.gone || s.life != life {
             return;
@@ -144,7 +144,7 @@
     }
 
     /// Whether a slow machine can't do now what comes; all of it is done in order in its next turn.
-    pub(super) fn waits_for_its_turn(&mut self, i: usize) -> bool {
+    pub(in crate::sim) fn waits_for_its_turn(&mut self, i: usize) -> bool {
         let s = &self.slots[i];
         if s.node.is_none() {
             return false;
--- a/crates/testbed/src/sim/slot.rs
+++ b/crates/testbed/src/sim/machines/slot.rs
@@ -1,8 +1,8 @@
 //! A simulated machine: its address, clock and disk, and the process on it.
 
-use super::disk::Disk;
-use super::event::Happen;
-use super::hall::Hall;
+use crate::sim::calls::call_registry::Hall;
+use crate::sim::event::Happen;
+use crate::sim::machines::disk::Disk;
 use sumacvale_core::base::{Micros, Version};
 use sumacvale_core::call::SharedCallState;
 use sumacvale_core::node::Node;
@@ -45,7 +45,7 @@
     /// How it runs slowly.
     pub slow: Option<Slow>,
     /// What came while it stood still.
-    pub(super) pend: Vec<Happen>,
+    pub(in crate::sim) pend: Vec<Happen>,
     pub shown: Option<Version>,
     pub hall: Hall,
     /// What the platform last heard.
@@ -68,7 +68,7 @@
         self.slow.filter(|s| s.until > now).map_or(now, |s| s.next(now))
     }
 
-    pub(super) fn empty(zone: &str) -> Hall {
+    pub(in crate::sim) fn empty(zone: &str) -> Hall {
         Hall::new(SharedCallState::new(zone, 256, 64 << 20, std::sync::Arc::default()))
     }
 }
--- a/crates/testbed/src/sim/wires.rs
+++ b/crates/testbed/src/sim/network/delivery.rs
@@ -1,7 +1,7 @@
 //! Frames between simulated machines: how long they take, and which are lost or held.
 
-use super::event::Happen;
-use super::world::World;
+use crate::sim::event::Happen;
+use crate::sim::world::World;
 use sumacvale_core::base::{MS, Micros, SEC};
 use sumacvale_core::protocol::{Frame, encode_frame};
 
@@ -56,7 +56,7 @@
         }
     }
 
-    pub(super) fn send(&mut self, i: usize, to: &str, f: Frame) {
+    pub(in crate::sim) fn send(&mut self, i: usize, to: &str, f: Frame) {
         let Some(j) = self.slot_of(to) else { return };
         let Ok(b) = encode_frame(&f) else { return };
         self.frames += 1;
--- /dev/null
+++ b/crates/testbed/src/sim/network/mod.rs
@@ -0,0 +1,4 @@
+//! The network between simulated machines: connections, and the delivery of frames.
+
+pub(super) mod connections;
+pub(super) mod delivery;
--- a/crates/testbed/src/sim/orders/answers.rs
+++ b/crates/testbed/src/sim/operators/orders/answers.rs
@@ -2,7 +2,7 @@
 
 use super::order::{Call, revision};
 use super::{FIRST_CALL, Orders};
-use crate::sim::check::{Ack, Breach};
+use crate::sim::checks::safety::{Ack, Breach};
 use crate::sim::world::World;
 use sumacvale_core::base::MS;
 use sumacvale_core::protocol::ChangeOutcome;
--- a/crates/testbed/src/sim/orders/mod.rs
+++ b/crates/testbed/src/sim/operators/orders/mod.rs
@@ -9,13 +9,13 @@
 
 pub use order::{Habits, Pinned};
 
-use super::world::World;
+use crate::sim::world::World;
 use order::{Call, Order};
 use std::collections::BTreeMap;
 use sumacvale_core::base::{MS, Micros};
 
 /// Calls of this operator have numbers above all others.
-pub(super) const FIRST_CALL: u64 = 1 << 40;
+pub(in crate::sim) const FIRST_CALL: u64 = 1 << 40;
 /// The longest pause before an order is sent again.
 const PAUSE_MOST: Micros = 1_000 * MS;
 /// The pause of one who asks the same machine again and again.
--- a/crates/testbed/src/sim/orders/sending.rs
+++ b/crates/testbed/src/sim/operators/orders/sending.rs
@@ -2,7 +2,7 @@
 
 use super::Orders;
 use super::order::{Call, Order, Pinned};
-use crate::sim::documents::tree;
+use crate::sim::operators::documents::tree;
 use crate::sim::world::World;
 use sumacvale_core::base::{ChangeId, MS, Micros, SEC};
 use sumacvale_core::node::Event;
--- a/crates/testbed/src/sim/ops.rs
+++ b/crates/testbed/src/sim/operators/traffic.rs
@@ -1,11 +1,11 @@
 //! Operators who change what the fleet shows, and callers of several tenants.
 
-use super::check::Ack;
-use super::documents::{REVOCABLE, WAIT, tree};
-use super::orders::FIRST_CALL;
-use super::outcome::{Seen, Want};
-use super::touch::Touch;
-use super::world::World;
+use crate::sim::calls::outcome::{Seen, Want};
+use crate::sim::checks::majority_contact::Touch;
+use crate::sim::checks::safety::Ack;
+use crate::sim::operators::documents::{REVOCABLE, WAIT, tree};
+use crate::sim::operators::orders::FIRST_CALL;
+use crate::sim::world::World;
 use std::collections::BTreeMap;
 use sumacvale_core::base::{ChangeId, MS, Micros, SEC, Version};
 use sumacvale_core::node::Event;
--- a/crates/testbed/src/sim/settings.rs
+++ b/crates/testbed/src/sim/settings.rs
@@ -1,8 +1,8 @@
 //! What one run of the simulator is given.
 
-use super::control::Plan;
-use super::day::Day;
-use super::faults::Profile;
+use crate::sim::faults::control::Plan;
+use crate::sim::faults::day::Day;
+use crate::sim::faults::profiles::Profile;
 
 /// One run: a seed, a profile, and how large the fleet is.
 #[derive(Clone, Copy, Debug)]
--- a/crates/testbed/src/sim/steps.rs
+++ b/crates/testbed/src/sim/steps.rs
@@ -1,7 +1,7 @@
 //! Runs a simulated world on: gives events to nodes and calls, and carries effects out.
 
-use super::event::Happen;
-use super::world::{TICK, World};
+use crate::sim::event::Happen;
+use crate::sim::world::{TICK, World};
 use std::cmp::Reverse;
 use sumacvale_core::base::Micros;
 use sumacvale_core::call::Event as CallEvent;
--- a/crates/testbed/src/sim/workers.rs
+++ b/crates/testbed/src/sim/workers/execution.rs
@@ -1,9 +1,9 @@
 //! What workers do: they run calls, answer piece by piece, and report to nodes.
 
-use super::event::Happen;
-use super::responses::{body, piece, shape};
-use super::worker::{Back, Mode, Ran, Run, SLOTS, Sending};
-use super::world::World;
+use crate::sim::event::Happen;
+use crate::sim::workers::responses::{body, piece, shape};
+use crate::sim::workers::worker::{Back, Mode, Ran, Run, SLOTS, Sending};
+use crate::sim::world::World;
 use bytes::Bytes;
 use sumacvale_core::base::{MS, Micros};
 use sumacvale_core::call::{Event, ResponseHead};
@@ -15,7 +15,7 @@
 const LURED: usize = 3;
 
 impl World {
-    pub(super) fn lat(&mut self, i: usize, k: usize) -> Micros {
+    pub(in crate::sim) fn lat(&mut self, i: usize, k: usize) -> Micros {
         let near = self.slots[i].zone == self.workers[k].zone;
         if near { 100 + self.rng.below(400) } else { 500 + self.rng.below(2_000) }
     }
@@ -37,7 +37,7 @@
     }
 
     /// A call reached the worker.
-    pub(super) fn arrive(&mut self, k: usize, s: Sending) {
+    pub(in crate::sim) fn arrive(&mut self, k: usize, s: Sending) {
         let now = self.now;
         let w = &mut self.workers[k];
         let mode = w.mode(now);
@@ -83,7 +83,7 @@
     }
 
     /// One more step of a run: its head, a piece, its end.
-    pub(super) fn work(&mut self, k: usize, n: u64) {
+    pub(in crate::sim) fn work(&mut self, k: usize, n: u64) {
         let now = self.now;
         let Some(mut r) = self.workers[k].runs.remove(&n) else { return };
         // What a dead wire lost never comes, so nothing comes after it.
@@ -138,12 +138,12 @@
     }
 
     /// The node closed its end: the worker stops what it ran for it.
-    pub(super) fn hang_up(&mut self, k: usize, to: Back) {
+    pub(in crate::sim) fn hang_up(&mut self, k: usize, to: Back) {
         self.workers[k].runs.retain(|_, r| r.to != to);
     }
 
     /// What a worker says of itself now.
-    pub(super) fn row(&mut self, k: usize) -> WorkerReport {
+    pub(in crate::sim) fn row(&mut self, k: usize) -> WorkerReport {
         let w = &mut self.workers[k];
         w.seq += 1;
         WorkerReport {
--- a/crates/testbed/src/sim/worker.rs
+++ b/crates/testbed/src/sim/workers/worker.rs
@@ -37,16 +37,16 @@
 }
 
 #[derive(Clone, Debug)]
-pub(super) struct Run {
-    pub(super) to: Back,
-    pub(super) path: &'static str,
-    pub(super) mode: Mode,
+pub(in crate::sim) struct Run {
+    pub(in crate::sim) to: Back,
+    pub(in crate::sim) path: &'static str,
+    pub(in crate::sim) mode: Mode,
     /// The piece that comes next.
-    pub(super) next: u64,
+    pub(in crate::sim) next: u64,
     /// The head was sent.
-    pub(super) head: bool,
+    pub(in crate::sim) head: bool,
     /// Half of the next piece was sent.
-    pub(super) half: bool,
+    pub(in crate::sim) half: bool,
 }
 
 #[derive(Debug)]
@@ -62,9 +62,9 @@
     pub drained: Option<Micros>,
     pub due: Micros,
     pub mode: (Mode, Micros),
-    pub(super) runs: BTreeMap<u64, Run>,
+    pub(in crate::sim) runs: BTreeMap<u64, Run>,
     /// How many runs it began.
-    pub(super) n: u64,
+    pub(in crate::sim) n: u64,
 }
 
 pub const SLOTS: u32 = 8;
--- a/crates/testbed/src/sim/world.rs
+++ b/crates/testbed/src/sim/world.rs
@@ -1,13 +1,13 @@
 //! The state of a simulated world and its queue of what happens next.
 
-use super::check::Check;
-use super::connections::Connections;
-use super::disk::Disk;
-use super::documents::TENANTS;
-use super::event::Happen;
-use super::outcome::Outcome;
-use super::slot::Slot;
-use super::worker::{Ran, Worker};
+use crate::sim::calls::outcome::Outcome;
+use crate::sim::checks::safety::Check;
+use crate::sim::event::Happen;
+use crate::sim::machines::disk::Disk;
+use crate::sim::machines::slot::Slot;
+use crate::sim::network::connections::Connections;
+use crate::sim::operators::documents::TENANTS;
+use crate::sim::workers::worker::{Ran, Worker};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use sumacvale_core::base::{MS, Micros, Rng, SEC};
@@ -76,10 +76,10 @@
     pub units_ended: u64,
     /// Writes that full disks refused.
     pub refused_writes: u64,
-    pub(super) heap: BinaryHeap<Reverse<(Micros, u64, usize)>>,
-    pub(super) what: BTreeMap<u64, Happen>,
-    pub(super) n: u64,
-    pub(super) next_ip: u32,
+    pub(in crate::sim) heap: BinaryHeap<Reverse<(Micros, u64, usize)>>,
+    pub(in crate::sim) what: BTreeMap<u64, Happen>,
+    pub(in crate::sim) n: u64,
+    pub(in crate::sim) next_ip: u32,
 }
 
 pub const MIX: [u64; 5] = [30, 40, 58, 91, 100];
@@ -174,7 +174,7 @@
         self.trace.push(format!("{:>10.3} {s}", self.now as f64 / 1e6));
     }
 
-    pub(super) fn push(&mut self, at: Micros, h: Happen) {
+    pub(in crate::sim) fn push(&mut self, at: Micros, h: Happen) {
         self.n += 1;
         self.what.insert(self.n, h);
         self.heap.push(Reverse((at, self.n, 0)));
