--- a/crates/testbed/src/cli/sim.rs
+++ b/crates/testbed/src/cli/sim.rs
@@ -4,7 +4,7 @@
 use super::options::{Arguments, unknown_deployment};
 use std::time::{Duration, Instant};
 use sumacvale_core::base::Micros;
-use sumacvale_testbed::sim::{Day, Orderly, Profile, Run, Summary, run as simulate};
+use sumacvale_testbed::sim::{ControlSummary, Day, Profile, Run, Summary, run as simulate};
 
 /// What is to be simulated, as the command line says it.
 struct Plan {
@@ -142,7 +142,7 @@
     println!("    full strength: from the loss {:?}, from the last return {:?}", times(&loss), times(&back));
 }
 
-fn print_control(control: &Orderly) {
+fn print_control(control: &ControlSummary) {
     println!(
         "    orders: taken {} in p50 {} p99 {} ms repeated {} read {} answers lost {} bad refused {} workers acknowledged {} {:?} {:?}",
         control.taken,
--- a/crates/testbed/src/sim/calls/call_driver.rs
+++ b/crates/testbed/src/sim/calls/call_driver.rs
@@ -1,9 +1,9 @@
 //! The life of calls in simulated processes: their events and the effects of these.
 
-use crate::sim::calls::call_registry::Alive;
-use crate::sim::calls::outcome::{Outcome, Seen, Want};
-use crate::sim::event::Happen;
-use crate::sim::workers::worker::{Back, Mode, Sending};
+use crate::sim::calls::call_registry::ActiveCall;
+use crate::sim::calls::outcome::{CallOutcome, CallRequest, ClientObservation};
+use crate::sim::event::SimEvent;
+use crate::sim::workers::worker::{AttemptOrigin, WorkerBehaviour, WorkerRequest};
 use crate::sim::world::World;
 use bytes::Bytes;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 
 impl World {
     /// Somebody calls a front; the number of the call.
-    pub fn call(&mut self, i: usize, want: Want) -> u64 {
+    pub fn call(&mut self, i: usize, want: CallRequest) -> u64 {
         self.calls += 1;
         let call = self.calls;
         let head = RequestHead {
@@ -28,12 +28,12 @@
         let life = CallMachine::new(call, head, h.view.clone(), at);
         if let Some(t) = want.leaves {
             let (t, life) = (self.now + t, self.slots[i].life);
-            self.push(t, Happen::Leave(i, life, call));
+            self.push(t, SimEvent::Leave(i, life, call));
         }
-        let a = Alive { life, want, at: self.now, first: None, body: Vec::new(), no: 0, to: None, turn: 0 };
+        let a = ActiveCall { life, want, at: self.now, first: None, body: Vec::new(), no: 0, to: None, turn: 0 };
         self.slots[i].hall.lives.insert(call, Box::new(a));
         let life = self.slots[i].life;
-        self.push(self.now, Happen::Call(i, life, call));
+        self.push(self.now, SimEvent::Call(i, life, call));
         call
     }
 
@@ -83,7 +83,7 @@
         for r in rs {
             // Between the bell and who hears it other things happen.
             let t = self.now + self.rng.below(200);
-            self.push(t, Happen::Bell(i, life, r));
+            self.push(t, SimEvent::Bell(i, life, r));
         }
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// What a worker said to one try; tries that were given up hear nothing.
-    pub(in crate::sim) fn heard(&mut self, b: Back, e: Event) {
+    pub(in crate::sim) fn heard(&mut self, b: AttemptOrigin, e: Event) {
         let s = &self.slots[b.slot];
         if s.life == b.life && s.hall.lives.get(&b.call).is_some_and(|a| a.no == b.no && a.to.is_some()) {
             self.live(b.slot, b.call, e);
@@ -117,14 +117,14 @@
         let Some(mut a) = self.slots[i].hall.lives.remove(&n) else { return };
         let left = matches!(e, Event::ClientDisconnected);
         let out = self.with(i, |cx| a.life.step(e, cx));
-        let mut seen = left.then_some(Seen::Left);
+        let mut seen = left.then_some(ClientObservation::Left);
         let mut needs = Vec::new();
         for e in out {
             match e {
                 Effect::ReadBody { .. } => {
                     let b = format!("{{\"prompt\":\"prefix {}\"}}", a.want.prefix);
                     let t = self.now + self.rng.below(2 * MS);
-                    self.push(t, Happen::Body(i, self.slots[i].life, n, Bytes::from(b)));
+                    self.push(t, SimEvent::Body(i, self.slots[i].life, n, Bytes::from(b)));
                 }
                 Effect::RequestUnits { tenant, waiting } => needs.push((tenant, waiting)),
                 Effect::Connect(p) => self.open(i, n, &mut a, p.addr),
@@ -135,10 +135,10 @@
                     self.accepted = Some((i, self.now));
                 }
                 Effect::ForwardChunk(b) => a.body.extend_from_slice(&b),
-                Effect::FinishResponse => seen = Some(Seen::Whole),
-                Effect::AbortResponse(_) => seen = Some(Seen::Broken),
+                Effect::FinishResponse => seen = Some(ClientObservation::Whole),
+                Effect::AbortResponse(_) => seen = Some(ClientObservation::Broken),
                 Effect::Respond(x) => {
-                    seen = Some(Seen::Refused {
+                    seen = Some(ClientObservation::Refused {
                         status: x.status,
                         code: x.code,
                         ran: x.execution,
@@ -158,7 +158,7 @@
                 if t != a.turn {
                     a.turn = t;
                     let life = s.life;
-                    self.push(t, Happen::Turn(i, life, n));
+                    self.push(t, SimEvent::Turn(i, life, n));
                 }
             }
             self.slots[i].hall.lives.insert(n, a);
@@ -168,12 +168,12 @@
         }
     }
 
-    fn ended(&mut self, slot: usize, call: u64, a: Alive, seen: Seen) {
-        let Alive { want, at, first, body, no, .. } = a;
-        self.seen.push(Outcome { call, want, slot, at, first, end: self.now, body, tried: no > 0, seen });
+    fn ended(&mut self, slot: usize, call: u64, a: ActiveCall, seen: ClientObservation) {
+        let ActiveCall { want, at, first, body, no, .. } = a;
+        self.seen.push(CallOutcome { call, want, slot, at, first, end: self.now, body, tried: no > 0, seen });
     }
 
-    fn open(&mut self, i: usize, n: u64, a: &mut Alive, at: std::net::SocketAddr) {
+    fn open(&mut self, i: usize, n: u64, a: &mut ActiveCall, at: std::net::SocketAddr) {
         let k = match at.ip() {
             std::net::IpAddr::V4(x) => usize::from(x.octets()[3]) - 1,
             std::net::IpAddr::V6(_) => return,
@@ -181,26 +181,26 @@
         a.no += 1;
         let w = &self.workers[k];
         a.to = Some((k, w.incarnation));
-        let b = Back { slot: i, life: self.slots[i].life, call: n, no: a.no };
-        if w.mode(self.now) == Mode::Dark {
+        let b = AttemptOrigin { slot: i, life: self.slots[i].life, call: n, no: a.no };
+        if w.mode(self.now) == WorkerBehaviour::Dark {
             return;
         }
         let e = if w.up { Event::Connected } else { Event::AttemptFailed(FailurePoint::Connect) };
         let t = self.now + 2 * self.lat(i, k);
-        self.push(t, Happen::Try(b, e));
+        self.push(t, SimEvent::Try(b, e));
     }
 
-    fn sent(&mut self, i: usize, n: u64, a: &Alive, after: Option<u64>, window: u64) {
+    fn sent(&mut self, i: usize, n: u64, a: &ActiveCall, after: Option<u64>, window: u64) {
         let Some((k, incarnation)) = a.to else { return };
-        let to = Back { slot: i, life: self.slots[i].life, call: n, no: a.no };
-        let s = Sending { to, tenant: a.want.tenant.clone(), path: a.want.path, after, window, incarnation };
+        let to = AttemptOrigin { slot: i, life: self.slots[i].life, call: n, no: a.no };
+        let s = WorkerRequest { to, tenant: a.want.tenant.clone(), path: a.want.path, after, window, incarnation };
         let t = self.now + self.lat(i, k);
-        self.push(t, Happen::Arrive(k, s));
+        self.push(t, SimEvent::Arrive(k, s));
     }
 
-    fn close(&mut self, i: usize, n: u64, a: &mut Alive) {
+    fn close(&mut self, i: usize, n: u64, a: &mut ActiveCall) {
         if let Some((k, _)) = a.to.take() {
-            let b = Back { slot: i, life: self.slots[i].life, call: n, no: a.no };
+            let b = AttemptOrigin { slot: i, life: self.slots[i].life, call: n, no: a.no };
             self.hang_up(k, b);
         }
     }
@@ -215,7 +215,7 @@
         self.units_ended += c.units_expired.get();
         for (n, mut a) in std::mem::take(&mut self.slots[i].hall.lives) {
             self.close(i, n, &mut a);
-            self.ended(i, n, *a, Seen::Dropped);
+            self.ended(i, n, *a, ClientObservation::Dropped);
         }
     }
 }
--- a/crates/testbed/src/sim/calls/call_registry.rs
+++ b/crates/testbed/src/sim/calls/call_registry.rs
@@ -1,6 +1,6 @@
 //! The data plane of one simulated process: its calls and what it holds for them.
 
-use crate::sim::calls::outcome::Want;
+use crate::sim::calls::outcome::CallRequest;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use sumacvale_core::base::Micros;
@@ -9,9 +9,9 @@
 
 /// A call that has not ended.
 #[derive(Debug)]
-pub struct Alive {
+pub struct ActiveCall {
     pub(in crate::sim) life: CallMachine,
-    pub(in crate::sim) want: Want,
+    pub(in crate::sim) want: CallRequest,
     pub(in crate::sim) at: Micros,
     pub(in crate::sim) first: Option<Micros>,
     pub(in crate::sim) body: Vec<u8>,
@@ -21,7 +21,7 @@
     pub(in crate::sim) turn: Micros,
 }
 
-impl Alive {
+impl ActiveCall {
     /// Its timer went off, so another one may be set.
     pub(in crate::sim) fn turned(&mut self) {
         self.turn = 0;
@@ -30,15 +30,20 @@
 
 /// The data plane of one process.
 #[derive(Debug)]
-pub struct Hall {
+pub struct CallRegistry {
     pub floor: Arc<SharedCallState>,
     pub own: ThreadCaches,
     pub view: Arc<View>,
-    pub lives: BTreeMap<u64, Box<Alive>>,
+    pub lives: BTreeMap<u64, Box<ActiveCall>>,
 }
 
-impl Hall {
+impl CallRegistry {
     pub fn new(floor: SharedCallState) -> Self {
-        Hall { floor: Arc::new(floor), own: ThreadCaches::default(), view: Arc::default(), lives: BTreeMap::new() }
+        CallRegistry {
+            floor: Arc::new(floor),
+            own: ThreadCaches::default(),
+            view: Arc::default(),
+            lives: BTreeMap::new(),
+        }
     }
 }
--- a/crates/testbed/src/sim/calls/outcome.rs
+++ b/crates/testbed/src/sim/calls/outcome.rs
@@ -6,7 +6,7 @@
 
 /// What a downstream asks for.
 #[derive(Clone, Debug)]
-pub struct Want {
+pub struct CallRequest {
     pub tenant: String,
     pub path: &'static str,
     pub prefix: u64,
@@ -16,7 +16,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum ClientObservation {
     Whole,
     Broken,
     Refused {
@@ -33,9 +33,9 @@
 
 /// What became of one call, as its downstream saw it.
 #[derive(Clone, Debug)]
-pub struct Outcome {
+pub struct CallOutcome {
     pub call: u64,
-    pub want: Want,
+    pub want: CallRequest,
     pub slot: usize,
     pub at: Micros,
     pub first: Option<Micros>,
@@ -43,15 +43,15 @@
     pub body: Vec<u8>,
     /// A worker was nominated for it at least once.
     pub tried: bool,
-    pub seen: Seen,
+    pub seen: ClientObservation,
 }
 
-impl Outcome {
+impl CallOutcome {
     /// Whether what came is a beginning of the right response, and all of it if it looks whole.
     pub fn right(&self) -> bool {
         let want = body(self.call, self.want.path, 0).into_bytes();
         match self.seen {
-            Seen::Whole => self.body == want,
+            ClientObservation::Whole => self.body == want,
             _ => want.starts_with(&self.body),
         }
     }
--- a/crates/testbed/src/sim/checks/calls.rs
+++ b/crates/testbed/src/sim/checks/calls.rs
@@ -1,14 +1,14 @@
-use crate::sim::calls::outcome::{Outcome, Seen};
-use crate::sim::checks::safety::{Breach, GONE, REVOKE};
+use crate::sim::calls::outcome::{CallOutcome, ClientObservation};
+use crate::sim::checks::safety::{GONE, REVOKE, Violation};
 use crate::sim::operators::documents::REVOCABLE;
-use crate::sim::workers::worker::Ran;
+use crate::sim::workers::worker::ExecutionRecord;
 use std::collections::{BTreeMap, BTreeSet};
 use sumacvale_core::base::{Micros, Version};
 use sumacvale_core::retry;
 
 /// What the runs and responses of one world are judged by.
 #[derive(Clone, Debug, Default)]
-pub struct Law {
+pub struct CallLimits {
     pub quotas: BTreeMap<String, (u64, Micros)>,
     /// When each version was acknowledged.
     pub acks: Vec<(Version, Micros)>,
@@ -28,9 +28,9 @@
 }
 
 /// Judges what downstreams saw against what workers ran, knowing nothing of how nodes decide.
-pub fn judge(seen: &[Outcome], ran: &[Ran], law: &Law) -> Vec<Breach> {
+pub fn judge(seen: &[CallOutcome], ran: &[ExecutionRecord], law: &CallLimits) -> Vec<Violation> {
     let mut out = Vec::new();
-    let mut by: BTreeMap<u64, Vec<&Ran>> = BTreeMap::new();
+    let mut by: BTreeMap<u64, Vec<&ExecutionRecord>> = BTreeMap::new();
     for r in ran {
         by.entry(r.call).or_default().push(r);
     }
@@ -57,24 +57,24 @@
         out.push(format!("{} second tries for {} first ones", law.tries.1, law.tries.0));
     }
     out.truncate(20);
-    out.into_iter().map(Breach).collect()
+    out.into_iter().map(Violation).collect()
 }
 
-fn responses(o: &Outcome, rs: &[&Ran], law: &Law, out: &mut Vec<String>) {
+fn responses(o: &CallOutcome, rs: &[&ExecutionRecord], law: &CallLimits, out: &mut Vec<String>) {
     let c = o.call;
     if !o.right() {
         let t = String::from_utf8_lossy(&o.body).into_owned();
         out.push(format!("call {c} ({}) got a body that is not its own: {:?} {t}", o.want.path, o.seen));
     }
     match &o.seen {
-        Seen::Whole if rs.is_empty() => out.push(format!("call {c} got a success that no worker gave")),
-        Seen::Refused { ran: retry::Execution::NotRun, code, .. } if !rs.is_empty() => {
+        ClientObservation::Whole if rs.is_empty() => out.push(format!("call {c} got a success that no worker gave")),
+        ClientObservation::Refused { ran: retry::Execution::NotRun, code, .. } if !rs.is_empty() => {
             out.push(format!("call {c} was refused as not run ({code}) and ran {} times", rs.len()));
         }
-        Seen::Refused { status: 429 | 503, back: false, code, .. } => {
+        ClientObservation::Refused { status: 429 | 503, back: false, code, .. } => {
             out.push(format!("call {c} was refused ({code}) without a time to return"));
         }
-        Seen::Refused { code: "full" | "no_worker" | "quota_unsettled", .. } => {
+        ClientObservation::Refused { code: "full" | "no_worker" | "quota_unsettled", .. } => {
             let slept = law.slept.iter().any(|s| s.0 == o.slot && s.1 <= o.end && s.2 >= o.at);
             if !slept && !o.tried && o.end - o.at > o.want.wait * 9 / 10 {
                 out.push(format!("call {c} was given up on only after {} of {} us", o.end - o.at, o.want.wait));
@@ -85,7 +85,7 @@
 }
 
 /// A key must be in some version that was not yet replaced for too long.
-fn revoked(r: &Ran, law: &Law, out: &mut Vec<String>) {
+fn revoked(r: &ExecutionRecord, law: &CallLimits, out: &mut Vec<String>) {
     if r.tenant != REVOCABLE {
         return;
     }
@@ -96,7 +96,7 @@
 }
 
 /// A call counts in the window that its unit belongs to, and runs while that lasts.
-fn quotas(by: &BTreeMap<u64, Vec<&Ran>>, law: &Law, out: &mut Vec<String>) {
+fn quotas(by: &BTreeMap<u64, Vec<&ExecutionRecord>>, law: &CallLimits, out: &mut Vec<String>) {
     let mut used: BTreeMap<(&str, u64), Vec<Micros>> = BTreeMap::new();
     for rs in by.values() {
         used.entry((&rs[0].tenant, rs[0].window)).or_default().push(rs[0].at);
@@ -119,7 +119,7 @@
 /// A unit may be used for so long after it was taken, and clocks differ by a thousandth.
 const UNIT: Micros = 500_000 + WIRE;
 
-fn firsts<'a>(ran: &'a [Ran], rates: &Rates) -> BTreeMap<&'a str, Vec<Micros>> {
+fn firsts<'a>(ran: &'a [ExecutionRecord], rates: &Rates) -> BTreeMap<&'a str, Vec<Micros>> {
     let mut met = BTreeSet::new();
     let mut at: BTreeMap<&str, Vec<Micros>> = BTreeMap::new();
     for r in ran.iter().filter(|r| rates.contains_key(&r.tenant) && met.insert(r.call)) {
@@ -130,7 +130,7 @@
 }
 
 /// No interval of any length sees more calls than the rate and the burst.
-pub fn sliding(ran: &[Ran], rates: &Rates) -> Vec<Breach> {
+pub fn sliding(ran: &[ExecutionRecord], rates: &Rates) -> Vec<Violation> {
     let mut out = Vec::new();
     for (t, v) in firsts(ran, rates) {
         let r = i128::from(rates[t]);
@@ -143,7 +143,7 @@
         }
         if top.0 > (r * 1_000_000) + came(UNIT) {
             let (a, b) = (top.1, top.2);
-            out.push(Breach(format!("{t} ran {} calls over its rate from {a} to {b}", top.0 / 1_000_000)));
+            out.push(Violation(format!("{t} ran {} calls over its rate from {a} to {b}", top.0 / 1_000_000)));
         }
     }
     out
@@ -151,10 +151,10 @@
 
 /// How many calls were refused though one bucket for the whole fleet would have been
 /// over a fifth full.
-pub fn kept_back(seen: &[Outcome], ran: &[Ran], rates: &Rates) -> u64 {
+pub fn kept_back(seen: &[CallOutcome], ran: &[ExecutionRecord], rates: &Rates) -> u64 {
     let runs = firsts(ran, rates);
     let mut no: BTreeMap<&str, Vec<Micros>> = BTreeMap::new();
-    for o in seen.iter().filter(|o| matches!(o.seen, Seen::Refused { code: "quota", .. })) {
+    for o in seen.iter().filter(|o| matches!(o.seen, ClientObservation::Refused { code: "quota", .. })) {
         no.entry(&o.want.tenant).or_default().push(o.end);
     }
     let mut n = 0;
@@ -177,14 +177,14 @@
 }
 
 /// How many calls were told that a window is spent in which over a tenth was left.
-pub fn needless(seen: &[Outcome], ran: &[Ran], law: &Law) -> u64 {
+pub fn needless(seen: &[CallOutcome], ran: &[ExecutionRecord], law: &CallLimits) -> u64 {
     let mut met = BTreeSet::new();
     let mut by: BTreeMap<&str, Vec<(Micros, u64)>> = BTreeMap::new();
     for r in ran.iter().filter(|r| met.insert(r.call)) {
         by.entry(&r.tenant).or_default().push((r.at, r.window));
     }
-    let spent = |o: &Outcome| matches!(o.seen, Seen::Refused { code: "quota", .. });
-    let needless = |o: &&Outcome| {
+    let spent = |o: &CallOutcome| matches!(o.seen, ClientObservation::Refused { code: "quota", .. });
+    let needless = |o: &&CallOutcome| {
         let Some((q, _)) = law.quotas.get(&o.want.tenant) else { return false };
         let Some(rs) = by.get(o.want.tenant.as_str()) else { return true };
         // The window in which the call was refused is the one of the last run before it.
@@ -196,7 +196,7 @@
 }
 
 /// The most calls of one tenant that ran within any interval of a window's length.
-pub fn worst(ran: &[Ran], window: Micros) -> BTreeMap<String, u64> {
+pub fn worst(ran: &[ExecutionRecord], window: Micros) -> BTreeMap<String, u64> {
     let mut at: BTreeMap<&str, Vec<Micros>> = BTreeMap::new();
     let mut met = BTreeSet::new();
     for r in ran.iter().filter(|r| met.insert(r.call)) {
--- a/crates/testbed/src/sim/checks/majority_contact.rs
+++ b/crates/testbed/src/sim/checks/majority_contact.rs
@@ -21,11 +21,11 @@
 
 /// Since when each machine is in touch with a majority without a break.
 #[derive(Clone, Debug, Default)]
-pub struct Touch {
+pub struct MajorityContact {
     machines: Vec<Standing>,
 }
 
-impl Touch {
+impl MajorityContact {
     /// Looks at the machines as they are now.
     pub fn observe(&mut self, w: &World) {
         let centres = centres(w);
--- a/crates/testbed/src/sim/checks/recovery.rs
+++ b/crates/testbed/src/sim/checks/recovery.rs
@@ -1,8 +1,8 @@
 //! What must hold again once the last fault is over.
 
-use crate::sim::calls::outcome::Seen;
-use crate::sim::checks::safety::Breach;
-use crate::sim::operators::traffic::Ops;
+use crate::sim::calls::outcome::ClientObservation;
+use crate::sim::checks::safety::Violation;
+use crate::sim::operators::traffic::Operators;
 use crate::sim::world::World;
 use sumacvale_core::base::{MS, Micros, SEC};
 
@@ -17,13 +17,13 @@
         let held = (f.worker_loads.total_in_flight(), f.queue_lengths(), s.hall.lives.len());
         if s.node.is_some() && held != (0, (0, 0), 0) {
             let t = format!("{} holds {held:?} (places, waits, calls) when all calls have ended", s.addr);
-            w.check.breaches.push(Breach(t));
+            w.check.breaches.push(Violation(t));
         }
     }
 }
 
 /// Twelve seconds after the last fault all must serve again.
-pub(in crate::sim) fn recover(w: &mut World, o: &mut Ops, end: Micros) -> Option<Micros> {
+pub(in crate::sim) fn recover(w: &mut World, o: &mut Operators, end: Micros) -> Option<Micros> {
     let bad: Vec<_> = (0..w.slots.len())
         .filter(|i| {
             let s = &w.slots[*i];
@@ -32,17 +32,17 @@
         .map(|i| w.slots[i].addr.clone())
         .collect();
     if !bad.is_empty() {
-        w.check.breaches.push(Breach(format!("not fresh 12 s after the last fault: {bad:?}")));
+        w.check.breaches.push(Violation(format!("not fresh 12 s after the last fault: {bad:?}")));
         return None;
     }
     let vs: std::collections::BTreeSet<_> =
         w.slots.iter().filter_map(|s| s.node.as_ref().map(|n| n.version())).collect();
     if vs.len() > 1 && o.lag.is_empty() {
-        w.check.breaches.push(Breach(format!("different versions at the end: {vs:?}")));
+        w.check.breaches.push(Violation(format!("different versions at the end: {vs:?}")));
     }
     let acked = w.check.acks.iter().map(|a| a.version).max();
     if acked > vs.iter().next_back().copied().flatten() {
-        w.check.breaches.push(Breach("an acknowledged version is lost at the end".into()));
+        w.check.breaches.push(Violation("an acknowledged version is lost at the end".into()));
     }
     let before = o.done;
     let at = w.now;
@@ -57,7 +57,7 @@
         }
     }
     if o.done == before {
-        w.check.breaches.push(Breach("no change is accepted after the last fault".into()));
+        w.check.breaches.push(Violation("no change is accepted after the last fault".into()));
         return None;
     }
     let taken = w.ran.len();
@@ -70,10 +70,10 @@
     }
     let mute = o.settle(w, 4 * SEC);
     if !mute.is_empty() {
-        w.check.breaches.push(Breach(format!("no word on a quota after the last fault: {mute:?}")));
+        w.check.breaches.push(Violation(format!("no word on a quota after the last fault: {mute:?}")));
     }
     if w.ran.len() == taken {
-        w.check.breaches.push(Breach("no unit of any quota is given after the last fault".into()));
+        w.check.breaches.push(Violation("no unit of any quota is given after the last fault".into()));
     }
     Some(at.max(end) - end)
 }
@@ -82,13 +82,13 @@
 pub(in crate::sim) fn serving(w: &mut World, end: Micros) -> Option<Micros> {
     let fronts = (0..w.slots.len()).filter(|i| !w.slots[*i].core && !w.slots[*i].gone);
     let again = |i: usize| {
-        let whole = w.seen.iter().filter(|o| o.slot == i && o.at >= end && o.seen == Seen::Whole);
+        let whole = w.seen.iter().filter(|o| o.slot == i && o.at >= end && o.seen == ClientObservation::Whole);
         whole.map(|o| o.end - end).min()
     };
     let serving = fronts.map(again).collect::<Option<Vec<_>>>().and_then(|v| v.into_iter().max());
     if serving.is_none_or(|t| t > BACK) {
         let t = format!("not all fronts serve again 12 s after the last fault: {serving:?}");
-        w.check.breaches.push(Breach(t));
+        w.check.breaches.push(Violation(t));
     }
     serving
 }
--- a/crates/testbed/src/sim/checks/safety.rs
+++ b/crates/testbed/src/sim/checks/safety.rs
@@ -4,10 +4,10 @@
 
 /// One thing that must never happen, and did.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Breach(pub String);
+pub struct Violation(pub String);
 
 #[derive(Clone, Copy, Debug)]
-pub struct Ack {
+pub struct Acknowledgement {
     pub change_id: ChangeId,
     pub base: Version,
     pub version: Version,
@@ -17,10 +17,10 @@
 
 /// Judges from outside: what operators were told and what nodes would admit. It knows nothing of how nodes decide.
 #[derive(Clone, Debug, Default)]
-pub struct Check {
-    pub breaches: Vec<Breach>,
+pub struct SafetyChecker {
+    pub breaches: Vec<Violation>,
     pub chosen: BTreeMap<Version, LogEntry>,
-    pub acks: Vec<Ack>,
+    pub acks: Vec<Acknowledgement>,
     pub refused: Vec<ChangeId>,
     /// When each version was first held by anyone.
     pub first: BTreeMap<Version, Micros>,
@@ -32,10 +32,10 @@
 pub const REVOKE: Micros = 5 * SEC;
 pub const GONE: Micros = 2 * SEC;
 
-impl Check {
+impl SafetyChecker {
     fn breach(&mut self, s: String) {
         if self.breaches.len() < 20 {
-            self.breaches.push(Breach(s));
+            self.breaches.push(Violation(s));
         }
     }
 
@@ -61,7 +61,7 @@
         }
     }
 
-    pub fn ack(&mut self, a: Ack) {
+    pub fn ack(&mut self, a: Acknowledgement) {
         for o in self.acks.clone() {
             if o.base == a.base && o.change_id != a.change_id {
                 self.breach(format!(
--- a/crates/testbed/src/sim/checks/summary.rs
+++ b/crates/testbed/src/sim/checks/summary.rs
@@ -1,13 +1,13 @@
 //! What a run came to: its breaches, its counts and its times.
 
-use crate::sim::calls::outcome::{Outcome, Seen};
-use crate::sim::checks::calls::{Law, Rates, kept_back, needless, worst};
-use crate::sim::checks::safety::Breach;
+use crate::sim::calls::outcome::{CallOutcome, ClientObservation};
+use crate::sim::checks::calls::{CallLimits, Rates, kept_back, needless, worst};
+use crate::sim::checks::safety::Violation;
 use crate::sim::faults::control::Control;
-use crate::sim::faults::membership_losses::Moves;
+use crate::sim::faults::membership_losses::MembershipFaults;
 use crate::sim::operators::documents::WINDOW;
-use crate::sim::operators::traffic::Ops;
-use crate::sim::workers::worker::Ran;
+use crate::sim::operators::traffic::Operators;
+use crate::sim::workers::worker::ExecutionRecord;
 use crate::sim::world::World;
 use std::collections::{BTreeMap, BTreeSet};
 use sumacvale_core::base::{MS, Micros};
@@ -15,7 +15,7 @@
 /// What one run came to.
 #[derive(Clone, Debug, Default)]
 pub struct Summary {
-    pub breaches: Vec<Breach>,
+    pub breaches: Vec<Violation>,
     pub versions: u64,
     pub done: u64,
     pub stale: u64,
@@ -57,13 +57,13 @@
     pub bytes: u64,
     pub far: BTreeMap<&'static str, (u64, u64)>,
     /// What the operator and the troubles of the control side came to.
-    pub control: Option<Orderly>,
+    pub control: Option<ControlSummary>,
     pub trace: Vec<String>,
 }
 
 /// What came of the orders in a profile of the control side.
 #[derive(Clone, Debug, Default)]
-pub struct Orderly {
+pub struct ControlSummary {
     pub taken: u64,
     pub repeated: u64,
     pub reads: u64,
@@ -76,9 +76,9 @@
     pub variants: BTreeMap<&'static str, u64>,
 }
 
-impl Orderly {
-    pub fn of(c: Control) -> Orderly {
-        Orderly {
+impl ControlSummary {
+    pub fn of(c: Control) -> ControlSummary {
+        ControlSummary {
             taken: c.orders.taken(),
             repeated: c.orders.repeated,
             reads: c.orders.reads,
@@ -95,7 +95,7 @@
 /// How long after all power was back a call ran again, and 19 of 20 were let in.
 fn lit((from, back): (Micros, Micros), w: &World) -> Option<(Micros, Micros)> {
     let first = w.ran.iter().filter(|r| r.at > from + 100 * MS).map(|r| r.at).min()?;
-    let out = |o: &Outcome| matches!(o.seen, Seen::Refused { code: "quota" | "quota_unsettled", .. });
+    let out = |o: &CallOutcome| matches!(o.seen, ClientObservation::Refused { code: "quota" | "quota_unsettled", .. });
     let usual = (0..100).map(|k| from + k * 100 * MS).find(|t| {
         let v: Vec<_> = w.seen.iter().filter(|o| o.at >= *t && o.at < t + 500 * MS && o.at >= back).collect();
         v.len() >= 20 && v.iter().filter(|o| out(o)).count() * 20 <= v.len()
@@ -104,11 +104,11 @@
 }
 
 /// How often calls ended in each way: by the code of the answer, or what the caller saw.
-fn ends(seen: &[Outcome]) -> BTreeMap<String, u64> {
+fn ends(seen: &[CallOutcome]) -> BTreeMap<String, u64> {
     let mut ends = BTreeMap::new();
     for o in seen {
         let k = match &o.seen {
-            Seen::Refused { code, .. } => (*code).to_owned(),
+            ClientObservation::Refused { code, .. } => (*code).to_owned(),
             s => format!("{s:?}").to_lowercase(),
         };
         *ends.entry(k).or_default() += 1;
@@ -117,14 +117,20 @@
 }
 
 /// The first run of each call.
-fn first_runs(ran: &[Ran]) -> Vec<&Ran> {
+fn first_runs(ran: &[ExecutionRecord]) -> Vec<&ExecutionRecord> {
     let mut met = BTreeSet::new();
     ran.iter().filter(|r| met.insert(r.call)).collect()
 }
 
 impl Summary {
     /// What the world, the operators and the troubles of the fleet came to.
-    pub(in crate::sim) fn of(w: World, o: Ops, moves: Moves, law: &Law, rates: &Rates) -> Summary {
+    pub(in crate::sim) fn of(
+        w: World,
+        o: Operators,
+        moves: MembershipFaults,
+        law: &CallLimits,
+        rates: &Rates,
+    ) -> Summary {
         let ends = ends(&w.seen);
         let begun: BTreeMap<u64, Micros> = w.seen.iter().map(|o| (o.call, o.at)).collect();
         let first = first_runs(&w.ran);
--- a/crates/testbed/src/sim/cutoff/answers.rs
+++ b/crates/testbed/src/sim/cutoff/answers.rs
@@ -1,6 +1,6 @@
 //! What callers hear, and what they do then.
 
-use super::callers::{Open, Reporter, State, number_of};
+use super::callers::{OpenRequest, Reporter, State, number_of};
 use super::judge::Standing;
 use super::seen::Caller;
 use super::{CORES, Driver};
@@ -26,7 +26,7 @@
         }
     }
 
-    pub(super) fn was_read(&mut self, req: u64, o: &Open, fate: ChangeOutcome) {
+    pub(super) fn was_read(&mut self, req: u64, o: &OpenRequest, fate: ChangeOutcome) {
         let newest = self.readers.remove(&req).unwrap_or(0);
         let ChangeOutcome::Content { text } = fate else {
             return self.ended(o, Some(false));
@@ -38,7 +38,7 @@
         }
     }
 
-    pub(super) fn was_ordered(&mut self, o: &Open, fate: ChangeOutcome) {
+    pub(super) fn was_ordered(&mut self, o: &OpenRequest, fate: ChangeOutcome) {
         let now = self.world.now;
         let Some((base, number, body)) = self.operators[o.by].order.clone() else { return };
         match fate {
@@ -73,7 +73,7 @@
         p.pause = (p.pause * 2).min(800 * MS);
     }
 
-    pub(super) fn was_told(&mut self, o: &Open, ok: bool) {
+    pub(super) fn was_told(&mut self, o: &OpenRequest, ok: bool) {
         let now = self.world.now;
         let r = &mut self.reporters[o.by];
         if !ok {
--- a/crates/testbed/src/sim/cutoff/callers.rs
+++ b/crates/testbed/src/sim/cutoff/callers.rs
@@ -6,7 +6,7 @@
 
 /// A call under way.
 #[derive(Clone, Debug)]
-pub(super) struct Open {
+pub(super) struct OpenRequest {
     pub(super) caller: Caller,
     /// The operator or the worker.
     pub(super) by: usize,
--- a/crates/testbed/src/sim/cutoff/calls.rs
+++ b/crates/testbed/src/sim/cutoff/calls.rs
@@ -1,6 +1,6 @@
 //! Readers, operators and workers call cores.
 
-use super::callers::{Open, State, document};
+use super::callers::{OpenRequest, State, document};
 use super::seen::Caller;
 use super::{BEAT, CORES, Driver};
 use sumacvale_core::base::{ChangeId, MS, Micros, hash64};
@@ -10,7 +10,7 @@
 impl Driver {
     pub(super) fn call(&mut self, caller: Caller, by: usize, core: usize) -> u64 {
         self.serial += 1;
-        self.open.insert(self.serial, Open { caller, by, core, at: self.world.now });
+        self.open.insert(self.serial, OpenRequest { caller, by, core, at: self.world.now });
         self.serial
     }
 
--- a/crates/testbed/src/sim/cutoff/judge.rs
+++ b/crates/testbed/src/sim/cutoff/judge.rs
@@ -1,9 +1,9 @@
 //! Whether a core answered soon enough and truly, by how it stood when it was asked.
 
 use super::Driver;
-use super::callers::{Open, number_of};
-use super::seen::{Caller, Ends};
-use crate::sim::checks::safety::Breach;
+use super::callers::{OpenRequest, number_of};
+use super::seen::{AnswerTimes, Caller};
+use crate::sim::checks::safety::Violation;
 use std::collections::BTreeSet;
 use sumacvale_core::base::{MS, Micros, SEC};
 
@@ -37,7 +37,7 @@
         }
     }
 
-    pub(super) fn kind(&mut self, s: Standing, c: Caller) -> Option<&mut Ends> {
+    pub(super) fn kind(&mut self, s: Standing, c: Caller) -> Option<&mut AnswerTimes> {
         match s {
             Standing::Cut(_) => Some(self.seen.cut_off.entry(c).or_default()),
             Standing::InTouch => Some(self.seen.in_touch.entry(c).or_default()),
@@ -46,7 +46,7 @@
     }
 
     /// Judges an answer: acknowledged, sent away, or (none) refused for good.
-    pub(super) fn ended(&mut self, o: &Open, ok: Option<bool>) {
+    pub(super) fn ended(&mut self, o: &OpenRequest, ok: Option<bool>) {
         let now = self.world.now;
         let (s, t) = (self.standing(o.core, o.at, now), now - o.at);
         if let Some(e) = self.kind(s, o.caller) {
@@ -78,16 +78,16 @@
         for (i, s) in self.world.slots.iter().enumerate() {
             let held = s.node.as_ref().and_then(|n| n.consensus.state.newest()).map_or(0, |d| d.revision);
             if held < newest {
-                self.seen.breaches.push(Breach(format!("node {i} holds {held} in the end, acknowledged {newest}")));
+                self.seen.breaches.push(Violation(format!("node {i} holds {held} in the end, acknowledged {newest}")));
             }
         }
         for a in &self.acked {
             if !decided.contains(&a.2) {
-                self.seen.breaches.push(Breach(format!("{} was acknowledged and nobody holds it", a.1)));
+                self.seen.breaches.push(Violation(format!("{} was acknowledged and nobody holds it", a.1)));
             }
         }
         for r in self.refused.iter().filter(|r| decided.contains(*r)) {
-            self.seen.breaches.push(Breach(format!("{} was refused and is in force", number_of(r))));
+            self.seen.breaches.push(Violation(format!("{} was refused and is in force", number_of(r))));
         }
         self.seen.breaches.extend(self.world.check.breaches.clone());
         self.seen.trace.clone_from(&self.world.trace);
--- a/crates/testbed/src/sim/cutoff/mod.rs
+++ b/crates/testbed/src/sim/cutoff/mod.rs
@@ -9,9 +9,9 @@
 
 pub use seen::{Answers, Caller, CutOff};
 
-use crate::sim::checks::safety::Breach;
+use crate::sim::checks::safety::Violation;
 use crate::sim::world::World;
-use callers::{Open, Operator, Reporter};
+use callers::{OpenRequest, Operator, Reporter};
 use std::collections::{BTreeMap, BTreeSet};
 use sumacvale_core::base::{MS, Micros, SEC};
 
@@ -24,7 +24,7 @@
 /// One run in the making.
 struct Driver {
     world: World,
-    open: BTreeMap<u64, Open>,
+    open: BTreeMap<u64, OpenRequest>,
     operators: [Operator; 2],
     reporters: Vec<Reporter>,
     serial: u64,
@@ -77,7 +77,7 @@
 impl Driver {
     fn breach(&mut self, what: String) {
         let at = self.world.now;
-        self.seen.breaches.push(Breach(format!("{at}: {what}")));
+        self.seen.breaches.push(Violation(format!("{at}: {what}")));
     }
 
     fn play(&mut self, end: Micros) {
--- a/crates/testbed/src/sim/cutoff/seen.rs
+++ b/crates/testbed/src/sim/cutoff/seen.rs
@@ -1,6 +1,6 @@
 //! What is asked of a run with cores that are cut off, and what was seen in it.
 
-use crate::sim::checks::safety::Breach;
+use crate::sim::checks::safety::Violation;
 use std::collections::BTreeMap;
 use sumacvale_core::base::Micros;
 
@@ -27,7 +27,7 @@
 
 /// How the calls of one kind at cores of one standing ended.
 #[derive(Clone, Debug, Default)]
-pub struct Ends {
+pub struct AnswerTimes {
     pub calls: u64,
     /// 5xx.
     pub sent_away: u64,
@@ -37,7 +37,7 @@
     pub times: Vec<Micros>,
 }
 
-impl Ends {
+impl AnswerTimes {
     pub fn slowest(&self) -> Micros {
         self.times.iter().max().copied().unwrap_or(0)
     }
@@ -52,9 +52,9 @@
 /// What was seen in a run.
 #[derive(Clone, Debug, Default)]
 pub struct Answers {
-    pub breaches: Vec<Breach>,
-    pub cut_off: BTreeMap<Caller, Ends>,
-    pub in_touch: BTreeMap<Caller, Ends>,
+    pub breaches: Vec<Violation>,
+    pub cut_off: BTreeMap<Caller, AnswerTimes>,
+    pub in_touch: BTreeMap<Caller, AnswerTimes>,
     pub acknowledged: u64,
     pub refused: u64,
     pub trace: Vec<String>,
--- a/crates/testbed/src/sim/drive.rs
+++ b/crates/testbed/src/sim/drive.rs
@@ -1,16 +1,16 @@
 //! One run from a seed: faults, then healing, then what must hold again.
 
-use crate::sim::checks::calls::{Law, Rates, judge, sliding};
+use crate::sim::checks::calls::{CallLimits, Rates, judge, sliding};
 use crate::sim::checks::recovery::{BACK, empty, recover, serving};
-use crate::sim::checks::safety::Breach;
-use crate::sim::checks::summary::{Orderly, Summary};
+use crate::sim::checks::safety::Violation;
+use crate::sim::checks::summary::{ControlSummary, Summary};
 use crate::sim::faults::control::{Control, Plan};
 use crate::sim::faults::day::HOUR;
-use crate::sim::faults::injection::Troubles;
-use crate::sim::faults::membership_losses::Moves;
+use crate::sim::faults::injection::FaultInjector;
+use crate::sim::faults::membership_losses::MembershipFaults;
 use crate::sim::faults::repairs::Repairs;
 use crate::sim::operators::documents::{has_key, quotas};
-use crate::sim::operators::traffic::Ops;
+use crate::sim::operators::traffic::Operators;
 use crate::sim::settings::Run;
 use crate::sim::world::World;
 use sumacvale_core::base::{MS, Micros, SEC};
@@ -21,12 +21,12 @@
 const LOOK: Micros = 50 * MS;
 
 /// A run in the making.
-struct Drive {
+struct Simulation {
     r: Run,
     w: World,
-    ops: Ops,
-    troubles: Troubles,
-    moves: Moves,
+    ops: Operators,
+    troubles: FaultInjector,
+    moves: MembershipFaults,
     repairs: Option<Repairs>,
     control: Option<Control>,
     begin: Micros,
@@ -40,7 +40,7 @@
 
 /// One run from a seed: faults, then healing, then what must hold again.
 pub fn run(r: Run) -> Summary {
-    let mut d = Drive::new(r);
+    let mut d = Simulation::new(r);
     while d.w.now < d.end + BACK {
         d.step();
     }
@@ -57,8 +57,8 @@
     }
 }
 
-impl Drive {
-    fn new(r: Run) -> Drive {
+impl Simulation {
+    fn new(r: Run) -> Simulation {
         let mut w = World::new(r.seed, r.cores, r.fronts, r.workers);
         w.lose = losses(r.profile.name);
         w.renew();
@@ -67,12 +67,12 @@
         }
         w.rates = r.rates;
         let begin = w.now;
-        Drive {
+        Simulation {
             r,
             w,
-            ops: Ops::default(),
-            troubles: Troubles::default(),
-            moves: Moves::default(),
+            ops: Operators::default(),
+            troubles: FaultInjector::default(),
+            moves: MembershipFaults::default(),
             repairs: r.profile.name.starts_with("repairs").then(Repairs::default),
             control: Plan::named(r.profile.name).map(|p| Control::new(p, begin + r.profile.secs * SEC)),
             begin,
@@ -189,7 +189,7 @@
         }
         let recovered = recover(w, &mut self.ops, self.end);
         if self.repairs.is_some() {
-            w.check.breaches.extend(self.ops.refused.iter().cloned().map(Breach));
+            w.check.breaches.extend(self.ops.refused.iter().cloned().map(Violation));
         }
         empty(w);
         w.check.end();
@@ -204,14 +204,14 @@
         w.check.breaches.extend(judge(&w.seen, &w.ran, &law));
         w.check.breaches.extend(sliding(&w.ran, &rates));
         let serving = serving(w, self.end);
-        let control = self.control.map(Orderly::of);
+        let control = self.control.map(ControlSummary::of);
         Summary { recovered, serving, control, ..Summary::of(self.w, self.ops, self.moves, &law, &rates) }
     }
 }
 
 /// What the calls of this world are judged by.
-fn law(w: &World, rates: bool) -> Law {
-    Law {
+fn law(w: &World, rates: bool) -> CallLimits {
+    CallLimits {
         quotas: if rates { Default::default() } else { quotas(w.tenants) },
         acks: w.check.acks.iter().map(|a| (a.version, a.at)).collect(),
         keys: w.check.chosen.values().map(|d| (d.version, w.check.first[&d.version], has_key(&d.body))).collect(),
--- a/crates/testbed/src/sim/event.rs
+++ b/crates/testbed/src/sim/event.rs
@@ -1,12 +1,12 @@
 //! What happens at some moment in a simulated world.
 
-use crate::sim::workers::worker::{Back, Sending};
+use crate::sim::workers::worker::{AttemptOrigin, WorkerRequest};
 use bytes::Bytes;
 use sumacvale_core::call::{Event as CallEvent, Wakeup};
 
 /// One thing that happens: machines by slot, processes by slot and life.
 #[derive(Debug)]
-pub enum Happen {
+pub enum SimEvent {
     Tick(usize, u64),
     Frame {
         from: usize,
@@ -26,7 +26,7 @@
     Leave(usize, u64, u64),
     Body(usize, u64, u64, Bytes),
     Bell(usize, u64, Wakeup),
-    Try(Back, CallEvent),
-    Arrive(usize, Sending),
+    Try(AttemptOrigin, CallEvent),
+    Arrive(usize, WorkerRequest),
     Work(usize, u64),
 }
--- a/crates/testbed/src/sim/faults/control/checks.rs
+++ b/crates/testbed/src/sim/faults/control/checks.rs
@@ -1,7 +1,7 @@
 //! What must hold after a trouble of the control side.
 
 use super::plan::CATCH_UP;
-use crate::sim::checks::safety::Breach;
+use crate::sim::checks::safety::Violation;
 use crate::sim::world::World;
 use sumacvale_core::base::{Micros, SEC};
 
@@ -15,7 +15,7 @@
         return;
     }
     let text = format!("{}: no order was acknowledged since {since}, while one disk was full", world.now);
-    world.check.breaches.push(Breach(text));
+    world.check.breaches.push(Violation(text));
 }
 
 /// A machine that was away holds what was acknowledged when it had its time to catch up.
@@ -30,6 +30,6 @@
             machine.addr,
             node.version()
         );
-        world.check.breaches.push(Breach(text));
+        world.check.breaches.push(Violation(text));
     }
 }
--- a/crates/testbed/src/sim/faults/control/cuts.rs
+++ b/crates/testbed/src/sim/faults/control/cuts.rs
@@ -1,9 +1,9 @@
 //! A machine is cut off: which one, in which way, and what meets it during the cut and on its return.
 
 use super::losses::Loss;
-use super::plan::{CATCH_UP, Cut};
-use super::{Act, Control};
-use crate::sim::operators::orders::Pinned;
+use super::plan::{CATCH_UP, PartitionKind};
+use super::{Control, ControlAction};
+use crate::sim::operators::orders::PinnedTarget;
 use crate::sim::world::World;
 use sumacvale_core::base::{MS, Micros, SEC};
 use sumacvale_core::node::Event;
@@ -34,7 +34,7 @@
         running.min_by_key(|i| self.cut_offs.get(i).copied().unwrap_or(0))
     }
 
-    pub(super) fn cut(&mut self, world: &mut World, drawn: usize, cut: Cut) {
+    pub(super) fn cut(&mut self, world: &mut World, drawn: usize, cut: PartitionKind) {
         let until = world.now + SEC + world.rng.below(20 * SEC);
         let slot = self.whom_to_cut_off(world, drawn);
         *self.cut_offs.entry(slot).or_default() += 1;
@@ -44,8 +44,8 @@
             cut_between(world, slot, *other, cut, until);
         }
         match cut {
-            Cut::Seeds => self.change_seeds(world, slot, until),
-            Cut::Both => self.restart_both_sides(world, slot, &others),
+            PartitionKind::Seeds => self.change_seeds(world, slot, until),
+            PartitionKind::Both => self.restart_both_sides(world, slot, &others),
             _ => {}
         }
         self.meet(world, slot, until);
@@ -59,7 +59,7 @@
         for slot in 0..world.slots.len() {
             if !world.slots[slot].core && world.rng.chance(30) {
                 world.kill(slot);
-                self.at(mid, Act::Begin(slot));
+                self.at(mid, ControlAction::Begin(slot));
             } else if world.alive(slot) {
                 world.step(slot, Event::SeedsChanged(seeds.clone()));
             }
@@ -69,18 +69,18 @@
     /// The machine that is cut off is restarted, then the others that count, one by one.
     fn restart_both_sides(&mut self, world: &mut World, slot: usize, others: &[usize]) {
         world.kill(slot);
-        self.at(world.now + 300 * MS, Act::Begin(slot));
+        self.at(world.now + 300 * MS, ControlAction::Begin(slot));
         for (place, other) in others.iter().enumerate() {
             let due = world.now + (2 + place as u64 * 2) * SEC;
-            self.at(due, Act::Lose { slot: *other, loss: Loss::Process });
+            self.at(due, ControlAction::Lose { slot: *other, loss: Loss::Process });
         }
     }
 
-    /// Orders are sent to the machine during the cut and at its end; workers leave and report there.
+    /// DocumentOperator are sent to the machine during the cut and at its end; workers leave and report there.
     fn meet(&mut self, world: &mut World, slot: usize, until: Micros) {
         let (race, drain, hard) = (world.rng.chance(40), world.rng.chance(40), world.rng.chance(30));
-        self.orders.order(world, Some(Pinned { slot, hard }));
-        self.at(until, Act::Meets { slot, race, drain, hard });
+        self.orders.order(world, Some(PinnedTarget { slot, hard }));
+        self.at(until, ControlAction::Meets { slot, race, drain, hard });
         self.note(if hard { "hard" } else { "meet" });
         if world.rng.chance(30) {
             self.note("lure");
@@ -90,21 +90,21 @@
     }
 }
 
-fn cut_between(world: &mut World, slot: usize, other: usize, cut: Cut, until: Micros) {
+fn cut_between(world: &mut World, slot: usize, other: usize, cut: PartitionKind, until: Micros) {
     let (out, into) = ((slot, other), (other, slot));
     match cut {
-        Cut::Silent => {
+        PartitionKind::Silent => {
             world.stalled.insert(out, until);
             world.stalled.insert(into, until);
         }
-        Cut::Reset => {
+        PartitionKind::Reset => {
             world.lose_frames_between(slot, other);
             world.close_between(slot, other, until, UNANSWERED_ATTEMPT);
         }
-        Cut::Refuse => world.close_between(slot, other, until, REFUSED_ATTEMPT),
-        Cut::OneWayOut => world.lose_from(slot, other, until),
-        Cut::OneWayIn => world.lose_from(other, slot, until),
-        Cut::Seeds | Cut::Both => {
+        PartitionKind::Refuse => world.close_between(slot, other, until, REFUSED_ATTEMPT),
+        PartitionKind::OneWayOut => world.lose_from(slot, other, until),
+        PartitionKind::OneWayIn => world.lose_from(other, slot, until),
+        PartitionKind::Seeds | PartitionKind::Both => {
             world.lose_from(slot, other, until);
             world.lose_from(other, slot, until);
         }
--- a/crates/testbed/src/sim/faults/control/leaving.rs
+++ b/crates/testbed/src/sim/faults/control/leaving.rs
@@ -1,6 +1,6 @@
 //! Workers that leave, and ask until a machine acknowledges it.
 
-use super::{Act, Control, core};
+use super::{Control, ControlAction, core};
 use crate::sim::world::World;
 use sumacvale_core::base::{MS, Micros, SEC};
 use sumacvale_core::node::Event;
@@ -81,7 +81,7 @@
     }
 
     fn worker_ends(&mut self, worker: usize, at: Micros) {
-        self.at(at, Act::WorkerEnds(worker));
-        self.at(at + BEGINS_ANEW, Act::WorkerBegins(worker));
+        self.at(at, ControlAction::WorkerEnds(worker));
+        self.at(at + BEGINS_ANEW, ControlAction::WorkerBegins(worker));
     }
 }
--- a/crates/testbed/src/sim/faults/control/losses.rs
+++ b/crates/testbed/src/sim/faults/control/losses.rs
@@ -1,7 +1,7 @@
 //! Machines end, lose power or their disks, stop when told to, run slowly, and come back.
 
 use super::plan::CATCH_UP;
-use super::{Act, Control};
+use super::{Control, ControlAction};
 use crate::sim::world::World;
 use sumacvale_core::base::{MS, Micros, SEC};
 use sumacvale_core::node::Event;
@@ -68,7 +68,7 @@
 
     fn comes_back(&mut self, world: &mut World, slot: usize) {
         let back = return_moment(world);
-        self.at(back, Act::Begin(slot));
+        self.at(back, ControlAction::Begin(slot));
         self.free = back + CATCH_UP;
     }
 
@@ -80,18 +80,18 @@
         world.slots[slot].disk.full = until;
         if power {
             world.lose_power(slot);
-            self.at(return_moment(world), Act::Begin(slot));
+            self.at(return_moment(world), ControlAction::Begin(slot));
         }
-        self.at(until, Act::WentOn { since: now });
-        self.at(until + CATCH_UP, Act::CaughtUp(slot));
+        self.at(until, ControlAction::WentOn { since: now });
+        self.at(until + CATCH_UP, ControlAction::CaughtUp(slot));
         self.free = until + CATCH_UP;
     }
 
     pub(super) fn long_away(&mut self, world: &mut World, slot: usize) {
         world.lose_power(slot);
         let back = world.now + LONG_AWAY;
-        self.at(back, Act::Begin(slot));
-        self.at(back + CATCH_UP, Act::CaughtUp(slot));
+        self.at(back, ControlAction::Begin(slot));
+        self.at(back + CATCH_UP, ControlAction::CaughtUp(slot));
         self.free = back + CATCH_UP;
     }
 
@@ -115,22 +115,22 @@
         *self.rolls.entry(slot).or_default() += 1;
         self.orders.order_to(world, slot);
         let told = world.now + world.rng.below(UNDER_ORDER);
-        self.at(told, Act::TellToStop(slot));
+        self.at(told, ControlAction::TellToStop(slot));
     }
 
     pub(super) fn tell_to_stop(&mut self, world: &mut World, slot: usize) {
         world.say(format!("{} is told to stop", world.slots[slot].addr));
         world.step(slot, Event::Shutdown);
         let kill = world.now + GRACE;
-        self.at(world.now + NOTICE, Act::Stop { slot, kill });
+        self.at(world.now + NOTICE, ControlAction::Stop { slot, kill });
     }
 
-    /// Ends once what it holds is held elsewhere.
+    /// AnswerTimes once what it holds is held elsewhere.
     pub(super) fn stop(&mut self, world: &mut World, slot: usize, kill: Micros) {
         let s = &world.slots[slot];
         let waits = s.node.as_ref().is_some_and(|n| !n.may_stop(s.clock(world.now)));
         if waits && world.now < kill {
-            return self.at(world.now + MAY_END_EVERY, Act::Stop { slot, kill });
+            return self.at(world.now + MAY_END_EVERY, ControlAction::Stop { slot, kill });
         }
         self.note(if waits { "killed" } else { "stopped" });
         self.lose(world, slot, Loss::Process);
@@ -142,7 +142,7 @@
         world.lose_power(slot);
         world.lose_disk(slot);
         let begins = return_moment(world);
-        self.at(begins, Act::PowerEndsStart(slot));
+        self.at(begins, ControlAction::PowerEndsStart(slot));
         self.free = begins + CATCH_UP;
     }
 
--- a/crates/testbed/src/sim/faults/control/mod.rs
+++ b/crates/testbed/src/sim/faults/control/mod.rs
@@ -1,4 +1,4 @@
-//! Troubles of the control side, one at a time, each as close to the one before as is allowed:
+//! FaultInjector of the control side, one at a time, each as close to the one before as is allowed:
 //! cuts of each kind with what meets the machine on its return, losses right after an
 //! acknowledgement, an accepted call or soon after an order, disks that are full, planned restarts, a
 //! member that is away through hundreds of changes, and workers that leave at such moments.
@@ -10,15 +10,15 @@
 mod plan;
 mod strikes;
 
-pub use plan::{Plan, Trouble};
+pub use plan::{ControlFault, Plan};
 
-use crate::sim::operators::orders::{Orders, Pinned};
+use crate::sim::operators::orders::{DocumentOperator, PinnedTarget};
 use crate::sim::world::World;
 use checks::{caught_up, went_on};
 use leaving::{FIRST_LEAVE, Leaving};
 use losses::Loss;
 use std::collections::BTreeMap;
-use strikes::Armed;
+use strikes::PendingFault;
 use sumacvale_core::base::{Micros, SEC};
 
 /// The closing trouble is due so long before the last fault ends, and others begin earlier than this before it.
@@ -27,7 +27,7 @@
 
 /// What is to be done at some moment.
 #[derive(Clone, Copy, Debug)]
-enum Act {
+enum ControlAction {
     Lose {
         slot: usize,
         loss: Loss,
@@ -61,14 +61,14 @@
 /// The troubles of one run, the operator's orders and the workers that leave.
 pub struct Control {
     plan: Plan,
-    pub orders: Orders,
-    acts: Vec<(Micros, Act)>,
+    pub orders: DocumentOperator,
+    acts: Vec<(Micros, ControlAction)>,
     /// No trouble begins before this.
     free: Micros,
     /// When the last fault ends.
     end: Micros,
     closed: bool,
-    armed: Option<Armed>,
+    armed: Option<PendingFault>,
     leaving: Vec<Leaving>,
     calls: u64,
     pub left: u64,
@@ -82,7 +82,7 @@
 
 impl Control {
     pub fn new(plan: Plan, end: Micros) -> Self {
-        let orders = Orders::new(plan.habits);
+        let orders = DocumentOperator::new(plan.habits);
         Control {
             plan,
             orders,
@@ -122,7 +122,7 @@
         self.plan.closing && now + CLOSING + BEFORE_CLOSING >= self.end
     }
 
-    fn at(&mut self, due: Micros, act: Act) {
+    fn at(&mut self, due: Micros, act: ControlAction) {
         self.acts.push((due, act));
     }
 
@@ -140,51 +140,52 @@
         }
         let Some(slot) = core(world) else { return };
         match trouble {
-            Trouble::AfterAck { wipe } => self.arm(world, Armed::AfterAck { wipe }),
-            Trouble::OldestAfterAck => self.arm(world, Armed::OldestAfterAck),
-            Trouble::Timed { wipe } => self.arm(world, Armed::Timed { wipe }),
-            Trouble::AfterWork { gone } => self.arm(world, Armed::AfterWork { gone }),
-            Trouble::PowerAfterWork { all } => self.arm(world, Armed::PowerAfterWork { all }),
-            Trouble::CutOff(cut) => self.cut(world, slot, cut),
-            Trouble::FullDisk { power } => self.fill(world, slot, power),
-            Trouble::HalfStart => self.half_start(world, slot),
-            Trouble::Freeze => self.freeze(world, slot),
-            Trouble::Slow => self.slow_down(world, slot),
-            Trouble::Restart => self.lose(world, slot, Loss::Process),
-            Trouble::Roll => self.roll(world),
-            Trouble::Wipe => self.lose(world, slot, Loss::Disk),
-            Trouble::LongAway => self.long_away(world, slot),
+            ControlFault::AfterAck { wipe } => self.arm(world, PendingFault::AfterAck { wipe }),
+            ControlFault::OldestAfterAck => self.arm(world, PendingFault::OldestAfterAck),
+            ControlFault::Timed { wipe } => self.arm(world, PendingFault::Timed { wipe }),
+            ControlFault::AfterWork { gone } => self.arm(world, PendingFault::AfterWork { gone }),
+            ControlFault::PowerAfterWork { all } => self.arm(world, PendingFault::PowerAfterWork { all }),
+            ControlFault::CutOff(cut) => self.cut(world, slot, cut),
+            ControlFault::FullDisk { power } => self.fill(world, slot, power),
+            ControlFault::HalfStart => self.half_start(world, slot),
+            ControlFault::Freeze => self.freeze(world, slot),
+            ControlFault::Slow => self.slow_down(world, slot),
+            ControlFault::Restart => self.lose(world, slot, Loss::Process),
+            ControlFault::Roll => self.roll(world),
+            ControlFault::Wipe => self.lose(world, slot, Loss::Disk),
+            ControlFault::LongAway => self.long_away(world, slot),
         }
     }
 
     fn due(&mut self, world: &mut World) {
         let now = world.now;
-        let (due, later) = std::mem::take(&mut self.acts).into_iter().partition(|a: &(Micros, Act)| a.0 <= now);
+        let (due, later) =
+            std::mem::take(&mut self.acts).into_iter().partition(|a: &(Micros, ControlAction)| a.0 <= now);
         self.acts = later;
         for (_, act) in due {
             self.act(world, act);
         }
     }
 
-    fn act(&mut self, world: &mut World, act: Act) {
+    fn act(&mut self, world: &mut World, act: ControlAction) {
         match act {
-            Act::Lose { slot, loss } => self.lose(world, slot, loss),
-            Act::Begin(slot) => world.start(slot),
-            Act::PowerEndsStart(slot) => self.power_ends_start(world, slot),
-            Act::TellToStop(slot) => self.tell_to_stop(world, slot),
-            Act::Stop { slot, kill } => self.stop(world, slot, kill),
-            Act::Meets { slot, race, drain, hard } => {
+            ControlAction::Lose { slot, loss } => self.lose(world, slot, loss),
+            ControlAction::Begin(slot) => world.start(slot),
+            ControlAction::PowerEndsStart(slot) => self.power_ends_start(world, slot),
+            ControlAction::TellToStop(slot) => self.tell_to_stop(world, slot),
+            ControlAction::Stop { slot, kill } => self.stop(world, slot, kill),
+            ControlAction::Meets { slot, race, drain, hard } => {
                 for _ in 0..1 + u64::from(race) {
-                    self.orders.order(world, Some(Pinned { slot, hard }));
+                    self.orders.order(world, Some(PinnedTarget { slot, hard }));
                 }
                 if drain {
                     self.leave(world, Some(slot));
                 }
             }
-            Act::CaughtUp(slot) => caught_up(world, slot),
-            Act::WentOn { since } => went_on(world, since, self.orders.said_done),
-            Act::WorkerEnds(worker) => world.crash(worker),
-            Act::WorkerBegins(worker) => {
+            ControlAction::CaughtUp(slot) => caught_up(world, slot),
+            ControlAction::WentOn { since } => went_on(world, since, self.orders.said_done),
+            ControlAction::WorkerEnds(worker) => world.crash(worker),
+            ControlAction::WorkerBegins(worker) => {
                 world.workers[worker].renew();
                 let id = world.workers[worker].id.clone();
                 world.check.gone.remove(&id);
@@ -200,9 +201,9 @@
         world.lure = None;
         for (_, act) in std::mem::take(&mut self.acts) {
             match act {
-                Act::Begin(slot) | Act::PowerEndsStart(slot) => world.start(slot),
+                ControlAction::Begin(slot) | ControlAction::PowerEndsStart(slot) => world.start(slot),
                 // Who was told to stop does so, and is started again.
-                Act::Stop { slot, .. } => {
+                ControlAction::Stop { slot, .. } => {
                     world.kill(slot);
                     world.start(slot);
                 }
--- a/crates/testbed/src/sim/faults/control/plan.rs
+++ b/crates/testbed/src/sim/faults/control/plan.rs
@@ -1,11 +1,11 @@
 //! Which troubles a profile of the control side plays, and how its operator behaves meanwhile.
 
-use crate::sim::operators::orders::Habits;
+use crate::sim::operators::orders::OperatorBehaviour;
 use sumacvale_core::base::{MS, SEC};
 
 /// How a machine is cut off from the others that count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cut {
+pub enum PartitionKind {
     /// What is sent comes when the cut ends.
     Silent,
     /// Connections end at once, with what was under way; attempts to open new ones run into their time-out.
@@ -24,8 +24,8 @@
 
 /// One kind of trouble.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
-    CutOff(Cut),
+pub enum ControlFault {
+    CutOff(PartitionKind),
     /// The machine that acknowledges next loses power, or its disk as well.
     AfterAck {
         wipe: bool,
@@ -66,23 +66,24 @@
 /// A profile of the control side.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    pub habits: Habits,
-    pub troubles: &'static [Trouble],
+    pub habits: OperatorBehaviour,
+    pub troubles: &'static [ControlFault],
     /// Workers that leave beside those of a cut, in percent of the troubles.
     pub leaves: u64,
     /// The last trouble comes right after an acknowledgement, and traffic goes on.
     pub closing: bool,
 }
 
-use Cut::{Both, OneWayIn, OneWayOut, Refuse, Reset, Seeds, Silent};
-use Trouble::{
+use ControlFault::{
     AfterAck, AfterWork, CutOff, Freeze, FullDisk, HalfStart, LongAway, OldestAfterAck, PowerAfterWork, Restart, Roll,
     Slow, Timed, Wipe,
 };
+use PartitionKind::{Both, OneWayIn, OneWayOut, Refuse, Reset, Seeds, Silent};
 
-const STEADY: Habits = Habits { every: 600 * MS, races: 30, lost: 0, repeats: 5, reads: 30, bad: 0, routes: 0 };
+const STEADY: OperatorBehaviour =
+    OperatorBehaviour { every: 600 * MS, races: 30, lost: 0, repeats: 5, reads: 30, bad: 0, routes: 0 };
 
-const CUTS: &[Trouble] = &[
+const CUTS: &[ControlFault] = &[
     CutOff(Silent),
     CutOff(Reset),
     CutOff(Refuse),
@@ -93,12 +94,12 @@
     Freeze,
 ];
 
-const NUMBERS: &[Trouble] = &[AfterAck { wipe: false }, AfterAck { wipe: true }, Restart, Wipe];
+const NUMBERS: &[ControlFault] = &[AfterAck { wipe: false }, AfterAck { wipe: true }, Restart, Wipe];
 
-const REPAIRS: &[Trouble] =
+const REPAIRS: &[ControlFault] =
     &[Wipe, AfterAck { wipe: true }, Timed { wipe: true }, FullDisk { power: false }, FullDisk { power: true }];
 
-const ANSWERS: &[Trouble] = &[
+const ANSWERS: &[ControlFault] = &[
     AfterAck { wipe: false },
     Timed { wipe: false },
     CutOff(OneWayOut),
@@ -108,7 +109,7 @@
     FullDisk { power: true },
 ];
 
-const POWER: &[Trouble] = &[
+const POWER: &[ControlFault] = &[
     AfterWork { gone: false },
     AfterWork { gone: true },
     PowerAfterWork { all: false },
@@ -118,7 +119,7 @@
     HalfStart,
 ];
 
-const TURNS: &[Trouble] = &[Roll, Roll, Slow, CutOff(Silent), CutOff(Reset), CutOff(Refuse)];
+const TURNS: &[ControlFault] = &[Roll, Roll, Slow, CutOff(Silent), CutOff(Reset), CutOff(Refuse)];
 
 impl Plan {
     /// The plan of a profile, if the control side is what it tries.
@@ -127,19 +128,21 @@
         Some(match name {
             "control_cut_off" => steady(CUTS, 40),
             "control_numbers" => {
-                let habits = Habits { every: 300 * MS, races: 60, lost: 40, repeats: 60, bad: 10, ..STEADY };
+                let habits = OperatorBehaviour { every: 300 * MS, races: 60, lost: 40, repeats: 60, bad: 10, ..STEADY };
                 Plan { habits, ..steady(NUMBERS, 0) }
             }
             "control_second_loss" => steady(REPAIRS, 30),
             "control_hundreds" => {
-                let habits = Habits { every: 200 * MS, races: 0, repeats: 30, routes: 300, ..STEADY };
+                let habits = OperatorBehaviour { every: 200 * MS, races: 0, repeats: 30, routes: 300, ..STEADY };
                 Plan { habits, ..steady(&[LongAway], 0) }
             }
             "control_answers" => {
-                let habits = Habits { lost: 70, repeats: 20, bad: 10, ..STEADY };
+                let habits = OperatorBehaviour { lost: 70, repeats: 20, bad: 10, ..STEADY };
                 Plan { habits, ..steady(ANSWERS, 40) }
             }
-            "control_power" => Plan { habits: Habits { lost: 40, ..STEADY }, closing: true, ..steady(POWER, 20) },
+            "control_power" => {
+                Plan { habits: OperatorBehaviour { lost: 40, ..STEADY }, closing: true, ..steady(POWER, 20) }
+            }
             "control_turns" => steady(TURNS, 20),
             _ => return None,
         })
--- a/crates/testbed/src/sim/faults/control/strikes.rs
+++ b/crates/testbed/src/sim/faults/control/strikes.rs
@@ -3,7 +3,7 @@
 
 use super::losses::Loss;
 use super::plan::CATCH_UP;
-use super::{Act, Control};
+use super::{Control, ControlAction};
 use crate::sim::world::World;
 use sumacvale_core::base::{MS, Micros, SEC};
 
@@ -25,7 +25,7 @@
 
 /// A loss that waits for its moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Armed {
+pub(super) enum PendingFault {
     AfterAck { wipe: bool },
     OldestAfterAck,
     Timed { wipe: bool },
@@ -36,7 +36,7 @@
 
 impl Control {
     /// The loss comes after the next acknowledgement or accepted call; one more order is sent for it.
-    pub(super) fn arm(&mut self, world: &mut World, armed: Armed) {
+    pub(super) fn arm(&mut self, world: &mut World, armed: PendingFault) {
         self.armed = Some(armed);
         self.orders.sent = None;
         self.orders.acknowledged = None;
@@ -54,35 +54,35 @@
         };
         self.note(name);
         world.say(name.into());
-        self.arm(world, Armed::Closing(closing));
+        self.arm(world, PendingFault::Closing(closing));
     }
 
     /// What was to come after an acknowledgement, a call or an order comes.
     pub(super) fn strike(&mut self, world: &mut World) {
         let Some(armed) = self.armed else { return };
         match armed {
-            Armed::AfterAck { wipe } => self.strike_acknowledger(world, wipe),
-            Armed::Timed { wipe } => self.strike_soon(world, wipe),
-            Armed::OldestAfterAck => {
+            PendingFault::AfterAck { wipe } => self.strike_acknowledger(world, wipe),
+            PendingFault::Timed { wipe } => self.strike_soon(world, wipe),
+            PendingFault::OldestAfterAck => {
                 if self.orders.acknowledged.is_some() {
                     self.disarm(world);
                     let oldest = world.oldest_disks().first().copied();
                     oldest.into_iter().for_each(|slot| self.lose(world, slot, Loss::Disk));
                 }
             }
-            Armed::AfterWork { gone } => {
+            PendingFault::AfterWork { gone } => {
                 if let Some((slot, _)) = world.accepted {
                     self.disarm(world);
                     self.lose_after_work(world, slot, gone);
                 }
             }
-            Armed::PowerAfterWork { all } => {
+            PendingFault::PowerAfterWork { all } => {
                 if world.accepted.is_some() || self.orders.acknowledged.is_some() {
                     self.disarm(world);
                     self.lose_all(world, Loss::Power, |world, i| all || world.slots[i].core);
                 }
             }
-            Armed::Closing(closing) => {
+            PendingFault::Closing(closing) => {
                 if let Some((slot, _)) = self.orders.acknowledged {
                     self.disarm(world);
                     self.close(world, slot, closing);
@@ -99,14 +99,14 @@
     fn strike_acknowledger(&mut self, world: &mut World, wipe: bool) {
         let Some((slot, t)) = self.orders.acknowledged else { return };
         self.disarm(world);
-        self.at(t + AFTER_ACK, Act::Lose { slot, loss: Loss::of_power(wipe) });
+        self.at(t + AFTER_ACK, ControlAction::Lose { slot, loss: Loss::of_power(wipe) });
     }
 
     fn strike_soon(&mut self, world: &mut World, wipe: bool) {
         let Some((slot, t)) = self.orders.sent else { return };
         let soon = SOON_LEAST + world.rng.below(SOON_MOST - SOON_LEAST);
         self.disarm(world);
-        self.at((t + soon).max(world.now), Act::Lose { slot, loss: Loss::of_power(wipe) });
+        self.at((t + soon).max(world.now), ControlAction::Lose { slot, loss: Loss::of_power(wipe) });
     }
 
     fn close(&mut self, world: &mut World, acknowledger: usize, closing: Closing) {
--- a/crates/testbed/src/sim/faults/day.rs
+++ b/crates/testbed/src/sim/faults/day.rs
@@ -1,5 +1,5 @@
 use crate::sim::faults::profiles::Fault;
-use crate::sim::workers::worker::Mode;
+use crate::sim::workers::worker::WorkerBehaviour;
 use crate::sim::world::{MIX, World};
 use sumacvale_core::base::{Micros, SEC};
 
@@ -36,12 +36,12 @@
             3 => (Fault::SlowDisk, 4 * SEC),
             5 => (Fault::KillCore, 4 * SEC),
             8 => (Fault::Crowd, 5 * SEC),
-            9 => (Fault::Odd(Mode::Cut), 4 * SEC),
+            9 => (Fault::Odd(WorkerBehaviour::Cut), 4 * SEC),
             10 => (Fault::Release, SEC),
             12 => (Fault::HotPrefix, 5 * SEC),
             13 => (Fault::KillFront, 4 * SEC),
             14 => (Fault::WipeCore, 4 * SEC),
-            16 => (Fault::Odd(Mode::Dark), 4 * SEC),
+            16 => (Fault::Odd(WorkerBehaviour::Dark), 4 * SEC),
             17 => (Fault::Freeze, 3 * SEC),
             18 => (Fault::CutNode, 4 * SEC),
             19 => (Fault::Crash, SEC),
--- a/crates/testbed/src/sim/faults/injection.rs
+++ b/crates/testbed/src/sim/faults/injection.rs
@@ -1,9 +1,9 @@
 //! Faults begin, and end after their time: processes, wires, disks, workers and callers.
 
 use crate::sim::faults::profiles::Fault;
-use crate::sim::faults::rolling_release::{Step, Turn};
-use crate::sim::operators::traffic::Ops;
-use crate::sim::workers::worker::Mode;
+use crate::sim::faults::rolling_release::{ReleaseAction, ReleaseStep};
+use crate::sim::operators::traffic::Operators;
+use crate::sim::workers::worker::WorkerBehaviour;
 use crate::sim::world::World;
 use sumacvale_core::base::{MS, Micros, SEC};
 
@@ -13,7 +13,7 @@
 const FRONT_PERIOD_MOST: Micros = 100 * MS;
 
 /// A process that is down until then; with `swap` its core takes the place of another afterwards.
-struct Down {
+struct StoppedProcess {
     slot: usize,
     at: Micros,
     swap: bool,
@@ -21,13 +21,13 @@
 
 /// What is wrong now and ends by itself.
 #[derive(Default)]
-pub(in crate::sim) struct Troubles {
-    downs: Vec<Down>,
+pub(in crate::sim) struct FaultInjector {
+    downs: Vec<StoppedProcess>,
     /// A core with an empty disk that an operator is to admit.
     admitted_next: Option<usize>,
     /// Workers that vanished or drain, and when they begin anew.
     resting: Vec<(usize, Micros)>,
-    turns: Vec<Turn>,
+    turns: Vec<ReleaseAction>,
 }
 
 fn some(w: &mut World, f: impl Fn(&World, usize) -> bool) -> Option<usize> {
@@ -35,7 +35,7 @@
     if v.is_empty() { None } else { Some(v[usize::try_from(w.rng.below(v.len() as u64)).unwrap_or(0)]) }
 }
 
-impl Troubles {
+impl FaultInjector {
     /// Processes whose time has come begin again; all of them once it is calm.
     pub fn processes_return(&mut self, w: &mut World, calm: bool) {
         let now = w.now;
@@ -54,7 +54,7 @@
     }
 
     /// An operator admits the core that came with an empty disk.
-    pub fn admit(&mut self, w: &mut World, o: &mut Ops) {
+    pub fn admit(&mut self, w: &mut World, o: &mut Operators) {
         if let Some(i) = self.admitted_next
             && w.now % (500 * MS) < 10 * MS
             && (w.slots[i].node.is_none() || o.replace(w, i))
@@ -131,14 +131,14 @@
                 if let Some(i) = some(w, |w, i| up(w, i) && w.slots[i].core == core) {
                     w.say(format!("kill {}", w.slots[i].addr));
                     w.kill(i);
-                    self.downs.push(Down { slot: i, at: now + d / 2, swap: false });
+                    self.downs.push(StoppedProcess { slot: i, at: now + d / 2, swap: false });
                 }
             }
             Fault::PowerCore => {
                 if let Some(i) = some(w, |w, i| up(w, i) && w.slots[i].core) {
                     w.say(format!("{} loses power", w.slots[i].addr));
                     w.lose_power(i);
-                    self.downs.push(Down { slot: i, at: now + d / 2, swap: false });
+                    self.downs.push(StoppedProcess { slot: i, at: now + d / 2, swap: false });
                 }
             }
             Fault::KillMany => {
@@ -147,7 +147,7 @@
                     if up(w, i) && w.rng.chance(60) {
                         w.lose_power(i);
                         let t = w.rng.below(SEC);
-                        self.downs.push(Down { slot: i, at: now + d / 3 + t, swap: false });
+                        self.downs.push(StoppedProcess { slot: i, at: now + d / 3 + t, swap: false });
                     }
                 }
             }
@@ -160,7 +160,7 @@
                 {
                     w.say(format!("lose the disk of {}", w.slots[i].addr));
                     w.wipe(i);
-                    self.downs.push(Down { slot: i, at: now + d / 2, swap: true });
+                    self.downs.push(StoppedProcess { slot: i, at: now + d / 2, swap: true });
                 }
             }
             Fault::Freeze | Fault::FreezeCore => {
@@ -217,7 +217,14 @@
                 w.workers[k].mode = (m, now + d);
             }
             Fault::Outage => {
-                let modes = [Mode::Hang, Mode::Mute, Mode::Cut, Mode::Decline, Mode::Dark, Mode::Slow];
+                let modes = [
+                    WorkerBehaviour::Hang,
+                    WorkerBehaviour::Mute,
+                    WorkerBehaviour::Cut,
+                    WorkerBehaviour::Decline,
+                    WorkerBehaviour::Dark,
+                    WorkerBehaviour::Slow,
+                ];
                 let m = modes[usize::try_from(w.rng.below(modes.len() as u64)).unwrap_or(0)];
                 w.say(format!("all workers are {m:?} for {d}"));
                 for x in &mut w.workers {
@@ -229,7 +236,7 @@
                 if w.workers[k].up && !w.workers[k].drain {
                     w.say(format!("worker {} ends and begins anew", w.workers[k].id));
                     w.crash(k);
-                    self.turns.push(Turn { at: now + 100 * MS, worker: k, what: Step::Begin });
+                    self.turns.push(ReleaseAction { at: now + 100 * MS, worker: k, what: ReleaseStep::Begin });
                 }
             }
             Fault::Release if self.turns.is_empty() => {
@@ -237,9 +244,9 @@
                 let ks: Vec<_> = (0..w.workers.len()).filter(|k| w.workers[*k].pool == "llm").collect();
                 for (n, k) in ks.into_iter().enumerate() {
                     let at = now + n as u64 * 1_200 * MS;
-                    self.turns.push(Turn { at, worker: k, what: Step::Drain });
-                    self.turns.push(Turn { at: at + 900 * MS, worker: k, what: Step::End });
-                    self.turns.push(Turn { at: at + 1_100 * MS, worker: k, what: Step::Begin });
+                    self.turns.push(ReleaseAction { at, worker: k, what: ReleaseStep::Drain });
+                    self.turns.push(ReleaseAction { at: at + 900 * MS, worker: k, what: ReleaseStep::End });
+                    self.turns.push(ReleaseAction { at: at + 1_100 * MS, worker: k, what: ReleaseStep::Begin });
                 }
             }
             Fault::Crowd => {
--- a/crates/testbed/src/sim/faults/membership_losses.rs
+++ b/crates/testbed/src/sim/faults/membership_losses.rs
@@ -1,6 +1,6 @@
-use crate::sim::checks::safety::Breach;
+use crate::sim::checks::safety::Violation;
 use crate::sim::faults::profiles::Fault;
-use crate::sim::operators::traffic::Ops;
+use crate::sim::operators::traffic::Operators;
 use crate::sim::world::World;
 use std::collections::{BTreeMap, BTreeSet};
 use sumacvale_core::base::{MS, Micros, SEC};
@@ -15,7 +15,7 @@
 const OLDEST: u64 = 25;
 
 #[derive(Clone, Copy, Debug)]
-enum Act {
+enum MembershipAction {
     Begin(usize),
     /// A machine that is gone for good.
     End(usize),
@@ -27,8 +27,8 @@
 
 /// Machines with disks come, go and lose their disks, and nobody tells the others.
 #[derive(Default)]
-pub struct Moves {
-    acts: Vec<(Micros, Act)>,
+pub struct MembershipFaults {
+    acts: Vec<(Micros, MembershipAction)>,
     /// The last loss or return of a machine that still counts as lost.
     last: Option<Micros>,
     /// Once so many changes are accepted, disks are lost.
@@ -51,8 +51,8 @@
     fresh: bool,
 }
 
-impl Moves {
-    fn at(&mut self, t: Micros, a: Act) {
+impl MembershipFaults {
+    fn at(&mut self, t: Micros, a: MembershipAction) {
         self.acts.push((t, a));
     }
 
@@ -104,7 +104,7 @@
     /// A loss begins that ends by itself.
     pub(in crate::sim) fn back_at(&mut self, now: Micros, until: Micros) {
         self.begin(now);
-        self.at(until, Act::Back);
+        self.at(until, MembershipAction::Back);
     }
 
     /// All processes that run are killed in the midst of a repair.
@@ -123,7 +123,7 @@
     }
 
     /// True if the fault is one of these; it is skipped while a machine still counts as lost.
-    pub fn take(&mut self, w: &mut World, o: &mut Ops, f: Fault) -> bool {
+    pub fn take(&mut self, w: &mut World, o: &mut Operators, f: Fault) -> bool {
         if !matches!(f, Fault::Swap { .. } | Fault::Empty | Fault::AckLoss | Fault::KillAll | Fault::KillCores) {
             return false;
         }
@@ -144,8 +144,8 @@
                         self.told.insert(i, now);
                     }
                     w.leaving.insert(i);
-                    self.at(end, Act::End(i));
-                    self.at(join, Act::Join(i));
+                    self.at(end, MembershipAction::End(i));
+                    self.at(join, MembershipAction::Join(i));
                 }
             }
             Fault::Empty => {
@@ -177,7 +177,7 @@
             w.lose_power(*i);
             w.lose_disk(*i);
             let t = w.now + 150 * MS + w.rng.below(850 * MS);
-            self.at(t, Act::Begin(*i));
+            self.at(t, MembershipAction::Begin(*i));
         }
     }
 
@@ -191,7 +191,7 @@
                 w.lose_power(i);
                 let t = w.now + 150 * MS + w.rng.below(850 * MS);
                 back = back.max(t);
-                self.at(t, Act::Begin(i));
+                self.at(t, MembershipAction::Begin(i));
             }
         }
         if but.is_empty() {
@@ -199,7 +199,7 @@
         }
     }
 
-    pub fn tick(&mut self, w: &mut World, o: &Ops) {
+    pub fn tick(&mut self, w: &mut World, o: &Operators) {
         let now = w.now;
         w.first = w.check.chosen.is_empty();
         if let Some((n, all)) = self.armed
@@ -212,23 +212,24 @@
                 self.power(w, &v);
             }
         }
-        let (due, later) = std::mem::take(&mut self.acts).into_iter().partition(|a: &(Micros, Act)| a.0 <= now);
+        let (due, later) =
+            std::mem::take(&mut self.acts).into_iter().partition(|a: &(Micros, MembershipAction)| a.0 <= now);
         self.acts = later;
         for (_, a) in due {
             match a {
-                Act::Begin(i) if w.slots[i].gone => {}
-                Act::Begin(i) => {
+                MembershipAction::Begin(i) if w.slots[i].gone => {}
+                MembershipAction::Begin(i) => {
                     w.start(i);
                     self.came = Some(i);
                 }
-                Act::End(i) if self.stays(w, i) => self.at(now + 50 * MS, a),
-                Act::End(i) => w.retire(i),
-                Act::Join(i) => {
+                MembershipAction::End(i) if self.stays(w, i) => self.at(now + 50 * MS, a),
+                MembershipAction::End(i) => w.retire(i),
+                MembershipAction::Join(i) => {
                     let z = w.slots[i].zone.clone();
                     w.join(&z);
                     self.came = Some(w.slots.len() - 1);
                 }
-                Act::Back => {}
+                MembershipAction::Back => {}
             }
             self.last = Some(now);
         }
@@ -240,7 +241,7 @@
             self.set = true;
             self.voted.push(now - at);
         }
-        let fresh = |s: &crate::sim::machines::slot::Slot| s.node.as_ref().is_none_or(|n| n.is_fresh(s.clock(now)));
+        let fresh = |s: &crate::sim::machines::slot::Machine| s.node.as_ref().is_none_or(|n| n.is_fresh(s.clock(now)));
         if !self.fresh && w.slots.iter().all(fresh) {
             self.fresh = true;
             self.again.push(now - at);
@@ -266,13 +267,13 @@
                 "{now}: not all voters live ({}), are ready ({}) or not all are fresh ({}) 4 s after: {stale:?}",
                 self.set, self.whole, self.fresh
             );
-            w.check.breaches.push(Breach(t));
+            w.check.breaches.push(Violation(t));
         }
     }
 }
 
 /// A machine with its version and the cores that its list names, for a breach.
-fn stands(w: &World, s: &crate::sim::machines::slot::Slot) -> String {
+fn stands(w: &World, s: &crate::sim::machines::slot::Machine) -> String {
     let Some(n) = &s.node else { return s.addr.clone() };
     let gone = |a: &String| w.slots.iter().any(|s| s.addr == *a && s.gone);
     let list: Vec<String> =
--- a/crates/testbed/src/sim/faults/profiles.rs
+++ b/crates/testbed/src/sim/faults/profiles.rs
@@ -1,4 +1,4 @@
-use crate::sim::workers::worker::Mode;
+use crate::sim::workers::worker::WorkerBehaviour;
 use sumacvale_core::base::{MS, Micros, Rng, SEC};
 
 /// What may go wrong; the places and times are drawn from the seed.
@@ -36,7 +36,7 @@
     SlowDisks,
     Workers,
     /// A worker behaves in some way for a while.
-    Odd(Mode),
+    Odd(WorkerBehaviour),
     /// A worker's process ends and another one begins at its address.
     Crash,
     /// All workers of the model are replaced, one after the other.
@@ -121,24 +121,34 @@
         Profile {
             name: "tries",
             faults: &[
-                Odd(Mode::Hang),
-                Odd(Mode::Mute),
-                Odd(Mode::Cut),
-                Odd(Mode::Bare),
-                Odd(Mode::Decline),
-                Odd(Mode::Dark),
-                Odd(Mode::Reset),
-                Odd(Mode::Slow),
-                Odd(Mode::Skip),
+                Odd(WorkerBehaviour::Hang),
+                Odd(WorkerBehaviour::Mute),
+                Odd(WorkerBehaviour::Cut),
+                Odd(WorkerBehaviour::Bare),
+                Odd(WorkerBehaviour::Decline),
+                Odd(WorkerBehaviour::Dark),
+                Odd(WorkerBehaviour::Reset),
+                Odd(WorkerBehaviour::Slow),
+                Odd(WorkerBehaviour::Skip),
                 Crash,
             ],
             secs: 60,
             changes: 10,
         },
-        Profile { name: "outage", faults: &[Outage, Odd(Mode::Mute), Crash], secs: 60, changes: 5 },
-        Profile { name: "crowds", faults: &[Crowd, HotPrefix, Odd(Mode::Slow), Crash], secs: 60, changes: 10 },
+        Profile { name: "outage", faults: &[Outage, Odd(WorkerBehaviour::Mute), Crash], secs: 60, changes: 5 },
+        Profile {
+            name: "crowds",
+            faults: &[Crowd, HotPrefix, Odd(WorkerBehaviour::Slow), Crash],
+            secs: 60,
+            changes: 10,
+        },
         Profile { name: "release", faults: &[Release, Crash, KillFront, Freeze], secs: 60, changes: 20 },
-        Profile { name: "revoked", faults: &[CutNode, Freeze, Sleep, Hold, Odd(Mode::Cut)], secs: 60, changes: 60 },
+        Profile {
+            name: "revoked",
+            faults: &[CutNode, Freeze, Sleep, Hold, Odd(WorkerBehaviour::Cut)],
+            secs: 60,
+            changes: 60,
+        },
         Profile {
             name: "storm",
             faults: &[
@@ -163,10 +173,10 @@
                 Crash,
                 Release,
                 Crowd,
-                Odd(Mode::Cut),
-                Odd(Mode::Mute),
-                Odd(Mode::Decline),
-                Odd(Mode::Dark),
+                Odd(WorkerBehaviour::Cut),
+                Odd(WorkerBehaviour::Mute),
+                Odd(WorkerBehaviour::Decline),
+                Odd(WorkerBehaviour::Dark),
             ],
             secs: 90,
             changes: 40,
--- a/crates/testbed/src/sim/faults/repairs.rs
+++ b/crates/testbed/src/sim/faults/repairs.rs
@@ -2,9 +2,9 @@
 //! last machine has had its time to catch up. Disks may be slow meanwhile, the machine that
 //! came last may go again, and all power may go in the midst of a repair.
 
-use crate::sim::faults::membership_losses::Moves;
+use crate::sim::faults::membership_losses::MembershipFaults;
 use crate::sim::faults::profiles::Fault;
-use crate::sim::operators::traffic::Ops;
+use crate::sim::operators::traffic::Operators;
 use crate::sim::world::World;
 use sumacvale_core::base::{MS, Micros, SEC};
 
@@ -14,21 +14,21 @@
 const AWAY: Micros = 7 * SEC;
 
 /// What goes next, in parts of the sum.
-const LOSSES: &[(u64, Loss)] = &[
-    (2, Loss::Move(Fault::Swap { term: true, before: true })),
-    (2, Loss::Move(Fault::Swap { term: true, before: false })),
-    (1, Loss::Move(Fault::Swap { term: false, before: true })),
-    (2, Loss::Move(Fault::Swap { term: false, before: false })),
-    (2, Loss::Move(Fault::Empty)),
-    (2, Loss::Move(Fault::AckLoss)),
-    (1, Loss::Move(Fault::KillAll)),
-    (3, Loss::LastAgain),
-    (1, Loss::Frozen),
-    (1, Loss::CutOff),
+const LOSSES: &[(u64, RepairLoss)] = &[
+    (2, RepairLoss::Move(Fault::Swap { term: true, before: true })),
+    (2, RepairLoss::Move(Fault::Swap { term: true, before: false })),
+    (1, RepairLoss::Move(Fault::Swap { term: false, before: true })),
+    (2, RepairLoss::Move(Fault::Swap { term: false, before: false })),
+    (2, RepairLoss::Move(Fault::Empty)),
+    (2, RepairLoss::Move(Fault::AckLoss)),
+    (1, RepairLoss::Move(Fault::KillAll)),
+    (3, RepairLoss::LastAgain),
+    (1, RepairLoss::Frozen),
+    (1, RepairLoss::CutOff),
 ];
 
 #[derive(Clone, Copy, Debug)]
-enum Loss {
+enum RepairLoss {
     Move(Fault),
     /// The machine that came last loses its disk, be it for the second time.
     LastAgain,
@@ -45,7 +45,7 @@
 }
 
 impl Repairs {
-    pub fn tick(&mut self, w: &mut World, o: &mut Ops, m: &mut Moves) {
+    pub fn tick(&mut self, w: &mut World, o: &mut Operators, m: &mut MembershipFaults) {
         if self.power.is_some_and(|t| w.now >= t) {
             self.power = None;
             if m.repairs() {
@@ -57,7 +57,7 @@
         }
     }
 
-    fn lose(&mut self, w: &mut World, o: &mut Ops, m: &mut Moves) {
+    fn lose(&mut self, w: &mut World, o: &mut Operators, m: &mut MembershipFaults) {
         self.next = w.now + w.rng.below(100 * MS);
         self.power = w.rng.chance(25).then(|| w.now + w.rng.below(4 * SEC));
         if w.rng.chance(30) {
@@ -66,21 +66,21 @@
             w.slots.iter_mut().filter(|s| s.core).for_each(|s| s.disk.slow = until);
         }
         match draw(w) {
-            Loss::Move(f) => {
+            RepairLoss::Move(f) => {
                 m.take(w, o, f);
             }
-            Loss::LastAgain => {
+            RepairLoss::LastAgain => {
                 if let Some(i) = m.came_last(w) {
                     m.empty(w, &[i]);
                 }
             }
-            Loss::Frozen => away(w, m, true),
-            Loss::CutOff => away(w, m, false),
+            RepairLoss::Frozen => away(w, m, true),
+            RepairLoss::CutOff => away(w, m, false),
         }
     }
 }
 
-fn draw(w: &mut World) -> Loss {
+fn draw(w: &mut World) -> RepairLoss {
     let mut at = w.rng.below(LOSSES.iter().map(|l| l.0).sum());
     for (part, loss) in LOSSES {
         if at < *part {
@@ -92,8 +92,8 @@
 }
 
 /// A core stands still, or nothing reaches it, and then it is back as it was.
-fn away(w: &mut World, m: &mut Moves, frozen: bool) {
-    let Some(i) = Moves::some(w, 1).first().copied() else { return };
+fn away(w: &mut World, m: &mut MembershipFaults, frozen: bool) {
+    let Some(i) = MembershipFaults::some(w, 1).first().copied() else { return };
     let until = w.now + SEC + w.rng.below(AWAY - SEC);
     w.say(format!("{} is {} until {until}", w.slots[i].addr, if frozen { "frozen" } else { "cut off" }));
     if frozen {
--- a/crates/testbed/src/sim/faults/rolling_release.rs
+++ b/crates/testbed/src/sim/faults/rolling_release.rs
@@ -5,20 +5,20 @@
 
 /// One step of a release: a worker drains, ends, and begins anew.
 #[derive(Clone, Copy, Debug)]
-pub(in crate::sim) struct Turn {
+pub(in crate::sim) struct ReleaseAction {
     pub(in crate::sim) at: Micros,
     pub(in crate::sim) worker: usize,
-    pub(in crate::sim) what: Step,
+    pub(in crate::sim) what: ReleaseStep,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub(in crate::sim) enum Step {
+pub(in crate::sim) enum ReleaseStep {
     Drain,
     End,
     Begin,
 }
 
-impl Turn {
+impl ReleaseAction {
     /// False once it was taken.
     pub(in crate::sim) fn take(&self, w: &mut World) -> bool {
         if self.at > w.now {
@@ -27,15 +27,15 @@
         let now = w.now;
         let x = &mut w.workers[self.worker];
         match self.what {
-            Step::Drain => {
+            ReleaseStep::Drain => {
                 x.drain = true;
                 x.drained = Some(now);
                 x.due = now;
                 let id = x.id.clone();
                 w.check.gone.entry(id).or_insert(now);
             }
-            Step::End => w.crash(self.worker),
-            Step::Begin => {
+            ReleaseStep::End => w.crash(self.worker),
+            ReleaseStep::Begin => {
                 x.renew();
                 let id = x.id.clone();
                 w.check.gone.remove(&id);
--- a/crates/testbed/src/sim/machines/lifecycle.rs
+++ b/crates/testbed/src/sim/machines/lifecycle.rs
@@ -1,9 +1,9 @@
 //! Machines of a simulated world begin, end, stand still, come and go.
 
-use crate::sim::calls::call_registry::Hall;
-use crate::sim::event::Happen;
+use crate::sim::calls::call_registry::CallRegistry;
+use crate::sim::event::SimEvent;
 use crate::sim::machines::disk::{Disk, RETRY};
-use crate::sim::machines::slot::{Slot, Slow};
+use crate::sim::machines::slot::{Machine, SlowMode};
 use crate::sim::world::{TICK, World};
 use sumacvale_core::base::{MS, Micros, NodeId, SEC};
 use sumacvale_core::call::SharedCallState;
@@ -53,9 +53,9 @@
     pub fn join(&mut self, zone: &str) {
         let addr = self.address();
         let off = self.rng.below(1_000 * SEC);
-        self.slots.push(Slot {
+        self.slots.push(Machine {
             addr,
-            hall: Slot::empty(zone),
+            hall: Machine::empty(zone),
             ready: false,
             zone: zone.to_owned(),
             core: true,
@@ -86,7 +86,7 @@
         if self.slots[i].core && self.slots[i].disk.full > self.now {
             let life = self.slots[i].life;
             self.say(format!("{} finds its disk full and waits", self.slots[i].addr));
-            return self.push(self.now + RETRY, Happen::Room(i, life));
+            return self.push(self.now + RETRY, SimEvent::Room(i, life));
         }
         let seeds = if self.first { self.seeds() } else { self.drawn(i) };
         let seed = self.rng.next_u64();
@@ -118,11 +118,11 @@
         s.shown = None;
         let kept = if s.core { s.disk.kept.clone() } else { Default::default() };
         let n = Node::new(me, &kept, seed, s.clock(now));
-        s.hall = Hall::new(SharedCallState::new(&s.zone, 256, 64 << 20, n.quota.slices.clone()));
+        s.hall = CallRegistry::new(SharedCallState::new(&s.zone, 256, 64 << 20, n.quota.slices.clone()));
         s.node = Some(n);
         let life = s.life;
         let d = self.rng.below(TICK);
-        self.push(now + d, Happen::Tick(i, life));
+        self.push(now + d, SimEvent::Tick(i, life));
     }
 
     pub(in crate::sim) fn look_for_room(&mut self, i: usize, life: u64) {
@@ -131,7 +131,7 @@
             return;
         }
         if s.disk.full > self.now {
-            return self.push(self.now + RETRY, Happen::Room(i, life));
+            return self.push(self.now + RETRY, SimEvent::Room(i, life));
         }
         self.start(i);
     }
@@ -140,7 +140,7 @@
     pub fn freeze(&mut self, i: usize, until: Micros) {
         self.slots[i].frozen = until;
         self.slept.push((i, self.now, until));
-        self.push(until, Happen::Thaw(i));
+        self.push(until, SimEvent::Thaw(i));
     }
 
     /// Whether a slow machine can't do now what comes; all of it is done in order in its next turn.
@@ -151,7 +151,7 @@
         }
         let turn = s.runs_at(self.now);
         if s.pend.is_empty() && turn > self.now {
-            self.push(turn, Happen::Resume(i));
+            self.push(turn, SimEvent::Resume(i));
             return true;
         }
         !s.pend.is_empty()
@@ -174,7 +174,7 @@
     /// The machine loses power: what is on its way to it is lost, and nobody is told.
     pub fn lose_power(&mut self, i: usize) {
         self.connections.power_lost(i, self.now);
-        self.what.retain(|_, h| !matches!(h, Happen::Frame { to, .. } if *to == i));
+        self.what.retain(|_, h| !matches!(h, SimEvent::Frame { to, .. } if *to == i));
         self.end_process(i);
     }
 
@@ -208,6 +208,6 @@
     /// The machine runs several times slower until then.
     pub fn slow_down(&mut self, i: usize, until: Micros, period: Micros) {
         self.say(format!("{} runs slowly until {until}, in periods of {period}", self.slots[i].addr));
-        self.slots[i].slow = Some(Slow { until, period });
+        self.slots[i].slow = Some(SlowMode { until, period });
     }
 }
--- a/crates/testbed/src/sim/machines/slot.rs
+++ b/crates/testbed/src/sim/machines/slot.rs
@@ -1,7 +1,7 @@
 //! A simulated machine: its address, clock and disk, and the process on it.
 
-use crate::sim::calls::call_registry::Hall;
-use crate::sim::event::Happen;
+use crate::sim::calls::call_registry::CallRegistry;
+use crate::sim::event::SimEvent;
 use crate::sim::machines::disk::Disk;
 use sumacvale_core::base::{Micros, Version};
 use sumacvale_core::call::SharedCallState;
@@ -12,12 +12,12 @@
 
 /// A machine that runs several times slower: only in the beginning of each period.
 #[derive(Clone, Copy, Debug)]
-pub struct Slow {
+pub struct SlowMode {
     pub until: Micros,
     pub period: Micros,
 }
 
-impl Slow {
+impl SlowMode {
     /// When the machine does what comes now.
     fn next(&self, now: Micros) -> Micros {
         let begun = now - now % self.period;
@@ -26,7 +26,7 @@
 }
 
 /// One machine and the process on it.
-pub struct Slot {
+pub struct Machine {
     pub addr: String,
     pub zone: String,
     pub core: bool,
@@ -43,16 +43,16 @@
     pub fast: Micros,
     pub frozen: Micros,
     /// How it runs slowly.
-    pub slow: Option<Slow>,
+    pub slow: Option<SlowMode>,
     /// What came while it stood still.
-    pub(in crate::sim) pend: Vec<Happen>,
+    pub(in crate::sim) pend: Vec<SimEvent>,
     pub shown: Option<Version>,
-    pub hall: Hall,
+    pub hall: CallRegistry,
     /// What the platform last heard.
     pub ready: bool,
 }
 
-impl Slot {
+impl Machine {
     /// What this machine's clock shows.
     pub fn clock(&self, now: Micros) -> Micros {
         now + self.off + now * self.fast / 1_000_000
@@ -68,7 +68,7 @@
         self.slow.filter(|s| s.until > now).map_or(now, |s| s.next(now))
     }
 
-    pub(in crate::sim) fn empty(zone: &str) -> Hall {
-        Hall::new(SharedCallState::new(zone, 256, 64 << 20, std::sync::Arc::default()))
+    pub(in crate::sim) fn empty(zone: &str) -> CallRegistry {
+        CallRegistry::new(SharedCallState::new(zone, 256, 64 << 20, std::sync::Arc::default()))
     }
 }
--- a/crates/testbed/src/sim/network/delivery.rs
+++ b/crates/testbed/src/sim/network/delivery.rs
@@ -1,6 +1,6 @@
 //! Frames between simulated machines: how long they take, and which are lost or held.
 
-use crate::sim::event::Happen;
+use crate::sim::event::SimEvent;
 use crate::sim::world::World;
 use sumacvale_core::base::{MS, Micros, SEC};
 use sumacvale_core::protocol::{Frame, encode_frame};
@@ -38,13 +38,13 @@
     /// What is under way between two machines is lost.
     pub fn lose_frames_between(&mut self, a: usize, b: usize) {
         let between = |from: usize, to: usize| (from, to) == (a, b) || (from, to) == (b, a);
-        self.what.retain(|_, h| !matches!(h, Happen::Frame { from, to, .. } if between(*from, *to)));
+        self.what.retain(|_, h| !matches!(h, SimEvent::Frame { from, to, .. } if between(*from, *to)));
     }
 
     /// How many frames are under way between two machines.
     pub fn frames_between(&self, a: usize, b: usize) -> usize {
         let between = |from: usize, to: usize| (from, to) == (a, b) || (from, to) == (b, a);
-        self.what.values().filter(|h| matches!(h, Happen::Frame { from, to, .. } if between(*from, *to))).count()
+        self.what.values().filter(|h| matches!(h, SimEvent::Frame { from, to, .. } if between(*from, *to))).count()
     }
 
     /// A frame that can't be sent waits for the first attempt to connect that succeeds, unless it is too old then.
@@ -52,7 +52,7 @@
         let (Some(every), Some(until)) = (self.attempts.get(&(from, to)), self.cuts.get(&(from, to))) else { return };
         let opened = until + self.rng.below(*every);
         if opened <= self.now + QUEUED_MOST {
-            self.push(opened, Happen::Frame { from, to, bytes });
+            self.push(opened, SimEvent::Frame { from, to, bytes });
         }
     }
 
@@ -83,6 +83,6 @@
         let jam = if self.rng.chance(if jammed { 40 } else { 1 }) { self.rng.below(200 * MS) } else { 0 };
         let held = [i, j].iter().filter_map(|k| self.holds.get(k)).max().copied().unwrap_or(0);
         let stalled = self.stalled.get(&(i, j)).copied().unwrap_or(0);
-        self.push(held.max(stalled).max(self.now) + lat + jam, Happen::Frame { from: i, to: j, bytes: b });
+        self.push(held.max(stalled).max(self.now) + lat + jam, SimEvent::Frame { from: i, to: j, bytes: b });
     }
 }
--- a/crates/testbed/src/sim/operators/orders/answers.rs
+++ b/crates/testbed/src/sim/operators/orders/answers.rs
@@ -1,8 +1,8 @@
 //! What machines answer to orders and reads, and whether the operator may rely on it.
 
-use super::order::{Call, revision};
-use super::{FIRST_CALL, Orders};
-use crate::sim::checks::safety::{Ack, Breach};
+use super::order::{PendingRequest, revision};
+use super::{DocumentOperator, FIRST_CALL};
+use crate::sim::checks::safety::{Acknowledgement, Violation};
 use crate::sim::world::World;
 use sumacvale_core::base::MS;
 use sumacvale_core::protocol::ChangeOutcome;
@@ -10,7 +10,7 @@
 /// Bases of documents are told apart from versions that other operators build on.
 const DOCUMENT_BASE: u64 = 1 << 40;
 
-impl Orders {
+impl DocumentOperator {
     pub(super) fn answers(&mut self, world: &mut World) {
         let (mine, others): (Vec<_>, Vec<_>) =
             std::mem::take(&mut world.answers).into_iter().partition(|a| a.0 > FIRST_CALL);
@@ -24,8 +24,8 @@
                 continue;
             }
             match self.calls.remove(&n) {
-                Some(Call::Put { order: index, slot, .. }) => self.answer(world, index, slot, fate),
-                Some(Call::Read { slot, newest, last, .. }) => {
+                Some(PendingRequest::Put { order: index, slot, .. }) => self.answer(world, index, slot, fate),
+                Some(PendingRequest::Read { slot, newest, last, .. }) => {
                     self.reader = Some(slot);
                     self.was_read(world, newest, last, fate);
                 }
@@ -54,7 +54,13 @@
                 }
                 order.taken = true;
                 order.pinned = None;
-                world.check.ack(Ack { change_id, base: DOCUMENT_BASE + base, version, asked: order.asked, at: now });
+                world.check.ack(Acknowledgement {
+                    change_id,
+                    base: DOCUMENT_BASE + base,
+                    version,
+                    asked: order.asked,
+                    at: now,
+                });
                 self.newest = self.newest.max(order.revision);
                 self.base = self.base.max(order.revision);
                 self.acknowledged = Some((slot, now));
@@ -120,6 +126,6 @@
 
 fn breach(world: &mut World, text: String) {
     if world.check.breaches.len() < 20 {
-        world.check.breaches.push(Breach(text));
+        world.check.breaches.push(Violation(text));
     }
 }
--- a/crates/testbed/src/sim/operators/orders/mod.rs
+++ b/crates/testbed/src/sim/operators/orders/mod.rs
@@ -7,10 +7,10 @@
 mod order;
 mod sending;
 
-pub use order::{Habits, Pinned};
+pub use order::{OperatorBehaviour, PinnedTarget};
 
 use crate::sim::world::World;
-use order::{Call, Order};
+use order::{PendingRequest, Submission};
 use std::collections::BTreeMap;
 use sumacvale_core::base::{MS, Micros};
 
@@ -24,10 +24,10 @@
 const MOST_OPEN: usize = 8;
 
 /// All orders of a run, and what the operator knows.
-pub struct Orders {
-    habits: Habits,
-    orders: Vec<Order>,
-    calls: BTreeMap<u64, Call>,
+pub struct DocumentOperator {
+    habits: OperatorBehaviour,
+    orders: Vec<Submission>,
+    calls: BTreeMap<u64, PendingRequest>,
     /// The number of the call that was made last.
     last_call: u64,
     next: Micros,
@@ -54,9 +54,9 @@
     pub took: Vec<Micros>,
 }
 
-impl Orders {
-    pub fn new(habits: Habits) -> Self {
-        Orders {
+impl DocumentOperator {
+    pub fn new(habits: OperatorBehaviour) -> Self {
+        DocumentOperator {
             habits,
             orders: Vec::new(),
             calls: BTreeMap::new(),
@@ -126,7 +126,7 @@
     fn silences(&mut self, now: Micros) {
         let late: Vec<u64> = self.calls.iter().filter(|c| c.1.due() <= now).map(|c| *c.0).collect();
         for n in late {
-            if let Some(Call::Put { order: index, .. }) = self.calls.remove(&n) {
+            if let Some(PendingRequest::Put { order: index, .. }) = self.calls.remove(&n) {
                 self.again(index, now);
             }
         }
--- a/crates/testbed/src/sim/operators/orders/order.rs
+++ b/crates/testbed/src/sim/operators/orders/order.rs
@@ -4,16 +4,16 @@
 
 /// How an operator of one profile behaves; shares are in percent.
 #[derive(Clone, Copy, Debug)]
-pub struct Habits {
+pub struct OperatorBehaviour {
     pub every: Micros,
     /// Two orders on the same base at once, half of them under one number.
     pub races: u64,
     /// Answers that are lost.
     pub lost: u64,
-    /// Orders taken earlier that are sent again.
+    /// DocumentOperator taken earlier that are sent again.
     pub repeats: u64,
     pub reads: u64,
-    /// Orders that no node may take.
+    /// DocumentOperator that no node may take.
     pub bad: u64,
     /// Routes of every eighth document beyond the usual ones.
     pub routes: u64,
@@ -21,7 +21,7 @@
 
 /// The one machine that an order is sent to.
 #[derive(Clone, Copy, Debug)]
-pub struct Pinned {
+pub struct PinnedTarget {
     pub slot: usize,
     /// Again and again until that machine gives a clear answer; else on to others after a 5xx.
     pub hard: bool,
@@ -29,7 +29,7 @@
 
 /// A document that an operator wants in force, and what it heard of it.
 #[derive(Clone, Debug)]
-pub(super) struct Order {
+pub(super) struct Submission {
     pub(super) body: String,
     pub(super) base: u64,
     pub(super) revision: u64,
@@ -38,14 +38,14 @@
     pub(super) due: Option<Micros>,
     pub(super) pause: Micros,
     pub(super) last: Option<usize>,
-    pub(super) pinned: Option<Pinned>,
+    pub(super) pinned: Option<PinnedTarget>,
     /// No node may take it.
     pub(super) bad: bool,
     pub(super) taken: bool,
     pub(super) refused: bool,
 }
 
-impl Order {
+impl Submission {
     pub(super) fn change_id(&self) -> ChangeId {
         ChangeId(hash64(self.body.as_bytes()).max(1))
     }
@@ -57,7 +57,7 @@
 
 /// A question to one machine that may still be answered.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Call {
+pub(super) enum PendingRequest {
     Put {
         order: usize,
         slot: usize,
@@ -72,10 +72,10 @@
     },
 }
 
-impl Call {
+impl PendingRequest {
     pub(super) fn due(&self) -> Micros {
         match self {
-            Call::Put { due, .. } | Call::Read { due, .. } => *due,
+            PendingRequest::Put { due, .. } | PendingRequest::Read { due, .. } => *due,
         }
     }
 }
--- a/crates/testbed/src/sim/operators/orders/sending.rs
+++ b/crates/testbed/src/sim/operators/orders/sending.rs
@@ -1,7 +1,7 @@
-//! Orders and reads are made and sent to machines.
+//! DocumentOperator and reads are made and sent to machines.
 
-use super::Orders;
-use super::order::{Call, Order, Pinned};
+use super::DocumentOperator;
+use super::order::{PendingRequest, PinnedTarget, Submission};
 use crate::sim::operators::documents::tree;
 use crate::sim::world::World;
 use sumacvale_core::base::{ChangeId, MS, Micros, SEC};
@@ -12,14 +12,14 @@
 const SILENCE: Micros = SEC;
 const PAUSE_FIRST: Micros = 50 * MS;
 
-impl Orders {
+impl DocumentOperator {
     /// One more order on the newest base; to one machine only if it is `pinned`.
-    pub fn order(&mut self, world: &mut World, pinned: Option<Pinned>) {
+    pub fn order(&mut self, world: &mut World, pinned: Option<PinnedTarget>) {
         self.serial += 1;
         let revision = self.base + 1 + world.rng.below(2);
         let plain = tree(self.serial, world.tenants, self.habits.routes, world.rates);
         let body = format!("{{\"revision\":{revision},{}", &plain[1..]);
-        self.orders.push(Order {
+        self.orders.push(Submission {
             body,
             base: self.base,
             revision,
@@ -36,7 +36,7 @@
 
     /// One more order, to this machine first.
     pub fn order_to(&mut self, world: &mut World, slot: usize) {
-        self.order(world, Some(Pinned { slot, hard: false }));
+        self.order(world, Some(PinnedTarget { slot, hard: false }));
     }
 
     /// A document that is cut short, or that bears the number it is built on.
@@ -72,7 +72,7 @@
         order.due = None;
         order.last = Some(slot);
         self.last_call += 1;
-        self.calls.insert(self.last_call, Call::Put { order: index, slot, due: now + SILENCE });
+        self.calls.insert(self.last_call, PendingRequest::Put { order: index, slot, due: now + SILENCE });
         self.sent = Some((slot, now));
         let change = Change::Document(order.body.clone());
         let event = Event::SubmitChange {
@@ -91,7 +91,8 @@
     pub(super) fn read(&mut self, world: &mut World, last: bool) {
         let Some(slot) = Self::pick(world, None).filter(|i| world.alive(*i)) else { return };
         self.last_call += 1;
-        self.calls.insert(self.last_call, Call::Read { slot, newest: self.newest, due: world.now + SILENCE, last });
+        self.calls
+            .insert(self.last_call, PendingRequest::Read { slot, newest: self.newest, due: world.now + SILENCE, last });
         world.step(
             slot,
             Event::SubmitChange {
--- a/crates/testbed/src/sim/operators/traffic.rs
+++ b/crates/testbed/src/sim/operators/traffic.rs
@@ -1,8 +1,8 @@
 //! Operators who change what the fleet shows, and callers of several tenants.
 
-use crate::sim::calls::outcome::{Seen, Want};
-use crate::sim::checks::majority_contact::Touch;
-use crate::sim::checks::safety::Ack;
+use crate::sim::calls::outcome::{CallRequest, ClientObservation};
+use crate::sim::checks::majority_contact::MajorityContact;
+use crate::sim::checks::safety::Acknowledgement;
 use crate::sim::operators::documents::{REVOCABLE, WAIT, tree};
 use crate::sim::operators::orders::FIRST_CALL;
 use crate::sim::world::World;
@@ -13,7 +13,7 @@
 
 /// One change that an operator waits for.
 #[derive(Clone, Debug)]
-struct Ask {
+struct PendingChange {
     change_id: ChangeId,
     base: Version,
     change: Change,
@@ -28,8 +28,8 @@
 
 /// Operators at several desks, and callers of several tenants.
 #[derive(Default)]
-pub struct Ops {
-    open: BTreeMap<u64, Ask>,
+pub struct Operators {
+    open: BTreeMap<u64, PendingChange>,
     n: u64,
     pub done: u64,
     pub stale: u64,
@@ -38,13 +38,13 @@
     pub calls: u64,
     pub lag: Vec<Micros>,
     seen: BTreeMap<Version, Micros>,
-    touch: Touch,
+    touch: MajorityContact,
     /// Changes that were refused though nothing spoke against them, and where.
     pub refused: Vec<String>,
 }
 
-impl Ops {
-    fn send(&mut self, w: &mut World, i: usize, a: Ask) {
+impl Operators {
+    fn send(&mut self, w: &mut World, i: usize, a: PendingChange) {
         self.n += 1;
         let n = self.n;
         let e = Event::SubmitChange {
@@ -73,7 +73,7 @@
         self.send(
             w,
             j,
-            Ask { change_id, base, change, asked: now, due: now + 7 * SEC, again: false, slot: j, sent: now },
+            PendingChange { change_id, base, change, asked: now, due: now + 7 * SEC, again: false, slot: j, sent: now },
         );
     }
 
@@ -91,7 +91,7 @@
         cs.push(Voter { node_id: new, addr });
         let change_id = ChangeId(w.rng.next_u64().max(1));
         let now = w.now;
-        let a = Ask {
+        let a = PendingChange {
             change_id,
             base: d.version,
             change: Change::Voters(cs),
@@ -118,7 +118,13 @@
             match f {
                 ChangeOutcome::Committed { version } => {
                     self.done += 1;
-                    w.check.ack(Ack { change_id: a.change_id, base: a.base, version, asked: a.asked, at: now });
+                    w.check.ack(Acknowledgement {
+                        change_id: a.change_id,
+                        base: a.base,
+                        version,
+                        asked: a.asked,
+                        at: now,
+                    });
                     self.seen.insert(version, now);
                 }
                 ChangeOutcome::Stale { .. } if !a.again => {
@@ -152,7 +158,7 @@
 
     /// Notes a refusal that nothing called for: these changes are valid and their ids are new, so
     /// only the want of a majority may be a reason.
-    fn judge(&mut self, w: &World, a: &Ask, fate: &ChangeOutcome) {
+    fn judge(&mut self, w: &World, a: &PendingChange, fate: &ChangeOutcome) {
         let needless = match fate {
             ChangeOutcome::Committed { .. } | ChangeOutcome::Stale { .. } | ChangeOutcome::Unknown => false,
             ChangeOutcome::NoQuorum => self.touch.needless(a.slot, a.sent),
@@ -167,7 +173,7 @@
     }
 
     /// Half of those who were told `unknown` send the same change again elsewhere.
-    fn again(&mut self, w: &mut World, mut a: Ask) {
+    fn again(&mut self, w: &mut World, mut a: PendingChange) {
         if a.again || w.rng.chance(50) {
             return;
         }
@@ -207,7 +213,8 @@
         while !open.is_empty() && w.now < until {
             for (i, t, n) in &mut open {
                 if *n == 0 {
-                    let want = Want { tenant: t.clone(), path: "/v1/confirm", prefix: 0, wait: WAIT, leaves: None };
+                    let want =
+                        CallRequest { tenant: t.clone(), path: "/v1/confirm", prefix: 0, wait: WAIT, leaves: None };
                     *n = w.call(*i, want);
                 }
             }
@@ -217,7 +224,7 @@
             for (_, _, n) in &mut open {
                 match w.seen.iter().rev().find(|o| o.call == *n).map(|o| &o.seen) {
                     None => {}
-                    Some(Seen::Whole | Seen::Refused { status: 429, .. }) => *n = u64::MAX,
+                    Some(ClientObservation::Whole | ClientObservation::Refused { status: 429, .. }) => *n = u64::MAX,
                     Some(_) => *n = 0,
                 }
             }
@@ -249,7 +256,7 @@
                 let prefix = if hot { 0 } else { w.rng.below(40) };
                 let leaves = w.rng.chance(2).then(|| w.rng.below(300 * MS));
                 self.calls += 1;
-                w.call(i, Want { tenant: tenant.clone(), path, prefix, wait: WAIT, leaves });
+                w.call(i, CallRequest { tenant: tenant.clone(), path, prefix, wait: WAIT, leaves });
             }
         }
     }
--- a/crates/testbed/src/sim/steps.rs
+++ b/crates/testbed/src/sim/steps.rs
@@ -1,6 +1,6 @@
 //! Runs a simulated world on: gives events to nodes and calls, and carries effects out.
 
-use crate::sim::event::Happen;
+use crate::sim::event::SimEvent;
 use crate::sim::world::{TICK, World};
 use std::cmp::Reverse;
 use sumacvale_core::base::Micros;
@@ -42,7 +42,7 @@
                 let now = self.now;
                 let at = self.slots[i].disk.write(token, ops, now, &mut self.rng);
                 let life = self.slots[i].life;
-                self.push(at, Happen::Land(i, life));
+                self.push(at, SimEvent::Land(i, life));
             }
             Effect::CompleteChange { request_id: req, outcome: fate } => self.answers.push((req, fate)),
             Effect::WakeTenant { tenant } => self.refill(i, &tenant),
@@ -66,12 +66,14 @@
             self.now = self.now.max(at);
             let Some(h) = self.what.remove(&n) else { continue };
             let at = match &h {
-                Happen::Tick(i, _) | Happen::Land(i, _) | Happen::Frame { to: i, .. } => Some(*i),
-                Happen::Turn(i, ..) | Happen::Body(i, ..) | Happen::Bell(i, ..) | Happen::Leave(i, ..) => Some(*i),
-                Happen::Call(i, ..) => Some(*i),
-                Happen::Try(b, _) => Some(b.slot),
-                Happen::Arrive(..) | Happen::Work(..) | Happen::Room(..) => None,
-                Happen::Thaw(_) | Happen::Resume(_) => None,
+                SimEvent::Tick(i, _) | SimEvent::Land(i, _) | SimEvent::Frame { to: i, .. } => Some(*i),
+                SimEvent::Turn(i, ..) | SimEvent::Body(i, ..) | SimEvent::Bell(i, ..) | SimEvent::Leave(i, ..) => {
+                    Some(*i)
+                }
+                SimEvent::Call(i, ..) => Some(*i),
+                SimEvent::Try(b, _) => Some(b.slot),
+                SimEvent::Arrive(..) | SimEvent::Work(..) | SimEvent::Room(..) => None,
+                SimEvent::Thaw(_) | SimEvent::Resume(_) => None,
             };
             if let Some(i) = at
                 && self.slots[i].node.is_some()
@@ -88,17 +90,17 @@
             }
             let lives = |w: &World, i: usize, life: u64| w.slots[i].life == life && w.slots[i].node.is_some();
             match h {
-                Happen::Tick(i, life) if self.slots[i].life == life && self.slots[i].node.is_some() => {
+                SimEvent::Tick(i, life) if self.slots[i].life == life && self.slots[i].node.is_some() => {
                     self.step(i, Event::Tick);
                     self.sweep(i);
-                    self.push(self.now + TICK, Happen::Tick(i, life));
+                    self.push(self.now + TICK, SimEvent::Tick(i, life));
                 }
-                Happen::Frame { to: i, bytes, .. } => {
+                SimEvent::Frame { to: i, bytes, .. } => {
                     if let Ok(f) = decode_frame(&bytes) {
                         self.step(i, Event::Frame(Box::new(f)));
                     }
                 }
-                Happen::Land(i, life) if lives(self, i, life) => {
+                SimEvent::Land(i, life) if lives(self, i, life) => {
                     let now = self.now;
                     let refused = self.slots[i].disk.refused;
                     if let Some(t) = self.slots[i].disk.land(now) {
@@ -107,29 +109,29 @@
                         self.refused_writes += self.slots[i].disk.refused - refused;
                     }
                     if let Some(t) = self.slots[i].disk.due() {
-                        self.push(t.max(now + 1), Happen::Land(i, life));
+                        self.push(t.max(now + 1), SimEvent::Land(i, life));
                     }
                 }
-                Happen::Turn(i, life, n) if lives(self, i, life) => {
+                SimEvent::Turn(i, life, n) if lives(self, i, life) => {
                     if let Some(a) = self.slots[i].hall.lives.get_mut(&n) {
                         a.turned();
                         self.live(i, n, CallEvent::Wake);
                     }
                 }
-                Happen::Leave(i, life, n) if lives(self, i, life) => self.live(i, n, CallEvent::ClientDisconnected),
-                Happen::Body(i, life, n, b) if lives(self, i, life) => self.live(i, n, CallEvent::RequestBody(Ok(b))),
-                Happen::Bell(i, life, r) if lives(self, i, life) => self.bell(i, r),
-                Happen::Try(b, e) if lives(self, b.slot, b.life) => self.heard(b, e),
-                Happen::Thaw(i) if self.slots[i].frozen <= self.now => {
+                SimEvent::Leave(i, life, n) if lives(self, i, life) => self.live(i, n, CallEvent::ClientDisconnected),
+                SimEvent::Body(i, life, n, b) if lives(self, i, life) => self.live(i, n, CallEvent::RequestBody(Ok(b))),
+                SimEvent::Bell(i, life, r) if lives(self, i, life) => self.bell(i, r),
+                SimEvent::Try(b, e) if lives(self, b.slot, b.life) => self.heard(b, e),
+                SimEvent::Thaw(i) if self.slots[i].frozen <= self.now => {
                     self.thaw(i);
                 }
-                Happen::Resume(i) if self.slots[i].frozen <= self.now => {
+                SimEvent::Resume(i) if self.slots[i].frozen <= self.now => {
                     self.thaw(i);
                 }
-                Happen::Room(i, life) => self.look_for_room(i, life),
-                Happen::Call(i, life, n) if lives(self, i, life) => self.live(i, n, CallEvent::Wake),
-                Happen::Arrive(k, s) => self.arrive(k, s),
-                Happen::Work(k, n) => self.work(k, n),
+                SimEvent::Room(i, life) => self.look_for_room(i, life),
+                SimEvent::Call(i, life, n) if lives(self, i, life) => self.live(i, n, CallEvent::Wake),
+                SimEvent::Arrive(k, s) => self.arrive(k, s),
+                SimEvent::Work(k, n) => self.work(k, n),
                 _ => {}
             }
         }
--- a/crates/testbed/src/sim/workers/execution.rs
+++ b/crates/testbed/src/sim/workers/execution.rs
@@ -1,8 +1,10 @@
 //! What workers do: they run calls, answer piece by piece, and report to nodes.
 
-use crate::sim::event::Happen;
+use crate::sim::event::SimEvent;
 use crate::sim::workers::responses::{body, piece, shape};
-use crate::sim::workers::worker::{Back, Mode, Ran, Run, SLOTS, Sending};
+use crate::sim::workers::worker::{
+    AttemptOrigin, ExecutionRecord, RunningRequest, SLOTS, WorkerBehaviour, WorkerRequest,
+};
 use crate::sim::world::World;
 use bytes::Bytes;
 use sumacvale_core::base::{MS, Micros};
@@ -20,10 +22,10 @@
         if near { 100 + self.rng.below(400) } else { 500 + self.rng.below(2_000) }
     }
 
-    fn back(&mut self, k: usize, to: Back, e: Event) {
-        if self.workers[k].mode(self.now) != Mode::Dark {
+    fn back(&mut self, k: usize, to: AttemptOrigin, e: Event) {
+        if self.workers[k].mode(self.now) != WorkerBehaviour::Dark {
             let t = self.now + self.lat(to.slot, k);
-            self.push(t, Happen::Try(to, e));
+            self.push(t, SimEvent::Try(to, e));
         }
     }
 
@@ -37,20 +39,20 @@
     }
 
     /// A call reached the worker.
-    pub(in crate::sim) fn arrive(&mut self, k: usize, s: Sending) {
+    pub(in crate::sim) fn arrive(&mut self, k: usize, s: WorkerRequest) {
         let now = self.now;
         let w = &mut self.workers[k];
         let mode = w.mode(now);
-        if mode == Mode::Dark {
+        if mode == WorkerBehaviour::Dark {
             return;
         }
         if !w.up || s.incarnation != w.incarnation {
             return self.back(k, s.to, Event::AttemptFailed(FailurePoint::Sent));
         }
-        if mode == Mode::Reset && s.to.no % 2 == 1 {
+        if mode == WorkerBehaviour::Reset && s.to.no % 2 == 1 {
             return self.back(k, s.to, Event::NotSent);
         }
-        if mode == Mode::Decline || w.runs.len() >= SLOTS as usize {
+        if mode == WorkerBehaviour::Decline || w.runs.len() >= SLOTS as usize {
             let r = ResponseHead { status: 503, has_definite_end: true, not_run: true, ..ResponseHead::default() };
             return self.back(k, s.to, Event::ResponseHead(r));
         }
@@ -58,8 +60,8 @@
         let drained = w.drained;
         w.n += 1;
         let n = w.n;
-        w.runs.insert(n, Run { to: s.to, path: s.path, mode, next: from, head: false, half: false });
-        self.ran.push(Ran {
+        w.runs.insert(n, RunningRequest { to: s.to, path: s.path, mode, next: from, head: false, half: false });
+        self.ran.push(ExecutionRecord {
             call: s.to.call,
             tenant: s.tenant,
             path: s.path,
@@ -70,14 +72,14 @@
             drained,
         });
         match mode {
-            Mode::Hang => {}
-            Mode::Mute => {
+            WorkerBehaviour::Hang => {}
+            WorkerBehaviour::Mute => {
                 self.workers[k].runs.remove(&n);
                 self.back(k, s.to, Event::AttemptFailed(FailurePoint::Sent));
             }
             _ => {
                 let t = now + 2 * MS + self.rng.below(10 * MS);
-                self.push(t, Happen::Work(k, n));
+                self.push(t, SimEvent::Work(k, n));
             }
         }
     }
@@ -87,14 +89,14 @@
         let now = self.now;
         let Some(mut r) = self.workers[k].runs.remove(&n) else { return };
         // What a dead wire lost never comes, so nothing comes after it.
-        if self.workers[k].mode(now) == Mode::Dark {
+        if self.workers[k].mode(now) == WorkerBehaviour::Dark {
             return;
         }
         let (of, gap) = shape(r.path);
-        let mut again = gap * if r.mode == Mode::Slow { 10 } else { 1 };
+        let mut again = gap * if r.mode == WorkerBehaviour::Slow { 10 } else { 1 };
         if !r.head {
             r.head = true;
-            let bounded = r.mode != Mode::Bare;
+            let bounded = r.mode != WorkerBehaviour::Bare;
             self.back(
                 k,
                 r.to,
@@ -108,20 +110,24 @@
         } else if of == 0 && r.next == 0 {
             r.next = 1;
             let mut s = body(r.to.call, r.path, 0);
-            if r.mode == Mode::Cut {
+            if r.mode == WorkerBehaviour::Cut {
                 s.truncate(4);
             }
             self.back(k, r.to, Event::ResponseChunk(Bytes::from(s)));
             again = MS;
-        } else if r.mode == Mode::Cut && (of == 0 || (r.half && r.next > 2)) {
+        } else if r.mode == WorkerBehaviour::Cut && (of == 0 || (r.half && r.next > 2)) {
             return self.back(k, r.to, Event::ResponseAborted);
-        } else if r.mode == Mode::Bare && r.next > 1 {
+        } else if r.mode == WorkerBehaviour::Bare && r.next > 1 {
             return self.back(k, r.to, Event::ResponseEnd);
         } else if r.next < of {
-            let at = if r.mode == Mode::Skip && r.path == "/v1/draft" && r.next == 5 { r.next + 1 } else { r.next };
+            let at = if r.mode == WorkerBehaviour::Skip && r.path == "/v1/draft" && r.next == 5 {
+                r.next + 1
+            } else {
+                r.next
+            };
             let s = piece(r.to.call, at, of);
             // Some pieces come in two parts; what breaks, breaks between them.
-            if !r.half && (r.mode == Mode::Cut || self.rng.chance(20)) {
+            if !r.half && (r.mode == WorkerBehaviour::Cut || self.rng.chance(20)) {
                 r.half = true;
                 self.back(k, r.to, Event::ResponseChunk(Bytes::from(s[..9].to_owned())));
                 again = 5 * MS;
@@ -134,11 +140,11 @@
             return self.back(k, r.to, Event::ResponseEnd);
         }
         self.workers[k].runs.insert(n, r);
-        self.push(now + again.max(3 * MS), Happen::Work(k, n));
+        self.push(now + again.max(3 * MS), SimEvent::Work(k, n));
     }
 
     /// The node closed its end: the worker stops what it ran for it.
-    pub(in crate::sim) fn hang_up(&mut self, k: usize, to: Back) {
+    pub(in crate::sim) fn hang_up(&mut self, k: usize, to: AttemptOrigin) {
         self.workers[k].runs.retain(|_, r| r.to != to);
     }
 
@@ -167,7 +173,7 @@
         let now = self.now;
         for k in 0..self.workers.len() {
             let w = &mut self.workers[k];
-            if !w.up || w.due > now || w.mode(now) == Mode::Dark {
+            if !w.up || w.due > now || w.mode(now) == WorkerBehaviour::Dark {
                 continue;
             }
             w.due = now + 500 * MS;
--- a/crates/testbed/src/sim/workers/worker.rs
+++ b/crates/testbed/src/sim/workers/worker.rs
@@ -5,7 +5,7 @@
 
 /// How a worker behaves for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mode {
+pub enum WorkerBehaviour {
     Well,
     /// Runs calls and says nothing.
     Hang,
@@ -13,7 +13,7 @@
     Mute,
     /// Breaks responses off, in the middle of a piece.
     Cut,
-    /// Ends its responses too early, in such a way that the end can't be told from a break.
+    /// AnswerTimes its responses too early, in such a way that the end can't be told from a break.
     Bare,
     /// Takes no call, and says so.
     Decline,
@@ -29,7 +29,7 @@
 
 /// The other end of one try: which machine, which life of it, which call, which try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Back {
+pub struct AttemptOrigin {
     pub slot: usize,
     pub life: u64,
     pub call: u64,
@@ -37,10 +37,10 @@
 }
 
 #[derive(Clone, Debug)]
-pub(in crate::sim) struct Run {
-    pub(in crate::sim) to: Back,
+pub(in crate::sim) struct RunningRequest {
+    pub(in crate::sim) to: AttemptOrigin,
     pub(in crate::sim) path: &'static str,
-    pub(in crate::sim) mode: Mode,
+    pub(in crate::sim) mode: WorkerBehaviour,
     /// The piece that comes next.
     pub(in crate::sim) next: u64,
     /// The head was sent.
@@ -61,8 +61,8 @@
     /// Since when it drains or is to be replaced.
     pub drained: Option<Micros>,
     pub due: Micros,
-    pub mode: (Mode, Micros),
-    pub(in crate::sim) runs: BTreeMap<u64, Run>,
+    pub mode: (WorkerBehaviour, Micros),
+    pub(in crate::sim) runs: BTreeMap<u64, RunningRequest>,
     /// How many runs it began.
     pub(in crate::sim) n: u64,
 }
@@ -71,7 +71,7 @@
 
 /// One run of a call, as the worker itself tells it.
 #[derive(Clone, Debug)]
-pub struct Ran {
+pub struct ExecutionRecord {
     pub call: u64,
     pub tenant: String,
     pub path: &'static str,
@@ -85,8 +85,8 @@
 
 /// What is sent for one try.
 #[derive(Clone, Debug)]
-pub struct Sending {
-    pub to: Back,
+pub struct WorkerRequest {
+    pub to: AttemptOrigin,
     pub tenant: String,
     pub path: &'static str,
     pub after: Option<u64>,
@@ -107,14 +107,14 @@
             drain: false,
             drained: None,
             due,
-            mode: (Mode::Well, 0),
+            mode: (WorkerBehaviour::Well, 0),
             runs: BTreeMap::new(),
             n: 0,
         }
     }
 
-    pub fn mode(&self, now: Micros) -> Mode {
-        if self.mode.1 > now { self.mode.0 } else { Mode::Well }
+    pub fn mode(&self, now: Micros) -> WorkerBehaviour {
+        if self.mode.1 > now { self.mode.0 } else { WorkerBehaviour::Well }
     }
 
     /// A new life at the same address.
--- a/crates/testbed/src/sim/world.rs
+++ b/crates/testbed/src/sim/world.rs
@@ -1,13 +1,13 @@
 //! The state of a simulated world and its queue of what happens next.
 
-use crate::sim::calls::outcome::Outcome;
-use crate::sim::checks::safety::Check;
-use crate::sim::event::Happen;
+use crate::sim::calls::outcome::CallOutcome;
+use crate::sim::checks::safety::SafetyChecker;
+use crate::sim::event::SimEvent;
 use crate::sim::machines::disk::Disk;
-use crate::sim::machines::slot::Slot;
+use crate::sim::machines::slot::Machine;
 use crate::sim::network::connections::Connections;
 use crate::sim::operators::documents::TENANTS;
-use crate::sim::workers::worker::{Ran, Worker};
+use crate::sim::workers::worker::{ExecutionRecord, Worker};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use sumacvale_core::base::{MS, Micros, Rng, SEC};
@@ -17,9 +17,9 @@
 pub struct World {
     pub now: Micros,
     pub rng: Rng,
-    pub slots: Vec<Slot>,
+    pub slots: Vec<Machine>,
     pub workers: Vec<Worker>,
-    pub check: Check,
+    pub check: SafetyChecker,
     pub answers: Vec<(u64, ChangeOutcome)>,
     /// Pairs of machines between which nothing passes, until when.
     pub cuts: BTreeMap<(usize, usize), Micros>,
@@ -40,8 +40,8 @@
     pub far: BTreeMap<&'static str, (u64, u64)>,
     pub trace: Vec<String>,
     /// What workers ran and what downstreams saw.
-    pub ran: Vec<Ran>,
-    pub seen: Vec<Outcome>,
+    pub ran: Vec<ExecutionRecord>,
+    pub seen: Vec<CallOutcome>,
     pub calls: u64,
     pub tenants: u64,
     /// How many more matches some configurations have.
@@ -77,7 +77,7 @@
     /// Writes that full disks refused.
     pub refused_writes: u64,
     pub(in crate::sim) heap: BinaryHeap<Reverse<(Micros, u64, usize)>>,
-    pub(in crate::sim) what: BTreeMap<u64, Happen>,
+    pub(in crate::sim) what: BTreeMap<u64, SimEvent>,
     pub(in crate::sim) n: u64,
     pub(in crate::sim) next_ip: u32,
 }
@@ -94,7 +94,7 @@
             rng: Rng::new(seed),
             slots: Vec::new(),
             workers: Vec::new(),
-            check: Check::default(),
+            check: SafetyChecker::default(),
             answers: Vec::new(),
             cuts: BTreeMap::new(),
             stalled: BTreeMap::new(),
@@ -140,9 +140,9 @@
             let addr = w.address();
             let off = w.rng.below(1_000 * SEC);
             let zone = format!("z{}", i % 3);
-            w.slots.push(Slot {
+            w.slots.push(Machine {
                 addr,
-                hall: Slot::empty(&zone),
+                hall: Machine::empty(&zone),
                 ready: false,
                 zone,
                 core: i < cores,
@@ -174,7 +174,7 @@
         self.trace.push(format!("{:>10.3} {s}", self.now as f64 / 1e6));
     }
 
-    pub(in crate::sim) fn push(&mut self, at: Micros, h: Happen) {
+    pub(in crate::sim) fn push(&mut self, at: Micros, h: SimEvent) {
         self.n += 1;
         self.what.insert(self.n, h);
         self.heap.push(Reverse((at, self.n, 0)));
--- a/crates/testbed/tests/repairs.rs
+++ b/crates/testbed/tests/repairs.rs
@@ -1,7 +1,7 @@
 //! Losses that follow one another as closely as they are allowed, in virtual time.
 
 use sumacvale_core::base::{MS, Micros, SEC};
-use sumacvale_testbed::sim::{Profile, Run, Touch, World, run};
+use sumacvale_testbed::sim::{MajorityContact, Profile, Run, World, run};
 
 /// Whatever goes, all voters have taken over and all nodes are fresh 4 s after the last return;
 /// the profile itself breaks the run where they are not.
@@ -42,8 +42,8 @@
 fn a_refusal_is_needless_while_a_majority_could_answer() {
     const NEXT: Micros = 10 * MS;
     let mut w = World::new(1, 3, 1, 1);
-    let mut touch = Touch::default();
-    let run_on = |w: &mut World, touch: &mut Touch, until: Micros| {
+    let mut touch = MajorityContact::default();
+    let run_on = |w: &mut World, touch: &mut MajorityContact, until: Micros| {
         while w.now < until {
             w.run(w.now + NEXT);
             touch.observe(w);
--- a/crates/testbed/tests/sim.rs
+++ b/crates/testbed/tests/sim.rs
@@ -6,7 +6,8 @@
 use sumacvale_core::protocol::{LogEntry, Voter};
 use sumacvale_core::retry;
 use sumacvale_testbed::sim::{
-    Ack, Check, Day, Disk, Law, Orderly, Outcome, Profile, Ran, Run, Seen, Summary, Want, judge, run,
+    Acknowledgement, CallLimits, CallOutcome, CallRequest, ClientObservation, ControlSummary, Day, Disk,
+    ExecutionRecord, Profile, Run, SafetyChecker, Summary, judge, run,
 };
 
 fn seeds(name: &str, seeds: impl Iterator<Item = u64>) {
@@ -183,13 +184,13 @@
     }
 }
 
-fn ack(change_id: u64, base: u64, version: u64, asked: u64, at: u64) -> Ack {
-    Ack { change_id: ChangeId(change_id), base, version, asked, at }
+fn ack(change_id: u64, base: u64, version: u64, asked: u64, at: u64) -> Acknowledgement {
+    Acknowledgement { change_id: ChangeId(change_id), base, version, asked, at }
 }
 
 #[test]
 fn the_checker_sees_a_planted_breach() {
-    type Plant = fn(&mut Check);
+    type Plant = fn(&mut SafetyChecker);
     let plants: [(&str, Plant, &str); 11] = [
         ("nothing", |_| {}, ""),
         (
@@ -268,7 +269,7 @@
         ),
     ];
     for (name, f, want) in plants {
-        let mut c = Check::default();
+        let mut c = SafetyChecker::default();
         f(&mut c);
         c.end();
         let got: Vec<_> = c.breaches.iter().map(|b| b.0.clone()).collect();
@@ -280,63 +281,72 @@
     }
 }
 
-fn saw(seen: Seen, body: &str) -> Outcome {
-    let want = Want { tenant: "r".into(), path: "/v1/chat", prefix: 0, wait: 2 * SEC, leaves: None };
+fn saw(seen: ClientObservation, body: &str) -> CallOutcome {
+    let want = CallRequest { tenant: "r".into(), path: "/v1/chat", prefix: 0, wait: 2 * SEC, leaves: None };
     let body = body.as_bytes().to_vec();
-    Outcome { call: 1, want, slot: 0, at: 0, first: None, end: 0, body, tried: false, seen }
+    CallOutcome { call: 1, want, slot: 0, at: 0, first: None, end: 0, body, tried: false, seen }
 }
 
-fn ran(call: u64, path: &'static str) -> Ran {
-    Ran { call, tenant: "r".into(), path, worker: 0, at: 20 * SEC, from: 0, window: 1, drained: None }
+fn ran(call: u64, path: &'static str) -> ExecutionRecord {
+    ExecutionRecord { call, tenant: "r".into(), path, worker: 0, at: 20 * SEC, from: 0, window: 1, drained: None }
 }
 
 #[test]
 fn the_judge_of_calls_sees_a_planted_breach() {
-    let no = |code, back| Seen::Refused { status: 503, code, ran: retry::Execution::NotRun, back };
+    let no = |code, back| ClientObservation::Refused { status: 503, code, ran: retry::Execution::NotRun, back };
     let whole: String = (0..10).map(|k| format!("id: {k}\ndata: call 1 piece {k} of 10\n\n")).collect();
     let part = &whole[..60];
     let other = whole.replace("call 1", "call 2");
     let skips = whole.replace("id: 4\ndata: call 1 piece 4 of 10\n\n", "");
-    let law = Law {
+    let law = CallLimits {
         quotas: BTreeMap::from([("r".into(), (2, SEC))]),
         acks: vec![(3, SEC)],
         keys: vec![(2, 0, true), (3, SEC, false)],
         tries: (100, 20),
         slept: Vec::new(),
     };
-    let chat = || Ran { tenant: "t".into(), ..ran(1, "/v1/chat") };
-    let late = || Outcome { end: 2 * SEC, ..saw(no("full", true), "") };
+    let chat = || ExecutionRecord { tenant: "t".into(), ..ran(1, "/v1/chat") };
+    let late = || CallOutcome { end: 2 * SEC, ..saw(no("full", true), "") };
     let cases = [
-        ("whole and run once", vec![saw(Seen::Whole, &whole)], vec![chat()], law.clone(), ""),
-        ("broken off", vec![saw(Seen::Broken, part)], vec![chat()], law.clone(), ""),
-        ("a part as whole", vec![saw(Seen::Whole, part)], vec![chat()], law.clone(), "not its own"),
-        ("another's", vec![saw(Seen::Whole, &other)], vec![chat()], law.clone(), "not its own"),
-        ("a skip", vec![saw(Seen::Broken, &skips)], vec![chat()], law.clone(), "not its own"),
-        ("invented", vec![saw(Seen::Whole, &whole)], vec![], law.clone(), "no worker gave"),
+        ("whole and run once", vec![saw(ClientObservation::Whole, &whole)], vec![chat()], law.clone(), ""),
+        ("broken off", vec![saw(ClientObservation::Broken, part)], vec![chat()], law.clone(), ""),
+        ("a part as whole", vec![saw(ClientObservation::Whole, part)], vec![chat()], law.clone(), "not its own"),
+        ("another's", vec![saw(ClientObservation::Whole, &other)], vec![chat()], law.clone(), "not its own"),
+        ("a skip", vec![saw(ClientObservation::Broken, &skips)], vec![chat()], law.clone(), "not its own"),
+        ("invented", vec![saw(ClientObservation::Whole, &whole)], vec![], law.clone(), "no worker gave"),
         ("twice", vec![], vec![chat(), chat()], law.clone(), "ran 2 times"),
-        ("a stream twice", vec![], vec![Ran { path: "/v1/draft", ..chat() }; 2], law.clone(), "begun twice"),
+        (
+            "a stream twice",
+            vec![],
+            vec![ExecutionRecord { path: "/v1/draft", ..chat() }; 2],
+            law.clone(),
+            "begun twice",
+        ),
         ("hidden", vec![saw(no("full", true), "")], vec![chat()], law.clone(), "refused as not run"),
         ("no time to return", vec![saw(no("full", false), "")], vec![], law.clone(), "without a time"),
         ("held", vec![late()], vec![], law.clone(), "given up on only after"),
-        ("asleep", vec![late()], vec![], Law { slept: vec![(0, 0, SEC)], ..law.clone() }, ""),
-        ("drained", vec![], vec![Ran { drained: Some(17 * SEC), ..chat() }], law.clone(), "began to drain"),
+        ("asleep", vec![late()], vec![], CallLimits { slept: vec![(0, 0, SEC)], ..law.clone() }, ""),
+        ("drained", vec![], vec![ExecutionRecord { drained: Some(17 * SEC), ..chat() }], law.clone(), "began to drain"),
         ("revoked", vec![], vec![ran(1, "/v1/chat")], law.clone(), "withdrawn over 5 s"),
-        ("not yet", vec![], vec![Ran { at: 6 * SEC, ..ran(1, "/v1/chat") }], law.clone(), ""),
+        ("not yet", vec![], vec![ExecutionRecord { at: 6 * SEC, ..ran(1, "/v1/chat") }], law.clone(), ""),
         (
             "quota",
             vec![],
-            (1..4).map(|c| Ran { at: 2 * SEC, ..ran(c, "/v1/chat") }).collect(),
+            (1..4).map(|c| ExecutionRecord { at: 2 * SEC, ..ran(c, "/v1/chat") }).collect(),
             law.clone(),
             "ran 3 of 2 calls in window 1",
         ),
         (
             "an old unit",
             vec![],
-            vec![Ran { at: 2 * SEC, ..ran(1, "/v1/chat") }, Ran { at: 4 * SEC, ..ran(2, "/v1/chat") }],
+            vec![
+                ExecutionRecord { at: 2 * SEC, ..ran(1, "/v1/chat") },
+                ExecutionRecord { at: 4 * SEC, ..ran(2, "/v1/chat") },
+            ],
             law.clone(),
             "units of window 1",
         ),
-        ("second tries", vec![], vec![], Law { tries: (100, 21), ..law.clone() }, "21 second tries"),
+        ("second tries", vec![], vec![], CallLimits { tries: (100, 21), ..law.clone() }, "21 second tries"),
     ];
     for (name, seen, ran, law, want) in cases {
         let got: Vec<_> = judge(&seen, &ran, &law).into_iter().map(|b| b.0).collect();
@@ -354,7 +364,7 @@
 }
 
 /// The profiles of the control side, with an operator who sends orders again until they are clear.
-fn control(name: &str, seeds: impl Iterator<Item = u64>, f: impl Fn(&Orderly) -> bool) {
+fn control(name: &str, seeds: impl Iterator<Item = u64>, f: impl Fn(&ControlSummary) -> bool) {
     each(name, seeds, |r| {
         let c = r.control.as_ref().expect("a profile of the control side");
         assert!(c.taken > 30 && c.reads > 10 && f(c), "{name}: {c:?}");
