--- a/crates/checker/src/agreement.rs
+++ b/crates/checker/src/agreement.rs
@@ -1,452 +1,639 @@
-//! Agreement on versions: all orders of the frames that it consists of, with each machine's clock
-//! on its own.
+//! Consensus on versions: all orders of the frames that it consists of, with each machine's clock on its own.
 //!
-//! Explored: which frame arrives next (so any overtakes any other), a frame lost, a frame that
-//! comes twice, a process that ends with any part of its unsynced writes, a disk that is lost, a
-//! machine whose timers run out, and when and where operators send their changes, also again.
-//! Frames of other machinery (gossip, terms, news) are lost from the start of the exploration on,
-//! which is a thing that networks do; what is said under `recovers` has all of them.
+//! Explored: which frame is delivered next (so any overtakes any other), a frame lost, a frame delivered
+//! twice, a process that ends with any part of its unsynced writes, a disk that is lost, a machine whose
+//! timers expire, and when and where operators submit their changes, also again. Frames of other machinery
+//! (gossip, leases, updates) are lost from the start of the exploration on, which is a thing that networks do;
+//! the check of the recovery delivers all of them.
 
 use crate::explore::Model;
+use crate::frames::{AddressedFrame, FramesInFlight, InFlightFrame};
 use crate::judge::{Base, Judge};
-use crate::machine::{BIRTH, Given, Machine, VOTERS, change_id, core, document};
+use crate::machine::{CompletedChange, Machine, STARTED_AT, StepOutput, VOTERS, change_id, document, voter};
 use std::sync::Arc;
 use sumacvale_core::base::{ChangeId, MS, Micros, SEC};
 use sumacvale_core::consensus::Phase;
 use sumacvale_core::node::{Event, Scope, digest_of};
-use sumacvale_core::protocol::{Ballot, Change, ChangeOutcome, ConsensusMessage, Frame, MembershipMessage, Message};
-
-/// Longer than any round of a ballot, and than an acceptance may stay undecided.
-const TIMEOUT: Micros = SEC;
-/// Longer than the rest after a round.
-const REST: Micros = 300 * MS;
-/// From one word on the founding to the next.
-const FOUND: Micros = 300 * MS;
-const QUANTUM: Micros = 25 * MS;
-const HEAL: Micros = 8 * SEC;
-const ANSWER: Micros = 4 * SEC;
+use sumacvale_core::protocol::{Ballot, Change, ChangeOutcome, ConsensusMessage, MembershipMessage, Message};
+
+/// Longer than any phase of a ballot, and than an accepted entry may stay undecided, in microseconds.
+const PHASE_TIMEOUT: Micros = SEC;
+/// Longer than the backoff after a ballot, in microseconds.
+const BACKOFF: Micros = 300 * MS;
+/// The time between two announcements of a bootstrap, in microseconds.
+const ANNOUNCE_INTERVAL: Micros = 300 * MS;
+/// How far the clocks move in one round of a run without faults, in microseconds.
+const ROUND: Micros = 25 * MS;
+/// All machines must have converged so long after the last fault, in microseconds.
+const RECOVERY_TIME: Micros = 8 * SEC;
+/// A change must be decided within this time once all is well, in microseconds.
+const DECISION_TIME: Micros = 4 * SEC;
 
 /// How often each thing may happen on one path.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Allowance {
+    /// Processes that end with any part of their unsynced writes.
     pub crashes: u8,
     /// Crashes that lose the disk as well.
     pub wipes: u8,
-    pub lost: u8,
-    pub doubled: u8,
-    /// Machines whose timers run out, one after the other.
+    /// Frames that are lost.
+    pub losses: u8,
+    /// Frames that are delivered twice.
+    pub duplicates: u8,
+    /// Machines whose timers expire, one after the other.
     pub timeouts: u8,
-    /// Questions to all voters whether anything newer was voted for.
-    pub questions: u8,
-    /// How often operators send a change again that they sent before.
-    pub repeats: u8,
-    /// How often a voter has waited long enough, after a vote for another's ballot, to begin its own.
+    /// Freshness probes: requests to all voters whether anything newer was voted for.
+    pub probes: u8,
+    /// How often operators submit a change again.
+    pub resubmissions: u8,
+    /// How often a voter has yielded long enough, after a vote for another proposer, to start its own ballot.
     pub yields: u8,
 }
 
-/// A change and the number that it is built on.
+/// A change that an operator submits.
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct PlannedChange {
+    /// The revision or version that it is based on, by the kind of the change.
     pub base: u64,
+    /// What is changed.
     pub change: Change,
-    pub id: ChangeId,
-    /// Machines that it is sent to: the first at first, any of them later.
-    pub to: Vec<usize>,
-    /// It is sent only once this other order was acknowledged.
+    /// The identifier of the change.
+    pub change_id: ChangeId,
+    /// The machines that it is submitted to: the first at first, any of them later. Invariant: not empty.
+    pub receivers: Vec<usize>,
+    /// The index of a change that must be acknowledged before this one is submitted.
     pub after: Option<usize>,
 }
 
-impl Order {
-    pub fn document(base: u64, revision: u64, name: &str, to: &[usize]) -> Order {
-        let body = document(revision, name);
-        let id = change_id(&body);
-        Order { base, change: Change::Document(body), id, to: to.to_vec(), after: None }
+impl PlannedChange {
+    /// A document with one pool on top of the revision `base`.
+    #[must_use]
+    pub fn document(base: u64, revision: u64, pool: &str, receivers: &[usize]) -> Self {
+        let body = document(revision, pool);
+        let change_id = change_id(&body);
+        let change = Change::Document(body);
+        PlannedChange { base, change, change_id, receivers: receivers.to_vec(), after: None }
     }
 
-    pub fn voters(base: u64, set: &[usize], to: &[usize]) -> Order {
-        let change = Change::Voters(set.iter().map(|i| core(*i)).collect());
-        let id = change_id(&format!("voters {set:?}"));
-        Order { base, change, id, to: to.to_vec(), after: None }
+    /// A set of voters, by their machines, on top of the version `base`.
+    #[must_use]
+    pub fn voters(base: u64, voters: &[usize], receivers: &[usize]) -> Self {
+        let change_id = change_id(&format!("voters {voters:?}"));
+        let change = Change::Voters(voters.iter().map(|machine| voter(*machine)).collect());
+        PlannedChange { base, change, change_id, receivers: receivers.to_vec(), after: None }
     }
 
-    /// What its base means, by the kind of the change.
-    fn built_on(&self) -> Base {
+    /// The same change, submitted once another one was acknowledged.
+    #[must_use]
+    pub fn after(self, other: usize) -> Self {
+        PlannedChange { after: Some(other), ..self }
+    }
+
+    /// The base by the kind of the change.
+    fn typed_base(&self) -> Base {
         match self.change {
             Change::Voters(_) => Base::Voters(self.base),
             _ => Base::Document(self.base),
         }
     }
-
-    pub fn after(self, other: usize) -> Order {
-        Order { after: Some(other), ..self }
-    }
 }
 
-/// A step of the fixed way into a directed bound, by what it is rather than by its place.
+/// A step of the fixed way into a directed bound, named by what it is rather than by an index.
 #[derive(Clone, Debug)]
 pub enum Opening {
-    Send {
-        order: usize,
+    /// A change is submitted to a machine.
+    Submit {
+        /// The index of the change.
+        change: usize,
+        /// The machine that receives it.
         to: usize,
     },
-    /// The first frame that is of this kind (its name in `Msg`) arrives.
-    Arrive {
+    /// The first frame of this kind between two machines is delivered.
+    Deliver {
+        /// The name of the message, see [`Message::name`].
         kind: &'static str,
+        /// The sending machine.
         from: usize,
+        /// The receiving machine.
         to: usize,
     },
     /// The same frame is lost.
     Lose {
+        /// The name of the message, see [`Message::name`].
         kind: &'static str,
+        /// The sending machine.
         from: usize,
+        /// The receiving machine.
         to: usize,
     },
+    /// A machine's writes are synced.
     Sync {
+        /// The machine.
         machine: usize,
     },
-    /// A machine's timers turn; it counts towards the allowance.
-    Turn {
+    /// A machine's timers expire; it counts towards the allowance.
+    Timeout {
+        /// The machine.
         machine: usize,
     },
+    /// A machine loses its disk; it counts towards the allowance.
     Wipe {
+        /// The machine.
         machine: usize,
     },
+    /// A machine's process ends and starts anew.
     Crash {
+        /// The machine.
         machine: usize,
+        /// How many of its unsynced writes are on the disk.
         landed: usize,
     },
 }
 
+/// The bounds of one exploration.
 pub struct Agreement {
+    /// The number of machines; the first [`VOTERS`] vote at the start.
     pub machines: usize,
-    /// The machines begin with empty disks and found the fleet; timeouts are then single turns of
-    /// their timers, one after the other.
-    pub founding: bool,
-    /// What has happened before the exploration begins; what is lost and crashes there count towards no allowance.
+    /// Whether the machines begin with empty disks and found the fleet. A time-out is then a single turn of
+    /// a machine's timers.
+    pub is_bootstrap: bool,
+    /// What happens before the exploration begins. Losses and crashes there count towards no allowance.
     pub opening: Vec<Opening>,
+    /// How often each thing may happen on one path.
     pub allowance: Allowance,
-    pub orders: Vec<Order>,
-    /// Machines whose syncs are events of their own; the others' come at once.
+    /// The changes that operators submit.
+    pub changes: Vec<PlannedChange>,
+    /// Machines whose syncs are actions of their own; the others sync at once.
     pub slow_disks: Vec<usize>,
 }
 
-#[derive(Clone)]
-struct Wire {
-    to: usize,
-    frame: Arc<Frame>,
-    digest: u64,
-    /// It is the second of two.
-    again: bool,
+/// What became of one planned change so far.
+#[derive(Clone, Copy, Debug, Default)]
+struct Submission {
+    /// How often it was submitted.
+    count: u8,
+    is_acknowledged: bool,
 }
 
+/// One state of the model.
 #[derive(Clone)]
 pub struct World {
     machines: Vec<Machine>,
+    /// The clock of each machine, in microseconds.
     clocks: Vec<Micros>,
-    wires: Vec<Wire>,
+    frames: FramesInFlight,
+    /// What is left of the allowance.
     left: Allowance,
-    /// For each order: how often it was sent, and whether it was acknowledged.
-    sent: Vec<(u8, bool)>,
+    /// By the index of the planned change.
+    submissions: Vec<Submission>,
     judge: Judge,
-    /// What the opening broke; it shows with the first step.
-    fault: Option<String>,
+    /// The rule that the opening violated; reported by the first action.
+    opening_violation: Option<String>,
 }
 
+/// What may happen next.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// The frame in this place of those under way arrives.
-    Arrive {
-        place: usize,
+    /// A frame is delivered.
+    Deliver {
+        /// Its index among the frames under way.
+        index: usize,
     },
+    /// A frame is lost.
     Lose {
-        place: usize,
+        /// Its index among the frames under way.
+        index: usize,
     },
-    /// It arrives and comes once more later.
-    Double {
-        place: usize,
+    /// A frame is delivered, and once more later.
+    Duplicate {
+        /// Its index among the frames under way.
+        index: usize,
     },
+    /// A machine's writes are synced.
     Sync {
+        /// The machine.
         machine: usize,
     },
+    /// A machine's process ends and starts anew.
     Crash {
+        /// The machine.
         machine: usize,
+        /// How many of its unsynced writes are on the disk.
         landed: usize,
     },
+    /// A machine loses its disk.
     Wipe {
+        /// The machine.
         machine: usize,
     },
+    /// A machine's timers expire.
     Timeout {
+        /// The machine.
         machine: usize,
     },
-    Question {
+    /// A voter sends a freshness probe.
+    Probe {
+        /// The machine.
         machine: usize,
     },
-    /// A voter that held its own ballot back for another's need wait no longer.
-    Yielded {
+    /// A voter that yielded to another proposer may start its own ballot.
+    EndYield {
+        /// The machine.
         machine: usize,
     },
-    Send {
-        order: usize,
+    /// A change is submitted.
+    Submit {
+        /// Its index among the planned changes.
+        change: usize,
+        /// The receiving machine.
         to: usize,
     },
 }
 
-/// The frames that agreement consists of.
-fn counts(message: &Message) -> bool {
+/// Request identifiers are this much for each submission of a change, plus the change's index.
+const REQUEST_STRIDE: u64 = 100;
+/// The request identifier of the change that is submitted after the recovery.
+const LAST_REQUEST: u64 = REQUEST_STRIDE - 1;
+
+/// Whether a message is one of those that consensus consists of.
+fn is_consensus(message: &Message) -> bool {
     matches!(
         message,
-        Message::Consensus(ConsensusMessage::Prepare { .. })
-            | Message::Consensus(ConsensusMessage::Promise { .. })
-            | Message::Consensus(ConsensusMessage::Reject { .. })
-            | Message::Consensus(ConsensusMessage::Accept { .. })
-            | Message::Consensus(ConsensusMessage::Accepted { .. })
-            | Message::Consensus(ConsensusMessage::Replicate { .. })
-            | Message::Consensus(ConsensusMessage::Synced { .. })
+        Message::Consensus(
+            ConsensusMessage::Prepare { .. }
+                | ConsensusMessage::Promise { .. }
+                | ConsensusMessage::Reject { .. }
+                | ConsensusMessage::Accept { .. }
+                | ConsensusMessage::Accepted { .. }
+                | ConsensusMessage::Replicate { .. }
+                | ConsensusMessage::Synced { .. }
+        )
     )
 }
 
-fn asks(message: &Message) -> bool {
-    matches!(
-        message,
-        Message::Consensus(ConsensusMessage::FreshnessProbe { .. })
-            | Message::Consensus(ConsensusMessage::FreshnessReply { .. })
-    )
+fn is_probe(message: &Message) -> bool {
+    matches!(message, Message::Consensus(ConsensusMessage::FreshnessProbe { .. }))
+}
+
+fn is_probe_reply(message: &Message) -> bool {
+    matches!(message, Message::Consensus(ConsensusMessage::FreshnessReply { .. }))
+}
+
+fn is_synced(message: &Message) -> bool {
+    matches!(message, Message::Consensus(ConsensusMessage::Synced { .. }))
 }
 
+fn is_bootstrap(message: &Message) -> bool {
+    matches!(message, Message::Membership(MembershipMessage::Bootstrap { .. }))
+}
+
+/// The steps of single machines.
 impl Agreement {
-    fn carry(&self, w: &mut World, i: usize, given: Given, questions: bool) -> Result<(), String> {
-        for (to, frame) in given.frames {
-            let founds =
-                self.founding && matches!(frame.message, Message::Membership(MembershipMessage::Bootstrap { .. }));
-            let kept = founds || counts(&frame.message) || (self.allowance.questions > 0 && asks(&frame.message));
-            // Timers ask as well; only questions that are actions of their own go out.
-            let own =
-                matches!(frame.message, Message::Consensus(ConsensusMessage::FreshnessProbe { .. })) && !questions;
-            if !kept || own || to >= self.machines {
-                continue;
-            }
-            w.judge.says(i, &frame.message, &w.machines[i].kept)?;
-            if let Message::Consensus(ConsensusMessage::FreshnessProbe { .. }) = frame.message {
-                w.judge.asks(i, w.clocks[i]);
+    /// Whether the order of this message is explored; all others are lost. Timers send probes as well, but
+    /// only those that are actions of their own count.
+    fn is_explored(&self, message: &Message, sends_probes: bool) -> bool {
+        let explores_probes = self.allowance.probes > 0;
+        is_consensus(message)
+            || (self.is_bootstrap && is_bootstrap(message))
+            || (explores_probes && is_probe_reply(message))
+            || (explores_probes && is_probe(message) && sends_probes)
+    }
+
+    /// Puts what a machine emitted under way and judges it.
+    fn process_output(
+        &self,
+        world: &mut World,
+        machine: usize,
+        output: StepOutput,
+        sends_probes: bool,
+    ) -> Result<(), String> {
+        for sent in output.frames {
+            if self.is_explored(&sent.frame.message, sends_probes) && sent.to < self.machines {
+                world.send(machine, sent)?;
             }
-            let digest = digest_of(&(to, frame.from, frame.to, frame.incarnation, &frame.message));
-            w.wires.push(Wire { to, frame: Arc::new(frame), digest, again: false });
         }
-        w.judge.machine(i, &w.machines[i].node)?;
-        for (request, fate) in given.answers {
-            self.answer(w, request, &fate, 0)?;
-        }
-        w.wires.sort_by_key(|x| (x.digest, x.again));
-        self.prune(w);
-        w.machines[i].seal(Scope::Agreement);
+        world.judge.check_machine(machine, &world.machines[machine].node)?;
+        self.process_completed(world, output.completed)?;
+        world.frames.sort();
+        self.drop_obsolete(world);
+        world.machines[machine].seal(Scope::Agreement);
         Ok(())
     }
 
-    /// Drops the frames that no machine would ever heed again: to deliver them or not is the same.
-    fn prune(&self, w: &mut World) {
-        let disks_last = |i: usize| !self.slow_disks.contains(&i) && self.allowance.wipes == 0;
-        let machines = &w.machines;
-        w.wires.retain(|x| {
-            let agree = &machines[x.to].node.consensus.state;
-            let runs = |ballot: Ballot, phase: Phase| {
-                agree.proposal.as_ref().is_some_and(|l| l.ballot == ballot && l.phase == phase)
-            };
-            match &x.frame.message {
-                Message::Consensus(ConsensusMessage::Promise { ballot, .. }) => runs(*ballot, Phase::Prepare),
-                Message::Consensus(ConsensusMessage::Accepted { ballot, .. }) => runs(*ballot, Phase::Accept),
-                Message::Consensus(ConsensusMessage::Reject { instance, .. }) => {
-                    !disks_last(x.to) || agree.version().is_none_or(|v| v < *instance)
-                }
-                Message::Consensus(ConsensusMessage::Replicate { entries: decrees }) => {
-                    !disks_last(x.to) || decrees.iter().any(|d| !agree.history.contains_key(&d.version))
-                }
-                _ => true,
+    /// Drops the frames that no machine would ever act on again: to deliver them or not is the same.
+    fn drop_obsolete(&self, world: &mut World) {
+        let World { machines, frames, .. } = world;
+        frames.retain(|in_flight| !self.is_obsolete(&machines[in_flight.to], &in_flight.frame.message));
+    }
+
+    fn is_obsolete(&self, receiver: &Machine, message: &Message) -> bool {
+        let Message::Consensus(message) = message else { return false };
+        let state = &receiver.node.consensus.state;
+        let is_current = |ballot: Ballot, phase: Phase| {
+            state.proposal.as_ref().is_some_and(|proposal| proposal.ballot == ballot && proposal.phase == phase)
+        };
+        let never_forgets = !self.slow_disks.contains(&receiver.index) && self.allowance.wipes == 0;
+        match message {
+            ConsensusMessage::Promise { ballot, .. } => !is_current(*ballot, Phase::Prepare),
+            ConsensusMessage::Accepted { ballot, .. } => !is_current(*ballot, Phase::Accept),
+            ConsensusMessage::Reject { instance, .. } => {
+                never_forgets && state.version().is_some_and(|version| version >= *instance)
+            }
+            ConsensusMessage::Replicate { entries } => {
+                never_forgets && entries.iter().all(|entry| state.history.contains_key(&entry.version))
             }
-        });
+            _ => false,
+        }
     }
 
-    fn answer(&self, w: &mut World, request: u64, fate: &ChangeOutcome, now: Micros) -> Result<(), String> {
-        let order = usize::try_from(request % 100).unwrap_or(0);
-        let Some(o) = self.orders.get(order) else { return Ok(()) };
-        if matches!(fate, ChangeOutcome::Committed { .. }) {
-            w.sent[order].1 = true;
+    fn process_completed(&self, world: &mut World, completed: Vec<CompletedChange>) -> Result<(), String> {
+        completed.iter().try_for_each(|completed| self.on_completed(world, completed))
+    }
+
+    fn on_completed(&self, world: &mut World, completed: &CompletedChange) -> Result<(), String> {
+        let CompletedChange { request_id, outcome } = completed;
+        let index = usize::try_from(request_id % REQUEST_STRIDE).unwrap_or(0);
+        let Some(planned) = self.changes.get(index) else { return Ok(()) };
+        if matches!(outcome, ChangeOutcome::Committed { .. }) {
+            world.submissions[index].is_acknowledged = true;
         }
-        if o.after.is_some() && matches!(fate, ChangeOutcome::Stale { .. }) && !w.judge.outdated(o.base) {
-            return Err(format!("what stands on the newest is not refused: {:?} on {} is ({fate:?})", o.id, o.base));
+        let is_stale = matches!(outcome, ChangeOutcome::Stale { .. });
+        if planned.after.is_some() && is_stale && !world.judge.is_outdated(planned.base) {
+            return Err(format!(
+                "what stands on the newest is not rejected: {:?} on {} is ({outcome:?})",
+                planned.change_id, planned.base
+            ));
         }
-        w.judge.answered(o.id, o.built_on(), fate, now)
+        world.judge.on_outcome(planned.change_id, planned.typed_base(), outcome, 0)
     }
 
-    fn step(&self, w: &mut World, i: usize, event: Event) -> Result<(), String> {
-        let clock = w.clocks[i];
-        let question = matches!(event, Event::Tick) && w.machines[i].node.consensus.freshness.probe_due == clock;
-        let mut given = Given::default();
-        w.machines[i].step(event, clock, &mut given);
-        if !self.slow_disks.contains(&i) {
-            w.machines[i].sync(clock, &mut given);
+    fn step(&self, world: &mut World, machine: usize, event: Event) -> Result<(), String> {
+        let clock = world.clocks[machine];
+        let probe_due = world.machines[machine].node.consensus.freshness.probe_due;
+        let sends_probes = matches!(event, Event::Tick) && probe_due == clock;
+        let mut output = StepOutput::default();
+        world.machines[machine].step(event, clock, &mut output);
+        if !self.slow_disks.contains(&machine) {
+            world.machines[machine].sync(clock, &mut output);
         }
-        self.carry(w, i, given, question)
+        self.process_output(world, machine, output, sends_probes)
     }
 
-    fn frame(&self, w: &mut World, place: usize) -> Result<(), String> {
-        let wire = w.wires.remove(place);
-        let frame = (*wire.frame).clone();
-        self.step(w, wire.to, Event::Frame(Box::new(frame)))
+    fn sync(&self, world: &mut World, machine: usize) -> Result<(), String> {
+        let mut output = StepOutput::default();
+        world.machines[machine].sync(world.clocks[machine], &mut output);
+        self.process_output(world, machine, output, false)
     }
 
-    fn act(&self, w: &mut World, action: &Action) -> Result<(), String> {
-        match action {
-            Action::Arrive { place } => self.frame(w, *place),
-            Action::Lose { place } => {
-                w.left.lost -= 1;
-                w.wires.remove(*place);
+    fn deliver(&self, world: &mut World, index: usize) -> Result<(), String> {
+        let AddressedFrame { to, frame } = world.frames.remove(index).to_addressed();
+        self.step(world, to, Event::Frame(Box::new(frame)))
+    }
+
+    fn submit(&self, world: &mut World, index: usize, to: usize) -> Result<(), String> {
+        world.submissions[index].count += 1;
+        let planned = &self.changes[index];
+        let event = Event::SubmitChange {
+            request_id: u64::from(world.submissions[index].count) * REQUEST_STRIDE + index as u64,
+            change_id: planned.change_id,
+            is_first_send: false,
+            base: planned.base,
+            change: planned.change.clone(),
+        };
+        self.step(world, to, event)
+    }
+
+    /// Lets the timers of a machine expire: those of a phase, then the backoff.
+    fn time_out(&self, world: &mut World, machine: usize) -> Result<(), String> {
+        if self.is_bootstrap {
+            world.clocks[machine] += ANNOUNCE_INTERVAL;
+            return self.step(world, machine, Event::Tick);
+        }
+        world.clocks[machine] += PHASE_TIMEOUT;
+        self.step(world, machine, Event::Tick)?;
+        world.clocks[machine] += BACKOFF;
+        self.step(world, machine, Event::Tick)
+    }
+
+    /// Moves a machine's clock to its next freshness probe, or the probe to the clock if it is overdue.
+    fn send_probe(&self, world: &mut World, machine: usize) -> Result<(), String> {
+        let due = world.machines[machine].node.consensus.freshness.probe_due;
+        world.clocks[machine] = world.clocks[machine].max(due);
+        if due < world.clocks[machine] {
+            let node = Arc::make_mut(&mut world.machines[machine].node);
+            node.consensus.freshness.probe_due = world.clocks[machine];
+        }
+        self.step(world, machine, Event::Tick)
+    }
+
+    fn act(&self, world: &mut World, action: &Action) -> Result<(), String> {
+        match *action {
+            Action::Deliver { index } => self.deliver(world, index),
+            Action::Lose { index } => {
+                world.left.losses -= 1;
+                world.frames.remove(index);
                 Ok(())
             }
-            Action::Double { place } => {
-                w.left.doubled -= 1;
-                let again = Wire { again: true, ..w.wires[*place].clone() };
-                self.frame(w, *place)?;
-                w.wires.push(again);
-                w.wires.sort_by_key(|x| (x.digest, x.again));
+            Action::Duplicate { index } => {
+                world.left.duplicates -= 1;
+                let duplicate = world.frames[index].duplicate();
+                self.deliver(world, index)?;
+                world.frames.push(duplicate);
+                world.frames.sort();
                 Ok(())
             }
-            Action::Sync { machine } => {
-                let mut given = Given::default();
-                let clock = w.clocks[*machine];
-                w.machines[*machine].sync(clock, &mut given);
-                self.carry(w, *machine, given, false)
-            }
+            Action::Sync { machine } => self.sync(world, machine),
             Action::Crash { machine, landed } => {
-                w.left.crashes -= 1;
-                w.machines[*machine] = w.machines[*machine].restart(*landed, w.clocks[*machine]);
-                w.judge.machine(*machine, &w.machines[*machine].node)
+                world.left.crashes -= 1;
+                world.crash(machine, landed)
             }
             Action::Wipe { machine } => {
-                w.left.wipes -= 1;
-                w.machines[*machine] = w.machines[*machine].wipe(w.clocks[*machine]);
+                world.left.wipes -= 1;
+                world.machines[machine] = world.machines[machine].wipe(world.clocks[machine]);
                 Ok(())
             }
             Action::Timeout { machine } => {
-                w.left.timeouts -= 1;
-                if self.founding {
-                    w.clocks[*machine] += FOUND;
-                    return self.step(w, *machine, Event::Tick);
-                }
-                w.clocks[*machine] += TIMEOUT;
-                self.step(w, *machine, Event::Tick)?;
-                w.clocks[*machine] += REST;
-                self.step(w, *machine, Event::Tick)
+                world.left.timeouts -= 1;
+                self.time_out(world, machine)
             }
-            Action::Question { machine } => {
-                w.left.questions -= 1;
-                // Until its next question is due.
-                let due = w.machines[*machine].node.consensus.freshness.probe_due;
-                w.clocks[*machine] = w.clocks[*machine].max(due);
-                if due < w.clocks[*machine] {
-                    Arc::make_mut(&mut w.machines[*machine].node).consensus.freshness.probe_due = w.clocks[*machine];
-                }
-                self.step(w, *machine, Event::Tick)
+            Action::Probe { machine } => {
+                world.left.probes -= 1;
+                self.send_probe(world, machine)
             }
-            Action::Yielded { machine } => {
-                w.left.yields -= 1;
-                w.clocks[*machine] = w.machines[*machine].node.consensus.state.yields_until;
-                self.step(w, *machine, Event::Tick)
+            Action::EndYield { machine } => {
+                world.left.yields -= 1;
+                world.clocks[machine] = world.machines[machine].node.consensus.state.yields_until;
+                self.step(world, machine, Event::Tick)
             }
-            Action::Send { order, to } => {
-                if w.sent[*order].0 > 0 {
-                    w.left.repeats -= 1;
+            Action::Submit { change, to } => {
+                if world.submissions[change].count > 0 {
+                    world.left.resubmissions -= 1;
                 }
-                w.sent[*order].0 += 1;
-                self.put(w, *order, *to, u64::from(w.sent[*order].0))
+                self.submit(world, change, to)
             }
         }
     }
 
-    /// The place of the first frame under way that is of this kind.
-    fn place(w: &World, kind: &str, from: usize, to: usize) -> Result<usize, String> {
-        let sender = w.machines[from].node.settings.node_id;
-        let is = |x: &Wire| x.to == to && x.frame.from == sender && x.frame.message.name() == kind;
-        w.wires.iter().position(is).ok_or(format!("the opening lacks its {kind} from {from} to {to}"))
-    }
-
-    /// Takes one step of the opening. One that can't be taken any more is a fault of the bound.
-    fn open(&self, w: &mut World, step: &Opening) -> Result<(), String> {
-        match step {
-            Opening::Send { order, to } => {
-                w.sent[*order].0 += 1;
-                self.put(w, *order, *to, 1)
-            }
-            Opening::Arrive { kind, from, to } => {
-                let place = Self::place(w, kind, *from, *to)?;
-                self.frame(w, place)
+    /// Takes one step of the opening. One that is not possible is an error of the bound.
+    fn open(&self, world: &mut World, opening: &Opening) -> Result<(), String> {
+        match *opening {
+            Opening::Submit { change, to } => self.submit(world, change, to),
+            Opening::Deliver { kind, from, to } => {
+                let index = world.index_of(kind, from, to)?;
+                self.deliver(world, index)
             }
             Opening::Lose { kind, from, to } => {
-                let place = Self::place(w, kind, *from, *to)?;
-                w.wires.remove(place);
+                let index = world.index_of(kind, from, to)?;
+                world.frames.remove(index);
                 Ok(())
             }
-            Opening::Turn { machine } => self.act(w, &Action::Timeout { machine: *machine }),
-            Opening::Wipe { machine } => self.act(w, &Action::Wipe { machine: *machine }),
-            Opening::Sync { machine } => self.act(w, &Action::Sync { machine: *machine }),
-            Opening::Crash { machine, landed } => {
-                w.machines[*machine] = w.machines[*machine].restart(*landed, w.clocks[*machine]);
-                w.judge.machine(*machine, &w.machines[*machine].node)
-            }
+            Opening::Timeout { machine } => self.act(world, &Action::Timeout { machine }),
+            Opening::Wipe { machine } => self.act(world, &Action::Wipe { machine }),
+            Opening::Sync { machine } => self.sync(world, machine),
+            Opening::Crash { machine, landed } => world.crash(machine, landed),
+        }
+    }
+}
+
+impl World {
+    /// Puts a frame under way. The frames are not sorted after it.
+    fn send(&mut self, machine: usize, sent: AddressedFrame) -> Result<(), String> {
+        let AddressedFrame { to, frame } = &sent;
+        self.judge.on_send(machine, &frame.message, &self.machines[machine].durable)?;
+        if is_probe(&frame.message) {
+            self.judge.on_probe(machine, self.clocks[machine]);
         }
+        // Without the time of sending: each machine has a clock of its own.
+        let digest = digest_of(&(to, frame.from, frame.to, frame.incarnation, &frame.message));
+        self.frames.push(InFlightFrame::new(sent, digest));
+        Ok(())
     }
 
-    fn put(&self, w: &mut World, order: usize, to: usize, time: u64) -> Result<(), String> {
-        let o = &self.orders[order];
-        let req = time * 100 + order as u64;
-        let event = Event::SubmitChange {
-            request_id: req,
-            change_id: o.id,
-            is_first_send: false,
-            base: o.base,
-            change: o.change.clone(),
+    fn crash(&mut self, machine: usize, landed: usize) -> Result<(), String> {
+        self.machines[machine] = self.machines[machine].restart(landed, self.clocks[machine]);
+        self.judge.check_machine(machine, &self.machines[machine].node)
+    }
+
+    /// The index of the first frame of this kind between two machines.
+    fn index_of(&self, kind: &str, from: usize, to: usize) -> Result<usize, String> {
+        let sender = self.machines[from].node.settings.node_id;
+        let is_wanted = |in_flight: &InFlightFrame| {
+            in_flight.to == to && in_flight.frame.from == sender && in_flight.frame.message.name() == kind
         };
-        self.step(w, to, event)
+        let index = self.frames.position(is_wanted);
+        index.ok_or_else(|| format!("the opening lacks its {kind} from {from} to {to}"))
     }
+}
 
-    /// All machines in step, with every kind of frame, nothing lost and prompt disks.
-    fn run(&self, w: &mut World, time: Micros) -> Result<(), String> {
-        let mut wires: Vec<(usize, Frame)> =
-            std::mem::take(&mut w.wires).into_iter().map(|x| (x.to, (*x.frame).clone())).collect();
-        for i in 0..self.machines {
-            self.sync_now(w, i, &mut wires)?;
+/// Runs without faults.
+impl Agreement {
+    /// Runs all machines in rounds, with every kind of frame, nothing lost and prompt disks.
+    fn run(&self, world: &mut World, duration: Micros) -> Result<(), String> {
+        let mut frames = world.frames.take_all();
+        for machine in 0..self.machines {
+            self.sync_promptly(world, machine, &mut frames)?;
         }
-        for _ in 0..time / QUANTUM {
-            for i in 0..self.machines {
-                w.clocks[i] += QUANTUM;
-                self.give(w, i, Event::Tick, &mut wires)?;
+        for _ in 0..duration / ROUND {
+            for machine in 0..self.machines {
+                world.clocks[machine] += ROUND;
+                self.step_promptly(world, machine, Event::Tick, &mut frames)?;
             }
-            for (to, frame) in std::mem::take(&mut wires) {
+            for AddressedFrame { to, frame } in std::mem::take(&mut frames) {
                 if to < self.machines {
-                    self.give(w, to, Event::Frame(Box::new(frame)), &mut wires)?;
+                    self.step_promptly(world, to, Event::Frame(Box::new(frame)), &mut frames)?;
                 }
             }
         }
         Ok(())
     }
 
-    fn give(&self, w: &mut World, i: usize, event: Event, wires: &mut Vec<(usize, Frame)>) -> Result<(), String> {
-        let mut given = Given::default();
-        w.machines[i].step(event, w.clocks[i], &mut given);
-        wires.append(&mut given.frames);
-        self.answers(w, given)?;
-        self.sync_now(w, i, wires)
+    /// Steps a machine whose disk syncs at once; what it sends is added to `frames`.
+    fn step_promptly(
+        &self,
+        world: &mut World,
+        machine: usize,
+        event: Event,
+        frames: &mut Vec<AddressedFrame>,
+    ) -> Result<(), String> {
+        let mut output = StepOutput::default();
+        world.machines[machine].step(event, world.clocks[machine], &mut output);
+        frames.append(&mut output.frames);
+        self.process_completed(world, output.completed)?;
+        self.sync_promptly(world, machine, frames)
     }
 
-    fn sync_now(&self, w: &mut World, i: usize, wires: &mut Vec<(usize, Frame)>) -> Result<(), String> {
-        let mut given = Given::default();
-        w.machines[i].sync(w.clocks[i], &mut given);
-        wires.append(&mut given.frames);
-        self.answers(w, given)?;
-        w.judge.machine(i, &w.machines[i].node)
+    fn sync_promptly(&self, world: &mut World, machine: usize, frames: &mut Vec<AddressedFrame>) -> Result<(), String> {
+        let mut output = StepOutput::default();
+        world.machines[machine].sync(world.clocks[machine], &mut output);
+        frames.append(&mut output.frames);
+        self.process_completed(world, output.completed)?;
+        world.judge.check_machine(machine, &world.machines[machine].node)
+    }
+}
+
+/// What may happen next.
+impl Agreement {
+    fn frame_actions(&self, world: &World) -> Vec<Action> {
+        let mut actions = Vec::new();
+        for index in 0..world.frames.len() {
+            // Two that are alike give the same.
+            if index > 0 && world.frames[index - 1].digest == world.frames[index].digest {
+                continue;
+            }
+            actions.push(Action::Deliver { index });
+            if world.left.losses > 0 {
+                actions.push(Action::Lose { index });
+            }
+            if world.left.duplicates > 0 {
+                actions.push(Action::Duplicate { index });
+            }
+        }
+        actions
+    }
+
+    fn machine_actions(&self, world: &World, index: usize) -> Vec<Action> {
+        let (left, machine) = (&world.left, &world.machines[index]);
+        let mut actions = Vec::new();
+        let unsynced = machine.unsynced.len();
+        if unsynced > 0 {
+            actions.push(Action::Sync { machine: index });
+        }
+        if left.crashes > 0 && index < VOTERS {
+            actions.extend((0..=unsynced).map(|landed| Action::Crash { machine: index, landed }));
+        }
+        if left.wipes > 0 && index < VOTERS {
+            actions.push(Action::Wipe { machine: index });
+        }
+        let state = &machine.node.consensus.state;
+        let is_voter = machine.node.voter();
+        let is_waiting = state.proposal.is_some() || state.accepted.is_some() || !state.pending_changes.is_empty();
+        let is_founding = self.is_bootstrap && machine.node.version().is_none();
+        if left.timeouts > 0 && (is_founding || is_waiting && is_voter) {
+            actions.push(Action::Timeout { machine: index });
+        }
+        let is_yielding = is_waiting && state.proposal.is_none() && state.yields_until > world.clocks[index];
+        if left.yields > 0 && is_yielding && is_voter {
+            actions.push(Action::EndYield { machine: index });
+        }
+        if left.probes > 0 && is_voter {
+            actions.push(Action::Probe { machine: index });
+        }
+        actions
     }
 
-    fn answers(&self, w: &mut World, given: Given) -> Result<(), String> {
-        given.answers.iter().try_for_each(|(request, fate)| self.answer(w, *request, fate, 0))
+    fn submit_actions(&self, world: &World) -> Vec<Action> {
+        let mut actions = Vec::new();
+        for (change, planned) in self.changes.iter().enumerate() {
+            if planned.after.is_some_and(|other| !world.submissions[other].is_acknowledged) {
+                continue;
+            }
+            if world.submissions[change].count == 0 {
+                actions.push(Action::Submit { change, to: planned.receivers[0] });
+            } else if world.left.resubmissions > 0 {
+                actions.extend(planned.receivers.iter().map(|to| Action::Submit { change, to: *to }));
+            }
+        }
+        actions
     }
 }
 
@@ -454,161 +641,126 @@
     type State = World;
     type Action = Action;
 
-    fn start(&self) -> World {
-        let begin = |i| if self.founding { Machine::unfounded(i) } else { Machine::new(i, false) };
-        let machines = (0..self.machines).map(begin).collect();
-        let mut w = World {
-            machines,
-            clocks: vec![BIRTH; self.machines],
-            wires: Vec::new(),
+    fn initial_state(&self) -> World {
+        let new_machine =
+            |index| if self.is_bootstrap { Machine::unfounded(index) } else { Machine::new(index, false) };
+        let mut world = World {
+            machines: (0..self.machines).map(new_machine).collect(),
+            clocks: vec![STARTED_AT; self.machines],
+            frames: FramesInFlight::default(),
             left: self.allowance,
-            sent: vec![(0, false); self.orders.len()],
+            submissions: vec![Submission::default(); self.changes.len()],
             judge: Judge::default(),
-            fault: None,
+            opening_violation: None,
         };
-        // They know each other before anything happens, unless it is the founding that is explored.
-        let known = if self.founding { Ok(()) } else { self.run(&mut w, ANSWER) };
-        w.wires.clear();
-        w.machines.iter_mut().for_each(|m| m.seal(Scope::Agreement));
-        let opened = known.and_then(|()| self.opening.iter().try_for_each(|step| self.open(&mut w, step)));
-        w.fault = opened.err();
-        w
+        // Peers know each other before anything happens, unless the bootstrap is explored.
+        let acquainted = if self.is_bootstrap { Ok(()) } else { self.run(&mut world, DECISION_TIME) };
+        world.frames = FramesInFlight::default();
+        world.machines.iter_mut().for_each(|machine| machine.seal(Scope::Agreement));
+        let opened = acquainted.and_then(|()| self.opening.iter().try_for_each(|step| self.open(&mut world, step)));
+        world.opening_violation = opened.err();
+        world
     }
 
-    fn digest(&self, w: &World) -> u64 {
-        let machines: Vec<_> = w.machines.iter().map(Machine::digest).collect();
-        let wires: Vec<_> = w.wires.iter().map(|x| (x.digest, x.again)).collect();
-        digest_of(&(machines, &w.clocks, wires, w.left, &w.sent, &w.judge))
+    fn digest(&self, world: &World) -> u64 {
+        let machines: Vec<_> = world.machines.iter().map(Machine::digest).collect();
+        digest_of(&(machines, &world.clocks, world.frames.digests(), world.left, &world.submissions, &world.judge))
     }
 
-    fn describe(&self, w: &World, action: &Action) -> String {
+    fn describe(&self, world: &World, action: &Action) -> String {
         match action {
-            Action::Arrive { place } | Action::Lose { place } | Action::Double { place } => {
-                let x = &w.wires[*place];
-                format!("{action:?}: to {} from {:?}: {:?}", x.to, x.frame.from, x.frame.message)
+            Action::Deliver { index } | Action::Lose { index } | Action::Duplicate { index } => {
+                format!("{action:?}: {}", world.frames[*index])
             }
             _ => format!("{action:?}"),
         }
     }
 
-    fn actions(&self, w: &World) -> Vec<Action> {
-        // That a machine has a version on its disk only lets others acknowledge and teach, and
-        // does so the same in any order: it arrives first, unless it is lost.
-        let told =
-            w.wires.iter().position(|x| matches!(x.frame.message, Message::Consensus(ConsensusMessage::Synced { .. })));
-        if let Some(place) = told {
-            return match w.left.lost {
-                0 => vec![Action::Arrive { place }],
-                _ => vec![Action::Arrive { place }, Action::Lose { place }],
+    fn actions(&self, world: &World) -> Vec<Action> {
+        // That a machine has synced a version only lets others acknowledge and replicate, and does so the
+        // same in any order: it is delivered first, unless it is lost.
+        if let Some(index) = world.frames.position(|in_flight| is_synced(&in_flight.frame.message)) {
+            return match world.left.losses {
+                0 => vec![Action::Deliver { index }],
+                _ => vec![Action::Deliver { index }, Action::Lose { index }],
             };
         }
-        let mut v = Vec::new();
-        for place in 0..w.wires.len() {
-            let wire = &w.wires[place];
-            // Two that are alike give the same.
-            if place > 0 && w.wires[place - 1].digest == wire.digest {
-                continue;
-            }
-            v.push(Action::Arrive { place });
-            if w.left.lost > 0 {
-                v.push(Action::Lose { place });
-            }
-            if w.left.doubled > 0 {
-                v.push(Action::Double { place });
-            }
-        }
-        for (machine, m) in w.machines.iter().enumerate() {
-            let unsynced = m.unsynced.len();
-            if unsynced > 0 {
-                v.push(Action::Sync { machine });
-            }
-            if w.left.crashes > 0 && machine < VOTERS {
-                v.extend((0..=unsynced).map(|landed| Action::Crash { machine, landed }));
-            }
-            if w.left.wipes > 0 && machine < VOTERS {
-                v.push(Action::Wipe { machine });
-            }
-            let agree = &m.node.consensus.state;
-            let waits = agree.proposal.is_some() || agree.accepted.is_some() || !agree.pending_changes.is_empty();
-            let founds = self.founding && m.node.version().is_none();
-            if w.left.timeouts > 0 && (founds || waits && m.node.voter()) {
-                v.push(Action::Timeout { machine });
-            }
-            let yields = waits && agree.proposal.is_none() && agree.yields_until > w.clocks[machine];
-            if w.left.yields > 0 && yields && m.node.voter() {
-                v.push(Action::Yielded { machine });
-            }
-            if w.left.questions > 0 && m.node.voter() {
-                v.push(Action::Question { machine });
-            }
-        }
-        for (order, o) in self.orders.iter().enumerate() {
-            if o.after.is_some_and(|a| !w.sent[a].1) {
-                continue;
-            }
-            if w.sent[order].0 == 0 {
-                v.push(Action::Send { order, to: o.to[0] });
-            } else if w.left.repeats > 0 {
-                v.extend(o.to.iter().map(|to| Action::Send { order, to: *to }));
-            }
-        }
-        v
+        let mut actions = self.frame_actions(world);
+        actions.extend((0..self.machines).flat_map(|machine| self.machine_actions(world, machine)));
+        actions.extend(self.submit_actions(world));
+        actions
     }
 
-    fn apply(&self, w: &World, action: &Action) -> Result<World, String> {
-        if let Some(fault) = &w.fault {
-            return Err(fault.clone());
+    fn apply(&self, world: &World, action: &Action) -> Result<World, String> {
+        if let Some(violation) = &world.opening_violation {
+            return Err(violation.clone());
         }
-        let mut next = w.clone();
+        let mut next = world.clone();
         self.act(&mut next, action)?;
         Ok(next)
     }
 
-    fn recovers(&self, w: &World) -> Result<(), String> {
-        let mut w = w.clone();
-        self.run(&mut w, HEAL)?;
+    fn check_recovery(&self, world: &World) -> Result<(), String> {
+        let mut world = world.clone();
+        self.run(&mut world, RECOVERY_TIME)?;
         // Seeds whose disks were lost before a majority held version 0 found nothing any more.
-        let lost = self.founding && w.left.wipes < self.allowance.wipes;
-        if lost && w.machines.iter().filter(|m| m.node.voter()).count() < 2 {
+        let lost_disks = self.is_bootstrap && world.left.wipes < self.allowance.wipes;
+        if lost_disks && world.machines.iter().filter(|machine| machine.node.voter()).count() < 2 {
             return Ok(());
         }
-        let newest =
-            w.machines.iter().filter_map(|m| m.node.consensus.state.newest()).max_by_key(|d| d.version).cloned();
-        let newest = newest.ok_or("no machine holds a version")?;
-        for (i, m) in w.machines.iter().enumerate() {
-            if m.node.consensus.state.newest() != Some(&newest) {
-                let held = m.node.version();
-                return Err(format!("all converge: machine {i} holds {held:?}, others version {}", newest.version));
-            }
-            w.judge.keeps(i, &m.node)?;
-            if m.node.voter() && !m.node.is_fresh(w.clocks[i]) {
-                return Err(format!("all converge: voter {i} is not fresh"));
+        let revision = world.check_convergence()?;
+        self.check_decides_another(&mut world, revision)
+    }
+}
+
+impl World {
+    /// Checks that all machines hold the same newest version and that all voters are fresh; returns the
+    /// revision in force.
+    fn check_convergence(&self) -> Result<u64, String> {
+        let entries = self.machines.iter().filter_map(|machine| machine.node.consensus.state.newest());
+        let newest = entries.max_by_key(|entry| entry.version).ok_or("no machine holds a version")?;
+        for (index, machine) in self.machines.iter().enumerate() {
+            let node = &machine.node;
+            if node.consensus.state.newest() != Some(newest) {
+                let version = node.version();
+                return Err(format!(
+                    "all converge: machine {index} holds {version:?}, others version {}",
+                    newest.version
+                ));
+            }
+            self.judge.check_keeps_acknowledged(index, node)?;
+            if node.voter() && !node.is_fresh(self.clocks[index]) {
+                return Err(format!("all converge: voter {index} is not fresh"));
             }
         }
-        self.takes_another(&mut w, newest.revision)
+        Ok(newest.revision)
     }
 }
 
 impl Agreement {
-    /// A change that is sent now is acknowledged in time.
-    fn takes_another(&self, w: &mut World, base: u64) -> Result<(), String> {
+    /// Checks that a change that is submitted now is decided in time.
+    fn check_decides_another(&self, world: &mut World, base: u64) -> Result<(), String> {
         let body = document(base + 1, "last");
-        let i = (0..self.machines).find(|i| w.machines[*i].node.voter()).ok_or("no machine votes")?;
+        let is_voter = |machine: &Machine| machine.node.voter();
+        let receiver = world.machines.iter().position(is_voter).ok_or("no machine votes")?;
         let event = Event::SubmitChange {
-            request_id: 99,
+            request_id: LAST_REQUEST,
             change_id: change_id(&body),
             is_first_send: false,
             base,
             change: Change::Document(body.clone()),
         };
-        let mut wires = Vec::new();
-        self.give(w, i, event, &mut wires)?;
-        w.wires = wires.into_iter().map(|(to, f)| Wire { to, frame: Arc::new(f), digest: 0, again: false }).collect();
-        self.run(w, ANSWER)?;
-        let held = w.machines[i].node.consensus.state.newest().map(|d| d.body.clone());
-        let settled = w.machines.iter().filter(|m| m.kept.entries.values().any(|d| d.body == body)).count();
-        if held.as_ref() != Some(&body) || settled < 2 {
-            return Err(format!("a change is taken once all is well: it is on {settled} disks after 4 s"));
+        let mut frames = Vec::new();
+        self.step_promptly(world, receiver, event, &mut frames)?;
+        world.frames = FramesInFlight::default();
+        frames.into_iter().for_each(|sent| world.frames.push(InFlightFrame::new(sent, 0)));
+        self.run(world, DECISION_TIME)?;
+        let newest = world.machines[receiver].node.consensus.state.newest();
+        let is_decided = newest.is_some_and(|entry| entry.body == body);
+        let is_synced = |machine: &&Machine| machine.durable.entries.values().any(|entry| entry.body == body);
+        let disks = world.machines.iter().filter(is_synced).count();
+        if !is_decided || disks < 2 {
+            return Err(format!("a change is decided once all is well: it is on {disks} disks after 4 s"));
         }
         Ok(())
     }
--- a/crates/checker/src/fleet.rs
+++ b/crates/checker/src/fleet.rs
@@ -1,378 +1,568 @@
-//! Whole nodes in rounds: all machinery (agreement, freshness, membership, takeover, terms,
-//! gossip) with its timers, under every choice of faults at every choice point.
+//! Whole nodes in rounds: all machinery (consensus, freshness, membership, takeover, leases, gossip) with its
+//! timers, under every choice of faults at every choice point.
 //!
-//! Time is common and moves in rounds of 25 ms. In each round every machine gets what was sent in
-//! the round before, then its timers run; what it writes lands in the next round. So the order
-//! within a round is fixed, and what is explored is which faults come when. Two operators send
-//! changes all the time, each again to the next machine while it has no clear answer.
+//! Time is common and moves in rounds of 25 ms. In each round every machine receives what was sent in the
+//! round before, then its timers run; what it writes is synced in the next round. So the order within a round
+//! is fixed, and what is explored is which faults come when. Two operators submit changes all the time, each
+//! again to the next machine while it has no clear outcome.
 
-use crate::askers::{Askers, CONFIGURATION, FIRST_ADDRESS};
 use crate::explore::Model;
+use crate::frames::AddressedFrame;
 use crate::judge::{Base, Judge};
-use crate::machine::{BIRTH, Given, Machine, VOTERS, change_id, document};
+use crate::machine::{CompletedChange, Machine, STARTED_AT, StepOutput, VOTERS, change_id, document};
+use crate::requesters::{CONFIGURATION, FIRST_ADDRESS, Requesters};
 use std::collections::BTreeMap;
 use sumacvale_core::base::{MS, Micros, SEC};
 use sumacvale_core::lease::ROLE_COUNT;
 use sumacvale_core::node::{Event, Node, Scope, digest_of};
 use sumacvale_core::protocol::{Change, ChangeOutcome, Frame};
 
+/// The length of a round, in microseconds.
 const ROUND: Micros = 25 * MS;
-/// How long machines know each other before the first choice.
-const WARM: Micros = 4 * SEC;
-/// A second loss may come so long after an earlier one.
-const CATCH_UP: Micros = 8 * SEC;
-/// All must be well so long after the last fault.
-const RECOVERY: Micros = 12 * SEC;
-/// The answers to so many asks may be lost with a fault. Their units stay with the one who asked,
-/// who would learn of them with its next unit, and asks no more in these bounds.
+/// How long machines know each other before the first choice, in microseconds.
+const ACQUAINTANCE: Micros = 4 * SEC;
+/// A second loss may come so long after an earlier one, in microseconds.
+const LOSS_INTERVAL: Micros = 8 * SEC;
+/// All must be well so long after the last fault, in microseconds.
+const RECOVERY_TIME: Micros = 12 * SEC;
+/// The grants of so many requests may be lost with a fault. Their units stay with the requester, which would
+/// learn of them with its next grant, and sends no more requests in these bounds.
 const LOST_UNITS: u64 = 2;
-const ANSWER: Micros = 4 * SEC;
-const HELD: Micros = 200 * MS;
-const SLOW: Micros = 400 * MS;
+/// A change must be decided within this time once all is well, in microseconds.
+const DECISION_TIME: Micros = 4 * SEC;
+/// How late the frames of a machine with [`FaultKind::DelayedFrames`] are, in microseconds.
+const FRAME_DELAY: Micros = 200 * MS;
+/// How many rounds after the first copy the second copy of a duplicated frame may be delivered.
+const DUPLICATE_DELAY: Micros = 3 * ROUND;
+/// The time between two syncs of a slow disk, in microseconds.
+const SLOW_SYNC_INTERVAL: Micros = 400 * MS;
+/// How long a machine that is set aside receives nothing at all, in microseconds: almost as long as a new set
+/// of voters waits for the set before it.
+const ISOLATED_FOR: Micros = 2_400 * MS;
+/// The number of operators in bounds without requesters.
+const OPERATORS: u64 = 2;
+/// Request identifiers are this much for each submission of an operator, plus the operator's index.
+const REQUEST_STRIDE: u64 = 10;
+/// An operator submits a change again after this time without an outcome, in microseconds.
+const OUTCOME_TIMEOUT: Micros = SEC;
+/// An operator rests for this time after a commit, in microseconds.
+const REST_AFTER_COMMIT: Micros = 300 * MS;
+/// An operator rests for this time after any other outcome, in microseconds.
+const REST_AFTER_FAILURE: Micros = 100 * MS;
+/// Longer than any run of a model, in microseconds: until then lasts what never ends.
+const FOREVER: Micros = Micros::MAX / 2;
 
 /// What may go wrong with a machine, or with all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
-    /// Its process ends with its unsynced writes, and is back at once.
+pub enum FaultKind {
+    /// The process ends with its unsynced writes, and the next one starts at once.
     Crash,
-    /// The same, and it is back only when others took it for gone.
+    /// The same, and the next one starts only when others took the node for failed.
     LongCrash,
-    /// It comes back with an empty disk.
+    /// The machine comes back with an empty disk.
     Wipe,
-    /// It is lost for good.
+    /// The machine is lost for good.
     Gone,
-    Cut,
-    LongCut,
-    /// Nothing comes from it.
-    Mute,
-    /// Nothing reaches it.
-    Deaf,
+    /// A partition: no frame from it or to it is delivered.
+    Partition,
+    /// A partition for longer than the failure time-out.
+    LongPartition,
+    /// No frame from it is delivered.
+    LostSends,
+    /// No frame to it is delivered.
+    LostReceives,
     /// Its frames are late, so that others overtake them.
-    Held,
-    /// It stands still and then finds all that came.
+    DelayedFrames,
+    /// It stands still and then finds all that was sent to it.
     Freeze,
+    /// Its disk syncs only now and then.
     SlowDisk,
-    /// Every frame comes twice.
-    Doubled,
+    /// Every frame of all machines is delivered twice.
+    DuplicatedFrames,
     /// All processes end at once, with their unsynced writes.
     Blackout,
-    /// It and the next voter don't hear each other.
-    PairCut,
-    /// It hears nobody for [`ALONE_FOR`], then for a while only others that are aside too.
+    /// A partition between it and the next voter.
+    PairPartition,
+    /// It receives nothing for [`ISOLATED_FOR`], then for a while only from others that are set aside too.
     Aside,
-    /// It is told to leave, and goes on until it may end.
+    /// It is told to leave, and goes on until it may stop.
     Leave,
 }
 
-/// How long a machine that is aside hears nobody at all: almost as long as a new set of voters waits
-/// for the set before it.
-const ALONE_FOR: Micros = 2_400 * MS;
-
-pub const ALL: [Kind; 13] = [
-    Kind::Crash,
-    Kind::LongCrash,
-    Kind::Wipe,
-    Kind::Gone,
-    Kind::Cut,
-    Kind::LongCut,
-    Kind::Mute,
-    Kind::Deaf,
-    Kind::Held,
-    Kind::Freeze,
-    Kind::SlowDisk,
-    Kind::Doubled,
-    Kind::Blackout,
+/// The faults that are explored in the bounds of any fault.
+pub const ANY_FAULT: [FaultKind; 13] = [
+    FaultKind::Crash,
+    FaultKind::LongCrash,
+    FaultKind::Wipe,
+    FaultKind::Gone,
+    FaultKind::Partition,
+    FaultKind::LongPartition,
+    FaultKind::LostSends,
+    FaultKind::LostReceives,
+    FaultKind::DelayedFrames,
+    FaultKind::Freeze,
+    FaultKind::SlowDisk,
+    FaultKind::DuplicatedFrames,
+    FaultKind::Blackout,
 ];
 
-impl Kind {
-    /// It counts as the loss of a machine with its disk.
-    fn loses(self) -> bool {
-        matches!(self, Kind::Wipe | Kind::Gone)
+impl FaultKind {
+    /// Whether it counts as the loss of a machine with its disk.
+    fn loses_disk(self) -> bool {
+        matches!(self, FaultKind::Wipe | FaultKind::Gone)
     }
 
-    fn of_all(self) -> bool {
-        matches!(self, Kind::Doubled | Kind::Blackout)
+    /// Whether it strikes all machines at once.
+    fn strikes_all(self) -> bool {
+        matches!(self, FaultKind::DuplicatedFrames | FaultKind::Blackout)
     }
 
-    fn lasts(self) -> Micros {
+    /// How long it lasts, in microseconds.
+    fn duration(self) -> Micros {
         match self {
-            Kind::Crash | Kind::Blackout => 200 * MS,
-            Kind::Wipe => 600 * MS,
-            Kind::LongCrash | Kind::LongCut => 3_500 * MS,
-            Kind::Gone | Kind::Leave => Micros::MAX / 2,
-            Kind::PairCut | Kind::Aside => 7 * SEC,
-            Kind::Cut | Kind::Mute | Kind::Deaf | Kind::Held | Kind::SlowDisk | Kind::Doubled => 1_200 * MS,
-            Kind::Freeze => 1_500 * MS,
+            FaultKind::Crash | FaultKind::Blackout => 200 * MS,
+            FaultKind::Wipe => 600 * MS,
+            FaultKind::LongCrash | FaultKind::LongPartition => 3_500 * MS,
+            FaultKind::Gone | FaultKind::Leave => FOREVER,
+            FaultKind::PairPartition | FaultKind::Aside => 7 * SEC,
+            FaultKind::Partition
+            | FaultKind::LostSends
+            | FaultKind::LostReceives
+            | FaultKind::DelayedFrames
+            | FaultKind::SlowDisk
+            | FaultKind::DuplicatedFrames => 1_200 * MS,
+            FaultKind::Freeze => 1_500 * MS,
         }
     }
 }
 
+/// A fault that strikes before the exploration begins.
+#[derive(Clone, Copy, Debug)]
+pub struct OpeningFault {
+    /// How long after the fault before it, in microseconds.
+    pub delay: Micros,
+    /// What goes wrong.
+    pub kind: FaultKind,
+    /// The machine that it strikes.
+    pub machine: usize,
+}
+
 /// The bounds of one exploration.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    /// Three of them vote at the start.
+    /// The number of machines. Three of them vote at the start.
     pub machines: usize,
-    pub kinds: Vec<Kind>,
-    /// What strikes whom before the exploration begins, and how long after the one before.
-    pub opening: Vec<(Micros, Kind, usize)>,
+    /// The faults that are explored.
+    pub kinds: Vec<FaultKind>,
+    /// The faults that strike before the exploration begins.
+    pub opening: Vec<OpeningFault>,
+    /// How many faults may strike on one path.
     pub faults: u8,
-    /// Time between choices.
+    /// The time between choices, in microseconds.
     pub step: Micros,
-    /// Time within which the first fault comes.
-    pub first: Micros,
-    /// Time after each fault within which the next one comes.
-    pub next: Micros,
-    /// Two nodes ask for units of a tenant's window all the time, in the place of operators.
-    pub askers: bool,
-    /// A second loss may come as soon as all voters of the newest set are up.
-    pub close: bool,
+    /// The time within which the first fault strikes, in microseconds.
+    pub first_within: Micros,
+    /// The time after each fault within which the next one strikes, in microseconds.
+    pub next_within: Micros,
+    /// Whether two nodes request units of a tenant's window all the time, in the place of operators.
+    pub has_requesters: bool,
+    /// Whether a second loss may come as soon as all voters of the newest set are up.
+    pub allows_close_losses: bool,
 }
 
+/// What may happen next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
+    /// Time passes without a fault.
     Wait,
-    Fault(Kind, usize),
+    /// A fault strikes a machine, and time passes.
+    Fault(FaultKind, usize),
 }
 
-/// An operator: the change that it wants next, and the one under way.
+/// A change that an operator submitted, without a clear outcome so far.
+#[derive(Clone, Debug)]
+struct OpenChange {
+    base: u64,
+    body: String,
+}
+
+/// An operator, who submits one change after the other.
 #[derive(Clone, Debug, Default)]
 struct Operator {
-    base: u64,
-    count: u64,
-    open: Option<(u64, String)>,
+    /// How many changes it began.
+    changes: u64,
+    open: Option<OpenChange>,
+    /// When the next submission is due, in microseconds.
     due: Micros,
-    request: u64,
+    /// The identifier of the last submission.
+    request_id: u64,
+    /// The number that the receiving machine is derived from.
+    receiver: usize,
+}
+
+/// A frame under way.
+#[derive(Clone, Debug)]
+struct DelayedFrame {
+    /// It is delivered in the first round after this time, in microseconds.
+    deliver_after: Micros,
     to: usize,
+    frame: Frame,
 }
 
+/// One state of the model.
 #[derive(Clone)]
 pub struct World {
     now: Micros,
     machines: Vec<Machine>,
-    down: Vec<Micros>,
-    /// Which kinds of faults last until when, by machine.
-    troubles: BTreeMap<(Kind, usize), Micros>,
-    wires: Vec<(Micros, usize, Frame)>,
+    /// For each machine: when its next process starts, in microseconds; 0 while one runs.
+    down_until: Vec<Micros>,
+    /// When each fault ends, in microseconds, by the machine that it struck.
+    faults: BTreeMap<(FaultKind, usize), Micros>,
+    frames: Vec<DelayedFrame>,
     operators: Vec<Operator>,
     /// None where operators act.
-    askers: Option<Askers>,
+    requesters: Option<Requesters>,
     judge: Judge,
-    left: u8,
+    /// How many faults may still strike.
+    faults_left: u8,
+    /// The next fault strikes before this time, in microseconds.
     choose_until: Micros,
-    lost_at: Option<Micros>,
-    acknowledged_last: Micros,
-    /// Operators send nothing any more.
-    quiet: bool,
-    /// What the time before the first choice broke; it shows with the first step.
-    broken: Option<String>,
+    /// When the last disk was lost, in microseconds.
+    disk_lost_at: Option<Micros>,
+    /// When the last change was acknowledged, in microseconds.
+    acknowledged_at: Micros,
+    /// Operators submit nothing any more.
+    operators_rest: bool,
+    /// The rule that was violated before the first choice; reported by the first action.
+    opening_violation: Option<String>,
 }
 
+/// Which faults last.
 impl World {
-    fn up(&self, i: usize) -> bool {
-        self.down[i] <= self.now
+    fn is_up(&self, machine: usize) -> bool {
+        self.down_until[machine] <= self.now
     }
 
-    fn troubled(&self, kind: Kind, i: usize) -> bool {
-        self.troubles.get(&(kind, i)).is_some_and(|until| *until > self.now)
+    fn has_fault(&self, kind: FaultKind, machine: usize) -> bool {
+        self.faults.get(&(kind, machine)).is_some_and(|until| *until > self.now)
     }
 
-    /// Whether it is aside and has not been for long enough to hear the others there.
-    fn alone(&self, i: usize) -> bool {
-        let until = self.troubles.get(&(Kind::Aside, i)).copied().unwrap_or(0);
-        self.now < (until + ALONE_FOR).saturating_sub(Kind::Aside.lasts())
+    /// Whether it is set aside and has not been for long enough to receive from the others there.
+    fn is_isolated(&self, machine: usize) -> bool {
+        let until = self.faults.get(&(FaultKind::Aside, machine)).copied().unwrap_or(0);
+        self.now < (until + ISOLATED_FOR).saturating_sub(FaultKind::Aside.duration())
     }
 
-    fn steps(&self, i: usize) -> bool {
-        self.up(i) && !self.troubled(Kind::Freeze, i)
+    /// Whether it is partitioned from all others.
+    fn is_partitioned(&self, machine: usize) -> bool {
+        self.has_fault(FaultKind::Partition, machine)
+            || self.has_fault(FaultKind::LongPartition, machine)
+            || self.is_isolated(machine)
     }
 
-    fn cut(&self, from: usize, to: usize) -> bool {
-        let both = |i| self.troubled(Kind::Cut, i) || self.troubled(Kind::LongCut, i) || self.alone(i);
-        let pair = |a, b| self.troubled(Kind::PairCut, a) && b == (a + 1) % VOTERS;
-        let apart = self.troubled(Kind::Aside, from) != self.troubled(Kind::Aside, to);
-        apart
+    /// Whether the node takes events.
+    fn is_running(&self, machine: usize) -> bool {
+        self.is_up(machine) && !self.has_fault(FaultKind::Freeze, machine)
+    }
+
+    /// Whether frames between these machines are lost.
+    fn is_cut_off(&self, from: usize, to: usize) -> bool {
+        let pair = |one, other| self.has_fault(FaultKind::PairPartition, one) && other == (one + 1) % VOTERS;
+        self.has_fault(FaultKind::Aside, from) != self.has_fault(FaultKind::Aside, to)
             || pair(from, to)
             || pair(to, from)
-            || both(from)
-            || both(to)
-            || self.troubled(Kind::Mute, from)
-            || self.troubled(Kind::Deaf, to)
+            || self.is_partitioned(from)
+            || self.is_partitioned(to)
+            || self.has_fault(FaultKind::LostSends, from)
+            || self.has_fault(FaultKind::LostReceives, to)
     }
 
-    /// All voters of the newest set that any machine knows are up.
-    fn voters_up(&self) -> bool {
-        let newest = self.machines.iter().filter_map(|m| m.node.consensus.state.newest()).max_by_key(|d| d.version);
-        let up =
-            |node_id| (0..self.machines.len()).any(|i| self.up(i) && self.machines[i].node.settings.node_id == node_id);
-        newest.is_some_and(|d| d.voters.iter().all(|c| up(c.node_id)))
+    /// Whether all voters of the newest set that any machine knows are up.
+    fn are_voters_up(&self) -> bool {
+        let entries = self.machines.iter().filter_map(|machine| machine.node.consensus.state.newest());
+        let is_node_up = |node_id| {
+            self.machines.iter().any(|machine| self.is_up(machine.index) && machine.node.settings.node_id == node_id)
+        };
+        let newest = entries.max_by_key(|entry| entry.version);
+        newest.is_some_and(|entry| entry.voters.iter().all(|voter| is_node_up(voter.node_id)))
     }
 
-    fn nodes(&self) -> impl Iterator<Item = (usize, &Node)> + Clone {
-        self.machines.iter().enumerate().filter(|x| self.steps(x.0)).map(|(i, m)| (i, &*m.node))
+    fn running_nodes(&self) -> impl Iterator<Item = (usize, &Node)> + Clone {
+        let running = self.machines.iter().filter(|machine| self.is_running(machine.index));
+        running.map(|machine| (machine.index, &*machine.node))
     }
+}
 
-    fn carry(&mut self, i: usize, given: Given) -> Result<(), String> {
-        for (to, frame) in given.frames {
-            if let Some(askers) = self.askers.as_mut().filter(|_| to >= FIRST_ADDRESS) {
-                askers.hears(to - FIRST_ADDRESS, &frame, self.now)?;
-                continue;
-            }
-            if to >= self.machines.len() || self.cut(i, to) {
-                continue;
-            }
-            self.judge.says(i, &frame.message, &self.machines[i].kept)?;
-            let late = if self.troubled(Kind::Held, i) { HELD } else { 0 };
-            if self.troubled(Kind::Doubled, 0) {
-                self.wires.push((self.now + late + 3 * ROUND, to, frame.clone()));
-            }
-            self.wires.push((self.now + late, to, frame));
-        }
-        for (request, fate) in given.answers {
-            self.answer(request, &fate)?;
+/// The steps of single machines.
+impl World {
+    fn step(&mut self, machine: usize, event: Event) -> Result<(), String> {
+        let mut output = StepOutput::default();
+        self.machines[machine].step(event, self.now, &mut output);
+        self.process_output(machine, output)?;
+        self.judge.check_machine(machine, &self.machines[machine].node)
+    }
+
+    fn process_output(&mut self, machine: usize, output: StepOutput) -> Result<(), String> {
+        for sent in output.frames {
+            self.send(machine, sent)?;
         }
-        Ok(())
+        output.completed.iter().try_for_each(|completed| self.on_completed(completed))
     }
 
-    fn step(&mut self, i: usize, event: Event) -> Result<(), String> {
-        let mut given = Given::default();
-        let now = self.now;
-        self.machines[i].step(event, now, &mut given);
-        self.carry(i, given)?;
-        self.judge.machine(i, &self.machines[i].node)
+    fn send(&mut self, machine: usize, AddressedFrame { to, frame }: AddressedFrame) -> Result<(), String> {
+        if let Some(requesters) = self.requesters.as_mut().filter(|_| to >= FIRST_ADDRESS) {
+            return requesters.on_frame(to - FIRST_ADDRESS, &frame, self.now);
+        }
+        if to >= self.machines.len() || self.is_cut_off(machine, to) {
+            return Ok(());
+        }
+        self.judge.on_send(machine, &frame.message, &self.machines[machine].durable)?;
+        let delay = if self.has_fault(FaultKind::DelayedFrames, machine) { FRAME_DELAY } else { 0 };
+        let deliver_after = self.now + delay;
+        if self.has_fault(FaultKind::DuplicatedFrames, 0) {
+            let deliver_after = deliver_after + DUPLICATE_DELAY;
+            self.frames.push(DelayedFrame { deliver_after, to, frame: frame.clone() });
+        }
+        self.frames.push(DelayedFrame { deliver_after, to, frame });
+        Ok(())
     }
 
-    fn answer(&mut self, request: u64, fate: &ChangeOutcome) -> Result<(), String> {
-        let k = usize::try_from(request % 10).unwrap_or(0);
-        let o = &mut self.operators[k];
-        if o.request != request {
+    fn on_completed(&mut self, completed: &CompletedChange) -> Result<(), String> {
+        let CompletedChange { request_id, outcome } = completed;
+        let index = usize::try_from(request_id % REQUEST_STRIDE).unwrap_or(0);
+        let operator = &mut self.operators[index];
+        if operator.request_id != *request_id {
             return Ok(());
         }
-        let Some((base, body)) = o.open.clone() else { return Ok(()) };
-        self.judge.answered(change_id(&body), Base::Document(base), fate, self.now)?;
-        match fate {
+        let Some(OpenChange { base, body }) = operator.open.clone() else { return Ok(()) };
+        self.judge.on_outcome(change_id(&body), Base::Document(base), outcome, self.now)?;
+        match outcome {
             ChangeOutcome::Committed { .. } => {
-                self.acknowledged_last = self.now;
-                o.open = None;
-                o.due = self.now + 300 * MS;
+                self.acknowledged_at = self.now;
+                operator.open = None;
+                operator.due = self.now + REST_AFTER_COMMIT;
             }
             ChangeOutcome::Stale { .. } => {
-                o.open = None;
-                o.due = self.now + 100 * MS;
+                operator.open = None;
+                operator.due = self.now + REST_AFTER_FAILURE;
             }
-            _ => o.due = self.now + 100 * MS,
+            _ => operator.due = self.now + REST_AFTER_FAILURE,
         }
         Ok(())
     }
+}
 
-    /// Operators send what they want, and again what has no clear answer.
-    fn operate(&mut self) -> Result<(), String> {
-        for k in 0..self.operators.len() * usize::from(!self.quiet) {
-            let newest = self
-                .machines
-                .iter()
-                .filter_map(|m| m.node.consensus.state.newest())
-                .map(|d| d.revision)
-                .max()
-                .unwrap_or(0);
-            let o = &mut self.operators[k];
-            if self.now < o.due {
-                continue;
-            }
-            if o.open.is_none() {
-                o.base = newest;
-                o.count += 1;
-                o.open = Some((o.base, document(o.base + 1 + k as u64, &format!("by{k}n{}", o.count))));
-            } else {
-                o.to += 1;
-            }
-            o.request += 10;
-            o.due = self.now + SEC;
-            let (request, to) = (o.request, o.to % self.machines.len());
-            let Some((base, body)) = o.open.clone() else { continue };
-            if self.steps(to) {
-                let change = Change::Document(body.clone());
-                self.step(
-                    to,
-                    Event::SubmitChange {
-                        request_id: request,
-                        change_id: change_id(&body),
-                        is_first_send: false,
-                        base,
-                        change,
-                    },
-                )?;
-            }
-        }
-        Ok(())
+/// The rounds.
+impl World {
+    fn run(&mut self, duration: Micros) -> Result<(), String> {
+        (0..duration / ROUND).try_for_each(|_| self.run_round())
     }
 
-    fn round(&mut self) -> Result<(), String> {
+    fn run_round(&mut self) -> Result<(), String> {
         self.now += ROUND;
-        for i in 0..self.machines.len() {
-            if self.down[i] != 0 && self.down[i] <= self.now {
-                self.down[i] = 0;
-                self.machines[i] = self.machines[i].restart(0, self.now);
-            }
-            let slow = self.troubled(Kind::SlowDisk, i) && !self.now.is_multiple_of(SLOW);
-            if self.steps(i) && !slow {
-                let mut given = Given::default();
-                let now = self.now;
-                self.machines[i].sync_once(now, &mut given);
-                self.carry(i, given)?;
-            }
+        for machine in 0..self.machines.len() {
+            self.restart_and_sync(machine)?;
         }
-        let wires = std::mem::take(&mut self.wires);
-        for (due, to, frame) in wires {
-            if due >= self.now || (self.up(to) && !self.steps(to)) {
-                self.wires.push((due, to, frame));
-            } else if self.up(to) {
-                self.step(to, Event::Frame(Box::new(frame)))?;
+        self.deliver_frames()?;
+        for machine in 0..self.machines.len() {
+            if self.is_running(machine) {
+                self.step(machine, Event::Tick)?;
             }
         }
-        for i in 0..self.machines.len() {
-            if self.steps(i) {
-                self.step(i, Event::Tick)?;
+        if !self.operators_rest {
+            (0..self.operators.len()).try_for_each(|operator| self.submit_if_due(operator))?;
+        }
+        self.deliver_requests()?;
+        self.judge.check_fleet(self.running_nodes(), self.now)
+    }
+
+    /// Starts the next process of a machine whose time has come, and syncs its disk.
+    fn restart_and_sync(&mut self, machine: usize) -> Result<(), String> {
+        if self.down_until[machine] != 0 && self.down_until[machine] <= self.now {
+            self.down_until[machine] = 0;
+            self.machines[machine] = self.machines[machine].restart(0, self.now);
+        }
+        let is_disk_stalled =
+            self.has_fault(FaultKind::SlowDisk, machine) && !self.now.is_multiple_of(SLOW_SYNC_INTERVAL);
+        if !self.is_running(machine) || is_disk_stalled {
+            return Ok(());
+        }
+        let mut output = StepOutput::default();
+        self.machines[machine].sync_once(self.now, &mut output);
+        self.process_output(machine, output)
+    }
+
+    /// Delivers the frames that are due. Those to a frozen machine wait, those to one that is down are lost.
+    fn deliver_frames(&mut self) -> Result<(), String> {
+        for delayed in std::mem::take(&mut self.frames) {
+            let DelayedFrame { deliver_after, to, .. } = delayed;
+            if deliver_after >= self.now || (self.is_up(to) && !self.is_running(to)) {
+                self.frames.push(delayed);
+            } else if self.is_up(to) {
+                self.step(to, Event::Frame(Box::new(delayed.frame)))?;
             }
         }
-        self.operate()?;
-        let asks = self.askers.as_mut().map(|a| a.asks(self.machines.len(), self.now)).unwrap_or_default();
-        for (to, frame) in asks {
-            if self.steps(to) {
+        Ok(())
+    }
+
+    fn deliver_requests(&mut self) -> Result<(), String> {
+        let cores = self.machines.len();
+        let requesters = self.requesters.as_mut();
+        let requests = requesters.map(|requesters| requesters.due_frames(cores, self.now)).unwrap_or_default();
+        for AddressedFrame { to, frame } in requests {
+            if self.is_running(to) {
                 self.step(to, Event::Frame(Box::new(frame)))?;
             }
         }
-        self.judge.fleet(self.nodes(), self.now)
+        Ok(())
     }
 
-    fn run(&mut self, time: Micros) -> Result<(), String> {
-        (0..time / ROUND).try_for_each(|_| self.round())
+    /// Lets an operator submit its next change, or the open one again to the next machine.
+    fn submit_if_due(&mut self, index: usize) -> Result<(), String> {
+        let entries = self.machines.iter().filter_map(|machine| machine.node.consensus.state.newest());
+        let newest_revision = entries.map(|entry| entry.revision).max().unwrap_or(0);
+        let operator = &mut self.operators[index];
+        if self.now < operator.due {
+            return Ok(());
+        }
+        if operator.open.is_none() {
+            operator.changes += 1;
+            let pool = format!("by{index}n{}", operator.changes);
+            let body = document(newest_revision + 1 + index as u64, &pool);
+            operator.open = Some(OpenChange { base: newest_revision, body });
+        } else {
+            operator.receiver += 1;
+        }
+        operator.request_id += REQUEST_STRIDE;
+        operator.due = self.now + OUTCOME_TIMEOUT;
+        let (request_id, to) = (operator.request_id, operator.receiver % self.machines.len());
+        let Some(OpenChange { base, body }) = operator.open.clone() else { return Ok(()) };
+        if !self.is_running(to) {
+            return Ok(());
+        }
+        let change_id = change_id(&body);
+        let change = Change::Document(body);
+        self.step(to, Event::SubmitChange { request_id, change_id, is_first_send: false, base, change })
     }
 
-    fn fault(&mut self, kind: Kind, i: usize) -> Result<(), String> {
-        let until = self.now + kind.lasts();
-        let all: Vec<_> = (0..self.machines.len()).collect();
+    fn strike(&mut self, kind: FaultKind, machine: usize) -> Result<(), String> {
+        let until = self.now + kind.duration();
         match kind {
-            Kind::Crash | Kind::LongCrash | Kind::Gone => self.end(i, until),
-            Kind::Blackout => all.into_iter().for_each(|i| self.end(i, until)),
-            Kind::Wipe => {
-                self.machines[i] = self.machines[i].wipe(self.now);
-                self.end(i, until);
+            FaultKind::Crash | FaultKind::LongCrash | FaultKind::Gone => self.end_process(machine, until),
+            FaultKind::Blackout => (0..self.machines.len()).for_each(|machine| self.end_process(machine, until)),
+            FaultKind::Wipe => {
+                self.machines[machine] = self.machines[machine].wipe(self.now);
+                self.end_process(machine, until);
             }
-            Kind::Leave => self.step(i, Event::Shutdown)?,
+            FaultKind::Leave => self.step(machine, Event::Shutdown)?,
             _ => {
-                self.troubles.insert((kind, i), until);
+                self.faults.insert((kind, machine), until);
+            }
+        }
+        if kind.loses_disk() {
+            self.disk_lost_at = Some(self.now);
+        }
+        Ok(())
+    }
+
+    fn end_process(&mut self, machine: usize, until: Micros) {
+        // The next process starts when the machine is back; until then its node counts for nothing.
+        self.machines[machine] = self.machines[machine].restart(0, self.now);
+        self.down_until[machine] = self.down_until[machine].max(until);
+    }
+}
+
+/// What holds once no fault lasts any more.
+impl World {
+    fn live_machines(&self) -> Vec<usize> {
+        (0..self.machines.len()).filter(|machine| self.is_up(*machine)).collect()
+    }
+
+    /// When the last fault that ends has ended, in microseconds.
+    fn faults_end_at(&self) -> Micros {
+        let ends = self.faults.values().chain(&self.down_until);
+        ends.filter(|end| **end < FOREVER / 2).max().copied().unwrap_or(0)
+    }
+
+    /// Checks that changes are decided, and that all units of a window are granted.
+    fn check_progress(&self, lost_units: u64) -> Result<(), String> {
+        if !self.operators.is_empty() && self.acknowledged_at + DECISION_TIME < self.now {
+            let ago = (self.now - self.acknowledged_at) / MS;
+            return Err(format!("a change is decided once all is well: the last one was {ago} ms ago"));
+        }
+        if self.requesters.as_ref().is_some_and(|requesters| !requesters.has_all_units_but(lost_units)) {
+            return Err(format!("all units of a window are granted in the end: {:?}", self.requesters));
+        }
+        Ok(())
+    }
+
+    /// Checks that all live machines hold one version, are fresh, and that each role has a holder.
+    fn check_convergence(&self) -> Result<(), String> {
+        let live = self.live_machines();
+        let node = |machine: &usize| &self.machines[*machine].node;
+        let voters: Vec<_> = live.iter().filter(|machine| node(machine).voter()).collect();
+        let versions: Vec<_> = live.iter().map(|machine| node(machine).version()).collect();
+        if versions.iter().any(|version| *version != versions[0]) {
+            return Err(format!("all converge: machines {live:?} hold versions {versions:?}, voters {voters:?}"));
+        }
+        for machine in &live {
+            self.judge.check_keeps_acknowledged(*machine, node(machine))?;
+            if !node(machine).is_fresh(self.now) {
+                return Err(format!("all converge: machine {machine} is not fresh"));
             }
         }
-        if kind.loses() {
-            self.lost_at = Some(self.now);
+        let is_held =
+            |role: &u32| live.iter().any(|machine| node(machine).leases.held.valid_epoch(*role, self.now).is_some());
+        let vacant: Vec<_> = (0..ROLE_COUNT).filter(|role| !is_held(role)).collect();
+        if !vacant.is_empty() {
+            return Err(format!("all converge: nobody holds the roles {vacant:?}"));
+        }
+        if voters.len() < live.len().min(VOTERS) {
+            return Err(format!("all converge: only {} of {} live machines vote", voters.len(), live.len()));
         }
         Ok(())
     }
+}
+
+impl Fleet {
+    fn new_world(&self) -> World {
+        let configuration = if self.has_requesters { CONFIGURATION } else { "{}" };
+        let new_operator = |index| Operator {
+            request_id: index,
+            receiver: usize::try_from(index).unwrap_or(0),
+            ..Operator::default()
+        };
+        let operators = if self.has_requesters { 0 } else { OPERATORS };
+        World {
+            now: STARTED_AT,
+            machines: (0..self.machines).map(|index| Machine::with_configuration(index, true, configuration)).collect(),
+            requesters: self.has_requesters.then(|| Requesters::new(STARTED_AT + ACQUAINTANCE)),
+            down_until: vec![0; self.machines],
+            faults: BTreeMap::new(),
+            frames: Vec::new(),
+            operators: (0..operators).map(new_operator).collect(),
+            judge: Judge::default(),
+            faults_left: self.faults,
+            choose_until: 0,
+            disk_lost_at: None,
+            acknowledged_at: 0,
+            operators_rest: false,
+            opening_violation: None,
+        }
+    }
 
-    fn end(&mut self, i: usize, until: Micros) {
-        // The restart comes when it is back; until then its node counts for nothing.
-        self.machines[i] = self.machines[i].restart(0, self.now);
-        self.down[i] = self.down[i].max(until);
+    fn open(&self, world: &mut World) -> Result<(), String> {
+        world.run(ACQUAINTANCE)?;
+        self.opening.iter().try_for_each(|fault| {
+            world.run(fault.delay)?;
+            world.strike(fault.kind, fault.machine)
+        })
+    }
+
+    /// Whether a fault of this kind would come too soon after the loss of a disk.
+    fn is_too_early(&self, world: &World, kind: FaultKind) -> bool {
+        let Some(lost_at) = world.disk_lost_at.filter(|_| kind.loses_disk()) else { return false };
+        if self.allows_close_losses { !world.are_voters_up() } else { world.now < lost_at + LOSS_INTERVAL }
     }
 }
 
@@ -380,118 +570,66 @@
     type State = World;
     type Action = Action;
 
-    fn start(&self) -> World {
-        let mut w = World {
-            now: BIRTH,
-            machines: (0..self.machines)
-                .map(|i| Machine::with_configuration(i, true, if self.askers { CONFIGURATION } else { "{}" }))
-                .collect(),
-            askers: self.askers.then(|| Askers::new(BIRTH + WARM)),
-            down: vec![0; self.machines],
-            troubles: BTreeMap::new(),
-            wires: Vec::new(),
-            operators: (0..if self.askers { 0 } else { 2 })
-                .map(|k| Operator { request: k, to: usize::try_from(k).unwrap_or(0), ..Operator::default() })
-                .collect(),
-            judge: Judge::default(),
-            left: self.faults,
-            choose_until: 0,
-            lost_at: None,
-            acknowledged_last: 0,
-            quiet: false,
-            broken: None,
-        };
-        let opened = w.run(WARM).and_then(|()| {
-            self.opening.iter().try_for_each(|(later, kind, i)| {
-                w.run(*later)?;
-                w.fault(*kind, *i)
-            })
-        });
-        w.broken = opened.err();
-        w.choose_until = w.now + self.first;
-        w
-    }
-
-    fn digest(&self, w: &World) -> u64 {
-        let machines: Vec<_> = w.machines.iter().map(|m| (m.node.digest(Scope::Full), m.digest_of_disk())).collect();
+    fn initial_state(&self) -> World {
+        let mut world = self.new_world();
+        world.opening_violation = self.open(&mut world).err();
+        world.choose_until = world.now + self.first_within;
+        world
+    }
+
+    fn digest(&self, world: &World) -> u64 {
+        let digest = |machine: &Machine| (machine.node.digest(Scope::Full), machine.disk_digest());
+        let machines: Vec<_> = world.machines.iter().map(digest).collect();
         digest_of(&(
-            (w.now, machines, &w.down),
-            (&w.troubles, &w.wires, &w.operators),
-            (&w.judge, &w.askers, w.left, w.lost_at),
+            (world.now, machines, &world.down_until),
+            (&world.faults, &world.frames, &world.operators),
+            (&world.judge, &world.requesters, world.faults_left, world.disk_lost_at),
         ))
     }
 
-    fn describe(&self, w: &World, action: &Action) -> String {
-        let voters: Vec<_> = (0..self.machines).filter(|i| w.machines[*i].node.voter()).collect();
-        format!("at {:.3} s, voters {voters:?}: {action:?}", (w.now - BIRTH) as f64 / 1e6)
+    fn describe(&self, world: &World, action: &Action) -> String {
+        let voters: Vec<_> = (0..self.machines).filter(|machine| world.machines[*machine].node.voter()).collect();
+        format!("at {:.3} s, voters {voters:?}: {action:?}", (world.now - STARTED_AT) as f64 / SEC as f64)
     }
 
-    fn actions(&self, w: &World) -> Vec<Action> {
-        if w.left == 0 || w.now >= w.choose_until {
+    fn actions(&self, world: &World) -> Vec<Action> {
+        if world.faults_left == 0 || world.now >= world.choose_until {
             return Vec::new();
         }
-        let mut v = vec![Action::Wait];
+        let mut actions = vec![Action::Wait];
         for kind in &self.kinds {
-            let early = kind.loses()
-                && w.lost_at.is_some_and(|t| if self.close { !w.voters_up() } else { w.now < t + CATCH_UP });
-            let machines = if kind.of_all() { 1 } else { self.machines };
-            for i in (0..machines).filter(|i| !early && w.steps(*i)) {
-                v.push(Action::Fault(*kind, i));
+            if self.is_too_early(world, *kind) {
+                continue;
             }
+            let machines = if kind.strikes_all() { 1 } else { self.machines };
+            let running = (0..machines).filter(|machine| world.is_running(*machine));
+            actions.extend(running.map(|machine| Action::Fault(*kind, machine)));
         }
-        v
+        actions
     }
 
-    fn apply(&self, w: &World, action: &Action) -> Result<World, String> {
-        if let Some(broken) = &w.broken {
-            return Err(broken.clone());
-        }
-        let mut w = w.clone();
-        if let Action::Fault(kind, i) = action {
-            w.fault(*kind, *i)?;
-            w.left -= 1;
-            w.choose_until = w.now + self.next;
-        }
-        w.run(self.step)?;
-        Ok(w)
-    }
-
-    fn recovers(&self, w: &World) -> Result<(), String> {
-        let mut w = w.clone();
-        let last = w.troubles.values().chain(&w.down).filter(|t| **t < Micros::MAX / 4).max().copied().unwrap_or(0);
-        w.run(last.saturating_sub(w.now) + RECOVERY)?;
-        let live: Vec<usize> = (0..self.machines).filter(|i| w.up(*i)).collect();
-        if !w.operators.is_empty() && w.acknowledged_last + ANSWER < w.now {
-            let ago = (w.now - w.acknowledged_last) / MS;
-            return Err(format!("a change is taken once all is well: the last one was {ago} ms ago"));
+    fn apply(&self, world: &World, action: &Action) -> Result<World, String> {
+        if let Some(violation) = &world.opening_violation {
+            return Err(violation.clone());
         }
-        if w.askers.as_ref().is_some_and(|a| !a.spent_but(LOST_UNITS * u64::from(self.faults))) {
-            return Err(format!("all units of a window are given in the end: {:?}", w.askers));
-        }
-        // Changes come all the time, so machines may be one apart: operators rest first.
-        w.quiet = true;
-        w.run(ANSWER)?;
-        let held: Vec<_> = live.iter().map(|i| w.machines[*i].node.version()).collect();
-        if held.iter().any(|v| *v != held[0]) {
-            let voters: Vec<_> = live.iter().filter(|i| w.machines[**i].node.voter()).collect();
-            return Err(format!("all converge: machines {live:?} hold versions {held:?}, voters {voters:?}"));
-        }
-        for i in &live {
-            let node = &w.machines[*i].node;
-            w.judge.keeps(*i, node)?;
-            if !node.is_fresh(w.now) {
-                return Err(format!("all converge: machine {i} is not fresh"));
-            }
+        let mut next = world.clone();
+        if let Action::Fault(kind, machine) = action {
+            next.strike(*kind, *machine)?;
+            next.faults_left -= 1;
+            next.choose_until = next.now + self.next_within;
         }
-        let held = |d: u32| live.iter().any(|i| w.machines[*i].node.leases.held.valid_epoch(d, w.now).is_some());
-        let vacant: Vec<_> = (0..ROLE_COUNT).filter(|d| !held(*d)).collect();
-        if !vacant.is_empty() {
-            return Err(format!("all converge: nobody holds the duties {vacant:?}"));
-        }
-        let voters = live.iter().filter(|i| w.machines[**i].node.voter()).count();
-        if voters < live.len().min(3) {
-            return Err(format!("all converge: only {voters} of {} live machines vote", live.len()));
-        }
-        Ok(())
+        next.run(self.step)?;
+        Ok(next)
+    }
+
+    fn check_recovery(&self, world: &World) -> Result<(), String> {
+        let mut world = world.clone();
+        let remaining = world.faults_end_at().saturating_sub(world.now);
+        world.run(remaining + RECOVERY_TIME)?;
+        world.check_progress(LOST_UNITS * u64::from(self.faults))?;
+        // Changes are submitted all the time, so machines may be one version apart: operators rest first.
+        world.operators_rest = true;
+        world.run(DECISION_TIME)?;
+        world.check_convergence()
     }
 }
--- a/crates/checker/src/judge.rs
+++ b/crates/checker/src/judge.rs
@@ -1,224 +1,295 @@
-//! What must hold in every state, judged from outside: by what operators were answered, what
-//! nodes hold as decided, and what each says that it knows.
+//! What must hold in every state, judged from outside.
+//!
+//! The judge sees what operators were answered, what nodes hold as decided, and what each node reports to
+//! others. It knows nothing of the algorithm. Each violation begins with the rule, before the first colon.
 
 use std::collections::{BTreeMap, BTreeSet};
-use sumacvale_core::base::{ChangeId, Micros, Version};
+use sumacvale_core::base::{ChangeId, Micros, SEC, Version};
 use sumacvale_core::consensus::DurableState;
-use sumacvale_core::lease::ROLE_COUNT;
+use sumacvale_core::lease::{GrantedLease, ROLE_COUNT};
 use sumacvale_core::node::Node;
 use sumacvale_core::protocol::{ChangeOutcome, ConsensusMessage, LogEntry, Message, Voter};
 
-/// What a change is built on, by the rule of its kind.
+/// What a change is based on, by the rule of its kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Base {
-    /// A document names the number of the one that it replaces. A list of voters leaves that number as it is.
+    /// A document names the revision of the one that it replaces. A change of voters keeps that revision.
     Document(u64),
-    /// A list of voters names the version that it stands right on top of.
+    /// A set of voters names the version right before its own.
     Voters(Version),
 }
 
+/// What a version was seen as.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct DecidedVersion {
+    change_id: ChangeId,
+    /// The revision of the document that is in force with this version.
+    revision: u64,
+}
+
+/// A change that was acknowledged.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct AcknowledgedChange {
+    change_id: ChangeId,
+    version: Version,
+}
+
+/// When an acknowledgement was received.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct Acknowledgement {
+    /// In microseconds of a clock that all machines share; 0 where there is no such clock.
+    received_at: Micros,
+    version: Version,
+}
+
+/// A freshness probe: the machine that sent it, and the time of that machine's clock, in microseconds.
+type ProbeKey = (usize, Micros);
+
 /// What was seen so far. It is a part of the explored state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Judge {
-    /// The change that each version was seen as, and the number of its document.
-    chosen: BTreeMap<Version, (ChangeId, u64)>,
-    /// Changes that were acknowledged, by what they are built on, with their version.
-    acknowledged: BTreeMap<Base, (ChangeId, Version)>,
-    refused: BTreeSet<ChangeId>,
-    /// The newest acknowledged version when a machine sent a question about freshness.
-    asked: BTreeMap<(usize, Micros), Version>,
-    /// The newest acknowledged versions and when they were acknowledged, on a common clock.
-    acknowledged_at: Vec<(Micros, Version)>,
+    /// What each version was first seen as. Invariant: an entry never changes.
+    decided: BTreeMap<Version, DecidedVersion>,
+    /// The acknowledged changes by what they are based on. Invariant: an entry never changes.
+    acknowledged: BTreeMap<Base, AcknowledgedChange>,
+    /// Changes that were rejected for good.
+    rejected: BTreeSet<ChangeId>,
+    /// The newest acknowledged version when a machine sent a freshness probe.
+    newest_at_probe: BTreeMap<ProbeKey, Version>,
+    /// All acknowledgements, in the order of their arrival.
+    acknowledgements: Vec<Acknowledgement>,
     /// The fleet and its first voters, as version 0 names them.
-    founded: Option<(u64, Vec<Voter>)>,
+    first_entry: Option<(u64, Vec<Voter>)>,
 }
 
-/// Withdrawn keys are refused everywhere after this.
-const REVOKE: Micros = 5_000_000;
+/// Withdrawn keys are rejected everywhere after this time, in microseconds.
+const REVOCATION_TIME: Micros = 5 * SEC;
+/// How many of the newest log entries of a node are judged after each of its steps.
+const JUDGED_ENTRIES: usize = 4;
 
 impl Judge {
-    /// The newest version that an operator was told of.
-    pub fn newest(&self) -> Version {
-        self.acknowledged.values().map(|a| a.1).max().unwrap_or(0)
-    }
-
-    /// A node holds this as decided.
-    pub fn decided(&mut self, machine: usize, decree: &LogEntry) -> Result<(), String> {
-        if decree.version == 0 {
-            let founding = (decree.fleet_id, decree.voters.clone());
-            let known = self.founded.get_or_insert_with(|| founding.clone());
-            if *known != founding {
-                return Err(format!("one founding: machine {machine} holds {founding:?}, others {known:?}"));
-            }
+    /// The newest version that an operator received as committed.
+    fn newest_acknowledged(&self) -> Version {
+        self.acknowledged.values().map(|change| change.version).max().unwrap_or(0)
+    }
+
+    /// Judges an entry that a node holds as decided.
+    ///
+    /// # Errors
+    /// The rule that the entry violates.
+    pub fn on_decided(&mut self, machine: usize, entry: &LogEntry) -> Result<(), String> {
+        if entry.version == 0 {
+            self.check_first_entry(machine, entry)?;
         }
-        let seen = self.chosen.contains_key(&decree.version);
-        let (known, _) = *self.chosen.entry(decree.version).or_insert((decree.change_id, decree.revision));
-        if known != decree.change_id {
+        let is_known = self.decided.contains_key(&entry.version);
+        let seen = DecidedVersion { change_id: entry.change_id, revision: entry.revision };
+        let known = *self.decided.entry(entry.version).or_insert(seen);
+        if known.change_id != entry.change_id {
             return Err(format!(
-                "one decree a version: machine {machine} holds version {} of change {:?}, others of {known:?}",
-                decree.version, decree.change_id
+                "one log entry a version: machine {machine} holds version {} of change {:?}, others of {:?}",
+                entry.version, entry.change_id, known.change_id
             ));
         }
-        if self.refused.contains(&decree.change_id) {
-            return Err(format!("refused changes never stand: {:?} does on machine {machine}", decree.change_id));
+        if self.rejected.contains(&entry.change_id) {
+            return Err(format!("rejected changes are never decided: {:?} is on machine {machine}", entry.change_id));
         }
-        if seen { Ok(()) } else { self.fits_acknowledged(machine, decree) }
+        if is_known { Ok(()) } else { self.check_acknowledged(machine, entry) }
     }
 
-    /// A version that was not seen before is what operators were told of it and of the next one.
-    fn fits_acknowledged(&self, machine: usize, decree: &LogEntry) -> Result<(), String> {
-        for (base, (change, version)) in &self.acknowledged {
-            if *version == decree.version && *change != decree.change_id {
+    fn check_first_entry(&mut self, machine: usize, entry: &LogEntry) -> Result<(), String> {
+        let first_entry = (entry.fleet_id, entry.voters.clone());
+        let known = self.first_entry.get_or_insert_with(|| first_entry.clone());
+        if *known != first_entry {
+            return Err(format!("one founding: machine {machine} holds {first_entry:?}, others {known:?}"));
+        }
+        Ok(())
+    }
+
+    /// Checks a version that was not seen before against what was acknowledged of it and of the next one.
+    fn check_acknowledged(&self, machine: usize, entry: &LogEntry) -> Result<(), String> {
+        for (base, acknowledged) in &self.acknowledged {
+            if acknowledged.version == entry.version && acknowledged.change_id != entry.change_id {
                 return Err(format!(
-                    "acknowledged is for ever: machine {machine} holds version {version} of change {:?}, {change:?} \
-                     was acknowledged",
-                    decree.change_id
+                    "acknowledged is for ever: machine {machine} holds version {} of change {:?}, {:?} was \
+                     acknowledged",
+                    entry.version, entry.change_id, acknowledged.change_id
                 ));
             }
-            self.builds(*base, *version)?;
+            self.check_base(*base, acknowledged.version)?;
         }
         Ok(())
     }
 
-    /// An operator got an answer to a change that is built on `base`.
-    pub fn answered(&mut self, change: ChangeId, base: Base, fate: &ChangeOutcome, now: Micros) -> Result<(), String> {
-        match fate {
-            ChangeOutcome::Committed { version } => {
-                if self.refused.contains(&change) {
-                    return Err(format!("refused, then acknowledged: {change:?}"));
-                }
-                let known = *self.acknowledged.entry(base).or_insert((change, *version));
-                if known.0 != change {
-                    return Err(format!("two acknowledged on one base: {:?} and {change:?} on {base:?}", known.0));
-                }
-                if known.1 != *version || self.chosen.get(version).is_some_and(|c| c.0 != change) {
-                    return Err(format!("acknowledged as a version that it is not: {change:?} as {version}"));
-                }
-                self.acknowledged_at.push((now, *version));
-                self.builds(base, *version)
-            }
+    /// Judges the outcome that an operator received for a change.
+    ///
+    /// # Errors
+    /// The rule that the outcome violates.
+    pub fn on_outcome(
+        &mut self,
+        change_id: ChangeId,
+        base: Base,
+        outcome: &ChangeOutcome,
+        now: Micros,
+    ) -> Result<(), String> {
+        match outcome {
+            ChangeOutcome::Committed { version } => self.on_acknowledged(change_id, base, *version, now),
             ChangeOutcome::Stale { .. } | ChangeOutcome::Invalid { .. } | ChangeOutcome::IdReused => {
-                if self.acknowledged.values().any(|a| a.0 == change) {
-                    return Err(format!("acknowledged, then refused: {change:?} ({fate:?})"));
-                }
-                if self.chosen.values().any(|c| c.0 == change) {
-                    return Err(format!("refused changes never stand: {change:?} does ({fate:?})"));
-                }
-                self.refused.insert(change);
-                Ok(())
+                self.on_rejected(change_id, outcome)
             }
             ChangeOutcome::NoQuorum | ChangeOutcome::Unknown | ChangeOutcome::Content { .. } => Ok(()),
         }
     }
 
-    /// Some version has a higher number than this.
-    pub fn outdated(&self, base: u64) -> bool {
-        self.chosen.values().any(|c| c.1 > base)
+    fn on_acknowledged(
+        &mut self,
+        change_id: ChangeId,
+        base: Base,
+        version: Version,
+        now: Micros,
+    ) -> Result<(), String> {
+        if self.rejected.contains(&change_id) {
+            return Err(format!("rejected, then acknowledged: {change_id:?}"));
+        }
+        let known = *self.acknowledged.entry(base).or_insert(AcknowledgedChange { change_id, version });
+        if known.change_id != change_id {
+            return Err(format!("two acknowledged on one base: {:?} and {change_id:?} on {base:?}", known.change_id));
+        }
+        let is_decided_otherwise = self.decided.get(&version).is_some_and(|decided| decided.change_id != change_id);
+        if known.version != version || is_decided_otherwise {
+            return Err(format!("acknowledged as a version that it is not: {change_id:?} as {version}"));
+        }
+        self.acknowledgements.push(Acknowledgement { received_at: now, version });
+        self.check_base(base, version)
+    }
+
+    fn on_rejected(&mut self, change_id: ChangeId, outcome: &ChangeOutcome) -> Result<(), String> {
+        if self.acknowledged.values().any(|acknowledged| acknowledged.change_id == change_id) {
+            return Err(format!("acknowledged, then rejected: {change_id:?} ({outcome:?})"));
+        }
+        if self.decided.values().any(|decided| decided.change_id == change_id) {
+            return Err(format!("rejected changes are never decided: {change_id:?} is ({outcome:?})"));
+        }
+        self.rejected.insert(change_id);
+        Ok(())
+    }
+
+    /// Whether a version with a higher revision than this was decided.
+    #[must_use]
+    pub fn is_outdated(&self, revision: u64) -> bool {
+        self.decided.values().any(|decided| decided.revision > revision)
     }
 
-    /// What became this version stands right on top of what it names, and only documents count on.
-    fn builds(&self, base: Base, version: Version) -> Result<(), String> {
-        let number = |v: Version| self.chosen.get(&v).map(|c| c.1);
-        let (before, own) = (version.checked_sub(1).and_then(number), number(version));
-        let stands = match base {
-            Base::Document(base) => before.is_none_or(|n| n == base) && own.is_none_or(|n| n > base),
-            Base::Voters(base) => version == base + 1 && (before.is_none() || own.is_none() || before == own),
+    /// Checks that a version comes right after what it names as its base, and that exactly documents raise
+    /// the revision.
+    fn check_base(&self, base: Base, version: Version) -> Result<(), String> {
+        let revision_of = |version: Version| self.decided.get(&version).map(|decided| decided.revision);
+        let (previous, own) = (version.checked_sub(1).and_then(revision_of), revision_of(version));
+        let is_on_base = match base {
+            Base::Document(base) => {
+                previous.is_none_or(|revision| revision == base) && own.is_none_or(|revision| revision > base)
+            }
+            Base::Voters(base) => version == base + 1 && (previous.is_none() || own.is_none() || previous == own),
         };
-        if !stands {
+        if !is_on_base {
             return Err(format!(
-                "changes stand on their base: version {version} of number {own:?} names {base:?} and stands on number \
-                 {before:?}"
+                "changes stand on their base: version {version} of revision {own:?} names {base:?} and follows \
+                 revision {previous:?}"
             ));
         }
         Ok(())
     }
 
-    /// What a machine says of its votes and versions stands on its disk.
-    pub fn says(&self, machine: usize, message: &Message, kept: &DurableState) -> Result<(), String> {
-        let held = kept.entries.keys().next_back().copied().unwrap_or(0);
-        let there = match message {
+    /// Judges a message that a machine sends: what it reports of its votes and versions is synced to its disk.
+    ///
+    /// # Errors
+    /// The rule that the message violates.
+    pub fn on_send(&self, machine: usize, message: &Message, durable: &DurableState) -> Result<(), String> {
+        let newest = durable.entries.keys().next_back().copied().unwrap_or(0);
+        let is_synced = match message {
             Message::Consensus(ConsensusMessage::Promise { instance, ballot, .. }) => {
-                held >= *instance || kept.promised.is_some_and(|p| p >= (*instance, *ballot))
+                newest >= *instance || durable.promised.is_some_and(|promised| promised >= (*instance, *ballot))
             }
             Message::Consensus(ConsensusMessage::Accepted { instance, ballot }) => {
-                held >= *instance || kept.accepted.as_ref().is_some_and(|a| (a.1.version, a.0) >= (*instance, *ballot))
+                let is_accepted = durable
+                    .accepted
+                    .as_ref()
+                    .is_some_and(|(accepted_ballot, entry)| (entry.version, *accepted_ballot) >= (*instance, *ballot));
+                newest >= *instance || is_accepted
             }
-            Message::Consensus(ConsensusMessage::Synced { version }) => held >= *version,
-            Message::Consensus(ConsensusMessage::FreshnessReply { synced_version: have, .. }) => held >= *have,
+            Message::Consensus(ConsensusMessage::Synced { version }) => newest >= *version,
+            Message::Consensus(ConsensusMessage::FreshnessReply { synced_version, .. }) => newest >= *synced_version,
             _ => true,
         };
-        if there {
+        if is_synced {
             return Ok(());
         }
-        Err(format!("nothing is said before it is on disk: machine {machine} says {message:?}"))
+        Err(format!("nothing is sent before it is on disk: machine {machine} sends {message:?}"))
     }
 
-    /// A machine sent a question about freshness at this time of its clock.
-    pub fn asks(&mut self, machine: usize, clock: Micros) {
-        let newest = self.newest();
-        self.asked.insert((machine, clock), newest);
+    /// A machine sent a freshness probe at this time of its clock.
+    pub fn on_probe(&mut self, machine: usize, clock: Micros) {
+        let newest = self.newest_acknowledged();
+        self.newest_at_probe.insert((machine, clock), newest);
     }
 
-    /// What holds of one machine after each of its steps.
-    pub fn machine(&mut self, machine: usize, node: &Node) -> Result<(), String> {
-        for decree in node.consensus.state.history.values().rev().take(4) {
-            self.decided(machine, decree)?;
+    /// Judges one machine after one of its steps.
+    ///
+    /// # Errors
+    /// The rule that the machine violates.
+    pub fn check_machine(&mut self, machine: usize, node: &Node) -> Result<(), String> {
+        for entry in node.consensus.state.history.values().rev().take(JUDGED_ENTRIES) {
+            self.on_decided(machine, entry)?;
         }
-        let Some((version, at)) = node.consensus.freshness.confirmed else { return Ok(()) };
-        if let Some(newest) = self.asked.get(&(machine, at)).filter(|n| **n > version) {
+        let Some((version, probed_at)) = node.consensus.freshness.confirmed else { return Ok(()) };
+        let acknowledged = self.newest_at_probe.get(&(machine, probed_at));
+        if let Some(acknowledged) = acknowledged.filter(|acknowledged| **acknowledged > version) {
             return Err(format!(
-                "nothing older is confirmed: machine {machine} had version {version} confirmed as newest by a \
-                 question that it sent after {newest} was acknowledged"
+                "nothing older is confirmed: machine {machine} had version {version} confirmed as the newest by a \
+                 probe that it sent after {acknowledged} was acknowledged"
             ));
         }
-        let newest_stamp = at;
-        self.asked.retain(|k, _| k.0 != machine || k.1 >= newest_stamp);
+        self.newest_at_probe.retain(|(prober, sent_at), _| *prober != machine || *sent_at >= probed_at);
         Ok(())
     }
 
-    /// What holds of all machines at one time of a common clock.
-    pub fn fleet<'a>(&self, nodes: impl Iterator<Item = (usize, &'a Node)> + Clone, now: Micros) -> Result<(), String> {
-        for duty in 0..ROLE_COUNT {
-            let holds = |n: &(usize, &'a Node)| n.1.leases.held.valid_epoch(duty, now).is_some();
-            let holders: Vec<_> = nodes.clone().filter(holds).map(|n| n.0).collect();
-            if holders.len() > 1 {
-                let of = |n: &Node| {
-                    let held = n.leases.held.by_role.get(&duty).map(|h| (h.epoch, h.expires_at));
-                    (
-                        n.consensus.state.newest().map(|d| d.voters_since),
-                        held,
-                        n.leases.grantor.granted.get(&duty).copied(),
-                    )
-                };
-                let all: Vec<_> = nodes.map(|(i, n)| (i, of(n))).collect();
-                return Err(format!(
-                    "one holder of a duty at a time: {holders:?} hold {duty} at {now}; each machine's set, its term \
-                     (epoch, end) and what it granted (to, epoch, end): {all:?}"
-                ));
-            }
+    /// Judges all machines at one time of the clock that they share.
+    ///
+    /// # Errors
+    /// The rule that the fleet violates.
+    pub fn check_fleet<'a>(
+        &self,
+        nodes: impl Iterator<Item = (usize, &'a Node)> + Clone,
+        now: Micros,
+    ) -> Result<(), String> {
+        for role in 0..ROLE_COUNT {
+            check_single_holder(role, nodes.clone(), now)?;
         }
-        let old = self.acknowledged_at.iter().filter(|a| a.0 + REVOKE < now).map(|a| a.1).max();
-        let Some(old) = old else { return Ok(()) };
+        let revoked = self.acknowledgements.iter().filter(|past| past.received_at + REVOCATION_TIME < now);
+        let Some(oldest_served) = revoked.map(|past| past.version).max() else { return Ok(()) };
         for (machine, node) in nodes {
             let version = node.version().unwrap_or(0);
-            if node.is_fresh(now) && version < old {
+            if node.is_fresh(now) && version < oldest_served {
                 return Err(format!(
-                    "nothing older is served: machine {machine} serves version {version}, {old} was acknowledged \
-                     over 5 s ago"
+                    "nothing older is served: machine {machine} serves version {version}, {oldest_served} was \
+                     acknowledged over 5 s ago"
                 ));
             }
         }
         Ok(())
     }
 
-    /// Every acknowledged change is the one that this node holds as its version.
-    pub fn keeps(&self, machine: usize, node: &Node) -> Result<(), String> {
-        for (change, version) in self.acknowledged.values() {
-            let held = node.consensus.state.history.get(version);
-            let newer = node.version().unwrap_or(0) >= *version;
-            if !newer || held.is_some_and(|d| d.change_id != *change) {
+    /// Checks that a node holds every acknowledged change as its version.
+    ///
+    /// # Errors
+    /// The acknowledged change that the node does not hold.
+    pub fn check_keeps_acknowledged(&self, machine: usize, node: &Node) -> Result<(), String> {
+        for AcknowledgedChange { change_id, version } in self.acknowledged.values() {
+            let entry = node.consensus.state.history.get(version);
+            let is_up_to_date = node.version().unwrap_or(0) >= *version;
+            if !is_up_to_date || entry.is_some_and(|entry| entry.change_id != *change_id) {
                 return Err(format!(
-                    "acknowledged is for ever: machine {machine} at version {:?} lacks {change:?} as version {version}",
+                    "acknowledged is for ever: machine {machine} at version {:?} lacks {change_id:?} as version \
+                     {version}",
                     node.version()
                 ));
             }
@@ -226,3 +297,41 @@
         Ok(())
     }
 }
+
+/// What a machine knows of one role, for the message about two holders.
+#[derive(Debug)]
+#[allow(dead_code, reason = "read by Debug only")]
+struct RoleKnowledge {
+    machine: usize,
+    voter_set: Option<Version>,
+    held_epoch: Option<u64>,
+    held_until: Option<Micros>,
+    granted: Option<GrantedLease>,
+}
+
+impl RoleKnowledge {
+    fn of(machine: usize, node: &Node, role: u32) -> Self {
+        let held = node.leases.held.by_role.get(&role);
+        RoleKnowledge {
+            machine,
+            voter_set: node.consensus.state.newest().map(|entry| entry.voters_since),
+            held_epoch: held.map(|lease| lease.epoch),
+            held_until: held.map(|lease| lease.expires_at),
+            granted: node.leases.grantor.granted.get(&role).copied(),
+        }
+    }
+}
+
+fn check_single_holder<'a>(
+    role: u32,
+    nodes: impl Iterator<Item = (usize, &'a Node)> + Clone,
+    now: Micros,
+) -> Result<(), String> {
+    let is_holder = |(_, node): &(usize, &Node)| node.leases.held.valid_epoch(role, now).is_some();
+    let holders: Vec<_> = nodes.clone().filter(is_holder).map(|(machine, _)| machine).collect();
+    if holders.len() <= 1 {
+        return Ok(());
+    }
+    let known: Vec<_> = nodes.map(|(machine, node)| RoleKnowledge::of(machine, node, role)).collect();
+    Err(format!("one holder of a role at a time: {holders:?} hold {role} at {now}: {known:?}"))
+}
--- a/crates/checker/src/lib.rs
+++ b/crates/checker/src/lib.rs
@@ -1,12 +1,22 @@
-//! A model checker for the control side: the core's own `Node`, not a copy of it, is stepped
-//! through every order of events within small bounds. `docs/notes/control-safety.md`, section 7.
+//! A model checker for the control plane, for development only.
+//!
+//! The core's own [`Node`](sumacvale_core::node::Node), not a copy of it, is stepped through every order of
+//! events within small bounds. Each state is judged by rules, and from many of them it is checked that the
+//! system recovers. See `docs/notes/control-safety.md`, section 7.
+//!
+//! [`explore`] searches the states of a [`Model`](explore::Model). There are three models: [`agreement`],
+//! [`fleet`] and [`quota`]; [`scenarios`] names their bounds. [`planted`] removes guards from a copy of the
+//! core, to show that the checker notices.
+
+#![warn(missing_docs)]
 
 pub mod agreement;
-pub mod askers;
 pub mod explore;
 pub mod fleet;
+pub mod frames;
 pub mod judge;
 pub mod machine;
 pub mod planted;
 pub mod quota;
+pub mod requesters;
 pub mod scenarios;
--- a/crates/checker/src/main.rs
+++ b/crates/checker/src/main.rs
@@ -1,77 +1,86 @@
-//! Explores bounds by hand: `model SCENARIO… --seconds N --threads N --breadth`; `model planted`
-//! takes guards away, one at a time, and shows what catches it.
+//! Explores bounds by hand: `checker BOUND… --seconds N --threads N --breadth`, where `all` and `small` stand
+//! for all bounds and for those of the tests. `checker planted FAULT…` removes guards, one at a time, and shows
+//! what notices.
 
 use std::process::ExitCode;
 use std::time::Duration;
-use sumacvale_checker::explore::{Options, Report, Search, explore};
-use sumacvale_checker::scenarios;
+use sumacvale_checker::explore::{Model, Options, Report, SearchOrder, explore};
+use sumacvale_checker::planted::{self, RunOptions, VIOLATION_PREFIX};
+use sumacvale_checker::scenarios::{self, Scenario};
+
+/// Threads that explore, unless the command line says otherwise.
+const DEFAULT_THREADS: u64 = 4;
+/// Seconds until a bound ends unfinished, unless the command line says otherwise.
+const DEFAULT_SECONDS: u64 = 600;
+/// The same for each bound of a planted fault.
+const DEFAULT_PLANTED_SECONDS: u64 = 60;
 
 fn main() -> ExitCode {
-    let mut options = getopts::Options::new();
-    options.optopt("", "seconds", "end each bound unfinished after so long", "N");
-    options.optopt("", "threads", "threads to explore with", "N");
-    options.optflag("", "breadth", "shortest traces, more memory");
-    let args: Vec<String> = std::env::args().skip(1).collect();
-    let asked = match options.parse(&args) {
-        Ok(asked) => asked,
-        Err(why) => {
-            eprintln!("{why}\n{}", options.usage("model SCENARIO…, or model planted [FAULT…]"));
+    let mut parser = getopts::Options::new();
+    parser.optopt("", "seconds", "end each bound unfinished after so long", "N");
+    parser.optopt("", "threads", "threads to explore with", "N");
+    parser.optflag("", "breadth", "shortest traces, more memory");
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let matches = match parser.parse(&arguments) {
+        Ok(matches) => matches,
+        Err(error) => {
+            eprintln!("{error}\n{}", parser.usage("checker BOUND…, or checker planted [FAULT…]"));
             return ExitCode::FAILURE;
         }
     };
-    let number = |name: &str, other: u64| asked.opt_str(name).and_then(|s| s.parse().ok()).unwrap_or(other);
-    if asked.free.first().is_some_and(|n| n == "planted") {
-        return plant(&asked.free[1..], number("seconds", 60), number("threads", 4));
+    let number = |name: &str, default: u64| matches.opt_str(name).and_then(|text| text.parse().ok()).unwrap_or(default);
+    let threads = number("threads", DEFAULT_THREADS);
+    if let Some((_, faults)) = matches.free.split_first().filter(|(command, _)| *command == "planted") {
+        return run_planted(faults, RunOptions { seconds: number("seconds", DEFAULT_PLANTED_SECONDS), threads });
     }
+    let order = if matches.opt_present("breadth") { SearchOrder::BreadthFirst } else { SearchOrder::DepthFirst };
     let options = Options {
-        threads: usize::try_from(number("threads", 4)).unwrap_or(4),
-        search: if asked.opt_present("breadth") { Search::Breadth } else { Search::Depth },
-        most_time: Duration::from_secs(number("seconds", 600)),
+        threads: usize::try_from(threads).unwrap_or(4),
+        order,
+        max_duration: Duration::from_secs(number("seconds", DEFAULT_SECONDS)),
         ..Options::default()
     };
-    let asked_for =
-        |name: &str, small: bool| asked.free.iter().any(|n| n == name || n == "all" || (n == "small" && small));
-    for s in scenarios::all() {
-        if asked_for(s.name, s.small) {
-            show(s.name, explore(&s.model, &options));
-        }
-    }
-    for s in scenarios::fleets() {
-        if asked_for(s.name, s.small) {
-            show(s.name, explore(&s.model, &options));
-        }
-    }
-    for s in scenarios::quotas() {
-        if asked_for(s.name, s.small) {
-            show(s.name, explore(&s.model, &options));
-        }
-    }
+    explore_selected(&scenarios::agreements(), &matches.free, &options);
+    explore_selected(&scenarios::fleets(), &matches.free, &options);
+    explore_selected(&scenarios::quotas(), &matches.free, &options);
     ExitCode::SUCCESS
 }
 
-fn plant(only: &[String], seconds: u64, threads: u64) -> ExitCode {
-    match sumacvale_checker::planted::run(only, seconds, threads) {
+/// Explores the bounds that the command line names.
+fn explore_selected<M: Model>(scenarios: &[Scenario<M>], names: &[String], options: &Options) {
+    let is_selected = |scenario: &&Scenario<M>| {
+        names.iter().any(|name| name == scenario.name || name == "all" || (name == "small" && scenario.is_small))
+    };
+    for scenario in scenarios.iter().filter(is_selected) {
+        print_report(scenario.name, &explore(&scenario.model, options));
+    }
+}
+
+fn run_planted(faults: &[String], options: RunOptions) -> ExitCode {
+    match planted::run(faults, options) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
-        Err(why) => {
-            eprintln!("{why}");
+        Err(error) => {
+            eprintln!("{error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn show(name: &str, r: Report) {
+/// Prints a report in the form that [`planted`] reads.
+fn print_report(name: &str, report: &Report) {
     println!(
         "{name:<18} states {:>9} transitions {:>9} ends {:>6} recoveries {:>5} seconds {:>6.1} {}",
-        r.states,
-        r.transitions,
-        r.ends,
-        r.recoveries,
-        r.seconds,
-        if r.complete { "whole" } else { "unfinished" }
+        report.states,
+        report.transitions,
+        report.final_states,
+        report.recoveries,
+        report.seconds,
+        if report.complete { "whole" } else { "unfinished" }
     );
-    if let Some(breach) = r.breach {
-        println!("BROKEN: {}", breach.what);
-        breach.trace.iter().enumerate().for_each(|(n, step)| println!("{:>4} {step}", n + 1));
+    let Some(violation) = &report.violation else { return };
+    println!("{VIOLATION_PREFIX}{}", violation.message);
+    for (index, step) in violation.trace.iter().enumerate() {
+        println!("{:>4} {step}", index + 1);
     }
 }
--- a/crates/checker/src/quota.rs
+++ b/crates/checker/src/quota.rs
@@ -1,42 +1,53 @@
-//! Quotas: all orders of the frames by which units of one tenant are asked for, lent, recalled and
-//! returned, between the core that holds the tenant's duty and the fronts that spend.
+//! Quotas: all orders of the frames by which units of one tenant are requested, granted, recalled and
+//! returned, between the core that holds the tenant's role and the fronts that spend.
 //!
-//! The nodes are whole ones; what callers would do at a front is played on its real slices. Time
-//! is common. Explored: when calls come and which of them return their unit unrun, which frame of
-//! the quota arrives next (so any overtakes any other), a frame lost, a frame that comes twice, how
-//! far time passes meanwhile, and when the holder's process ends. All other frames (gossip, terms,
-//! registrations, grants among the cores) arrive at once.
+//! The nodes are whole ones; what callers would do at a front is played on its real slices. Time is common.
+//! Explored: when calls come and which of them refund their unit, which frame of the quota is delivered next
+//! (so any overtakes any other), a frame lost, a frame delivered twice, how far time passes meanwhile, and
+//! when the lease holder's process ends. All other frames (gossip, leases, registrations, grants among the
+//! cores) are delivered at once.
 
 use crate::explore::Model;
-use crate::machine::{BIRTH, Given, Machine};
+use crate::frames::{AddressedFrame, FramesInFlight, InFlightFrame};
+use crate::machine::{Machine, STARTED_AT, StepOutput};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::sync::Arc;
 use sumacvale_core::base::{MS, Micros, SEC};
 use sumacvale_core::lease::quota_role;
 use sumacvale_core::node::{Event, Scope, digest_of};
-use sumacvale_core::protocol::{Frame, Message, QuotaMessage};
+use sumacvale_core::protocol::{Message, QuotaMessage};
 use sumacvale_core::quota::{AcquireOutcome, FULL_SHARE, LOAN_DURATION, SHARE_LEASE};
 
+/// The one tenant.
 const TENANT: &str = "home";
-/// Timers run so often while time passes.
+/// Timers run so often while time passes, in microseconds.
 const ROUND: Micros = 50 * MS;
-/// How long machines know each other before the first call.
-const WARM: Micros = 4 * SEC;
-/// A holder that began anew has a successor, which gives shares, and all windows and leases that
-/// it doesn't know of have ended, so long after the last fault.
-const SETTLES: Micros = 3 * SEC + 2 * SHARE_LEASE;
-/// A front that calls is given all that is left within so long.
-const ANSWER: Micros = 3 * SEC;
-/// A thousand thousandths of a call.
-const CALL: u64 = 1_000;
+/// How long machines know each other before the first call, in microseconds.
+const ACQUAINTANCE: Micros = 4 * SEC;
+/// So long after the last fault, in microseconds, a lease holder that restarted has a successor, which grants
+/// shares, and all windows and leases that it does not know of have ended.
+const RECOVERY_TIME: Micros = 3 * SEC + 2 * SHARE_LEASE;
+/// A front that calls is granted all that is left within this time, in microseconds.
+const GRANT_TIME: Micros = 3 * SEC;
+/// One call, in thousandths.
+const MILLI_PER_CALL: u64 = 1_000;
 
 /// How the tenant's calls are limited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Limit {
     /// So many calls in each window.
-    Window { calls: u64, length: Micros },
-    /// Whole calls a second, and at once.
-    Rate { rate: u64, burst: u64 },
+    Window {
+        /// Calls in each window.
+        calls: u64,
+        /// The length of a window, in microseconds.
+        length: Micros,
+    },
+    /// A rate with a burst.
+    Rate {
+        /// Calls a second.
+        rate: u64,
+        /// Calls at once.
+        burst: u64,
+    },
 }
 
 impl Limit {
@@ -59,179 +70,227 @@
 pub struct Allowance {
     /// Calls at each front.
     pub calls: u8,
-    /// Calls that return their unit unrun.
-    pub unrun: u8,
+    /// Calls that refund their unit unused.
+    pub refunds: u8,
     /// Steps of time.
-    pub passes: u8,
-    pub lost: u8,
-    pub doubled: u8,
-    /// Ends of the holder's process, which begins anew at once.
-    pub ends: u8,
+    pub time_steps: u8,
+    /// Frames that are lost.
+    pub losses: u8,
+    /// Frames that are delivered twice.
+    pub duplicates: u8,
+    /// Restarts of the lease holder's process.
+    pub restarts: u8,
 }
 
-/// What has happened before the exploration begins.
+/// What happens before the exploration begins.
 #[derive(Clone, Copy, Debug)]
 pub enum Opening {
-    /// So many calls come to a front at once.
-    Calls { front: usize, count: u8 },
-    /// Time passes, and each frame arrives at once.
-    Flow { time: Micros },
+    /// Calls come to a front at once.
+    Calls {
+        /// The front.
+        front: usize,
+        /// How many calls.
+        count: u8,
+    },
+    /// Time passes, and each frame is delivered at once.
+    Flow {
+        /// How long, in microseconds.
+        duration: Micros,
+    },
     /// Time passes, and frames of the quota stay under way.
-    Hold { time: Micros },
-    /// The call at a front that has run for longest returns its unit unrun.
-    Unrun { front: usize },
-    /// The first frame of this kind (its name in `Msg`) arrives.
-    Arrive { kind: &'static str },
-    /// The holder's process ends and begins anew.
-    End,
+    Hold {
+        /// How long, in microseconds.
+        duration: Micros,
+    },
+    /// The oldest call at a front refunds its unit unused.
+    Refund {
+        /// The front.
+        front: usize,
+    },
+    /// The first frame of this kind is delivered.
+    Deliver {
+        /// The name of the message, see [`Message::name`].
+        kind: &'static str,
+    },
+    /// The lease holder's process ends, and the next one starts at once.
+    RestartHolder,
 }
 
 /// The bounds of one exploration.
 #[derive(Clone, Debug)]
 pub struct Quota {
+    /// The number of cores, which all vote.
     pub cores: usize,
+    /// The number of fronts.
     pub fronts: usize,
+    /// The tenant's limit.
     pub limit: Limit,
+    /// What happens before the exploration begins.
     pub opening: Vec<Opening>,
+    /// How often each thing may happen on one path.
     pub allowance: Allowance,
-    /// How far time passes in one step.
+    /// How far time passes in one step, in microseconds.
     pub step: Micros,
 }
 
+/// What may happen next.
 #[derive(Clone, Copy, Debug)]
 pub enum Action {
-    Call { front: usize },
-    Unrun { front: usize },
-    Arrive { place: usize },
-    Lose { place: usize },
-    Double { place: usize },
-    Pass,
-    End,
-}
-
-#[derive(Clone)]
-struct Wire {
-    to: usize,
-    frame: Arc<Frame>,
-    digest: u64,
-    /// It is the second of two.
-    again: bool,
+    /// A call comes to a front.
+    Call {
+        /// The front.
+        front: usize,
+    },
+    /// The oldest call at a front refunds its unit unused.
+    Refund {
+        /// The front.
+        front: usize,
+    },
+    /// A frame is delivered.
+    Deliver {
+        /// Its index among the frames under way.
+        index: usize,
+    },
+    /// A frame is lost.
+    Lose {
+        /// Its index among the frames under way.
+        index: usize,
+    },
+    /// A frame is delivered, and once more later.
+    Duplicate {
+        /// Its index among the frames under way.
+        index: usize,
+    },
+    /// Time passes, and frames of the quota stay under way.
+    PassTime,
+    /// The lease holder's process ends, and the next one starts at once.
+    RestartHolder,
 }
 
-/// A unit that a call took.
+/// A unit that a call acquired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Spent {
-    at: Micros,
-    /// As the slice named it, which wants this name back with a unit that was not used.
+struct SpentUnit {
+    /// In microseconds.
+    acquired_at: Micros,
+    /// The window by which the slice named it, which a refund must name too.
     window: u64,
 }
 
-/// What callers do at one front.
+/// The callers at one front.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Callers {
     /// Calls that may still come.
-    left: u8,
+    calls_left: u8,
+    /// Calls that wait for a unit.
     waiting: u64,
-    spent: Vec<Spent>,
+    /// The units of calls that were admitted, oldest first.
+    spent: Vec<SpentUnit>,
 }
 
+/// One state of the model.
 #[derive(Clone)]
 pub struct World {
+    limit: Limit,
     now: Micros,
     machines: Vec<Machine>,
-    /// Those whose digests are older than their last step.
+    /// The machines whose digests are older than their last step.
     unsealed: BTreeSet<usize>,
-    wires: Vec<Wire>,
+    frames: FramesInFlight,
     callers: Vec<Callers>,
+    /// What is left of the allowance.
     left: Allowance,
-    /// A frame was lost, or a holder's process ended: units may be lent that nobody heard of.
-    unheard: bool,
-    /// What the opening broke; it shows with the first step.
-    broken: Option<String>,
+    /// A frame was lost, or a lease holder restarted: units may be granted that no front knows of.
+    may_have_lost_grants: bool,
+    /// The rule that the opening violated; reported by the first action.
+    opening_violation: Option<String>,
 }
 
-/// The frames whose order is explored.
+/// Whether the order of this message is explored.
 fn is_explored(message: &Message) -> bool {
     matches!(
         message,
-        Message::Quota(QuotaMessage::SliceRequest { .. })
-            | Message::Quota(QuotaMessage::SliceGranted { .. })
-            | Message::Quota(QuotaMessage::WindowSpent { .. })
-            | Message::Quota(QuotaMessage::NotLeaseHolder { .. })
-            | Message::Quota(QuotaMessage::RecallSlice { .. })
-            | Message::Quota(QuotaMessage::ReturnSlice { .. })
-            | Message::Quota(QuotaMessage::ShareRequests { .. })
-            | Message::Quota(QuotaMessage::ShareGrants { .. })
+        Message::Quota(
+            QuotaMessage::SliceRequest { .. }
+                | QuotaMessage::SliceGranted { .. }
+                | QuotaMessage::WindowSpent { .. }
+                | QuotaMessage::NotLeaseHolder { .. }
+                | QuotaMessage::RecallSlice { .. }
+                | QuotaMessage::ReturnSlice { .. }
+                | QuotaMessage::ShareRequests { .. }
+                | QuotaMessage::ShareGrants { .. }
+        )
     )
 }
 
-/// What one front's slice of a window holds.
+/// One front's slice of a window.
 #[derive(Clone, Copy, Debug, Default)]
-struct Held {
+struct FrontSlice {
     window: u64,
-    got: u64,
+    granted: u64,
     returned: u64,
     free: u64,
 }
 
-/// What the holder counts of a window.
+/// What the lease holder counts of a window.
 #[derive(Clone, Copy, Debug)]
-struct Lent {
+struct HolderWindow {
     window: u64,
     granted: u64,
     returned: u64,
 }
 
+/// The steps of single machines.
 impl World {
-    fn front(&self, front: usize) -> usize {
+    /// The machine of a front.
+    fn machine_of(&self, front: usize) -> usize {
         self.machines.len() - self.callers.len() + front
     }
 
+    /// The machine that holds the lease of the tenant's role.
     fn holder(&self) -> Option<usize> {
-        let holds = |m: &Machine| m.node.leases.held.valid_epoch(quota_role(TENANT), self.now).is_some();
-        self.machines.iter().position(holds)
+        let role = quota_role(TENANT);
+        let is_holder = |machine: &Machine| machine.node.leases.held.valid_epoch(role, self.now).is_some();
+        self.machines.iter().position(is_holder)
     }
 
-    /// Steps one machine, whose disk lands at once, and gives the frames that it sends.
-    fn step_alone(&mut self, machine: usize, event: Event) -> Vec<(usize, Frame)> {
-        let mut given = Given::default();
-        self.machines[machine].step(event, self.now, &mut given);
-        self.machines[machine].sync(self.now, &mut given);
+    /// Steps one machine, whose disk syncs at once, and returns the frames that it sends.
+    fn step_alone(&mut self, machine: usize, event: Event) -> Vec<AddressedFrame> {
+        let mut output = StepOutput::default();
+        self.machines[machine].step(event, self.now, &mut output);
+        self.machines[machine].sync(self.now, &mut output);
         self.unsealed.insert(machine);
-        self.serve(machine);
-        given.frames
+        self.serve_waiting(machine);
+        output.frames
     }
 
-    /// Steps one machine, and all that hear of it by frames whose order is not explored.
+    /// Steps one machine, and all that receive frames because of it whose order is not explored.
     fn step(&mut self, machine: usize, event: Event) {
-        let mut under_way = VecDeque::from(self.step_alone(machine, event));
-        while let Some((to, frame)) = under_way.pop_front() {
-            if to >= self.machines.len() {
+        let mut sent_frames = VecDeque::from(self.step_alone(machine, event));
+        while let Some(sent) = sent_frames.pop_front() {
+            if sent.to >= self.machines.len() {
                 continue;
             }
-            if is_explored(&frame.message) {
+            if is_explored(&sent.frame.message) {
+                let AddressedFrame { to, frame } = &sent;
                 let digest = digest_of(&(to, frame.from, frame.to, frame.incarnation, frame.sent_at, &frame.message));
-                self.wires.push(Wire { to, frame: Arc::new(frame), digest, again: false });
-                continue;
+                self.frames.push(InFlightFrame::new(sent, digest));
+            } else {
+                sent_frames.extend(self.step_alone(sent.to, Event::Frame(Box::new(sent.frame))));
             }
-            under_way.extend(self.step_alone(to, Event::Frame(Box::new(frame))));
         }
     }
 
-    /// Those who wait at this machine take what there is, as `Floor::refill` does.
-    fn serve(&mut self, machine: usize) {
+    /// Lets the calls that wait at this machine acquire what there is, as the queues of the data plane do.
+    fn serve_waiting(&mut self, machine: usize) {
         let cores = self.machines.len() - self.callers.len();
         let Some(front) = machine.checked_sub(cores) else { return };
         while self.callers[front].waiting > 0 {
             let slices = &self.machines[machine].node_mut().quota.slices;
-            let take = slices
-                .rates
-                .acquire_for_waiter(TENANT, 1, self.now)
-                .unwrap_or_else(|| slices.acquire_unit(TENANT, self.now));
-            match take {
+            let of_rate = slices.rates.acquire_for_waiter(TENANT, 1, self.now);
+            match of_rate.unwrap_or_else(|| slices.acquire_unit(TENANT, self.now)) {
                 AcquireOutcome::Acquired { window, .. } => {
                     self.callers[front].waiting -= 1;
-                    self.callers[front].spent.push(Spent { at: self.now, window });
+                    self.callers[front].spent.push(SpentUnit { acquired_at: self.now, window });
                 }
                 AcquireOutcome::WindowSpent { .. } => self.callers[front].waiting = 0,
                 AcquireOutcome::Empty | AcquireOutcome::RateExhausted { .. } => return,
@@ -239,20 +298,12 @@
         }
     }
 
-    /// A call looks for a unit, and waits where there is none, as `Floor::unit` does.
+    /// A call acquires a unit, or waits where there is none, as one of the data plane does.
     fn call(&mut self, front: usize) {
-        let machine = self.front(front);
-        let now = self.now;
-        let waits = self.callers[front].waiting > 0;
-        let slices = &self.machines[machine].node_mut().quota.slices;
-        let look = if waits {
-            slices.rates.peek(TENANT, 1, now).unwrap_or(AcquireOutcome::Empty)
-        } else {
-            slices.acquire_unit(TENANT, now)
-        };
-        match look {
+        let machine = self.machine_of(front);
+        match self.acquire(front) {
             AcquireOutcome::Acquired { window, low, .. } => {
-                self.callers[front].spent.push(Spent { at: now, window });
+                self.callers[front].spent.push(SpentUnit { acquired_at: self.now, window });
                 if low {
                     self.step(machine, Event::QuotaNeeded { tenant: TENANT.into(), waiting: 0 });
                 }
@@ -265,31 +316,55 @@
         }
     }
 
-    /// The call that took a unit first at this front ends unrun.
-    fn unrun(&mut self, front: usize) {
-        let machine = self.front(front);
+    /// What a new call finds. It does not overtake those that wait.
+    fn acquire(&mut self, front: usize) -> AcquireOutcome {
+        let (machine, now) = (self.machine_of(front), self.now);
+        let has_waiting = self.callers[front].waiting > 0;
+        let slices = &self.machines[machine].node_mut().quota.slices;
+        if has_waiting {
+            slices.rates.peek(TENANT, 1, now).unwrap_or(AcquireOutcome::Empty)
+        } else {
+            slices.acquire_unit(TENANT, now)
+        }
+    }
+
+    /// The call at this front that acquired its unit first refunds it unused.
+    fn refund(&mut self, front: usize) {
+        let machine = self.machine_of(front);
         if self.callers[front].spent.is_empty() {
             return;
         }
         let spent = self.callers[front].spent.remove(0);
         self.machines[machine].node_mut().quota.slices.refund(TENANT, spent.window);
-        self.serve(machine);
+        self.serve_waiting(machine);
     }
 
-    fn arrive(&mut self, wire: Wire) {
-        self.step(wire.to, Event::Frame(Box::new((*wire.frame).clone())));
+    fn deliver(&mut self, index: usize) {
+        let AddressedFrame { to, frame } = self.frames.remove(index).to_addressed();
+        self.step(to, Event::Frame(Box::new(frame)));
     }
 
-    fn end_holder(&mut self) {
+    fn restart_holder(&mut self) {
         if let Some(holder) = self.holder() {
             self.machines[holder] = self.machines[holder].restart(0, self.now);
             self.unsealed.insert(holder);
-            self.unheard = true;
+            self.may_have_lost_grants = true;
         }
     }
 
-    /// One round of all timers. Those who wait look again whether the holder may be asked.
-    fn round(&mut self) {
+    /// Updates the digests of the machines that were stepped, and the order of the frames.
+    fn seal(&mut self) {
+        for machine in std::mem::take(&mut self.unsealed) {
+            self.machines[machine].seal(Scope::Full);
+        }
+        self.frames.sort();
+    }
+}
+
+/// The passing of time.
+impl World {
+    /// One round of all timers. Calls that wait look again whether the lease holder may be sent a request.
+    fn run_round(&mut self) {
         self.now += ROUND;
         for machine in 0..self.machines.len() {
             self.step(machine, Event::Tick);
@@ -297,189 +372,219 @@
         for front in 0..self.callers.len() {
             let waiting = self.callers[front].waiting;
             if waiting > 0 {
-                self.step(self.front(front), Event::QuotaNeeded { tenant: TENANT.into(), waiting });
+                self.step(self.machine_of(front), Event::QuotaNeeded { tenant: TENANT.into(), waiting });
             }
         }
     }
 
-    fn hold(&mut self, limit: Limit, time: Micros) -> Result<(), String> {
-        for _ in 0..time / ROUND {
-            self.round();
-            self.judge(limit)?;
+    /// Lets time pass while frames of the quota stay under way.
+    fn hold(&mut self, duration: Micros) -> Result<(), String> {
+        for _ in 0..duration / ROUND {
+            self.run_round();
+            self.check()?;
         }
         Ok(())
     }
 
-    /// All frames arrive in the order in which they were sent.
-    fn deliver(&mut self, limit: Limit) -> Result<(), String> {
-        while !self.wires.is_empty() {
-            let first = self.wires.remove(0);
-            self.arrive(first);
-            self.judge(limit)?;
+    /// Delivers all frames in the order in which they were sent.
+    fn deliver_all(&mut self) -> Result<(), String> {
+        while !self.frames.is_empty() {
+            self.deliver(0);
+            self.check()?;
         }
         Ok(())
     }
 
-    fn flow(&mut self, limit: Limit, time: Micros) -> Result<(), String> {
-        self.deliver(limit)?;
-        for _ in 0..time / ROUND {
-            self.round();
-            self.deliver(limit)?;
+    /// Lets time pass while each frame is delivered at once.
+    fn flow(&mut self, duration: Micros) -> Result<(), String> {
+        self.deliver_all()?;
+        for _ in 0..duration / ROUND {
+            self.run_round();
+            self.deliver_all()?;
         }
         Ok(())
     }
 
-    fn open(&mut self, limit: Limit, opening: Opening) -> Result<(), String> {
+    fn open(&mut self, opening: Opening) -> Result<(), String> {
         match opening {
             Opening::Calls { front, count } => (0..count).for_each(|_| self.call(front)),
-            Opening::Flow { time } => self.flow(limit, time)?,
-            Opening::Hold { time } => self.hold(limit, time)?,
-            Opening::Unrun { front } => self.unrun(front),
-            Opening::Arrive { kind } => {
-                let is_kind = |x: &Wire| x.frame.message.name() == kind;
-                let place = self.wires.iter().position(is_kind);
-                let place = place.ok_or_else(|| format!("the opening finds no frame {kind}"))?;
-                let wire = self.wires.remove(place);
-                self.arrive(wire);
+            Opening::Flow { duration } => self.flow(duration)?,
+            Opening::Hold { duration } => self.hold(duration)?,
+            Opening::Refund { front } => self.refund(front),
+            Opening::Deliver { kind } => {
+                let index = self.frames.position(|in_flight| in_flight.frame.message.name() == kind);
+                let index = index.ok_or_else(|| format!("the opening finds no frame {kind}"))?;
+                self.deliver(index);
             }
-            Opening::End => self.end_holder(),
+            Opening::RestartHolder => self.restart_holder(),
         }
-        self.judge(limit)
+        self.check()
     }
+}
 
-    fn judge(&self, limit: Limit) -> Result<(), String> {
-        match limit {
-            Limit::Window { calls, .. } => self.judge_window(calls),
-            Limit::Rate { rate, burst } => self.judge_rate(rate, burst),
+/// What must hold in every state.
+impl World {
+    fn check(&self) -> Result<(), String> {
+        match self.limit {
+            Limit::Window { calls, .. } => self.check_window(calls),
+            Limit::Rate { rate, burst } => self.check_rate(rate, burst),
         }
     }
 
-    fn held(&self) -> impl Iterator<Item = Held> {
-        (0..self.callers.len()).flat_map(|front| {
-            let rows = self.machines[self.front(front)].node.quota.slices.list();
-            rows.into_iter().map(|(_, window, got, returned, free)| Held { window, got, returned, free })
-        })
+    fn slices_of(&self, front: usize) -> impl Iterator<Item = FrontSlice> {
+        let rows = self.machines[self.machine_of(front)].node.quota.slices.list();
+        rows.into_iter().map(|(_, window, granted, returned, free)| FrontSlice { window, granted, returned, free })
     }
 
-    fn lent(&self) -> Option<Lent> {
+    fn slices(&self) -> impl Iterator<Item = FrontSlice> {
+        (0..self.callers.len()).flat_map(|front| self.slices_of(front))
+    }
+
+    fn spent_units(&self) -> impl Iterator<Item = &SpentUnit> {
+        self.callers.iter().flat_map(|callers| &callers.spent)
+    }
+
+    fn holder_window(&self) -> Option<HolderWindow> {
         let rows = self.machines[self.holder()?].node.quota.window_ledger.list();
-        let row = rows.into_iter().find(|r| r.0 == TENANT)?;
-        Some(Lent { window: row.1, granted: row.2, returned: row.3 })
+        let row = rows.into_iter().find(|row| row.0 == TENANT)?;
+        Some(HolderWindow { window: row.1, granted: row.2, returned: row.3 })
     }
 
-    /// Units that were spent, by window.
+    /// The units that were spent, by window.
     fn spent_by_window(&self) -> BTreeMap<u64, u64> {
-        let mut spent = BTreeMap::new();
-        for s in self.callers.iter().flat_map(|c| &c.spent) {
-            *spent.entry(s.window).or_insert(0) += 1;
+        let mut spent_units = BTreeMap::new();
+        for spent in self.spent_units() {
+            *spent_units.entry(spent.window).or_insert(0) += 1;
         }
-        spent
+        spent_units
+    }
+
+    fn check_window(&self, calls: u64) -> Result<(), String> {
+        self.check_window_total(calls)?;
+        self.check_window_order()?;
+        (0..self.callers.len()).try_for_each(|front| self.check_slices(front))?;
+        self.check_returned()
     }
 
-    fn judge_window(&self, calls: u64) -> Result<(), String> {
-        let spent = self.spent_by_window();
-        let mut known = spent.clone();
-        for h in self.held() {
-            *known.entry(h.window).or_insert(0) += h.free;
+    fn check_window_total(&self, calls: u64) -> Result<(), String> {
+        let mut known_units = self.spent_by_window();
+        for slice in self.slices() {
+            *known_units.entry(slice.window).or_insert(0) += slice.free;
         }
-        if let Some((window, units)) = known.iter().find(|k| *k.1 > calls) {
-            return Err(format!(
+        match known_units.iter().find(|(_, units)| **units > calls) {
+            None => Ok(()),
+            Some((window, units)) => Err(format!(
                 "held and spent never exceed the window: {units} of {calls} in window {window}; at the holder {:?}",
-                self.lent()
-            ));
-        }
-        let newest = spent.keys().next_back().copied().unwrap_or(0);
-        let began = self.callers.iter().flat_map(|c| &c.spent).filter(|s| s.window == newest).map(|s| s.at).min();
-        let late = |s: &&Spent| s.window < newest && began.is_some_and(|b| s.at > b);
-        if let Some(late) = self.callers.iter().flat_map(|c| &c.spent).find(late) {
-            return Err(format!("no unit outlives its window: {late:?}, and window {newest} began before"));
-        }
-        for front in 0..self.callers.len() {
-            self.judge_slice(front)?;
+                self.holder_window()
+            )),
         }
-        let Some(lent) = self.lent() else { return Ok(()) };
-        let holds = |h: &Held| if h.window == lent.window { h.returned } else { 0 };
-        let returned: u64 = self.held().map(|h| holds(&h)).sum();
-        let ahead = self.held().any(|h| h.window > lent.window);
-        if lent.returned > returned && !ahead {
-            return Err(format!("a returned unit is counted once: {returned} were returned; at the holder {lent:?}"));
+    }
+
+    /// Checks that no unit was spent once one of a later window was.
+    fn check_window_order(&self) -> Result<(), String> {
+        let newest = self.spent_units().map(|spent| spent.window).max().unwrap_or(0);
+        let of_newest = self.spent_units().filter(|spent| spent.window == newest);
+        let Some(started_at) = of_newest.map(|spent| spent.acquired_at).min() else { return Ok(()) };
+        let is_late = |spent: &&SpentUnit| spent.window < newest && spent.acquired_at > started_at;
+        match self.spent_units().find(is_late) {
+            None => Ok(()),
+            Some(late) => Err(format!("no unit outlives its window: {late:?}, and window {newest} began before")),
         }
-        Ok(())
     }
 
-    /// What a front was lent of a window it holds, spent or returned.
-    fn judge_slice(&self, front: usize) -> Result<(), String> {
-        let rows = self.machines[self.front(front)].node.quota.slices.list();
-        for (_, window, got, returned, free) in rows {
-            let spent = self.callers[front].spent.iter().filter(|s| s.window == window).count() as u64;
-            if spent + returned + free > got {
+    /// Checks that what a front was granted of a window is free, spent or returned.
+    fn check_slices(&self, front: usize) -> Result<(), String> {
+        for slice in self.slices_of(front) {
+            let FrontSlice { window, granted, returned, free } = slice;
+            let of_window = self.callers[front].spent.iter().filter(|spent| spent.window == window);
+            let spent = of_window.count() as u64;
+            if spent + returned + free > granted {
                 return Err(format!(
-                    "a unit is held, spent or returned: front {front} was lent {got} of window {window}, spent {spent}, \
-                     returned {returned} and holds {free}"
+                    "a unit is held, spent or returned: front {front} was granted {granted} of window {window}, \
+                     spent {spent}, returned {returned} and holds {free}"
                 ));
             }
         }
         Ok(())
     }
 
-    fn judge_rate(&self, rate: u64, burst: u64) -> Result<(), String> {
-        let shares: u64 = (0..self.callers.len())
-            .flat_map(|front| self.machines[self.front(front)].node.quota.slices.rates.list())
-            .map(|row| u64::from(row.1))
-            .sum();
+    /// Checks that the lease holder counts no more units as returned than the fronts returned.
+    fn check_returned(&self) -> Result<(), String> {
+        let Some(counted) = self.holder_window() else { return Ok(()) };
+        let of_window = self.slices().filter(|slice| slice.window == counted.window);
+        let returned: u64 = of_window.map(|slice| slice.returned).sum();
+        let is_front_ahead = self.slices().any(|slice| slice.window > counted.window);
+        if counted.returned > returned && !is_front_ahead {
+            return Err(format!(
+                "a returned unit is counted once: {returned} were returned; at the holder {counted:?}"
+            ));
+        }
+        Ok(())
+    }
+
+    fn check_rate(&self, rate: u64, burst: u64) -> Result<(), String> {
+        let rows = (0..self.callers.len())
+            .flat_map(|front| self.machines[self.machine_of(front)].node.quota.slices.rates.list());
+        let shares: u64 = rows.map(|row| u64::from(row.1)).sum();
         if shares > u64::from(FULL_SHARE) {
             return Err(format!("all shares are one at most: {shares} millionths are held"));
         }
-        let mut times: Vec<_> = self.callers.iter().flat_map(|c| &c.spent).map(|s| s.at).collect();
+        let mut times: Vec<_> = self.spent_units().map(|spent| spent.acquired_at).collect();
         times.sort_unstable();
-        for (place, from) in times.iter().enumerate() {
-            let spent = (times.len() - place) as u64 * CALL;
-            let last = times.last().copied().unwrap_or(*from);
+        let Some(last) = times.last().copied() else { return Ok(()) };
+        for (index, from) in times.iter().enumerate() {
+            let spent = (times.len() - index) as u64 * MILLI_PER_CALL;
             // What is lent counts as spent when it is lent, up to so long before.
-            let within = burst * CALL + rate * CALL * (last - from + LOAN_DURATION) / SEC;
-            if spent > within {
+            let refilled = rate * MILLI_PER_CALL * (last - from + LOAN_DURATION) / SEC;
+            let limit = burst * MILLI_PER_CALL + refilled;
+            if spent > limit {
                 return Err(format!(
-                    "no interval sees more than burst and rate: {spent} thousandths of calls in {} ms, {within} may be",
+                    "no interval sees more than burst and rate: {spent} thousandths of calls in {} ms, {limit} may be",
                     (last - from) / MS
                 ));
             }
         }
         Ok(())
     }
+}
 
-    /// All that the tenant may have now comes to this front, but what nobody ever heard of.
-    fn takes_all(&mut self, limit: Limit, front: usize) -> Result<(), String> {
+/// What holds once no fault occurs any more.
+impl World {
+    /// Checks that all that the tenant may have now is granted to this front, but what was granted by a
+    /// frame that was lost.
+    fn check_grants_all(&mut self, front: usize) -> Result<(), String> {
         // Within the window that the first call begins, where it is a short one.
-        let (most, time) = match limit {
-            Limit::Window { calls, length } => (calls, ANSWER.min(length / 2)),
-            Limit::Rate { burst, .. } => (burst, ANSWER),
+        let (calls, duration) = match self.limit {
+            Limit::Window { calls, length } => (calls, GRANT_TIME.min(length / 2)),
+            Limit::Rate { burst, .. } => (burst, GRANT_TIME),
         };
         let before = self.callers[front].spent.len() as u64;
-        for _ in 0..most {
+        for _ in 0..calls {
             self.call(front);
         }
-        self.flow(limit, time)?;
-        let came = self.callers[front].spent.len() as u64 - before;
-        match limit {
-            Limit::Rate { .. } if came < most => {
-                Err(format!("all lent units come back: {came} of {most} came to front {front}"))
+        self.flow(duration)?;
+        let served = self.callers[front].spent.len() as u64 - before;
+        match self.limit {
+            Limit::Rate { .. } if served < calls => {
+                Err(format!("all granted units come back: {served} of {calls} came to front {front}"))
             }
             Limit::Rate { .. } => Ok(()),
-            Limit::Window { .. } => self.accounted(most),
+            Limit::Window { .. } => self.check_accounted(calls),
         }
     }
 
-    /// Every unit of the newest window was spent, or was lent to one that never heard of it.
-    fn accounted(&self, calls: u64) -> Result<(), String> {
-        let Some(lent) = self.lent() else { return Err("all lent units come back: nobody holds the duty".into()) };
-        let got: u64 = self.held().filter(|h| h.window == lent.window).map(|h| h.got).sum();
-        let unheard = if self.unheard { lent.granted.saturating_sub(got) } else { 0 };
-        let spent = self.spent_by_window().get(&lent.window).copied().unwrap_or(0);
-        if spent + unheard < calls {
+    /// Checks that every unit of the newest window was spent, or was granted by a frame that was lost.
+    fn check_accounted(&self, calls: u64) -> Result<(), String> {
+        let counted = self.holder_window().ok_or("all granted units come back: nobody holds the role")?;
+        let of_window = self.slices().filter(|slice| slice.window == counted.window);
+        let granted: u64 = of_window.map(|slice| slice.granted).sum();
+        let lost = if self.may_have_lost_grants { counted.granted.saturating_sub(granted) } else { 0 };
+        let spent = self.spent_by_window().get(&counted.window).copied().unwrap_or(0);
+        if spent + lost < calls {
             return Err(format!(
-                "all lent units come back: {spent} of {calls} were spent, {unheard} lent to who never heard; at the \
-                 holder {lent:?}, fronts hold {:?}",
-                self.held().collect::<Vec<_>>()
+                "all granted units come back: {spent} of {calls} were spent, {lost} granted by lost frames; at the \
+                 holder {counted:?}, fronts hold {:?}",
+                self.slices().collect::<Vec<_>>()
             ));
         }
         Ok(())
@@ -487,12 +592,55 @@
 }
 
 impl Quota {
-    /// Fixes the digests of the machines that were stepped and the order of the frames.
-    fn seal(&self, w: &mut World) {
-        for machine in std::mem::take(&mut w.unsealed) {
-            w.machines[machine].seal(Scope::Full);
+    fn new_world(&self) -> World {
+        let configuration = self.limit.configuration();
+        let machines = self.cores + self.fronts;
+        let callers = Callers { calls_left: self.allowance.calls, ..Callers::default() };
+        World {
+            limit: self.limit,
+            now: STARTED_AT,
+            machines: (0..machines).map(|index| Machine::core_or_front(index, self.cores, &configuration)).collect(),
+            unsealed: (0..machines).collect(),
+            frames: FramesInFlight::default(),
+            callers: vec![callers; self.fronts],
+            left: self.allowance,
+            may_have_lost_grants: false,
+            opening_violation: None,
+        }
+    }
+
+    fn act(&self, world: &mut World, action: Action) -> Result<(), String> {
+        match action {
+            Action::Call { front } => {
+                world.callers[front].calls_left -= 1;
+                world.call(front);
+            }
+            Action::Refund { front } => {
+                world.left.refunds -= 1;
+                world.refund(front);
+            }
+            Action::Deliver { index } => world.deliver(index),
+            Action::Lose { index } => {
+                world.left.losses -= 1;
+                world.may_have_lost_grants = true;
+                world.frames.remove(index);
+            }
+            Action::Duplicate { index } => {
+                world.left.duplicates -= 1;
+                let duplicate = world.frames[index].duplicate();
+                world.deliver(index);
+                world.frames.push(duplicate);
+            }
+            Action::PassTime => {
+                world.left.time_steps -= 1;
+                world.hold(self.step)?;
+            }
+            Action::RestartHolder => {
+                world.left.restarts -= 1;
+                world.restart_holder();
+            }
         }
-        w.wires.sort_by_key(|x| (x.digest, x.again));
+        Ok(())
     }
 }
 
@@ -500,128 +648,83 @@
     type State = World;
     type Action = Action;
 
-    fn start(&self) -> World {
-        let configuration = self.limit.configuration();
-        let machines = self.cores + self.fronts;
-        let callers = Callers { left: self.allowance.calls, ..Callers::default() };
-        let mut w = World {
-            now: BIRTH,
-            machines: (0..machines).map(|i| Machine::core_or_front(i, self.cores, &configuration)).collect(),
-            unsealed: (0..machines).collect(),
-            wires: Vec::new(),
-            callers: vec![callers; self.fronts],
-            left: self.allowance,
-            unheard: false,
-            broken: None,
-        };
-        let opened = w
-            .flow(self.limit, WARM)
-            .and_then(|()| self.opening.iter().try_for_each(|opening| w.open(self.limit, *opening)));
-        w.broken = opened.err();
-        self.seal(&mut w);
-        w
+    fn initial_state(&self) -> World {
+        let mut world = self.new_world();
+        let acquainted = world.flow(ACQUAINTANCE);
+        let opened = acquainted.and_then(|()| self.opening.iter().try_for_each(|opening| world.open(*opening)));
+        world.opening_violation = opened.err();
+        world.seal();
+        world
     }
 
-    fn digest(&self, w: &World) -> u64 {
-        let machines: Vec<_> = w.machines.iter().map(Machine::digest).collect();
-        let fronts = &w.machines[self.cores..];
-        let slices: Vec<_> = fronts.iter().map(|m| digest_of(&m.node.quota.slices)).collect();
-        let wires: Vec<_> = w.wires.iter().map(|x| (x.digest, x.again)).collect();
-        digest_of(&((w.now, machines, slices, wires), (&w.callers, w.left, w.unheard)))
+    fn digest(&self, world: &World) -> u64 {
+        let machines: Vec<_> = world.machines.iter().map(Machine::digest).collect();
+        let fronts = &world.machines[self.cores..];
+        let slices: Vec<_> = fronts.iter().map(|front| digest_of(&front.node.quota.slices)).collect();
+        let frames = world.frames.digests();
+        digest_of(&((world.now, machines, slices, frames), (&world.callers, world.left, world.may_have_lost_grants)))
     }
 
-    fn describe(&self, w: &World, action: &Action) -> String {
+    fn describe(&self, world: &World, action: &Action) -> String {
         let what = match action {
-            Action::Arrive { place } | Action::Lose { place } | Action::Double { place } => {
-                let wire = &w.wires[*place];
-                format!("{action:?}: to {}, {:?}", wire.to, wire.frame.message)
+            Action::Deliver { index } | Action::Lose { index } | Action::Duplicate { index } => {
+                format!("{action:?}: {}", world.frames[*index])
             }
             _ => format!("{action:?}"),
         };
-        let spent: Vec<_> = w.callers.iter().map(|c| (c.spent.len(), c.waiting)).collect();
-        format!("at {:.3} s, spent and waiting {spent:?}: {what}", (w.now - BIRTH) as f64 / 1e6)
+        let callers: Vec<_> = world.callers.iter().map(|callers| (callers.spent.len(), callers.waiting)).collect();
+        let seconds = (world.now - STARTED_AT) as f64 / SEC as f64;
+        format!("at {seconds:.3} s, spent and waiting {callers:?}: {what}")
     }
 
-    fn actions(&self, w: &World) -> Vec<Action> {
-        let mut v = Vec::new();
-        for place in 0..w.wires.len() {
-            v.push(Action::Arrive { place });
-            if w.left.lost > 0 {
-                v.push(Action::Lose { place });
+    fn actions(&self, world: &World) -> Vec<Action> {
+        let mut actions = Vec::new();
+        for index in 0..world.frames.len() {
+            actions.push(Action::Deliver { index });
+            if world.left.losses > 0 {
+                actions.push(Action::Lose { index });
             }
-            if w.left.doubled > 0 && !w.wires[place].again {
-                v.push(Action::Double { place });
+            if world.left.duplicates > 0 && !world.frames[index].is_duplicate {
+                actions.push(Action::Duplicate { index });
             }
         }
-        for (front, callers) in w.callers.iter().enumerate() {
-            if callers.left > 0 {
-                v.push(Action::Call { front });
+        for (front, callers) in world.callers.iter().enumerate() {
+            if callers.calls_left > 0 {
+                actions.push(Action::Call { front });
             }
-            if w.left.unrun > 0 && !callers.spent.is_empty() {
-                v.push(Action::Unrun { front });
+            if world.left.refunds > 0 && !callers.spent.is_empty() {
+                actions.push(Action::Refund { front });
             }
         }
-        if w.left.ends > 0 && w.holder().is_some() {
-            v.push(Action::End);
+        if world.left.restarts > 0 && world.holder().is_some() {
+            actions.push(Action::RestartHolder);
         }
-        if w.left.passes > 0 {
-            v.push(Action::Pass);
+        if world.left.time_steps > 0 {
+            actions.push(Action::PassTime);
         }
-        v
+        actions
     }
 
-    fn apply(&self, w: &World, action: &Action) -> Result<World, String> {
-        if let Some(broken) = &w.broken {
-            return Err(broken.clone());
-        }
-        let mut w = w.clone();
-        match action {
-            Action::Call { front } => {
-                w.callers[*front].left -= 1;
-                w.call(*front);
-            }
-            Action::Unrun { front } => {
-                w.left.unrun -= 1;
-                w.unrun(*front);
-            }
-            Action::Arrive { place } => {
-                let wire = w.wires.remove(*place);
-                w.arrive(wire);
-            }
-            Action::Lose { place } => {
-                w.left.lost -= 1;
-                w.unheard = true;
-                w.wires.remove(*place);
-            }
-            Action::Double { place } => {
-                w.left.doubled -= 1;
-                w.wires[*place].again = true;
-                let wire = w.wires[*place].clone();
-                w.arrive(wire);
-            }
-            Action::Pass => {
-                w.left.passes -= 1;
-                w.hold(self.limit, self.step)?;
-            }
-            Action::End => {
-                w.left.ends -= 1;
-                w.end_holder();
-            }
+    fn apply(&self, world: &World, action: &Action) -> Result<World, String> {
+        if let Some(violation) = &world.opening_violation {
+            return Err(violation.clone());
         }
-        self.seal(&mut w);
-        w.judge(self.limit)?;
-        Ok(w)
+        let mut next = world.clone();
+        self.act(&mut next, *action)?;
+        next.seal();
+        next.check()?;
+        Ok(next)
     }
 
-    fn recovers(&self, w: &World) -> Result<(), String> {
-        let mut w = w.clone();
-        w.callers.iter_mut().for_each(|c| c.waiting = 0);
-        w.flow(self.limit, SETTLES)?;
+    fn check_recovery(&self, world: &World) -> Result<(), String> {
+        let mut world = world.clone();
+        world.callers.iter_mut().for_each(|callers| callers.waiting = 0);
+        world.flow(RECOVERY_TIME)?;
         for front in 0..self.fronts {
             if matches!(self.limit, Limit::Rate { .. }) {
-                w.flow(self.limit, SETTLES)?;
+                world.flow(RECOVERY_TIME)?;
             }
-            w.takes_all(self.limit, front)?;
+            world.check_grants_all(front)?;
         }
         Ok(())
     }
--- a/crates/checker/src/requesters.rs
+++ b/crates/checker/src/requesters.rs
@@ -1,6 +1,9 @@
-//! Nodes that ask the cores for units of one tenant's window: never more than its limit is given out.
+//! Nodes that request units of one tenant's window from the cores: never more than its limit is granted.
+//!
+//! They are not whole nodes: they gossip their records, send requests, and count the grants they receive.
 
-use crate::machine::address;
+use crate::frames::AddressedFrame;
+use crate::machine::{FLEET_ID, address};
 use std::collections::BTreeMap;
 use sumacvale_core::base::{MS, Micros, NodeId};
 use sumacvale_core::protocol::{DisseminationMessage, Frame, Message, PeerRecord, QuotaMessage};
@@ -9,73 +12,76 @@
 pub const CONFIGURATION: &str = r#"{"defaults":{"quota":{"calls":12,"window_ms":600000}},"pools":{"llm":{}},
     "matches":{"chat":{"path":"/v1/chat","pool":"llm","kind":"chat"}},
     "tenants":{"home":{"keys":["sha256:0000000000000000000000000000000000000000000000000000000000000000"]}}}"#;
+/// The tenant's name in [`CONFIGURATION`].
 const TENANT: &str = "home";
-const CALLS: u64 = 12;
+/// The tenant's limit in [`CONFIGURATION`].
+const WINDOW_UNITS: u64 = 12;
 
-/// Addresses from this one on are those of askers.
+/// The indexes of addresses from this one on are those of requesters.
 pub const FIRST_ADDRESS: usize = 100;
-const ASKERS: usize = 2;
-const FLEET: u64 = 7;
-const EVERY: Micros = 150 * MS;
-const BEAT: Micros = 500 * MS;
-/// The first asks for so long, then the second: what a successor does not know to be given shows
-/// where it goes to somebody else.
+/// The number of requesters.
+const REQUESTERS: usize = 2;
+/// The identifier of the first requester's node.
+const FIRST_NODE_ID: u64 = 9_000;
+/// The time between two requests, in microseconds.
+const REQUEST_INTERVAL: Micros = 150 * MS;
+/// The time between two heartbeats, in microseconds.
+const HEARTBEAT_INTERVAL: Micros = 500 * MS;
+/// The first requester sends requests for so long, in microseconds, then the second: what a successor of the
+/// lease holder does not know to be granted shows where it is granted to somebody else.
 const TURN: Micros = 1_200 * MS;
 
 #[derive(Clone, Debug, Default)]
-struct Asker {
-    /// The core that is asked next.
-    to: usize,
-    /// The number of the last ask, and whether it was answered with units.
-    number: u64,
-    served: bool,
+struct Requester {
+    /// The core that receives the next request.
+    core: usize,
+    /// The identifier of the last request.
+    request_id: u64,
+    /// Whether a grant was received since the last request.
+    is_served: bool,
+    /// When the next request is due, in microseconds.
     due: Micros,
 }
 
-/// All askers, and what they were given.
+/// All requesters, and what they were granted.
 #[derive(Clone, Debug)]
-pub struct Askers {
-    from: Micros,
-    beat: u64,
-    beat_due: Micros,
-    all: Vec<Asker>,
-    /// The most that each was told to have been given in each window.
-    given: BTreeMap<(u64, usize), u64>,
+pub struct Requesters {
+    /// When the first request is due, in microseconds.
+    started_at: Micros,
+    heartbeat: u64,
+    heartbeat_due: Micros,
+    requesters: Vec<Requester>,
+    /// The highest total that each requester was granted, by window and requester.
+    granted_totals: BTreeMap<(u64, usize), u64>,
 }
 
-fn node_id(asker: usize) -> NodeId {
-    NodeId(9_000 + asker as u64)
+fn node_id(requester: usize) -> NodeId {
+    NodeId(FIRST_NODE_ID + requester as u64)
 }
 
-impl Askers {
-    /// They make themselves known at once and ask from then on.
-    pub fn new(from: Micros) -> Self {
-        let all = vec![Asker::default(); ASKERS];
-        Askers { from, beat: 0, beat_due: 0, all, given: BTreeMap::new() }
-    }
+fn frame(requester: usize, message: Message, now: Micros) -> Frame {
+    Frame { from: node_id(requester), to: NodeId::default(), incarnation: 1, fleet_id: FLEET_ID, sent_at: now, message }
+}
 
-    /// All units that were given, in all windows: one alone runs in the time of a model.
-    fn total(&self) -> u64 {
-        self.given.values().sum()
+impl Requesters {
+    /// Requesters that make themselves known at once and send requests from this time on.
+    #[must_use]
+    pub fn new(started_at: Micros) -> Self {
+        let requesters = vec![Requester::default(); REQUESTERS];
+        Requesters { started_at, heartbeat: 0, heartbeat_due: 0, requesters, granted_totals: BTreeMap::new() }
     }
 
-    fn frame(asker: usize, msg: Message, now: Micros) -> Frame {
-        Frame {
-            from: node_id(asker),
-            to: NodeId::default(),
-            incarnation: 1,
-            fleet_id: FLEET,
-            sent_at: now,
-            message: msg,
-        }
+    /// All units that were granted, in all windows: one alone runs in the time of a model.
+    fn granted_units(&self) -> u64 {
+        self.granted_totals.values().sum()
     }
 
-    fn row(&self, asker: usize) -> PeerRecord {
+    fn record(&self, requester: usize) -> PeerRecord {
         PeerRecord {
-            node_id: node_id(asker),
+            node_id: node_id(requester),
             incarnation: 1,
-            heartbeat: self.beat,
-            addr: address(FIRST_ADDRESS + asker),
+            heartbeat: self.heartbeat,
+            addr: address(FIRST_ADDRESS + requester),
             admin: String::new(),
             zone: "z".into(),
             is_core: false,
@@ -84,65 +90,79 @@
         }
     }
 
-    /// The frames that go to cores now.
-    pub fn asks(&mut self, cores: usize, now: Micros) -> Vec<(usize, Frame)> {
+    /// The frames that are sent to cores now.
+    #[must_use]
+    pub fn due_frames(&mut self, cores: usize, now: Micros) -> Vec<AddressedFrame> {
         let mut frames = Vec::new();
-        if now >= self.beat_due {
-            self.beat_due = now + BEAT;
-            self.beat += 1;
-            for asker in 0..ASKERS {
-                for core in 0..cores {
-                    let rows = vec![self.row(asker)];
-                    let gossip = Message::Dissemination(DisseminationMessage::Gossip {
-                        heartbeats: vec![],
-                        records: rows,
-                        unknown_nodes: vec![],
-                        wants_reply: false,
-                        incarnation_set: 0,
-                        compact_heartbeats: vec![],
-                    });
-                    frames.push((core, Self::frame(asker, gossip, now)));
-                }
-            }
-        }
-        let turn = usize::from(now >= self.from + TURN);
-        for (asker, a) in self.all.iter_mut().enumerate().filter(|(i, a)| *i == turn && now >= self.from.max(a.due)) {
-            if !a.served {
-                a.to = (a.to + 1) % cores;
-            }
-            a.due = now + EVERY;
-            a.number += 1;
-            a.served = false;
-            let ask = Message::Quota(QuotaMessage::SliceRequest {
-                request_id: a.number,
-                tenant: TENANT.into(),
-                wanted_units: 1,
-                window: 0,
-                returned: 0,
-            });
-            frames.push((a.to, Self::frame(asker, ask, now)));
+        if now >= self.heartbeat_due {
+            self.heartbeat_due = now + HEARTBEAT_INTERVAL;
+            self.heartbeat += 1;
+            frames.extend((0..REQUESTERS).flat_map(|requester| self.heartbeats(requester, cores, now)));
         }
+        frames.extend(self.due_request(cores, now));
         frames
     }
 
-    /// An asker hears a core. What it was given counts from here on.
-    pub fn hears(&mut self, asker: usize, frame: &Frame, now: Micros) -> Result<(), String> {
+    fn heartbeats(&self, requester: usize, cores: usize, now: Micros) -> Vec<AddressedFrame> {
+        let gossip = Message::Dissemination(DisseminationMessage::Gossip {
+            heartbeats: vec![],
+            records: vec![self.record(requester)],
+            unknown_nodes: vec![],
+            wants_reply: false,
+            incarnation_set: 0,
+            compact_heartbeats: vec![],
+        });
+        let frame = frame(requester, gossip, now);
+        (0..cores).map(|to| AddressedFrame { to, frame: frame.clone() }).collect()
+    }
+
+    /// The request of the requester whose turn it is, if it is due. It goes to another core if the last one
+    /// was not served.
+    fn due_request(&mut self, cores: usize, now: Micros) -> Option<AddressedFrame> {
+        let turn = usize::from(now >= self.started_at + TURN);
+        let requester = &mut self.requesters[turn];
+        if now < self.started_at.max(requester.due) {
+            return None;
+        }
+        if !requester.is_served {
+            requester.core = (requester.core + 1) % cores;
+        }
+        requester.due = now + REQUEST_INTERVAL;
+        requester.request_id += 1;
+        requester.is_served = false;
+        let request = Message::Quota(QuotaMessage::SliceRequest {
+            request_id: requester.request_id,
+            tenant: TENANT.into(),
+            wanted_units: 1,
+            window: 0,
+            returned: 0,
+        });
+        Some(AddressedFrame { to: requester.core, frame: frame(turn, request, now) })
+    }
+
+    /// A requester receives a frame. What it was granted counts from here on.
+    ///
+    /// # Errors
+    /// The rule that the grant violates.
+    pub fn on_frame(&mut self, requester: usize, frame: &Frame, now: Micros) -> Result<(), String> {
         let Message::Quota(QuotaMessage::SliceGranted { window, granted_total, .. }) = &frame.message else {
             return Ok(());
         };
-        if let Some(a) = self.all.get_mut(asker) {
-            a.served = true;
+        if let Some(requester) = self.requesters.get_mut(requester) {
+            requester.is_served = true;
         }
-        let known = self.given.entry((*window, asker)).or_insert(0);
+        let known = self.granted_totals.entry((*window, requester)).or_insert(0);
         *known = (*known).max(*granted_total);
-        if self.total() > CALLS {
-            return Err(format!("no more than the limit is given: {:?} of {CALLS} at {now}", self.given));
+        if self.granted_units() > WINDOW_UNITS {
+            let totals = &self.granted_totals;
+            return Err(format!("no more than the limit is granted: {totals:?} of {WINDOW_UNITS} at {now}"));
         }
         Ok(())
     }
 
-    /// Whether all units were given but for so many, which were lost on their way.
-    pub fn spent_but(&self, lost: u64) -> bool {
-        self.total() + lost >= CALLS
+    /// Whether all units were granted but for so many, whose grants were lost.
+    #[must_use]
+    pub fn has_all_units_but(&self, lost: u64) -> bool {
+        self.granted_units() + lost >= WINDOW_UNITS
     }
 }
