--- a/crates/checker/src/scenarios.rs
+++ b/crates/checker/src/scenarios.rs
@@ -1,161 +1,185 @@
 //! The bounds that are explored: small ones in CI, large ones by hand.
+//!
+//! Bounds keep their names: `planted.txt`, the tests and the notes on measurements refer to them.
 
-use crate::agreement::{Agreement, Allowance, Opening, Order};
-use crate::fleet::{ALL, Fleet, Kind};
+use crate::agreement::{Agreement, Allowance, Opening, PlannedChange};
+use crate::explore::Model;
+use crate::fleet::{ANY_FAULT, FaultKind, Fleet, OpeningFault};
 use crate::quota::{self, Limit, Quota};
 use sumacvale_core::base::{MS, Micros, SEC};
 
 /// A named bound.
-pub struct Scenario {
+pub struct Scenario<M: Model> {
+    /// The name on the command line.
     pub name: &'static str,
-    /// Explored whole by the tests.
-    pub small: bool,
-    pub model: Agreement,
+    /// Whether the tests explore it whole.
+    pub is_small: bool,
+    /// What is explored.
+    pub model: M,
 }
 
+impl<M: Model> Scenario<M> {
+    fn small(name: &'static str, model: M) -> Self {
+        Scenario { name, is_small: true, model }
+    }
+
+    fn large(name: &'static str, model: M) -> Self {
+        Scenario { name, is_small: false, model }
+    }
+}
+
+/// Nothing but deliveries, syncs and submissions.
 const NONE: Allowance =
-    Allowance { crashes: 0, wipes: 0, lost: 0, doubled: 0, timeouts: 0, questions: 0, repeats: 0, yields: 0 };
+    Allowance { crashes: 0, wipes: 0, losses: 0, duplicates: 0, timeouts: 0, probes: 0, resubmissions: 0, yields: 0 };
 
-/// Two operators send different changes on the same base to different machines.
-fn race() -> Vec<Order> {
-    vec![Order::document(0, 1, "a", &[0, 2]), Order::document(0, 2, "b", &[1, 2])]
+/// Two operators submit different changes on the same base to different machines.
+fn race() -> Vec<PlannedChange> {
+    vec![PlannedChange::document(0, 1, "a", &[0, 2]), PlannedChange::document(0, 2, "b", &[1, 2])]
 }
 
-/// One machine is given both changes.
-fn same() -> Vec<Order> {
-    vec![Order::document(0, 1, "a", &[0]), Order::document(0, 2, "b", &[0])]
+/// One machine receives both changes.
+fn same_receiver() -> Vec<PlannedChange> {
+    vec![PlannedChange::document(0, 1, "a", &[0]), PlannedChange::document(0, 2, "b", &[0])]
 }
 
-/// The second change builds on the first and is sent once that was acknowledged.
-fn chain() -> Vec<Order> {
-    vec![Order::document(0, 1, "a", &[0, 1]), Order::document(1, 2, "b", &[2, 1]).after(0)]
+/// The second change is based on the first and is submitted once that was acknowledged.
+fn chain() -> Vec<PlannedChange> {
+    vec![PlannedChange::document(0, 1, "a", &[0, 1]), PlannedChange::document(1, 2, "b", &[2, 1]).after(0)]
 }
 
-/// Three versions, each built on the one before and sent to the machine that has it first.
-fn chain_of_three() -> Vec<Order> {
+/// Three versions, each based on the one before and submitted to the machine that has it first.
+fn chain_of_three() -> Vec<PlannedChange> {
     vec![
-        Order::document(0, 1, "a", &[0]),
-        Order::document(1, 2, "b", &[0]).after(0),
-        Order::document(2, 3, "c", &[0]).after(1),
+        PlannedChange::document(0, 1, "a", &[0]),
+        PlannedChange::document(1, 2, "b", &[0]).after(0),
+        PlannedChange::document(2, 3, "c", &[0]).after(1),
     ]
 }
 
-/// Three versions: two operators race for the first two, the third builds on the first.
-fn three() -> Vec<Order> {
-    let mut orders = race();
-    orders.push(Order::document(1, 3, "c", &[2]).after(0));
-    orders
+/// Three versions: two operators race for the first two, the third is based on the first.
+fn race_and_chain() -> Vec<PlannedChange> {
+    let mut changes = race();
+    changes.push(PlannedChange::document(1, 3, "c", &[2]).after(0));
+    changes
 }
 
-/// The second names a base that nobody was told of yet.
-fn ahead() -> Vec<Order> {
-    vec![Order::document(0, 1, "a", &[0]), Order::document(1, 2, "b", &[1])]
+/// The second names a base that was not acknowledged to anybody yet.
+fn ahead() -> Vec<PlannedChange> {
+    vec![PlannedChange::document(0, 1, "a", &[0]), PlannedChange::document(1, 2, "b", &[1])]
 }
 
-fn one() -> Vec<Order> {
-    vec![Order::document(0, 1, "a", &[0, 1, 2])]
+/// One change that may be submitted to any voter.
+fn one() -> Vec<PlannedChange> {
+    vec![PlannedChange::document(0, 1, "a", &[0, 1, 2])]
 }
 
-/// A spare takes the place of a voter while a document is changed.
-fn voters() -> Vec<Order> {
-    vec![Order::voters(0, &[0, 1, 3], &[0]), Order::document(0, 1, "a", &[1, 2])]
+/// A spare replaces a voter while a document is changed.
+fn voters() -> Vec<PlannedChange> {
+    vec![PlannedChange::voters(0, &[0, 1, 3], &[0]), PlannedChange::document(0, 1, "a", &[1, 2])]
 }
 
-/// The same spare is to take the place of one voter and of another, on the same version.
-fn two_lists() -> Vec<Order> {
-    vec![Order::voters(0, &[0, 1, 3], &[0]), Order::voters(0, &[0, 2, 3], &[0])]
+/// The same spare is to replace one voter and another one, on the same version.
+fn two_lists() -> Vec<PlannedChange> {
+    vec![PlannedChange::voters(0, &[0, 1, 3], &[0]), PlannedChange::voters(0, &[0, 2, 3], &[0])]
 }
 
-fn model(machines: usize, orders: Vec<Order>, allowance: Allowance, slow_disks: &[usize]) -> Agreement {
-    Agreement { machines, founding: false, opening: Vec::new(), allowance, orders, slow_disks: slow_disks.to_vec() }
+fn agreement(machines: usize, changes: Vec<PlannedChange>, allowance: Allowance, slow_disks: &[usize]) -> Agreement {
+    let slow_disks = slow_disks.to_vec();
+    Agreement { machines, is_bootstrap: false, opening: Vec::new(), allowance, changes, slow_disks }
 }
 
-/// Three seeds with empty disks, whose timers turn so many times in all, after this opening.
-fn founding(opening: Vec<Opening>, turns: u8, allowance: Allowance, slow_disks: &[usize]) -> Agreement {
-    let allowance = Allowance { timeouts: turns, ..allowance };
-    Agreement { founding: true, opening, ..model(3, Vec::new(), allowance, slow_disks) }
+/// Three seeds with empty disks, whose timers expire so many times in all, after this opening.
+fn founding(opening: Vec<Opening>, timeouts: u8, allowance: Allowance, slow_disks: &[usize]) -> Agreement {
+    let allowance = Allowance { timeouts, ..allowance };
+    Agreement { is_bootstrap: true, opening, ..agreement(3, Vec::new(), allowance, slow_disks) }
 }
 
-/// All seeds speak once, and these words arrive; the others are lost.
-fn seeds_speak(heard: &[(usize, usize)]) -> Vec<Opening> {
-    let mut steps: Vec<_> = (0..3).map(|machine| Opening::Turn { machine }).collect();
-    for (from, to) in [(0, 1), (0, 2), (1, 0), (1, 2), (2, 0), (2, 1)] {
+/// All seeds announce their votes once; the announcements between these machines (from, to) are delivered, the
+/// others are lost.
+fn seeds_announce(delivered: &[(usize, usize)]) -> Vec<Opening> {
+    let mut steps: Vec<_> = (0..3).map(|machine| Opening::Timeout { machine }).collect();
+    for (from, to) in EVERY_PAIR {
         let kind = "Bootstrap";
-        steps.push(match heard.contains(&(from, to)) {
-            true => Opening::Arrive { kind, from, to },
+        steps.push(match delivered.contains(&(from, to)) {
+            true => Opening::Deliver { kind, from, to },
             false => Opening::Lose { kind, from, to },
         });
     }
     steps
 }
 
-const EVERYBODY: [(usize, usize); 6] = [(0, 1), (0, 2), (1, 0), (1, 2), (2, 0), (2, 1)];
+/// All pairs of seeds, as sender and receiver.
+const EVERY_PAIR: [(usize, usize); 6] = [(0, 1), (0, 2), (1, 0), (1, 2), (2, 0), (2, 1)];
 
-/// All pledged to one set; only machine 1 heard so and founded the fleet, and its disk is lost.
+/// All voted for one set; only machine 1 received all votes and founded the fleet, and its disk is lost.
 fn founder_wiped() -> Vec<Opening> {
-    let mut steps = seeds_speak(&EVERYBODY);
-    steps.extend(seeds_speak(&[(0, 1), (2, 1)]));
+    let mut steps = seeds_announce(&EVERY_PAIR);
+    steps.extend(seeds_announce(&[(0, 1), (2, 1)]));
     steps.push(Opening::Wipe { machine: 1 });
-    steps.extend(seeds_speak(&EVERYBODY));
+    steps.extend(seeds_announce(&EVERY_PAIR));
     steps
 }
 
-/// Machine 2 didn't hear machine 1 and pledged to nothing; machine 0 speaks again. Then machine 1's disk is lost.
-fn one_unheard() -> Vec<Opening> {
-    let mut steps = seeds_speak(&[(1, 0), (2, 0), (0, 1), (2, 1), (0, 2)]);
-    steps.push(Opening::Turn { machine: 0 });
+/// Machine 2 received nothing from machine 1 and voted for nothing; machine 0 announces its vote again. Then
+/// machine 1's disk is lost.
+fn one_not_received() -> Vec<Opening> {
+    let mut steps = seeds_announce(&[(1, 0), (2, 0), (0, 1), (2, 1), (0, 2)]);
+    steps.push(Opening::Timeout { machine: 0 });
     steps.push(Opening::Lose { kind: "Bootstrap", from: 0, to: 1 });
     steps.push(Opening::Lose { kind: "Bootstrap", from: 0, to: 2 });
     steps.push(Opening::Wipe { machine: 1 });
     steps
 }
 
-/// The pledges of machines 0 and 2 are not yet on their disks when their processes end, and machine
-/// 1, which may have heard of them, loses its disk.
-fn pledges_unsynced() -> Vec<Opening> {
-    let mut steps = seeds_speak(&EVERYBODY);
-    steps.extend(seeds_speak(&[(0, 1), (2, 1)]));
+/// The votes of machines 0 and 2 are not synced to their disks when their processes end, and machine 1, which
+/// may have received them, loses its disk.
+fn votes_unsynced() -> Vec<Opening> {
+    let mut steps = seeds_announce(&EVERY_PAIR);
+    steps.extend(seeds_announce(&[(0, 1), (2, 1)]));
     steps.push(Opening::Crash { machine: 0, landed: 0 });
     steps.push(Opening::Crash { machine: 2, landed: 0 });
     steps.push(Opening::Wipe { machine: 1 });
-    steps.extend(seeds_speak(&EVERYBODY));
+    steps.extend(seeds_announce(&EVERY_PAIR));
     steps
 }
 
-/// Machine 0 asked for votes, had change "a" accepted by machine 1, and began anew before any of its
-/// own votes were on its disk. Now it has another change to propose, and machine 1 a third, once it
-/// has held back for the ballots that it voted for.
-fn second_life() -> Agreement {
-    let orders =
-        vec![Order::document(0, 1, "a", &[0]), Order::document(0, 2, "b", &[0]), Order::document(0, 3, "c", &[1])];
+/// Machine 0 ran a ballot, had change "a" accepted by machine 1, and restarted before any of its own votes were
+/// synced. Now it has another change to propose, and machine 1 a third, once it has yielded for long enough to
+/// the ballots that it voted for.
+fn second_incarnation() -> Agreement {
+    let changes = vec![
+        PlannedChange::document(0, 1, "a", &[0]),
+        PlannedChange::document(0, 2, "b", &[0]),
+        PlannedChange::document(0, 3, "c", &[1]),
+    ];
     let opening = vec![
-        Opening::Send { order: 0, to: 0 },
-        Opening::Arrive { kind: "Prepare", from: 0, to: 1 },
-        Opening::Arrive { kind: "Prepare", from: 0, to: 2 },
-        Opening::Arrive { kind: "Promise", from: 1, to: 0 },
-        Opening::Arrive { kind: "Promise", from: 2, to: 0 },
-        Opening::Arrive { kind: "Accept", from: 0, to: 1 },
+        Opening::Submit { change: 0, to: 0 },
+        Opening::Deliver { kind: "Prepare", from: 0, to: 1 },
+        Opening::Deliver { kind: "Prepare", from: 0, to: 2 },
+        Opening::Deliver { kind: "Promise", from: 1, to: 0 },
+        Opening::Deliver { kind: "Promise", from: 2, to: 0 },
+        Opening::Deliver { kind: "Accept", from: 0, to: 1 },
         Opening::Crash { machine: 0, landed: 0 },
-        Opening::Send { order: 1, to: 0 },
-        Opening::Arrive { kind: "Prepare", from: 0, to: 2 },
+        Opening::Submit { change: 1, to: 0 },
+        Opening::Deliver { kind: "Prepare", from: 0, to: 2 },
         Opening::Sync { machine: 0 },
-        Opening::Arrive { kind: "Promise", from: 2, to: 0 },
+        Opening::Deliver { kind: "Promise", from: 2, to: 0 },
         Opening::Lose { kind: "Prepare", from: 0, to: 1 },
         Opening::Lose { kind: "Accept", from: 0, to: 2 },
     ];
-    Agreement { opening, ..model(3, orders, Allowance { yields: 1, ..NONE }, &[0]) }
+    Agreement { opening, ..agreement(3, changes, Allowance { yields: 1, ..NONE }, &[0]) }
 }
 
-/// Machine 0 alone accepted "a" in its ballot; machine 1 promised a higher one to machine 2, which
-/// asks for votes on "b".
+/// Machine 0 alone accepted "a" in its ballot; machine 1 promised a higher one to machine 2, which proposes
+/// "b".
 fn two_acceptances(allowance: Allowance) -> Agreement {
     let opening = vec![
-        Opening::Send { order: 0, to: 0 },
-        Opening::Arrive { kind: "Prepare", from: 0, to: 1 },
-        Opening::Arrive { kind: "Promise", from: 1, to: 0 },
-        Opening::Send { order: 1, to: 2 },
-        Opening::Arrive { kind: "Prepare", from: 2, to: 1 },
-        Opening::Arrive { kind: "Promise", from: 1, to: 2 },
+        Opening::Submit { change: 0, to: 0 },
+        Opening::Deliver { kind: "Prepare", from: 0, to: 1 },
+        Opening::Deliver { kind: "Promise", from: 1, to: 0 },
+        Opening::Submit { change: 1, to: 2 },
+        Opening::Deliver { kind: "Prepare", from: 2, to: 1 },
+        Opening::Deliver { kind: "Promise", from: 1, to: 2 },
         Opening::Lose { kind: "Prepare", from: 0, to: 2 },
         Opening::Lose { kind: "Prepare", from: 2, to: 0 },
         Opening::Lose { kind: "Accept", from: 0, to: 1 },
@@ -163,192 +187,280 @@
     ];
     Agreement {
         opening,
-        ..model(3, vec![Order::document(0, 1, "a", &[0]), Order::document(0, 2, "b", &[2])], allowance, &[])
+        ..agreement(
+            3,
+            vec![PlannedChange::document(0, 1, "a", &[0]), PlannedChange::document(0, 2, "b", &[2])],
+            allowance,
+            &[],
+        )
     }
 }
 
-pub fn all() -> Vec<Scenario> {
-    let s = |name, small, model| Scenario { name, small, model };
+/// The bounds of consensus.
+#[must_use]
+pub fn agreements() -> Vec<Scenario<Agreement>> {
     vec![
-        s("race", true, model(3, race(), NONE, &[])),
-        s("race-yield", false, model(3, race(), Allowance { yields: 1, ..NONE }, &[])),
-        s("race-yields", false, model(3, race(), Allowance { yields: 2, ..NONE }, &[])),
-        s("race-crash", false, model(3, race(), Allowance { crashes: 1, ..NONE }, &[])),
-        s("race-wipe", false, model(3, race(), Allowance { wipes: 1, ..NONE }, &[])),
-        s("race-lost", false, model(3, race(), Allowance { lost: 1, ..NONE }, &[])),
-        s("race-doubled", false, model(3, race(), Allowance { doubled: 1, ..NONE }, &[])),
-        s("race-timeout", false, model(3, race(), Allowance { timeouts: 1, ..NONE }, &[])),
-        s("race-repeat", false, model(3, race(), Allowance { repeats: 1, ..NONE }, &[])),
-        s("race-question", false, model(3, race(), Allowance { questions: 1, ..NONE }, &[])),
-        s("race-slow-crash", false, model(3, race(), Allowance { crashes: 1, ..NONE }, &[2])),
-        s("twice-slow-crash", false, model(3, same(), Allowance { crashes: 1, ..NONE }, &[0])),
-        s("second-life", true, second_life()),
-        s("two-acceptances", true, two_acceptances(Allowance { timeouts: 1, ..NONE })),
-        s("founding", true, founding(seeds_speak(&EVERYBODY), 6, NONE, &[])),
-        s("founding-wiped", true, founding(founder_wiped(), 12, Allowance { wipes: 1, ..NONE }, &[])),
-        s("founding-unheard", true, founding(one_unheard(), 7, Allowance { wipes: 1, ..NONE }, &[])),
-        s("founding-unsynced", true, founding(pledges_unsynced(), 12, Allowance { wipes: 1, ..NONE }, &[0, 2])),
-        s("founding-any", false, founding(Vec::new(), 6, NONE, &[])),
-        s("founding-wipe", false, founding(Vec::new(), 8, Allowance { wipes: 1, ..NONE }, &[])),
-        s("founding-crash", false, founding(Vec::new(), 8, Allowance { crashes: 1, ..NONE }, &[0])),
-        s("three", false, model(3, three(), NONE, &[])),
-        s("three-crash", false, model(3, three(), Allowance { crashes: 1, ..NONE }, &[])),
-        s("chain", true, model(3, chain(), NONE, &[])),
-        s("chain-slow", false, model(3, chain(), NONE, &[2])),
-        s("three-in-a-row-slow", false, model(3, chain_of_three(), NONE, &[2])),
-        s("chain-lost", false, model(3, chain(), Allowance { lost: 1, ..NONE }, &[])),
-        s("chain-question", false, model(3, chain(), Allowance { questions: 1, ..NONE }, &[])),
-        s("chain-crash", false, model(3, chain(), Allowance { crashes: 1, timeouts: 1, ..NONE }, &[])),
-        s("chain-repeat", false, model(3, chain(), Allowance { repeats: 1, ..NONE }, &[])),
-        s("ahead", true, model(3, ahead(), NONE, &[])),
-        s("ahead-slow", false, model(3, ahead(), NONE, &[2])),
-        s("one-question", true, model(3, one(), Allowance { questions: 1, ..NONE }, &[])),
-        s("one-crash", true, model(3, one(), Allowance { crashes: 1, ..NONE }, &[])),
-        s("one-crash-timeout", false, model(3, one(), Allowance { crashes: 1, timeouts: 1, ..NONE }, &[])),
-        s("one-wipe", true, model(3, one(), Allowance { wipes: 1, ..NONE }, &[])),
-        s("one-lost", true, model(3, one(), Allowance { lost: 1, ..NONE }, &[])),
-        s("one-lost-doubled", false, model(3, one(), Allowance { lost: 1, doubled: 1, ..NONE }, &[])),
-        s("one-timeout", true, model(3, one(), Allowance { timeouts: 1, ..NONE }, &[])),
-        s("one-repeat", true, model(3, one(), Allowance { repeats: 1, ..NONE }, &[])),
-        s("one-slow-crash", true, model(3, one(), Allowance { crashes: 1, ..NONE }, &[2])),
-        s("one-all-slow-crash", false, model(3, one(), Allowance { crashes: 1, ..NONE }, &[0, 1, 2])),
-        s("one-slow-crashes", false, model(3, one(), Allowance { crashes: 2, timeouts: 1, ..NONE }, &[0, 1, 2])),
-        s("voters", false, model(4, voters(), NONE, &[])),
-        s("two-lists", true, model(4, two_lists(), NONE, &[])),
-        s("voters-crash", false, model(4, voters(), Allowance { crashes: 1, ..NONE }, &[])),
+        Scenario::small("race", agreement(3, race(), NONE, &[])),
+        Scenario::large("race-yield", agreement(3, race(), Allowance { yields: 1, ..NONE }, &[])),
+        Scenario::large("race-yields", agreement(3, race(), Allowance { yields: 2, ..NONE }, &[])),
+        Scenario::large("race-crash", agreement(3, race(), Allowance { crashes: 1, ..NONE }, &[])),
+        Scenario::large("race-wipe", agreement(3, race(), Allowance { wipes: 1, ..NONE }, &[])),
+        Scenario::large("race-lost", agreement(3, race(), Allowance { losses: 1, ..NONE }, &[])),
+        Scenario::large("race-doubled", agreement(3, race(), Allowance { duplicates: 1, ..NONE }, &[])),
+        Scenario::large("race-timeout", agreement(3, race(), Allowance { timeouts: 1, ..NONE }, &[])),
+        Scenario::large("race-repeat", agreement(3, race(), Allowance { resubmissions: 1, ..NONE }, &[])),
+        Scenario::large("race-question", agreement(3, race(), Allowance { probes: 1, ..NONE }, &[])),
+        Scenario::large("race-slow-crash", agreement(3, race(), Allowance { crashes: 1, ..NONE }, &[2])),
+        Scenario::large("twice-slow-crash", agreement(3, same_receiver(), Allowance { crashes: 1, ..NONE }, &[0])),
+        Scenario::small("second-life", second_incarnation()),
+        Scenario::small("two-acceptances", two_acceptances(Allowance { timeouts: 1, ..NONE })),
+        Scenario::small("founding", founding(seeds_announce(&EVERY_PAIR), 6, NONE, &[])),
+        Scenario::small("founding-wiped", founding(founder_wiped(), 12, Allowance { wipes: 1, ..NONE }, &[])),
+        Scenario::small("founding-unheard", founding(one_not_received(), 7, Allowance { wipes: 1, ..NONE }, &[])),
+        Scenario::small("founding-unsynced", founding(votes_unsynced(), 12, Allowance { wipes: 1, ..NONE }, &[0, 2])),
+        Scenario::large("founding-any", founding(Vec::new(), 6, NONE, &[])),
+        Scenario::large("founding-wipe", founding(Vec::new(), 8, Allowance { wipes: 1, ..NONE }, &[])),
+        Scenario::large("founding-crash", founding(Vec::new(), 8, Allowance { crashes: 1, ..NONE }, &[0])),
+        Scenario::large("three", agreement(3, race_and_chain(), NONE, &[])),
+        Scenario::large("three-crash", agreement(3, race_and_chain(), Allowance { crashes: 1, ..NONE }, &[])),
+        Scenario::small("chain", agreement(3, chain(), NONE, &[])),
+        Scenario::large("chain-slow", agreement(3, chain(), NONE, &[2])),
+        Scenario::large("three-in-a-row-slow", agreement(3, chain_of_three(), NONE, &[2])),
+        Scenario::large("chain-lost", agreement(3, chain(), Allowance { losses: 1, ..NONE }, &[])),
+        Scenario::large("chain-question", agreement(3, chain(), Allowance { probes: 1, ..NONE }, &[])),
+        Scenario::large("chain-crash", agreement(3, chain(), Allowance { crashes: 1, timeouts: 1, ..NONE }, &[])),
+        Scenario::large("chain-repeat", agreement(3, chain(), Allowance { resubmissions: 1, ..NONE }, &[])),
+        Scenario::small("ahead", agreement(3, ahead(), NONE, &[])),
+        Scenario::large("ahead-slow", agreement(3, ahead(), NONE, &[2])),
+        Scenario::small("one-question", agreement(3, one(), Allowance { probes: 1, ..NONE }, &[])),
+        Scenario::small("one-crash", agreement(3, one(), Allowance { crashes: 1, ..NONE }, &[])),
+        Scenario::large("one-crash-timeout", agreement(3, one(), Allowance { crashes: 1, timeouts: 1, ..NONE }, &[])),
+        Scenario::small("one-wipe", agreement(3, one(), Allowance { wipes: 1, ..NONE }, &[])),
+        Scenario::small("one-lost", agreement(3, one(), Allowance { losses: 1, ..NONE }, &[])),
+        Scenario::large("one-lost-doubled", agreement(3, one(), Allowance { losses: 1, duplicates: 1, ..NONE }, &[])),
+        Scenario::small("one-timeout", agreement(3, one(), Allowance { timeouts: 1, ..NONE }, &[])),
+        Scenario::small("one-repeat", agreement(3, one(), Allowance { resubmissions: 1, ..NONE }, &[])),
+        Scenario::small("one-slow-crash", agreement(3, one(), Allowance { crashes: 1, ..NONE }, &[2])),
+        Scenario::large("one-all-slow-crash", agreement(3, one(), Allowance { crashes: 1, ..NONE }, &[0, 1, 2])),
+        Scenario::large(
+            "one-slow-crashes",
+            agreement(3, one(), Allowance { crashes: 2, timeouts: 1, ..NONE }, &[0, 1, 2]),
+        ),
+        Scenario::large("voters", agreement(4, voters(), NONE, &[])),
+        Scenario::small("two-lists", agreement(4, two_lists(), NONE, &[])),
+        Scenario::large("voters-crash", agreement(4, voters(), Allowance { crashes: 1, ..NONE }, &[])),
     ]
 }
 
-/// A named bound of whole fleets.
-pub struct FleetScenario {
-    pub name: &'static str,
-    /// Explored whole by the tests.
-    pub small: bool,
-    pub model: Fleet,
+/// When faults may strike, in microseconds.
+#[derive(Clone, Copy)]
+struct FaultTimes {
+    /// The time between choices.
+    step: Micros,
+    /// The first fault strikes within this time.
+    first: Micros,
+    /// Each further fault strikes within this time after the one before.
+    next: Micros,
 }
 
-fn fleet(machines: usize, kinds: &[Kind], faults: u8, (step, first, next): (Micros, Micros, Micros)) -> Fleet {
-    let (kinds, opening) = (kinds.to_vec(), Vec::new());
-    Fleet { machines, kinds, opening, faults, step, first, next, askers: false, close: false }
+fn fleet(machines: usize, kinds: &[FaultKind], faults: u8, times: FaultTimes) -> Fleet {
+    Fleet {
+        machines,
+        kinds: kinds.to_vec(),
+        opening: Vec::new(),
+        faults,
+        step: times.step,
+        first_within: times.first,
+        next_within: times.next,
+        has_requesters: false,
+        allows_close_losses: false,
+    }
+}
+
+/// One fault within `first`, with a choice every `step` microseconds.
+fn one_fault(kinds: &[FaultKind], step: Micros, first: Micros) -> Fleet {
+    fleet(4, kinds, 1, FaultTimes { step, first, next: 0 })
+}
+
+fn after(opening: &[(Micros, FaultKind, usize)], model: Fleet) -> Fleet {
+    let opening =
+        opening.iter().map(|(delay, kind, machine)| OpeningFault { delay: *delay, kind: *kind, machine: *machine });
+    Fleet { opening: opening.collect(), ..model }
+}
+
+fn with_requesters(model: Fleet) -> Fleet {
+    Fleet { has_requesters: true, ..model }
 }
 
-pub fn fleets() -> Vec<FleetScenario> {
-    let s = |name, small, model| FleetScenario { name, small, model };
-    let close = |model| Fleet { close: true, ..model };
-    let after = |opening: &[(Micros, Kind, usize)], model| Fleet { opening: opening.to_vec(), ..model };
-    // One voter hears nobody until its rows have ended, then the holder is cut off and the third
-    // voter's process ends.
-    let restart = [(0, Kind::Cut, 2), (950 * MS, Kind::Cut, 0)];
-    // One voter is replaced; another accepts that, hears nobody, and then only the replaced one. The
+/// The bounds of whole fleets.
+#[must_use]
+pub fn fleets() -> Vec<Scenario<Fleet>> {
+    // One voter receives nothing until its grants have expired, then the lease holder is partitioned, and the
+    // third voter's process ends.
+    let restart = [(0, FaultKind::Partition, 2), (950 * MS, FaultKind::Partition, 0)];
+    // One voter is replaced; another accepts that, receives nothing, and then only from the replaced one. The
     // second entry has the replaced one stay away for longer.
-    let under_way = [(0, Kind::Aside, 2), (2_600 * MS, Kind::Aside, 2)];
-    // Two voters don't hear each other, the third is replaced by its own wish.
-    let newcomer = [(0, Kind::PairCut, 0), (1_500 * MS, Kind::Leave, 2)];
-    let asked = |model| Fleet { askers: true, ..model };
-    let grant_losses = [Kind::Crash, Kind::Gone, Kind::Cut, Kind::LongCut, Kind::Mute, Kind::Freeze, Kind::Blackout];
-    let losses = [Kind::Wipe, Kind::Gone, Kind::LongCut];
+    let under_way = [(0, FaultKind::Aside, 2), (2_600 * MS, FaultKind::Aside, 2)];
+    // A partition between two voters; the third one leaves and is replaced.
+    let newcomer = [(0, FaultKind::PairPartition, 0), (1_500 * MS, FaultKind::Leave, 2)];
+    let grant_losses = [
+        FaultKind::Crash,
+        FaultKind::Gone,
+        FaultKind::Partition,
+        FaultKind::LongPartition,
+        FaultKind::LostSends,
+        FaultKind::Freeze,
+        FaultKind::Blackout,
+    ];
+    let losses = [FaultKind::Wipe, FaultKind::Gone, FaultKind::LongPartition];
     vec![
-        s("any-one", true, fleet(4, &ALL, 1, (100 * MS, SEC, 0))),
-        s("any-one-fine", false, fleet(4, &ALL, 1, (25 * MS, 2 * SEC, 0))),
-        s("restarted-voter", true, after(&restart, fleet(4, &[Kind::Crash], 1, (25 * MS, 300 * MS, 0)))),
-        s("change-under-way", true, after(&under_way, fleet(4, &[Kind::Aside], 1, (25 * MS, 600 * MS, 0)))),
-        s("newcomer", true, after(&newcomer, fleet(4, &[Kind::LongCut], 1, (25 * MS, 600 * MS, 0)))),
-        s("window", true, asked(fleet(4, &grant_losses, 1, (100 * MS, 600 * MS, 0)))),
-        s("window-two", false, asked(fleet(5, &grant_losses, 2, (100 * MS, 600 * MS, 10 * SEC)))),
-        s("two-losses", true, fleet(5, &losses, 2, (SEC, SEC, 10 * SEC))),
-        s("two-losses-fine", false, fleet(5, &losses, 2, (250 * MS, 500 * MS, 10 * SEC))),
-        s("two-cuts", false, fleet(5, &[Kind::LongCut], 2, (250 * MS, 500 * MS, 10 * SEC))),
-        s("two-close", false, close(fleet(5, &[Kind::Gone], 2, (50 * MS, 50 * MS, 5 * SEC)))),
-        s("two-near", false, fleet(4, &[Kind::Deaf, Kind::Crash], 2, (50 * MS, 100 * MS, 1_600 * MS))),
-        s("any-two", false, fleet(4, &ALL, 2, (250 * MS, 500 * MS, 5 * SEC))),
-        s("any-two-near", false, fleet(4, &ALL, 2, (50 * MS, 100 * MS, SEC))),
+        Scenario::small("any-one", one_fault(&ANY_FAULT, 100 * MS, SEC)),
+        Scenario::large("any-one-fine", one_fault(&ANY_FAULT, 25 * MS, 2 * SEC)),
+        Scenario::small("restarted-voter", after(&restart, one_fault(&[FaultKind::Crash], 25 * MS, 300 * MS))),
+        Scenario::small("change-under-way", after(&under_way, one_fault(&[FaultKind::Aside], 25 * MS, 600 * MS))),
+        Scenario::small("newcomer", after(&newcomer, one_fault(&[FaultKind::LongPartition], 25 * MS, 600 * MS))),
+        Scenario::small("window", with_requesters(one_fault(&grant_losses, 100 * MS, 600 * MS))),
+        Scenario::large(
+            "window-two",
+            with_requesters(fleet(5, &grant_losses, 2, FaultTimes { step: 100 * MS, first: 600 * MS, next: 10 * SEC })),
+        ),
+        Scenario::small("two-losses", fleet(5, &losses, 2, FaultTimes { step: SEC, first: SEC, next: 10 * SEC })),
+        Scenario::large(
+            "two-losses-fine",
+            fleet(5, &losses, 2, FaultTimes { step: 250 * MS, first: 500 * MS, next: 10 * SEC }),
+        ),
+        Scenario::large(
+            "two-cuts",
+            fleet(5, &[FaultKind::LongPartition], 2, FaultTimes { step: 250 * MS, first: 500 * MS, next: 10 * SEC }),
+        ),
+        Scenario::large(
+            "two-close",
+            Fleet {
+                allows_close_losses: true,
+                ..fleet(5, &[FaultKind::Gone], 2, FaultTimes { step: 50 * MS, first: 50 * MS, next: 5 * SEC })
+            },
+        ),
+        Scenario::large(
+            "two-near",
+            fleet(
+                4,
+                &[FaultKind::LostReceives, FaultKind::Crash],
+                2,
+                FaultTimes { step: 50 * MS, first: 100 * MS, next: 1_600 * MS },
+            ),
+        ),
+        Scenario::large(
+            "any-two",
+            fleet(4, &ANY_FAULT, 2, FaultTimes { step: 250 * MS, first: 500 * MS, next: 5 * SEC }),
+        ),
+        Scenario::large(
+            "any-two-near",
+            fleet(4, &ANY_FAULT, 2, FaultTimes { step: 50 * MS, first: 100 * MS, next: SEC }),
+        ),
     ]
 }
 
-/// A named bound of quotas.
-pub struct QuotaScenario {
-    pub name: &'static str,
-    /// Explored whole by the tests.
-    pub small: bool,
-    pub model: Quota,
-}
-
-/// Longer than any run of a model.
+/// A window that is longer than any run of a model, in microseconds.
 const LONG: Micros = 600 * SEC;
+/// A window that ends during the exploration, in microseconds.
 const SHORT: Micros = 400 * MS;
-const STILL: quota::Allowance = quota::Allowance { calls: 0, unrun: 0, passes: 0, lost: 0, doubled: 0, ends: 0 };
+/// Nothing but deliveries.
+const DELIVERIES_ONLY: quota::Allowance =
+    quota::Allowance { calls: 0, refunds: 0, time_steps: 0, losses: 0, duplicates: 0, restarts: 0 };
+/// The time that passes in one step, in microseconds.
+const QUOTA_STEP: Micros = 100 * MS;
 
 fn window(calls: u64, length: Micros, opening: &[quota::Opening], allowance: quota::Allowance) -> Quota {
     let limit = Limit::Window { calls, length };
-    Quota { cores: 1, fronts: 2, limit, opening: opening.to_vec(), allowance, step: 100 * MS }
+    Quota { cores: 1, fronts: 2, limit, opening: opening.to_vec(), allowance, step: QUOTA_STEP }
 }
 
 fn rate(rate: u64, burst: u64, opening: &[quota::Opening], allowance: quota::Allowance) -> Quota {
     let limit = Limit::Rate { rate, burst };
-    Quota { cores: 1, fronts: 2, limit, opening: opening.to_vec(), allowance, step: 100 * MS }
+    Quota { cores: 1, fronts: 2, limit, opening: opening.to_vec(), allowance, step: QUOTA_STEP }
 }
 
-pub fn quotas() -> Vec<QuotaScenario> {
-    use quota::Allowance as A;
-    use quota::Opening::{Arrive, Calls, End, Flow, Hold, Unrun};
-    let s = |name, small, model| QuotaScenario { name, small, model };
-    let three = |model| Quota { cores: 3, ..model };
+/// The bounds of quotas.
+#[must_use]
+pub fn quotas() -> Vec<Scenario<Quota>> {
+    use quota::Allowance;
+    use quota::Opening::{Calls, Deliver, Flow, Hold, Refund, RestartHolder};
+    let with_three_cores = |model| Quota { cores: 3, ..model };
     let (first, second) = (0, 1);
-    // All units are lent; the first front holds two that it doesn't use.
+    // All units are granted; the first front holds two that it does not use.
     let idle = [
         Calls { front: first, count: 3 },
-        Flow { time: 600 * MS },
-        Unrun { front: first },
-        Unrun { front: first },
+        Flow { duration: 600 * MS },
+        Refund { front: first },
+        Refund { front: first },
         Calls { front: second, count: 1 },
-        Flow { time: 100 * MS },
+        Flow { duration: 100 * MS },
     ];
     // The same in a short window, which ends while two units are on their way back.
     let late_return = [
         Calls { front: first, count: 3 },
-        Flow { time: 50 * MS },
-        Unrun { front: first },
-        Unrun { front: first },
+        Flow { duration: 50 * MS },
+        Refund { front: first },
+        Refund { front: first },
         Calls { front: second, count: 2 },
-        Hold { time: 50 * MS },
-        Arrive { kind: "SliceRequest" },
-        Arrive { kind: "SliceGranted" },
-        Arrive { kind: "SliceRequest" },
-        Arrive { kind: "RecallSlice" },
-        Hold { time: 350 * MS },
+        Hold { duration: 50 * MS },
+        Deliver { kind: "SliceRequest" },
+        Deliver { kind: "SliceGranted" },
+        Deliver { kind: "SliceRequest" },
+        Deliver { kind: "RecallSlice" },
+        Hold { duration: 350 * MS },
     ];
-    // The same where the holder has ended and has a successor.
-    let mut ended = idle.to_vec();
-    ended.extend([End, Flow { time: 1_500 * MS }]);
-    // Both fronts look for more than there is, and nothing of it has arrived.
+    // The same where the lease holder restarted and has a successor.
+    let mut restarted = idle.to_vec();
+    restarted.extend([RestartHolder, Flow { duration: 1_500 * MS }]);
+    // Both fronts request more than there is, and nothing of it was delivered.
     let busy = [
         Calls { front: first, count: 2 },
-        Flow { time: 500 * MS },
+        Flow { duration: 500 * MS },
         Calls { front: first, count: 4 },
         Calls { front: second, count: 5 },
     ];
-    // All of the burst was spent when the holder ended; its successor is asked for more.
+    // All of the burst was spent when the lease holder restarted; its successor receives requests for more.
     let spent = [
         Calls { front: first, count: 8 },
-        Flow { time: 300 * MS },
-        End,
-        Flow { time: 2 * SEC },
+        Flow { duration: 300 * MS },
+        RestartHolder,
+        Flow { duration: 2 * SEC },
         Calls { front: second, count: 8 },
     ];
     vec![
-        s("units", true, window(4, LONG, &idle, A { calls: 1, doubled: 1, ..STILL })),
-        s("units-lost", true, window(4, LONG, &idle, A { calls: 1, lost: 1, ..STILL })),
-        s("units-unrun", true, window(4, LONG, &idle, A { calls: 1, unrun: 1, ..STILL })),
-        s("units-short", true, window(4, SHORT, &late_return, A { calls: 1, unrun: 1, ..STILL })),
-        s("units-ended", true, three(window(4, LONG, &ended, A { calls: 1, doubled: 1, ..STILL }))),
-        s(
+        Scenario::small("units", window(4, LONG, &idle, Allowance { calls: 1, duplicates: 1, ..DELIVERIES_ONLY })),
+        Scenario::small("units-lost", window(4, LONG, &idle, Allowance { calls: 1, losses: 1, ..DELIVERIES_ONLY })),
+        Scenario::small("units-unrun", window(4, LONG, &idle, Allowance { calls: 1, refunds: 1, ..DELIVERIES_ONLY })),
+        Scenario::small(
+            "units-short",
+            window(4, SHORT, &late_return, Allowance { calls: 1, refunds: 1, ..DELIVERIES_ONLY }),
+        ),
+        Scenario::small(
+            "units-ended",
+            with_three_cores(window(4, LONG, &restarted, Allowance { calls: 1, duplicates: 1, ..DELIVERIES_ONLY })),
+        ),
+        Scenario::large(
             "units-wide",
-            false,
-            window(4, LONG, &idle, A { calls: 2, unrun: 1, passes: 2, lost: 1, doubled: 1, ends: 0 }),
+            window(
+                4,
+                LONG,
+                &idle,
+                Allowance { calls: 2, refunds: 1, time_steps: 2, losses: 1, duplicates: 1, restarts: 0 },
+            ),
+        ),
+        Scenario::small(
+            "shares",
+            rate(1, 8, &busy, Allowance { duplicates: 1, refunds: 1, time_steps: 1, ..DELIVERIES_ONLY }),
+        ),
+        Scenario::small("shares-lost", rate(1, 8, &busy, Allowance { losses: 1, time_steps: 1, ..DELIVERIES_ONLY })),
+        Scenario::small(
+            "shares-ended",
+            with_three_cores(rate(1, 8, &spent, Allowance { calls: 1, time_steps: 1, ..DELIVERIES_ONLY })),
+        ),
+        Scenario::large(
+            "shares-wide",
+            rate(1, 8, &busy, Allowance { calls: 1, refunds: 1, time_steps: 3, losses: 1, duplicates: 1, restarts: 0 }),
         ),
-        s("shares", true, rate(1, 8, &busy, A { doubled: 1, unrun: 1, passes: 1, ..STILL })),
-        s("shares-lost", true, rate(1, 8, &busy, A { lost: 1, passes: 1, ..STILL })),
-        s("shares-ended", true, three(rate(1, 8, &spent, A { calls: 1, passes: 1, ..STILL }))),
-        s("shares-wide", false, rate(1, 8, &busy, A { calls: 1, unrun: 1, passes: 3, lost: 1, doubled: 1, ends: 0 })),
     ]
 }
--- a/crates/checker/tests/judge.rs
+++ b/crates/checker/tests/judge.rs
@@ -1,7 +1,7 @@
-//! What the judge of the bounds finds wrong, shown on histories that are made up.
+//! Which violations the judge of the bounds finds, shown on made-up histories.
 
 use sumacvale_checker::judge::{Base, Judge};
-use sumacvale_checker::machine::core;
+use sumacvale_checker::machine::voter;
 use sumacvale_core::base::{ChangeId, Version};
 use sumacvale_core::protocol::{ChangeOutcome, LogEntry};
 
@@ -9,16 +9,15 @@
 const FIRST: ChangeId = ChangeId(2);
 const SECOND: ChangeId = ChangeId(3);
 
-/// A version of a change, and the number of the document that is in force with it.
-fn decree(version: Version, change_id: ChangeId, revision: u64) -> LogEntry {
-    let cores = (0..3).map(core).collect();
+/// A version of a change, with the revision of the document that is in force with it.
+fn entry(version: Version, change_id: ChangeId, revision: u64) -> LogEntry {
     LogEntry {
         version,
         change_id,
         fleet_id: 7,
         voters_since: 0,
         previous_voters: Vec::new(),
-        voters: cores,
+        voters: (0..3).map(voter).collect(),
         body: String::new(),
         revision,
         patch: None,
@@ -26,69 +25,69 @@
     }
 }
 
-/// A judge that has seen these changes as versions 0, 1 and so on, each with its number.
+/// A judge that has seen these changes as versions 0, 1 and so on, each with its revision.
 fn judge_of(versions: &[(ChangeId, u64)]) -> Judge {
     let mut judge = Judge::default();
     for (version, (change_id, revision)) in (0..).zip(versions) {
-        judge.decided(0, &decree(version, *change_id, *revision)).expect("each version is seen once");
+        judge.on_decided(0, &entry(version, *change_id, *revision)).expect("each version is seen once");
     }
     judge
 }
 
 fn acknowledge(judge: &mut Judge, change: ChangeId, base: Base, version: Version) -> Result<(), String> {
-    judge.answered(change, base, &ChangeOutcome::Committed { version }, 0)
+    judge.on_outcome(change, base, &ChangeOutcome::Committed { version }, 0)
 }
 
-fn assert_breaks(result: Result<(), String>, rule: &str) {
-    let what = result.expect_err("the judge finds a breach");
-    assert!(what.starts_with(rule), "{what}");
+fn assert_violates(result: Result<(), String>, rule: &str) {
+    let message = result.expect_err("the judge finds a violation");
+    assert!(message.starts_with(rule), "{message}");
 }
 
 #[test]
-fn a_list_of_voters_and_a_document_are_both_taken_on_number_0() {
+fn a_set_of_voters_and_a_document_are_both_committed_on_revision_0() {
     let mut judge = judge_of(&[(FOUNDING, 0), (FIRST, 0), (SECOND, 1)]);
     assert_eq!(acknowledge(&mut judge, FIRST, Base::Voters(0), 1), Ok(()));
     assert_eq!(acknowledge(&mut judge, SECOND, Base::Document(0), 2), Ok(()));
 }
 
 #[test]
-fn two_documents_acknowledged_on_one_number_are_found() {
+fn two_documents_acknowledged_on_one_revision_are_found() {
     let mut judge = judge_of(&[(FOUNDING, 0), (FIRST, 1), (SECOND, 2)]);
     assert_eq!(acknowledge(&mut judge, FIRST, Base::Document(0), 1), Ok(()));
-    assert_breaks(acknowledge(&mut judge, SECOND, Base::Document(0), 2), "two acknowledged on one base");
+    assert_violates(acknowledge(&mut judge, SECOND, Base::Document(0), 2), "two acknowledged on one base");
 }
 
 #[test]
-fn two_lists_of_voters_acknowledged_on_one_version_are_found() {
+fn two_sets_of_voters_acknowledged_on_one_version_are_found() {
     let mut judge = judge_of(&[(FOUNDING, 0), (FIRST, 0), (SECOND, 0)]);
     assert_eq!(acknowledge(&mut judge, FIRST, Base::Voters(0), 1), Ok(()));
-    assert_breaks(acknowledge(&mut judge, SECOND, Base::Voters(0), 2), "two acknowledged on one base");
+    assert_violates(acknowledge(&mut judge, SECOND, Base::Voters(0), 2), "two acknowledged on one base");
 }
 
 #[test]
-fn a_document_that_does_not_stand_on_its_number_is_found() {
+fn a_document_that_does_not_follow_its_base_revision_is_found() {
     let mut judge = judge_of(&[(FOUNDING, 0), (FIRST, 1), (SECOND, 2)]);
-    assert_breaks(acknowledge(&mut judge, SECOND, Base::Document(0), 2), "changes stand on their base");
+    assert_violates(acknowledge(&mut judge, SECOND, Base::Document(0), 2), "changes stand on their base");
 }
 
 #[test]
-fn a_document_whose_number_stays_is_found() {
+fn a_document_that_does_not_raise_the_revision_is_found() {
     let mut judge = judge_of(&[(FOUNDING, 0), (FIRST, 0)]);
-    assert_breaks(acknowledge(&mut judge, FIRST, Base::Document(0), 1), "changes stand on their base");
+    assert_violates(acknowledge(&mut judge, FIRST, Base::Document(0), 1), "changes stand on their base");
 }
 
 #[test]
-fn a_list_of_voters_that_does_not_stand_on_its_version_is_found() {
+fn a_set_of_voters_that_does_not_follow_its_base_version_is_found() {
     let mut judge = judge_of(&[(FOUNDING, 0), (FIRST, 1), (SECOND, 1)]);
-    assert_breaks(acknowledge(&mut judge, SECOND, Base::Voters(0), 2), "changes stand on their base");
+    assert_violates(acknowledge(&mut judge, SECOND, Base::Voters(0), 2), "changes stand on their base");
 }
 
 #[test]
-fn what_was_acknowledged_is_held_to_versions_that_are_seen_later() {
+fn acknowledgements_are_compared_with_versions_that_are_seen_later() {
     let mut judge = judge_of(&[(FOUNDING, 0)]);
     assert_eq!(acknowledge(&mut judge, FIRST, Base::Document(0), 1), Ok(()));
-    assert_breaks(judge.decided(1, &decree(1, SECOND, 1)), "acknowledged is for ever");
+    assert_violates(judge.on_decided(1, &entry(1, SECOND, 1)), "acknowledged is for ever");
     let mut judge = judge_of(&[(FOUNDING, 0)]);
     assert_eq!(acknowledge(&mut judge, SECOND, Base::Document(0), 2), Ok(()));
-    assert_breaks(judge.decided(1, &decree(1, FIRST, 1)), "changes stand on their base");
+    assert_violates(judge.on_decided(1, &entry(1, FIRST, 1)), "changes stand on their base");
 }
