--- a/crates/core/src/call/context.rs
+++ b/crates/core/src/call/context.rs
@@ -3,7 +3,7 @@
 
 use super::body_budget::BodyBudget;
 use super::caches::{Caches, ThreadCaches};
-use super::counters::CallCounters;
+use super::counters::DataPlaneCounters;
 use super::holdings::ReservedSlot;
 use super::latency::LatencyHistogram;
 use super::queue_entries::{SlotWaiter, TenantQueue};
@@ -37,7 +37,7 @@
     /// The budget that retries are paid from.
     pub retry_budget: RetryBudget,
     /// The counters of the data plane.
-    pub counters: CallCounters,
+    pub counters: DataPlaneCounters,
     /// Calls that ended with a local response, by reason.
     pub rejections: RejectionCounters,
     /// From the head of the request to the head of its response.
@@ -82,7 +82,7 @@
             engines: EngineModels::default(),
             caches: Caches::default(),
             retry_budget: RetryBudget::default(),
-            counters: CallCounters::default(),
+            counters: DataPlaneCounters::default(),
             rejections: RejectionCounters::default(),
             time_to_first_byte: LatencyHistogram::default(),
             quota_wait: LatencyHistogram::default(),
--- a/crates/core/src/call/counters.rs
+++ b/crates/core/src/call/counters.rs
@@ -28,12 +28,12 @@
     ($($(#[doc = $doc:literal])* $name:ident,)*) => {
         /// Counters of the data plane; they only grow.
         #[derive(Debug, Default)]
-        pub struct CallCounters { $($(#[doc = $doc])* pub $name: Counter,)* }
+        pub struct DataPlaneCounters { $($(#[doc = $doc])* pub $name: Counter,)* }
 
-        /// The name and the help text of each counter, in the order of [`CallCounters::list`].
+        /// The name and the help text of each counter, in the order of [`DataPlaneCounters::list`].
         pub const HELP_TEXTS: &[(&str, &str)] = &[$((stringify!($name), concat!($($doc),*)),)*];
 
-        impl CallCounters {
+        impl DataPlaneCounters {
             /// The name and the count of each counter.
             #[must_use]
             pub fn list(&self) -> Vec<(&'static str, u64)> {
--- a/crates/core/src/call/lookup.rs
+++ b/crates/core/src/call/lookup.rs
@@ -3,7 +3,7 @@
 
 use super::caches::Cached;
 use super::context::StepContext;
-use super::counters::CallCounters;
+use super::counters::DataPlaneCounters;
 use crate::base::Micros;
 use crate::cache::{CacheLevel, FetchError, FetchResult, Lookup, LookupContext, look_up};
 use crate::node::View;
@@ -60,7 +60,7 @@
     }
 }
 
-fn count_lookup(counters: &CallCounters, level: CacheLevel) {
+fn count_lookup(counters: &DataPlaneCounters, level: CacheLevel) {
     let counter = match level {
         CacheLevel::Local => &counters.cache_l1,
         CacheLevel::Shared => &counters.cache_l2,
--- a/crates/core/src/config/check/pools.rs
+++ b/crates/core/src/config/check/pools.rs
@@ -52,7 +52,7 @@
         return None;
     }
     let addresses = object.texts("workers", errors).unwrap_or_default();
-    if addresses.is_empty() && object.member("workers").is_some_and(|value| value.is_array()) {
+    if addresses.is_empty() && object.member("workers").is_some_and(sonic_rs::JsonValueTrait::is_array) {
         object.reject("workers", "\"any\" or a list with at least one address", errors);
     }
     for (index, address) in addresses.iter().enumerate() {
--- a/crates/core/src/config/compiled/effective.rs
+++ b/crates/core/src/config/compiled/effective.rs
@@ -59,7 +59,7 @@
         None => object.add_text("matches", "all"),
         Some(names) => object.add_json("matches", &sonic_rs::to_string(names).unwrap_or_default()),
     }
-    object.add_optional_text("on_revoke", tenant.on_revoke.map(|policy| policy.name()));
+    object.add_optional_text("on_revoke", tenant.on_revoke.map(super::route::OnRevoke::name));
     object.finish()
 }
 
--- a/crates/core/src/config/compiled/mod.rs
+++ b/crates/core/src/config/compiled/mod.rs
@@ -68,6 +68,8 @@
         self.find_by_prefix(&Some(host.to_owned()), path).or_else(|| self.find_by_prefix(&None, path))
     }
 
+    // The option as a whole is a key of the map.
+    #[allow(clippy::ref_option)]
     fn find_by_prefix(&self, host: &Option<String>, path: &str) -> Option<&Arc<Match>> {
         let by_prefix = self.path_prefixes.get(host)?;
         path.rmatch_indices('/').find_map(|(slash, _)| by_prefix.get(&path[..=slash]))
--- a/crates/core/src/node/dispatch.rs
+++ b/crates/core/src/node/dispatch.rs
@@ -72,7 +72,7 @@
             Event::ReportWithAck { request_id, report } => self.on_report_with_ack(request_id, &report, now),
             Event::SubmitChange { request_id, change_id, is_first_send, base, change } => {
                 let submitted = SubmittedChange { change_id, is_first_send, base, change };
-                self.submit_change(request_id, submitted, now)
+                self.submit_change(request_id, submitted, now);
             }
             Event::QuotaNeeded { tenant, waiting } => self.on_quota_needed(&tenant, waiting, now),
             Event::SeedsChanged(seeds) => self.settings.seeds = seeds,
--- a/crates/core/src/node/dissemination/mod.rs
+++ b/crates/core/src/node/dissemination/mod.rs
@@ -128,11 +128,11 @@
             DisseminationMessage::RemovalsReceived { keys } => self.on_removals_received(from, &keys, now),
             DisseminationMessage::RemovalsKnownByAll { keys } => self.on_removals_known_by_all(&keys),
             DisseminationMessage::Reports { reports } => {
-                self.on_reports(envelope.incarnation_of_sender(), envelope.sent_at, &reports, now)
+                self.on_reports(envelope.incarnation_of_sender(), envelope.sent_at, &reports, now);
             }
             DisseminationMessage::ClockRequest { request_id } => self.on_clock_request(from, request_id, now),
             DisseminationMessage::ClockReply { request_id } => {
-                self.on_clock_reply(envelope.incarnation_of_sender(), request_id, envelope.sent_at, now)
+                self.on_clock_reply(envelope.incarnation_of_sender(), request_id, envelope.sent_at, now);
             }
         }
     }
--- a/crates/core/src/node/dissemination/removals.rs
+++ b/crates/core/src/node/dissemination/removals.rs
@@ -38,9 +38,9 @@
         let is_accepted = self.on_report(report, now);
         if !report.is_out_of_service() {
             if is_accepted {
-                self.acknowledge_when_reachable(request_id, now)
+                self.acknowledge_when_reachable(request_id, now);
             } else {
-                self.acknowledge_report(request_id, false)
+                self.acknowledge_report(request_id, false);
             }
             return;
         }
--- a/crates/core/src/node/membership/registrations.rs
+++ b/crates/core/src/node/membership/registrations.rs
@@ -119,7 +119,9 @@
     pub(in crate::node) fn record_registrations(&mut self, writes: &[DurableWrite], now: Micros) {
         for write in writes {
             if let DurableWrite::Register(incarnations) = write {
-                incarnations.iter().for_each(|i| self.membership.registrations.record(i, now));
+                for incarnation in incarnations {
+                    self.membership.registrations.record(incarnation, now);
+                }
             }
         }
     }
--- a/crates/core/src/node/quota/mod.rs
+++ b/crates/core/src/node/quota/mod.rs
@@ -64,39 +64,39 @@
         match message {
             QuotaMessage::ReplicateGrants { voter_set, role, epoch, request_id, grants } => {
                 let batch = windows::GrantBatch { voter_set, role, epoch, request_id, grants };
-                self.on_replicate_grants(from, batch, envelope.delay, now)
+                self.on_replicate_grants(from, batch, envelope.delay, now);
             }
             QuotaMessage::GrantsSynced { role, epoch, request_id } => {
-                self.on_grants_synced(from, role, epoch, request_id, now)
+                self.on_grants_synced(from, role, epoch, request_id, now);
             }
             QuotaMessage::SliceRequest { request_id, tenant, wanted_units, window, returned } => {
-                self.on_slice_request(from, request_id, &tenant, wanted_units, (window, returned), now)
+                self.on_slice_request(from, request_id, &tenant, wanted_units, (window, returned), now);
             }
             QuotaMessage::SliceGranted { request_id, tenant, window, granted_total, remaining, epoch } => {
-                self.on_slice_granted(request_id, &tenant, window, granted_total, remaining, epoch)
+                self.on_slice_granted(request_id, &tenant, window, granted_total, remaining, epoch);
             }
             QuotaMessage::WindowSpent { request_id, tenant, window, remaining } => {
-                self.on_window_spent(request_id, &tenant, (window, remaining), envelope.delay, now)
+                self.on_window_spent(request_id, &tenant, (window, remaining), envelope.delay, now);
             }
             QuotaMessage::NotLeaseHolder { request_id, tenant, holder } => {
-                self.on_not_lease_holder(from, request_id, &tenant, holder, now)
+                self.on_not_lease_holder(from, request_id, &tenant, holder, now);
             }
             QuotaMessage::RecallSlice { tenant, window, epoch } => {
-                self.on_recall_slice(from, &tenant, window, epoch, now)
+                self.on_recall_slice(from, &tenant, window, epoch, now);
             }
             QuotaMessage::ReturnSlice { tenant, window, returned } => {
-                self.on_return_slice(from, &tenant, window, returned, now)
+                self.on_return_slice(from, &tenant, window, returned, now);
             }
             QuotaMessage::ShareProbe { claims } => self.on_share_probe(from, &claims, now),
             QuotaMessage::ShareProbeReply { addr, claims, age } => {
-                self.on_share_probe_reply(envelope.incarnation_of_sender(), &addr, &claims, age, now)
+                self.on_share_probe_reply(envelope.incarnation_of_sender(), &addr, &claims, age, now);
             }
             QuotaMessage::ShareRequests { request_id, requests, claims, idle_for } => {
                 let batch = ShareRequests { request_id, requests, idle_for, claims };
-                self.on_share_requests(envelope.incarnation_of_sender(), batch, now)
+                self.on_share_requests(envelope.incarnation_of_sender(), batch, now);
             }
             QuotaMessage::ShareGrants { request_id, grants, claims } => {
-                self.on_share_grants(from, request_id, &grants, &claims, now)
+                self.on_share_grants(from, request_id, &grants, &claims, now);
             }
         }
     }
--- a/crates/core/tests/cache.rs
+++ b/crates/core/tests/cache.rs
@@ -55,6 +55,8 @@
     }
 }
 
+// It has the form of what a lookup returns.
+#[allow(clippy::unnecessary_wraps)]
 fn found(value: Option<u32>, level: CacheLevel) -> Outcome {
     Ok(Found { value, level })
 }
--- a/crates/core/tests/call/exploration.rs
+++ b/crates/core/tests/call/exploration.rs
@@ -306,10 +306,10 @@
             C::UnitsGranted | C::WindowSpends => {
                 let (now, slices) = (self.fixture.now, &self.fixture.shared.slices);
                 if choice == C::UnitsGranted {
-                    slices.add_granted("t", 2, 5, now + SEC)
+                    slices.add_granted("t", 2, 5, now + SEC);
                 } else {
-                    slices.mark_spent("t", 1, now + SEC, now)
-                };
+                    slices.mark_spent("t", 1, now + SEC, now);
+                }
                 self.fixture.shared.serve_quota_queue("t", now).pop()?.event
             }
             C::SlotFreed => {
--- a/crates/core/tests/cutoff.rs
+++ b/crates/core/tests/cutoff.rs
@@ -134,7 +134,9 @@
                 self.in_flight.insert((self.now + MS + delay, self.sequence), (i, j, *frame));
             }
             Effect::Write { token, writes } => {
-                writes.iter().for_each(|write| self.disks[i].apply(write));
+                for write in &writes {
+                    self.disks[i].apply(write);
+                }
                 self.pending_syncs.insert((self.now + self.sync_delay, self.sequence), (i, token));
             }
             Effect::CompleteChange { request_id, outcome } => {
@@ -218,7 +220,7 @@
             }
             CallKind::Report => self.step(i, Event::ReportWithAck { request_id, report: report("old", request_id) }),
             CallKind::NewWorker => {
-                self.step(i, Event::ReportWithAck { request_id, report: report(&format!("w{request_id}"), 1) })
+                self.step(i, Event::ReportWithAck { request_id, report: report(&format!("w{request_id}"), 1) });
             }
             CallKind::Drain => self.step(
                 i,
@@ -228,7 +230,7 @@
                 },
             ),
             CallKind::Removal => {
-                self.step(i, Event::ReportWithAck { request_id, report: WorkerReport::removal("leaves", 1) })
+                self.step(i, Event::ReportWithAck { request_id, report: WorkerReport::removal("leaves", 1) });
             }
         }
         request_id
--- a/crates/core/tests/documents/main.rs
+++ b/crates/core/tests/documents/main.rs
@@ -432,6 +432,8 @@
 }
 
 /// Reads any text as a document with revision 1.
+// It has the form of a `ConfigReader`.
+#[allow(clippy::unnecessary_wraps)]
 fn read_anything(_: &str) -> Result<CompiledConfig, Vec<ConfigError>> {
     Ok(CompiledConfig { revision: 1, ..CompiledConfig::default() })
 }
--- a/crates/core/tests/documents/net.rs
+++ b/crates/core/tests/documents/net.rs
@@ -68,8 +68,9 @@
 /// The bytes of entries and changes in a message.
 fn entry_bytes(message: &Message) -> usize {
     match message {
-        Message::Consensus(ConsensusMessage::Promise { accepted: Some((_, entry)), .. })
-        | Message::Consensus(ConsensusMessage::Accept { entry, .. }) => entry.size(),
+        Message::Consensus(
+            ConsensusMessage::Promise { accepted: Some((_, entry)), .. } | ConsensusMessage::Accept { entry, .. },
+        ) => entry.size(),
         Message::Consensus(ConsensusMessage::Replicate { entries }) => entries.iter().map(LogEntry::size).sum(),
         Message::Dissemination(DisseminationMessage::Update { preceding, entry, .. }) => {
             preceding.iter().chain(entry).map(LogEntry::size).sum()
@@ -154,10 +155,12 @@
                     self.in_flight.insert((now + MS, self.sequence), (j, *frame));
                 }
                 Effect::Write { token, writes } if self.stalled_disks.contains(&i) => {
-                    self.pending_writes.push(PendingWrite { machine: i, token, writes })
+                    self.pending_writes.push(PendingWrite { machine: i, token, writes });
                 }
                 Effect::Write { token, writes } => {
-                    writes.iter().for_each(|write| self.disks[i].apply(write));
+                    for write in &writes {
+                        self.disks[i].apply(write);
+                    }
                     self.step(i, Event::Synced(token));
                 }
                 Effect::CompleteChange { request_id, outcome } => {
@@ -223,7 +226,9 @@
     pub fn resume_disks(&mut self) {
         self.stalled_disks.clear();
         for PendingWrite { machine, token, writes } in std::mem::take(&mut self.pending_writes) {
-            writes.iter().for_each(|write| self.disks[machine].apply(write));
+            for write in &writes {
+                self.disks[machine].apply(write);
+            }
             self.step(machine, Event::Synced(token));
         }
     }
--- a/crates/core/tests/fleet/mod.rs
+++ b/crates/core/tests/fleet/mod.rs
@@ -216,7 +216,9 @@
         for number in running {
             let Some(machine) = self.machines.get_mut(&number) else { continue };
             let Some(UnsyncedWrite { token, writes }) = machine.unsynced.pop_front() else { continue };
-            writes.iter().for_each(|write| machine.disk.apply(write));
+            for write in &writes {
+                machine.disk.apply(write);
+            }
             has_synced = true;
             let effects = self.step(number, Event::Synced(token));
             self.carry(number, effects);
--- a/crates/core/tests/golden/values.rs
+++ b/crates/core/tests/golden/values.rs
@@ -13,7 +13,7 @@
 }
 
 pub fn ballot(number: u64) -> Ballot {
-    Ballot { number: number, node_id: NodeId(0xBA11_0000_0000_0000 + number), incarnation: number + 300 }
+    Ballot { number, node_id: NodeId(0xBA11_0000_0000_0000 + number), incarnation: number + 300 }
 }
 
 pub fn patch() -> Patch {
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -168,7 +168,7 @@
     let table = pool_table(3, 8);
     let router = Router::new(5, "z0");
     let request = PromptRequest {
-        parts: Default::default(),
+        parts: smallvec::SmallVec::default(),
         latency_target: 100 * MS,
         time_left: SEC,
         bytes: 2_000,
--- a/crates/core/tests/prompt_lengths.rs
+++ b/crates/core/tests/prompt_lengths.rs
@@ -35,7 +35,7 @@
     record_calls(&mut lengths, &mut Rng::new(1), 40, 27, SEC);
     let (long, short) =
         (lengths.class_of(LONG_ROUTE).expect("a partition"), lengths.class_of(SHORT_ROUTE).expect("a partition"));
-    assert!(long.is_long && !short.is_long && long.short_fraction == short.short_fraction);
+    assert!(long.is_long && !short.is_long && long.short_fraction.to_bits() == short.short_fraction.to_bits());
     assert_eq!(lengths.class_of(77), None, "a route that was never seen");
     for position in [0.05, 0.3, 0.5, 0.95] {
         assert_ne!(long.contains(position), short.contains(position), "a worker at {position} is in one partition");
--- a/crates/core/tests/rates.rs
+++ b/crates/core/tests/rates.rs
@@ -928,7 +928,7 @@
     for seed in 0..150 {
         let mut rng = Rng::new(seed);
         let rate = Rate { milli_per_second: 500 + rng.below(80_000), burst_milli: 1_000 + rng.below(80_000) };
-        let loads: Vec<_> = (0..1 + rng.below(8)).map(|_| rng.below(100_000)).collect();
+        let loads: Vec<_> = (0..=rng.below(8)).map(|_| rng.below(100_000)).collect();
         let mut simulation = Simulation::new(seed, rate, &loads, seed % 2 == 0);
         simulation.loss = rng.below(30);
         let mut next_fault_at = simulation.now + SEC;
--- a/crates/core/tests/recovery.rs
+++ b/crates/core/tests/recovery.rs
@@ -101,7 +101,9 @@
                     self.losing_since.remove(&(i, j));
                 }
                 Effect::Write { token, writes } => {
-                    writes.iter().for_each(|write| self.disks[i].apply(write));
+                    for write in &writes {
+                        self.disks[i].apply(write);
+                    }
                     self.step(i, Event::Synced(token));
                 }
                 _ => {}
@@ -552,7 +554,9 @@
         calls.run(&mut net, 3 * SEC);
         let counted = from..from + 2 * SEC;
         let rejected: Vec<_> = calls.rejected.iter().filter(|call| counted.contains(&call.received_at)).collect();
-        rejected.iter().for_each(|call| *self.rejected.entry(call.cause).or_default() += 1);
+        for call in &rejected {
+            *self.rejected.entry(call.cause).or_default() += 1;
+        }
         self.last_rejected.push(rejected.iter().map(|call| call.received_at - from).max().unwrap_or(0) / MS);
         self.calls += rejected.len() + calls.served.iter().filter(|at| counted.contains(at)).count();
     }
--- a/crates/core/tests/workers.rs
+++ b/crates/core/tests/workers.rs
@@ -301,7 +301,7 @@
             |net| {
                 let home = net.home_node(1);
                 kill(net, home);
-                kill(net, 0)
+                kill(net, 0);
             },
             50 * MS,
         ),
@@ -309,7 +309,7 @@
             "a home node was dead",
             |net| {
                 let home = net.home_node(0);
-                kill(net, home)
+                kill(net, home);
             },
             |net| kill(net, 0),
             700 * MS,
@@ -322,7 +322,7 @@
             |net| net.cut_off.push(7),
             |net| {
                 kill(net, 0);
-                net.cut_off.clear()
+                net.cut_off.clear();
             },
             700 * MS,
         ),
