--- a/crates/compare/src/main.rs
+++ b/crates/compare/src/main.rs
@@ -21,43 +21,44 @@
     std::process::exit(run(&a));
 }
 
-fn run(a: &[String]) -> i32 {
-    let mut o = Options::new();
-    o.optopt("", "token-file", "file that holds an operator's token", "FILE")
+fn run(arguments: &[String]) -> i32 {
+    let mut options = Options::new();
+    options
+        .optopt("", "token-file", "file that holds an operator's token", "FILE")
         .optflag("", "all", "compare the node with all that it knows")
         .optflag("h", "help", "show this help")
         .optflag("V", "version", "show the version");
-    let m = match o.parse(a) {
-        Ok(m) => m,
+    let matches = match options.parse(arguments) {
+        Ok(matches) => matches,
         Err(e) => return wrong(&e.to_string()),
     };
-    if m.opt_present("help") {
-        println!("{}", o.usage(HELP));
+    if matches.opt_present("help") {
+        println!("{}", options.usage(HELP));
         return 0;
     }
-    if m.opt_present("version") {
+    if matches.opt_present("version") {
         println!("sumacvale-compare {}", env!("CARGO_PKG_VERSION"));
         return 0;
     }
-    let Some(f) = m.opt_str("token-file") else { return wrong("--token-file is missing") };
-    let token = match std::fs::read_to_string(&f) {
+    let Some(file) = matches.opt_str("token-file") else { return wrong("--token-file is missing") };
+    let token = match std::fs::read_to_string(&file) {
         Ok(s) => s.trim().to_owned(),
-        Err(e) => return wrong(&format!("--token-file {f}: {e}; name a file that can be read")),
+        Err(e) => return wrong(&format!("--token-file {file}: {e}; name a file that can be read")),
     };
-    let all = m.opt_present("all");
-    if m.free.len() != if all { 1 } else { 2 } {
+    let all = matches.opt_present("all");
+    if matches.free.len() != if all { 1 } else { 2 } {
         return wrong("name two admin addresses, or one with --all");
     }
-    for x in &m.free {
-        if x.parse::<std::net::SocketAddr>().is_err() {
-            return wrong(&format!("{x} is no IP address and port"));
+    for addr in &matches.free {
+        if addr.parse::<std::net::SocketAddr>().is_err() {
+            return wrong(&format!("{addr} is no IP address and port"));
         }
     }
-    let rt = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
+    let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(r) => r,
         Err(e) => return wrong(&e.to_string()),
     };
-    rt.block_on(go(&m.free, &token, all))
+    runtime.block_on(go(&matches.free, &token, all))
 }
 
 fn wrong(s: &str) -> i32 {
--- a/crates/node/src/admin/config.rs
+++ b/crates/node/src/admin/config.rs
@@ -85,35 +85,36 @@
     r
 }
 
-fn base(r: &Request) -> Result<Version, Response> {
+fn base(r: &Request) -> Result<Version, Box<Response>> {
     let Some(v) = r.headers().get(header::IF_MATCH) else {
-        return Err(trouble(
+        return Err(Box::new(trouble(
             StatusCode::PRECONDITION_REQUIRED,
             "no_base",
             "send If-Match with the ETag that your change is built on",
-        ));
+        )));
     };
     let t = v.to_str().unwrap_or("").trim();
     let t = t.strip_prefix("W/").unwrap_or(t).trim_matches('"');
-    t.parse()
-        .map_err(|_| trouble(StatusCode::BAD_REQUEST, "base", "If-Match must be one ETag of /v1/config, such as \"7\""))
+    t.parse().map_err(|_| {
+        Box::new(trouble(StatusCode::BAD_REQUEST, "base", "If-Match must be one ETag of /v1/config, such as \"7\""))
+    })
 }
 
-fn change_id(r: &Request) -> Result<ChangeId, Response> {
+fn change_id(r: &Request) -> Result<ChangeId, Box<Response>> {
     match r.headers().get("change-id") {
         None => {
             let mut b = [0; 8];
             if getrandom::fill(&mut b).is_err() {
-                return Err(trouble(
+                return Err(Box::new(trouble(
                     StatusCode::INTERNAL_SERVER_ERROR,
                     "random",
                     "this machine gives no random numbers; send a Change-Id",
-                ));
+                )));
             }
             Ok(ChangeId(u64::from_be_bytes(b).max(1)))
         }
         Some(v) => v.to_str().ok().and_then(ChangeId::parse).filter(|c| c.0 != 0).ok_or_else(|| {
-            trouble(StatusCode::BAD_REQUEST, "change_id", "Change-Id must be 16 hex digits, not all nought")
+            Box::new(trouble(StatusCode::BAD_REQUEST, "change_id", "Change-Id must be 16 hex digits, not all nought"))
         }),
     }
 }
@@ -162,36 +163,37 @@
 }
 
 /// The base, the id, whether the id was made up here, and the body of a change.
-async fn change_of(r: Request) -> Result<(Version, ChangeId, bool, String), Response> {
-    let fresh = !r.headers().contains_key("change-id");
-    let (b, c) = (base(&r)?, change_id(&r)?);
-    Ok((b, c, fresh, body(r, LARGE).await?))
+async fn change_of(request: Request) -> Result<(Version, ChangeId, bool, String), Response> {
+    let fresh = !request.headers().contains_key("change-id");
+    let base_version = base(&request).map_err(|response| *response)?;
+    let change_id = change_id(&request).map_err(|response| *response)?;
+    Ok((base_version, change_id, fresh, body(request, LARGE).await?))
 }
 
 /// A document in the place of the newest one.
-pub async fn put(h: Arc<Shared>, r: Request) -> Response {
-    let dry = asked(&r, "dry_run");
-    let (b, c, fresh, s) = match change_of(r).await {
-        Ok(x) => x,
-        Err(r) => return r,
+pub async fn put(shared: Arc<Shared>, request: Request) -> Response {
+    let dry = asked(&request, "dry_run");
+    let (base_version, change_id, fresh, document) = match change_of(request).await {
+        Ok(parts) => parts,
+        Err(response) => return response,
     };
-    if let Err(v) = validate(&s) {
-        let state = if matches!(v.first(), Some(ConfigError::NotJson(_))) {
+    if let Err(errors) = validate(&document) {
+        let state = if matches!(errors.first(), Some(ConfigError::NotJson(_))) {
             StatusCode::BAD_REQUEST
         } else {
             StatusCode::UNPROCESSABLE_ENTITY
         };
-        return listed(state, &v);
+        return listed(state, &errors);
     }
     if dry {
-        let version = h.view.load().version.unwrap_or(0);
-        return if version == b {
+        let version = shared.view.load().version.unwrap_or(0);
+        return if version == base_version {
             json(StatusCode::OK, format!("{{\"state\":\"valid\",\"version\":{version}}}"))
         } else {
-            told(ChangeOutcome::Stale { version }, c)
+            told(ChangeOutcome::Stale { version }, change_id)
         };
     }
-    told(submit_change(&h, (c, fresh), b, Change::Tree(s)).await, c)
+    told(submit_change(&shared, (change_id, fresh), base_version, Change::Tree(document)).await, change_id)
 }
 
 /// The versions that the fleet holds.
@@ -200,34 +202,36 @@
 }
 
 /// What became of a change.
-pub async fn change(h: Arc<Shared>, r: Request) -> Response {
-    let Some(c) = r.param::<String>("cid").ok().and_then(|s| ChangeId::parse(&s)) else {
+pub async fn change(shared: Arc<Shared>, request: Request) -> Response {
+    let Some(change_id) = request.param::<String>("cid").ok().and_then(|id| ChangeId::parse(&id)) else {
         return trouble(StatusCode::BAD_REQUEST, "change_id", "a change id has 16 hex digits");
     };
-    let b = r.uri().query().and_then(|q| q.split('&').find_map(|x| x.strip_prefix("base=")?.parse::<Version>().ok()));
-    match submit_change(&h, (c, false), b.unwrap_or(Version::MAX), Change::QueryOutcome).await {
+    let base_version =
+        request.uri().query().and_then(|q| q.split('&').find_map(|x| x.strip_prefix("base=")?.parse::<Version>().ok()));
+    match submit_change(&shared, (change_id, false), base_version.unwrap_or(Version::MAX), Change::QueryOutcome).await {
         ChangeOutcome::Stale { version } => {
-            json(StatusCode::OK, format!("{{\"state\":\"lost\",\"version\":{version},\"change\":\"{c}\"}}"))
+            json(StatusCode::OK, format!("{{\"state\":\"lost\",\"version\":{version},\"change\":\"{change_id}\"}}"))
         }
         ChangeOutcome::Unknown => json(
             StatusCode::OK,
             format!(
-                "{{\"state\":\"unknown\",\"remedy\":\"not decided so far; add ?base=N with its base for a final word once a later version is decided\",\"change\":\"{c}\"}}"
+                "{{\"state\":\"unknown\",\"remedy\":\"not decided so far; add ?base=N with its base for a final word once a later version is decided\",\"change\":\"{change_id}\"}}"
             ),
         ),
-        f => told(f, c),
+        outcome => told(outcome, change_id),
     }
 }
 
 /// What is in force for one name.
-pub async fn effective(h: Arc<Shared>, r: Request) -> Response {
-    let (s, n) = (r.param::<String>("sort").unwrap_or_default(), r.param::<String>("name").unwrap_or_default());
-    let v = h.view.load();
-    match settings(&v.config, &s, &n) {
-        Some(t) => {
-            let mut r = json(StatusCode::OK, t);
-            etag(&mut r, v.config.version);
-            r
+pub async fn effective(shared: Arc<Shared>, request: Request) -> Response {
+    let (sort, name) =
+        (request.param::<String>("sort").unwrap_or_default(), request.param::<String>("name").unwrap_or_default());
+    let view = shared.view.load();
+    match settings(&view.config, &sort, &name) {
+        Some(text) => {
+            let mut response = json(StatusCode::OK, text);
+            etag(&mut response, view.config.version);
+            response
         }
         None => trouble(
             StatusCode::NOT_FOUND,
@@ -251,33 +255,33 @@
 }
 
 /// A list of voters in the place of the newest one.
-pub async fn put_cores(h: Arc<Shared>, r: Request) -> Response {
-    let (b, c, fresh, s) = match change_of(r).await {
-        Ok(x) => x,
-        Err(r) => return r,
+pub async fn put_cores(shared: Arc<Shared>, request: Request) -> Response {
+    let (base_version, change_id, fresh, body) = match change_of(request).await {
+        Ok(parts) => parts,
+        Err(response) => return response,
     };
-    let Ok(v) = sonic_rs::from_str::<Value>(&s) else {
+    let Ok(list) = sonic_rs::from_str::<Value>(&body) else {
         return listed(StatusCode::BAD_REQUEST, &[ConfigError::NotJson("send a list of cores".into())]);
     };
-    let mut cs = Vec::new();
-    let one = |x: &Value| {
-        let node_id = NodeId::parse(x.pointer(["id"])?.as_str()?)?;
-        let addr = x.pointer(["peer"])?.as_str()?.to_owned();
+    let mut voters = Vec::new();
+    let parse_voter = |item: &Value| {
+        let node_id = NodeId::parse(item.pointer(["id"])?.as_str()?)?;
+        let addr = item.pointer(["peer"])?.as_str()?.to_owned();
         addr.parse::<std::net::SocketAddr>().ok()?;
         Some(Voter { node_id, addr })
     };
-    for (i, x) in v.as_array().into_iter().flat_map(|a| a.iter()).enumerate() {
-        match one(x) {
-            Some(c) => cs.push(c),
+    for (index, item) in list.as_array().into_iter().flat_map(|a| a.iter()).enumerate() {
+        match parse_voter(item) {
+            Some(voter) => voters.push(voter),
             None => {
-                let t = ConfigError::InvalidValue {
-                    pointer: format!("/{i}"),
-                    actual: x.to_string(),
+                let error = ConfigError::InvalidValue {
+                    pointer: format!("/{index}"),
+                    actual: item.to_string(),
                     expected: "{\"id\": 16 hex digits, \"peer\": IP:PORT} as /v1/nodes shows".into(),
                 };
-                return listed(StatusCode::UNPROCESSABLE_ENTITY, &[t]);
+                return listed(StatusCode::UNPROCESSABLE_ENTITY, &[error]);
             }
         }
     }
-    told(submit_change(&h, (c, fresh), b, Change::Voters(cs)).await, c)
+    told(submit_change(&shared, (change_id, fresh), base_version, Change::Voters(voters)).await, change_id)
 }
--- a/crates/node/src/admin/report.rs
+++ b/crates/node/src/admin/report.rs
@@ -59,7 +59,7 @@
             .map(str::to_owned)
             .ok_or((k, "a text of 1 to 128 bytes"))
     };
-    let num = |k: &'static str| v.pointer([k]).and_then(|x| x.as_u64()).ok_or((k, "a whole number"));
+    let num = |k: &'static str| v.pointer([k]).and_then(sonic_rs::JsonValueTrait::as_u64).ok_or((k, "a whole number"));
     let small = |k: &'static str| num(k).and_then(|n| u32::try_from(n).map_err(|_| (k, "a small whole number")));
     let r = WorkerReport {
         worker_id: text("id")?,
--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -77,7 +77,7 @@
     }
 
     /// Turns a command into the node's event, and keeps the sender of its reply.
-    fn to_event(&mut self, command: Command) -> Event {
+    fn register_command(&mut self, command: Command) -> Event {
         match command {
             Command::Report(report) => Event::Report(report),
             Command::ReportWithAck { report, reply } => {
@@ -153,7 +153,7 @@
                 Some(frame) = frames.recv() => Event::Frame(Box::new(frame)),
                 command = self.receivers.commands.recv() => match command {
                     None => return,
-                    Some(command) => self.pending.to_event(command),
+                    Some(command) => self.pending.register_command(command),
                 },
             };
             let is_tick = matches!(event, Event::Tick);
--- a/crates/node/src/disk/database.rs
+++ b/crates/node/src/disk/database.rs
@@ -153,7 +153,7 @@
     }
 }
 
-/// SQLite's integers are signed.
+/// `SQLite`'s integers are signed.
 fn to_sql_integer(value: u64) -> i64 {
     i64::try_from(value).unwrap_or(i64::MAX)
 }
--- a/crates/node/src/disk/error.rs
+++ b/crates/node/src/disk/error.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// Whether SQLite reports a disk in trouble rather than a file with wrong content.
+/// Whether `SQLite` reports a disk in trouble rather than a file with wrong content.
 pub(super) fn is_transient_sqlite_error(error: &rusqlite::Error) -> bool {
     use rusqlite::ErrorCode::{CannotOpen, DiskFull, OutOfMemory, ReadOnly, SystemIoFailure};
     let code = error.sqlite_error_code();
--- a/crates/node/src/disk/folder.rs
+++ b/crates/node/src/disk/folder.rs
@@ -14,7 +14,7 @@
 const DRAFT_FILE: &str = "state.db.new";
 /// Created and removed to check whether the folder can be written.
 pub const PROBE_FILE: &str = ".sumacvale-write";
-/// SQLite's rollback journal. The database never has one (it uses a write-ahead log), so one that
+/// `SQLite`'s rollback journal. The database never has one (it uses a write-ahead log), so one that
 /// reappeared after a loss of power is not its own.
 const ROLLBACK_JOURNAL_FILE: &str = "state.db-journal";
 
--- a/crates/node/src/disk/mod.rs
+++ b/crates/node/src/disk/mod.rs
@@ -1,4 +1,4 @@
-//! The durable state of a core: one SQLite database in its data folder.
+//! The durable state of a core: one `SQLite` database in its data folder.
 //!
 //! Guarantees: a write is reported as done only once it is synced; several writes of one job are
 //! durable together or not at all; a folder that is foreign, locked or damaged is refused and never
--- a/crates/node/src/disk/schema.rs
+++ b/crates/node/src/disk/schema.rs
@@ -1,18 +1,18 @@
 //! The tables of a core's database and the marks by which the file is recognised.
 //!
 //! The names of tables and columns stay for ever, since folders of earlier releases have them. The
-//! comments are beside the SQL and not in it, because SQLite keeps the text of each `CREATE TABLE`.
+//! comments are beside the SQL and not in it, because `SQLite` keeps the text of each `CREATE TABLE`.
 
 use super::DiskError;
 use rusqlite::{Connection, params};
 use std::path::Path;
 use sumacvale_core::base::NodeId;
 
-/// SQLite's `application_id` of the file: "SUMA" in ASCII.
+/// `SQLite`'s `application_id` of the file: "SUMA" in ASCII.
 pub(super) const APPLICATION_ID: i32 = 0x5355_4D41;
 /// Version of the file format, in `meta.form`.
 pub(super) const FORMAT_VERSION: i64 = 1;
-/// Size in bytes to which SQLite truncates the write-ahead log after a checkpoint.
+/// Size in bytes to which `SQLite` truncates the write-ahead log after a checkpoint.
 const MAX_LOG_BYTES: usize = 4 << 20;
 
 /// Creates a new database in `file`, in the journal mode in which it stays.
--- a/crates/node/src/front/call_task.rs
+++ b/crates/node/src/front/call_task.rs
@@ -274,18 +274,18 @@
         }
     }
 
-    fn done(&mut self, d: IoOutcome) -> Event {
+    fn done(&mut self, outcome: IoOutcome) -> Event {
         self.doing = PendingIo::Nothing;
-        match d {
-            IoOutcome::Read(r, held) => {
+        match outcome {
+            IoOutcome::Read(result, held) => {
                 self.held = Some(held);
-                if let Ok(b) = &r {
-                    self.bytes = b.clone();
+                if let Ok(bytes) = &result {
+                    self.bytes = bytes.clone();
                 }
-                Event::RequestBody(r)
+                Event::RequestBody(result)
             }
-            IoOutcome::Opened(Ok(l)) => {
-                self.line = Some(l);
+            IoOutcome::Opened(Ok(connection)) => {
+                self.line = Some(connection);
                 Event::Connected
             }
             IoOutcome::Opened(Err(ConnectError::LimitReached)) => Event::AttemptFailed(FailurePoint::Declined),
@@ -297,11 +297,11 @@
                 Event::NotSent
             }
             IoOutcome::Sent(Err(SendError::MaybeSent)) => Event::AttemptFailed(FailurePoint::Sent),
-            IoOutcome::Sent(Ok((r, l))) => {
-                let reply = headers::reply(&self.h.adapter.headers, &r, &self.ask);
-                let (p, b) = r.into_parts();
-                self.head = Some(p);
-                self.doing = PendingIo::Flow(BodyStream::new(b), l);
+            IoOutcome::Sent(Ok((response, connection))) => {
+                let reply = headers::reply(&self.h.adapter.headers, &response, &self.ask);
+                let (parts, body) = response.into_parts();
+                self.head = Some(parts);
+                self.doing = PendingIo::Flow(BodyStream::new(body), connection);
                 Event::ResponseHead(reply)
             }
         }
--- a/crates/node/src/front/headers.rs
+++ b/crates/node/src/front/headers.rs
@@ -59,20 +59,22 @@
 }
 
 /// What the core needs to know of a call.
-pub fn head(d: &HeaderNames, m: &Method, u: &hyper::Uri, h: &HeaderMap) -> RequestHead {
-    let tokens = by(h, d.token_counts).and_then(|s| {
-        let (a, b) = s.split_once(',')?;
-        Some((a.trim().parse().ok()?, b.trim().parse().ok()?))
+pub fn head(names: &HeaderNames, method: &Method, uri: &hyper::Uri, headers: &HeaderMap) -> RequestHead {
+    let tokens = by(headers, names.token_counts).and_then(|s| {
+        let (prompt, output) = s.split_once(',')?;
+        Some((prompt.trim().parse().ok()?, output.trim().parse().ok()?))
     });
     RequestHead {
-        method: m.as_str().to_owned(),
-        host: text(h, "host").map(host).unwrap_or_default(),
-        path: u.path().to_owned(),
-        query: u.query().map(str::to_owned),
-        api_key: text(h, "authorization").and_then(|s| s.strip_prefix("Bearer ")).map(str::to_owned),
-        last_event_id: text(h, "last-event-id").and_then(|s| s.trim().parse().ok()),
-        time_left: by(h, d.time_left).and_then(|s| s.trim().parse::<u64>().ok()).map(|n| n.saturating_mul(MS)),
-        prompt_parts: by(h, d.prompt_parts).map(parts).unwrap_or_default(),
+        method: method.as_str().to_owned(),
+        host: text(headers, "host").map(host).unwrap_or_default(),
+        path: uri.path().to_owned(),
+        query: uri.query().map(str::to_owned),
+        api_key: text(headers, "authorization").and_then(|s| s.strip_prefix("Bearer ")).map(str::to_owned),
+        last_event_id: text(headers, "last-event-id").and_then(|s| s.trim().parse().ok()),
+        time_left: by(headers, names.time_left)
+            .and_then(|s| s.trim().parse::<u64>().ok())
+            .map(|n| n.saturating_mul(MS)),
+        prompt_parts: by(headers, names.prompt_parts).map(parts).unwrap_or_default(),
         tokens: tokens.unwrap_or_default(),
     }
 }
@@ -90,51 +92,53 @@
 
 /// The request for one worker: the caller's, without its key, and who it is for.
 pub fn request(
-    d: &ProtocolAdapter,
-    a: &ClientRequest,
-    t: &Attempt,
+    adapter: &ProtocolAdapter,
+    call: &ClientRequest,
+    attempt: &Attempt,
     body: Bytes,
 ) -> Option<hyper::Request<Full<Bytes>>> {
-    let n = &d.headers;
-    let mut b = hyper::Request::builder().method(a.method.clone()).uri(&a.target);
-    b = match a.headers.get(header::HOST).filter(|_| d.preserves_host) {
-        Some(h) => b.header(header::HOST, h),
-        None => b.header(header::HOST, t.to.addr.to_string()),
+    let names = &adapter.headers;
+    let mut builder = hyper::Request::builder().method(call.method.clone()).uri(&call.target);
+    builder = match call.headers.get(header::HOST).filter(|_| adapter.preserves_host) {
+        Some(host) => builder.header(header::HOST, host),
+        None => builder.header(header::HOST, attempt.to.addr.to_string()),
     };
-    let named = a.headers.get(header::CONNECTION).and_then(|v| v.to_str().ok()).unwrap_or("").to_ascii_lowercase();
-    let one = |k: &str| named.split(',').any(|x| x.trim() == k);
-    let ours = [Some(n.request_id), Some(n.tenant), n.quota_window, n.worker, n.time_left, n.urgency];
-    for (k, v) in &a.headers {
-        let k = k.as_str();
-        let skip = HOP.contains(&k)
-            || t.after.is_some() && k == "last-event-id"
-            || ours.contains(&Some(k))
-            || ["expect", "authorization"].contains(&k)
-            || one(k);
+    let named =
+        call.headers.get(header::CONNECTION).and_then(|value| value.to_str().ok()).unwrap_or("").to_ascii_lowercase();
+    let is_connection_option = |name: &str| named.split(',').any(|option| option.trim() == name);
+    let ours =
+        [Some(names.request_id), Some(names.tenant), names.quota_window, names.worker, names.time_left, names.urgency];
+    for (name, value) in &call.headers {
+        let name = name.as_str();
+        let skip = HOP.contains(&name)
+            || attempt.after.is_some() && name == "last-event-id"
+            || ours.contains(&Some(name))
+            || ["expect", "authorization"].contains(&name)
+            || is_connection_option(name);
         if !skip {
-            b = b.header(k, v);
+            builder = builder.header(name, value);
         }
     }
-    b = b.header(n.request_id, &a.call_id);
-    if !t.tenant.is_empty() {
-        b = b.header(n.tenant, t.tenant);
+    builder = builder.header(names.request_id, &call.call_id);
+    if !attempt.tenant.is_empty() {
+        builder = builder.header(names.tenant, attempt.tenant);
     }
-    if let Some(k) = n.quota_window {
-        b = b.header(k, t.window);
+    if let Some(name) = names.quota_window {
+        builder = builder.header(name, attempt.window);
     }
-    if let Some(k) = n.worker {
-        b = b.header(k, &t.to.worker_id);
+    if let Some(name) = names.worker {
+        builder = builder.header(name, &attempt.to.worker_id);
     }
-    if let (Some(k), Some(l)) = (n.time_left, t.left) {
-        b = b.header(k, l);
+    if let (Some(name), Some(left)) = (names.time_left, attempt.left) {
+        builder = builder.header(name, left);
     }
-    if let (Some(k), Some(u)) = (n.urgency, t.urgency) {
-        b = b.header(k, u64::from(u));
+    if let (Some(name), Some(urgency)) = (names.urgency, attempt.urgency) {
+        builder = builder.header(name, u64::from(urgency));
     }
-    if let Some(n) = t.after {
-        b = b.header("last-event-id", n);
+    if let Some(event_id) = attempt.after {
+        builder = builder.header("last-event-id", event_id);
     }
-    b.body(Full::new(body)).ok()
+    builder.body(Full::new(body)).ok()
 }
 
 fn load(s: &str) -> Option<(u32, u32, u32)> {
--- a/crates/node/src/front/local_response.rs
+++ b/crates/node/src/front/local_response.rs
@@ -1,35 +1,38 @@
-//! The router's own answers to calls.
+//! HTTP responses to calls that this node answers itself.
 
 use crate::protocol_adapter::ProtocolAdapter;
 use sumacvale_core::call::{LocalResponse, spread_retry_after};
 use viz::{Body, Response, StatusCode, header};
 
-/// An answer in the words of a dialect.
-pub fn response(d: &ProtocolAdapter, a: &LocalResponse, id: &str) -> Response {
-    let back = a.retry_after.map(|t| spread_retry_after(t, id));
-    let mut s = format!(
+/// The HTTP response for a local response, with the header names of `adapter`.
+pub fn response(adapter: &ProtocolAdapter, local: &LocalResponse, call_id: &str) -> Response {
+    let back = local.retry_after.map(|delay| spread_retry_after(delay, call_id));
+    let mut body = format!(
         "{{\"code\":\"{}\",\"remedy\":{},\"ran\":\"{}\",\"call\":{}",
-        a.code,
-        sonic_rs::to_string(&a.remedy).unwrap_or_default(),
-        a.execution.name(),
-        sonic_rs::to_string(id).unwrap_or_default(),
+        local.code,
+        sonic_rs::to_string(&local.remedy).unwrap_or_default(),
+        local.execution.name(),
+        sonic_rs::to_string(call_id).unwrap_or_default(),
     );
-    if let Some(t) = back {
-        s.push_str(&format!(",\"retry_after_ms\":{}", t / 1_000));
+    if let Some(delay) = back {
+        body.push_str(&format!(",\"retry_after_ms\":{}", delay / 1_000));
     }
-    s.push('}');
-    let mut r = Response::new(Body::Full(s.into()));
-    *r.status_mut() = StatusCode::from_u16(a.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    let h = r.headers_mut();
-    h.insert(header::CONTENT_TYPE, header::HeaderValue::from_static("application/json"));
-    if let Some(k) = d.headers.execution {
-        h.insert(k, header::HeaderValue::from_static(a.execution.name()));
+    body.push('}');
+    let mut response = Response::new(Body::Full(body.into()));
+    *response.status_mut() = StatusCode::from_u16(local.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+    let headers = response.headers_mut();
+    headers.insert(header::CONTENT_TYPE, header::HeaderValue::from_static("application/json"));
+    if let Some(name) = adapter.headers.execution {
+        headers.insert(name, header::HeaderValue::from_static(local.execution.name()));
     }
-    if let Some(v) = a.retry_after.and_then(|t| header::HeaderValue::from_str(&(d.format_retry_after)(t, id)).ok()) {
-        h.insert(header::RETRY_AFTER, v);
+    if let Some(value) = local
+        .retry_after
+        .and_then(|delay| header::HeaderValue::from_str(&(adapter.format_retry_after)(delay, call_id)).ok())
+    {
+        headers.insert(header::RETRY_AFTER, value);
     }
-    if let Ok(v) = header::HeaderValue::from_str(id) {
-        h.insert(d.headers.request_id, v);
+    if let Ok(value) = header::HeaderValue::from_str(call_id) {
+        headers.insert(adapter.headers.request_id, value);
     }
-    r
+    response
 }
--- a/crates/node/src/import.rs
+++ b/crates/node/src/import.rs
@@ -1,4 +1,4 @@
-//! Matches from an OpenAPI file: a beginning for an operator, printed and not applied.
+//! Matches from an `OpenAPI` file: a beginning for an operator, printed and not applied.
 
 use openapiv3::{OpenAPI, Operation, ReferenceOr};
 use serde_json::{Map, Value, json};
--- a/crates/node/src/ops.rs
+++ b/crates/node/src/ops.rs
@@ -42,8 +42,8 @@
 
 /// Changes to single items of the document with number `base`. The same patch is the same change.
 pub async fn patch_document(h: &Shared, base: u64, patch: Patch) -> ChangeOutcome {
-    let [a, b, c, d, e, f, g, i, ..] = patch.hash();
-    let change_id = ChangeId(u64::from_be_bytes([a, b, c, d, e, f, g, i]).max(1));
+    let [b0, b1, b2, b3, b4, b5, b6, b7, ..] = patch.hash();
+    let change_id = ChangeId(u64::from_be_bytes([b0, b1, b2, b3, b4, b5, b6, b7]).max(1));
     submit_change(h, (change_id, false), base, Change::Patch(patch)).await
 }
 
--- a/crates/node/src/protocol_adapter.rs
+++ b/crates/node/src/protocol_adapter.rs
@@ -1,50 +1,54 @@
-//! How a fleet speaks with callers, workers and operators: names and formats of one
-//! platform, plugged in here. A dialect decides nothing.
+//! How a fleet communicates with callers, workers and operators: the header names and formats of
+//! one platform. An adapter makes no decisions.
 
 use sumacvale_core::base::Micros;
 use sumacvale_core::call::spread_retry_after;
 use sumacvale_core::config::{ConfigReader, validate};
 
-/// The names of heads, in small letters; none is not spoken.
+/// The names of HTTP headers, in lower case; a header that is `None` is neither read nor sent.
 #[derive(Debug)]
 pub struct HeaderNames {
     /// The id of a request, echoed in its response.
     pub request_id: &'static str,
+    /// The tenant of a request, sent to the worker.
     pub tenant: &'static str,
     /// The number of the tenant's window that a request counts in.
     pub quota_window: Option<&'static str>,
     /// The worker that an attempt is meant for.
     pub worker: Option<&'static str>,
-    /// Milliseconds that the caller still waits.
+    /// The time for which the caller still waits, in milliseconds.
     pub time_left: Option<&'static str>,
+    /// The urgency of a request, sent to the worker.
     pub urgency: Option<&'static str>,
     /// The parts of the prompt: ID:TOKENS in hex and decimal, separated by commas.
     pub prompt_parts: Option<&'static str>,
-    /// Tokens of the prompt and the most that come out.
+    /// Tokens of the prompt and the maximum number of output tokens.
     pub token_counts: Option<&'static str>,
-    /// Whether a worker ran the request, on every answer.
+    /// Whether a worker ran the request, on every response.
     pub execution: Option<&'static str>,
-    /// A worker says so that it did not run the request; with this value where one is named.
+    /// The header by which a worker reports that it did not run the request, and the value that it
+    /// must have, if any.
     pub not_run: (&'static str, Option<&'static str>),
-    /// Every response of a worker that ran a request has it.
+    /// Present on every response of a worker that ran the request.
     pub worker_seal: Option<&'static str>,
-    /// Requests that run at the worker, that wait there, and its slots.
+    /// Requests that run at the worker, requests that are queued there, and its slots.
     pub worker_load: Option<&'static str>,
 }
 
-/// How calls and workers speak on one platform.
+/// The protocol that callers and workers of one platform use.
 #[derive(Debug)]
 pub struct ProtocolAdapter {
+    /// The names of the headers.
     pub headers: HeaderNames,
-    /// Workers get the host that the caller named.
+    /// Whether workers receive the `Host` of the caller instead of their own address.
     pub preserves_host: bool,
-    /// When to come back, as its head says it.
+    /// Formats the value of `Retry-After` from a time in microseconds and the id of the call.
     pub format_retry_after: fn(Micros, &str) -> String,
-    /// How the operator's documents are read.
+    /// Reads the operator's configuration documents.
     pub config_reader: ConfigReader,
 }
 
-/// The product's own.
+/// The adapter of the product itself.
 pub static STANDARD_ADAPTER: ProtocolAdapter = ProtocolAdapter {
     headers: HeaderNames {
         request_id: "x-call-id",
--- a/crates/node/src/settings/args.rs
+++ b/crates/node/src/settings/args.rs
@@ -11,14 +11,18 @@
 A flag goes before the same setting in the file. With a data folder the node
 is a core, else a front.";
 
-/// What the command line asks for.
+/// What the command line requests.
 #[derive(Debug)]
 pub enum CommandLineAction {
+    /// Run a node with these settings.
     Run(Box<Settings>),
+    /// `--check`: the settings are valid; open nothing and stop.
     Checked(Box<Settings>),
+    /// `--help` or `--version`: print this text and stop.
     Print(String),
-    /// A tree to print, and what was left out of it.
+    /// `--import`: the configuration to print, and what was left out of it.
     Import(String, Vec<String>),
+    /// The command line or the settings are invalid.
     Invalid(Vec<SettingsError>),
 }
 
@@ -39,48 +43,49 @@
     o
 }
 
-/// What the command line asks for.
+/// Parses the command line, without the name of the program, and reads the settings file it names.
 pub fn parse_command_line(args: &[String]) -> CommandLineAction {
-    let o = options();
-    let m = match o.parse(args) {
-        Ok(m) => m,
+    let known = options();
+    let matches = match known.parse(args) {
+        Ok(matches) => matches,
         Err(e) => return CommandLineAction::Invalid(vec![SettingsError::Flag(e.to_string())]),
     };
-    if m.opt_present("help") {
-        return CommandLineAction::Print(o.usage(HELP));
+    if matches.opt_present("help") {
+        return CommandLineAction::Print(known.usage(HELP));
     }
-    if m.opt_present("version") {
+    if matches.opt_present("version") {
         return CommandLineAction::Print(format!("sumacvale {}", env!("CARGO_PKG_VERSION")));
     }
-    if let Some(f) = m.free.first() {
-        return CommandLineAction::Invalid(vec![SettingsError::Flag(format!("unexpected word {f}"))]);
+    if let Some(word) = matches.free.first() {
+        return CommandLineAction::Invalid(vec![SettingsError::Flag(format!("unexpected word {word}"))]);
     }
-    if let Some(p) = m.opt_str("import") {
-        let pool = m.opt_str("pool").unwrap_or_else(|| "app".into());
-        let r = std::fs::read_to_string(&p).map_err(|e| e.to_string()).and_then(|s| crate::import::import(&s, &pool));
-        return match r {
-            Ok((s, out)) => CommandLineAction::Import(s, out),
-            Err(why) => CommandLineAction::Invalid(vec![SettingsError::Import { file: p, why }]),
+    if let Some(path) = matches.opt_str("import") {
+        let pool = matches.opt_str("pool").unwrap_or_else(|| "app".into());
+        let imported =
+            std::fs::read_to_string(&path).map_err(|e| e.to_string()).and_then(|s| crate::import::import(&s, &pool));
+        return match imported {
+            Ok((document, left_out)) => CommandLineAction::Import(document, left_out),
+            Err(why) => CommandLineAction::Invalid(vec![SettingsError::Import { file: path, why }]),
         };
     }
-    let f = SettingsOverrides {
-        peer: m.opt_str("peer"),
-        admin: m.opt_str("admin"),
-        downstream: m.opt_str("downstream"),
-        zone: m.opt_str("zone"),
-        seeds: m.opt_strs("seed"),
-        data: m.opt_str("data"),
+    let overrides = SettingsOverrides {
+        peer: matches.opt_str("peer"),
+        admin: matches.opt_str("admin"),
+        downstream: matches.opt_str("downstream"),
+        zone: matches.opt_str("zone"),
+        seeds: matches.opt_strs("seed"),
+        data: matches.opt_str("data"),
     };
-    let text = match m.opt_str("env") {
+    let text = match matches.opt_str("env") {
         None => None,
-        Some(p) => match std::fs::read_to_string(&p) {
+        Some(path) => match std::fs::read_to_string(&path) {
             Ok(s) => Some(s),
-            Err(e) => return CommandLineAction::Invalid(vec![SettingsError::File { file: p, why: e.to_string() }]),
+            Err(e) => return CommandLineAction::Invalid(vec![SettingsError::File { file: path, why: e.to_string() }]),
         },
     };
-    match read(text.as_deref(), &f) {
-        Err(v) => CommandLineAction::Invalid(v),
-        Ok(e) if m.opt_present("check") => CommandLineAction::Checked(Box::new(e)),
-        Ok(e) => CommandLineAction::Run(Box::new(e)),
+    match read(text.as_deref(), &overrides) {
+        Err(errors) => CommandLineAction::Invalid(errors),
+        Ok(settings) if matches.opt_present("check") => CommandLineAction::Checked(Box::new(settings)),
+        Ok(settings) => CommandLineAction::Run(Box::new(settings)),
     }
 }
--- a/crates/node/src/settings/read.rs
+++ b/crates/node/src/settings/read.rs
@@ -8,30 +8,45 @@
 use sumacvale_core::base::{MS, Micros};
 use sumacvale_core::config::check::check_syntax_with_limit;
 
-/// What this node was set to, checked as a whole before anything opens.
+/// The settings of this node, checked as a whole before anything opens.
 #[derive(Clone, Debug)]
 pub struct Settings {
+    /// Address of the listener for other nodes (`peer`); has no default.
     pub peer_addr: SocketAddr,
+    /// Address of the listener for operators and workers (`admin`); has no default.
     pub admin_addr: SocketAddr,
-    /// Where callers come; none on a node that serves control alone.
+    /// Address of the listener for callers (`downstream`); `None` on a node that serves control only.
     pub downstream_addr: Option<SocketAddr>,
+    /// Zone of this node (`zone`): 1 to 64 bytes without blanks; has no default.
     pub zone: String,
+    /// One to three peer addresses at which this node joins the fleet (`seeds`); has no default.
     pub seeds: Vec<SocketAddr>,
+    /// Folder of the durable state (`data`). A node that has one is a core; by default there is none.
     pub data_folder: Option<PathBuf>,
+    /// How cores become members and voters (`members`).
     pub membership: MembershipSettings,
+    /// SHA-256 hashes of operators' tokens, each 64 hex digits in lower case (`operators`).
     pub operator_token_hashes: Vec<String>,
+    /// SHA-256 hashes of workers' tokens, each 64 hex digits in lower case (`workers`); empty by default.
     pub worker_token_hashes: Vec<String>,
-    /// How often each worker reports, and whether to cores only.
+    /// Interval between the reports of one worker in microseconds (`beat_ms`); 500 ms by default.
     pub report_interval: Micros,
+    /// Whether workers report to cores only (`beat_to`: `cores`) instead of to any node; false by default.
     pub reports_to_cores_only: bool,
-    /// How long readiness is refused before the listener closes.
+    /// Time in microseconds for which readiness is refused before the listener closes
+    /// (`notice_ms`); 2 s by default.
     pub drain_notice: Micros,
-    /// How long calls that were read may take after that.
+    /// Time in microseconds that calls already read may take after that (`grace_ms`); 25 s by default.
     pub shutdown_grace: Micros,
+    /// Threads of the runtime (`threads`). A file that leaves it out gets one thread a processor core,
+    /// two at most; [`Settings::default`] has one.
     pub worker_threads: usize,
+    /// Calls that may wait in the queue at once (`waitlist`); 256 by default.
     pub max_queued_calls: usize,
+    /// Connections that may be open at once (`connections`). A file that leaves it out gets 4096;
+    /// [`Settings::default`] has 2048.
     pub max_connections: usize,
-    /// How many bytes of bodies are held at once.
+    /// Bytes of bodies that are buffered at once (`bodies_mib`, in MiB); 256 MiB by default.
     pub max_body_bytes: usize,
 }
 
@@ -61,26 +76,27 @@
 }
 
 impl Settings {
-    /// Parts the time that a stop may take: callers go elsewhere first, then calls end.
+    /// Splits the time in microseconds that a shutdown may take: first callers move to other nodes
+    /// (`drain_notice`), then calls finish (`shutdown_grace`).
     pub fn set_shutdown_budget(&mut self, t: Micros) {
         self.drain_notice = (t * 3 / 10).min(2_400 * MS);
         self.shutdown_grace = (t - self.drain_notice).saturating_sub((t / 16).max(300 * MS));
     }
 
-    /// Of the memory of this process a quarter may be bodies.
+    /// Lets a quarter of the memory of this process, given in bytes, hold bodies.
     pub fn set_memory_limit(&mut self, memory: usize) {
         self.max_body_bytes = memory / 4;
     }
 }
 
-/// How cores come to be members, and how many of them vote.
+/// How cores become members, and how many of them vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MembershipSettings {
-    /// Cores replace lost voters themselves.
+    /// Whether cores replace lost voters themselves (`auto`); false by default.
     pub manages_voters: bool,
-    /// How many machines with disks may be lost at once.
+    /// How many machines with disks may be lost at once (`lose`): 1 to 4, 1 by default.
     pub tolerated_losses: u32,
-    /// Whether this node may take part in founding a fleet.
+    /// Whether this node may take part in founding a fleet (`first`); true by default.
     pub may_bootstrap: bool,
 }
 
@@ -90,42 +106,91 @@
     }
 }
 
-/// Settings that the command line may give in the place of the file.
+/// Settings of the command line, each of which replaces the one of the file.
 #[derive(Debug, Default)]
 pub struct SettingsOverrides {
+    /// `--peer`: address of the listener for other nodes, IP:PORT.
     pub peer: Option<String>,
+    /// `--admin`: address of the listener for operators and workers, IP:PORT.
     pub admin: Option<String>,
+    /// `--downstream`: address of the listener for callers, IP:PORT.
     pub downstream: Option<String>,
+    /// `--zone`: zone of this node.
     pub zone: Option<String>,
+    /// `--seed`, once for each seed: IP:PORT. If any is given, the seeds of the file are not used.
     pub seeds: Vec<String>,
+    /// `--data`: folder of the durable state.
     pub data: Option<String>,
 }
 
-/// What is wrong with the settings, and what to do.
+/// What is wrong with the settings, and the remedy.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
 pub enum SettingsError {
     /// command line: {0}; see sumacvale --help
     Flag(String),
     /// --env {file}: {why}; name a file that can be read
-    File { file: String, why: String },
+    File {
+        /// Path as it was given on the command line.
+        file: String,
+        /// What went wrong.
+        why: String,
+    },
     /// --import {file}: {why}
-    Import { file: String, why: String },
+    Import {
+        /// Path as it was given on the command line.
+        file: String,
+        /// What went wrong.
+        why: String,
+    },
     /// settings file: {0}
     Shape(String),
     /// {at}: unknown setting; known are {known}
-    Unknown { at: String, known: String },
+    Unknown {
+        /// The setting or flag, such as `/zone` or `--zone`.
+        at: String,
+        /// The names of all known settings.
+        known: String,
+    },
     /// {at}: is missing; set it in the file or with its flag
-    Missing { at: String },
+    Missing {
+        /// The setting or flag, such as `/zone` or `--zone`.
+        at: String,
+    },
     /// {at}: {is} is no {want}
-    Wrong { at: String, is: String, want: String },
+    Wrong {
+        /// The setting or flag, such as `/zone` or `--zone`.
+        at: String,
+        /// The value that was given.
+        is: String,
+        /// What the value must be.
+        want: String,
+    },
     /// {at}: stands there twice; name different seeds
-    Twice { at: String },
+    Twice {
+        /// The setting or flag, such as `/zone` or `--zone`.
+        at: String,
+    },
     /// {at}: {is} seeds are named; name one to three
-    Seeds { at: String, is: usize },
+    Seeds {
+        /// The setting or flag, such as `/zone` or `--zone`.
+        at: String,
+        /// Number of seeds that were given.
+        is: usize,
+    },
     /// {at}: the same address as {other}; give each listener its own
-    Same { at: String, other: String },
+    Same {
+        /// The setting or flag, such as `/zone` or `--zone`.
+        at: String,
+        /// The other setting with the same address.
+        other: String,
+    },
     /// {at}: {why}
-    Data { at: String, why: String },
+    Data {
+        /// The setting or flag, such as `/zone` or `--zone`.
+        at: String,
+        /// What went wrong.
+        why: String,
+    },
 }
 
 const KNOWN: [&str; 17] = [
@@ -236,29 +301,29 @@
         m
     }
 
-    fn hashes(&mut self, k: &str) -> Vec<String> {
-        let Some(v) = self.raw(k).cloned() else { return Vec::new() };
-        let Some(a) = v.as_array() else {
-            self.wrong(&format!("/{k}"), "it", "list of sha256: hashes");
+    fn hashes(&mut self, name: &str) -> Vec<String> {
+        let Some(value) = self.raw(name).cloned() else { return Vec::new() };
+        let Some(list) = value.as_array() else {
+            self.wrong(&format!("/{name}"), "it", "list of sha256: hashes");
             return Vec::new();
         };
-        let mut o = Vec::new();
-        for (i, x) in a.iter().enumerate() {
-            let h = x.as_str().and_then(|s| s.strip_prefix("sha256:"));
-            match h.filter(|h| h.len() == 64 && h.bytes().all(|b| b.is_ascii_hexdigit())) {
-                Some(h) => o.push(h.to_ascii_lowercase()),
+        let mut hashes = Vec::new();
+        for (index, item) in list.iter().enumerate() {
+            let hash = item.as_str().and_then(|s| s.strip_prefix("sha256:"));
+            match hash.filter(|h| h.len() == 64 && h.bytes().all(|b| b.is_ascii_hexdigit())) {
+                Some(hash) => hashes.push(hash.to_ascii_lowercase()),
                 None => self.wrong(
-                    &format!("/{k}/{i}"),
+                    &format!("/{name}/{index}"),
                     "this (not shown, it may be a token)",
                     "sha256: with 64 hex digits; keep only hashes of tokens here",
                 ),
             }
         }
-        o
+        hashes
     }
 }
 
-/// The settings, or all that is wrong with them.
+/// Reads the settings file and the command line. Fails with every error that was found.
 pub fn read(text: Option<&str>, f: &SettingsOverrides) -> Result<Settings, Vec<SettingsError>> {
     let mut out = Vec::new();
     let mut v = None;
@@ -323,13 +388,8 @@
     let waitlist = usize::try_from(s.num("waitlist", 1, 100_000, 256)).unwrap_or(256);
     let bodies = usize::try_from(s.num("bodies_mib", 1, 65_536, 256)).unwrap_or(256) << 20;
     let conns = usize::try_from(s.num("connections", 1, 1_000_000, 4_096)).unwrap_or(4_096);
-    if let (Some(p), Some(a), Some(d)) = (peer, admin, downstream) {
-        for (x, y, n, m) in [(p, a, "/admin", "/peer"), (p, d, "/downstream", "/peer"), (a, d, "/downstream", "/admin")]
-        {
-            if x == y {
-                out.push(SettingsError::Same { at: n.into(), other: m.into() });
-            }
-        }
+    if let (Some(peer), Some(admin), Some(downstream)) = (peer, admin, downstream) {
+        out.extend(shared_addresses(peer, admin, downstream));
     }
     if operators.is_empty()
         && !out.iter().any(|t| matches!(t, SettingsError::Wrong { at, .. } if at.starts_with("/operators")))
@@ -367,21 +427,33 @@
     }
 }
 
-fn seeds(s: &mut Src, f: &SettingsOverrides) -> Vec<SocketAddr> {
-    let mut named: Vec<(String, String)> = f.seeds.iter().map(|x| ("--seed".to_owned(), x.clone())).collect();
+/// An error for each two listeners that have the same address.
+fn shared_addresses(peer: SocketAddr, admin: SocketAddr, downstream: SocketAddr) -> Vec<SettingsError> {
+    let pairs = [
+        (peer, admin, "/admin", "/peer"),
+        (peer, downstream, "/downstream", "/peer"),
+        (admin, downstream, "/downstream", "/admin"),
+    ];
+    let same = pairs.into_iter().filter(|(first, second, ..)| first == second);
+    same.map(|(.., at, other)| SettingsError::Same { at: at.into(), other: other.into() }).collect()
+}
+
+fn seeds(source: &mut Src, overrides: &SettingsOverrides) -> Vec<SocketAddr> {
+    let mut named: Vec<(String, String)> =
+        overrides.seeds.iter().map(|item| ("--seed".to_owned(), item.clone())).collect();
     if named.is_empty() {
-        match s.raw("seeds").cloned() {
+        match source.raw("seeds").cloned() {
             None => {
-                s.out.push(SettingsError::Missing { at: "/seeds".into() });
+                source.out.push(SettingsError::Missing { at: "/seeds".into() });
                 return Vec::new();
             }
-            Some(v) => match v.as_array() {
-                None => s.wrong("/seeds", &v.to_string(), "list of one to three addresses"),
-                Some(a) => {
-                    for (i, x) in a.iter().enumerate() {
-                        match x.as_str() {
-                            Some(t) => named.push((format!("/seeds/{i}"), t.to_owned())),
-                            None => s.wrong(&format!("/seeds/{i}"), &x.to_string(), "text"),
+            Some(value) => match value.as_array() {
+                None => source.wrong("/seeds", &value.to_string(), "list of one to three addresses"),
+                Some(list) => {
+                    for (index, item) in list.iter().enumerate() {
+                        match item.as_str() {
+                            Some(text) => named.push((format!("/seeds/{index}"), text.to_owned())),
+                            None => source.wrong(&format!("/seeds/{index}"), &item.to_string(), "text"),
                         }
                     }
                 }
@@ -389,19 +461,19 @@
         }
     }
     if named.is_empty() || named.len() > 3 {
-        s.out.push(SettingsError::Seeds { at: "/seeds".into(), is: named.len() });
+        source.out.push(SettingsError::Seeds { at: "/seeds".into(), is: named.len() });
     }
-    let mut o: Vec<SocketAddr> = Vec::new();
-    for (at, t) in named {
-        if let Some(a) = s.addr_of(&at, &t) {
-            if o.contains(&a) {
-                s.out.push(SettingsError::Twice { at });
+    let mut addrs: Vec<SocketAddr> = Vec::new();
+    for (at, text) in named {
+        if let Some(addr) = source.addr_of(&at, &text) {
+            if addrs.contains(&addr) {
+                source.out.push(SettingsError::Twice { at });
             } else {
-                o.push(a);
+                addrs.push(addr);
             }
         }
     }
-    o
+    addrs
 }
 
 /// A folder that can be written, or one that can be made.
--- a/crates/node/src/upstream/keep_alive.rs
+++ b/crates/node/src/upstream/keep_alive.rs
@@ -18,21 +18,22 @@
 
 impl KeepAliveHints {
     /// Reads the version, `Connection` and `Keep-Alive`.
-    pub fn from_headers(v: hyper::Version, h: &HeaderMap) -> KeepAliveHints {
-        let mut t = KeepAliveHints {
-            closes: v < hyper::Version::HTTP_11 || words(h, "connection").any(|w| w.eq_ignore_ascii_case("close")),
+    pub fn from_headers(version: hyper::Version, headers: &HeaderMap) -> KeepAliveHints {
+        let mut hints = KeepAliveHints {
+            closes: version < hyper::Version::HTTP_11
+                || words(headers, "connection").any(|option| option.eq_ignore_ascii_case("close")),
             idle_timeout: None,
         };
-        for w in words(h, "keep-alive") {
-            let Some((k, v)) = w.split_once('=') else { continue };
-            let Ok(n) = v.trim().trim_matches('"').parse::<u64>() else { continue };
-            match k.trim().to_ascii_lowercase().as_str() {
-                "timeout" => t.idle_timeout = Some(n.min(86_400) * SEC),
-                "max" if n == 0 => t.closes = true,
+        for option in words(headers, "keep-alive") {
+            let Some((name, value)) = option.split_once('=') else { continue };
+            let Ok(number) = value.trim().trim_matches('"').parse::<u64>() else { continue };
+            match name.trim().to_ascii_lowercase().as_str() {
+                "timeout" => hints.idle_timeout = Some(number.min(86_400) * SEC),
+                "max" if number == 0 => hints.closes = true,
                 _ => {}
             }
         }
-        t
+        hints
     }
 }
 
--- a/crates/node/tests/answers/worker.rs
+++ b/crates/node/tests/answers/worker.rs
@@ -217,7 +217,7 @@
             return Some(q);
         }
         if std::mem::take(&mut first) {
-            q.path = line.split(' ').nth(1)?.to_owned();
+            line.split(' ').nth(1)?.clone_into(&mut q.path);
             continue;
         }
         let (k, v) = line.split_once(':')?;
--- a/crates/node/tests/disk.rs
+++ b/crates/node/tests/disk.rs
@@ -112,30 +112,30 @@
 
 #[test]
 fn no_flipped_byte_is_taken_for_what_was_written() {
-    let d = Dir::new("flip");
-    let f = d.0.join("state.db");
+    let dir = Dir::new("flip");
+    let file = dir.0.join("state.db");
     let mut want = DurableState { node_id: NodeId(77), ..DurableState::default() };
-    let (mut b, ..) = Database::open(&d.0, NodeId(77)).expect("opens");
-    for o in ops() {
-        want.apply(&o);
+    let (mut database, ..) = Database::open(&dir.0, NodeId(77)).expect("opens");
+    for operation in ops() {
+        want.apply(&operation);
     }
-    b.commit(ops().iter()).expect("commits");
-    drop(b);
-    let good = std::fs::read(&f).expect("reads");
-    let mut r = sumacvale_core::base::Rng::new(3);
+    database.commit(ops().iter()).expect("commits");
+    drop(database);
+    let good = std::fs::read(&file).expect("reads");
+    let mut random = sumacvale_core::base::Rng::new(3);
     let mut refused = 0;
     for _ in 0..60 {
         let mut bad = good.clone();
-        let i = usize::try_from(r.below(bad.len() as u64)).expect("small");
-        bad[i] ^= 1 << r.below(8);
-        let _ = std::fs::remove_file(d.0.join("state.db-wal"));
-        std::fs::write(&f, &bad).expect("writes");
-        match Database::open(&d.0, NodeId(1)) {
+        let index = usize::try_from(random.below(bad.len() as u64)).expect("small");
+        bad[index] ^= 1 << random.below(8);
+        let _ = std::fs::remove_file(dir.0.join("state.db-wal"));
+        std::fs::write(&file, &bad).expect("writes");
+        match Database::open(&dir.0, NodeId(1)) {
             Err(_) => refused += 1,
-            Ok((_, k, _)) => {
-                let same = (&k.entries, &k.promised, &k.accepted, &k.bootstrap_vote)
+            Ok((_, read, _)) => {
+                let same = (&read.entries, &read.promised, &read.accepted, &read.bootstrap_vote)
                     == (&want.entries, &want.promised, &want.accepted, &want.bootstrap_vote);
-                assert!(same, "byte {i}: read as something else");
+                assert!(same, "byte {index}: read as something else");
             }
         }
     }
@@ -195,7 +195,9 @@
     let mut want = DurableState { node_id: NodeId(77), ..DurableState::default() };
     let (mut b, ..) = Database::open(&d.0, NodeId(1)).expect("opens");
     b.commit(ops().iter()).expect("commits");
-    ops().iter().for_each(|o| want.apply(o));
+    for operation in ops() {
+        want.apply(&operation);
+    }
     drop(b);
     std::fs::write(&journal, old).expect("comes back");
     let (_, k, _) = Database::open(&d.0, NodeId(1)).expect("opens with the journal");
--- a/crates/node/tests/golden_records/main.rs
+++ b/crates/node/tests/golden_records/main.rs
@@ -73,7 +73,9 @@
 /// What a core finds on its disk after these writes.
 fn expected() -> DurableState {
     let mut kept = DurableState { node_id: NODE, ..DurableState::default() };
-    operations().iter().for_each(|operation| kept.apply(operation));
+    for operation in &operations() {
+        kept.apply(operation);
+    }
     kept
 }
 
--- a/crates/node/tests/old_data_folder.rs
+++ b/crates/node/tests/old_data_folder.rs
@@ -29,7 +29,7 @@
 /// The one file of a data folder.
 const FILE: &str = "state.db";
 
-/// The core whose folder it is. Its highest bit is set: ids are unsigned, SQLite's integers aren't.
+/// The core whose folder it is. Its highest bit is set: ids are unsigned, `SQLite`'s integers aren't.
 const THIS_CORE: NodeId = NodeId(0x8f3a_0000_0000_0001);
 const SECOND_CORE: NodeId = NodeId(22);
 const THIRD_CORE: NodeId = NodeId(33);
@@ -276,7 +276,7 @@
     }
 }
 
-/// Makes a data folder with this program's own code. SQLite moves its log into the file when the
+/// Makes a data folder with this program's own code. `SQLite` moves its log into the file when the
 /// database is closed, so one file remains.
 fn write_folder(folder: &Path) {
     std::fs::create_dir(folder).expect("the folder is a new one");
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -72,15 +72,15 @@
         ),
         (
             "two at once",
-            GOOD.replacen("\"z1\"", "\"z 1\"", 1).replacen("{", "{\"threads\":0,", 1),
+            GOOD.replacen("\"z1\"", "\"z 1\"", 1).replacen('{', "{\"threads\":0,", 1),
             vec!["/zone: z 1", "/threads: 0"],
         ),
         (
             "no folder",
-            GOOD.replacen("{", "{\"data\":\"/no/such/place/at/all\",", 1),
+            GOOD.replacen('{', "{\"data\":\"/no/such/place/at/all\",", 1),
             vec!["/data: /no/such/place/at/all does not exist"],
         ),
-        ("a file", GOOD.replacen("{", "{\"data\":\"/dev/null\",", 1), vec!["/data: /dev/null is no folder"]),
+        ("a file", GOOD.replacen('{', "{\"data\":\"/dev/null\",", 1), vec!["/data: /dev/null is no folder"]),
     ];
     for (name, s, want) in cases {
         let got = troubles(&s);
--- a/crates/node/tests/upstream.rs
+++ b/crates/node/tests/upstream.rs
@@ -129,21 +129,22 @@
 
 /// One request, and whether its connection had been used before.
 async fn call(
-    w: &UpstreamPool,
+    pool: &UpstreamPool,
     to: &Target,
     want: ConnectionRequirements,
     path: &str,
 ) -> Result<(bool, String), String> {
-    let l = UpstreamConnection::to(to.clone()).open(w, want).await.map_err(|e| match e {
+    let connection = UpstreamConnection::to(to.clone()).open(pool, want).await.map_err(|e| match e {
         ConnectError::LimitReached => "full".to_owned(),
         ConnectError::Io(e) => e.to_string(),
     })?;
-    let old = l.is_reused();
-    let q = hyper::Request::get(path).header("host", "x").body(Full::new(Bytes::new())).map_err(|e| e.to_string())?;
-    let (r, l) = l.send(q).await.map_err(|e: SendError| format!("{e:?}"))?;
-    let b = r.into_body().collect().await.map_err(|_| "broke".to_owned())?.to_bytes();
-    l.return_idle(w);
-    Ok((old, String::from_utf8_lossy(&b).into_owned()))
+    let old = connection.is_reused();
+    let request =
+        hyper::Request::get(path).header("host", "x").body(Full::new(Bytes::new())).map_err(|e| e.to_string())?;
+    let (response, connection) = connection.send(request).await.map_err(|e: SendError| format!("{e:?}"))?;
+    let body = response.into_body().collect().await.map_err(|_| "broke".to_owned())?.to_bytes();
+    connection.return_idle(pool);
+    Ok((old, String::from_utf8_lossy(&body).into_owned()))
 }
 
 fn rt<F: Future<Output = Res>>(f: F) -> Res {
@@ -402,12 +403,12 @@
         ("NONSENSE\r\n\r\n", 60_000, 60_000, " 400 "),
     ];
     rt(async {
-        let l = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
-        let at = l.local_addr()?;
+        let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
+        let at = listener.local_addr()?;
         let lim = Arc::new(sumacvale_node::serve::ConnectionLimits::default());
         let (stop, hear) = tokio::sync::watch::channel(false);
         let (go, wait) = tokio::sync::watch::channel(false);
-        let r = viz::Router::new().get("/a", |_: viz::Request| async { Ok::<_, viz::Error>("hello") }).get(
+        let routes = viz::Router::new().get("/a", |_: viz::Request| async { Ok::<_, viz::Error>("hello") }).get(
             "/slow",
             move |_: viz::Request| {
                 let mut wait = wait.clone();
@@ -417,7 +418,7 @@
                 }
             },
         );
-        let all = tokio::spawn(sumacvale_node::serve::run(l, r, 100, lim.clone(), hear));
+        let all = tokio::spawn(sumacvale_node::serve::run(listener, routes, 100, lim.clone(), hear));
         for (q, head, idle, want) in table {
             lim.set_header_timeout(head * 1_000);
             lim.set_idle_timeout(idle * 1_000);
