--- a/crates/testbed/src/sim/calls/call_driver.rs
+++ b/crates/testbed/src/sim/calls/call_driver.rs
@@ -1,4 +1,4 @@
-//! The life of calls in simulated processes: their events and the effects of these.
+//! Drives the calls of simulated processes: steps their state machines and carries the effects out.
 
 use crate::sim::calls::call_registry::ActiveCall;
 use crate::sim::calls::outcome::{CallOutcome, CallRequest, ClientObservation};
@@ -6,216 +6,302 @@
 use crate::sim::workers::worker::{AttemptOrigin, WorkerBehaviour, WorkerRequest};
 use crate::sim::world::World;
 use bytes::Bytes;
+use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
-use sumacvale_core::base::MS;
+use sumacvale_core::base::{MS, Micros};
 use sumacvale_core::call::{CallMachine, Effect, Event, RequestHead, SharedCallState, StepContext, Wakeup};
 use sumacvale_core::node::{Event as NodeEvent, View};
 use sumacvale_core::retry::FailurePoint;
 
+/// A wakeup reaches its call within this, so that other events come between.
+const WAKEUP_DELAY_MOST: Micros = 200;
+/// A request body arrives within this.
+const BODY_DELAY_MOST: Micros = 2 * MS;
+
+/// What the effects of one step leave to be done.
+#[derive(Default)]
+struct StepResult {
+    /// How the call ended for its client, if it did.
+    observation: Option<ClientObservation>,
+    /// Tenants whose quota units are requested, and for how many waiting calls.
+    quota_requests: Vec<(String, u64)>,
+}
+
 impl World {
-    /// Somebody calls a front; the number of the call.
-    pub fn call(&mut self, i: usize, want: CallRequest) -> u64 {
-        self.calls += 1;
-        let call = self.calls;
+    /// A client calls a front; returns the number of the call.
+    pub fn call(&mut self, machine: usize, request: CallRequest) -> u64 {
+        self.calls_started += 1;
+        let call = self.calls_started;
         let head = RequestHead {
             method: "POST".into(),
-            path: want.path.into(),
-            api_key: Some(format!("key-{}", want.tenant)),
+            path: request.path.into(),
+            api_key: Some(format!("key-{}", request.tenant)),
             ..RequestHead::default()
         };
-        let at = self.slots[i].clock(self.now);
-        let h = &mut self.slots[i].hall;
-        let life = CallMachine::new(call, head, h.view.clone(), at);
-        if let Some(t) = want.leaves {
-            let (t, life) = (self.now + t, self.slots[i].life);
-            self.push(t, SimEvent::Leave(i, life, call));
-        }
-        let a = ActiveCall { life, want, at: self.now, first: None, body: Vec::new(), no: 0, to: None, turn: 0 };
-        self.slots[i].hall.lives.insert(call, Box::new(a));
-        let life = self.slots[i].life;
-        self.push(self.now, SimEvent::Call(i, life, call));
+        let incarnation = self.machines[machine].incarnation;
+        let clock = self.machines[machine].clock(self.now);
+        let state = CallMachine::new(call, head, self.machines[machine].calls.view.clone(), clock);
+        if let Some(delay) = request.disconnects_after {
+            self.schedule(self.now + delay, SimEvent::ClientDisconnect(machine, incarnation, call));
+        }
+        let active = ActiveCall {
+            machine: state,
+            request,
+            started_at: self.now,
+            first_byte_at: None,
+            response_body: Vec::new(),
+            attempt: 0,
+            worker: None,
+            timer_at: 0,
+        };
+        self.machines[machine].calls.active.insert(call, Box::new(active));
+        self.schedule(self.now, SimEvent::CallBegin(machine, incarnation, call));
         call
     }
 
-    /// Steps the calls' side of a machine that shows a new picture.
-    pub(in crate::sim) fn show(&mut self, i: usize, v: Arc<View>) {
-        let h = &mut self.slots[i].hall;
-        let news = !Arc::ptr_eq(&h.view.workers, &v.workers);
-        let version = h.view.version != v.version;
-        h.view = v;
-        if news {
-            for p in h.view.config.pools.keys() {
-                h.floor.caches.routes.delete(p);
+    /// The node of a machine published a new view: wakes the calls that wait for it.
+    pub(in crate::sim) fn publish(&mut self, machine: usize, view: Arc<View>) {
+        let registry = &mut self.machines[machine].calls;
+        let workers_changed = !Arc::ptr_eq(&registry.view.workers, &view.workers);
+        let version_changed = registry.view.version != view.version;
+        registry.view = view;
+        if workers_changed {
+            for pool in registry.view.config.pools.keys() {
+                registry.shared.caches.routes.delete(pool);
             }
-            self.sweep(i);
+            self.expire_waiters(machine);
         }
-        if version {
-            let ns: Vec<_> =
-                self.slots[i].hall.lives.iter().filter(|x| x.1.life.wants_new_view()).map(|x| *x.0).collect();
-            for n in ns {
-                self.live(i, n, Event::Wake);
+        if version_changed {
+            let active = &self.machines[machine].calls.active;
+            let waiting: Vec<_> =
+                active.iter().filter(|(_, call)| call.machine.wants_new_view()).map(|(number, _)| *number).collect();
+            for call in waiting {
+                self.step_call(machine, call, Event::Wake);
             }
         }
     }
 
-    fn with<R>(&mut self, i: usize, f: impl FnOnce(&mut StepContext) -> R) -> R {
-        let now = self.slots[i].clock(self.now);
-        let h = &mut self.slots[i].hall;
+    fn with_context<R>(&mut self, machine: usize, f: impl FnOnce(&mut StepContext) -> R) -> R {
+        let now = self.machines[machine].clock(self.now);
+        let registry = &mut self.machines[machine].calls;
         let clock = || now;
-        f(&mut StepContext { shared: &h.floor, thread_caches: &mut h.own, view: &h.view, now, clock: &clock })
+        f(&mut StepContext {
+            shared: &registry.shared,
+            thread_caches: &mut registry.thread_caches,
+            view: &registry.view,
+            now,
+            clock: &clock,
+        })
     }
 
-    pub(in crate::sim) fn sweep(&mut self, i: usize) {
-        let (rs, need) = self.with(i, SharedCallState::expire_waiters);
-        self.rings(i, rs);
-        for (tenant, waiting) in need {
-            self.step(i, NodeEvent::QuotaNeeded { tenant, waiting });
+    /// Wakes calls whose wait is over, and requests quota units for those that still wait.
+    pub(in crate::sim) fn expire_waiters(&mut self, machine: usize) {
+        let (wakeups, quota_requests) = self.with_context(machine, SharedCallState::expire_waiters);
+        self.schedule_wakeups(machine, wakeups);
+        for (tenant, waiting) in quota_requests {
+            self.step(machine, NodeEvent::QuotaNeeded { tenant, waiting });
         }
     }
 
-    pub(in crate::sim) fn refill(&mut self, i: usize, tenant: &str) {
-        let rs = self.with(i, |cx| cx.shared.serve_quota_queue(tenant, cx.now));
-        self.rings(i, rs);
+    /// Quota units of a tenant came: serves the calls that wait for them.
+    pub(in crate::sim) fn serve_quota_queue(&mut self, machine: usize, tenant: &str) {
+        let wakeups = self.with_context(machine, |context| context.shared.serve_quota_queue(tenant, context.now));
+        self.schedule_wakeups(machine, wakeups);
     }
 
-    fn rings(&mut self, i: usize, rs: Vec<Wakeup>) {
-        let life = self.slots[i].life;
-        for r in rs {
-            // Between the bell and who hears it other things happen.
-            let t = self.now + self.rng.below(200);
-            self.push(t, SimEvent::Bell(i, life, r));
+    fn schedule_wakeups(&mut self, machine: usize, wakeups: Vec<Wakeup>) {
+        let incarnation = self.machines[machine].incarnation;
+        for wakeup in wakeups {
+            // Other events come between a wakeup and its call, as between threads.
+            let due = self.now + self.rng.below(WAKEUP_DELAY_MOST);
+            self.schedule(due, SimEvent::Wakeup(machine, incarnation, wakeup));
         }
     }
 
-    pub(in crate::sim) fn bell(&mut self, i: usize, r: Wakeup) {
-        if self.slots[i].hall.lives.contains_key(&r.call_id) {
-            self.live(i, r.call_id, r.event);
+    /// A wakeup reaches its call; what it gives to a call that has ended is reclaimed.
+    pub(in crate::sim) fn wake(&mut self, machine: usize, wakeup: Wakeup) {
+        if self.machines[machine].calls.active.contains_key(&wakeup.call_id) {
+            self.step_call(machine, wakeup.call_id, wakeup.event);
         } else {
-            let rs = self.with(i, |cx| SharedCallState::reclaim(r, cx));
-            self.rings(i, rs);
+            let wakeups = self.with_context(machine, |context| SharedCallState::reclaim(wakeup, context));
+            self.schedule_wakeups(machine, wakeups);
         }
     }
 
-    /// The platform asks every node each second whether it may hand callers to it.
-    pub fn platform(&mut self) {
-        for s in &mut self.slots {
-            let up = s.node.is_some() && s.frozen <= self.now;
-            s.ready = up && s.hall.view.is_ready(s.clock(self.now));
+    /// The platform's readiness check, made of every node each second.
+    pub fn check_readiness(&mut self) {
+        for machine in &mut self.machines {
+            let is_running = machine.node.is_some() && machine.frozen_until <= self.now;
+            machine.is_ready = is_running && machine.calls.view.is_ready(machine.clock(self.now));
         }
     }
 
-    /// What a worker said to one try; tries that were given up hear nothing.
-    pub(in crate::sim) fn heard(&mut self, b: AttemptOrigin, e: Event) {
-        let s = &self.slots[b.slot];
-        if s.life == b.life && s.hall.lives.get(&b.call).is_some_and(|a| a.no == b.no && a.to.is_some()) {
-            self.live(b.slot, b.call, e);
+    /// A worker's side of an attempt reaches the call, unless the attempt was given up.
+    pub(in crate::sim) fn handle_attempt_event(&mut self, origin: AttemptOrigin, event: Event) {
+        let machine = &self.machines[origin.machine];
+        let is_current = |call: &ActiveCall| call.attempt == origin.attempt && call.worker.is_some();
+        if machine.incarnation == origin.incarnation
+            && machine.calls.active.get(&origin.call).is_some_and(|call| is_current(call))
+        {
+            self.step_call(origin.machine, origin.call, event);
         }
     }
 
     /// Gives one event to a call and carries its effects out.
-    pub(in crate::sim) fn live(&mut self, i: usize, n: u64, e: Event) {
-        let Some(mut a) = self.slots[i].hall.lives.remove(&n) else { return };
-        let left = matches!(e, Event::ClientDisconnected);
-        let out = self.with(i, |cx| a.life.step(e, cx));
-        let mut seen = left.then_some(ClientObservation::Left);
-        let mut needs = Vec::new();
-        for e in out {
-            match e {
-                Effect::ReadBody { .. } => {
-                    let b = format!("{{\"prompt\":\"prefix {}\"}}", a.want.prefix);
-                    let t = self.now + self.rng.below(2 * MS);
-                    self.push(t, SimEvent::Body(i, self.slots[i].life, n, Bytes::from(b)));
-                }
-                Effect::RequestUnits { tenant, waiting } => needs.push((tenant, waiting)),
-                Effect::Connect(p) => self.open(i, n, &mut a, p.addr),
-                Effect::SendRequest { last_event_id: after, window, .. } => self.sent(i, n, &a, after, window),
-                Effect::CloseConnection => self.close(i, n, &mut a),
-                Effect::ForwardHead => {
-                    a.first = Some(self.now);
-                    self.accepted = Some((i, self.now));
-                }
-                Effect::ForwardChunk(b) => a.body.extend_from_slice(&b),
-                Effect::FinishResponse => seen = Some(ClientObservation::Whole),
-                Effect::AbortResponse(_) => seen = Some(ClientObservation::Broken),
-                Effect::Respond(x) => {
-                    seen = Some(ClientObservation::Refused {
-                        status: x.status,
-                        code: x.code,
-                        ran: x.execution,
-                        back: x.retry_after.is_some(),
-                    });
-                }
-                Effect::WakeCall(r) => self.rings(i, vec![r]),
+    pub(in crate::sim) fn step_call(&mut self, machine: usize, number: u64, event: Event) {
+        let Some(mut call) = self.machines[machine].calls.active.remove(&number) else { return };
+        let client_left = matches!(event, Event::ClientDisconnected);
+        let effects = self.with_context(machine, |context| call.machine.step(event, context));
+        let mut result =
+            StepResult { observation: client_left.then_some(ClientObservation::ClientLeft), ..StepResult::default() };
+        for effect in effects {
+            self.carry_out_call_effect(machine, number, &mut call, effect, &mut result);
+        }
+        match result.observation {
+            Some(observation) => {
+                self.close_connection(machine, number, &mut call);
+                self.record_outcome(machine, number, *call, observation);
+            }
+            None => {
+                self.set_timer(machine, number, &mut call);
+                self.machines[machine].calls.active.insert(number, call);
             }
         }
-        if let Some(seen) = seen {
-            self.close(i, n, &mut a);
-            self.ended(i, n, *a, seen);
-        } else {
-            let s = &self.slots[i];
-            if let Some(d) = a.life.next_wake(&s.hall.view) {
-                let t = s.when(d).max(self.now + MS);
-                if t != a.turn {
-                    a.turn = t;
-                    let life = s.life;
-                    self.push(t, SimEvent::Turn(i, life, n));
-                }
+        for (tenant, waiting) in result.quota_requests {
+            self.step(machine, NodeEvent::QuotaNeeded { tenant, waiting });
+        }
+    }
+
+    fn carry_out_call_effect(
+        &mut self,
+        machine: usize,
+        number: u64,
+        call: &mut ActiveCall,
+        effect: Effect,
+        result: &mut StepResult,
+    ) {
+        match effect {
+            Effect::ReadBody { .. } => self.send_body(machine, number, call),
+            Effect::RequestUnits { tenant, waiting } => result.quota_requests.push((tenant, waiting)),
+            Effect::Connect(placement) => self.connect(machine, number, call, placement.addr),
+            Effect::SendRequest { last_event_id, window, .. } => {
+                self.send_request(machine, number, call, last_event_id, window);
+            }
+            Effect::CloseConnection => self.close_connection(machine, number, call),
+            Effect::ForwardHead => {
+                call.first_byte_at = Some(self.now);
+                self.last_accepted_call = Some((machine, self.now));
+            }
+            Effect::ForwardChunk(chunk) => call.response_body.extend_from_slice(&chunk),
+            Effect::FinishResponse => result.observation = Some(ClientObservation::Complete),
+            Effect::AbortResponse(_) => result.observation = Some(ClientObservation::Aborted),
+            Effect::Respond(response) => {
+                result.observation = Some(ClientObservation::Rejected {
+                    status: response.status,
+                    code: response.code,
+                    execution: response.execution,
+                    has_retry_after: response.retry_after.is_some(),
+                });
             }
-            self.slots[i].hall.lives.insert(n, a);
+            Effect::WakeCall(wakeup) => self.schedule_wakeups(machine, vec![wakeup]),
         }
-        for (tenant, waiting) in needs {
-            self.step(i, NodeEvent::QuotaNeeded { tenant, waiting });
+    }
+
+    fn send_body(&mut self, machine: usize, number: u64, call: &ActiveCall) {
+        let body = format!("{{\"prompt\":\"prefix {}\"}}", call.request.prefix);
+        let due = self.now + self.rng.below(BODY_DELAY_MOST);
+        let incarnation = self.machines[machine].incarnation;
+        self.schedule(due, SimEvent::RequestBody(machine, incarnation, number, Bytes::from(body)));
+    }
+
+    /// Sets the call's timer if its next deadline is another one than that already set.
+    fn set_timer(&mut self, machine: usize, number: u64, call: &mut ActiveCall) {
+        let state = &self.machines[machine];
+        let Some(deadline) = call.machine.next_wake(&state.calls.view) else { return };
+        let due = state.true_time(deadline).max(self.now + MS);
+        if due != call.timer_at {
+            call.timer_at = due;
+            let incarnation = state.incarnation;
+            self.schedule(due, SimEvent::CallTimer(machine, incarnation, number));
         }
     }
 
-    fn ended(&mut self, slot: usize, call: u64, a: ActiveCall, seen: ClientObservation) {
-        let ActiveCall { want, at, first, body, no, .. } = a;
-        self.seen.push(CallOutcome { call, want, slot, at, first, end: self.now, body, tried: no > 0, seen });
+    fn record_outcome(&mut self, machine: usize, number: u64, call: ActiveCall, observation: ClientObservation) {
+        self.call_outcomes.push(CallOutcome {
+            call: number,
+            request: call.request,
+            machine,
+            started_at: call.started_at,
+            first_byte_at: call.first_byte_at,
+            ended_at: self.now,
+            body: call.response_body,
+            was_attempted: call.attempt > 0,
+            observation,
+        });
     }
 
-    fn open(&mut self, i: usize, n: u64, a: &mut ActiveCall, at: std::net::SocketAddr) {
-        let k = match at.ip() {
-            std::net::IpAddr::V4(x) => usize::from(x.octets()[3]) - 1,
-            std::net::IpAddr::V6(_) => return,
+    fn attempt_origin(&self, machine: usize, number: u64, call: &ActiveCall) -> AttemptOrigin {
+        let incarnation = self.machines[machine].incarnation;
+        AttemptOrigin { machine, incarnation, call: number, attempt: call.attempt }
+    }
+
+    /// Connects to the worker whose index is the last octet of the address less one.
+    fn connect(&mut self, machine: usize, number: u64, call: &mut ActiveCall, addr: SocketAddr) {
+        let worker = match addr.ip() {
+            IpAddr::V4(ip) => usize::from(ip.octets()[3]) - 1,
+            IpAddr::V6(_) => return,
         };
-        a.no += 1;
-        let w = &self.workers[k];
-        a.to = Some((k, w.incarnation));
-        let b = AttemptOrigin { slot: i, life: self.slots[i].life, call: n, no: a.no };
-        if w.mode(self.now) == WorkerBehaviour::Dark {
+        call.attempt += 1;
+        let state = &self.workers[worker];
+        call.worker = Some((worker, state.incarnation));
+        if state.behaviour_at(self.now) == WorkerBehaviour::Dark {
             return;
         }
-        let e = if w.up { Event::Connected } else { Event::AttemptFailed(FailurePoint::Connect) };
-        let t = self.now + 2 * self.lat(i, k);
-        self.push(t, SimEvent::Try(b, e));
+        let event = if state.is_running { Event::Connected } else { Event::AttemptFailed(FailurePoint::Connect) };
+        let origin = self.attempt_origin(machine, number, call);
+        let due = self.now + 2 * self.worker_latency(machine, worker);
+        self.schedule(due, SimEvent::Attempt(origin, event));
     }
 
-    fn sent(&mut self, i: usize, n: u64, a: &ActiveCall, after: Option<u64>, window: u64) {
-        let Some((k, incarnation)) = a.to else { return };
-        let to = AttemptOrigin { slot: i, life: self.slots[i].life, call: n, no: a.no };
-        let s = WorkerRequest { to, tenant: a.want.tenant.clone(), path: a.want.path, after, window, incarnation };
-        let t = self.now + self.lat(i, k);
-        self.push(t, SimEvent::Arrive(k, s));
+    fn send_request(
+        &mut self,
+        machine: usize,
+        number: u64,
+        call: &ActiveCall,
+        last_event_id: Option<u64>,
+        quota_window: u64,
+    ) {
+        let Some((worker, incarnation)) = call.worker else { return };
+        let request = WorkerRequest {
+            origin: self.attempt_origin(machine, number, call),
+            tenant: call.request.tenant.clone(),
+            path: call.request.path,
+            last_event_id,
+            quota_window,
+            incarnation,
+        };
+        let due = self.now + self.worker_latency(machine, worker);
+        self.schedule(due, SimEvent::RequestArrival(worker, request));
     }
 
-    fn close(&mut self, i: usize, n: u64, a: &mut ActiveCall) {
-        if let Some((k, _)) = a.to.take() {
-            let b = AttemptOrigin { slot: i, life: self.slots[i].life, call: n, no: a.no };
-            self.hang_up(k, b);
+    fn close_connection(&mut self, machine: usize, number: u64, call: &mut ActiveCall) {
+        if let Some((worker, _)) = call.worker.take() {
+            let origin = self.attempt_origin(machine, number, call);
+            self.cancel_request(worker, origin);
         }
     }
 
-    /// The process is gone: its downstreams and its workers see their connections end.
-    pub(in crate::sim) fn drop_calls(&mut self, i: usize) {
-        let c = &self.slots[i].hall.floor.counters;
-        self.tries.0 += c.attempts_first.get();
-        self.tries.1 += c.retries.get();
-        self.resumed += c.streams_resumed.get();
-        self.reseated += c.slots_reassigned.get();
-        self.units_ended += c.units_expired.get();
-        for (n, mut a) in std::mem::take(&mut self.slots[i].hall.lives) {
-            self.close(i, n, &mut a);
-            self.ended(i, n, *a, ClientObservation::Dropped);
+    /// The process ended: its clients and its workers see their connections end.
+    pub(in crate::sim) fn drop_calls(&mut self, machine: usize) {
+        let counters = &self.machines[machine].calls.shared.counters;
+        self.tries.0 += counters.attempts_first.get();
+        self.tries.1 += counters.retries.get();
+        self.streams_resumed += counters.streams_resumed.get();
+        self.slots_reassigned += counters.slots_reassigned.get();
+        self.quota_units_expired += counters.units_expired.get();
+        for (number, mut call) in std::mem::take(&mut self.machines[machine].calls.active) {
+            self.close_connection(machine, number, &mut call);
+            self.record_outcome(machine, number, *call, ClientObservation::NodeLost);
         }
     }
 }
--- a/crates/testbed/src/sim/calls/call_registry.rs
+++ b/crates/testbed/src/sim/calls/call_registry.rs
@@ -1,4 +1,4 @@
-//! The data plane of one simulated process: its calls and what it holds for them.
+//! The data plane of one simulated process: its active calls and the state that they share.
 
 use crate::sim::calls::outcome::CallRequest;
 use std::collections::BTreeMap;
@@ -10,40 +10,49 @@
 /// A call that has not ended.
 #[derive(Debug)]
 pub struct ActiveCall {
-    pub(in crate::sim) life: CallMachine,
-    pub(in crate::sim) want: CallRequest,
-    pub(in crate::sim) at: Micros,
-    pub(in crate::sim) first: Option<Micros>,
-    pub(in crate::sim) body: Vec<u8>,
-    /// The try it is at, and the worker at the other end with the life it was opened to.
-    pub(in crate::sim) no: u64,
-    pub(in crate::sim) to: Option<(usize, u64)>,
-    pub(in crate::sim) turn: Micros,
+    pub(in crate::sim) machine: CallMachine,
+    pub(in crate::sim) request: CallRequest,
+    /// When it began, in microseconds of true time.
+    pub(in crate::sim) started_at: Micros,
+    /// When the response head was forwarded, in microseconds of true time.
+    pub(in crate::sim) first_byte_at: Option<Micros>,
+    pub(in crate::sim) response_body: Vec<u8>,
+    /// The number of the current attempt; 0 before the first.
+    pub(in crate::sim) attempt: u64,
+    /// The connected worker and the incarnation that the connection was opened to.
+    pub(in crate::sim) worker: Option<(usize, u64)>,
+    /// When its timer expires; 0 while none is set.
+    pub(in crate::sim) timer_at: Micros,
 }
 
 impl ActiveCall {
-    /// Its timer went off, so another one may be set.
-    pub(in crate::sim) fn turned(&mut self) {
-        self.turn = 0;
+    /// Its timer expired, so another one may be set.
+    pub(in crate::sim) fn clear_timer(&mut self) {
+        self.timer_at = 0;
     }
 }
 
 /// The data plane of one process.
 #[derive(Debug)]
 pub struct CallRegistry {
-    pub floor: Arc<SharedCallState>,
-    pub own: ThreadCaches,
+    /// State that all calls of the process share.
+    pub shared: Arc<SharedCallState>,
+    /// Caches that the real node keeps for each thread; the simulated process has one thread.
+    pub thread_caches: ThreadCaches,
+    /// The view that the node published last.
     pub view: Arc<View>,
-    pub lives: BTreeMap<u64, Box<ActiveCall>>,
+    /// Calls that have not ended, by number.
+    pub active: BTreeMap<u64, Box<ActiveCall>>,
 }
 
 impl CallRegistry {
-    pub fn new(floor: SharedCallState) -> Self {
+    /// A data plane without calls.
+    pub fn new(shared: SharedCallState) -> Self {
         CallRegistry {
-            floor: Arc::new(floor),
-            own: ThreadCaches::default(),
+            shared: Arc::new(shared),
+            thread_caches: ThreadCaches::default(),
             view: Arc::default(),
-            lives: BTreeMap::new(),
+            active: BTreeMap::new(),
         }
     }
 }
--- a/crates/testbed/src/sim/checks/calls.rs
+++ b/crates/testbed/src/sim/checks/calls.rs
@@ -1,5 +1,7 @@
+//! Checks of calls: what clients saw against what workers ran, and both against quotas and revocations.
+
 use crate::sim::calls::outcome::{CallOutcome, ClientObservation};
-use crate::sim::checks::safety::{GONE, REVOKE, Violation};
+use crate::sim::checks::safety::{REVOCATION_DEADLINE, Violation, WORKER_REMOVAL_DEADLINE};
 use crate::sim::operators::documents::REVOCABLE;
 use crate::sim::workers::worker::ExecutionRecord;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,27 +10,30 @@
 
 /// What the runs and responses of one world are judged by.
 #[derive(Clone, Debug, Default)]
+/// The limits that the calls of a run are checked against.
 pub struct CallLimits {
+    /// Calls in a window, and the length of the window in microseconds, of each tenant.
     pub quotas: BTreeMap<String, (u64, Micros)>,
-    /// When each version was acknowledged.
-    pub acks: Vec<(Version, Micros)>,
-    /// When each version was first held anywhere, and whether it has the key that comes and goes.
+    /// Versions, and when they were acknowledged.
+    pub acknowledged: Vec<(Version, Micros)>,
+    /// Versions, when they were first committed, and whether they have the key that comes and goes.
     pub keys: Vec<(Version, Micros, bool)>,
+    /// First attempts and retries.
     pub tries: (u64, u64),
-    /// Which machines slept, and from when to when.
-    pub slept: Vec<(usize, Micros, Micros)>,
+    /// Which machines were frozen, from when and until when.
+    pub freezes: Vec<(usize, Micros, Micros)>,
 }
 
 /// How long a call is under way to its worker, and how far clocks may differ over a window.
 const WIRE: Micros = 10_000;
 
-/// Paths whose calls must not run twice.
-pub fn once(path: &str) -> bool {
+/// Whether calls of this path must not run twice.
+pub fn runs_at_most_once(path: &str) -> bool {
     matches!(path, "/v1/chat" | "/v1/summary" | "/v1/book")
 }
 
-/// Judges what downstreams saw against what workers ran, knowing nothing of how nodes decide.
-pub fn judge(seen: &[CallOutcome], ran: &[ExecutionRecord], law: &CallLimits) -> Vec<Violation> {
+/// Checks what clients saw against what workers ran, knowing nothing of how nodes decide.
+pub fn check_calls(seen: &[CallOutcome], ran: &[ExecutionRecord], law: &CallLimits) -> Vec<Violation> {
     let mut out = Vec::new();
     let mut by: BTreeMap<u64, Vec<&ExecutionRecord>> = BTreeMap::new();
     for r in ran {
@@ -38,16 +43,16 @@
         responses(o, by.get(&o.call).map_or(&[][..], Vec::as_slice), law, &mut out);
     }
     for (c, rs) in &by {
-        if once(rs[0].path) && rs.len() > 1 {
+        if runs_at_most_once(rs[0].path) && rs.len() > 1 {
             out.push(format!("call {c} is not safe to repeat and ran {} times", rs.len()));
         }
-        let from: BTreeSet<_> = rs.iter().map(|r| r.from).collect();
+        let from: BTreeSet<_> = rs.iter().map(|r| r.first_piece).collect();
         if rs[0].path == "/v1/draft" && from.len() < rs.len() {
             out.push(format!("call {c} was begun twice at the same piece"));
         }
     }
     for r in ran {
-        if r.drained.is_some_and(|t| r.at > t + GONE) {
+        if r.draining_since.is_some_and(|t| r.started_at > t + WORKER_REMOVAL_DEADLINE) {
             out.push(format!("call {} reached worker {} over 2 s after it began to drain", r.call, r.worker));
         }
         revoked(r, law, &mut out);
@@ -62,22 +67,26 @@
 
 fn responses(o: &CallOutcome, rs: &[&ExecutionRecord], law: &CallLimits, out: &mut Vec<String>) {
     let c = o.call;
-    if !o.right() {
+    if !o.has_expected_body() {
         let t = String::from_utf8_lossy(&o.body).into_owned();
-        out.push(format!("call {c} ({}) got a body that is not its own: {:?} {t}", o.want.path, o.seen));
+        out.push(format!("call {c} ({}) got a body that is not its own: {:?} {t}", o.request.path, o.observation));
     }
-    match &o.seen {
-        ClientObservation::Whole if rs.is_empty() => out.push(format!("call {c} got a success that no worker gave")),
-        ClientObservation::Refused { ran: retry::Execution::NotRun, code, .. } if !rs.is_empty() => {
+    match &o.observation {
+        ClientObservation::Complete if rs.is_empty() => out.push(format!("call {c} got a success that no worker gave")),
+        ClientObservation::Rejected { execution: retry::Execution::NotRun, code, .. } if !rs.is_empty() => {
             out.push(format!("call {c} was refused as not run ({code}) and ran {} times", rs.len()));
         }
-        ClientObservation::Refused { status: 429 | 503, back: false, code, .. } => {
+        ClientObservation::Rejected { status: 429 | 503, has_retry_after: false, code, .. } => {
             out.push(format!("call {c} was refused ({code}) without a time to return"));
         }
-        ClientObservation::Refused { code: "full" | "no_worker" | "quota_unsettled", .. } => {
-            let slept = law.slept.iter().any(|s| s.0 == o.slot && s.1 <= o.end && s.2 >= o.at);
-            if !slept && !o.tried && o.end - o.at > o.want.wait * 9 / 10 {
-                out.push(format!("call {c} was given up on only after {} of {} us", o.end - o.at, o.want.wait));
+        ClientObservation::Rejected { code: "full" | "no_worker" | "quota_unsettled", .. } => {
+            let slept = law.freezes.iter().any(|s| s.0 == o.machine && s.1 <= o.ended_at && s.2 >= o.started_at);
+            if !slept && !o.was_attempted && o.ended_at - o.started_at > o.request.max_wait * 9 / 10 {
+                out.push(format!(
+                    "call {c} was given up on only after {} of {} us",
+                    o.ended_at - o.started_at,
+                    o.request.max_wait
+                ));
             }
         }
         _ => {}
@@ -89,9 +98,13 @@
     if r.tenant != REVOCABLE {
         return;
     }
-    let old = law.acks.iter().filter(|a| a.1 + REVOKE < r.at).map(|a| a.0).max().unwrap_or(0);
-    if !law.keys.iter().any(|k| k.0 >= old && k.1 <= r.at && k.2) {
-        out.push(format!("call {} ran at {} with a key withdrawn over 5 s before (version {old})", r.call, r.at));
+    let old =
+        law.acknowledged.iter().filter(|a| a.1 + REVOCATION_DEADLINE < r.started_at).map(|a| a.0).max().unwrap_or(0);
+    if !law.keys.iter().any(|k| k.0 >= old && k.1 <= r.started_at && k.2) {
+        out.push(format!(
+            "call {} ran at {} with a key withdrawn over 5 s before (version {old})",
+            r.call, r.started_at
+        ));
     }
 }
 
@@ -99,7 +112,7 @@
 fn quotas(by: &BTreeMap<u64, Vec<&ExecutionRecord>>, law: &CallLimits, out: &mut Vec<String>) {
     let mut used: BTreeMap<(&str, u64), Vec<Micros>> = BTreeMap::new();
     for rs in by.values() {
-        used.entry((&rs[0].tenant, rs[0].window)).or_default().push(rs[0].at);
+        used.entry((&rs[0].tenant, rs[0].quota_window)).or_default().push(rs[0].started_at);
     }
     for ((t, window), at) in used {
         let Some((q, len)) = law.quotas.get(t) else { continue };
@@ -113,7 +126,7 @@
     }
 }
 
-/// Calls a second, and as many at once on top, of each tenant.
+/// The rate of each tenant: calls a second, and as many at once on top.
 pub type Rates = BTreeMap<String, u64>;
 
 /// A unit may be used for so long after it was taken, and clocks differ by a thousandth.
@@ -123,14 +136,14 @@
     let mut met = BTreeSet::new();
     let mut at: BTreeMap<&str, Vec<Micros>> = BTreeMap::new();
     for r in ran.iter().filter(|r| rates.contains_key(&r.tenant) && met.insert(r.call)) {
-        at.entry(&r.tenant).or_default().push(r.at);
+        at.entry(&r.tenant).or_default().push(r.started_at);
     }
     at.values_mut().for_each(|v| v.sort_unstable());
     at
 }
 
 /// No interval of any length sees more calls than the rate and the burst.
-pub fn sliding(ran: &[ExecutionRecord], rates: &Rates) -> Vec<Violation> {
+pub fn check_rates(ran: &[ExecutionRecord], rates: &Rates) -> Vec<Violation> {
     let mut out = Vec::new();
     for (t, v) in firsts(ran, rates) {
         let r = i128::from(rates[t]);
@@ -151,11 +164,11 @@
 
 /// How many calls were refused though one bucket for the whole fleet would have been
 /// over a fifth full.
-pub fn kept_back(seen: &[CallOutcome], ran: &[ExecutionRecord], rates: &Rates) -> u64 {
+pub fn count_needless_rate_rejections(seen: &[CallOutcome], ran: &[ExecutionRecord], rates: &Rates) -> u64 {
     let runs = firsts(ran, rates);
     let mut no: BTreeMap<&str, Vec<Micros>> = BTreeMap::new();
-    for o in seen.iter().filter(|o| matches!(o.seen, ClientObservation::Refused { code: "quota", .. })) {
-        no.entry(&o.want.tenant).or_default().push(o.end);
+    for o in seen.iter().filter(|o| matches!(o.observation, ClientObservation::Rejected { code: "quota", .. })) {
+        no.entry(&o.request.tenant).or_default().push(o.ended_at);
     }
     let mut n = 0;
     for (t, mut v) in no {
@@ -177,18 +190,18 @@
 }
 
 /// How many calls were told that a window is spent in which over a tenth was left.
-pub fn needless(seen: &[CallOutcome], ran: &[ExecutionRecord], law: &CallLimits) -> u64 {
+pub fn count_needless_rejections(seen: &[CallOutcome], ran: &[ExecutionRecord], law: &CallLimits) -> u64 {
     let mut met = BTreeSet::new();
     let mut by: BTreeMap<&str, Vec<(Micros, u64)>> = BTreeMap::new();
     for r in ran.iter().filter(|r| met.insert(r.call)) {
-        by.entry(&r.tenant).or_default().push((r.at, r.window));
+        by.entry(&r.tenant).or_default().push((r.started_at, r.quota_window));
     }
-    let spent = |o: &CallOutcome| matches!(o.seen, ClientObservation::Refused { code: "quota", .. });
+    let spent = |o: &CallOutcome| matches!(o.observation, ClientObservation::Rejected { code: "quota", .. });
     let needless = |o: &&CallOutcome| {
-        let Some((q, _)) = law.quotas.get(&o.want.tenant) else { return false };
-        let Some(rs) = by.get(o.want.tenant.as_str()) else { return true };
+        let Some((q, _)) = law.quotas.get(&o.request.tenant) else { return false };
+        let Some(rs) = by.get(o.request.tenant.as_str()) else { return true };
         // The window in which the call was refused is the one of the last run before it.
-        let window = rs.iter().rev().find(|r| r.0 <= o.end).map(|r| r.1);
+        let window = rs.iter().rev().find(|r| r.0 <= o.ended_at).map(|r| r.1);
         let n = rs.iter().filter(|r| Some(r.1) == window).count() as u64;
         n * 10 < q * 9
     };
@@ -196,11 +209,11 @@
 }
 
 /// The most calls of one tenant that ran within any interval of a window's length.
-pub fn worst(ran: &[ExecutionRecord], window: Micros) -> BTreeMap<String, u64> {
+pub fn max_calls_per_window(ran: &[ExecutionRecord], window: Micros) -> BTreeMap<String, u64> {
     let mut at: BTreeMap<&str, Vec<Micros>> = BTreeMap::new();
     let mut met = BTreeSet::new();
     for r in ran.iter().filter(|r| met.insert(r.call)) {
-        at.entry(&r.tenant).or_default().push(r.at);
+        at.entry(&r.tenant).or_default().push(r.started_at);
     }
     at.into_iter()
         .map(|(t, mut v)| {
--- a/crates/testbed/src/sim/checks/recovery.rs
+++ b/crates/testbed/src/sim/checks/recovery.rs
@@ -12,37 +12,37 @@
 /// When all calls have ended nothing is held for them: no place, no wait.
 pub(in crate::sim) fn empty(w: &mut World) {
     w.run(w.now + 8 * SEC);
-    for s in &w.slots {
-        let f = &s.hall.floor;
-        let held = (f.worker_loads.total_in_flight(), f.queue_lengths(), s.hall.lives.len());
+    for s in &w.machines {
+        let f = &s.calls.shared;
+        let held = (f.worker_loads.total_in_flight(), f.queue_lengths(), s.calls.active.len());
         if s.node.is_some() && held != (0, (0, 0), 0) {
             let t = format!("{} holds {held:?} (places, waits, calls) when all calls have ended", s.addr);
-            w.check.breaches.push(Violation(t));
+            w.safety.violations.push(Violation(t));
         }
     }
 }
 
 /// Twelve seconds after the last fault all must serve again.
 pub(in crate::sim) fn recover(w: &mut World, o: &mut Operators, end: Micros) -> Option<Micros> {
-    let bad: Vec<_> = (0..w.slots.len())
+    let bad: Vec<_> = (0..w.machines.len())
         .filter(|i| {
-            let s = &w.slots[*i];
-            !s.gone && s.node.as_ref().is_none_or(|n| !n.is_fresh(s.clock(w.now)))
+            let s = &w.machines[*i];
+            !s.is_removed && s.node.as_ref().is_none_or(|n| !n.is_fresh(s.clock(w.now)))
         })
-        .map(|i| w.slots[i].addr.clone())
+        .map(|i| w.machines[i].addr.clone())
         .collect();
     if !bad.is_empty() {
-        w.check.breaches.push(Violation(format!("not fresh 12 s after the last fault: {bad:?}")));
+        w.safety.violations.push(Violation(format!("not fresh 12 s after the last fault: {bad:?}")));
         return None;
     }
     let vs: std::collections::BTreeSet<_> =
-        w.slots.iter().filter_map(|s| s.node.as_ref().map(|n| n.version())).collect();
+        w.machines.iter().filter_map(|s| s.node.as_ref().map(|n| n.version())).collect();
     if vs.len() > 1 && o.lag.is_empty() {
-        w.check.breaches.push(Violation(format!("different versions at the end: {vs:?}")));
+        w.safety.violations.push(Violation(format!("different versions at the end: {vs:?}")));
     }
-    let acked = w.check.acks.iter().map(|a| a.version).max();
+    let acked = w.safety.acknowledged.iter().map(|a| a.version).max();
     if acked > vs.iter().next_back().copied().flatten() {
-        w.check.breaches.push(Violation("an acknowledged version is lost at the end".into()));
+        w.safety.violations.push(Violation("an acknowledged version is lost at the end".into()));
     }
     let before = o.done;
     let at = w.now;
@@ -57,38 +57,41 @@
         }
     }
     if o.done == before {
-        w.check.breaches.push(Violation("no change is accepted after the last fault".into()));
+        w.safety.violations.push(Violation("no change is accepted after the last fault".into()));
         return None;
     }
-    let taken = w.ran.len();
+    let taken = w.executions.len();
     for _ in 0..100 {
         let t = w.now + 10 * MS;
         w.run(t);
         w.report();
-        w.platform();
+        w.check_readiness();
         o.calls(w, 50);
     }
     let mute = o.settle(w, 4 * SEC);
     if !mute.is_empty() {
-        w.check.breaches.push(Violation(format!("no word on a quota after the last fault: {mute:?}")));
+        w.safety.violations.push(Violation(format!("no word on a quota after the last fault: {mute:?}")));
     }
-    if w.ran.len() == taken {
-        w.check.breaches.push(Violation("no unit of any quota is given after the last fault".into()));
+    if w.executions.len() == taken {
+        w.safety.violations.push(Violation("no unit of any quota is given after the last fault".into()));
     }
     Some(at.max(end) - end)
 }
 
 /// When, after the last fault, the last of the fronts had served a call again.
 pub(in crate::sim) fn serving(w: &mut World, end: Micros) -> Option<Micros> {
-    let fronts = (0..w.slots.len()).filter(|i| !w.slots[*i].core && !w.slots[*i].gone);
+    let fronts = (0..w.machines.len()).filter(|i| !w.machines[*i].is_core && !w.machines[*i].is_removed);
     let again = |i: usize| {
-        let whole = w.seen.iter().filter(|o| o.slot == i && o.at >= end && o.seen == ClientObservation::Whole);
-        whole.map(|o| o.end - end).min()
+        let whole = w
+            .call_outcomes
+            .iter()
+            .filter(|o| o.machine == i && o.started_at >= end && o.observation == ClientObservation::Complete);
+        whole.map(|o| o.ended_at - end).min()
     };
     let serving = fronts.map(again).collect::<Option<Vec<_>>>().and_then(|v| v.into_iter().max());
     if serving.is_none_or(|t| t > BACK) {
         let t = format!("not all fronts serve again 12 s after the last fault: {serving:?}");
-        w.check.breaches.push(Violation(t));
+        w.safety.violations.push(Violation(t));
     }
     serving
 }
--- a/crates/testbed/src/sim/checks/safety.rs
+++ b/crates/testbed/src/sim/checks/safety.rs
@@ -1,136 +1,165 @@
+//! Safety of the configuration log: one entry for each version, nothing acknowledged is lost, nothing
+//! rejected is committed, and no node goes on with what was revoked.
+
 use std::collections::BTreeMap;
 use sumacvale_core::base::{ChangeId, Micros, SEC, Version};
 use sumacvale_core::protocol::LogEntry;
 
 /// One thing that must never happen, and did.
 #[derive(Clone, Debug, PartialEq, Eq)]
+/// Something that must never happen, and did.
 pub struct Violation(pub String);
 
 #[derive(Clone, Copy, Debug)]
+/// A change that a node acknowledged as committed.
 pub struct Acknowledgement {
+    /// The id of the change.
     pub change_id: ChangeId,
+    /// The version that the change was built on.
     pub base: Version,
+    /// The version that the change became.
     pub version: Version,
-    pub asked: Micros,
-    pub at: Micros,
+    /// When it was requested, in microseconds of true time.
+    pub requested_at: Micros,
+    /// When it was acknowledged, in microseconds of true time.
+    pub acknowledged_at: Micros,
 }
 
 /// Judges from outside: what operators were told and what nodes would admit. It knows nothing of how nodes decide.
 #[derive(Clone, Debug, Default)]
+/// Checks from outside what operators were answered and what nodes would admit, knowing nothing of how
+/// nodes decide.
 pub struct SafetyChecker {
-    pub breaches: Vec<Violation>,
-    pub chosen: BTreeMap<Version, LogEntry>,
-    pub acks: Vec<Acknowledgement>,
-    pub refused: Vec<ChangeId>,
-    /// When each version was first held by anyone.
-    pub first: BTreeMap<Version, Micros>,
+    /// What was violated, at most twenty entries of its own.
+    pub violations: Vec<Violation>,
+    /// The log entry of each version, as the first node that held it had it.
+    pub committed: BTreeMap<Version, LogEntry>,
+    /// Changes that were acknowledged, in the order of their acknowledgements.
+    pub acknowledged: Vec<Acknowledgement>,
+    /// Changes that were rejected for good.
+    pub rejected: Vec<ChangeId>,
+    /// When each version was first held by any node, in microseconds of true time.
+    pub first_committed_at: BTreeMap<Version, Micros>,
     /// Workers that ended or began to drain, and when.
-    pub gone: BTreeMap<String, Micros>,
+    pub removed_workers: BTreeMap<String, Micros>,
 }
 
-/// A revocation holds everywhere after this; real time may run a little faster than any clock.
-pub const REVOKE: Micros = 5 * SEC;
-pub const GONE: Micros = 2 * SEC;
+/// How many violations of its own a checker keeps.
+const REPORTED_MOST: usize = 20;
+/// A revocation is in force on every node after this; true time may run a little faster than any clock.
+pub const REVOCATION_DEADLINE: Micros = 5 * SEC;
+/// No node sends calls to a worker this long after it ended or began to drain.
+pub const WORKER_REMOVAL_DEADLINE: Micros = 2 * SEC;
 
 impl SafetyChecker {
-    fn breach(&mut self, s: String) {
-        if self.breaches.len() < 20 {
-            self.breaches.push(Violation(s));
+    /// Keeps the first violations; those that follow mostly repeat them.
+    fn report(&mut self, text: String) {
+        if self.violations.len() < REPORTED_MOST {
+            self.violations.push(Violation(text));
         }
     }
 
-    /// A node holds this as decided.
-    pub fn holds(&mut self, who: &str, d: &LogEntry, at: Micros) {
-        match self.chosen.get(&d.version) {
-            Some(o) if o == d => {}
-            Some(o) => {
-                let t = format!(
-                    "{at}: {who} holds version {} of change {:?}, others of {:?}",
-                    d.version, d.change_id, o.change_id
+    /// A node holds this log entry as committed.
+    pub fn record_committed(&mut self, node: &str, entry: &LogEntry, now: Micros) {
+        match self.committed.get(&entry.version) {
+            Some(other) if other == entry => {}
+            Some(other) => {
+                let text = format!(
+                    "{now}: {node} holds version {} of change {:?}, others of {:?}",
+                    entry.version, entry.change_id, other.change_id
                 );
-                self.breach(t);
+                self.report(text);
             }
             None => {
-                if let Some(r) = self.refused.iter().find(|r| **r == d.change_id) {
-                    let t = format!("{at}: change {r:?} was refused and is in force on {who}");
-                    self.breach(t);
+                if self.rejected.contains(&entry.change_id) {
+                    self.report(format!("{now}: change {:?} was refused and is in force on {node}", entry.change_id));
                 }
-                self.chosen.insert(d.version, d.clone());
-                self.first.insert(d.version, at);
+                self.committed.insert(entry.version, entry.clone());
+                self.first_committed_at.insert(entry.version, now);
             }
         }
     }
 
-    pub fn ack(&mut self, a: Acknowledgement) {
-        for o in self.acks.clone() {
-            if o.base == a.base && o.change_id != a.change_id {
-                self.breach(format!(
+    /// An operator was told that its change is committed.
+    pub fn record_acknowledgement(&mut self, new: Acknowledgement) {
+        for old in self.acknowledged.clone() {
+            if old.base == new.base && old.change_id != new.change_id {
+                self.report(format!(
                     "{}: changes {:?} and {:?} on base {} were both accepted",
-                    a.at, o.change_id, a.change_id, a.base
+                    new.acknowledged_at, old.change_id, new.change_id, new.base
                 ));
             }
-            if o.at < a.asked && o.version >= a.version && o.change_id != a.change_id {
-                self.breach(format!(
+            let was_known = old.acknowledged_at < new.requested_at;
+            if was_known && old.version >= new.version && old.change_id != new.change_id {
+                self.report(format!(
                     "{}: a change asked for after version {} was acknowledged became {}",
-                    a.at, o.version, a.version
+                    new.acknowledged_at, old.version, new.version
                 ));
             }
         }
-        if self.refused.contains(&a.change_id) {
-            self.breach(format!("{}: change {:?} was refused and then accepted", a.at, a.change_id));
+        if self.rejected.contains(&new.change_id) {
+            self.report(format!("{}: change {:?} was refused and then accepted", new.acknowledged_at, new.change_id));
         }
-        self.acks.push(a);
+        self.acknowledged.push(new);
     }
 
-    pub fn refuse(&mut self, c: ChangeId, at: Micros) {
-        if self.chosen.values().any(|d| d.change_id == c) || self.acks.iter().any(|a| a.change_id == c) {
-            self.breach(format!("{at}: change {c:?} was refused and is decided"));
+    /// An operator was told that its change is rejected for good.
+    pub fn record_rejection(&mut self, change_id: ChangeId, now: Micros) {
+        let is_acknowledged = self.acknowledged.iter().any(|change| change.change_id == change_id);
+        if self.is_committed(change_id) || is_acknowledged {
+            self.report(format!("{now}: change {change_id:?} was refused and is decided"));
         }
-        self.refused.push(c);
+        self.rejected.push(change_id);
     }
 
-    /// A node would admit calls now with this version.
-    pub fn admits(&mut self, who: &str, version: Version, at: Micros) {
-        let late = self.acks.iter().filter(|a| a.at + REVOKE < at).map(|a| a.version).max();
-        if let Some(v) = late
-            && version < v
+    /// A node would admit calls now by this version.
+    pub fn check_admission(&mut self, node: &str, version: Version, now: Micros) {
+        let overdue = self.acknowledged.iter().filter(|change| change.acknowledged_at + REVOCATION_DEADLINE < now);
+        if let Some(due) = overdue.map(|change| change.version).max()
+            && version < due
         {
-            self.breach(format!("{at}: {who} admits calls by version {version}, {v} was acknowledged over 5 s ago"));
+            self.report(format!(
+                "{now}: {node} admits calls by version {version}, {due} was acknowledged over 5 s ago"
+            ));
         }
     }
 
     /// A node went from one version to another.
-    pub fn moves(&mut self, who: &str, from: Version, to: Version, at: Micros) {
+    pub fn check_version_change(&mut self, node: &str, from: Version, to: Version, now: Micros) {
         if to < from {
-            self.breach(format!("{at}: {who} slipped from version {from} back to {to}"));
+            self.report(format!("{now}: {node} slipped from version {from} back to {to}"));
         }
     }
 
     /// A node would send calls to this worker now.
-    pub fn routes(&mut self, who: &str, w: &str, at: Micros) {
-        if let Some(t) = self.gone.get(w)
-            && at > t + GONE
+    pub fn check_routing(&mut self, node: &str, worker: &str, now: Micros) {
+        if let Some(removed_at) = self.removed_workers.get(worker)
+            && now > removed_at + WORKER_REMOVAL_DEADLINE
         {
-            self.breach(format!("{at}: {who} sends calls to {w}, which was gone at {t}"));
+            self.report(format!("{now}: {node} sends calls to {worker}, which was gone at {removed_at}"));
         }
     }
 
-    /// At the end: every acknowledged version is the one that was decided.
-    pub fn end(&mut self) {
-        for a in self.acks.clone() {
-            match self.chosen.get(&a.version) {
-                Some(d) if d.change_id == a.change_id => {}
-                Some(d) => self.breach(format!(
+    /// At the end of a run: every acknowledged version is the committed one, and no rejected change is committed.
+    pub fn check_acknowledged_versions(&mut self) {
+        for change in self.acknowledged.clone() {
+            match self.committed.get(&change.version) {
+                Some(entry) if entry.change_id == change.change_id => {}
+                Some(entry) => self.report(format!(
                     "version {} was acknowledged for {:?} and is {:?}",
-                    a.version, a.change_id, d.change_id
+                    change.version, change.change_id, entry.change_id
                 )),
-                None => self.breach(format!("version {} was acknowledged and no node holds it", a.version)),
+                None => self.report(format!("version {} was acknowledged and no node holds it", change.version)),
             }
         }
-        for c in self.refused.clone() {
-            if self.chosen.values().any(|d| d.change_id == c) {
-                self.breach(format!("change {c:?} was refused and is decided"));
+        for change_id in self.rejected.clone() {
+            if self.is_committed(change_id) {
+                self.report(format!("change {change_id:?} was refused and is decided"));
             }
         }
     }
+
+    fn is_committed(&self, change_id: ChangeId) -> bool {
+        self.committed.values().any(|entry| entry.change_id == change_id)
+    }
 }
--- a/crates/testbed/src/sim/checks/summary.rs
+++ b/crates/testbed/src/sim/checks/summary.rs
@@ -1,7 +1,9 @@
 //! What a run came to: its breaches, its counts and its times.
 
 use crate::sim::calls::outcome::{CallOutcome, ClientObservation};
-use crate::sim::checks::calls::{CallLimits, Rates, kept_back, needless, worst};
+use crate::sim::checks::calls::{
+    CallLimits, Rates, count_needless_rate_rejections, count_needless_rejections, max_calls_per_window,
+};
 use crate::sim::checks::safety::Violation;
 use crate::sim::faults::control::Control;
 use crate::sim::faults::membership_losses::MembershipFaults;
@@ -94,10 +96,16 @@
 
 /// How long after all power was back a call ran again, and 19 of 20 were let in.
 fn lit((from, back): (Micros, Micros), w: &World) -> Option<(Micros, Micros)> {
-    let first = w.ran.iter().filter(|r| r.at > from + 100 * MS).map(|r| r.at).min()?;
-    let out = |o: &CallOutcome| matches!(o.seen, ClientObservation::Refused { code: "quota" | "quota_unsettled", .. });
+    let first = w.executions.iter().filter(|r| r.started_at > from + 100 * MS).map(|r| r.started_at).min()?;
+    let out = |o: &CallOutcome| {
+        matches!(o.observation, ClientObservation::Rejected { code: "quota" | "quota_unsettled", .. })
+    };
     let usual = (0..100).map(|k| from + k * 100 * MS).find(|t| {
-        let v: Vec<_> = w.seen.iter().filter(|o| o.at >= *t && o.at < t + 500 * MS && o.at >= back).collect();
+        let v: Vec<_> = w
+            .call_outcomes
+            .iter()
+            .filter(|o| o.started_at >= *t && o.started_at < t + 500 * MS && o.started_at >= back)
+            .collect();
         v.len() >= 20 && v.iter().filter(|o| out(o)).count() * 20 <= v.len()
     })?;
     Some((first.saturating_sub(back), usual.saturating_sub(back)))
@@ -106,12 +114,8 @@
 /// How often calls ended in each way: by the code of the answer, or what the caller saw.
 fn ends(seen: &[CallOutcome]) -> BTreeMap<String, u64> {
     let mut ends = BTreeMap::new();
-    for o in seen {
-        let k = match &o.seen {
-            ClientObservation::Refused { code, .. } => (*code).to_owned(),
-            s => format!("{s:?}").to_lowercase(),
-        };
-        *ends.entry(k).or_default() += 1;
+    for outcome in seen {
+        *ends.entry(outcome.observation.label().to_owned()).or_default() += 1;
     }
     ends
 }
@@ -131,13 +135,13 @@
         law: &CallLimits,
         rates: &Rates,
     ) -> Summary {
-        let ends = ends(&w.seen);
-        let begun: BTreeMap<u64, Micros> = w.seen.iter().map(|o| (o.call, o.at)).collect();
-        let first = first_runs(&w.ran);
-        let held = first.iter().filter_map(|r| Some(r.at.saturating_sub(*begun.get(&r.call)?))).collect();
+        let ends = ends(&w.call_outcomes);
+        let begun: BTreeMap<u64, Micros> = w.call_outcomes.iter().map(|o| (o.call, o.started_at)).collect();
+        let first = first_runs(&w.executions);
+        let held = first.iter().filter_map(|r| Some(r.started_at.saturating_sub(*begun.get(&r.call)?))).collect();
         Summary {
-            breaches: w.check.breaches.clone(),
-            versions: w.check.chosen.keys().next_back().copied().unwrap_or(0),
+            breaches: w.safety.violations.clone(),
+            versions: w.safety.committed.keys().next_back().copied().unwrap_or(0),
             done: o.done,
             stale: o.stale,
             unknown: o.unknown,
@@ -149,13 +153,14 @@
             spent: ends.get("quota").copied().unwrap_or(0),
             ends,
             tries: w.tries,
-            resumed: w.resumed,
-            reseated: w.reseated,
-            units_ended: w.units_ended,
-            refused_writes: w.refused_writes,
+            resumed: w.streams_resumed,
+            reseated: w.slots_reassigned,
+            units_ended: w.quota_units_expired,
+            refused_writes: w.rejected_writes,
             swallowed: w.connections.swallowed,
-            needless: needless(&w.seen, &w.ran, law) + kept_back(&w.seen, &w.ran, rates),
-            worst: worst(&w.ran, WINDOW).into_values().max().unwrap_or(0),
+            needless: count_needless_rejections(&w.call_outcomes, &w.executions, law)
+                + count_needless_rate_rejections(&w.call_outcomes, &w.executions, rates),
+            worst: max_calls_per_window(&w.executions, WINDOW).into_values().max().unwrap_or(0),
             spread: o.lag,
             held,
             voted: moves.voted,
@@ -165,7 +170,7 @@
             serving: None,
             frames: w.frames,
             bytes: w.bytes,
-            far: w.far,
+            far: w.cross_zone_traffic,
             control: None,
             trace: w.trace,
         }
--- a/crates/testbed/src/sim/cutoff/answers.rs
+++ b/crates/testbed/src/sim/cutoff/answers.rs
@@ -12,14 +12,14 @@
 
 impl Driver {
     pub(super) fn answers(&mut self) {
-        for (req, fate) in std::mem::take(&mut self.world.answers) {
+        for (req, fate) in std::mem::take(&mut self.world.change_outcomes) {
             let Some(o) = self.open.remove(&req) else { continue };
             match o.caller {
                 Caller::Read => self.was_read(req, &o, fate),
                 _ => self.was_ordered(&o, fate),
             }
         }
-        for (req, ok) in std::mem::take(&mut self.world.heard) {
+        for (req, ok) in std::mem::take(&mut self.world.report_acknowledgements) {
             let Some(o) = self.open.remove(&req) else { continue };
             self.ended(&o, Some(ok));
             self.was_told(&o, ok);
--- a/crates/testbed/src/sim/cutoff/judge.rs
+++ b/crates/testbed/src/sim/cutoff/judge.rs
@@ -69,13 +69,13 @@
     /// When all is well again every node holds the newest acknowledged document, and none that
     /// was refused.
     pub(super) fn finish(&mut self) {
-        self.world.cuts.clear();
+        self.world.blocked_links.clear();
         self.world.loss = (0, 0);
         let t = self.world.now + 4 * SEC;
         self.world.run(t);
         let newest = self.acked.iter().map(|a| a.1).max().unwrap_or(0);
-        let decided: BTreeSet<String> = self.world.check.chosen.values().map(|d| d.body.clone()).collect();
-        for (i, s) in self.world.slots.iter().enumerate() {
+        let decided: BTreeSet<String> = self.world.safety.committed.values().map(|d| d.body.clone()).collect();
+        for (i, s) in self.world.machines.iter().enumerate() {
             let held = s.node.as_ref().and_then(|n| n.consensus.state.newest()).map_or(0, |d| d.revision);
             if held < newest {
                 self.seen.breaches.push(Violation(format!("node {i} holds {held} in the end, acknowledged {newest}")));
@@ -89,7 +89,7 @@
         for r in self.refused.iter().filter(|r| decided.contains(*r)) {
             self.seen.breaches.push(Violation(format!("{} was refused and is in force", number_of(r))));
         }
-        self.seen.breaches.extend(self.world.check.breaches.clone());
+        self.seen.breaches.extend(self.world.safety.violations.clone());
         self.seen.trace.clone_from(&self.world.trace);
     }
 }
--- a/crates/testbed/src/sim/cutoff/mod.rs
+++ b/crates/testbed/src/sim/cutoff/mod.rs
@@ -43,8 +43,8 @@
 /// Plays one run.
 pub fn cut_off(run: CutOff) -> Answers {
     let mut world = World::new(run.seed, CORES, FRONTS, 0);
-    world.beat = BEAT;
-    for i in 0..world.slots.len() {
+    world.report_interval = BEAT;
+    for i in 0..world.machines.len() {
         world.start(i);
     }
     let t = world.now + 5 * SEC;
@@ -52,7 +52,7 @@
     let end = world.now + run.secs * SEC;
     world.loss = (run.lost, end);
     if run.slow {
-        world.slots.iter_mut().for_each(|s| s.disk.slow = end);
+        world.machines.iter_mut().for_each(|s| s.disk.slow_until = end);
     }
     let reporters = (0..WORKERS).map(|i| Reporter::new(format!("v{i}"), i % CORES, world.now)).collect();
     let mut d = Driver {
@@ -109,16 +109,16 @@
         let (hears, heard) =
             [(false, false), (false, true), (true, false)][usize::try_from(self.world.rng.below(3)).unwrap_or(0)];
         // From the other cores, or from all.
-        let of = if self.world.rng.chance(50) { CORES } else { self.world.slots.len() };
+        let of = if self.world.rng.chance(50) { CORES } else { self.world.machines.len() };
         for j in (0..of).filter(|j| *j != core) {
             if !hears {
-                self.world.cuts.insert((j, core), now + long);
+                self.world.blocked_links.insert((j, core), now + long);
             }
             if !heard {
-                self.world.cuts.insert((core, j), now + long);
+                self.world.blocked_links.insert((core, j), now + long);
             }
         }
-        self.world.say(format!("core {core} cut off for {long}, hears {hears}, is heard {heard}, from {of}"));
+        self.world.log(format!("core {core} cut off for {long}, hears {hears}, is heard {heard}, from {of}"));
         self.cut = Some((core, now, now + long));
         now + long + 5 * SEC
     }
--- a/crates/testbed/src/sim/drive.rs
+++ b/crates/testbed/src/sim/drive.rs
@@ -1,6 +1,6 @@
 //! One run from a seed: faults, then healing, then what must hold again.
 
-use crate::sim::checks::calls::{CallLimits, Rates, judge, sliding};
+use crate::sim::checks::calls::{CallLimits, Rates, check_calls, check_rates};
 use crate::sim::checks::recovery::{BACK, empty, recover, serving};
 use crate::sim::checks::safety::Violation;
 use crate::sim::checks::summary::{ControlSummary, Summary};
@@ -60,12 +60,12 @@
 impl Simulation {
     fn new(r: Run) -> Simulation {
         let mut w = World::new(r.seed, r.cores, r.fronts, r.workers);
-        w.lose = losses(r.profile.name);
+        w.tolerated_losses = losses(r.profile.name);
         w.renew();
         if r.day.is_some() {
             w.tenants = 7;
         }
-        w.rates = r.rates;
+        w.quotas_are_rates = r.rates;
         let begin = w.now;
         Simulation {
             r,
@@ -95,7 +95,7 @@
         self.faults(calm, hour);
         self.orders(calm);
         if self.w.now % SEC < STEP {
-            self.w.platform();
+            self.w.check_readiness();
         }
         let load = self.r.day.map_or(self.r.load, |d| d.load(if calm { 8 } else { hour }));
         self.ops.calls(&mut self.w, load);
@@ -109,31 +109,31 @@
     /// The last fault is over: nothing is wrong any more.
     fn heal(&mut self) {
         let w = &mut self.w;
-        w.cuts.clear();
-        w.attempts.clear();
-        w.stalled.clear();
+        w.blocked_links.clear();
+        w.reconnect_intervals.clear();
+        w.stalled_links.clear();
         w.loss = (0, 0);
-        w.jam = 0;
-        w.holds.clear();
+        w.reordering_until = 0;
+        w.frames_held_until.clear();
         w.crowd.1 = 0;
-        w.hot = 0;
-        for i in 0..w.slots.len() {
-            if w.slots[i].frozen > w.now || w.slots[i].slow.take().is_some() {
-                w.thaw(i);
+        w.shared_prefix_until = 0;
+        for i in 0..w.machines.len() {
+            if w.machines[i].frozen_until > w.now || w.machines[i].slow_mode.take().is_some() {
+                w.unfreeze(i);
             }
-            w.slots[i].disk.mend();
+            w.machines[i].disk.clear_faults();
         }
         for x in &mut w.workers {
             x.mode.1 = 0;
-            if x.drain || !x.up {
-                x.renew();
+            if x.is_draining || !x.is_running {
+                x.restart();
             }
         }
         self.troubles.release_ends();
         if let Some(c) = &mut self.control {
             c.calm(w);
         }
-        w.check.gone.clear();
+        w.safety.removed_workers.clear();
     }
 
     /// Faults end, and others begin.
@@ -174,7 +174,7 @@
             o.done = o.done.max(c.orders.taken().min(1));
         }
         o.answers(w);
-        if w.lose > 0 {
+        if w.tolerated_losses > 0 {
             self.moves.tick(w, o);
             if let Some(p) = self.repairs.as_mut().filter(|_| !calm) {
                 p.tick(w, o, &mut self.moves);
@@ -189,11 +189,11 @@
         }
         let recovered = recover(w, &mut self.ops, self.end);
         if self.repairs.is_some() {
-            w.check.breaches.extend(self.ops.refused.iter().cloned().map(Violation));
+            w.safety.violations.extend(self.ops.refused.iter().cloned().map(Violation));
         }
         empty(w);
-        w.check.end();
-        for i in 0..w.slots.len() {
+        w.safety.check_acknowledged_versions();
+        for i in 0..w.machines.len() {
             w.drop_calls(i);
         }
         let law = law(w, self.r.rates);
@@ -201,8 +201,8 @@
             true => quotas(w.tenants).into_iter().map(|(t, q)| (t, q.0)).collect(),
             false => Rates::new(),
         };
-        w.check.breaches.extend(judge(&w.seen, &w.ran, &law));
-        w.check.breaches.extend(sliding(&w.ran, &rates));
+        w.safety.violations.extend(check_calls(&w.call_outcomes, &w.executions, &law));
+        w.safety.violations.extend(check_rates(&w.executions, &rates));
         let serving = serving(w, self.end);
         let control = self.control.map(ControlSummary::of);
         Summary { recovered, serving, control, ..Summary::of(self.w, self.ops, self.moves, &law, &rates) }
@@ -213,21 +213,26 @@
 fn law(w: &World, rates: bool) -> CallLimits {
     CallLimits {
         quotas: if rates { Default::default() } else { quotas(w.tenants) },
-        acks: w.check.acks.iter().map(|a| (a.version, a.at)).collect(),
-        keys: w.check.chosen.values().map(|d| (d.version, w.check.first[&d.version], has_key(&d.body))).collect(),
+        acknowledged: w.safety.acknowledged.iter().map(|a| (a.version, a.acknowledged_at)).collect(),
+        keys: w
+            .safety
+            .committed
+            .values()
+            .map(|d| (d.version, w.safety.first_committed_at[&d.version], has_key(&d.body)))
+            .collect(),
         tries: w.tries,
-        slept: w.slept.clone(),
+        freezes: w.freezes.clone(),
     }
 }
 
 /// What each node would do with a call at this moment.
 fn sample(w: &mut World) {
     let now = w.now;
-    for i in 0..w.slots.len() {
-        if !w.alive(i) {
+    for i in 0..w.machines.len() {
+        if !w.is_running(i) {
             continue;
         }
-        let s = &w.slots[i];
+        let s = &w.machines[i];
         let Some(n) = &s.node else { continue };
         if !n.is_fresh(s.clock(now)) {
             continue;
@@ -236,11 +241,11 @@
             n.dissemination.workers.live(s.clock(now)).map(|r| (r.worker_id.clone(), r.incarnation)).collect();
         let v = n.version().unwrap_or(0);
         let a = s.addr.clone();
-        w.check.admits(&a, v, now);
+        w.safety.check_admission(&a, v, now);
         for (id, incarnation) in ws {
             let cur = w.workers.iter().find(|x| x.id == id).map_or(0, |x| x.incarnation);
             if incarnation == cur {
-                w.check.routes(&a, &id, now);
+                w.safety.check_routing(&a, &id, now);
             }
         }
     }
--- a/crates/testbed/src/sim/event.rs
+++ b/crates/testbed/src/sim/event.rs
@@ -1,32 +1,48 @@
-//! What happens at some moment in a simulated world.
+//! Events of a simulated world, each scheduled for one moment of virtual time.
 
 use crate::sim::workers::worker::{AttemptOrigin, WorkerRequest};
 use bytes::Bytes;
 use sumacvale_core::call::{Event as CallEvent, Wakeup};
 
-/// One thing that happens: machines by slot, processes by slot and life.
+/// One scheduled event.
+///
+/// Machines are given by their index in the world, processes by machine and incarnation: an event for a
+/// former incarnation is dropped when its time comes.
 #[derive(Debug)]
 pub enum SimEvent {
+    /// The periodic tick of a node: machine and incarnation.
     Tick(usize, u64),
+    /// A frame arrives.
     Frame {
+        /// The sending machine.
         from: usize,
+        /// The receiving machine.
         to: usize,
+        /// The encoded frame.
         bytes: Vec<u8>,
     },
-    Land(usize, u64),
-    Thaw(usize),
-    /// A slow machine gets its part of a period.
-    Resume(usize),
-    /// A core that waits for room on its disk looks again.
-    Room(usize, u64),
-    /// A call begins.
-    Call(usize, u64, u64),
-    /// A call's time came.
-    Turn(usize, u64, u64),
-    Leave(usize, u64, u64),
-    Body(usize, u64, u64, Bytes),
-    Bell(usize, u64, Wakeup),
-    Try(AttemptOrigin, CallEvent),
-    Arrive(usize, WorkerRequest),
-    Work(usize, u64),
+    /// A disk write may have been synced: machine and incarnation.
+    DiskWrite(usize, u64),
+    /// A frozen machine goes on.
+    Unfreeze(usize),
+    /// A slow machine reaches the running part of its next period.
+    SlowPeriodBegin(usize),
+    /// A core that found its disk full tries to start again: machine and incarnation.
+    RetryStart(usize, u64),
+    /// A call begins: machine, incarnation and call.
+    CallBegin(usize, u64, u64),
+    /// The timer of a call expires: machine, incarnation and call.
+    CallTimer(usize, u64, u64),
+    /// The client of a call disconnects: machine, incarnation and call.
+    ClientDisconnect(usize, u64, u64),
+    /// The request body of a call arrives: machine, incarnation, call and body.
+    RequestBody(usize, u64, u64, Bytes),
+    /// A call that waits is woken: machine, incarnation and wakeup.
+    Wakeup(usize, u64, Wakeup),
+    /// A worker's side of one attempt reaches the node.
+    Attempt(AttemptOrigin, CallEvent),
+    /// A request reaches the worker of this index.
+    RequestArrival(usize, WorkerRequest),
+    /// A worker takes the next step of a running request: worker and request.
+    WorkerStep(usize, u64),
 }
--- a/crates/testbed/src/sim/faults/control/checks.rs
+++ b/crates/testbed/src/sim/faults/control/checks.rs
@@ -15,14 +15,15 @@
         return;
     }
     let text = format!("{}: no order was acknowledged since {since}, while one disk was full", world.now);
-    world.check.breaches.push(Violation(text));
+    world.safety.violations.push(Violation(text));
 }
 
 /// A machine that was away holds what was acknowledged when it had its time to catch up.
 pub(super) fn caught_up(world: &mut World, slot: usize) {
-    let machine = &world.slots[slot];
+    let machine = &world.machines[slot];
     let Some(node) = &machine.node else { return };
-    let acked = world.check.acks.iter().filter(|a| a.at + SEC < world.now).map(|a| a.version).max();
+    let acked =
+        world.safety.acknowledged.iter().filter(|a| a.acknowledged_at + SEC < world.now).map(|a| a.version).max();
     if node.version() < acked || !node.is_fresh(machine.clock(world.now)) {
         let text = format!(
             "{}: {} holds {:?} of {acked:?} {CATCH_UP} us after its return",
@@ -30,6 +31,6 @@
             machine.addr,
             node.version()
         );
-        world.check.breaches.push(Violation(text));
+        world.safety.violations.push(Violation(text));
     }
 }
--- a/crates/testbed/src/sim/faults/control/cuts.rs
+++ b/crates/testbed/src/sim/faults/control/cuts.rs
@@ -23,14 +23,14 @@
             4 => ("turn", self.cut_off_least(world)),
             _ => ("drawn", None),
         };
-        let slot = chosen.filter(|i| world.alive(*i)).unwrap_or(drawn);
+        let slot = chosen.filter(|i| world.is_running(*i)).unwrap_or(drawn);
         self.note(name);
         slot
     }
 
     /// Of the cores that run, the one that was cut off least often.
     fn cut_off_least(&self, world: &World) -> Option<usize> {
-        let running = (0..world.slots.len()).filter(|i| world.slots[*i].core && world.alive(*i));
+        let running = (0..world.machines.len()).filter(|i| world.machines[*i].is_core && world.is_running(*i));
         running.min_by_key(|i| self.cut_offs.get(i).copied().unwrap_or(0))
     }
 
@@ -38,8 +38,9 @@
         let until = world.now + SEC + world.rng.below(20 * SEC);
         let slot = self.whom_to_cut_off(world, drawn);
         *self.cut_offs.entry(slot).or_default() += 1;
-        world.say(format!("{} is cut off until {until}", world.slots[slot].addr));
-        let others: Vec<usize> = (0..world.slots.len()).filter(|i| *i != slot && world.slots[*i].core).collect();
+        world.log(format!("{} is cut off until {until}", world.machines[slot].addr));
+        let others: Vec<usize> =
+            (0..world.machines.len()).filter(|i| *i != slot && world.machines[*i].is_core).collect();
         for other in &others {
             cut_between(world, slot, *other, cut, until);
         }
@@ -55,12 +56,12 @@
     /// New lists of seeds name the machine that is cut off, and some fronts are restarted.
     fn change_seeds(&mut self, world: &mut World, slot: usize, until: Micros) {
         let mid = world.now + (until - world.now) / 2;
-        let seeds = vec![world.slots[slot].addr.clone()];
-        for slot in 0..world.slots.len() {
-            if !world.slots[slot].core && world.rng.chance(30) {
+        let seeds = vec![world.machines[slot].addr.clone()];
+        for slot in 0..world.machines.len() {
+            if !world.machines[slot].is_core && world.rng.chance(30) {
                 world.kill(slot);
                 self.at(mid, ControlAction::Begin(slot));
-            } else if world.alive(slot) {
+            } else if world.is_running(slot) {
                 world.step(slot, Event::SeedsChanged(seeds.clone()));
             }
         }
@@ -76,7 +77,7 @@
         }
     }
 
-    /// DocumentOperator are sent to the machine during the cut and at its end; workers leave and report there.
+    /// Orders are sent to the machine during the cut and at its end; workers leave and report there.
     fn meet(&mut self, world: &mut World, slot: usize, until: Micros) {
         let (race, drain, hard) = (world.rng.chance(40), world.rng.chance(40), world.rng.chance(30));
         self.orders.order(world, Some(PinnedTarget { slot, hard }));
@@ -84,7 +85,7 @@
         self.note(if hard { "hard" } else { "meet" });
         if world.rng.chance(30) {
             self.note("lure");
-            world.lure = Some((slot, until));
+            world.preferred_report_target = Some((slot, until));
             self.leave(world, Some(slot));
         }
     }
@@ -94,8 +95,8 @@
     let (out, into) = ((slot, other), (other, slot));
     match cut {
         PartitionKind::Silent => {
-            world.stalled.insert(out, until);
-            world.stalled.insert(into, until);
+            world.stalled_links.insert(out, until);
+            world.stalled_links.insert(into, until);
         }
         PartitionKind::Reset => {
             world.lose_frames_between(slot, other);
--- a/crates/testbed/src/sim/faults/control/leaving.rs
+++ b/crates/testbed/src/sim/faults/control/leaving.rs
@@ -25,15 +25,18 @@
 impl Control {
     /// A worker says that it leaves: to `first`, or to some machine that counts.
     pub(super) fn leave(&mut self, world: &mut World, first: Option<usize>) {
-        let zone = first.map(|i| world.slots[i].zone.clone());
+        let zone = first.map(|i| world.machines[i].zone.clone());
         let busy: Vec<usize> = self.leaving.iter().map(|l| l.worker).collect();
         let fits = |k: &usize| {
             let worker = &world.workers[*k];
-            worker.up && !worker.drain && !busy.contains(k) && zone.as_ref().is_none_or(|zone| worker.zone == *zone)
+            worker.is_running
+                && !worker.is_draining
+                && !busy.contains(k)
+                && zone.as_ref().is_none_or(|zone| worker.zone == *zone)
         };
         let Some(worker) = (0..world.workers.len()).find(fits) else { return };
-        world.say(format!("worker {} leaves", world.workers[worker].id));
-        world.workers[worker].drain = true;
+        world.log(format!("worker {} leaves", world.workers[worker].id));
+        world.workers[worker].is_draining = true;
         let now = world.now;
         self.leaving.push(Leaving { worker, call: 0, asked: 0, begun: now });
         self.tell(world, self.leaving.len() - 1, first);
@@ -44,8 +47,8 @@
         let leaver = &mut self.leaving[n];
         leaver.call = self.calls;
         leaver.asked = world.now;
-        let row = world.row(leaver.worker);
-        if let Some(i) = to.or_else(|| core(world)).filter(|i| world.alive(*i)) {
+        let row = world.next_report(leaver.worker);
+        if let Some(i) = to.or_else(|| core(world)).filter(|i| world.is_running(*i)) {
             world.step(i, Event::ReportWithAck { request_id: self.calls, report: row });
         }
     }
@@ -54,8 +57,8 @@
     pub(super) fn leaves(&mut self, world: &mut World) {
         let now = world.now;
         let (mine, others): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut world.heard).into_iter().partition(|h| h.0 > FIRST_LEAVE);
-        world.heard = others;
+            std::mem::take(&mut world.report_acknowledgements).into_iter().partition(|h| h.0 > FIRST_LEAVE);
+        world.report_acknowledgements = others;
         for (call, ok) in mine {
             let Some(n) = self.leaving.iter().position(|l| l.call == call) else { continue };
             if !ok {
@@ -65,8 +68,8 @@
             let leaver = self.leaving.remove(n);
             self.left += 1;
             let id = world.workers[leaver.worker].id.clone();
-            world.workers[leaver.worker].drained = Some(now);
-            world.check.gone.insert(id, now);
+            world.workers[leaver.worker].draining_since = Some(now);
+            world.safety.removed_workers.insert(id, now);
             self.worker_ends(leaver.worker, now + SERVES_ON);
         }
         for n in (0..self.leaving.len()).rev() {
--- a/crates/testbed/src/sim/faults/control/losses.rs
+++ b/crates/testbed/src/sim/faults/control/losses.rs
@@ -47,10 +47,10 @@
 
 impl Control {
     pub(super) fn lose(&mut self, world: &mut World, slot: usize, loss: Loss) {
-        if world.slots[slot].node.is_none() || world.slots[slot].gone {
+        if world.machines[slot].node.is_none() || world.machines[slot].is_removed {
             return;
         }
-        world.say(format!("{} loses {loss:?}", world.slots[slot].addr));
+        world.log(format!("{} loses {loss:?}", world.machines[slot].addr));
         match loss {
             Loss::Process => world.kill(slot),
             Loss::Power | Loss::Disk | Loss::Machine => world.lose_power(slot),
@@ -59,7 +59,7 @@
             world.lose_disk(slot);
         }
         if loss == Loss::Machine {
-            world.slots[slot].gone = true;
+            world.machines[slot].is_removed = true;
             self.free = world.now + CATCH_UP;
             return;
         }
@@ -76,8 +76,8 @@
     pub(super) fn fill(&mut self, world: &mut World, slot: usize, power: bool) {
         let now = world.now;
         let until = now + SEC + world.rng.below(5 * SEC);
-        world.say(format!("the disk of {} is full until {until}", world.slots[slot].addr));
-        world.slots[slot].disk.full = until;
+        world.log(format!("the disk of {} is full until {until}", world.machines[slot].addr));
+        world.machines[slot].disk.full_until = until;
         if power {
             world.lose_power(slot);
             self.at(return_moment(world), ControlAction::Begin(slot));
@@ -110,7 +110,7 @@
 
     /// The core that was stopped least often is told to stop while an order is under way at it.
     pub(super) fn roll(&mut self, world: &mut World) {
-        let running = (0..world.slots.len()).filter(|i| world.slots[*i].core && world.alive(*i));
+        let running = (0..world.machines.len()).filter(|i| world.machines[*i].is_core && world.is_running(*i));
         let Some(slot) = running.min_by_key(|i| self.rolls.get(i).copied().unwrap_or(0)) else { return };
         *self.rolls.entry(slot).or_default() += 1;
         self.orders.order_to(world, slot);
@@ -119,15 +119,15 @@
     }
 
     pub(super) fn tell_to_stop(&mut self, world: &mut World, slot: usize) {
-        world.say(format!("{} is told to stop", world.slots[slot].addr));
+        world.log(format!("{} is told to stop", world.machines[slot].addr));
         world.step(slot, Event::Shutdown);
         let kill = world.now + GRACE;
         self.at(world.now + NOTICE, ControlAction::Stop { slot, kill });
     }
 
-    /// AnswerTimes once what it holds is held elsewhere.
+    /// Ends once what it holds is held elsewhere.
     pub(super) fn stop(&mut self, world: &mut World, slot: usize, kill: Micros) {
-        let s = &world.slots[slot];
+        let s = &world.machines[slot];
         let waits = s.node.as_ref().is_some_and(|n| !n.may_stop(s.clock(world.now)));
         if waits && world.now < kill {
             return self.at(world.now + MAY_END_EVERY, ControlAction::Stop { slot, kill });
@@ -138,7 +138,7 @@
 
     /// The machine loses its disk, and its start on the empty one is ended by power.
     pub(super) fn half_start(&mut self, world: &mut World, slot: usize) {
-        world.say(format!("{} loses its disk, and power once more as it starts", world.slots[slot].addr));
+        world.log(format!("{} loses its disk, and power once more as it starts", world.machines[slot].addr));
         world.lose_power(slot);
         world.lose_disk(slot);
         let begins = return_moment(world);
@@ -158,13 +158,13 @@
 
     /// A front that has just accepted work loses power, for good only if enough of them are left.
     pub(super) fn lose_after_work(&mut self, world: &mut World, slot: usize, gone: bool) {
-        let gone_already = world.slots.iter().filter(|s| !s.core && s.gone).count();
+        let gone_already = world.machines.iter().filter(|s| !s.is_core && s.is_removed).count();
         let loss = if gone && gone_already < GONE_MOST { Loss::Machine } else { Loss::Power };
         self.lose(world, slot, loss);
     }
 
     pub(super) fn lose_all(&mut self, world: &mut World, loss: Loss, which: impl Fn(&World, usize) -> bool) {
-        for slot in 0..world.slots.len() {
+        for slot in 0..world.machines.len() {
             if which(world, slot) {
                 self.lose(world, slot, loss);
             }
--- a/crates/testbed/src/sim/faults/control/mod.rs
+++ b/crates/testbed/src/sim/faults/control/mod.rs
@@ -134,7 +134,7 @@
         let k = usize::try_from(world.rng.below(self.plan.troubles.len() as u64)).unwrap_or(0);
         let trouble = self.plan.troubles[k];
         *self.troubles.entry(format!("{trouble:?}")).or_default() += 1;
-        world.say(format!("{trouble:?}"));
+        world.log(format!("{trouble:?}"));
         if world.rng.chance(self.plan.leaves) {
             self.leave(world, None);
         }
@@ -186,9 +186,9 @@
             ControlAction::WentOn { since } => went_on(world, since, self.orders.said_done),
             ControlAction::WorkerEnds(worker) => world.crash(worker),
             ControlAction::WorkerBegins(worker) => {
-                world.workers[worker].renew();
+                world.workers[worker].restart();
                 let id = world.workers[worker].id.clone();
-                world.check.gone.remove(&id);
+                world.safety.removed_workers.remove(&id);
             }
         }
     }
@@ -197,8 +197,8 @@
     pub fn calm(&mut self, world: &mut World) {
         self.armed = None;
         self.leaving.clear();
-        world.stalled.clear();
-        world.lure = None;
+        world.stalled_links.clear();
+        world.preferred_report_target = None;
         for (_, act) in std::mem::take(&mut self.acts) {
             match act {
                 ControlAction::Begin(slot) | ControlAction::PowerEndsStart(slot) => world.start(slot),
@@ -215,7 +215,8 @@
 
 /// A core that runs, drawn by lot.
 fn core(world: &mut World) -> Option<usize> {
-    let up: Vec<usize> = (0..world.slots.len()).filter(|i| world.slots[*i].core && world.alive(*i)).collect();
+    let up: Vec<usize> =
+        (0..world.machines.len()).filter(|i| world.machines[*i].is_core && world.is_running(*i)).collect();
     let k = usize::try_from(world.rng.below(up.len().max(1) as u64)).unwrap_or(0);
     up.get(k).copied()
 }
--- a/crates/testbed/src/sim/faults/control/strikes.rs
+++ b/crates/testbed/src/sim/faults/control/strikes.rs
@@ -40,7 +40,7 @@
         self.armed = Some(armed);
         self.orders.sent = None;
         self.orders.acknowledged = None;
-        world.accepted = None;
+        world.last_accepted_call = None;
         self.orders.order(world, None);
     }
 
@@ -53,7 +53,7 @@
             _ => ("closing wipe_after_ack, others lose power", Closing::WipeAfterAck { others: true }),
         };
         self.note(name);
-        world.say(name.into());
+        world.log(name.into());
         self.arm(world, PendingFault::Closing(closing));
     }
 
@@ -71,15 +71,15 @@
                 }
             }
             PendingFault::AfterWork { gone } => {
-                if let Some((slot, _)) = world.accepted {
+                if let Some((slot, _)) = world.last_accepted_call {
                     self.disarm(world);
                     self.lose_after_work(world, slot, gone);
                 }
             }
             PendingFault::PowerAfterWork { all } => {
-                if world.accepted.is_some() || self.orders.acknowledged.is_some() {
+                if world.last_accepted_call.is_some() || self.orders.acknowledged.is_some() {
                     self.disarm(world);
-                    self.lose_all(world, Loss::Power, |world, i| all || world.slots[i].core);
+                    self.lose_all(world, Loss::Power, |world, i| all || world.machines[i].is_core);
                 }
             }
             PendingFault::Closing(closing) => {
--- a/crates/testbed/src/sim/faults/day.rs
+++ b/crates/testbed/src/sim/faults/day.rs
@@ -1,3 +1,5 @@
+//! Whole days of a deployment: traffic and faults by the hour.
+
 use crate::sim::faults::profiles::Fault;
 use crate::sim::workers::worker::WorkerBehaviour;
 use crate::sim::world::{MIX, World};
@@ -5,33 +7,42 @@
 
 /// A whole day of one deployment, an hour in five seconds.
 #[derive(Clone, Copy, Debug)]
+/// A whole day of one deployment, an hour in five seconds.
 pub struct Day {
+    /// The name of the deployment.
     pub name: &'static str,
+    /// How many fronts it has.
     pub fronts: usize,
+    /// How many workers of the model it has.
     pub models: usize,
     /// Percent of a call of each tenant in ten milliseconds when the day is busiest.
     pub load: u64,
 }
 
+/// The length of a simulated hour in microseconds.
 pub const HOUR: Micros = 5 * SEC;
 
 /// Percent of the busiest traffic, hour by hour.
 const BUSY: [u64; 24] = [10, 8, 8, 8, 10, 15, 30, 60, 100, 95, 85, 80, 70, 75, 85, 90, 80, 60, 45, 35, 30, 25, 20, 15];
 
+/// The mix of calls at night, mostly summaries: see `World::call_mix`.
 const NIGHT: [u64; 5] = [10, 12, 20, 30, 100];
 
 impl Day {
+    /// The deployment of six fronts and twenty workers.
     pub const MTATSMINDA: Day = Day { name: "mtatsminda", fronts: 6, models: 20, load: 20 };
+    /// The deployment of nine fronts and ten workers.
     pub const DERWENT: Day = Day { name: "derwent", fronts: 9, models: 10, load: 11 };
 
+    /// The percent of a call of each tenant in ten milliseconds at this hour.
     pub fn load(&self, hour: u64) -> u64 {
         (self.load * BUSY[usize::try_from(hour % 24).unwrap_or(0)]).div_ceil(100)
     }
 
-    /// What kinds of calls come, and what happens in this hour.
+    /// Sets the mix of calls of this hour; returns the fault that begins in it and its duration.
     pub fn hour(&self, w: &mut World, hour: u64) -> Option<(Fault, Micros)> {
-        w.mix = if (6..22).contains(&hour) { MIX } else { NIGHT };
-        w.grown = if hour == 15 { 3_000 } else { 0 };
+        w.call_mix = if (6..22).contains(&hour) { MIX } else { NIGHT };
+        w.extra_routes = if hour == 15 { 3_000 } else { 0 };
         Some(match hour {
             3 => (Fault::SlowDisk, 4 * SEC),
             5 => (Fault::KillCore, 4 * SEC),
--- a/crates/testbed/src/sim/faults/injection.rs
+++ b/crates/testbed/src/sim/faults/injection.rs
@@ -31,7 +31,7 @@
 }
 
 fn some(w: &mut World, f: impl Fn(&World, usize) -> bool) -> Option<usize> {
-    let v: Vec<_> = (0..w.slots.len()).filter(|i| f(w, *i)).collect();
+    let v: Vec<_> = (0..w.machines.len()).filter(|i| f(w, *i)).collect();
     if v.is_empty() { None } else { Some(v[usize::try_from(w.rng.below(v.len() as u64)).unwrap_or(0)]) }
 }
 
@@ -44,7 +44,7 @@
             let back = d.at <= now || calm;
             if back {
                 w.start(d.slot);
-                w.say(format!("back {}", w.slots[d.slot].addr));
+                w.log(format!("back {}", w.machines[d.slot].addr));
                 if d.swap {
                     *next = Some(d.slot);
                 }
@@ -57,10 +57,10 @@
     pub fn admit(&mut self, w: &mut World, o: &mut Operators) {
         if let Some(i) = self.admitted_next
             && w.now % (500 * MS) < 10 * MS
-            && (w.slots[i].node.is_none() || o.replace(w, i))
-            && w.slots[i].node.is_some()
+            && (w.machines[i].node.is_none() || o.replace(w, i))
+            && w.machines[i].node.is_some()
         {
-            w.say(format!("admitted {}", w.slots[i].addr));
+            w.log(format!("admitted {}", w.machines[i].addr));
             self.admitted_next = None;
         }
     }
@@ -80,9 +80,9 @@
         self.resting.retain(|(k, at)| {
             if *at <= now {
                 let x = &mut w.workers[*k];
-                x.renew();
+                x.restart();
                 let id = x.id.clone();
-                w.check.gone.remove(&id);
+                w.safety.removed_workers.remove(&id);
             }
             *at > now
         });
@@ -124,26 +124,26 @@
 
     fn strike_machines(&mut self, w: &mut World, f: Fault, d: Micros) {
         let now = w.now;
-        let up = |w: &World, i: usize| w.slots[i].node.is_some();
+        let up = |w: &World, i: usize| w.machines[i].node.is_some();
         match f {
             Fault::KillCore | Fault::KillFront => {
                 let core = f == Fault::KillCore;
-                if let Some(i) = some(w, |w, i| up(w, i) && w.slots[i].core == core) {
-                    w.say(format!("kill {}", w.slots[i].addr));
+                if let Some(i) = some(w, |w, i| up(w, i) && w.machines[i].is_core == core) {
+                    w.log(format!("kill {}", w.machines[i].addr));
                     w.kill(i);
                     self.downs.push(StoppedProcess { slot: i, at: now + d / 2, swap: false });
                 }
             }
             Fault::PowerCore => {
-                if let Some(i) = some(w, |w, i| up(w, i) && w.slots[i].core) {
-                    w.say(format!("{} loses power", w.slots[i].addr));
+                if let Some(i) = some(w, |w, i| up(w, i) && w.machines[i].is_core) {
+                    w.log(format!("{} loses power", w.machines[i].addr));
                     w.lose_power(i);
                     self.downs.push(StoppedProcess { slot: i, at: now + d / 2, swap: false });
                 }
             }
             Fault::KillMany => {
-                w.say("many lose power".into());
-                for i in 0..w.slots.len() {
+                w.log("many lose power".into());
+                for i in 0..w.machines.len() {
                     if up(w, i) && w.rng.chance(60) {
                         w.lose_power(i);
                         let t = w.rng.below(SEC);
@@ -153,34 +153,34 @@
             }
             Fault::WipeCore => {
                 let whole = self.downs.is_empty() && self.admitted_next.is_none();
-                let n = w.slots.iter().filter(|s| s.core && s.node.as_ref().is_some_and(|n| n.voter())).count();
+                let n = w.machines.iter().filter(|s| s.is_core && s.node.as_ref().is_some_and(|n| n.voter())).count();
                 if whole
                     && n >= 3
-                    && let Some(i) = some(w, |w, i| up(w, i) && w.slots[i].core)
+                    && let Some(i) = some(w, |w, i| up(w, i) && w.machines[i].is_core)
                 {
-                    w.say(format!("lose the disk of {}", w.slots[i].addr));
+                    w.log(format!("lose the disk of {}", w.machines[i].addr));
                     w.wipe(i);
                     self.downs.push(StoppedProcess { slot: i, at: now + d / 2, swap: true });
                 }
             }
             Fault::Freeze | Fault::FreezeCore => {
                 let core = f == Fault::FreezeCore;
-                if let Some(i) = some(w, |w, i| up(w, i) && w.slots[i].core == core) {
-                    w.say(format!("freeze {} for {d}", w.slots[i].addr));
+                if let Some(i) = some(w, |w, i| up(w, i) && w.machines[i].is_core == core) {
+                    w.log(format!("freeze {} for {d}", w.machines[i].addr));
                     w.freeze(i, now + d);
                 }
             }
             Fault::SlowNode | Fault::SlowCore => {
                 let core = f == Fault::SlowCore;
-                if let Some(i) = some(w, |w, i| up(w, i) && w.slots[i].core == core) {
+                if let Some(i) = some(w, |w, i| up(w, i) && w.machines[i].is_core == core) {
                     let most = if core { CORE_PERIOD_MOST } else { FRONT_PERIOD_MOST };
                     let period = PERIOD_LEAST + w.rng.below(most - PERIOD_LEAST);
                     w.slow_down(i, now + d, period);
                 }
             }
             Fault::Sleep => {
-                if let Some(i) = some(w, |w, i| up(w, i) && w.slots[i].frozen <= now) {
-                    w.say(format!("{} sleeps for {}", w.slots[i].addr, 2 * d));
+                if let Some(i) = some(w, |w, i| up(w, i) && w.machines[i].frozen_until <= now) {
+                    w.log(format!("{} sleeps for {}", w.machines[i].addr, 2 * d));
                     w.freeze(i, now + 2 * d);
                 }
             }
@@ -201,19 +201,19 @@
                 let x = &mut w.workers[k];
                 let id = x.id.clone();
                 if drain {
-                    x.drain = true;
-                    x.drained = Some(now);
-                    x.due = now;
+                    x.is_draining = true;
+                    x.draining_since = Some(now);
+                    x.next_report_at = now;
                 } else {
                     w.crash(k);
                 }
-                w.say(format!("worker {id} {}", if drain { "drains" } else { "vanishes" }));
-                w.check.gone.insert(id, now);
+                w.log(format!("worker {id} {}", if drain { "drains" } else { "vanishes" }));
+                w.safety.removed_workers.insert(id, now);
                 self.resting.push((k, now + 3 * SEC + d));
             }
             Fault::Odd(m) => {
                 let k = usize::try_from(w.rng.below(w.workers.len() as u64)).unwrap_or(0);
-                w.say(format!("worker {} is {m:?} for {d}", w.workers[k].id));
+                w.log(format!("worker {} is {m:?} for {d}", w.workers[k].id));
                 w.workers[k].mode = (m, now + d);
             }
             Fault::Outage => {
@@ -226,21 +226,21 @@
                     WorkerBehaviour::Slow,
                 ];
                 let m = modes[usize::try_from(w.rng.below(modes.len() as u64)).unwrap_or(0)];
-                w.say(format!("all workers are {m:?} for {d}"));
+                w.log(format!("all workers are {m:?} for {d}"));
                 for x in &mut w.workers {
                     x.mode = (m, now + d);
                 }
             }
             Fault::Crash => {
                 let k = usize::try_from(w.rng.below(w.workers.len() as u64)).unwrap_or(0);
-                if w.workers[k].up && !w.workers[k].drain {
-                    w.say(format!("worker {} ends and begins anew", w.workers[k].id));
+                if w.workers[k].is_running && !w.workers[k].is_draining {
+                    w.log(format!("worker {} ends and begins anew", w.workers[k].id));
                     w.crash(k);
                     self.turns.push(ReleaseAction { at: now + 100 * MS, worker: k, what: ReleaseStep::Begin });
                 }
             }
             Fault::Release if self.turns.is_empty() => {
-                w.say("all workers of the model are replaced, one by one".into());
+                w.log("all workers of the model are replaced, one by one".into());
                 let ks: Vec<_> = (0..w.workers.len()).filter(|k| w.workers[*k].pool == "llm").collect();
                 for (n, k) in ks.into_iter().enumerate() {
                     let at = now + n as u64 * 1_200 * MS;
@@ -250,12 +250,12 @@
                 }
             }
             Fault::Crowd => {
-                w.say(format!("a crowd of one tenant's for {d}"));
+                w.log(format!("a crowd of one tenant's for {d}"));
                 w.crowd = (8, now + d);
             }
             Fault::HotPrefix => {
-                w.say(format!("all calls share one prefix for {d}"));
-                w.hot = now + d;
+                w.log(format!("all calls share one prefix for {d}"));
+                w.shared_prefix_until = now + d;
             }
             _ => {}
         }
@@ -267,57 +267,57 @@
     match f {
         Fault::CutNode | Fault::CutCore => {
             let core = f == Fault::CutCore;
-            if let Some(i) = some(w, |w, i| !core || w.slots[i].core) {
-                w.say(format!("cut off {} for {d}", w.slots[i].addr));
-                for j in 0..w.slots.len() {
-                    w.cuts.insert((i, j), now + d);
-                    w.cuts.insert((j, i), now + d);
+            if let Some(i) = some(w, |w, i| !core || w.machines[i].is_core) {
+                w.log(format!("cut off {} for {d}", w.machines[i].addr));
+                for j in 0..w.machines.len() {
+                    w.blocked_links.insert((i, j), now + d);
+                    w.blocked_links.insert((j, i), now + d);
                 }
             }
         }
         Fault::SplitCores => {
-            w.say(format!("split for {d}"));
-            let side: Vec<bool> = (0..w.slots.len()).map(|_| w.rng.chance(50)).collect();
+            w.log(format!("split for {d}"));
+            let side: Vec<bool> = (0..w.machines.len()).map(|_| w.rng.chance(50)).collect();
             for i in 0..side.len() {
                 for j in 0..side.len() {
                     if side[i] != side[j] {
-                        w.cuts.insert((i, j), now + d);
+                        w.blocked_links.insert((i, j), now + d);
                     }
                 }
             }
         }
         Fault::OneWay => {
             if let Some(i) = some(w, |_, _| true) {
-                w.say(format!("nothing comes from {} for {d}", w.slots[i].addr));
-                for j in 0..w.slots.len() {
-                    w.cuts.insert((i, j), now + d);
+                w.log(format!("nothing comes from {} for {d}", w.machines[i].addr));
+                for j in 0..w.machines.len() {
+                    w.blocked_links.insert((i, j), now + d);
                 }
             }
         }
         Fault::Zone => {
             let z = format!("z{}", w.rng.below(3));
-            w.say(format!("zone {z} apart for {d}"));
-            for i in 0..w.slots.len() {
-                for j in 0..w.slots.len() {
-                    if (w.slots[i].zone == z) != (w.slots[j].zone == z) {
-                        w.cuts.insert((i, j), now + d);
+            w.log(format!("zone {z} apart for {d}"));
+            for i in 0..w.machines.len() {
+                for j in 0..w.machines.len() {
+                    if (w.machines[i].zone == z) != (w.machines[j].zone == z) {
+                        w.blocked_links.insert((i, j), now + d);
                     }
                 }
             }
         }
         Fault::Jam => {
-            w.say(format!("frames jammed for {d}"));
-            w.jam = now + d;
+            w.log(format!("frames jammed for {d}"));
+            w.reordering_until = now + d;
             w.loss = (5, now + d);
         }
         Fault::Hold => {
             if let Some(i) = some(w, |_, _| true) {
-                w.say(format!("frames of {} held for {d}", w.slots[i].addr));
-                w.holds.insert(i, now + d);
+                w.log(format!("frames of {} held for {d}", w.machines[i].addr));
+                w.frames_held_until.insert(i, now + d);
             }
         }
         Fault::Lossy => {
-            w.say(format!("one frame in ten lost for {d}"));
+            w.log(format!("one frame in ten lost for {d}"));
             w.loss = (10, now + d);
         }
         _ => {}
@@ -328,20 +328,20 @@
     let now = w.now;
     match f {
         Fault::SlowDisk | Fault::StallDisk | Fault::FullDisk => {
-            if let Some(i) = some(w, |w, i| w.slots[i].core) {
-                w.say(format!("{f:?} {} for {d}", w.slots[i].addr));
-                let disk = &mut w.slots[i].disk;
+            if let Some(i) = some(w, |w, i| w.machines[i].is_core) {
+                w.log(format!("{f:?} {} for {d}", w.machines[i].addr));
+                let disk = &mut w.machines[i].disk;
                 match f {
-                    Fault::SlowDisk => disk.slow = now + d,
-                    Fault::StallDisk => disk.stuck = now + d,
-                    _ => disk.full = now + d,
+                    Fault::SlowDisk => disk.slow_until = now + d,
+                    Fault::StallDisk => disk.stalled_until = now + d,
+                    _ => disk.full_until = now + d,
                 }
             }
         }
         Fault::SlowDisks => {
-            w.say(format!("all disks slow for {d}"));
-            for s in w.slots.iter_mut().filter(|s| s.core) {
-                s.disk.slow = now + d;
+            w.log(format!("all disks slow for {d}"));
+            for s in w.machines.iter_mut().filter(|s| s.is_core) {
+                s.disk.slow_until = now + d;
             }
         }
         _ => {}
--- a/crates/testbed/src/sim/faults/membership_losses.rs
+++ b/crates/testbed/src/sim/faults/membership_losses.rs
@@ -57,7 +57,8 @@
     }
 
     pub(in crate::sim) fn some(w: &mut World, n: u64) -> Vec<usize> {
-        let mut v: Vec<_> = (0..w.slots.len()).filter(|i| w.slots[*i].core && w.slots[*i].node.is_some()).collect();
+        let mut v: Vec<_> =
+            (0..w.machines.len()).filter(|i| w.machines[*i].is_core && w.machines[*i].node.is_some()).collect();
         let mut o = Vec::new();
         for _ in 0..n {
             if !v.is_empty() {
@@ -75,7 +76,7 @@
         }
         let mut oldest = w.oldest_disks();
         oldest.truncate(usize::try_from(n).unwrap_or(0));
-        w.say("those whose disks have lasted longest".into());
+        w.log("those whose disks have lasted longest".into());
         oldest
     }
 
@@ -98,7 +99,7 @@
 
     /// The core that came last, if it lives.
     pub(in crate::sim) fn came_last(&self, w: &World) -> Option<usize> {
-        self.came.filter(|i| w.slots[*i].core && w.slots[*i].node.is_some())
+        self.came.filter(|i| w.machines[*i].is_core && w.machines[*i].node.is_some())
     }
 
     /// A loss begins that ends by itself.
@@ -117,7 +118,7 @@
 
     /// Whether a core that was told to stop still waits for what it holds to be held elsewhere.
     fn stays(&self, w: &World, i: usize) -> bool {
-        let s = &w.slots[i];
+        let s = &w.machines[i];
         let waits = s.node.as_ref().is_some_and(|n| !n.may_stop(s.clock(w.now)));
         waits && self.told.get(&i).is_some_and(|t| w.now < t + GRACE)
     }
@@ -131,19 +132,19 @@
             return true;
         }
         let now = w.now;
-        let n = 1 + w.rng.below(u64::from(w.lose));
+        let n = 1 + w.rng.below(u64::from(w.tolerated_losses));
         match f {
             Fault::Swap { term, before } => {
                 self.begin(now);
                 for i in Self::some_or_oldest(w, n) {
-                    w.say(format!("{} goes for good (told: {term}, successor first: {before})", w.slots[i].addr));
+                    w.log(format!("{} goes for good (told: {term}, successor first: {before})", w.machines[i].addr));
                     let end = now + if term || before { 300 * MS + w.rng.below(SEC) } else { 0 };
                     let join = if before { now } else { end + w.rng.below(2 * SEC) };
                     if term {
                         w.step(i, Event::Shutdown);
                         self.told.insert(i, now);
                     }
-                    w.leaving.insert(i);
+                    w.leaving_machines.insert(i);
                     self.at(end, MembershipAction::End(i));
                     self.at(join, MembershipAction::Join(i));
                 }
@@ -158,7 +159,7 @@
                 o.change(w);
             }
             Fault::KillCores => {
-                let fronts: Vec<usize> = (0..w.slots.len()).filter(|i| !w.slots[*i].core).collect();
+                let fronts: Vec<usize> = (0..w.machines.len()).filter(|i| !w.machines[*i].is_core).collect();
                 self.begin(now);
                 self.power(w, &fronts);
             }
@@ -173,7 +174,7 @@
     pub(in crate::sim) fn empty(&mut self, w: &mut World, v: &[usize]) {
         self.begin(w.now);
         for i in v {
-            w.say(format!("{} loses its disk", w.slots[*i].addr));
+            w.log(format!("{} loses its disk", w.machines[*i].addr));
             w.lose_power(*i);
             w.lose_disk(*i);
             let t = w.now + 150 * MS + w.rng.below(850 * MS);
@@ -183,11 +184,11 @@
 
     /// Power goes for all that are up but these.
     fn power(&mut self, w: &mut World, but: &[usize]) {
-        w.say(if but.is_empty() { "all power goes" } else { "power goes for others" }.into());
+        w.log(if but.is_empty() { "all power goes" } else { "power goes for others" }.into());
         let from = w.now;
         let mut back = from;
-        for i in 0..w.slots.len() {
-            if w.slots[i].node.is_some() && !but.contains(&i) {
+        for i in 0..w.machines.len() {
+            if w.machines[i].node.is_some() && !but.contains(&i) {
                 w.lose_power(i);
                 let t = w.now + 150 * MS + w.rng.below(850 * MS);
                 back = back.max(t);
@@ -201,12 +202,12 @@
 
     pub fn tick(&mut self, w: &mut World, o: &Operators) {
         let now = w.now;
-        w.first = w.check.chosen.is_empty();
+        w.may_bootstrap = w.safety.committed.is_empty();
         if let Some((n, all)) = self.armed
             && o.done > n
         {
             self.armed = None;
-            let v = Self::some_or_oldest(w, u64::from(w.lose));
+            let v = Self::some_or_oldest(w, u64::from(w.tolerated_losses));
             self.empty(w, &v);
             if all {
                 self.power(w, &v);
@@ -217,7 +218,7 @@
         self.acts = later;
         for (_, a) in due {
             match a {
-                MembershipAction::Begin(i) if w.slots[i].gone => {}
+                MembershipAction::Begin(i) if w.machines[i].is_removed => {}
                 MembershipAction::Begin(i) => {
                     w.start(i);
                     self.came = Some(i);
@@ -225,30 +226,38 @@
                 MembershipAction::End(i) if self.stays(w, i) => self.at(now + 50 * MS, a),
                 MembershipAction::End(i) => w.retire(i),
                 MembershipAction::Join(i) => {
-                    let z = w.slots[i].zone.clone();
+                    let z = w.machines[i].zone.clone();
                     w.join(&z);
-                    self.came = Some(w.slots.len() - 1);
+                    self.came = Some(w.machines.len() - 1);
                 }
                 MembershipAction::Back => {}
             }
             self.last = Some(now);
         }
         let Some(at) = self.last.filter(|_| self.acts.is_empty()) else { return };
-        let live: BTreeSet<_> =
-            w.slots.iter().filter(|s| s.core).filter_map(|s| s.node.as_ref().map(|n| n.settings.node_id)).collect();
-        let cores = w.check.chosen.values().next_back().map(|d| d.voters.clone()).unwrap_or_default();
-        if !self.set && cores.len() == 2 * w.lose as usize + 1 && cores.iter().all(|c| live.contains(&c.node_id)) {
+        let live: BTreeSet<_> = w
+            .machines
+            .iter()
+            .filter(|s| s.is_core)
+            .filter_map(|s| s.node.as_ref().map(|n| n.settings.node_id))
+            .collect();
+        let cores = w.safety.committed.values().next_back().map(|d| d.voters.clone()).unwrap_or_default();
+        if !self.set
+            && cores.len() == 2 * w.tolerated_losses as usize + 1
+            && cores.iter().all(|c| live.contains(&c.node_id))
+        {
             self.set = true;
             self.voted.push(now - at);
         }
         let fresh = |s: &crate::sim::machines::slot::Machine| s.node.as_ref().is_none_or(|n| n.is_fresh(s.clock(now)));
-        if !self.fresh && w.slots.iter().all(fresh) {
+        if !self.fresh && w.machines.iter().all(fresh) {
             self.fresh = true;
             self.again.push(now - at);
         }
-        let newest = w.check.chosen.keys().next_back().copied();
+        let newest = w.safety.committed.keys().next_back().copied();
         let ready = |c: &sumacvale_core::protocol::Voter| {
-            let mut nodes = w.slots.iter().filter_map(|s| s.node.as_ref()).filter(|n| n.settings.node_id == c.node_id);
+            let mut nodes =
+                w.machines.iter().filter_map(|s| s.node.as_ref()).filter(|n| n.settings.node_id == c.node_id);
             nodes.any(|n| n.version() == newest && n.is_ready())
         };
         if !self.whole && self.set && cores.iter().all(ready) {
@@ -256,18 +265,18 @@
             self.full.push((now - self.began, now - at));
         }
         // A machine whose disk is slow counts as lost too.
-        let slow = w.slots.iter().filter(|s| s.node.is_some()).map(|s| s.disk.slow).max().unwrap_or(0);
+        let slow = w.machines.iter().filter(|s| s.node.is_some()).map(|s| s.disk.slow_until).max().unwrap_or(0);
         if now < at.max(slow.min(now)) + LOST || slow > now {
             return;
         }
         self.last = None;
         if !self.set || !self.fresh || !self.whole {
-            let stale: Vec<String> = w.slots.iter().filter(|s| !fresh(s)).map(|s| stands(w, s)).collect();
+            let stale: Vec<String> = w.machines.iter().filter(|s| !fresh(s)).map(|s| stands(w, s)).collect();
             let t = format!(
                 "{now}: not all voters live ({}), are ready ({}) or not all are fresh ({}) 4 s after: {stale:?}",
                 self.set, self.whole, self.fresh
             );
-            w.check.breaches.push(Violation(t));
+            w.safety.violations.push(Violation(t));
         }
     }
 }
@@ -275,7 +284,7 @@
 /// A machine with its version and the cores that its list names, for a breach.
 fn stands(w: &World, s: &crate::sim::machines::slot::Machine) -> String {
     let Some(n) = &s.node else { return s.addr.clone() };
-    let gone = |a: &String| w.slots.iter().any(|s| s.addr == *a && s.gone);
+    let gone = |a: &String| w.machines.iter().any(|s| s.addr == *a && s.is_removed);
     let list: Vec<String> =
         n.settings.seeds.iter().map(|a| format!("{a}{}", if gone(a) { " (gone)" } else { "" })).collect();
     format!("{} version {:?} list {list:?}", s.addr, n.version())
--- a/crates/testbed/src/sim/faults/profiles.rs
+++ b/crates/testbed/src/sim/faults/profiles.rs
@@ -1,39 +1,56 @@
+//! Profiles: which faults a run injects.
+
 use crate::sim::workers::worker::WorkerBehaviour;
 use sumacvale_core::base::{MS, Micros, Rng, SEC};
 
 /// What may go wrong; the places and times are drawn from the seed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
+    /// The process of a core is killed.
     KillCore,
+    /// The process of a front is killed.
     KillFront,
     /// A core's machine loses power.
     PowerCore,
     /// Most machines lose power at once.
     KillMany,
+    /// A machine is partitioned from all others.
     CutNode,
+    /// A core is partitioned from all others.
     CutCore,
+    /// The machines are partitioned into two halves, drawn at random, one way.
     SplitCores,
+    /// Frames of one machine are lost; it still receives.
     OneWay,
+    /// All processes of a front stand still.
     Freeze,
+    /// All processes of a core stand still.
     FreezeCore,
-    /// A machine runs several times slower.
+    /// A front runs several times slower.
     SlowNode,
+    /// A core runs several times slower.
     SlowCore,
+    /// The disk of a core is slow.
     SlowDisk,
+    /// The disk of a core completes no write.
     StallDisk,
     /// A disk refuses each write until there is room again.
     FullDisk,
+    /// A core is replaced by one with an empty disk at a new address, which an operator admits.
     WipeCore,
+    /// One zone is partitioned from the others.
     Zone,
+    /// One frame in ten is lost.
     Lossy,
     /// Frames overtake one another and come late, some not at all.
     Jam,
-    /// What is sent to and from one machine comes when the hold ends, as from a stalled wire.
+    /// Frames of one machine, sent and received, are held until the end of the fault.
     Hold,
-    /// A machine sleeps for longer than anything may be believed.
+    /// A machine sleeps for longer than any lease or report is valid.
     Sleep,
     /// All cores' disks are slow at once.
     SlowDisks,
+    /// A worker drains or vanishes, and starts again later.
     Workers,
     /// A worker behaves in some way for a while.
     Odd(WorkerBehaviour),
@@ -48,10 +65,7 @@
     /// All workers of the model are in trouble at once.
     Outage,
     /// A core goes for good, with or without a word; an empty one comes at a new address.
-    Swap {
-        term: bool,
-        before: bool,
-    },
+    Swap { term: bool, before: bool },
     /// As many cores as may be lost lose their disks and begin again at their addresses.
     Empty,
     /// The same right after an acknowledgement, at times while all others lose power.
@@ -63,11 +77,15 @@
 }
 
 #[derive(Clone, Copy, Debug)]
+/// A kind of run: which faults are injected, for how long, beside how many changes.
 pub struct Profile {
+    /// The name on the command line.
     pub name: &'static str,
+    /// The faults that are drawn from; each begins within four seconds of the last one.
     pub faults: &'static [Fault],
+    /// How long faults are injected, in seconds.
     pub secs: u64,
-    /// Changes that operators ask for in ten seconds.
+    /// How many changes operators request in ten seconds.
     pub changes: u64,
 }
 
@@ -89,6 +107,7 @@
 ];
 
 impl Profile {
+    /// All profiles, in the order in which the command line runs them.
     pub const ALL: &'static [Profile] = &[
         Profile { name: "calm", faults: &[], secs: 30, changes: 8 },
         Profile { name: "races", faults: &[], secs: 30, changes: 120 },
@@ -183,10 +202,12 @@
         },
     ];
 
+    /// The profile of this name.
     pub fn named(n: &str) -> Option<&'static Profile> {
         Self::ALL.iter().find(|p| p.name == n)
     }
 
+    /// Draws a fault and its duration in microseconds.
     pub fn pick(&self, r: &mut Rng) -> Option<(Fault, Micros)> {
         let n = self.faults.len() as u64;
         if n == 0 {
--- a/crates/testbed/src/sim/faults/repairs.rs
+++ b/crates/testbed/src/sim/faults/repairs.rs
@@ -61,9 +61,9 @@
         self.next = w.now + w.rng.below(100 * MS);
         self.power = w.rng.chance(25).then(|| w.now + w.rng.below(4 * SEC));
         if w.rng.chance(30) {
-            w.say("all disks are slow".into());
+            w.log("all disks are slow".into());
             let until = w.now + SLOW;
-            w.slots.iter_mut().filter(|s| s.core).for_each(|s| s.disk.slow = until);
+            w.machines.iter_mut().filter(|s| s.is_core).for_each(|s| s.disk.slow_until = until);
         }
         match draw(w) {
             RepairLoss::Move(f) => {
@@ -95,13 +95,13 @@
 fn away(w: &mut World, m: &mut MembershipFaults, frozen: bool) {
     let Some(i) = MembershipFaults::some(w, 1).first().copied() else { return };
     let until = w.now + SEC + w.rng.below(AWAY - SEC);
-    w.say(format!("{} is {} until {until}", w.slots[i].addr, if frozen { "frozen" } else { "cut off" }));
+    w.log(format!("{} is {} until {until}", w.machines[i].addr, if frozen { "frozen" } else { "cut off" }));
     if frozen {
         w.freeze(i, until);
     } else {
-        for j in 0..w.slots.len() {
-            w.cuts.insert((i, j), until);
-            w.cuts.insert((j, i), until);
+        for j in 0..w.machines.len() {
+            w.blocked_links.insert((i, j), until);
+            w.blocked_links.insert((j, i), until);
         }
     }
     m.back_at(w.now, until);
--- a/crates/testbed/src/sim/faults/rolling_release.rs
+++ b/crates/testbed/src/sim/faults/rolling_release.rs
@@ -28,17 +28,17 @@
         let x = &mut w.workers[self.worker];
         match self.what {
             ReleaseStep::Drain => {
-                x.drain = true;
-                x.drained = Some(now);
-                x.due = now;
+                x.is_draining = true;
+                x.draining_since = Some(now);
+                x.next_report_at = now;
                 let id = x.id.clone();
-                w.check.gone.entry(id).or_insert(now);
+                w.safety.removed_workers.entry(id).or_insert(now);
             }
             ReleaseStep::End => w.crash(self.worker),
             ReleaseStep::Begin => {
-                x.renew();
+                x.restart();
                 let id = x.id.clone();
-                w.check.gone.remove(&id);
+                w.safety.removed_workers.remove(&id);
             }
         }
         false
--- a/crates/testbed/src/sim/machines/lifecycle.rs
+++ b/crates/testbed/src/sim/machines/lifecycle.rs
@@ -16,20 +16,22 @@
     }
 
     fn seeds(&self) -> Vec<String> {
-        self.slots.iter().filter(|s| s.core).take(3).map(|s| s.addr.clone()).collect()
+        self.machines.iter().filter(|s| s.is_core).take(3).map(|s| s.addr.clone()).collect()
     }
 
     /// What an operator's list named at some time: one core that is or will be up and does not go for good, the
     /// others as it comes. Who is told of such alone as are gone can't find the fleet.
     fn drawn(&mut self, i: usize) -> Vec<String> {
-        let all: Vec<_> = self.slots.iter().filter(|s| s.core).map(|s| s.addr.clone()).collect();
-        let stays = |j: &usize| *j != i && self.slots[*j].core && !self.slots[*j].gone && !self.leaving.contains(j);
+        let all: Vec<_> = self.machines.iter().filter(|s| s.is_core).map(|s| s.addr.clone()).collect();
+        let stays = |j: &usize| {
+            *j != i && self.machines[*j].is_core && !self.machines[*j].is_removed && !self.leaving_machines.contains(j)
+        };
         let (up, down): (Vec<_>, Vec<_>) =
-            (0..self.slots.len()).filter(stays).partition(|j| self.slots[*j].node.is_some());
+            (0..self.machines.len()).filter(stays).partition(|j| self.machines[*j].node.is_some());
         let up = if up.is_empty() { down } else { up };
         let mut v = Vec::new();
         if !up.is_empty() {
-            v.push(self.slots[up[usize::try_from(self.rng.below(up.len() as u64)).unwrap_or(0)]].addr.clone());
+            v.push(self.machines[up[usize::try_from(self.rng.below(up.len() as u64)).unwrap_or(0)]].addr.clone());
         }
         while v.len() < 3 {
             v.push(all[usize::try_from(self.rng.below(all.len() as u64)).unwrap_or(0)].clone());
@@ -41,8 +43,8 @@
 
     /// All nodes begin anew, with the world's settings of now and nothing on their disks.
     pub fn renew(&mut self) {
-        if self.lose > 0 {
-            for i in 0..self.slots.len() {
+        if self.tolerated_losses > 0 {
+            for i in 0..self.machines.len() {
                 self.lose_disk(i);
                 self.start(i);
             }
@@ -53,115 +55,115 @@
     pub fn join(&mut self, zone: &str) {
         let addr = self.address();
         let off = self.rng.below(1_000 * SEC);
-        self.slots.push(Machine {
+        self.machines.push(Machine {
             addr,
-            hall: Machine::empty(zone),
-            ready: false,
+            calls: Machine::empty_registry(zone),
+            is_ready: false,
             zone: zone.to_owned(),
-            core: true,
-            gone: false,
+            is_core: true,
+            is_removed: false,
             node: None,
             disk: Disk::default(),
             disk_since: self.now,
-            life: 0,
-            off,
-            fast: 500,
-            frozen: 0,
-            slow: None,
-            pend: Vec::new(),
-            shown: None,
+            incarnation: 0,
+            clock_offset: off,
+            clock_drift_ppm: 500,
+            frozen_until: 0,
+            slow_mode: None,
+            deferred_events: Vec::new(),
+            last_version: None,
         });
-        self.say(format!("joins {}", self.slots[self.slots.len() - 1].addr));
-        self.start(self.slots.len() - 1);
+        self.log(format!("joins {}", self.machines[self.machines.len() - 1].addr));
+        self.start(self.machines.len() - 1);
     }
 
     /// A machine goes for good.
     pub fn retire(&mut self, i: usize) {
         self.kill(i);
-        self.slots[i].gone = true;
+        self.machines[i].is_removed = true;
     }
 
     /// A core whose disk is full waits for room before it does anything, as the real one does.
     pub fn start(&mut self, i: usize) {
-        if self.slots[i].core && self.slots[i].disk.full > self.now {
-            let life = self.slots[i].life;
-            self.say(format!("{} finds its disk full and waits", self.slots[i].addr));
-            return self.push(self.now + RETRY, SimEvent::Room(i, life));
+        if self.machines[i].is_core && self.machines[i].disk.full_until > self.now {
+            let life = self.machines[i].incarnation;
+            self.log(format!("{} finds its disk full and waits", self.machines[i].addr));
+            return self.schedule(self.now + RETRY, SimEvent::RetryStart(i, life));
         }
-        let seeds = if self.first { self.seeds() } else { self.drawn(i) };
+        let seeds = if self.may_bootstrap { self.seeds() } else { self.drawn(i) };
         let seed = self.rng.next_u64();
         let fresh = NodeId(self.rng.next_u64().max(1));
         let now = self.now;
-        let s = &mut self.slots[i];
-        s.life += 1;
-        if s.core && s.disk.kept.node_id == NodeId::default() {
-            s.disk.kept.node_id = fresh;
+        let s = &mut self.machines[i];
+        s.incarnation += 1;
+        if s.is_core && s.disk.durable.node_id == NodeId::default() {
+            s.disk.durable.node_id = fresh;
         }
-        let node_id = if s.core { s.disk.kept.node_id } else { fresh };
+        let node_id = if s.is_core { s.disk.durable.node_id } else { fresh };
         let me = NodeSettings {
             node_id,
-            incarnation: s.life,
+            incarnation: s.incarnation,
             addr: s.addr.clone(),
             admin: String::new(),
             zone: s.zone.clone(),
             seeds,
-            is_core: s.core,
+            is_core: s.is_core,
             config_reader: sumacvale_core::config::validate,
-            may_bootstrap: self.first,
-            manages_voters: self.lose > 0,
-            tolerated_losses: self.lose.max(1),
-            report_interval: self.beat,
-            reports_to_cores_only: self.beat > 500 * MS,
+            may_bootstrap: self.may_bootstrap,
+            manages_voters: self.tolerated_losses > 0,
+            tolerated_losses: self.tolerated_losses.max(1),
+            report_interval: self.report_interval,
+            reports_to_cores_only: self.report_interval > 500 * MS,
         };
-        s.frozen = 0;
-        s.pend.clear();
-        s.shown = None;
-        let kept = if s.core { s.disk.kept.clone() } else { Default::default() };
+        s.frozen_until = 0;
+        s.deferred_events.clear();
+        s.last_version = None;
+        let kept = if s.is_core { s.disk.durable.clone() } else { Default::default() };
         let n = Node::new(me, &kept, seed, s.clock(now));
-        s.hall = CallRegistry::new(SharedCallState::new(&s.zone, 256, 64 << 20, n.quota.slices.clone()));
+        s.calls = CallRegistry::new(SharedCallState::new(&s.zone, 256, 64 << 20, n.quota.slices.clone()));
         s.node = Some(n);
-        let life = s.life;
+        let life = s.incarnation;
         let d = self.rng.below(TICK);
-        self.push(now + d, SimEvent::Tick(i, life));
+        self.schedule(now + d, SimEvent::Tick(i, life));
     }
 
-    pub(in crate::sim) fn look_for_room(&mut self, i: usize, life: u64) {
-        let s = &self.slots[i];
-        if s.node.is_some() || s.gone || s.life != life {
+    pub(in crate::sim) fn retry_start(&mut self, i: usize, life: u64) {
+        let s = &self.machines[i];
+        if s.node.is_some() || s.is_removed || s.incarnation != life {
             return;
         }
-        if s.disk.full > self.now {
-            return self.push(self.now + RETRY, SimEvent::Room(i, life));
+        if s.disk.full_until > self.now {
+            return self.schedule(self.now + RETRY, SimEvent::RetryStart(i, life));
         }
         self.start(i);
     }
 
     /// The machine stands still until then, with all its processes.
     pub fn freeze(&mut self, i: usize, until: Micros) {
-        self.slots[i].frozen = until;
-        self.slept.push((i, self.now, until));
-        self.push(until, SimEvent::Thaw(i));
+        self.machines[i].frozen_until = until;
+        self.freezes.push((i, self.now, until));
+        self.schedule(until, SimEvent::Unfreeze(i));
     }
 
     /// Whether a slow machine can't do now what comes; all of it is done in order in its next turn.
-    pub(in crate::sim) fn waits_for_its_turn(&mut self, i: usize) -> bool {
-        let s = &self.slots[i];
+    pub(in crate::sim) fn waits_for_slow_period(&mut self, i: usize) -> bool {
+        let s = &self.machines[i];
         if s.node.is_none() {
             return false;
         }
-        let turn = s.runs_at(self.now);
-        if s.pend.is_empty() && turn > self.now {
-            self.push(turn, SimEvent::Resume(i));
+        let turn = s.next_run_time(self.now);
+        if s.deferred_events.is_empty() && turn > self.now {
+            self.schedule(turn, SimEvent::SlowPeriodBegin(i));
             return true;
         }
-        !s.pend.is_empty()
+        !s.deferred_events.is_empty()
     }
 
     /// It goes on, and finds all that came waiting.
-    pub fn thaw(&mut self, i: usize) {
-        self.slots[i].frozen = 0;
-        for h in std::mem::take(&mut self.slots[i].pend) {
-            self.push(self.now, h);
+    pub fn unfreeze(&mut self, i: usize) {
+        self.machines[i].frozen_until = 0;
+        for h in std::mem::take(&mut self.machines[i].deferred_events) {
+            self.schedule(self.now, h);
         }
     }
 
@@ -174,14 +176,14 @@
     /// The machine loses power: what is on its way to it is lost, and nobody is told.
     pub fn lose_power(&mut self, i: usize) {
         self.connections.power_lost(i, self.now);
-        self.what.retain(|_, h| !matches!(h, SimEvent::Frame { to, .. } if *to == i));
+        self.pending_events.retain(|_, h| !matches!(h, SimEvent::Frame { to, .. } if *to == i));
         self.end_process(i);
     }
 
     fn end_process(&mut self, i: usize) {
-        self.slots[i].node = None;
+        self.machines[i].node = None;
         self.drop_calls(i);
-        self.slots[i].disk.cut(self.now, &mut self.rng);
+        self.machines[i].disk.lose_power(self.now, &mut self.rng);
     }
 
     /// The machine is lost with its disk; an empty one comes at a new address, to which nobody has a connection.
@@ -189,25 +191,26 @@
         self.kill(i);
         let a = self.address();
         self.lose_disk(i);
-        self.slots[i].addr = a;
+        self.machines[i].addr = a;
     }
 
     /// The machine has an empty disk from now on.
     pub fn lose_disk(&mut self, i: usize) {
-        self.slots[i].disk = Disk::default();
-        self.slots[i].disk_since = self.now;
+        self.machines[i].disk = Disk::default();
+        self.machines[i].disk_since = self.now;
     }
 
     /// The cores that run, those whose disks have lasted longest first.
     pub fn oldest_disks(&self) -> Vec<usize> {
-        let mut cores: Vec<usize> = (0..self.slots.len()).filter(|i| self.slots[*i].core && self.alive(*i)).collect();
-        cores.sort_by_key(|i| (self.slots[*i].disk_since, *i));
+        let mut cores: Vec<usize> =
+            (0..self.machines.len()).filter(|i| self.machines[*i].is_core && self.is_running(*i)).collect();
+        cores.sort_by_key(|i| (self.machines[*i].disk_since, *i));
         cores
     }
 
     /// The machine runs several times slower until then.
     pub fn slow_down(&mut self, i: usize, until: Micros, period: Micros) {
-        self.say(format!("{} runs slowly until {until}, in periods of {period}", self.slots[i].addr));
-        self.slots[i].slow = Some(SlowMode { until, period });
+        self.log(format!("{} runs slowly until {until}, in periods of {period}", self.machines[i].addr));
+        self.machines[i].slow_mode = Some(SlowMode { until, period });
     }
 }
--- a/crates/testbed/src/sim/mod.rs
+++ b/crates/testbed/src/sim/mod.rs
@@ -15,7 +15,7 @@
 mod world;
 
 pub use calls::outcome::{CallOutcome, CallRequest, ClientObservation};
-pub use checks::calls::{CallLimits, judge};
+pub use checks::calls::{CallLimits, check_calls};
 pub use checks::majority_contact::MajorityContact;
 pub use checks::safety::{Acknowledgement, SafetyChecker, Violation};
 pub use checks::summary::{ControlSummary, Summary};
--- a/crates/testbed/src/sim/operators/orders/answers.rs
+++ b/crates/testbed/src/sim/operators/orders/answers.rs
@@ -13,8 +13,8 @@
 impl DocumentOperator {
     pub(super) fn answers(&mut self, world: &mut World) {
         let (mine, others): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut world.answers).into_iter().partition(|a| a.0 > FIRST_CALL);
-        world.answers = others;
+            std::mem::take(&mut world.change_outcomes).into_iter().partition(|a| a.0 > FIRST_CALL);
+        world.change_outcomes = others;
         for (n, fate) in mine {
             if matches!(fate, ChangeOutcome::Committed { .. }) {
                 self.said_done = Some(world.now);
@@ -46,7 +46,7 @@
             ChangeOutcome::Invalid { .. } if order.bad => {
                 self.refused += u64::from(!order.refused);
                 order.refused = true;
-                world.check.refuse(change_id, now);
+                world.safety.record_rejection(change_id, now);
             }
             ChangeOutcome::Committed { version } => {
                 if !order.taken {
@@ -54,12 +54,12 @@
                 }
                 order.taken = true;
                 order.pinned = None;
-                world.check.ack(Acknowledgement {
+                world.safety.record_acknowledgement(Acknowledgement {
                     change_id,
                     base: DOCUMENT_BASE + base,
                     version,
-                    asked: order.asked,
-                    at: now,
+                    requested_at: order.asked,
+                    acknowledged_at: now,
                 });
                 self.newest = self.newest.max(order.revision);
                 self.base = self.base.max(order.revision);
@@ -68,7 +68,7 @@
             }
             ChangeOutcome::Stale { .. } => {
                 order.refused = true;
-                world.check.refuse(change_id, now);
+                world.safety.record_rejection(change_id, now);
                 self.read(world, false);
             }
             ChangeOutcome::Unknown | ChangeOutcome::NoQuorum => {
@@ -117,7 +117,7 @@
             breach(world, format!("{open} orders have no clear answer 12 s after the last fault"));
         }
         for order in self.orders.iter().filter(|order| order.refused && !order.bad) {
-            if !world.check.chosen.values().any(|d| d.revision > order.base) {
+            if !world.safety.committed.values().any(|d| d.revision > order.base) {
                 breach(world, format!("number {} on {} was refused, and nothing is newer", order.revision, order.base));
             }
         }
@@ -125,7 +125,7 @@
 }
 
 fn breach(world: &mut World, text: String) {
-    if world.check.breaches.len() < 20 {
-        world.check.breaches.push(Violation(text));
+    if world.safety.violations.len() < 20 {
+        world.safety.violations.push(Violation(text));
     }
 }
--- a/crates/testbed/src/sim/operators/orders/order.rs
+++ b/crates/testbed/src/sim/operators/orders/order.rs
@@ -10,10 +10,10 @@
     pub races: u64,
     /// Answers that are lost.
     pub lost: u64,
-    /// DocumentOperator taken earlier that are sent again.
+    /// Orders taken earlier that are sent again.
     pub repeats: u64,
     pub reads: u64,
-    /// DocumentOperator that no node may take.
+    /// Orders that no node may take.
     pub bad: u64,
     /// Routes of every eighth document beyond the usual ones.
     pub routes: u64,
--- a/crates/testbed/src/sim/operators/orders/sending.rs
+++ b/crates/testbed/src/sim/operators/orders/sending.rs
@@ -1,4 +1,4 @@
-//! DocumentOperator and reads are made and sent to machines.
+//! Orders and reads are made and sent to machines.
 
 use super::DocumentOperator;
 use super::order::{PendingRequest, PinnedTarget, Submission};
@@ -17,7 +17,7 @@
     pub fn order(&mut self, world: &mut World, pinned: Option<PinnedTarget>) {
         self.serial += 1;
         let revision = self.base + 1 + world.rng.below(2);
-        let plain = tree(self.serial, world.tenants, self.habits.routes, world.rates);
+        let plain = tree(self.serial, world.tenants, self.habits.routes, world.quotas_are_rates);
         let body = format!("{{\"revision\":{revision},{}", &plain[1..]);
         self.orders.push(Submission {
             body,
@@ -50,15 +50,15 @@
             order.body.truncate(order.body.len() / 2);
         } else {
             order.revision = order.base;
-            let plain = tree(serial, world.tenants, 0, world.rates);
+            let plain = tree(serial, world.tenants, 0, world.quotas_are_rates);
             order.body = format!("{{\"revision\":{},{}", order.base, &plain[1..]);
         }
     }
 
     /// Somebody of a list that lags: it may be gone, and is another one than the last.
     fn pick(world: &mut World, not: Option<usize>) -> Option<usize> {
-        let all: Vec<usize> = (0..world.slots.len())
-            .filter(|i| world.slots[*i].core && !world.slots[*i].gone && Some(*i) != not)
+        let all: Vec<usize> = (0..world.machines.len())
+            .filter(|i| world.machines[*i].is_core && !world.machines[*i].is_removed && Some(*i) != not)
             .collect();
         let k = usize::try_from(world.rng.below(all.len().max(1) as u64)).unwrap_or(0);
         all.get(k).copied()
@@ -83,13 +83,13 @@
             change,
         };
         // A machine that stands still answers nothing.
-        if world.alive(slot) {
+        if world.is_running(slot) {
             world.step(slot, event);
         }
     }
 
     pub(super) fn read(&mut self, world: &mut World, last: bool) {
-        let Some(slot) = Self::pick(world, None).filter(|i| world.alive(*i)) else { return };
+        let Some(slot) = Self::pick(world, None).filter(|i| world.is_running(*i)) else { return };
         self.last_call += 1;
         self.calls
             .insert(self.last_call, PendingRequest::Read { slot, newest: self.newest, due: world.now + SILENCE, last });
--- a/crates/testbed/src/sim/operators/traffic.rs
+++ b/crates/testbed/src/sim/operators/traffic.rs
@@ -60,15 +60,15 @@
 
     /// Somebody at some desk asks some node to change what it shows.
     pub fn change(&mut self, w: &mut World) {
-        let up: Vec<_> = (0..w.slots.len()).filter(|i| w.alive(*i)).collect();
+        let up: Vec<_> = (0..w.machines.len()).filter(|i| w.is_running(*i)).collect();
         if up.is_empty() {
             return;
         }
         let pick = |w: &mut World| up[usize::try_from(w.rng.below(up.len() as u64)).unwrap_or(0)];
         let (i, j) = (pick(w), pick(w));
-        let Some(base) = w.slots[i].node.as_ref().and_then(|n| n.version()) else { return };
+        let Some(base) = w.machines[i].node.as_ref().and_then(|n| n.version()) else { return };
         let change_id = ChangeId(w.rng.next_u64().max(1));
-        let change = Change::Tree(tree(self.n, w.tenants, w.grown, w.rates));
+        let change = Change::Tree(tree(self.n, w.tenants, w.extra_routes, w.quotas_are_rates));
         let now = w.now;
         self.send(
             w,
@@ -79,14 +79,18 @@
 
     /// Puts the machine in slot `i` in the place of the core `old`.
     pub fn replace(&mut self, w: &mut World, i: usize) -> bool {
-        let Some(new) = w.slots[i].node.as_ref().map(|n| n.settings.node_id) else { return false };
-        let addr = w.slots[i].addr.clone();
-        let Some(j) = (0..w.slots.len()).find(|j| *j != i && w.alive(*j) && w.slots[*j].core) else { return false };
-        let Some(d) = w.slots[j].node.as_ref().and_then(|n| n.consensus.state.newest().cloned()) else { return false };
+        let Some(new) = w.machines[i].node.as_ref().map(|n| n.settings.node_id) else { return false };
+        let addr = w.machines[i].addr.clone();
+        let Some(j) = (0..w.machines.len()).find(|j| *j != i && w.is_running(*j) && w.machines[*j].is_core) else {
+            return false;
+        };
+        let Some(d) = w.machines[j].node.as_ref().and_then(|n| n.consensus.state.newest().cloned()) else {
+            return false;
+        };
         if d.voters.iter().any(|c| c.node_id == new) {
             return true;
         }
-        let live: Vec<_> = w.slots.iter().filter(|s| s.core).map(|s| s.disk.kept.node_id).collect();
+        let live: Vec<_> = w.machines.iter().filter(|s| s.is_core).map(|s| s.disk.durable.node_id).collect();
         let mut cs: Vec<Voter> = d.voters.iter().filter(|c| live.contains(&c.node_id)).cloned().collect();
         cs.push(Voter { node_id: new, addr });
         let change_id = ChangeId(w.rng.next_u64().max(1));
@@ -110,35 +114,35 @@
         let now = w.now;
         self.touch.observe(w);
         let (others, mine): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut w.answers).into_iter().partition(|a| a.0 > FIRST_CALL);
-        w.answers = others;
+            std::mem::take(&mut w.change_outcomes).into_iter().partition(|a| a.0 > FIRST_CALL);
+        w.change_outcomes = others;
         for (n, f) in mine {
             let Some(a) = self.open.remove(&n) else { continue };
             self.judge(w, &a, &f);
             match f {
                 ChangeOutcome::Committed { version } => {
                     self.done += 1;
-                    w.check.ack(Acknowledgement {
+                    w.safety.record_acknowledgement(Acknowledgement {
                         change_id: a.change_id,
                         base: a.base,
                         version,
-                        asked: a.asked,
-                        at: now,
+                        requested_at: a.asked,
+                        acknowledged_at: now,
                     });
                     self.seen.insert(version, now);
                 }
                 ChangeOutcome::Stale { .. } if !a.again => {
                     self.stale += 1;
-                    w.check.refuse(a.change_id, now);
+                    w.safety.record_rejection(a.change_id, now);
                 }
                 ChangeOutcome::Stale { .. } => self.stale += 1,
                 ChangeOutcome::NoQuorum if !a.again => {
                     self.none += 1;
-                    w.check.refuse(a.change_id, now);
+                    w.safety.record_rejection(a.change_id, now);
                 }
                 ChangeOutcome::Invalid { .. } => {
                     self.none += 1;
-                    w.check.refuse(a.change_id, now);
+                    w.safety.record_rejection(a.change_id, now);
                 }
                 ChangeOutcome::Unknown => {
                     self.unknown += 1;
@@ -161,13 +165,13 @@
     fn judge(&mut self, w: &World, a: &PendingChange, fate: &ChangeOutcome) {
         let needless = match fate {
             ChangeOutcome::Committed { .. } | ChangeOutcome::Stale { .. } | ChangeOutcome::Unknown => false,
-            ChangeOutcome::NoQuorum => self.touch.needless(a.slot, a.sent),
+            ChangeOutcome::NoQuorum => self.touch.is_needless_rejection(a.slot, a.sent),
             ChangeOutcome::Invalid { .. } | ChangeOutcome::IdReused | ChangeOutcome::Content { .. } => {
                 !matches!(a.change, Change::Voters(_))
             }
         };
         if needless {
-            let (addr, now) = (&w.slots[a.slot].addr, w.now);
+            let (addr, now) = (&w.machines[a.slot].addr, w.now);
             self.refused.push(format!("{now}: {addr} answers {fate:?} without need to one who asked at {}", a.sent));
         }
     }
@@ -177,7 +181,7 @@
         if a.again || w.rng.chance(50) {
             return;
         }
-        let up: Vec<_> = (0..w.slots.len()).filter(|i| w.alive(*i)).collect();
+        let up: Vec<_> = (0..w.machines.len()).filter(|i| w.is_running(*i)).collect();
         if let Some(i) = up.get(usize::try_from(w.rng.below(up.len().max(1) as u64)).unwrap_or(0)) {
             a.again = true;
             a.due = w.now + 7 * SEC;
@@ -190,9 +194,9 @@
     /// How long each acknowledged version takes to be on every live node.
     pub fn spread(&mut self, w: &World) {
         let now = w.now;
-        let low = (0..w.slots.len())
-            .filter(|i| w.alive(*i))
-            .map(|i| w.slots[i].node.as_ref().and_then(|n| n.version()).unwrap_or(0))
+        let low = (0..w.machines.len())
+            .filter(|i| w.is_running(*i))
+            .map(|i| w.machines[i].node.as_ref().and_then(|n| n.version()).unwrap_or(0))
             .min()
             .unwrap_or(0);
         let done: Vec<_> = self.seen.range(..=low).map(|x| (*x.0, *x.1)).collect();
@@ -206,15 +210,20 @@
     /// those that get neither in time are named.
     pub fn settle(&mut self, w: &mut World, most: Micros) -> Vec<(String, String)> {
         let until = w.now + most;
-        let mut open: Vec<(usize, String, u64)> = (0..w.slots.len())
-            .filter(|i| !w.slots[*i].core && w.alive(*i))
+        let mut open: Vec<(usize, String, u64)> = (0..w.machines.len())
+            .filter(|i| !w.machines[*i].is_core && w.is_running(*i))
             .flat_map(|i| (0..w.tenants).map(move |t| (i, format!("t{t}"), 0)))
             .collect();
         while !open.is_empty() && w.now < until {
             for (i, t, n) in &mut open {
                 if *n == 0 {
-                    let want =
-                        CallRequest { tenant: t.clone(), path: "/v1/confirm", prefix: 0, wait: WAIT, leaves: None };
+                    let want = CallRequest {
+                        tenant: t.clone(),
+                        path: "/v1/confirm",
+                        prefix: 0,
+                        max_wait: WAIT,
+                        disconnects_after: None,
+                    };
                     *n = w.call(*i, want);
                 }
             }
@@ -222,25 +231,28 @@
             w.run(t);
             w.report();
             for (_, _, n) in &mut open {
-                match w.seen.iter().rev().find(|o| o.call == *n).map(|o| &o.seen) {
+                match w.call_outcomes.iter().rev().find(|o| o.call == *n).map(|o| &o.observation) {
                     None => {}
-                    Some(ClientObservation::Whole | ClientObservation::Refused { status: 429, .. }) => *n = u64::MAX,
+                    Some(ClientObservation::Complete | ClientObservation::Rejected { status: 429, .. }) => {
+                        *n = u64::MAX
+                    }
                     Some(_) => *n = 0,
                 }
             }
             open.retain(|o| o.2 != u64::MAX);
         }
-        open.into_iter().map(|(i, t, _)| (w.slots[i].addr.clone(), t)).collect()
+        open.into_iter().map(|(i, t, _)| (w.machines[i].addr.clone(), t)).collect()
     }
 
     /// Calls come to the fronts: each tenant has one with this chance in ten milliseconds.
     pub fn calls(&mut self, w: &mut World, pct: u64) {
-        let fronts: Vec<_> = (0..w.slots.len()).filter(|i| !w.slots[*i].core && w.slots[*i].ready).collect();
+        let fronts: Vec<_> =
+            (0..w.machines.len()).filter(|i| !w.machines[*i].is_core && w.machines[*i].is_ready).collect();
         if fronts.is_empty() || self.done == 0 {
             return;
         }
         let crowd = if w.crowd.1 > w.now { w.crowd.0 } else { 1 };
-        let hot = w.hot > w.now;
+        let hot = w.shared_prefix_until > w.now;
         let names = (0..w.tenants).map(|t| format!("t{t}")).chain([REVOCABLE.to_owned()]);
         for (k, tenant) in names.enumerate() {
             // A crowd is one tenant's; the others have what they always have.
@@ -251,12 +263,15 @@
                 }
                 let i = fronts[usize::try_from(w.rng.below(fronts.len() as u64)).unwrap_or(0)];
                 let x = w.rng.below(100);
-                let at = w.mix.iter().position(|m| x < *m).unwrap_or(4);
+                let at = w.call_mix.iter().position(|m| x < *m).unwrap_or(4);
                 let path = ["/v1/confirm", "/v1/book", "/v1/draft", "/v1/chat", "/v1/summary"][at];
                 let prefix = if hot { 0 } else { w.rng.below(40) };
                 let leaves = w.rng.chance(2).then(|| w.rng.below(300 * MS));
                 self.calls += 1;
-                w.call(i, CallRequest { tenant: tenant.clone(), path, prefix, wait: WAIT, leaves });
+                w.call(
+                    i,
+                    CallRequest { tenant: tenant.clone(), path, prefix, max_wait: WAIT, disconnects_after: leaves },
+                );
             }
         }
     }
--- a/crates/testbed/src/sim/settings.rs
+++ b/crates/testbed/src/sim/settings.rs
@@ -1,4 +1,4 @@
-//! What one run of the simulator is given.
+//! The settings of one run of the simulator.
 
 use crate::sim::faults::control::Plan;
 use crate::sim::faults::day::Day;
@@ -6,26 +6,34 @@
 
 /// One run: a seed, a profile, and how large the fleet is.
 #[derive(Clone, Copy, Debug)]
+/// One run: a seed, a profile, and the size of the fleet.
 pub struct Run {
+    /// The seed of all random draws.
     pub seed: u64,
+    /// The faults that are injected.
     pub profile: &'static Profile,
+    /// How many machines are cores.
     pub cores: usize,
+    /// How many machines are fronts.
     pub fronts: usize,
+    /// How many workers serve the model.
     pub workers: usize,
-    /// How likely a tenant has a call in each ten milliseconds.
+    /// How likely a tenant has a call in each ten milliseconds, in percent.
     pub load: u64,
-    /// A whole day in the place of drawn faults.
+    /// A whole day of a deployment instead of drawn faults.
     pub day: Option<Day>,
-    /// Quotas are rates with a burst.
+    /// Whether quotas are rates with a burst instead of windows.
     pub rates: bool,
 }
 
 impl Run {
-    pub fn day(seed: u64, d: Day) -> Self {
-        let p = Profile::named("day").unwrap_or(&Profile::ALL[0]);
-        Run { fronts: d.fronts, workers: d.models, day: Some(d), ..Run::new(seed, p) }
+    /// The day of a deployment, with its own size of the fleet.
+    pub fn day(seed: u64, day: Day) -> Self {
+        let profile = Profile::named("day").unwrap_or(&Profile::ALL[0]);
+        Run { fronts: day.fronts, workers: day.models, day: Some(day), ..Run::new(seed, profile) }
     }
 
+    /// A run of a profile with the usual size of the fleet: three cores, six fronts and six workers.
     pub fn new(seed: u64, profile: &'static Profile) -> Self {
         let cores = match profile.name {
             "many" | "repairs_two" => 7,
--- a/crates/testbed/src/sim/steps.rs
+++ b/crates/testbed/src/sim/steps.rs
@@ -1,4 +1,8 @@
-//! Runs a simulated world on: gives events to nodes and calls, and carries effects out.
+//! The event loop of a simulated world: gives events to nodes and calls, and carries effects out.
+//!
+//! Events come in the order of their time, those of one moment in the order in which they were scheduled.
+//! Events for a machine that is frozen or slow are deferred until it goes on; events for a former
+//! incarnation are dropped.
 
 use crate::sim::event::SimEvent;
 use crate::sim::world::{TICK, World};
@@ -8,133 +12,177 @@
 use sumacvale_core::node::{Effect, Event};
 use sumacvale_core::protocol::decode_frame;
 
+impl SimEvent {
+    /// The machine that must be able to run for this event to be handled.
+    fn machine(&self) -> Option<usize> {
+        match self {
+            SimEvent::Tick(machine, _)
+            | SimEvent::DiskWrite(machine, _)
+            | SimEvent::Frame { to: machine, .. }
+            | SimEvent::CallTimer(machine, ..)
+            | SimEvent::RequestBody(machine, ..)
+            | SimEvent::Wakeup(machine, ..)
+            | SimEvent::ClientDisconnect(machine, ..)
+            | SimEvent::CallBegin(machine, ..) => Some(*machine),
+            SimEvent::Attempt(origin, _) => Some(origin.machine),
+            SimEvent::RequestArrival(..)
+            | SimEvent::WorkerStep(..)
+            | SimEvent::RetryStart(..)
+            | SimEvent::Unfreeze(_)
+            | SimEvent::SlowPeriodBegin(_) => None,
+        }
+    }
+}
+
 impl World {
     /// Gives one event to a node and carries its effects out.
-    pub fn step(&mut self, i: usize, e: Event) {
-        let now = self.now;
-        let s = &mut self.slots[i];
-        let at = s.clock(now);
-        let Some(n) = s.node.as_mut() else { return };
-        let es = n.step(e, at);
-        for e in es {
-            self.carry(i, e);
+    pub fn step(&mut self, machine: usize, event: Event) {
+        let state = &mut self.machines[machine];
+        let clock = state.clock(self.now);
+        let Some(node) = state.node.as_mut() else { return };
+        for effect in node.step(event, clock) {
+            self.carry_out(machine, effect);
         }
-        let s = &mut self.slots[i];
-        if let Some(n) = &s.node {
-            let v = n.version();
-            if v != s.shown {
-                if let (Some(a), Some(b)) = (s.shown, v) {
-                    self.check.moves(&s.addr, a, b, now);
-                }
-                s.shown = v;
-                let ds: Vec<_> = n.consensus.state.history.values().cloned().collect();
-                for d in ds {
-                    self.check.holds(&s.addr, &d, now);
-                }
-            }
+        self.check_version(machine);
+    }
+
+    /// Reports a new version of a node, and the log entries that it holds, to the safety checker.
+    fn check_version(&mut self, machine: usize) {
+        let state = &mut self.machines[machine];
+        let Some(node) = &state.node else { return };
+        let version = node.version();
+        if version == state.last_version {
+            return;
+        }
+        if let (Some(from), Some(to)) = (state.last_version, version) {
+            self.safety.check_version_change(&state.addr, from, to, self.now);
+        }
+        state.last_version = version;
+        for entry in node.consensus.state.history.values() {
+            self.safety.record_committed(&state.addr, entry, self.now);
         }
     }
 
-    fn carry(&mut self, i: usize, e: Effect) {
-        match e {
-            Effect::Send { to, frame } => self.send(i, &to, *frame),
-            Effect::Write { token, writes: ops } => {
-                let now = self.now;
-                let at = self.slots[i].disk.write(token, ops, now, &mut self.rng);
-                let life = self.slots[i].life;
-                self.push(at, SimEvent::Land(i, life));
+    fn carry_out(&mut self, machine: usize, effect: Effect) {
+        match effect {
+            Effect::Send { to, frame } => self.send(machine, &to, *frame),
+            Effect::Write { token, writes } => {
+                let synced_at = self.machines[machine].disk.write(token, writes, self.now, &mut self.rng);
+                let incarnation = self.machines[machine].incarnation;
+                self.schedule(synced_at, SimEvent::DiskWrite(machine, incarnation));
             }
-            Effect::CompleteChange { request_id: req, outcome: fate } => self.answers.push((req, fate)),
-            Effect::WakeTenant { tenant } => self.refill(i, &tenant),
-            Effect::AcknowledgeReport { request_id: req, is_accepted: ok } => self.heard.push((req, ok)),
-            Effect::Publish(v) => self.show(i, v),
+            Effect::CompleteChange { request_id, outcome } => self.change_outcomes.push((request_id, outcome)),
+            Effect::WakeTenant { tenant } => self.serve_quota_queue(machine, &tenant),
+            Effect::AcknowledgeReport { request_id, is_accepted } => {
+                self.report_acknowledgements.push((request_id, is_accepted));
+            }
+            Effect::Publish(view) => self.publish(machine, view),
             Effect::Reconnect { to } => {
-                if let Some(j) = self.slot_of(&to) {
-                    self.connections.reconnect(i, j);
+                if let Some(peer) = self.machine_at(&to) {
+                    self.connections.reconnect(machine, peer);
                 }
             }
         }
     }
 
-    /// Runs the world on until `until`.
+    /// Runs the world on until `until`, in microseconds of true time.
     pub fn run(&mut self, until: Micros) {
-        while let Some(Reverse((at, n, _))) = self.heap.peek().copied() {
-            if at > until {
+        while let Some(Reverse((due, number, _))) = self.event_queue.peek().copied() {
+            if due > until {
                 break;
             }
-            self.heap.pop();
-            self.now = self.now.max(at);
-            let Some(h) = self.what.remove(&n) else { continue };
-            let at = match &h {
-                SimEvent::Tick(i, _) | SimEvent::Land(i, _) | SimEvent::Frame { to: i, .. } => Some(*i),
-                SimEvent::Turn(i, ..) | SimEvent::Body(i, ..) | SimEvent::Bell(i, ..) | SimEvent::Leave(i, ..) => {
-                    Some(*i)
-                }
-                SimEvent::Call(i, ..) => Some(*i),
-                SimEvent::Try(b, _) => Some(b.slot),
-                SimEvent::Arrive(..) | SimEvent::Work(..) | SimEvent::Room(..) => None,
-                SimEvent::Thaw(_) | SimEvent::Resume(_) => None,
-            };
-            if let Some(i) = at
-                && self.slots[i].node.is_some()
-                && self.slots[i].frozen > self.now
-            {
-                self.slots[i].pend.push(h);
-                continue;
+            self.event_queue.pop();
+            self.now = self.now.max(due);
+            let Some(event) = self.pending_events.remove(&number) else { continue };
+            match event.machine() {
+                Some(machine) if self.must_wait(machine) => self.machines[machine].deferred_events.push(event),
+                _ => self.handle(event),
             }
-            if let Some(i) = at
-                && self.waits_for_its_turn(i)
-            {
-                self.slots[i].pend.push(h);
-                continue;
+        }
+        self.now = self.now.max(until);
+    }
+
+    /// Whether the machine can't handle an event now: it is frozen, or slow and between two running parts.
+    fn must_wait(&mut self, machine: usize) -> bool {
+        let state = &self.machines[machine];
+        let is_frozen = state.node.is_some() && state.frozen_until > self.now;
+        is_frozen || self.waits_for_slow_period(machine)
+    }
+
+    /// Whether this incarnation of the machine's process still runs.
+    fn is_current(&self, machine: usize, incarnation: u64) -> bool {
+        let state = &self.machines[machine];
+        state.incarnation == incarnation && state.node.is_some()
+    }
+
+    fn handle(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Tick(machine, incarnation) if self.is_current(machine, incarnation) => {
+                self.tick(machine, incarnation);
             }
-            let lives = |w: &World, i: usize, life: u64| w.slots[i].life == life && w.slots[i].node.is_some();
-            match h {
-                SimEvent::Tick(i, life) if self.slots[i].life == life && self.slots[i].node.is_some() => {
-                    self.step(i, Event::Tick);
-                    self.sweep(i);
-                    self.push(self.now + TICK, SimEvent::Tick(i, life));
+            SimEvent::Frame { to, bytes, .. } => {
+                if let Ok(frame) = decode_frame(&bytes) {
+                    self.step(to, Event::Frame(Box::new(frame)));
                 }
-                SimEvent::Frame { to: i, bytes, .. } => {
-                    if let Ok(f) = decode_frame(&bytes) {
-                        self.step(i, Event::Frame(Box::new(f)));
-                    }
-                }
-                SimEvent::Land(i, life) if lives(self, i, life) => {
-                    let now = self.now;
-                    let refused = self.slots[i].disk.refused;
-                    if let Some(t) = self.slots[i].disk.land(now) {
-                        self.step(i, Event::Synced(t));
-                    } else {
-                        self.refused_writes += self.slots[i].disk.refused - refused;
-                    }
-                    if let Some(t) = self.slots[i].disk.due() {
-                        self.push(t.max(now + 1), SimEvent::Land(i, life));
-                    }
-                }
-                SimEvent::Turn(i, life, n) if lives(self, i, life) => {
-                    if let Some(a) = self.slots[i].hall.lives.get_mut(&n) {
-                        a.turned();
-                        self.live(i, n, CallEvent::Wake);
-                    }
-                }
-                SimEvent::Leave(i, life, n) if lives(self, i, life) => self.live(i, n, CallEvent::ClientDisconnected),
-                SimEvent::Body(i, life, n, b) if lives(self, i, life) => self.live(i, n, CallEvent::RequestBody(Ok(b))),
-                SimEvent::Bell(i, life, r) if lives(self, i, life) => self.bell(i, r),
-                SimEvent::Try(b, e) if lives(self, b.slot, b.life) => self.heard(b, e),
-                SimEvent::Thaw(i) if self.slots[i].frozen <= self.now => {
-                    self.thaw(i);
+            }
+            SimEvent::DiskWrite(machine, incarnation) if self.is_current(machine, incarnation) => {
+                self.complete_writes(machine, incarnation);
+            }
+            SimEvent::Unfreeze(machine) | SimEvent::SlowPeriodBegin(machine) => {
+                if self.machines[machine].frozen_until <= self.now {
+                    self.unfreeze(machine);
                 }
-                SimEvent::Resume(i) if self.slots[i].frozen <= self.now => {
-                    self.thaw(i);
+            }
+            SimEvent::RetryStart(machine, incarnation) => self.retry_start(machine, incarnation),
+            SimEvent::RequestArrival(worker, request) => self.receive_request(worker, request),
+            SimEvent::WorkerStep(worker, request) => self.step_request(worker, request),
+            event => self.handle_call_event(event),
+        }
+    }
+
+    fn handle_call_event(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::CallBegin(machine, incarnation, call) if self.is_current(machine, incarnation) => {
+                self.step_call(machine, call, CallEvent::Wake);
+            }
+            SimEvent::CallTimer(machine, incarnation, call) if self.is_current(machine, incarnation) => {
+                if let Some(active) = self.machines[machine].calls.active.get_mut(&call) {
+                    active.clear_timer();
+                    self.step_call(machine, call, CallEvent::Wake);
                 }
-                SimEvent::Room(i, life) => self.look_for_room(i, life),
-                SimEvent::Call(i, life, n) if lives(self, i, life) => self.live(i, n, CallEvent::Wake),
-                SimEvent::Arrive(k, s) => self.arrive(k, s),
-                SimEvent::Work(k, n) => self.work(k, n),
-                _ => {}
             }
+            SimEvent::ClientDisconnect(machine, incarnation, call) if self.is_current(machine, incarnation) => {
+                self.step_call(machine, call, CallEvent::ClientDisconnected);
+            }
+            SimEvent::RequestBody(machine, incarnation, call, body) if self.is_current(machine, incarnation) => {
+                self.step_call(machine, call, CallEvent::RequestBody(Ok(body)));
+            }
+            SimEvent::Wakeup(machine, incarnation, wakeup) if self.is_current(machine, incarnation) => {
+                self.wake(machine, wakeup);
+            }
+            SimEvent::Attempt(origin, event) if self.is_current(origin.machine, origin.incarnation) => {
+                self.handle_attempt_event(origin, event);
+            }
+            _ => {}
+        }
+    }
+
+    fn tick(&mut self, machine: usize, incarnation: u64) {
+        self.step(machine, Event::Tick);
+        self.expire_waiters(machine);
+        self.schedule(self.now + TICK, SimEvent::Tick(machine, incarnation));
+    }
+
+    /// Writes that reached the disk are reported to the node; a rejected one is counted and tried again.
+    fn complete_writes(&mut self, machine: usize, incarnation: u64) {
+        let rejected_before = self.machines[machine].disk.rejected_writes;
+        if let Some(token) = self.machines[machine].disk.complete_writes(self.now) {
+            self.step(machine, Event::Synced(token));
+        } else {
+            self.rejected_writes += self.machines[machine].disk.rejected_writes - rejected_before;
+        }
+        if let Some(due) = self.machines[machine].disk.next_completion() {
+            self.schedule(due.max(self.now + 1), SimEvent::DiskWrite(machine, incarnation));
         }
-        self.now = self.now.max(until);
     }
 }
--- a/crates/testbed/src/sim/world.rs
+++ b/crates/testbed/src/sim/world.rs
@@ -1,4 +1,4 @@
-//! The state of a simulated world and its queue of what happens next.
+//! The state of a simulated world and its queue of scheduled events.
 
 use crate::sim::calls::outcome::CallOutcome;
 use crate::sim::checks::safety::SafetyChecker;
@@ -13,125 +13,150 @@
 use sumacvale_core::base::{MS, Micros, Rng, SEC};
 use sumacvale_core::protocol::ChangeOutcome;
 
-/// Machines, wires, disks and what happens next, all drawn from one seed.
+/// Machines, workers, the network between them, and the events that are scheduled, all drawn from one seed.
 pub struct World {
+    /// True time in microseconds; each machine has its own clock.
     pub now: Micros,
+    /// The source of all random draws; their order decides the run.
     pub rng: Rng,
-    pub slots: Vec<Machine>,
+    /// Cores first, then fronts, then machines that joined later.
+    pub machines: Vec<Machine>,
+    /// Workers of the model first, then those of the application service.
     pub workers: Vec<Worker>,
-    pub check: SafetyChecker,
-    pub answers: Vec<(u64, ChangeOutcome)>,
-    /// Pairs of machines between which nothing passes, until when.
-    pub cuts: BTreeMap<(usize, usize), Micros>,
-    /// Pairs of machines between which what is sent comes when the stall ends.
-    pub stalled: BTreeMap<(usize, usize), Micros>,
-    /// How often senders try to connect to a machine that they are cut off from, where they know that they
-    /// are: what they send waits for it. Without an entry it is lost.
-    pub attempts: BTreeMap<(usize, usize), Micros>,
-    /// What machines have open to one another.
+    /// The checks that go on during the run.
+    pub safety: SafetyChecker,
+    /// Outcomes of configuration changes by request id, until somebody reads them.
+    pub change_outcomes: Vec<(u64, ChangeOutcome)>,
+    /// Links (from, to) on which frames are lost, and until when.
+    pub blocked_links: BTreeMap<(usize, usize), Micros>,
+    /// Links (from, to) on which frames are held, and until when.
+    pub stalled_links: BTreeMap<(usize, usize), Micros>,
+    /// How often the sender of a blocked link tries to connect, where it knows that the link is down: its frames
+    /// wait for the connection. Frames of a blocked link without an entry are lost.
+    pub reconnect_intervals: BTreeMap<(usize, usize), Micros>,
+    /// The open connections between machines.
     pub connections: Connections,
+    /// So many of a hundred frames are lost, and until when.
     pub loss: (u64, Micros),
-    pub jam: Micros,
-    /// Machines whose frames wait until then.
-    pub holds: BTreeMap<usize, Micros>,
+    /// Until when many frames come late and overtake one another.
+    pub reordering_until: Micros,
+    /// Machines whose frames, sent and received, are held, and until when.
+    pub frames_held_until: BTreeMap<usize, Micros>,
+    /// How many frames were sent.
     pub frames: u64,
+    /// How many bytes of frames were sent.
     pub bytes: u64,
     /// Frames and bytes between zones by the kind of message.
-    pub far: BTreeMap<&'static str, (u64, u64)>,
+    pub cross_zone_traffic: BTreeMap<&'static str, (u64, u64)>,
+    /// What was done to the fleet, a line each, with the time in seconds.
     pub trace: Vec<String>,
-    /// What workers ran and what downstreams saw.
-    pub ran: Vec<ExecutionRecord>,
-    pub seen: Vec<CallOutcome>,
-    pub calls: u64,
+    /// What workers ran, in the order of the starts.
+    pub executions: Vec<ExecutionRecord>,
+    /// What clients saw, in the order of the ends.
+    pub call_outcomes: Vec<CallOutcome>,
+    /// How many calls began, and so the number of the last one.
+    pub calls_started: u64,
+    /// How many tenants there are beside the one whose key comes and goes.
     pub tenants: u64,
-    /// How many more matches some configurations have.
-    pub grown: u64,
-    /// Tenants have a rate with a burst in the place of a window.
-    pub rates: bool,
-    /// Shares of the kinds of calls, summed up: lookups, bookings, drafts, chats, summaries.
-    pub mix: [u64; 5],
+    /// How many more routes every eighth configuration has.
+    pub extra_routes: u64,
+    /// Whether quotas are rates with a burst instead of windows.
+    pub quotas_are_rates: bool,
+    /// Cumulated shares, in percent, of lookups, bookings, drafts, chats and summaries.
+    pub call_mix: [u64; 5],
     /// How many times its usual traffic one tenant has, and until when.
     pub crowd: (u64, Micros),
-    /// Until when all calls share one prefix.
-    pub hot: Micros,
-    /// Cores see to their membership themselves and bear the loss of so many.
-    pub lose: u32,
-    /// Machines that go for good soon.
-    pub leaving: BTreeSet<usize>,
-    /// Nobody founds a fleet once this is false.
-    pub first: bool,
-    pub slept: Vec<(usize, Micros, Micros)>,
-    /// First and second tries of processes that are gone.
+    /// Until when all calls share one prompt prefix.
+    pub shared_prefix_until: Micros,
+    /// How many cores may be lost at once where cores manage the voters themselves; 0 where operators do.
+    pub tolerated_losses: u32,
+    /// Machines that will be removed for good soon.
+    pub leaving_machines: BTreeSet<usize>,
+    /// Whether a node that starts may found a fleet.
+    pub may_bootstrap: bool,
+    /// Each freeze of a machine: the machine, from when and until when.
+    pub freezes: Vec<(usize, Micros, Micros)>,
+    /// First attempts and retries of processes that ended.
     pub tries: (u64, u64),
-    pub resumed: u64,
-    pub reseated: u64,
-    /// How often workers report; over half a second each reports to one core only.
-    pub beat: Micros,
-    /// A machine that a third of the workers report to first, until when.
-    pub lure: Option<(usize, Micros)>,
-    /// The front that began to answer a call last, and when.
-    pub accepted: Option<(usize, Micros)>,
-    /// What workers were answered.
-    pub heard: Vec<(u64, bool)>,
-    pub units_ended: u64,
-    /// Writes that full disks refused.
-    pub refused_writes: u64,
-    pub(in crate::sim) heap: BinaryHeap<Reverse<(Micros, u64, usize)>>,
-    pub(in crate::sim) what: BTreeMap<u64, SimEvent>,
-    pub(in crate::sim) n: u64,
+    /// Streams that processes which ended had resumed at another worker.
+    pub streams_resumed: u64,
+    /// Slots that processes which ended had reassigned.
+    pub slots_reassigned: u64,
+    /// How often nodes are configured to expect workers' reports; over half a second each report goes to one core only.
+    pub report_interval: Micros,
+    /// A machine that a third of the workers report to first, and until when.
+    pub preferred_report_target: Option<(usize, Micros)>,
+    /// The front that forwarded a response head last, and when.
+    pub last_accepted_call: Option<(usize, Micros)>,
+    /// Acknowledgements of workers' reports by request id, until somebody reads them.
+    pub report_acknowledgements: Vec<(u64, bool)>,
+    /// Quota units that expired unused in processes that ended.
+    pub quota_units_expired: u64,
+    /// How many writes full disks rejected.
+    pub rejected_writes: u64,
+    /// Times and numbers of the scheduled events: the earliest first, then the lowest number.
+    pub(in crate::sim) event_queue: BinaryHeap<Reverse<(Micros, u64, usize)>>,
+    /// The scheduled events by number; one that is removed here is skipped in the queue.
+    pub(in crate::sim) pending_events: BTreeMap<u64, SimEvent>,
+    /// The number of the event that was scheduled last.
+    pub(in crate::sim) last_event_number: u64,
+    /// From which the next machine's address is made.
     pub(in crate::sim) next_ip: u32,
 }
 
+/// The usual mix of calls: see [`World::call_mix`].
 pub const MIX: [u64; 5] = [30, 40, 58, 91, 100];
+/// How often nodes tick, in microseconds.
 pub const TICK: Micros = 25 * MS;
-/// Workers of the application service beside those of the model.
+/// How many workers serve the application service beside those of the model.
 pub const APPS: usize = 3;
 
 impl World {
+    /// A fleet of these sizes over three zones, all machines started, at one second of true time.
     pub fn new(seed: u64, cores: usize, fronts: usize, workers: usize) -> Self {
         let mut w = World {
             now: SEC,
             rng: Rng::new(seed),
-            slots: Vec::new(),
+            machines: Vec::new(),
             workers: Vec::new(),
-            check: SafetyChecker::default(),
-            answers: Vec::new(),
-            cuts: BTreeMap::new(),
-            stalled: BTreeMap::new(),
-            attempts: BTreeMap::new(),
+            safety: SafetyChecker::default(),
+            change_outcomes: Vec::new(),
+            blocked_links: BTreeMap::new(),
+            stalled_links: BTreeMap::new(),
+            reconnect_intervals: BTreeMap::new(),
             connections: Connections::default(),
             loss: (0, 0),
-            jam: 0,
-            holds: BTreeMap::new(),
+            reordering_until: 0,
+            frames_held_until: BTreeMap::new(),
             frames: 0,
             bytes: 0,
-            far: BTreeMap::new(),
+            cross_zone_traffic: BTreeMap::new(),
             trace: Vec::new(),
-            ran: Vec::new(),
-            seen: Vec::new(),
-            calls: 0,
+            executions: Vec::new(),
+            call_outcomes: Vec::new(),
+            calls_started: 0,
             tenants: TENANTS,
-            grown: 0,
-            rates: false,
-            mix: MIX,
+            extra_routes: 0,
+            quotas_are_rates: false,
+            call_mix: MIX,
             crowd: (1, 0),
-            hot: 0,
-            lose: 0,
-            leaving: BTreeSet::new(),
-            first: true,
-            slept: Vec::new(),
+            shared_prefix_until: 0,
+            tolerated_losses: 0,
+            leaving_machines: BTreeSet::new(),
+            may_bootstrap: true,
+            freezes: Vec::new(),
             tries: (0, 0),
-            resumed: 0,
-            reseated: 0,
-            beat: 500 * MS,
-            lure: None,
-            accepted: None,
-            heard: Vec::new(),
-            units_ended: 0,
-            refused_writes: 0,
-            heap: BinaryHeap::new(),
-            what: BTreeMap::new(),
-            n: 0,
+            streams_resumed: 0,
+            slots_reassigned: 0,
+            report_interval: 500 * MS,
+            preferred_report_target: None,
+            last_accepted_call: None,
+            report_acknowledgements: Vec::new(),
+            quota_units_expired: 0,
+            rejected_writes: 0,
+            event_queue: BinaryHeap::new(),
+            pending_events: BTreeMap::new(),
+            last_event_number: 0,
             next_ip: 1,
         };
         // Clocks of one fleet may differ by a thousandth, ten times what quartz does.
@@ -140,23 +165,23 @@
             let addr = w.address();
             let off = w.rng.below(1_000 * SEC);
             let zone = format!("z{}", i % 3);
-            w.slots.push(Machine {
+            w.machines.push(Machine {
                 addr,
-                hall: Machine::empty(&zone),
-                ready: false,
+                calls: Machine::empty_registry(&zone),
+                is_ready: false,
                 zone,
-                core: i < cores,
-                gone: false,
+                is_core: i < cores,
+                is_removed: false,
                 node: None,
                 disk: Disk::default(),
                 disk_since: 0,
-                life: 0,
-                off,
-                fast: fast[i % 3],
-                frozen: 0,
-                slow: None,
-                pend: Vec::new(),
-                shown: None,
+                incarnation: 0,
+                clock_offset: off,
+                clock_drift_ppm: fast[i % 3],
+                frozen_until: 0,
+                slow_mode: None,
+                deferred_events: Vec::new(),
+                last_version: None,
             });
         }
         for i in 0..workers + APPS {
@@ -164,27 +189,31 @@
             let (id, pool) = if i < workers { (format!("w{i}"), "llm") } else { (format!("a{i}"), "app") };
             w.workers.push(Worker::new(id, pool, format!("z{}", i % 3), due));
         }
-        for i in 0..w.slots.len() {
+        for i in 0..w.machines.len() {
             w.start(i);
         }
         w
     }
 
-    pub fn say(&mut self, s: String) {
+    /// Adds a line to the trace.
+    pub fn log(&mut self, s: String) {
         self.trace.push(format!("{:>10.3} {s}", self.now as f64 / 1e6));
     }
 
-    pub(in crate::sim) fn push(&mut self, at: Micros, h: SimEvent) {
-        self.n += 1;
-        self.what.insert(self.n, h);
-        self.heap.push(Reverse((at, self.n, 0)));
+    /// Schedules an event; events of one moment come in the order in which they were scheduled.
+    pub(in crate::sim) fn schedule(&mut self, at: Micros, h: SimEvent) {
+        self.last_event_number += 1;
+        self.pending_events.insert(self.last_event_number, h);
+        self.event_queue.push(Reverse((at, self.last_event_number, 0)));
     }
 
-    pub fn slot_of(&self, addr: &str) -> Option<usize> {
-        self.slots.iter().position(|s| s.addr == addr)
+    /// The machine with this address.
+    pub fn machine_at(&self, addr: &str) -> Option<usize> {
+        self.machines.iter().position(|s| s.addr == addr)
     }
 
-    pub fn alive(&self, i: usize) -> bool {
-        self.slots[i].node.is_some() && self.slots[i].frozen <= self.now
+    /// Whether the process of a machine runs and isn't frozen.
+    pub fn is_running(&self, i: usize) -> bool {
+        self.machines[i].node.is_some() && self.machines[i].frozen_until <= self.now
     }
 }
--- a/crates/testbed/tests/repairs.rs
+++ b/crates/testbed/tests/repairs.rs
@@ -50,55 +50,55 @@
         }
     };
     run_on(&mut w, &mut touch, 6 * SEC);
-    assert!(!w.check.chosen.is_empty(), "no version yet");
+    assert!(!w.safety.committed.is_empty(), "no version yet");
     let asked = w.now;
     run_on(&mut w, &mut touch, asked + SEC);
-    assert!((0..4).all(|i| touch.needless(i, asked)), "all were in touch");
-    assert!(!touch.needless(0, SEC), "its majority came later than that");
+    assert!((0..4).all(|i| touch.is_needless_rejection(i, asked)), "all were in touch");
+    assert!(!touch.is_needless_rejection(0, SEC), "its majority came later than that");
 
     // One core is cut off from all: it alone has a reason.
     let until = w.now + 2 * SEC;
     for j in 1..4 {
-        w.cuts.insert((0, j), until);
-        w.cuts.insert((j, 0), until);
+        w.blocked_links.insert((0, j), until);
+        w.blocked_links.insert((j, 0), until);
     }
     let asked = w.now;
     run_on(&mut w, &mut touch, asked + SEC);
-    assert_eq!((0..4).map(|i| touch.needless(i, asked)).collect::<Vec<_>>(), [false, true, true, true]);
+    assert_eq!((0..4).map(|i| touch.is_needless_rejection(i, asked)).collect::<Vec<_>>(), [false, true, true, true]);
 
     // It is back: it has a reason for a second.
     run_on(&mut w, &mut touch, until + 2 * SEC);
-    assert!(!touch.needless(0, until + SEC / 2) && touch.needless(0, until + SEC + NEXT));
+    assert!(!touch.is_needless_rejection(0, until + SEC / 2) && touch.is_needless_rejection(0, until + SEC + NEXT));
 
     // What is sent to and from one core waits: so it is with it.
     let until = w.now + 2 * SEC;
-    w.holds.insert(0, until);
+    w.frames_held_until.insert(0, until);
     let asked = w.now;
     run_on(&mut w, &mut touch, asked + SEC);
-    assert_eq!((0..4).map(|i| touch.needless(i, asked)).collect::<Vec<_>>(), [false, true, true, true]);
+    assert_eq!((0..4).map(|i| touch.is_needless_rejection(i, asked)).collect::<Vec<_>>(), [false, true, true, true]);
     run_on(&mut w, &mut touch, until + 2 * SEC);
-    assert!(touch.needless(0, until + SEC + NEXT));
+    assert!(touch.is_needless_rejection(0, until + SEC + NEXT));
 
     // A front begins anew and its list names that core alone, which is cut off again: nobody can
     // have told it of the others.
     let until = w.now + 2 * SEC;
     for j in 1..4 {
-        w.cuts.insert((0, j), until);
-        w.cuts.insert((j, 0), until);
+        w.blocked_links.insert((0, j), until);
+        w.blocked_links.insert((j, 0), until);
     }
     w.kill(3);
     w.start(3);
-    let list = vec![w.slots[0].addr.clone()];
-    w.slots[3].node.as_mut().expect("it runs").settings.seeds = list;
+    let list = vec![w.machines[0].addr.clone()];
+    w.machines[3].node.as_mut().expect("it runs").settings.seeds = list;
     run_on(&mut w, &mut touch, until - 2 * NEXT);
-    assert!(!touch.needless(3, until - 3 * NEXT));
+    assert!(!touch.is_needless_rejection(3, until - 3 * NEXT));
     run_on(&mut w, &mut touch, until + 2 * SEC);
-    assert!(touch.needless(3, until + SEC + NEXT));
+    assert!(touch.is_needless_rejection(3, until + SEC + NEXT));
 
     // Two of three are down: nobody can answer.
     w.kill(1);
     w.kill(2);
     let asked = w.now;
     run_on(&mut w, &mut touch, asked + NEXT);
-    assert!((0..4).all(|i| !touch.needless(i, asked)));
+    assert!((0..4).all(|i| !touch.is_needless_rejection(i, asked)));
 }
--- a/crates/testbed/tests/sim.rs
+++ b/crates/testbed/tests/sim.rs
@@ -7,7 +7,7 @@
 use sumacvale_core::retry;
 use sumacvale_testbed::sim::{
     Acknowledgement, CallLimits, CallOutcome, CallRequest, ClientObservation, ControlSummary, Day, Disk,
-    ExecutionRecord, Profile, Run, SafetyChecker, Summary, judge, run,
+    ExecutionRecord, Profile, Run, SafetyChecker, Summary, check_calls, run,
 };
 
 fn seeds(name: &str, seeds: impl Iterator<Item = u64>) {
@@ -185,7 +185,7 @@
 }
 
 fn ack(change_id: u64, base: u64, version: u64, asked: u64, at: u64) -> Acknowledgement {
-    Acknowledgement { change_id: ChangeId(change_id), base, version, asked, at }
+    Acknowledgement { change_id: ChangeId(change_id), base, version, requested_at: asked, acknowledged_at: at }
 }
 
 #[test]
@@ -196,74 +196,74 @@
         (
             "two decided",
             |c| {
-                c.holds("a", &decree(1, 5), 0);
-                c.holds("b", &decree(1, 6), 0);
+                c.record_committed("a", &decree(1, 5), 0);
+                c.record_committed("b", &decree(1, 6), 0);
             },
             "holds version 1",
         ),
         (
             "same base",
             |c| {
-                c.holds("a", &decree(1, 5), 0);
-                c.ack(ack(5, 0, 1, 0, 1));
-                c.ack(ack(6, 0, 1, 0, 1));
+                c.record_committed("a", &decree(1, 5), 0);
+                c.record_acknowledgement(ack(5, 0, 1, 0, 1));
+                c.record_acknowledgement(ack(6, 0, 1, 0, 1));
             },
             "both accepted",
         ),
         (
             "refused, then in force",
             |c| {
-                c.refuse(ChangeId(5), 0);
-                c.holds("a", &decree(1, 5), 1);
+                c.record_rejection(ChangeId(5), 0);
+                c.record_committed("a", &decree(1, 5), 1);
             },
             "was refused and is in force",
         ),
         (
             "in force, then refused",
             |c| {
-                c.holds("a", &decree(1, 5), 0);
-                c.refuse(ChangeId(5), 1);
+                c.record_committed("a", &decree(1, 5), 0);
+                c.record_rejection(ChangeId(5), 1);
             },
             "was refused and is decided",
         ),
-        ("lost", |c| c.ack(ack(5, 0, 1, 0, 1)), "no node holds it"),
+        ("lost", |c| c.record_acknowledgement(ack(5, 0, 1, 0, 1)), "no node holds it"),
         (
             "overwritten",
             |c| {
-                c.holds("a", &decree(1, 6), 0);
-                c.ack(ack(5, 0, 1, 0, 1));
+                c.record_committed("a", &decree(1, 6), 0);
+                c.record_acknowledgement(ack(5, 0, 1, 0, 1));
             },
             "was acknowledged for",
         ),
         (
             "order",
             |c| {
-                c.holds("a", &decree(1, 5), 0);
-                c.holds("a", &decree(2, 6), 0);
-                c.ack(ack(6, 1, 2, 0, 1));
-                c.ack(ack(5, 0, 1, 2, 3));
+                c.record_committed("a", &decree(1, 5), 0);
+                c.record_committed("a", &decree(2, 6), 0);
+                c.record_acknowledgement(ack(6, 1, 2, 0, 1));
+                c.record_acknowledgement(ack(5, 0, 1, 2, 3));
             },
             "became 1",
         ),
-        ("back", |c| c.moves("a", 3, 2, 0), "slipped"),
+        ("back", |c| c.check_version_change("a", 3, 2, 0), "slipped"),
         (
             "stale",
             |c| {
-                c.holds("a", &decree(1, 5), 0);
-                c.ack(ack(5, 0, 1, 0, SEC));
-                c.admits("a", 0, SEC + 5 * SEC);
-                assert!(c.breaches.is_empty(), "five seconds are allowed");
-                c.admits("a", 0, SEC + 5 * SEC + 1);
+                c.record_committed("a", &decree(1, 5), 0);
+                c.record_acknowledgement(ack(5, 0, 1, 0, SEC));
+                c.check_admission("a", 0, SEC + 5 * SEC);
+                assert!(c.violations.is_empty(), "five seconds are allowed");
+                c.check_admission("a", 0, SEC + 5 * SEC + 1);
             },
             "admits calls by version 0",
         ),
         (
             "gone worker",
             |c| {
-                c.gone.insert("w".into(), 0);
-                c.routes("a", "w", 2 * SEC);
-                assert!(c.breaches.is_empty(), "two seconds are allowed");
-                c.routes("a", "w", 2 * SEC + 1);
+                c.removed_workers.insert("w".into(), 0);
+                c.check_routing("a", "w", 2 * SEC);
+                assert!(c.violations.is_empty(), "two seconds are allowed");
+                c.check_routing("a", "w", 2 * SEC + 1);
             },
             "sends calls to w",
         ),
@@ -271,8 +271,8 @@
     for (name, f, want) in plants {
         let mut c = SafetyChecker::default();
         f(&mut c);
-        c.end();
-        let got: Vec<_> = c.breaches.iter().map(|b| b.0.clone()).collect();
+        c.check_acknowledged_versions();
+        let got: Vec<_> = c.violations.iter().map(|b| b.0.clone()).collect();
         if want.is_empty() {
             assert!(got.is_empty(), "{name}: {got:?}");
         } else {
@@ -282,38 +282,63 @@
 }
 
 fn saw(seen: ClientObservation, body: &str) -> CallOutcome {
-    let want = CallRequest { tenant: "r".into(), path: "/v1/chat", prefix: 0, wait: 2 * SEC, leaves: None };
+    let want =
+        CallRequest { tenant: "r".into(), path: "/v1/chat", prefix: 0, max_wait: 2 * SEC, disconnects_after: None };
     let body = body.as_bytes().to_vec();
-    CallOutcome { call: 1, want, slot: 0, at: 0, first: None, end: 0, body, tried: false, seen }
+    CallOutcome {
+        call: 1,
+        request: want,
+        machine: 0,
+        started_at: 0,
+        first_byte_at: None,
+        ended_at: 0,
+        body,
+        was_attempted: false,
+        observation: seen,
+    }
 }
 
 fn ran(call: u64, path: &'static str) -> ExecutionRecord {
-    ExecutionRecord { call, tenant: "r".into(), path, worker: 0, at: 20 * SEC, from: 0, window: 1, drained: None }
+    ExecutionRecord {
+        call,
+        tenant: "r".into(),
+        path,
+        worker: 0,
+        started_at: 20 * SEC,
+        first_piece: 0,
+        quota_window: 1,
+        draining_since: None,
+    }
 }
 
 #[test]
 fn the_judge_of_calls_sees_a_planted_breach() {
-    let no = |code, back| ClientObservation::Refused { status: 503, code, ran: retry::Execution::NotRun, back };
+    let no = |code, back| ClientObservation::Rejected {
+        status: 503,
+        code,
+        execution: retry::Execution::NotRun,
+        has_retry_after: back,
+    };
     let whole: String = (0..10).map(|k| format!("id: {k}\ndata: call 1 piece {k} of 10\n\n")).collect();
     let part = &whole[..60];
     let other = whole.replace("call 1", "call 2");
     let skips = whole.replace("id: 4\ndata: call 1 piece 4 of 10\n\n", "");
     let law = CallLimits {
         quotas: BTreeMap::from([("r".into(), (2, SEC))]),
-        acks: vec![(3, SEC)],
+        acknowledged: vec![(3, SEC)],
         keys: vec![(2, 0, true), (3, SEC, false)],
         tries: (100, 20),
-        slept: Vec::new(),
+        freezes: Vec::new(),
     };
     let chat = || ExecutionRecord { tenant: "t".into(), ..ran(1, "/v1/chat") };
-    let late = || CallOutcome { end: 2 * SEC, ..saw(no("full", true), "") };
+    let late = || CallOutcome { ended_at: 2 * SEC, ..saw(no("full", true), "") };
     let cases = [
-        ("whole and run once", vec![saw(ClientObservation::Whole, &whole)], vec![chat()], law.clone(), ""),
-        ("broken off", vec![saw(ClientObservation::Broken, part)], vec![chat()], law.clone(), ""),
-        ("a part as whole", vec![saw(ClientObservation::Whole, part)], vec![chat()], law.clone(), "not its own"),
-        ("another's", vec![saw(ClientObservation::Whole, &other)], vec![chat()], law.clone(), "not its own"),
-        ("a skip", vec![saw(ClientObservation::Broken, &skips)], vec![chat()], law.clone(), "not its own"),
-        ("invented", vec![saw(ClientObservation::Whole, &whole)], vec![], law.clone(), "no worker gave"),
+        ("whole and run once", vec![saw(ClientObservation::Complete, &whole)], vec![chat()], law.clone(), ""),
+        ("broken off", vec![saw(ClientObservation::Aborted, part)], vec![chat()], law.clone(), ""),
+        ("a part as whole", vec![saw(ClientObservation::Complete, part)], vec![chat()], law.clone(), "not its own"),
+        ("another's", vec![saw(ClientObservation::Complete, &other)], vec![chat()], law.clone(), "not its own"),
+        ("a skip", vec![saw(ClientObservation::Aborted, &skips)], vec![chat()], law.clone(), "not its own"),
+        ("invented", vec![saw(ClientObservation::Complete, &whole)], vec![], law.clone(), "no worker gave"),
         ("twice", vec![], vec![chat(), chat()], law.clone(), "ran 2 times"),
         (
             "a stream twice",
@@ -325,14 +350,20 @@
         ("hidden", vec![saw(no("full", true), "")], vec![chat()], law.clone(), "refused as not run"),
         ("no time to return", vec![saw(no("full", false), "")], vec![], law.clone(), "without a time"),
         ("held", vec![late()], vec![], law.clone(), "given up on only after"),
-        ("asleep", vec![late()], vec![], CallLimits { slept: vec![(0, 0, SEC)], ..law.clone() }, ""),
-        ("drained", vec![], vec![ExecutionRecord { drained: Some(17 * SEC), ..chat() }], law.clone(), "began to drain"),
+        ("asleep", vec![late()], vec![], CallLimits { freezes: vec![(0, 0, SEC)], ..law.clone() }, ""),
+        (
+            "drained",
+            vec![],
+            vec![ExecutionRecord { draining_since: Some(17 * SEC), ..chat() }],
+            law.clone(),
+            "began to drain",
+        ),
         ("revoked", vec![], vec![ran(1, "/v1/chat")], law.clone(), "withdrawn over 5 s"),
-        ("not yet", vec![], vec![ExecutionRecord { at: 6 * SEC, ..ran(1, "/v1/chat") }], law.clone(), ""),
+        ("not yet", vec![], vec![ExecutionRecord { started_at: 6 * SEC, ..ran(1, "/v1/chat") }], law.clone(), ""),
         (
             "quota",
             vec![],
-            (1..4).map(|c| ExecutionRecord { at: 2 * SEC, ..ran(c, "/v1/chat") }).collect(),
+            (1..4).map(|c| ExecutionRecord { started_at: 2 * SEC, ..ran(c, "/v1/chat") }).collect(),
             law.clone(),
             "ran 3 of 2 calls in window 1",
         ),
@@ -340,8 +371,8 @@
             "an old unit",
             vec![],
             vec![
-                ExecutionRecord { at: 2 * SEC, ..ran(1, "/v1/chat") },
-                ExecutionRecord { at: 4 * SEC, ..ran(2, "/v1/chat") },
+                ExecutionRecord { started_at: 2 * SEC, ..ran(1, "/v1/chat") },
+                ExecutionRecord { started_at: 4 * SEC, ..ran(2, "/v1/chat") },
             ],
             law.clone(),
             "units of window 1",
@@ -349,7 +380,7 @@
         ("second tries", vec![], vec![], CallLimits { tries: (100, 21), ..law.clone() }, "21 second tries"),
     ];
     for (name, seen, ran, law, want) in cases {
-        let got: Vec<_> = judge(&seen, &ran, &law).into_iter().map(|b| b.0).collect();
+        let got: Vec<_> = check_calls(&seen, &ran, &law).into_iter().map(|b| b.0).collect();
         if want.is_empty() {
             assert!(got.is_empty(), "{name}: {got:?}");
         } else {
@@ -472,23 +503,23 @@
     let epoch = |epoch| vec![DurableWrite::Epoch { role: 1, epoch }];
     let mut disk = Disk::default();
     disk.write(1, epoch(1), 0, &mut r);
-    assert_eq!(disk.land(10 * MS), Some(1));
-    disk.full = 500 * MS;
+    assert_eq!(disk.complete_writes(10 * MS), Some(1));
+    disk.full_until = 500 * MS;
     let due = disk.write(2, epoch(2), 20 * MS, &mut r);
     disk.write(3, epoch(3), 20 * MS, &mut r);
-    assert_eq!((disk.land(due), disk.refused), (None, 1));
-    assert_eq!(disk.due(), Some(due + 200 * MS), "it is tried again after 200 ms");
-    assert_eq!((disk.land(due + 100 * MS), disk.refused), (None, 1), "not before");
-    assert_eq!((disk.land(due + 200 * MS), disk.refused), (None, 2));
-    assert_eq!(disk.kept.epochs[&1], 1, "nothing that was refused is on the disk");
+    assert_eq!((disk.complete_writes(due), disk.rejected_writes), (None, 1));
+    assert_eq!(disk.next_completion(), Some(due + 200 * MS), "it is tried again after 200 ms");
+    assert_eq!((disk.complete_writes(due + 100 * MS), disk.rejected_writes), (None, 1), "not before");
+    assert_eq!((disk.complete_writes(due + 200 * MS), disk.rejected_writes), (None, 2));
+    assert_eq!(disk.durable.epochs[&1], 1, "nothing that was refused is on the disk");
     let mut dark = disk.clone();
     for seed in 0..20 {
-        dark.cut(400 * MS, &mut Rng::new(seed));
-        assert_eq!(dark.kept.epochs[&1], 1, "nor by a loss of power");
+        dark.lose_power(400 * MS, &mut Rng::new(seed));
+        assert_eq!(dark.durable.epochs[&1], 1, "nor by a loss of power");
         dark.write(2, epoch(2), 400 * MS, &mut r);
     }
-    assert_eq!((disk.land(due + 600 * MS), disk.due()), (Some(3), None), "there is room");
-    assert_eq!(disk.kept.epochs[&1], 3);
+    assert_eq!((disk.complete_writes(due + 600 * MS), disk.next_completion()), (Some(3), None), "there is room");
+    assert_eq!(disk.durable.epochs[&1], 3);
 }
 
 #[test]
--- a/crates/testbed/tests/wires.rs
+++ b/crates/testbed/tests/wires.rs
@@ -51,7 +51,7 @@
 fn founded() -> World {
     let mut w = World::new(1, CORES, 3, 1);
     w.run(6 * SEC);
-    assert!(!w.check.chosen.is_empty(), "no version yet");
+    assert!(!w.safety.committed.is_empty(), "no version yet");
     w
 }
 
@@ -75,10 +75,10 @@
     away(&mut dark, 600 * MS);
     assert!(dark.connections.swallowed > 10, "{} frames", dark.connections.swallowed);
     let fresh = |i: &usize| {
-        let s = &dark.slots[*i];
+        let s = &dark.machines[*i];
         s.node.as_ref().is_some_and(|n| n.is_fresh(s.clock(dark.now)))
     };
-    assert!((0..dark.slots.len()).all(|i| fresh(&i)), "all serve, as connections were opened anew");
+    assert!((0..dark.machines.len()).all(|i| fresh(&i)), "all serve, as connections were opened anew");
 }
 
 /// A machine that is five times slower does what comes in the first fifth of each period.
@@ -88,12 +88,12 @@
     let until = w.now + SEC;
     w.slow_down(0, until, 100 * MS);
     let begun = until / (100 * MS) * (100 * MS) - 500 * MS;
-    assert_eq!(w.slots[0].runs_at(begun), begun);
-    assert_eq!(w.slots[0].runs_at(begun + 19 * MS), begun + 19 * MS);
-    assert_eq!(w.slots[0].runs_at(begun + 20 * MS), begun + 100 * MS);
-    assert_eq!(w.slots[0].runs_at(begun + 99 * MS), begun + 100 * MS);
-    assert_eq!(w.slots[0].runs_at(until), until, "it is over");
-    assert_eq!(w.slots[1].runs_at(begun + 50 * MS), begun + 50 * MS, "the others are not slow");
+    assert_eq!(w.machines[0].next_run_time(begun), begun);
+    assert_eq!(w.machines[0].next_run_time(begun + 19 * MS), begun + 19 * MS);
+    assert_eq!(w.machines[0].next_run_time(begun + 20 * MS), begun + 100 * MS);
+    assert_eq!(w.machines[0].next_run_time(begun + 99 * MS), begun + 100 * MS);
+    assert_eq!(w.machines[0].next_run_time(until), until, "it is over");
+    assert_eq!(w.machines[1].next_run_time(begun + 50 * MS), begun + 50 * MS, "the others are not slow");
 }
 
 #[test]
@@ -142,7 +142,7 @@
     let before = founded();
     let under_way = before.frames_between(0, 1);
     let mut w = founded();
-    w.stalled.insert((0, 1), w.now + 5 * SEC);
+    w.stalled_links.insert((0, 1), w.now + 5 * SEC);
     let t = w.now + SEC;
     w.run(t);
     let stalled = w.frames_between(0, 1);
