--- a/crates/checker/src/agreement.rs
+++ b/crates/checker/src/agreement.rs
@@ -390,6 +390,14 @@
         self.step(world, to, Event::Frame(Box::new(frame)))
     }
 
+    fn deliver_duplicated(&self, world: &mut World, index: usize) -> Result<(), String> {
+        let duplicate = world.frames[index].duplicate();
+        self.deliver(world, index)?;
+        world.frames.push(duplicate);
+        world.frames.sort();
+        Ok(())
+    }
+
     fn submit(&self, world: &mut World, index: usize, to: usize) -> Result<(), String> {
         world.submissions[index].count += 1;
         let planned = &self.changes[index];
@@ -426,6 +434,13 @@
         self.step(world, machine, Event::Tick)
     }
 
+    /// Moves a machine's clock to the end of its yield.
+    fn end_yield(&self, world: &mut World, machine: usize) -> Result<(), String> {
+        world.clocks[machine] = world.machines[machine].node.consensus.state.yields_until;
+        self.step(world, machine, Event::Tick)
+    }
+
+    /// Takes one action, and counts it against the allowance.
     fn act(&self, world: &mut World, action: &Action) -> Result<(), String> {
         match *action {
             Action::Deliver { index } => self.deliver(world, index),
@@ -436,11 +451,7 @@
             }
             Action::Duplicate { index } => {
                 world.left.duplicates -= 1;
-                let duplicate = world.frames[index].duplicate();
-                self.deliver(world, index)?;
-                world.frames.push(duplicate);
-                world.frames.sort();
-                Ok(())
+                self.deliver_duplicated(world, index)
             }
             Action::Sync { machine } => self.sync(world, machine),
             Action::Crash { machine, landed } => {
@@ -449,7 +460,7 @@
             }
             Action::Wipe { machine } => {
                 world.left.wipes -= 1;
-                world.machines[machine] = world.machines[machine].wipe(world.clocks[machine]);
+                world.wipe(machine);
                 Ok(())
             }
             Action::Timeout { machine } => {
@@ -462,8 +473,7 @@
             }
             Action::EndYield { machine } => {
                 world.left.yields -= 1;
-                world.clocks[machine] = world.machines[machine].node.consensus.state.yields_until;
-                self.step(world, machine, Event::Tick)
+                self.end_yield(world, machine)
             }
             Action::Submit { change, to } => {
                 if world.submissions[change].count > 0 {
@@ -514,6 +524,10 @@
         self.judge.check_machine(machine, &self.machines[machine].node)
     }
 
+    fn wipe(&mut self, machine: usize) {
+        self.machines[machine] = self.machines[machine].wipe(self.clocks[machine]);
+    }
+
     /// The index of the first frame of this kind between two machines.
     fn index_of(&self, kind: &str, from: usize, to: usize) -> Result<usize, String> {
         let sender = self.machines[from].node.settings.node_id;
@@ -529,7 +543,7 @@
 impl Agreement {
     /// Runs all machines in rounds, with every kind of frame, nothing lost and prompt disks.
     fn run(&self, world: &mut World, duration: Micros) -> Result<(), String> {
-        let mut frames = world.frames.take_all();
+        let mut frames = world.frames.drain();
         for machine in 0..self.machines {
             self.sync_promptly(world, machine, &mut frames)?;
         }
--- a/crates/checker/src/fleet.rs
+++ b/crates/checker/src/fleet.rs
@@ -445,14 +445,15 @@
         self.step(to, Event::SubmitChange { request_id, change_id, is_first_send: false, base, change })
     }
 
-    fn strike(&mut self, kind: FaultKind, machine: usize) -> Result<(), String> {
+    /// Injects a fault.
+    fn inject(&mut self, kind: FaultKind, machine: usize) -> Result<(), String> {
         let until = self.now + kind.duration();
         match kind {
-            FaultKind::Crash | FaultKind::LongCrash | FaultKind::Gone => self.end_process(machine, until),
-            FaultKind::Blackout => (0..self.machines.len()).for_each(|machine| self.end_process(machine, until)),
+            FaultKind::Crash | FaultKind::LongCrash | FaultKind::Gone => self.stop_process(machine, until),
+            FaultKind::Blackout => (0..self.machines.len()).for_each(|machine| self.stop_process(machine, until)),
             FaultKind::Wipe => {
                 self.machines[machine] = self.machines[machine].wipe(self.now);
-                self.end_process(machine, until);
+                self.stop_process(machine, until);
             }
             FaultKind::Leave => self.step(machine, Event::Shutdown)?,
             _ => {
@@ -465,7 +466,7 @@
         Ok(())
     }
 
-    fn end_process(&mut self, machine: usize, until: Micros) {
+    fn stop_process(&mut self, machine: usize, until: Micros) {
         // The next process starts when the machine is back; until then its node counts for nothing.
         self.machines[machine] = self.machines[machine].restart(0, self.now);
         self.down_until[machine] = self.down_until[machine].max(until);
@@ -555,7 +556,7 @@
         world.run(ACQUAINTANCE)?;
         self.opening.iter().try_for_each(|fault| {
             world.run(fault.delay)?;
-            world.strike(fault.kind, fault.machine)
+            world.inject(fault.kind, fault.machine)
         })
     }
 
@@ -614,7 +615,7 @@
         }
         let mut next = world.clone();
         if let Action::Fault(kind, machine) = action {
-            next.strike(*kind, *machine)?;
+            next.inject(*kind, *machine)?;
             next.faults_left -= 1;
             next.choose_until = next.now + self.next_within;
         }
--- a/crates/checker/src/frames.rs
+++ b/crates/checker/src/frames.rs
@@ -95,7 +95,7 @@
 
     /// Removes all frames and returns them in their order.
     #[must_use]
-    pub fn take_all(&mut self) -> Vec<AddressedFrame> {
+    pub fn drain(&mut self) -> Vec<AddressedFrame> {
         std::mem::take(&mut self.0).iter().map(InFlightFrame::to_addressed).collect()
     }
 
--- a/crates/checker/src/quota.rs
+++ b/crates/checker/src/quota.rs
@@ -93,12 +93,12 @@
         count: u8,
     },
     /// Time passes, and each frame is delivered at once.
-    Flow {
+    Run {
         /// How long, in microseconds.
         duration: Micros,
     },
     /// Time passes, and frames of the quota stay under way.
-    Hold {
+    PassTime {
         /// How long, in microseconds.
         duration: Micros,
     },
@@ -378,7 +378,7 @@
     }
 
     /// Lets time pass while frames of the quota stay under way.
-    fn hold(&mut self, duration: Micros) -> Result<(), String> {
+    fn pass_time(&mut self, duration: Micros) -> Result<(), String> {
         for _ in 0..duration / ROUND {
             self.run_round();
             self.check()?;
@@ -396,7 +396,7 @@
     }
 
     /// Lets time pass while each frame is delivered at once.
-    fn flow(&mut self, duration: Micros) -> Result<(), String> {
+    fn run(&mut self, duration: Micros) -> Result<(), String> {
         self.deliver_all()?;
         for _ in 0..duration / ROUND {
             self.run_round();
@@ -408,8 +408,8 @@
     fn open(&mut self, opening: Opening) -> Result<(), String> {
         match opening {
             Opening::Calls { front, count } => (0..count).for_each(|_| self.call(front)),
-            Opening::Flow { duration } => self.flow(duration)?,
-            Opening::Hold { duration } => self.hold(duration)?,
+            Opening::Run { duration } => self.run(duration)?,
+            Opening::PassTime { duration } => self.pass_time(duration)?,
             Opening::Refund { front } => self.refund(front),
             Opening::Deliver { kind } => {
                 let index = self.frames.position(|in_flight| in_flight.frame.message.name() == kind);
@@ -562,7 +562,7 @@
         for _ in 0..calls {
             self.call(front);
         }
-        self.flow(duration)?;
+        self.run(duration)?;
         let served = self.callers[front].spent.len() as u64 - before;
         match self.limit {
             Limit::Rate { .. } if served < calls => {
@@ -633,7 +633,7 @@
             }
             Action::PassTime => {
                 world.left.time_steps -= 1;
-                world.hold(self.step)?;
+                world.pass_time(self.step)?;
             }
             Action::RestartHolder => {
                 world.left.restarts -= 1;
@@ -650,7 +650,7 @@
 
     fn initial_state(&self) -> World {
         let mut world = self.new_world();
-        let acquainted = world.flow(ACQUAINTANCE);
+        let acquainted = world.run(ACQUAINTANCE);
         let opened = acquainted.and_then(|()| self.opening.iter().try_for_each(|opening| world.open(*opening)));
         world.opening_violation = opened.err();
         world.seal();
@@ -719,10 +719,10 @@
     fn check_recovery(&self, world: &World) -> Result<(), String> {
         let mut world = world.clone();
         world.callers.iter_mut().for_each(|callers| callers.waiting = 0);
-        world.flow(RECOVERY_TIME)?;
+        world.run(RECOVERY_TIME)?;
         for front in 0..self.fronts {
             if matches!(self.limit, Limit::Rate { .. }) {
-                world.flow(RECOVERY_TIME)?;
+                world.run(RECOVERY_TIME)?;
             }
             world.check_grants_all(front)?;
         }
--- a/crates/checker/src/scenarios.rs
+++ b/crates/checker/src/scenarios.rs
@@ -5,6 +5,7 @@
 use crate::agreement::{Agreement, Allowance, Opening, PlannedChange};
 use crate::explore::Model;
 use crate::fleet::{ANY_FAULT, FaultKind, Fleet, OpeningFault};
+use crate::quota::Opening::{Calls, Deliver, PassTime, Refund, RestartHolder, Run};
 use crate::quota::{self, Limit, Quota};
 use sumacvale_core::base::{MS, Micros, SEC};
 
@@ -380,87 +381,127 @@
     Quota { cores: 1, fronts: 2, limit, opening: opening.to_vec(), allowance, step: QUOTA_STEP }
 }
 
-/// The bounds of quotas.
-#[must_use]
-pub fn quotas() -> Vec<Scenario<Quota>> {
-    use quota::Allowance;
-    use quota::Opening::{Calls, Deliver, Flow, Hold, Refund, RestartHolder};
-    let with_three_cores = |model| Quota { cores: 3, ..model };
-    let (first, second) = (0, 1);
-    // All units are granted; the first front holds two that it does not use.
-    let idle = [
-        Calls { front: first, count: 3 },
-        Flow { duration: 600 * MS },
-        Refund { front: first },
-        Refund { front: first },
-        Calls { front: second, count: 1 },
-        Flow { duration: 100 * MS },
-    ];
-    // The same in a short window, which ends while two units are on their way back.
-    let late_return = [
-        Calls { front: first, count: 3 },
-        Flow { duration: 50 * MS },
-        Refund { front: first },
-        Refund { front: first },
-        Calls { front: second, count: 2 },
-        Hold { duration: 50 * MS },
+/// The fronts of the bounds of quotas.
+const FIRST_FRONT: usize = 0;
+const SECOND_FRONT: usize = 1;
+
+/// All units are granted; the first front holds two that it does not use.
+fn idle_units() -> Vec<quota::Opening> {
+    vec![
+        Calls { front: FIRST_FRONT, count: 3 },
+        Run { duration: 600 * MS },
+        Refund { front: FIRST_FRONT },
+        Refund { front: FIRST_FRONT },
+        Calls { front: SECOND_FRONT, count: 1 },
+        Run { duration: 100 * MS },
+    ]
+}
+
+/// The same in a short window, which ends while two units are on their way back.
+fn late_return() -> Vec<quota::Opening> {
+    vec![
+        Calls { front: FIRST_FRONT, count: 3 },
+        Run { duration: 50 * MS },
+        Refund { front: FIRST_FRONT },
+        Refund { front: FIRST_FRONT },
+        Calls { front: SECOND_FRONT, count: 2 },
+        PassTime { duration: 50 * MS },
         Deliver { kind: "SliceRequest" },
         Deliver { kind: "SliceGranted" },
         Deliver { kind: "SliceRequest" },
         Deliver { kind: "RecallSlice" },
-        Hold { duration: 350 * MS },
-    ];
-    // The same where the lease holder restarted and has a successor.
-    let mut restarted = idle.to_vec();
-    restarted.extend([RestartHolder, Flow { duration: 1_500 * MS }]);
-    // Both fronts request more than there is, and nothing of it was delivered.
-    let busy = [
-        Calls { front: first, count: 2 },
-        Flow { duration: 500 * MS },
-        Calls { front: first, count: 4 },
-        Calls { front: second, count: 5 },
-    ];
-    // All of the burst was spent when the lease holder restarted; its successor receives requests for more.
-    let spent = [
-        Calls { front: first, count: 8 },
-        Flow { duration: 300 * MS },
+        PassTime { duration: 350 * MS },
+    ]
+}
+
+/// Idle units, then the lease holder restarts and has a successor.
+fn idle_units_then_restart() -> Vec<quota::Opening> {
+    let mut opening = idle_units();
+    opening.extend([RestartHolder, Run { duration: 1_500 * MS }]);
+    opening
+}
+
+/// Both fronts request more than there is, and nothing of it was delivered.
+fn busy_fronts() -> Vec<quota::Opening> {
+    vec![
+        Calls { front: FIRST_FRONT, count: 2 },
+        Run { duration: 500 * MS },
+        Calls { front: FIRST_FRONT, count: 4 },
+        Calls { front: SECOND_FRONT, count: 5 },
+    ]
+}
+
+/// All of the burst was spent when the lease holder restarted; its successor receives requests for more.
+fn spent_burst() -> Vec<quota::Opening> {
+    vec![
+        Calls { front: FIRST_FRONT, count: 8 },
+        Run { duration: 300 * MS },
         RestartHolder,
-        Flow { duration: 2 * SEC },
-        Calls { front: second, count: 8 },
-    ];
+        Run { duration: 2 * SEC },
+        Calls { front: SECOND_FRONT, count: 8 },
+    ]
+}
+
+/// The bounds of quotas.
+#[must_use]
+pub fn quotas() -> Vec<Scenario<Quota>> {
+    use quota::Allowance;
+    let with_three_cores = |model| Quota { cores: 3, ..model };
     vec![
-        Scenario::small("units", window(4, LONG, &idle, Allowance { calls: 1, duplicates: 1, ..DELIVERIES_ONLY })),
-        Scenario::small("units-lost", window(4, LONG, &idle, Allowance { calls: 1, losses: 1, ..DELIVERIES_ONLY })),
-        Scenario::small("units-unrun", window(4, LONG, &idle, Allowance { calls: 1, refunds: 1, ..DELIVERIES_ONLY })),
+        Scenario::small(
+            "units",
+            window(4, LONG, &idle_units(), Allowance { calls: 1, duplicates: 1, ..DELIVERIES_ONLY }),
+        ),
+        Scenario::small(
+            "units-lost",
+            window(4, LONG, &idle_units(), Allowance { calls: 1, losses: 1, ..DELIVERIES_ONLY }),
+        ),
+        Scenario::small(
+            "units-unrun",
+            window(4, LONG, &idle_units(), Allowance { calls: 1, refunds: 1, ..DELIVERIES_ONLY }),
+        ),
         Scenario::small(
             "units-short",
-            window(4, SHORT, &late_return, Allowance { calls: 1, refunds: 1, ..DELIVERIES_ONLY }),
+            window(4, SHORT, &late_return(), Allowance { calls: 1, refunds: 1, ..DELIVERIES_ONLY }),
         ),
         Scenario::small(
             "units-ended",
-            with_three_cores(window(4, LONG, &restarted, Allowance { calls: 1, duplicates: 1, ..DELIVERIES_ONLY })),
+            with_three_cores(window(
+                4,
+                LONG,
+                &idle_units_then_restart(),
+                Allowance { calls: 1, duplicates: 1, ..DELIVERIES_ONLY },
+            )),
         ),
         Scenario::large(
             "units-wide",
             window(
                 4,
                 LONG,
-                &idle,
+                &idle_units(),
                 Allowance { calls: 2, refunds: 1, time_steps: 2, losses: 1, duplicates: 1, restarts: 0 },
             ),
         ),
         Scenario::small(
             "shares",
-            rate(1, 8, &busy, Allowance { duplicates: 1, refunds: 1, time_steps: 1, ..DELIVERIES_ONLY }),
+            rate(1, 8, &busy_fronts(), Allowance { duplicates: 1, refunds: 1, time_steps: 1, ..DELIVERIES_ONLY }),
+        ),
+        Scenario::small(
+            "shares-lost",
+            rate(1, 8, &busy_fronts(), Allowance { losses: 1, time_steps: 1, ..DELIVERIES_ONLY }),
         ),
-        Scenario::small("shares-lost", rate(1, 8, &busy, Allowance { losses: 1, time_steps: 1, ..DELIVERIES_ONLY })),
         Scenario::small(
             "shares-ended",
-            with_three_cores(rate(1, 8, &spent, Allowance { calls: 1, time_steps: 1, ..DELIVERIES_ONLY })),
+            with_three_cores(rate(1, 8, &spent_burst(), Allowance { calls: 1, time_steps: 1, ..DELIVERIES_ONLY })),
         ),
         Scenario::large(
             "shares-wide",
-            rate(1, 8, &busy, Allowance { calls: 1, refunds: 1, time_steps: 3, losses: 1, duplicates: 1, restarts: 0 }),
+            rate(
+                1,
+                8,
+                &busy_fronts(),
+                Allowance { calls: 1, refunds: 1, time_steps: 3, losses: 1, duplicates: 1, restarts: 0 },
+            ),
         ),
     ]
 }
