--- a/crates/checker/src/agreement.rs
+++ b/crates/checker/src/agreement.rs
@@ -587,7 +587,7 @@
 
 /// What may happen next.
 impl Agreement {
-    fn frame_actions(&self, world: &World) -> Vec<Action> {
+    fn frame_actions(world: &World) -> Vec<Action> {
         let mut actions = Vec::new();
         for index in 0..world.frames.len() {
             // Two that are alike give the same.
@@ -699,7 +699,7 @@
                 _ => vec![Action::Deliver { index }, Action::Lose { index }],
             };
         }
-        let mut actions = self.frame_actions(world);
+        let mut actions = Self::frame_actions(world);
         actions.extend((0..self.machines).flat_map(|machine| self.machine_actions(world, machine)));
         actions.extend(self.submit_actions(world));
         actions
@@ -767,7 +767,9 @@
         let mut frames = Vec::new();
         self.step_promptly(world, receiver, event, &mut frames)?;
         world.frames = FramesInFlight::default();
-        frames.into_iter().for_each(|sent| world.frames.push(InFlightFrame::new(sent, 0)));
+        for sent in frames {
+            world.frames.push(InFlightFrame::new(sent, 0));
+        }
         self.run(world, DECISION_TIME)?;
         let newest = world.machines[receiver].node.consensus.state.newest();
         let is_decided = newest.is_some_and(|entry| entry.body == body);
--- a/crates/checker/src/explore.rs
+++ b/crates/checker/src/explore.rs
@@ -63,7 +63,7 @@
             threads: 4,
             order: SearchOrder::DepthFirst,
             max_states: u64::MAX,
-            max_duration: Duration::from_secs(3_600),
+            max_duration: Duration::from_hours(1),
             recovery_interval: 1_000,
         }
     }
--- a/crates/checker/src/fleet.rs
+++ b/crates/checker/src/fleet.rs
@@ -83,7 +83,7 @@
     Blackout,
     /// A partition between it and the next voter.
     PairPartition,
-    /// It receives nothing for [`ISOLATED_FOR`], then for a while only from others that are set aside too.
+    /// It receives nothing for `ISOLATED_FOR`, then for a while only from others that are set aside too.
     Aside,
     /// It is told to leave, and goes on until it may stop.
     Leave,
--- a/crates/checker/tests/bounds.rs
+++ b/crates/checker/tests/bounds.rs
@@ -11,7 +11,7 @@
 
 /// Explores a bound whole and asserts that nothing is violated.
 fn explore_whole<M: Model>(Scenario { name, model, .. }: &Scenario<M>) -> Report {
-    let options = Options { max_duration: Duration::from_secs(600), recovery_interval: 500, ..Options::default() };
+    let options = Options { max_duration: Duration::from_mins(10), recovery_interval: 500, ..Options::default() };
     let report = explore(model, &options);
     println!(
         "{name}: {} states, {} transitions, {} recoveries, {:.1} s",
--- a/crates/testbed/src/engines/emulation.rs
+++ b/crates/testbed/src/engines/emulation.rs
@@ -101,7 +101,7 @@
             workers: (0..deployment.workers).map(new_worker).collect(),
             fronts: (0..deployment.fronts).map(new_front).collect(),
             table: PlacementTable::default(),
-            rng: Rng::new(case.seed ^ 77),
+            rng: Rng::new(case.seed ^ 0x4d),
             events: EventQueue::default(),
             choice_time: ChoiceTime::default(),
             case: case.clone(),
--- a/crates/testbed/src/fleet/report.rs
+++ b/crates/testbed/src/fleet/report.rs
@@ -52,7 +52,9 @@
         for record in self.records.iter().filter(is_served) {
             by_second.entry(self.sent_after(record).as_secs()).or_default().push(record.first_byte);
         }
-        by_second.values_mut().for_each(|times| times.sort_unstable());
+        for times in by_second.values_mut() {
+            times.sort_unstable();
+        }
         let worst = by_second.values().map(|times| percentile_ms(times, 99)).max().unwrap_or(0);
         let mut all = by_second.into_values().flatten().collect::<Vec<_>>();
         all.sort_unstable();
--- a/crates/testbed/src/hollow/mod.rs
+++ b/crates/testbed/src/hollow/mod.rs
@@ -1,6 +1,9 @@
 //! Hollow nodes: the real control machines over virtual time, with workers, tenants and
 //! operators that are rates only, so that one process shows what a fleet of hundreds costs.
 
+// These trials are removed with the next work on size; nothing is spent on them until then.
+#![allow(missing_docs, clippy::many_single_char_names, clippy::too_many_lines, clippy::unnested_or_patterns)]
+
 mod cli;
 mod draw;
 mod fit;
--- a/crates/testbed/src/standin/worker.rs
+++ b/crates/testbed/src/standin/worker.rs
@@ -264,7 +264,7 @@
             return Ok(plain_response(StatusCode::SERVICE_UNAVAILABLE, &call.call, "no", "{\"busy\":true}".into()));
         };
         self.record_run(&call, &body);
-        let mode = self.0.mode.lock().map(|mode| *mode).unwrap_or(WorkerMode::Healthy);
+        let mode = self.0.mode.lock().map_or(WorkerMode::Healthy, |mode| *mode);
         let truncate_after = match mode {
             WorkerMode::Hang => std::future::pending().await,
             WorkerMode::NoResponse => return Err(std::io::Error::other("no response")),
@@ -292,7 +292,7 @@
             began: Instant::now(),
             resumed_after: call.resumed_after,
             quota_window: call.quota_window,
-            draining_since: self.0.draining_since.lock().map(|since| *since).unwrap_or(None),
+            draining_since: self.0.draining_since.lock().map_or(None, |since| *since),
         });
     }
 }
--- a/crates/testbed/tests/connections.rs
+++ b/crates/testbed/tests/connections.rs
@@ -1,5 +1,8 @@
 //! Wires that break, processes that die while they write, and what comes on the wire itself.
 
+// The locals of these long scripts have short names yet, see the roadmap.
+#![allow(clippy::many_single_char_names)]
+
 use hyper::Method;
 use std::time::{Duration, Instant};
 use sumacvale_core::base::Rng;
--- a/crates/testbed/tests/hollow.rs
+++ b/crates/testbed/tests/hollow.rs
@@ -1,5 +1,8 @@
 //! The sweep tool: same shape and seed, same counts; and what it counts is what was asked for.
 
+// See `src/hollow/mod.rs`; a slope of one point is exactly zero.
+#![allow(clippy::float_cmp)]
+
 use sumacvale_core::base::SEC;
 use sumacvale_testbed::hollow::{Outcome, Role, SWEEPS, Shape, fit, run};
 
--- a/crates/testbed/tests/trials.rs
+++ b/crates/testbed/tests/trials.rs
@@ -1,5 +1,8 @@
 //! What only the operating system can bring about, tried on small fleets of processes.
 
+// The locals of these long scripts have short names yet, see the roadmap.
+#![allow(clippy::many_single_char_names)]
+
 use hyper::Method;
 use std::time::{Duration, Instant};
 use sumacvale_core::base::sha256_hex;
@@ -579,7 +582,7 @@
                 ClientObservation::Refused { status: 503, code, has_retry_after: true, .. }
                     if code == "quota_unsettled" =>
                 {
-                    late += 1
+                    late += 1;
                 }
                 ClientObservation::Refused { status: 503, code, has_retry_after: true, ran }
                     if code == "full" || code == "worker_full" =>
