--- a/crates/testbed/src/sim/checks/calls.rs
+++ b/crates/testbed/src/sim/checks/calls.rs
@@ -138,7 +138,9 @@
     for r in ran.iter().filter(|r| rates.contains_key(&r.tenant) && met.insert(r.call)) {
         at.entry(&r.tenant).or_default().push(r.started_at);
     }
-    at.values_mut().for_each(|v| v.sort_unstable());
+    for moments in at.values_mut() {
+        moments.sort_unstable();
+    }
     at
 }
 
--- a/crates/testbed/src/sim/checks/recovery.rs
+++ b/crates/testbed/src/sim/checks/recovery.rs
@@ -36,7 +36,7 @@
         return None;
     }
     let vs: std::collections::BTreeSet<_> =
-        w.machines.iter().filter_map(|s| s.node.as_ref().map(|n| n.version())).collect();
+        w.machines.iter().filter_map(|s| s.node.as_ref().map(sumacvale_core::node::Node::version)).collect();
     if vs.len() > 1 && o.lag.is_empty() {
         w.safety.violations.push(Violation(format!("different versions at the end: {vs:?}")));
     }
--- a/crates/testbed/src/sim/checks/summary.rs
+++ b/crates/testbed/src/sim/checks/summary.rs
@@ -17,22 +17,35 @@
 /// What one run came to.
 #[derive(Clone, Debug, Default)]
 pub struct Summary {
+    /// The rules that were broken.
     pub breaches: Vec<Violation>,
+    /// The newest version of the configuration at the end.
     pub versions: u64,
+    /// Changes that were committed.
     pub done: u64,
+    /// Changes that were rejected as stale.
     pub stale: u64,
+    /// Changes whose outcome stayed unknown.
     pub unknown: u64,
+    /// Changes that got no response.
     pub none: u64,
     /// Changes that were refused without need.
     pub refused: Vec<String>,
+    /// Calls of clients.
     pub calls: u64,
+    /// Calls that ran at a worker.
     pub taken: u64,
+    /// Calls that were told of a spent window.
     pub spent: u64,
     /// Answers by code, and ends that were none.
     pub ends: BTreeMap<String, u64>,
+    /// First attempts, and retries.
     pub tries: (u64, u64),
+    /// Streams that were resumed at another worker.
     pub resumed: u64,
+    /// Slots that were released before anything was sent, since the worker was gone.
     pub reseated: u64,
+    /// Quota units that expired before their call was sent.
     pub units_ended: u64,
     /// Writes that full disks refused.
     pub refused_writes: u64,
@@ -42,43 +55,59 @@
     pub worst: u64,
     /// Calls that were told of a spent window in which much was left.
     pub needless: u64,
+    /// How long changes took to reach all nodes, in microseconds.
     pub spread: Vec<Micros>,
     /// How long calls took to reach a worker.
     pub held: Vec<Micros>,
     /// How long after the last return of a machine all voters were there, and all nodes fresh.
     pub voted: Vec<Micros>,
+    /// How long after the last return of a machine changes were committed again, in microseconds.
     pub again: Vec<Micros>,
     /// How long after a loss, and after the last return, all voters were ready as well.
     pub full: Vec<(Micros, Micros)>,
     /// How long after all power was back a call ran again, and 19 of 20 were let in.
     pub lit: Vec<(Micros, Micros)>,
+    /// How long the recovery took in all, in microseconds; `None` without one.
     pub recovered: Option<Micros>,
     /// When, after the last fault, the last of the fronts had served a call again.
     pub serving: Option<Micros>,
+    /// Frames that were sent between nodes.
     pub frames: u64,
+    /// Bytes of these frames.
     pub bytes: u64,
+    /// Frames and bytes between zones, by the kind of message.
     pub far: BTreeMap<&'static str, (u64, u64)>,
     /// What the operator and the troubles of the control side came to.
     pub control: Option<ControlSummary>,
+    /// What happened, in order, for people who read a run.
     pub trace: Vec<String>,
 }
 
 /// What came of the orders in a profile of the control side.
 #[derive(Clone, Debug, Default)]
 pub struct ControlSummary {
+    /// Changes that were committed.
     pub taken: u64,
+    /// Changes that were sent more than once.
     pub repeated: u64,
+    /// Reads of the newest configuration.
     pub reads: u64,
+    /// Responses that were lost on their way.
     pub lost: u64,
     /// Bad documents that were refused.
     pub refused: u64,
+    /// Cores that were told to stop and ended in order.
     pub left: u64,
+    /// How long each change took, in microseconds.
     pub took: Vec<Micros>,
+    /// Injected faults, by kind.
     pub troubles: BTreeMap<String, u64>,
+    /// Variants of the injected faults.
     pub variants: BTreeMap<&'static str, u64>,
 }
 
 impl ControlSummary {
+    /// What these faults and operators came to.
     pub fn of(c: Control) -> ControlSummary {
         ControlSummary {
             taken: c.orders.taken(),
--- a/crates/testbed/src/sim/drive.rs
+++ b/crates/testbed/src/sim/drive.rs
@@ -212,7 +212,7 @@
 /// What the calls of this world are judged by.
 fn law(w: &World, rates: bool) -> CallLimits {
     CallLimits {
-        quotas: if rates { Default::default() } else { quotas(w.tenants) },
+        quotas: if rates { std::collections::BTreeMap::default() } else { quotas(w.tenants) },
         acknowledged: w.safety.acknowledged.iter().map(|a| (a.version, a.acknowledged_at)).collect(),
         keys: w
             .safety
--- a/crates/testbed/src/sim/faults/control/mod.rs
+++ b/crates/testbed/src/sim/faults/control/mod.rs
@@ -175,7 +175,7 @@
             ControlAction::TellToStop(slot) => self.tell_to_stop(world, slot),
             ControlAction::Stop { slot, kill } => self.stop(world, slot, kill),
             ControlAction::Meets { slot, race, drain, hard } => {
-                for _ in 0..1 + u64::from(race) {
+                for _ in 0..=u64::from(race) {
                     self.orders.order(world, Some(PinnedTarget { slot, hard }));
                 }
                 if drain {
--- a/crates/testbed/src/sim/faults/control/strikes.rs
+++ b/crates/testbed/src/sim/faults/control/strikes.rs
@@ -67,7 +67,9 @@
                 if self.orders.acknowledged.is_some() {
                     self.disarm(world);
                     let oldest = world.oldest_disks().first().copied();
-                    oldest.into_iter().for_each(|slot| self.lose(world, slot, Loss::Disk));
+                    if let Some(slot) = oldest {
+                        self.lose(world, slot, Loss::Disk);
+                    }
                 }
             }
             PendingFault::AfterWork { gone } => {
--- a/crates/testbed/src/sim/faults/injection.rs
+++ b/crates/testbed/src/sim/faults/injection.rs
@@ -153,7 +153,11 @@
             }
             Fault::WipeCore => {
                 let whole = self.downs.is_empty() && self.admitted_next.is_none();
-                let n = w.machines.iter().filter(|s| s.is_core && s.node.as_ref().is_some_and(|n| n.voter())).count();
+                let n = w
+                    .machines
+                    .iter()
+                    .filter(|s| s.is_core && s.node.as_ref().is_some_and(sumacvale_core::node::Node::voter))
+                    .count();
                 if whole
                     && n >= 3
                     && let Some(i) = some(w, |w, i| up(w, i) && w.machines[i].is_core)
--- a/crates/testbed/src/sim/faults/profiles.rs
+++ b/crates/testbed/src/sim/faults/profiles.rs
@@ -18,7 +18,7 @@
     CutNode,
     /// A core is partitioned from all others.
     CutCore,
-    /// The machines are partitioned into two halves, drawn at random, one way.
+    /// The machines are partitioned into two halves, drawn at random, both ways.
     SplitCores,
     /// Frames of one machine are lost; it still receives.
     OneWay,
@@ -65,7 +65,12 @@
     /// All workers of the model are in trouble at once.
     Outage,
     /// A core goes for good, with or without a word; an empty one comes at a new address.
-    Swap { term: bool, before: bool },
+    Swap {
+        /// The old machine is told to stop before it ends.
+        term: bool,
+        /// The new machine starts before the old one ends.
+        before: bool,
+    },
     /// As many cores as may be lost lose their disks and begin again at their addresses.
     Empty,
     /// The same right after an acknowledgement, at times while all others lose power.
--- a/crates/testbed/src/sim/machines/lifecycle.rs
+++ b/crates/testbed/src/sim/machines/lifecycle.rs
@@ -10,6 +10,7 @@
 use sumacvale_core::node::{Node, NodeSettings};
 
 impl World {
+    /// The address of the next new machine.
     pub fn address(&mut self) -> String {
         self.next_ip += 1;
         format!("10.0.{}.{}:7000", self.next_ip / 250, self.next_ip % 250 + 1)
@@ -118,7 +119,7 @@
         s.frozen_until = 0;
         s.deferred_events.clear();
         s.last_version = None;
-        let kept = if s.is_core { s.disk.durable.clone() } else { Default::default() };
+        let kept = if s.is_core { s.disk.durable.clone() } else { sumacvale_core::consensus::DurableState::default() };
         let n = Node::new(me, &kept, seed, s.clock(now));
         s.calls = CallRegistry::new(SharedCallState::new(&s.zone, 256, 64 << 20, n.quota.slices.clone()));
         s.node = Some(n);
--- a/crates/testbed/src/sim/mod.rs
+++ b/crates/testbed/src/sim/mod.rs
@@ -1,5 +1,8 @@
 //! The very same core as in `sumacvale`, stepped in virtual time from a seed.
 
+// Short locals of the world and its events are not all renamed yet, see the roadmap.
+#![allow(clippy::many_single_char_names)]
+
 mod calls;
 mod checks;
 mod cutoff;
--- a/crates/testbed/src/sim/operators/traffic.rs
+++ b/crates/testbed/src/sim/operators/traffic.rs
@@ -66,7 +66,7 @@
         }
         let pick = |w: &mut World| up[usize::try_from(w.rng.below(up.len() as u64)).unwrap_or(0)];
         let (i, j) = (pick(w), pick(w));
-        let Some(base) = w.machines[i].node.as_ref().and_then(|n| n.version()) else { return };
+        let Some(base) = w.machines[i].node.as_ref().and_then(sumacvale_core::node::Node::version) else { return };
         let change_id = ChangeId(w.rng.next_u64().max(1));
         let change = Change::Tree(tree(self.n, w.tenants, w.extra_routes, w.quotas_are_rates));
         let now = w.now;
@@ -196,7 +196,7 @@
         let now = w.now;
         let low = (0..w.machines.len())
             .filter(|i| w.is_running(*i))
-            .map(|i| w.machines[i].node.as_ref().and_then(|n| n.version()).unwrap_or(0))
+            .map(|i| w.machines[i].node.as_ref().and_then(sumacvale_core::node::Node::version).unwrap_or(0))
             .min()
             .unwrap_or(0);
         let done: Vec<_> = self.seen.range(..=low).map(|x| (*x.0, *x.1)).collect();
@@ -208,6 +208,7 @@
 
     /// Every front must get a word on every tenant's quota, be it a unit or none;
     /// those that get neither in time are named.
+    #[allow(clippy::unused_self)]
     pub fn settle(&mut self, w: &mut World, most: Micros) -> Vec<(String, String)> {
         let until = w.now + most;
         let mut open: Vec<(usize, String, u64)> = (0..w.machines.len())
@@ -234,7 +235,7 @@
                 match w.call_outcomes.iter().rev().find(|o| o.call == *n).map(|o| &o.observation) {
                     None => {}
                     Some(ClientObservation::Complete | ClientObservation::Rejected { status: 429, .. }) => {
-                        *n = u64::MAX
+                        *n = u64::MAX;
                     }
                     Some(_) => *n = 0,
                 }
