--- a/crates/core/src/consensus/digest_log.rs
+++ b/crates/core/src/consensus/digest_log.rs
@@ -1,61 +1,61 @@
-//! The log of digests of decided versions: it answers for a change long after its body was dropped.
+//! The log of digests of decided versions, which identifies a change long after its body was dropped.
 //!
 //! A change is identified by its identifier and its content, so a retry of a decided change is recognized
-//! for as long as the digest is kept. Where digests are missing, nothing is concluded.
+//! for as long as its digest is retained. Lookups that depend on missing digests return no result.
 
 use crate::base::{ChangeId, Version};
 use crate::protocol::{Change, EntryDigest};
 use std::collections::BTreeSet;
 
-/// How many versions are kept as digests: more than a day of 15,000 changes.
+/// The maximum number of retained digests: more than a day of 15,000 changes.
 pub const MAX_DIGESTS: usize = 20_000;
 
-/// Digests in the order of their versions; any version may be missing.
+/// The digests of decided versions, sorted by version; any version may be missing.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DigestLog {
-    /// Invariant: sorted by version without duplicates, none below [`DigestLog::lowest_kept_version`].
+    /// Invariant: sorted by version without duplicates, none below [`DigestLog::lowest_retained_version`].
     digests: Vec<EntryDigest>,
-    /// The change identifiers and versions of `digests`, to look up a change by its identifier.
+    /// Index of `digests` by change identifier. Invariant: one entry for each digest.
     by_change: BTreeSet<(ChangeId, Version)>,
 }
 
-/// What the digests show of a change.
+/// The status of a change according to the retained digests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeStatus {
-    /// It became this version.
+    /// The change was decided as this version.
     Decided(Version),
-    /// Its identifier belongs to another change.
+    /// The identifier belongs to another change, which was decided.
     IdReused,
-    /// No digest that is kept has its identifier.
+    /// No retained digest has the identifier of the change.
     Unknown,
 }
 
 impl DigestLog {
-    /// How many digests are kept.
+    /// Returns the number of retained digests.
     pub fn len(&self) -> usize {
         self.digests.len()
     }
 
-    /// Whether no digest is kept.
+    /// Returns true if no digest is retained.
     pub fn is_empty(&self) -> bool {
         self.digests.is_empty()
     }
 
-    /// All digests, the lowest version first.
+    /// Returns all digests, the lowest version first.
     pub fn as_slice(&self) -> &[EntryDigest] {
         &self.digests
     }
 
-    /// The digest of a version, if it is kept.
+    /// Returns the digest of a version, if it is retained.
     pub fn get(&self, version: Version) -> Option<&EntryDigest> {
         let index = self.digests.binary_search_by_key(&version, |digest| digest.version).ok()?;
         self.digests.get(index)
     }
 
-    /// Inserts the digests of versions that are neither kept already nor too old, and returns these. Of several
-    /// digests of one version the first counts.
+    /// Inserts the digests of versions that are neither present nor too old, and returns the inserted
+    /// digests. Of several digests of one version the first is inserted.
     pub fn insert_all(&mut self, digests: impl IntoIterator<Item = EntryDigest>) -> Vec<EntryDigest> {
-        let lowest = self.lowest_kept_version();
+        let lowest = self.lowest_retained_version();
         let mut versions = BTreeSet::new();
         let mut is_new = |digest: &EntryDigest| {
             digest.version >= lowest && self.get(digest.version).is_none() && versions.insert(digest.version)
@@ -75,21 +75,22 @@
         inserted
     }
 
-    /// The lowest version that is kept, given the newest one.
-    pub fn lowest_kept_version(&self) -> Version {
+    /// Returns the lowest version that may be retained, given the newest version in the log.
+    pub fn lowest_retained_version(&self) -> Version {
         let newest = self.digests.last().map_or(0, |digest| digest.version);
         (newest + 1).saturating_sub(MAX_DIGESTS as u64)
     }
 
+    /// Removes the digests below the lowest version that may be retained.
     fn trim(&mut self) {
-        let lowest = self.lowest_kept_version();
+        let lowest = self.lowest_retained_version();
         let expired = self.digests.partition_point(|digest| digest.version < lowest);
         for digest in self.digests.drain(..expired) {
             self.by_change.remove(&(digest.change_id, digest.version));
         }
     }
 
-    /// The status of the change with this identifier and content.
+    /// Returns the status of the change with this identifier and content.
     pub fn status_of(&self, change_id: ChangeId, change: &Change) -> ChangeStatus {
         let mut status = ChangeStatus::Unknown;
         for digest in self.with_id(change_id) {
@@ -101,19 +102,20 @@
         status
     }
 
-    /// The versions that changes with this identifier became, the lowest first.
+    /// Returns the digests of the changes with this identifier, the lowest version first.
     pub fn with_id(&self, change_id: ChangeId) -> impl Iterator<Item = &EntryDigest> {
         let versions = self.by_change.range((change_id, 1)..=(change_id, Version::MAX));
         versions.filter_map(|(_, version)| self.get(*version))
     }
 
-    /// The version that was decided directly on top of version `base`, if it is kept.
+    /// Returns the digest of the version directly after version `base`, if it is retained.
     pub fn after_version(&self, base: Version) -> Option<&EntryDigest> {
         self.get(base.checked_add(1)?)
     }
 
-    /// The version that replaced the document with revision `base`. None where the versions around the
-    /// replacement are not all kept: nothing can be concluded then.
+    /// Returns the digest of the version that replaced the document with revision `base`. Returns `None`
+    /// unless that version and the one before it are both retained, since a missing version may be the one
+    /// that replaced the document.
     pub fn after_revision(&self, base: u64) -> Option<&EntryDigest> {
         let index = self.digests.partition_point(|digest| digest.revision <= base);
         let next = self.digests.get(index)?;
@@ -121,9 +123,9 @@
         (previous.version + 1 == next.version).then_some(next)
     }
 
-    /// The highest range of versions below the newest that are missing here, as its first and last version.
+    /// Returns the highest range of missing versions below the newest, as its first and last version.
     pub fn newest_gap(&self) -> Option<(Version, Version)> {
-        let lowest = self.lowest_kept_version();
+        let lowest = self.lowest_retained_version();
         let newest = self.digests.last()?.version;
         if self.digests.len() as u64 == newest + 1 - lowest {
             return None;
@@ -136,7 +138,7 @@
         (first > lowest).then(|| (lowest, first - 1))
     }
 
-    /// The newest digests of the versions `from` to `to`, at most `max_digests` of them.
+    /// Returns the newest digests of the versions `from` to `to`, at most `max_digests` of them.
     pub fn chunk(&self, from: Version, to: Version, max_digests: usize) -> Vec<EntryDigest> {
         let end = self.digests.partition_point(|digest| digest.version <= to);
         let start = self.digests.partition_point(|digest| digest.version < from);
--- a/crates/core/src/consensus/durable.rs
+++ b/crates/core/src/consensus/durable.rs
@@ -1,4 +1,4 @@
-//! Durable writes of a core, and the state that its disk holds after them.
+//! The durable writes of a core, and the state on its disk after they were synced.
 
 use super::{DigestLog, trim_history};
 use crate::base::{Incarnation, NodeId, Version};
@@ -10,7 +10,7 @@
 pub enum DurableWrite {
     /// The set of first voters that this core votes for when a fleet is founded.
     BootstrapVote(Vec<Voter>),
-    /// A promise to answer no ballot below this one.
+    /// A promise to reject every ballot below this one.
     Promise {
         /// The version that the ballot is for.
         instance: Version,
@@ -26,27 +26,27 @@
     },
     /// A decided entry.
     Commit(LogEntry),
-    /// Digests of decided versions whose bodies are not kept here.
+    /// Digests of decided versions whose bodies this core does not hold.
     Digests(Vec<EntryDigest>),
-    /// The epoch that was granted last for a role.
+    /// The last epoch that was granted for a role.
     Epoch {
         /// The role.
         role: u32,
-        /// The epoch of its lease.
+        /// The epoch of the role's lease.
         epoch: u64,
     },
     /// A share of a window of a tenant's quota that was granted to a node.
     Grant(WindowGrant),
     /// The set of voters, named by its version, whose grants this core has taken over.
     Ready(Version),
-    /// Incarnations of nodes that may hold shares of rates from now on.
+    /// Registers incarnations of nodes, which may hold shares of rates from now on.
     Register(Vec<RegisteredIncarnation>),
-    /// Incarnations of nodes that hold no shares of rates any more.
+    /// Deregisters incarnations of nodes, which no longer hold shares of rates.
     Deregister(Vec<(NodeId, Incarnation)>),
 }
 
 impl DurableWrite {
-    /// About how many bytes the write holds in memory until it is synced.
+    /// Returns the approximate number of bytes that the write occupies in memory until it is synced.
     pub fn size(&self) -> usize {
         match self {
             DurableWrite::Accept { entry, .. } | DurableWrite::Commit(entry) => entry.body.len(),
@@ -56,12 +56,12 @@
     }
 }
 
-/// All that a core reads from its disk when it starts.
+/// The state that a core reads from its disk when it starts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DurableState {
     /// The identifier of the node that owns the data.
     pub node_id: NodeId,
-    /// The set of first voters that this core voted for; empty if it voted for none.
+    /// The set of first voters that this core voted for; empty if it has not voted.
     pub bootstrap_vote: Vec<Voter>,
     /// The newest decided entries, within the bounds of the history.
     pub entries: BTreeMap<Version, LogEntry>,
@@ -69,11 +69,11 @@
     pub digests: DigestLog,
     /// The instance and ballot of the last promise.
     pub promised: Option<(Version, Ballot)>,
-    /// The entry that was accepted last, and its ballot.
+    /// The last accepted entry, and the ballot that it was accepted with.
     pub accepted: Option<(Ballot, LogEntry)>,
-    /// The epoch that was granted last, by role.
+    /// The last granted epoch of each role.
     pub epochs: BTreeMap<u32, u64>,
-    /// The granted shares of quota windows by tenant and node. Each grant removes those
+    /// The granted shares of quota windows by tenant and node. A grant removes the grants
     /// of earlier windows of its tenant.
     pub grants: BTreeMap<(String, NodeId), WindowGrant>,
     /// The set of voters, named by its version, whose grants this core has taken over.
@@ -83,7 +83,7 @@
 }
 
 impl DurableState {
-    /// Applies a write; every kind of disk must hold the same after it.
+    /// Applies a write. Every disk implementation must hold the same state after the same writes.
     pub fn apply(&mut self, write: &DurableWrite) {
         match write {
             DurableWrite::BootstrapVote(voters) => self.bootstrap_vote.clone_from(voters),
@@ -106,13 +106,14 @@
         }
     }
 
+    /// Adds a decided entry and its digest, and trims the history.
     fn apply_commit(&mut self, entry: &LogEntry) {
         self.digests.insert_all([EntryDigest::of(entry)]);
         self.entries.insert(entry.version, entry.clone());
         trim_history(&mut self.entries);
     }
 
-    /// Adds a grant and removes those of earlier windows of the same tenant.
+    /// Adds a grant and removes the grants of earlier windows of the same tenant.
     fn apply_grant(&mut self, grant: &WindowGrant) {
         self.grants.retain(|(tenant, _), other| *tenant != grant.tenant || other.window >= grant.window);
         self.grants.insert((grant.tenant.clone(), grant.node_id), grant.clone());
--- a/crates/core/src/consensus/history.rs
+++ b/crates/core/src/consensus/history.rs
@@ -1,15 +1,18 @@
-//! The history: the newest versions with their bodies, bounded by their number and by their bytes.
+//! The history: the newest versions with their bodies, bounded in number and in bytes.
 
 use crate::base::Version;
 use crate::protocol::LogEntry;
 use std::collections::BTreeMap;
 
-/// How many versions a core keeps with their bodies, for its history and for nodes that are behind.
+/// The maximum number of versions that a core retains with their bodies, for reads of the history and for
+/// nodes that are behind.
 pub const MAX_HISTORY_ENTRIES: usize = 64;
-/// How many bytes the bodies of these versions have at most; the newest is kept whatever its size.
+/// The maximum size of the bodies of these versions, in bytes. The newest version is retained whatever its
+/// size.
 pub const MAX_HISTORY_BYTES: usize = 16 << 20;
 
-/// The lowest version that is kept with its body, given versions and body sizes in bytes, newest first.
+/// Returns the lowest version that is retained with its body, given all versions and their body sizes in
+/// bytes, the newest first.
 pub fn lowest_kept_version(sizes: impl Iterator<Item = (Version, usize)>) -> Version {
     let mut lowest = Version::MAX;
     let mut bytes = 0;
@@ -24,7 +27,7 @@
     lowest
 }
 
-/// Removes the oldest versions that are beyond the bounds.
+/// Removes the oldest versions until the history is within its bounds.
 pub fn trim_history(history: &mut BTreeMap<Version, LogEntry>) {
     let lowest = lowest_kept_version(history.values().rev().map(|entry| (entry.version, entry.body.len())));
     while history.first_key_value().is_some_and(|(version, _)| *version < lowest) {
--- a/crates/core/src/consensus/mod.rs
+++ b/crates/core/src/consensus/mod.rs
@@ -1,7 +1,7 @@
-//! Agreement on versions of the configuration: what a core promised, accepted and learned.
+//! Consensus on versions of the configuration: what a core promised, accepted and learned.
 //!
 //! Every version is one instance of Paxos (Lamport, Paxos Made Simple). This module holds the state; the
-//! handlers of the messages are in [`crate::node`].
+//! message handlers are in [`crate::node`].
 
 mod digest_log;
 mod durable;
--- a/crates/core/src/consensus/patch_chain.rs
+++ b/crates/core/src/consensus/patch_chain.rs
@@ -4,12 +4,12 @@
 use crate::protocol::LogEntry;
 use std::collections::VecDeque;
 
-/// How many entries the chain has at most.
+/// The maximum number of entries in the chain.
 const MAX_CHAIN_ENTRIES: usize = 64;
-/// How many bytes the entries of the chain have at most.
+/// The maximum size of all entries in the chain, in bytes.
 const MAX_CHAIN_BYTES: usize = 1 << 20;
 
-/// Entries without their bodies, the last of which is the newest that a node holds.
+/// Consecutive log entries in patch form, without their bodies, up to the newest version of a node.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PatchChain {
     /// Invariant: each entry came as a patch, and its version is one above that of the entry before it.
@@ -19,8 +19,8 @@
 }
 
 impl PatchChain {
-    /// Appends the newest entry. The chain is cleared by an entry that is no patch, and starts anew with one
-    /// that does not follow directly on the last.
+    /// Appends the newest entry. An entry that did not come as a patch clears the chain; an entry that does not
+    /// directly follow the last one starts a new chain.
     pub fn append(&mut self, entry: &LogEntry) {
         match self.entries.back().map(|last| last.version) {
             Some(version) if version == entry.version => return,
@@ -40,12 +40,13 @@
         }
     }
 
+    /// Removes all entries.
     fn clear(&mut self) {
         self.entries.clear();
         self.bytes = 0;
     }
 
-    /// All entries after `version`; none if the chain does not hold all of them.
+    /// Returns all entries after `version`, or `None` if there are none or the chain lacks any of them.
     pub fn after(&self, version: Version) -> Option<Vec<LogEntry>> {
         let first = self.entries.front()?.version;
         if version + 1 < first {
--- a/crates/core/src/consensus/state.rs
+++ b/crates/core/src/consensus/state.rs
@@ -1,11 +1,11 @@
-//! The state of the agreement on one node.
+//! The consensus state of one node.
 
 use super::{ChangeStatus, DigestLog, DurableState, PatchChain, trim_history};
 use crate::base::{ChangeId, Micros, NodeId, Version};
 use crate::protocol::{Ballot, Change, ChangeOutcome, EntryDigest, LogEntry, Voter};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Whether these nodes include more than half of the voters.
+/// Returns true if these nodes include more than half of the voters.
 pub fn is_majority(voters: &[Voter], nodes: &BTreeSet<NodeId>) -> bool {
     let count = voters.iter().filter(|voter| nodes.contains(&voter.node_id)).count();
     count * 2 > voters.len()
@@ -14,16 +14,16 @@
 /// The phase of a ballot (Lamport, Paxos Made Simple, §2.2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Promises are collected.
+    /// The proposer collects promises.
     Prepare,
-    /// Acceptances of the chosen value are collected.
+    /// The proposer collects acceptances of its value.
     Accept,
 }
 
 /// A ballot that this core runs as the proposer.
 #[derive(Clone, Debug)]
 pub struct Proposal {
-    /// The version that the ballot is for: the one after the newest version here.
+    /// The version that the ballot is for: the successor of this core's newest version.
     pub instance: Version,
     /// The ballot's number.
     pub ballot: Ballot,
@@ -31,23 +31,23 @@
     pub phase: Phase,
     /// The voters that have promised or accepted in the current phase.
     pub answered: BTreeSet<NodeId>,
-    /// Of the entries that promises reported as accepted, the one with the highest ballot. Only used in the
-    /// prepare phase; its entry becomes the value.
+    /// The accepted entry with the highest ballot among those that promises reported. Only used in the
+    /// prepare phase; the entry becomes the value.
     pub highest_accepted: Option<(Ballot, LogEntry)>,
-    /// The entry that is proposed. Invariant: set exactly in the accept phase.
+    /// The proposed entry. Invariant: set if and only if the phase is `Accept`.
     pub value: Option<LogEntry>,
     /// When the current phase times out, in microseconds of this node's clock.
     pub deadline: Micros,
 }
 
-/// A change that waits for its decision at this core.
+/// A change that awaits its decision at this core.
 #[derive(Clone, Debug)]
 pub struct PendingChange {
-    /// Who is sent the outcome.
+    /// The recipient of the outcome.
     pub requester: Requester,
     /// The caller's identifier of the change.
     pub change_id: ChangeId,
-    /// Whether no node can have been sent this change before.
+    /// True if no node can have been sent this change before.
     pub is_first_send: bool,
     /// The version (for documents and patches: the revision) that the change is built on.
     pub base: Version,
@@ -55,29 +55,29 @@
     pub change: Change,
     /// When the change times out, in microseconds of this node's clock.
     pub deadline: Micros,
-    /// Whether this core has sent `Accept` for the change, so that it may be decided any time.
+    /// True once this core has sent `Accept` for the change, which may then be decided at any time.
     pub was_proposed: bool,
-    /// The version that the change became, once that is known.
+    /// The version that the change became, once it is known.
     pub decided_version: Option<Version>,
 }
 
 impl PendingChange {
-    /// Whether only this core was sent the change and has proposed it to nobody. A node that forwards a
-    /// change may have sent it to another core too.
+    /// Returns true if this core alone received the change and has not proposed it. A node that forwards a
+    /// change may have sent the change to another core too.
     pub fn is_known_here_alone(&self) -> bool {
         self.is_first_send && !self.was_proposed && !matches!(self.requester, Requester::Peer { .. })
     }
 
-    /// Whether it is a change of the voters, which waits until the previous one is taken over.
+    /// Returns true for a change of the voters, which waits until the takeover to the current voters is complete.
     pub fn changes_voters(&self) -> bool {
         matches!(self.change, Change::Voters(_))
     }
 }
 
-/// Who is sent the outcome of a change.
+/// The recipient of the outcome of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Requester {
-    /// A caller at this node, by the identifier of its request.
+    /// A caller at this node, with the identifier of its request.
     Local(u64),
     /// A node that forwarded the change.
     Peer {
@@ -86,51 +86,54 @@
         /// The identifier of the request on that node.
         request_id: u64,
     },
-    /// The cores themselves: nobody is sent the outcome.
+    /// A core itself: the outcome is sent to nobody.
     Internal,
 }
 
-/// What a node knows of the decided versions, and its state as an acceptor and a proposer.
+/// The decided versions that a node knows, and its state as an acceptor and as a proposer.
 #[derive(Clone, Debug, Default)]
 pub struct ConsensusState {
-    /// The newest decided entries with their bodies, within the bounds of the history; on a node that is no
-    /// core, the newest alone.
+    /// The newest decided entries with their bodies, within the bounds of the history; on a node that is not
+    /// a core, only the newest.
     pub history: BTreeMap<Version, LogEntry>,
-    /// The digests of the versions of a day and more.
+    /// The digests of decided versions, for more than a day of changes.
     pub digests: DigestLog,
-    /// The newest entry for nodes that may hold none before it, made when it is first needed. Invariant:
-    /// none, or made of the newest entry in `history`.
+    /// The newest entry in self-contained form, for nodes that may lack the previous version; built on first
+    /// use. Invariant: `None`, or built from the newest entry in `history`; [`ConsensusState::apply`] resets it.
     newest_self_contained: Option<LogEntry>,
-    /// The newest versions that came as patches, without gaps up to the newest of all.
+    /// The newest versions that came as patches, without gaps up to the newest version.
     pub patch_chain: PatchChain,
-    /// The set of first voters that this core voted for; empty if it voted for none.
+    /// The set of first voters that this core voted for; empty if it has not voted.
     pub bootstrap_vote: Vec<Voter>,
-    /// The highest ballot that this core promised for the next version. Invariant: never decreases until a
-    /// newer version is applied.
+    /// The highest ballot that this core promised for the next version. Invariant: only increases until a
+    /// newer version is applied, which resets it.
     pub promised_ballot: Ballot,
-    /// The entry that this core accepted for the next version, and its ballot. Invariant: the ballot is at
-    /// most `promised_ballot`.
+    /// The entry that this core accepted for the next version, and its ballot. Invariant: the ballot does not
+    /// exceed `promised_ballot`.
     pub accepted: Option<(Ballot, LogEntry)>,
-    /// When this core first accepted an entry for the next version, in microseconds of its clock.
+    /// When this core first accepted an entry for the next version, in microseconds of this core's clock.
     pub accepted_at: Micros,
-    /// The ballot that this core runs. Invariant: its instance is the version after the newest.
+    /// The ballot that this core runs as the proposer. Invariant: the instance is the successor of the newest
+    /// version.
     pub proposal: Option<Proposal>,
-    /// No ballot is started here before this moment, after one that failed.
+    /// The end of the backoff after a failed ballot, in microseconds of this core's clock: this core starts no
+    /// ballot before it.
     pub backoff_until: Micros,
-    /// No ballot is started here before this moment, as another proposer's ballot is under way.
+    /// The end of the time that this core leaves to another proposer's ballot, in microseconds of this core's
+    /// clock: this core starts no ballot before it.
     pub yields_until: Micros,
     /// The highest ballot number that this core has used or been rejected with.
     pub ballot_number: u64,
-    /// Changes that wait for their decision, in the order of their arrival.
+    /// The changes that await their decision, in the order of arrival.
     pub pending_changes: Vec<PendingChange>,
-    /// The newest version that each node has reported as synced to its disk.
+    /// The newest version that each node reported as synced to its disk.
     pub synced_versions: BTreeMap<NodeId, Version>,
     /// The set of voters, named by its version, whose grants each core has taken over.
     pub ready_sets: BTreeMap<NodeId, Version>,
 }
 
 impl ConsensusState {
-    /// The state after a start, from what the disk holds.
+    /// Restores the state at start-up from the state on disk.
     pub fn new(durable: &DurableState) -> Self {
         let version = durable.entries.keys().next_back().copied();
         let is_next = |instance: Version| version.is_some_and(|newest| instance == newest + 1);
@@ -149,12 +152,12 @@
         }
     }
 
-    /// The newest entry that this node holds.
+    /// Returns the newest entry that this node holds.
     pub fn newest(&self) -> Option<&LogEntry> {
         self.history.values().next_back()
     }
 
-    /// The newest entry in a form for nodes that may hold none before it.
+    /// Returns the newest entry in self-contained form, for nodes that may lack the previous version.
     pub fn newest_self_contained(&mut self) -> Option<LogEntry> {
         let version = self.version()?;
         if self.newest_self_contained.as_ref().is_none_or(|entry| entry.version != version) {
@@ -165,23 +168,23 @@
         self.newest_self_contained.clone()
     }
 
-    /// The newest version that this node holds.
+    /// Returns the newest version that this node holds.
     pub fn version(&self) -> Option<Version> {
         self.newest().map(|entry| entry.version)
     }
 
-    /// The voters that the newest version names.
+    /// Returns the voters that the newest version names; empty if this node holds no version.
     pub fn voters(&self) -> &[Voter] {
         self.newest().map_or(&[], |entry| &entry.voters)
     }
 
-    /// Whether the newest version names this node as a voter.
+    /// Returns true if the newest version names the node as a voter.
     pub fn is_voter(&self, node_id: NodeId) -> bool {
         self.voters().iter().any(|voter| voter.node_id == node_id)
     }
 
-    /// Applies a decided entry if it is newer than all that are held, and returns whether it is. All votes
-    /// and proposals end with it, as they are for instances up to this one.
+    /// Applies a decided entry if it is newer than all that this node holds, and returns whether it was applied.
+    /// Resets the promise, the acceptance and the proposal, which are for instances up to this entry's.
     pub fn apply(&mut self, entry: LogEntry) -> bool {
         if self.version().is_some_and(|version| version >= entry.version) {
             return false;
@@ -198,8 +201,8 @@
         true
     }
 
-    /// The entry with its body, restored from the entry before it where it came as a patch; none where that
-    /// one is not held.
+    /// Returns the entry with its body, which is restored from the previous entry if the entry came as a patch.
+    /// Returns `None` if this node does not hold the previous entry or the body cannot be restored.
     pub fn restore_body(&self, entry: LogEntry) -> Option<LogEntry> {
         let entry = entry.decompress()?;
         if !entry.lacks_body() {
@@ -215,7 +218,7 @@
         entry.with_body_from(previous)
     }
 
-    /// Drops all but the newest version, on a node that is no core.
+    /// Drops all versions but the newest, and all digests, on a node that is not a core.
     pub fn drop_history(&mut self) {
         while self.history.len() > 1 {
             self.history.pop_first();
@@ -223,13 +226,13 @@
         self.digests = DigestLog::default();
     }
 
-    /// The status of a change, as far as it is known here.
+    /// Returns the status of a change, as far as this node knows it.
     pub fn change_status(&self, change_id: ChangeId, change: &Change) -> ChangeStatus {
         self.digests.status_of(change_id, change)
     }
 
-    /// Whether a change is known to have been decided in the only place that was open to this one. The
-    /// caller must have ruled out before that it is this change itself.
+    /// Returns true if another change is known to have been decided directly after `base`, so that this one can
+    /// no longer be. The caller must have ruled out that the decided change is this change itself.
     pub fn is_superseded(&self, change: &Change, base: u64) -> bool {
         let successor = match change {
             Change::Document(_) | Change::Patch(_) => self.digests.after_revision(base),
@@ -238,8 +241,8 @@
         successor.is_some()
     }
 
-    /// Adds an entry that was skipped to the history and returns whether it is new; the configuration in
-    /// force stays the same.
+    /// Adds a skipped entry to the history and returns whether the entry is new. The newest version, which is the
+    /// configuration in force, stays the same.
     pub fn backfill(&mut self, entry: &LogEntry) -> bool {
         if self.history.contains_key(&entry.version) {
             return false;
@@ -250,7 +253,7 @@
         !inserted.is_empty() || self.history.contains_key(&entry.version)
     }
 
-    /// The outcome of a change by its identifier alone, as far as it is known here.
+    /// Returns the outcome of a change by its identifier alone, as far as this node knows it.
     pub fn outcome_of(&self, change_id: ChangeId) -> Option<ChangeOutcome> {
         let digest = self.digests.with_id(change_id).next()?;
         Some(ChangeOutcome::Committed { version: digest.version })
--- a/crates/core/src/lease/grantor.rs
+++ b/crates/core/src/lease/grantor.rs
@@ -1,25 +1,25 @@
-//! A voter's side of leases: whom it granted which role, and what it must not grant yet.
+//! The grantor side of leases, on a voter: the leases that it granted, and the fences that forbid new ones.
 //!
 //! Guarantee: a voter never has two unexpired grants of one role for different nodes, and never grants a
-//! new lease with an epoch that it granted or observed before. After a start it grants no new lease until
-//! those of its earlier incarnation have expired, as it keeps epochs on its disk but no expiry times.
+//! new lease with an epoch that it granted or observed before. After a start a voter grants no new lease until
+//! those of its earlier incarnation have expired, because its disk holds epochs but no expiry times.
 
 use super::LEASE_DURATION;
 use crate::base::{MS, Micros, NodeId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The longest back-off that a voter demands because of a fence, in microseconds: a fence may be lifted
-/// before its time.
+/// The longest backoff that a voter demands because of a fence, in microseconds: a fence may be lifted
+/// early.
 const MAX_FENCE_BACKOFF: Micros = 50 * MS;
 
-/// A lease of a role as a voter granted it.
+/// The lease of a role as a voter granted it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GrantedLease {
     /// The node that holds the role.
     pub holder: NodeId,
     /// The fencing token of the lease.
     pub epoch: u64,
-    /// When the lease expires by this voter's clock, in microseconds.
+    /// When the lease expires, in microseconds of this voter's clock.
     pub expires_at: Micros,
 }
 
@@ -32,23 +32,25 @@
 /// The leases that a voter granted, by role.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseGrantor {
-    /// The start-up fence: no new lease of any role is granted before this time, in microseconds. Until
-    /// then leases that an earlier incarnation of this voter granted may be valid.
+    /// The end of the start-up fence, in microseconds of this voter's clock: no new lease of any role is
+    /// granted before it, as leases that an earlier incarnation of this voter granted may still be valid.
     pub fence_until: Micros,
-    /// Fences of single roles, which hold also once the start-up fence was lifted: windows that an earlier
-    /// incarnation of this voter recorded may still be open. How far they had progressed at its start is
-    /// not on its disk, so their age counts from the start only.
+    /// The ends of the fences of single roles, in microseconds of this voter's clock. A role's fence outlasts a
+    /// start-up fence that is lifted early: quota windows that an earlier incarnation of this voter recorded
+    /// may still be open. The disk does not hold the age of these windows, so their age counts from this
+    /// voter's start.
     pub role_fences: BTreeMap<u32, Micros>,
-    /// Until this time leases of an earlier set of voters may be valid of which this voter knows nothing,
-    /// so it does not vote for a new one.
+    /// The end of the fence for earlier sets of voters, in microseconds of this voter's clock: leases that an
+    /// earlier set granted without this voter's knowledge may be valid until then, so this voter grants no
+    /// new one.
     pub earlier_sets_until: Micros,
-    /// The latest lease granted of each role in this incarnation, expired ones included.
+    /// The latest lease of each role that this incarnation granted, including expired leases.
     pub granted: BTreeMap<u32, GrantedLease>,
-    /// The highest epoch of each role that was granted or observed here. Invariant: never decreases, and
+    /// The highest epoch of each role that this voter granted or observed. Invariant: never decreases, and
     /// is synced to the disk before a grant of a new epoch is sent.
     pub epochs: BTreeMap<u32, u64>,
-    /// Roles that somebody may have held before: those granted in an earlier incarnation of this voter,
-    /// and those whose lease was renewed here.
+    /// The roles that may have had an earlier holder: those granted by an earlier incarnation of this voter,
+    /// and those whose lease this voter renewed.
     pub previously_held: BTreeSet<u32>,
 }
 
@@ -57,23 +59,24 @@
 pub enum LeaseDecision {
     /// The lease is granted.
     Granted {
-        /// Whether the epoch is new to this voter and must be on its disk before the grant is sent.
+        /// True if the epoch is new to this voter and must be on its disk before the grant is sent.
         is_new_epoch: bool,
     },
     /// The lease is not granted.
     Rejected {
         /// The highest epoch of the role that this voter knows of, or 0.
         epoch: u64,
-        /// Who holds the role; the default ID where nobody is known to.
+        /// The holder of the role; the default ID if none is known.
         holder: NodeId,
-        /// How long until a request may succeed, in microseconds; 0 if it may at once with another epoch.
+        /// The time until a request may succeed, in microseconds; 0 if a request with another epoch may succeed at
+        /// once.
         remaining: Micros,
     },
 }
 
 impl LeaseGrantor {
-    /// Decides on a request. `is_new_epoch` requests an epoch that nobody held before; without it a holder
-    /// renews its own.
+    /// Decides on a request for a lease: for a new epoch that nobody held before if `is_new_epoch` is true, and
+    /// for the renewal of the sender's own epoch otherwise.
     pub fn request(&mut self, role: u32, from: NodeId, epoch: u64, is_new_epoch: bool, now: Micros) -> LeaseDecision {
         let highest = self.epochs.get(&role).copied().unwrap_or(0);
         let reject = |holder, remaining| LeaseDecision::Rejected { epoch: highest, holder, remaining };
@@ -83,7 +86,7 @@
         {
             return reject(holder, expires_at - now);
         }
-        // Only the winner of an epoch renews it, so a voter that lost its entry can trust the request.
+        // Only the holder of an epoch renews it, so a voter without a record of the lease can trust the request.
         if !is_new_epoch && epoch >= highest {
             self.previously_held.insert(role);
             self.grant(role, from, epoch, now);
@@ -100,18 +103,19 @@
         LeaseDecision::Granted { is_new_epoch: true }
     }
 
+    /// Records a grant and its epoch.
     fn grant(&mut self, role: u32, holder: NodeId, epoch: u64, now: Micros) {
         self.epochs.insert(role, epoch);
         self.granted.insert(role, GrantedLease::new(holder, epoch, now));
     }
 
-    /// Whether a message of a holder of this epoch must be rejected, as a newer epoch was granted.
+    /// Returns true if a message from the holder of this epoch must be rejected because a newer epoch was granted.
     #[must_use]
     pub fn is_fenced(&self, role: u32, epoch: u64) -> bool {
         self.epochs.get(&role).is_some_and(|highest| *highest > epoch)
     }
 
-    /// Records that some node holds this epoch of a role.
+    /// Records that a node holds this epoch of a role.
     pub fn observe_epoch(&mut self, role: u32, epoch: u64) {
         let highest = self.epochs.entry(role).or_insert(0);
         *highest = (*highest).max(epoch);
--- a/crates/core/src/protocol/compression.rs
+++ b/crates/core/src/protocol/compression.rs
@@ -1,6 +1,6 @@
 //! Compression of large log entries, on the wire and on disk.
 //!
-//! An entry is compressed once, by the core that proposes it; all others pass the compressed bytes on.
+//! The core that proposes an entry compresses it once; all other nodes forward the compressed bytes.
 
 use super::LogEntry;
 use crate::config::Patch;
@@ -8,15 +8,15 @@
 use miniz_oxide::inflate::decompress_to_vec_with_limit;
 use musli::{Decode, Encode};
 
-/// Content of fewer bytes is not compressed.
+/// The minimum size of content that is compressed, in bytes.
 const MIN_COMPRESSED_SIZE: usize = 8 << 10;
-/// The most bytes that compressed content may have once it is decompressed.
+/// The maximum size of decompressed content, in bytes.
 const MAX_CONTENT_BYTES: usize = 16 << 20;
-/// The effort of the compression, of 0 to 10: documents are repetitive text, and more effort hardly makes
-/// them smaller.
+/// The compression level, from 0 to 10. Documents are repetitive text: higher levels hardly make them
+/// smaller.
 const COMPRESSION_LEVEL: u8 = 3;
 
-/// The compressed content of an entry.
+/// The part of an entry that is compressed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 struct Content {
     body: Option<String>,
@@ -24,7 +24,7 @@
 }
 
 impl Content {
-    /// The compressed bytes; empty if the content cannot be encoded.
+    /// Returns the compressed bytes; empty if the content cannot be encoded.
     fn to_compressed(&self) -> Vec<u8> {
         let bytes = musli::wire::to_vec(self).unwrap_or_default();
         if bytes.is_empty() { bytes } else { compress_to_vec(&bytes, COMPRESSION_LEVEL) }
@@ -32,7 +32,7 @@
 }
 
 impl LogEntry {
-    /// The entry with its compressed form added, if its content is large enough.
+    /// Adds the compressed form to the entry, if its content is large enough.
     pub fn compress(mut self) -> LogEntry {
         let content = match &self.patch {
             Some(patch) if patch.size() >= MIN_COMPRESSED_SIZE => Content { patch: Some(patch.clone()), body: None },
@@ -43,8 +43,8 @@
         self
     }
 
-    /// The entry with its content restored from the compressed form, if it came without; none if that form
-    /// cannot be decoded.
+    /// Restores the content of an entry from its compressed form, if the entry came without its content. Returns
+    /// `None` if the compressed form cannot be decoded.
     pub fn decompress(mut self) -> Option<LogEntry> {
         if !self.body.is_empty() || self.compressed.is_empty() {
             return Some(self);
@@ -55,15 +55,15 @@
         self.body = body.unwrap_or_default();
         self.patch = patch;
         if has_both {
-            // Nodes that hold the previous version need the patch alone.
+            // Nodes that hold the previous version need only the patch.
             self.compressed = Vec::new();
             return Some(self.compress());
         }
         Some(self)
     }
 
-    /// The entry for a node that may hold no previous version: its body in compressed form, if it is large
-    /// enough, with the patch that made it.
+    /// Returns the entry for a node that may lack the previous version: with its body and the patch that
+    /// produced it, in compressed form if the body is large enough.
     pub fn self_contained_compressed(&self) -> LogEntry {
         if self.body.len() < MIN_COMPRESSED_SIZE || self.patch.is_none() {
             return self.self_contained();
--- a/crates/core/src/protocol/consensus.rs
+++ b/crates/core/src/protocol/consensus.rs
@@ -1,50 +1,50 @@
-//! Messages of the agreement on versions: ballots, decided entries, freshness probes, forwarded changes.
+//! Messages of the consensus on versions: ballots, decided entries, freshness probes, forwarded changes.
 
 use super::{EntryDigest, LogEntry, Voter};
 use crate::base::{ChangeId, Incarnation, NodeId, Version};
 use crate::config::Patch;
 use musli::{Decode, Encode};
 
-/// The number of a ballot, unique among all proposers and their incarnations.
+/// The identifier of a ballot, unique among all proposers and their incarnations.
 ///
 /// Ballots are ordered by their fields in this order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct Ballot {
-    /// The number that the proposer chose, above all that it knew of.
+    /// The number that the proposer chose, above all ballot numbers that it knew.
     pub number: u64,
     /// The proposer.
     pub node_id: NodeId,
-    /// The proposer's incarnation: after a restart a core may not know which numbers it used before.
+    /// The proposer's incarnation: after a restart a core may not know which numbers it has used.
     pub incarnation: Incarnation,
 }
 
-/// What a change does to the configuration, or what a read returns of it.
+/// A change of the configuration, or a read.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Change {
-    /// A new body, built on the version that is its base.
+    /// A new body, built on the version that is the base.
     Tree(String),
-    /// A new body that has a revision of its own, built on the body with the revision that is its base.
-    /// Versions that leave the body as it is, such as changes of the voters, do not make it stale.
+    /// A new body with a revision number, built on the body whose revision is the base. Versions that leave
+    /// the body unchanged, such as changes of the voters, do not make the change stale.
     Document(String),
-    /// Changes to single items of the body with the revision that is its base.
+    /// Changes to single items of the body whose revision is the base.
     Patch(Patch),
-    /// A new set of voters, built on the version that is its base.
+    /// A new set of voters, built on the version that is the base.
     Voters(Vec<Voter>),
     /// A read: the outcome of the change with this identifier.
     QueryOutcome,
     /// A read: the versions in the history.
     ReadHistory,
-    /// A linearizable read: the newest body, with all changes that were acknowledged before.
+    /// A linearizable read of the newest body: the result includes all changes acknowledged before the read.
     ReadNewest,
 }
 
 impl Change {
-    /// Whether it is a read.
+    /// Returns true for a read.
     pub fn is_read(&self) -> bool {
         matches!(self, Change::QueryOutcome | Change::ReadHistory | Change::ReadNewest)
     }
 
-    /// The size of its content in bytes.
+    /// Returns the size of the content in bytes.
     pub fn size(&self) -> usize {
         match self {
             Change::Tree(body) | Change::Document(body) => body.len(),
@@ -54,7 +54,7 @@
     }
 }
 
-/// The outcome of a change or read, as far as the replying node knows.
+/// The outcome of a change or read, as far as the replying node knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ChangeOutcome {
     /// The change became a version that a majority has on disk.
@@ -62,20 +62,20 @@
         /// The version that the change became.
         version: Version,
     },
-    /// The change will never be decided, as its base is not the newest version.
+    /// The change will never be decided, because its base is not the newest version.
     Stale {
         /// The newest version that the replying node holds.
         version: Version,
     },
-    /// The replying node has proposed nothing for the change, for want of a majority or a vote.
+    /// The replying node has not proposed the change, because it lacks a majority or is not a voter.
     NoQuorum,
-    /// The change may have been decided or may still be; the caller has to query its outcome or retry.
+    /// The change may have been decided or may still be decided; the caller must query the outcome or retry.
     Unknown,
     /// The identifier belongs to another change, which was decided.
     IdReused,
     /// The change is invalid.
     Invalid {
-        /// What is wrong, and the remedy.
+        /// The fault and the remedy.
         reason: String,
     },
     /// The result of a read.
@@ -85,14 +85,14 @@
     },
 }
 
-/// Messages of the agreement on versions.
+/// Messages of the consensus on versions.
 ///
-/// The number of each variant is its tag on the wire, unique among the variants of all these enums; see
+/// The number of each variant is its tag on the wire, unique among the variants of all message enums; see
 /// [`Message`](super::Message).
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[musli(name(type = usize))]
 pub enum ConsensusMessage {
-    /// A proposer asks for a promise (Lamport, Paxos Made Simple, §2.2, phase 1a).
+    /// A proposer asks an acceptor for a promise (Lamport, Paxos Made Simple, §2.2, phase 1a).
     #[musli(name = 2)]
     Prepare {
         /// The version that the ballot is for.
@@ -101,18 +101,18 @@
         ballot: Ballot,
     },
 
-    /// An acceptor promises to answer no lower ballot (phase 1b).
+    /// An acceptor promises to reject all lower ballots (phase 1b).
     #[musli(name = 3)]
     Promise {
         /// The version that the ballot is for.
         instance: Version,
         /// The promised ballot.
         ballot: Ballot,
-        /// The entry that the acceptor accepted with the highest ballot, and that ballot.
+        /// The entry that the acceptor accepted with the highest ballot, and this ballot.
         accepted: Option<(Ballot, LogEntry)>,
     },
 
-    /// An acceptor has promised a higher ballot.
+    /// An acceptor rejects a ballot, as it has promised a higher one.
     #[musli(name = 4)]
     Reject {
         /// The version that the ballot is for.
@@ -121,7 +121,7 @@
         ballot: Ballot,
     },
 
-    /// A proposer asks to accept an entry (phase 2a).
+    /// A proposer asks an acceptor to accept an entry (phase 2a).
     #[musli(name = 5)]
     Accept {
         /// The ballot.
@@ -130,7 +130,7 @@
         entry: LogEntry,
     },
 
-    /// An acceptor has accepted the entry of this ballot (phase 2b).
+    /// An acceptor has accepted the entry of a ballot (phase 2b).
     #[musli(name = 6)]
     Accepted {
         /// The version that the ballot is for.
@@ -153,7 +153,7 @@
         version: Version,
     },
 
-    /// Asks whether the receiver knows anything newer than this version.
+    /// Asks whether the receiver knows a newer version than the sender.
     #[musli(name = 9)]
     FreshnessProbe {
         /// The sequence number of the probe.
@@ -169,26 +169,26 @@
         seq: u64,
         /// The newest version that the replying node holds.
         version: Version,
-        /// The newest version on its disk; 0 also if there is none.
+        /// The newest version on the replying node's disk; 0 also if there is none.
         synced_version: Version,
-        /// The set of voters, named by its version, that it has taken over and synced.
+        /// The set of voters, named by its version, whose takeover the replying node has completed and synced.
         ready_set: Option<Version>,
-        /// Whether it has accepted an entry for the next version.
+        /// Whether the replying node has accepted an entry for the next version.
         has_accepted: bool,
     },
 
-    /// A change or read that a node without a vote forwards to a voter.
+    /// A change or read that a node forwards to a voter because it is not a voter itself.
     #[musli(name = 30)]
     Forward {
         /// The identifier of the caller's request on the sender.
         request_id: u64,
         /// The caller's identifier of the change.
         change_id: ChangeId,
-        /// Whether no node can have been sent this change before.
+        /// True if no node can have been sent this change before.
         is_first_send: bool,
         /// The version (for documents and patches: the revision) that the change is built on.
         base: Version,
-        /// What is changed or read.
+        /// The change or read.
         change: Change,
     },
 
@@ -223,7 +223,7 @@
 }
 
 impl ConsensusMessage {
-    /// The name of its kind, for logs and traces.
+    /// Returns the name of the message kind, for logs and traces.
     pub fn name(&self) -> &'static str {
         match self {
             ConsensusMessage::Prepare { .. } => "Prepare",
--- a/crates/core/src/protocol/digest.rs
+++ b/crates/core/src/protocol/digest.rs
@@ -1,11 +1,11 @@
-//! The digest of a decided version, which is kept when its body is dropped.
+//! The digest of a decided version, which is retained after the body was dropped.
 
 use super::{Change, LogEntry, Voter};
 use crate::base::{ChangeId, Version};
 use musli::{Decode, Encode};
 use sha2::{Digest as _, Sha256};
 
-/// Identifies a decided version and the change that became it.
+/// The identity of a decided version and of the change that became this version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct EntryDigest {
     /// The version.
@@ -14,7 +14,7 @@
     pub change_id: ChangeId,
     /// The version at which the set of voters last changed.
     pub voters_since: Version,
-    /// The operator's own number of the body.
+    /// The revision number that the operator gave the body.
     pub revision: u64,
     /// The SHA-256 hash of the content of the change: the body, the patch, or the list of voters.
     #[musli(bytes)]
@@ -22,7 +22,7 @@
 }
 
 impl EntryDigest {
-    /// The digest of an entry.
+    /// Computes the digest of an entry.
     pub fn of(entry: &LogEntry) -> EntryDigest {
         let changes_voters = entry.version > 0 && entry.voters_since == entry.version;
         let content = match &entry.patch {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Whether the content of `change` became this version. Reads have no content and match every version.
+    /// Returns true if the content of `change` became this version. Reads have no content and match every version.
     pub fn matches(&self, change: &Change) -> bool {
         match change {
             Change::Tree(body) | Change::Document(body) => hash_body(body) == self.content,
@@ -59,11 +59,11 @@
 }
 
 fn hash_voters(voters: &[Voter]) -> [u8; 32] {
-    let mut hash = Sha256::new();
+    let mut hasher = Sha256::new();
     for voter in voters {
-        hash.update(voter.node_id.0.to_be_bytes());
-        hash.update(voter.addr.as_bytes());
-        hash.update([0]);
+        hasher.update(voter.node_id.0.to_be_bytes());
+        hasher.update(voter.addr.as_bytes());
+        hasher.update([0]);
     }
-    hash.finalize().into()
+    hasher.finalize().into()
 }
--- a/crates/core/src/protocol/dissemination.rs
+++ b/crates/core/src/protocol/dissemination.rs
@@ -1,112 +1,113 @@
-//! Messages of gossip, of reports of workers, and of clocks.
+//! Messages of gossip, worker reports and clock readings.
 //!
-//! All types here are on the wire: the order of fields and the tags of variants are fixed by the golden
-//! files. All times are in microseconds.
+//! All types of this module are sent on the wire: golden files fix the order of fields and the tags of
+//! variants. All times are in microseconds.
 
 use super::LogEntry;
 use crate::base::{Incarnation, Micros, NodeId, Version};
 use musli::{Allocator, Decode, Decoder, Encode, Encoder};
 
-/// What is known of one node.
+/// The known state of one node.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct PeerRecord {
-    /// The node.
+    /// The ID of the node.
     pub node_id: NodeId,
-    /// Its incarnation.
+    /// The incarnation of the node.
     pub incarnation: Incarnation,
-    /// Its heartbeat counter, which only grows within an incarnation.
+    /// The heartbeat counter. Invariant: never decreases within an incarnation.
     pub heartbeat: u64,
-    /// Where it listens for frames of other nodes.
+    /// The address at which the node listens for frames of other nodes.
     pub addr: String,
-    /// Where it serves the admin API.
+    /// The address at which the node serves the admin API.
     pub admin: String,
-    /// The zone that it runs in.
+    /// The zone that the node runs in.
     pub zone: String,
-    /// Whether it has a disk and so may be a voter.
+    /// Whether the node has a disk, so that it may be a voter.
     pub is_core: bool,
-    /// Whether it shuts down.
+    /// Whether the node is shutting down.
     pub draining: bool,
-    /// The newest version of the configuration that it holds; 0 also if it holds none.
+    /// The newest version of the configuration on the node; 0 also if it holds none.
     pub version: Version,
 }
 
-/// The part of a [`PeerRecord`] that changes all the time.
+/// The frequently changing part of a [`PeerRecord`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[musli(packed)]
 pub struct Heartbeat {
-    /// The node.
+    /// The ID of the node.
     pub node_id: NodeId,
-    /// Its incarnation.
+    /// The incarnation of the node.
     pub incarnation: Incarnation,
-    /// Its heartbeat counter.
+    /// The heartbeat counter.
     pub heartbeat: u64,
-    /// The newest version of the configuration that it holds.
+    /// The newest version of the configuration on the node.
     pub version: Version,
-    /// Whether it shuts down.
+    /// Whether the node is shutting down.
     pub draining: bool,
 }
 
-/// Stands for the incarnation of a worker that does not number its incarnations: the node that it
-/// reports to assigns one.
+/// The incarnation in reports of a worker that does not number its incarnations. The node that receives the
+/// reports assigns one.
 pub const UNNUMBERED_INCARNATION: Incarnation = 0;
 
-/// What a worker reported of itself.
+/// The state of a worker as the worker reported it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct WorkerReport {
-    /// The worker's id, unique in the fleet.
+    /// The ID of the worker, unique in the fleet.
     pub worker_id: String,
     /// The incarnation of the worker, or [`UNNUMBERED_INCARNATION`].
     pub incarnation: Incarnation,
-    /// The number of the report within its incarnation.
+    /// The sequence number of the report within the incarnation.
     pub seq: u64,
-    /// Where the worker serves requests.
+    /// The address at which the worker serves requests.
     pub addr: String,
-    /// The pool that it serves; empty in a removal that names only the worker.
+    /// The pool that the worker serves; empty in a removal that names only the worker.
     pub pool: String,
-    /// The zone that it runs in.
+    /// The zone that the worker runs in.
     pub zone: String,
-    /// How many requests it processes at once.
+    /// The number of requests that the worker processes at once.
     pub slots: u32,
-    /// How many of its slots are in use.
+    /// The number of slots in use.
     pub busy: u32,
-    /// Whether it accepts no new requests.
+    /// Whether the worker accepts no new requests.
     pub draining: bool,
-    /// How much longer it is slow after its start, in microseconds.
+    /// The remaining warm-up time after the start, during which the worker is slow, in microseconds.
     pub warm_up_left: Micros,
-    /// Whether it left in order: this incarnation never comes back.
+    /// Whether the worker deregistered: this incarnation never returns.
     pub removed: bool,
-    /// How long ago the worker made the report, in microseconds, when its frame was sent.
+    /// The age of the report when its frame was sent, in microseconds.
     pub age: Micros,
 }
 
 impl WorkerReport {
-    /// Whether the worker itself reported that it accepts no requests any more.
+    /// Returns true if the worker itself reported that it accepts no more requests.
     pub fn is_out_of_service(&self) -> bool {
         self.draining || self.removed
     }
 
-    /// What tells this removal from those of other incarnations.
+    /// Returns the key that tells this removal from those of other incarnations.
     pub fn removal_key(&self) -> RemovalKey {
         RemovalKey { worker_id: self.worker_id.clone(), incarnation: self.incarnation, removed: self.removed }
     }
 
-    /// A removal that names only the worker: it takes precedence over every report of that incarnation.
+    /// Creates a removal that names only the worker. It supersedes every report of the incarnation.
     pub fn removal(worker_id: &str, incarnation: Incarnation) -> WorkerReport {
         WorkerReport { worker_id: worker_id.into(), incarnation, removed: true, ..WorkerReport::default() }
     }
 }
 
-/// The drain or removal of one incarnation of a worker. Of one worker, the greater key supersedes.
+/// The identity of a drain or removal of one incarnation of a worker. Of two keys of the same worker, the
+/// greater key supersedes the other.
 ///
-/// On the wire it is a sequence of its fields, as the tuple of them is: a derived form would be encoded to
-/// other bytes than those of the golden files.
+/// A key is encoded as the tuple of its fields: a derived encoding would write other bytes than those of the
+/// golden files.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RemovalKey {
-    /// The worker.
+    /// The ID of the worker.
     pub worker_id: String,
-    /// Its incarnation.
+    /// The incarnation of the worker.
     pub incarnation: Incarnation,
-    /// Whether it left; if not, it only drains.
+    /// True for a removal, false for a drain.
     pub removed: bool,
 }
 
@@ -129,117 +130,116 @@
     }
 }
 
-/// Messages by which heartbeats, updates and removals spread.
+/// Messages that disseminate heartbeats, updates, worker reports and removals.
 ///
-/// The number of each variant is its tag on the wire, unique among the variants of all these enums; see
+/// The number of each variant is its tag on the wire, unique among the variants of all message enums; see
 /// [`Message`](super::Message).
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[musli(name(type = usize))]
 pub enum DisseminationMessage {
-    /// What the sender knows of nodes.
+    /// The sender's knowledge of nodes.
     #[musli(name = 0)]
     Gossip {
-        /// Heartbeats of nodes whose incarnation the receiver is taken to know.
+        /// Heartbeats of nodes whose incarnation the receiver presumably knows.
         heartbeats: Vec<Heartbeat>,
         /// Full records of nodes.
         records: Vec<PeerRecord>,
         /// Nodes whose records the sender requests.
         unknown_nodes: Vec<NodeId>,
-        /// Whether the receiver is to gossip in reply.
+        /// Whether the receiver should gossip in reply.
         wants_reply: bool,
-        /// A hash of the incarnations that the sender knows; 0 if the sender gives none.
+        /// A hash of the incarnations that the sender knows; 0 if the message carries no hash.
         #[musli(default)]
         incarnation_set: u64,
-        /// Two bytes of the heartbeat of each of these incarnations, for a receiver that knows the same.
+        /// The low two bytes of the heartbeat of each of these incarnations, for a receiver with the same hash.
         #[musli(default, bytes)]
         compact_heartbeats: Vec<u8>,
     },
 
-    /// Requests updates on some topics.
+    /// Subscribes to updates on some topics.
     #[musli(name = 11)]
     Subscribe {
-        /// The number of this request.
+        /// The sequence number of this subscription.
         seq: u64,
         /// One more than the version that the subscriber holds; 0 for none.
         next_version: Version,
-        /// The change index up to which the subscriber has the publisher's changes.
+        /// The change index up to which the subscriber has received the publisher's changes.
         from_index: u64,
-        /// The publisher's incarnation that counted this index.
+        /// The publisher's incarnation that assigned this index.
         incarnation: Incarnation,
-        /// The pools, and the configuration, that the subscriber wants.
+        /// The subscribed topics: pools and the configuration.
         topics: Vec<String>,
     },
 
-    /// What changed since the last update to a subscriber.
+    /// The changes since the last update to a subscriber.
     #[musli(name = 12)]
     Update {
-        /// The newest subscription, which this answers.
+        /// The sequence number of the newest subscription, which this update answers.
         request_seq: u64,
-        /// How long after that subscription it was sent, in microseconds.
+        /// The time from the receipt of that subscription to this update, in microseconds.
         answered_after: Micros,
-        /// How long ago a majority confirmed the version, in microseconds; none if that is not known.
+        /// The time since a majority confirmed the version, in microseconds; none if unknown.
         confirmed_age: Option<Micros>,
-        /// The publisher's version; 0 also if it has none.
+        /// The newest version that the publisher holds; 0 also if it holds none.
         version: Version,
-        /// The versions after the subscriber's, as patches, where they lead to `entry`.
+        /// The versions between the subscriber's and `entry`, as patches, if these lead to `entry`.
         #[musli(default)]
         preceding: Vec<LogEntry>,
-        /// The newest version, if the subscriber does not hold it.
+        /// The newest entry, if the subscriber does not hold it.
         entry: Option<LogEntry>,
-        /// The change index up to which the subscriber now has the publisher's changes.
+        /// The change index up to which the subscriber has the publisher's changes after this update.
         change_index: u64,
-        /// Whether every live worker has reported to the publisher or to those it subscribes to.
+        /// Whether every live worker has reported to the publisher or to the nodes that it subscribes to.
         is_complete: bool,
         /// The reports that changed since the last update.
         reports: Vec<WorkerReport>,
     },
 
-    /// Reports of workers, for the home nodes of their pools.
+    /// Worker reports, for the home nodes of the workers' pools.
     #[musli(name = 13)]
     Reports {
         /// The reports, in the order in which they were received.
         reports: Vec<WorkerReport>,
     },
 
-    /// Workers that accept no requests any more, for every live node at once.
+    /// Reports of workers that accept no more requests, sent to every live node at once.
     #[musli(name = 14)]
     Removals {
-        /// Their last reports.
+        /// The last reports of these workers.
         reports: Vec<WorkerReport>,
     },
 
-    /// Acknowledges removals.
+    /// Acknowledges the receipt of removals.
     #[musli(name = 15)]
     RemovalsReceived {
-        /// The removals that the sender knows now.
+        /// The keys of the received removals.
         keys: Vec<RemovalKey>,
     },
 
-    /// All live nodes know these removals.
+    /// Announces removals that all live nodes know.
     #[musli(name = 16)]
     RemovalsKnownByAll {
-        /// The removals.
+        /// The keys of these removals.
         keys: Vec<RemovalKey>,
     },
 
     /// Requests a reading of the receiver's clock.
     #[musli(name = 43)]
     ClockRequest {
-        /// The number of this request.
+        /// The ID of this request.
         request_id: u64,
     },
 
-    /// Answers a [`ClockRequest`](DisseminationMessage::ClockRequest): the reading is the frame's
-    /// `sent_at`.
+    /// Answers a [`ClockRequest`](DisseminationMessage::ClockRequest); the reading is `sent_at` of the frame.
     #[musli(name = 44)]
     ClockReply {
-        /// The number of the request.
+        /// The ID of the request.
         request_id: u64,
     },
 }
 
 impl DisseminationMessage {
-    /// The name of its kind, for logs and traces.
+    /// Returns the name of the message kind, for logs and traces.
     pub fn name(&self) -> &'static str {
         match self {
             DisseminationMessage::Gossip { .. } => "Gossip",
--- a/crates/core/src/protocol/entry.rs
+++ b/crates/core/src/protocol/entry.rs
@@ -1,15 +1,15 @@
-//! One version of the configuration as an entry of the replicated log.
+//! Entries of the replicated log, each of which is one version of the configuration.
 
 use crate::base::{ChangeId, NodeId, Version};
 use crate::config::Patch;
 use musli::{Decode, Encode};
 
-/// A voter that a version names.
+/// A member of a set of voters.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct Voter {
-    /// The node.
+    /// The ID of the node.
     pub node_id: NodeId,
-    /// The address of its peer protocol.
+    /// The address at which the node serves the peer protocol.
     pub addr: String,
 }
 
@@ -22,29 +22,29 @@
     pub change_id: ChangeId,
     /// The identifier of the fleet.
     pub fleet_id: u64,
-    /// The version at which the set of voters last changed; it names the set.
+    /// The version at which the set of voters last changed, which names the set.
     pub voters_since: Version,
-    /// The set of voters before that change.
+    /// The set of voters before its last change.
     pub previous_voters: Vec<Voter>,
     /// The voters, which decide the next version.
     pub voters: Vec<Voter>,
     /// The configuration as text.
     pub body: String,
-    /// The operator's own number of the body.
+    /// The revision number that the operator gave the body.
     #[musli(default)]
     pub revision: u64,
-    /// The patch that makes this body of the body of the previous version, if the change came as a patch.
-    /// Between nodes that hold the previous version it replaces the body, which is left empty.
+    /// The patch that turns the body of the previous version into this body, if the change came as a patch.
+    /// Between nodes that hold the previous version the patch is sent in place of the body, which is empty.
     #[musli(default)]
     pub patch: Option<Patch>,
-    /// The body or the patch in compressed form, where that is large; empty otherwise.
+    /// The body, the patch or both in compressed form, if the content is large; empty otherwise.
     #[musli(default, bytes)]
     pub compressed: Vec<u8>,
 }
 
 impl LogEntry {
-    /// The entry without its body, for a node that holds the previous version; large content in its
-    /// compressed form.
+    /// Returns the entry for a node that holds the previous version: without the body if a patch or a
+    /// compressed form replaces it.
     pub fn without_body(&self) -> LogEntry {
         let is_patch = self.patch.is_some();
         let is_compressed = !self.compressed.is_empty();
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The entry for a node that may hold no previous version: with its body.
+    /// Returns the entry with its body, for a node that may lack the previous version.
     pub fn self_contained(&self) -> LogEntry {
         match &self.patch {
             None => self.without_body(),
@@ -70,13 +70,13 @@
         }
     }
 
-    /// Whether its body has yet to be restored from the patch or the compressed form.
+    /// Returns true if the body must yet be restored from the patch or the compressed form.
     pub fn lacks_body(&self) -> bool {
         self.body.is_empty() && (self.patch.is_some() || !self.compressed.is_empty())
     }
 
-    /// The entry with its body, given the previous entry; none if that is not the previous one or the body
-    /// cannot be restored.
+    /// Returns the entry with its body, restored with the help of the previous entry. Returns `None` if
+    /// `previous` is not the previous entry or the body cannot be restored.
     pub fn with_body_from(self, previous: &LogEntry) -> Option<LogEntry> {
         let mut entry = self.decompress()?;
         if entry.lacks_body() {
@@ -88,7 +88,7 @@
         Some(entry)
     }
 
-    /// About how many bytes the entry has on the wire.
+    /// Returns the approximate size of the entry on the wire, in bytes.
     pub fn size(&self) -> usize {
         self.body.len() + self.patch.as_ref().map_or(0, Patch::size) + self.compressed.len()
     }
--- a/crates/core/src/protocol/frame.rs
+++ b/crates/core/src/protocol/frame.rs
@@ -1,6 +1,6 @@
 //! Frames between nodes, and their encoding as bytes.
 //!
-//! A frame is the version of the peer protocol in one byte, then the content in the wire format of musli.
+//! A frame consists of one byte with the version of the peer protocol and the content in musli's wire format.
 
 use super::Message;
 use crate::base::{Incarnation, Micros, NodeId};
@@ -9,19 +9,19 @@
 
 /// The version of the peer protocol, which is the first byte of each frame.
 pub const PROTOCOL_VERSION: u8 = 3;
-/// The most bytes that a frame may have, its first byte included.
+/// The maximum size of an encoded frame in bytes, including the version byte.
 pub const MAX_FRAME_BYTES: usize = 16 << 20;
 
-/// A message with its sender and receiver.
+/// A message with its sender, receiver and time of sending.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Frame {
-    /// The sender.
+    /// The ID of the sender.
     pub from: NodeId,
-    /// The receiver; 0 if the sender knows only its address.
+    /// The ID of the receiver; 0 if the sender knows only the receiver's address.
     pub to: NodeId,
-    /// The sender's incarnation.
+    /// The incarnation of the sender.
     pub incarnation: Incarnation,
-    /// The sender's fleet; 0 if it belongs to none yet.
+    /// The fleet of the sender; 0 if the sender belongs to none yet.
     pub fleet_id: u64,
     /// When the frame was sent, in microseconds of the sender's clock.
     pub sent_at: Micros,
@@ -29,16 +29,16 @@
     pub message: Message,
 }
 
-/// Why bytes are not a valid frame.
+/// An error in encoding or decoding a frame.
 #[derive(Clone, Debug, PartialEq, Eq, Display, thiserror::Error)]
 pub enum FrameError {
-    /// the frame speaks version {0} of the peer protocol; run releases next to each other only
+    /// unsupported peer protocol version {0}; run only adjacent releases in one fleet
     Version(u8),
-    /// the frame has {0} bytes; nothing that speaks this protocol sends so many, look who connects
+    /// frame of {0} bytes exceeds the maximum of the peer protocol; check which client connects to the peer address
     TooLarge(usize),
-    /// the frame is empty; look who connects to the peer address
+    /// empty frame; check which client connects to the peer address
     Empty,
-    /// the frame can't be read: {0}; look who connects to the peer address
+    /// invalid frame: {0}; check which client connects to the peer address
     Undecodable(String),
 }
 
--- a/crates/core/src/protocol/lease.rs
+++ b/crates/core/src/protocol/lease.rs
@@ -4,9 +4,9 @@
 use crate::base::{Micros, NodeId, Version};
 use musli::{Decode, Encode};
 
-/// Messages of the leases of singleton roles: which core hands out the quotas of which tenants.
+/// Messages of the leases of singleton roles, whose holders grant the quotas of tenants.
 ///
-/// The number of each variant is its tag on the wire, unique among the variants of all these enums; see
+/// The number of each variant is its tag on the wire, unique among the variants of all message enums; see
 /// [`Message`](super::Message).
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[musli(name(type = usize))]
@@ -14,15 +14,15 @@
     /// A core requests a lease, or the renewal of its lease, from a voter.
     #[musli(name = 17)]
     Request {
-        /// The sender's set of voters, named by the version that began it; voters of other sets don't reply.
+        /// The sender's set of voters, named by its first version; voters of other sets don't reply.
         voter_set: Version,
         /// The role that the lease is for.
         role: u32,
         /// The epoch of the lease, its fencing token.
         epoch: u64,
-        /// Identifies the request.
+        /// The ID of the request.
         request_id: u64,
-        /// Whether this is a new lease, whose epoch nobody held before, rather than a renewal.
+        /// True for a new lease, whose epoch nobody held before; false for a renewal.
         is_new_epoch: bool,
     },
 
@@ -35,8 +35,8 @@
         epoch: u64,
         /// The ID of the request.
         request_id: u64,
-        /// What the voter recorded as granted of the windows of the role's tenants; empty unless the epoch
-        /// is new to the voter.
+        /// The grants that the voter recorded for the windows of the role's tenants; empty unless the epoch is
+        /// new to the voter.
         grants: Vec<WindowGrant>,
         /// Whether the voter knows of no earlier holder of the role.
         has_no_predecessor: bool,
@@ -53,20 +53,20 @@
         epoch: u64,
         /// The ID of the request.
         request_id: u64,
-        /// Who holds the role by what the voter knows; the default ID where nobody does.
+        /// The holder of the role according to the voter; the default ID if there is none.
         holder: NodeId,
-        /// How long until a request may succeed, in microseconds.
+        /// The time until a request may succeed, in microseconds.
         remaining: Micros,
     },
 
-    /// A voter that has just started queries whether a core holds any lease.
+    /// A voter that has just started asks whether the receiver holds any lease.
     #[musli(name = 41)]
     HeldLeasesQuery {
-        /// Identifies the query of this incarnation of the voter.
+        /// The ID of the query, unique within this incarnation of the voter.
         query_id: u64,
     },
 
-    /// The sender holds no lease, and can win none by a vote of an earlier incarnation of the voter.
+    /// The sender holds no lease, and no vote of an earlier incarnation of the voter can win it one.
     #[musli(name = 42)]
     NoHeldLeases {
         /// The ID of the query.
@@ -75,7 +75,7 @@
 }
 
 impl LeaseMessage {
-    /// The name of its kind, for logs and traces.
+    /// Returns the name of the message kind, for logs and traces.
     #[must_use]
     pub fn name(&self) -> &'static str {
         match self {
--- a/crates/core/src/protocol/membership.rs
+++ b/crates/core/src/protocol/membership.rs
@@ -1,4 +1,4 @@
-//! Messages of the bootstrap, of the hand-over between sets of voters, and of registrations.
+//! Messages of the bootstrap, of the takeover between sets of voters, and of registrations.
 
 use super::{Voter, WindowGrant};
 use crate::base::{Incarnation, NodeId, Version};
@@ -7,18 +7,18 @@
 /// An incarnation of a node that may hold shares of rates, as registered with the voters.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RegisteredIncarnation {
-    /// The node; the default ID stands for an unknown one that may hold anything.
+    /// The ID of the node; the default ID stands for an unknown node that may hold any share.
     pub node_id: NodeId,
-    /// Which of its incarnations.
+    /// The incarnation of the node.
     pub incarnation: Incarnation,
-    /// Its address, where it can be probed; empty for the unknown one.
+    /// The address at which the node can be probed; empty for an unknown node.
     pub addr: String,
 }
 
 /// Messages of the bootstrap of a fleet and of changes of its set of voters. A set of voters is named by
-/// the version that began it.
+/// its first version.
 ///
-/// The number of each variant is its tag on the wire, unique among the variants of all these enums; see
+/// The number of each variant is its tag on the wire, unique among the variants of all message enums; see
 /// [`Message`](super::Message).
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[musli(name(type = usize))]
@@ -26,50 +26,50 @@
     /// A core without a version announces itself to the seeds.
     #[musli(name = 1)]
     Bootstrap {
-        /// The sender's ID and address.
+        /// The ID and the address of the sender.
         sender: Voter,
-        /// Its newest version, if it has any.
+        /// The newest version that the sender holds, if any.
         version: Option<Version>,
-        /// The set of voters that it voted for; empty until the vote is synced to its disk.
+        /// The set of voters that the sender voted for; empty until the vote is synced to its disk.
         vote: Vec<Voter>,
-        /// Whether its settings allow it to found a fleet.
+        /// Whether the settings of the sender allow it to found a fleet.
         may_bootstrap: bool,
     },
 
-    /// A voter that is not ready requests what was granted under earlier sets.
+    /// A voter that is not ready requests the grants and registrations of earlier sets.
     #[musli(name = 22)]
     TakeoverRequest {
-        /// The set that it takes over to.
+        /// The set whose takeover the sender performs.
         voter_set: Version,
     },
 
-    /// What the sender knows of grants and registrations under earlier sets. It acts under none of them
-    /// any more.
+    /// The grants and registrations of earlier sets that the sender knows. The sender no longer acts under any
+    /// of these sets.
     #[musli(name = 23)]
     TakeoverReply {
         /// The set of the request.
         voter_set: Version,
-        /// Whether the sender is ready for this set, so that its reply alone is enough.
+        /// Whether the sender is ready for this set, so that its reply alone is sufficient.
         is_complete: bool,
-        /// What was granted of the tenants' windows.
+        /// The grants of the tenants' windows.
         grants: Vec<WindowGrant>,
         /// The incarnations that may hold shares of rates.
         registered: Vec<RegisteredIncarnation>,
     },
 
-    /// The sender has taken over what was granted before this set, on its disk.
+    /// The sender has the grants and registrations of all earlier sets on its disk.
     #[musli(name = 32)]
     Ready {
-        /// The set that it is ready for.
+        /// The set that the sender is ready for.
         voter_set: Version,
     },
 
-    /// Incarnations of nodes that may be granted shares, to be kept on the disks of the voters.
+    /// Registers incarnations of nodes that may be granted shares, for the disks of the voters.
     #[musli(name = 33)]
     Register {
-        /// The set under which the sender acts; others don't confirm it.
+        /// The set under which the sender acts; voters of other sets don't confirm the registration.
         voter_set: Version,
-        /// Identifies the request.
+        /// The ID of the request.
         request_id: u64,
         /// The incarnations to register.
         incarnations: Vec<RegisteredIncarnation>,
@@ -86,7 +86,7 @@
 }
 
 impl MembershipMessage {
-    /// The name of its kind, for logs and traces.
+    /// Returns the name of the message kind, for logs and traces.
     #[must_use]
     pub fn name(&self) -> &'static str {
         match self {
--- a/crates/core/src/protocol/message.rs
+++ b/crates/core/src/protocol/message.rs
@@ -7,25 +7,25 @@
 
 /// A message between nodes.
 ///
-/// On the wire it is one flat enum: the tags of the variants of the five inner enums are unique among
-/// all of them, and the inner enum is not written. A tag is never given to another variant, as releases
-/// next to each other run in one fleet.
+/// On the wire a message is one flat enum: the tags of the variants are unique among all five inner enums, and
+/// the inner enum is not encoded. A tag is never reused for another variant, as adjacent releases run in one
+/// fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
-    /// A message of the agreement on versions.
+    /// A message of the consensus on versions.
     Consensus(ConsensusMessage),
-    /// A message of the changes of the set of voters.
+    /// A message of the bootstrap and of changes of the set of voters.
     Membership(MembershipMessage),
     /// A message of the leases of singleton roles.
     Lease(LeaseMessage),
     /// A message of the quotas.
     Quota(QuotaMessage),
-    /// A message of the gossip and the reports of workers.
+    /// A message of gossip, worker reports or clock readings.
     Dissemination(DisseminationMessage),
 }
 
 impl Message {
-    /// The name of its kind, for logs and traces.
+    /// Returns the name of the message kind, for logs and traces.
     pub fn name(&self) -> &'static str {
         match self {
             Message::Consensus(message) => message.name(),
@@ -90,7 +90,7 @@
     {
         let context = decoder.cx();
         let Some(lookahead) = decoder.try_clone() else {
-            return Err(context.message("messages are decoded from a slice of bytes only"));
+            return Err(context.message("messages can be decoded only from a byte slice"));
         };
         let tag: usize = lookahead.decode_variant(|variant| variant.decode_tag()?.decode())?;
         match tag {
@@ -99,7 +99,7 @@
             17 | 18 | 19 | 41 | 42 => decoder.decode().map(Message::Lease),
             20 | 21 | 24 | 25 | 26 | 27 | 28 | 29 | 35 | 36 | 37 | 38 | 45 | 46 => decoder.decode().map(Message::Quota),
             0 | 11 | 12 | 13 | 14 | 15 | 16 | 43 | 44 => decoder.decode().map(Message::Dissemination),
-            _ => Err(context.message("no message has this tag; run releases next to each other only")),
+            _ => Err(context.message("unknown message tag; run only adjacent releases in one fleet")),
         }
     }
 }
--- a/crates/core/src/protocol/mod.rs
+++ b/crates/core/src/protocol/mod.rs
@@ -1,8 +1,7 @@
 //! The protocol between nodes: frames, messages, and the records that they carry.
 //!
-//! [`Frame`] is the unit on the wire. Its [`Message`] belongs to one of five concerns, each with an enum
-//! of its own in the module of its name. The bytes of each message are fixed by golden files in
-//! `tests/golden`.
+//! [`Frame`] is the unit on the wire. Its [`Message`] belongs to one of five concerns, each of which has an enum
+//! in the module of the same name. Golden files in `tests/golden` fix the bytes of each message.
 
 mod compression;
 mod consensus;
--- a/crates/core/src/protocol/quota.rs
+++ b/crates/core/src/protocol/quota.rs
@@ -1,53 +1,53 @@
 //! Messages of quotas: grants of windows, slices of them, and shares of rates.
 //!
 //! Windows are granted by messages 20 to 29 and rates by 35 to 38, 45 and 46. Times are in microseconds and are always
-//! durations, never points in time, as the clocks of two nodes are unrelated.
+//! durations, never points in time, because the clocks of nodes are not synchronized.
 
 use crate::base::{Micros, NodeId, Version};
 use musli::{Decode, Encode};
 
-/// All units that one node was ever granted of one tenant's window.
+/// The total of the units that one node was granted of one window of a tenant's quota.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct WindowGrant {
     /// The tenant's name.
     pub tenant: String,
-    /// The number of the window, which only grows.
+    /// The number of the window. Invariant: never decreases.
     pub window: u64,
     /// The node that the units were granted to.
     pub node_id: NodeId,
-    /// The sum of all grants to this node in this window, which only grows.
+    /// The sum of all grants to this node in this window. Invariant: never decreases.
     pub granted_total: u64,
-    /// How long ago the window started as far as the sender knows, in microseconds.
+    /// The age of the window as far as the sender knows, in microseconds.
     pub age: Micros,
 }
 
 impl WindowGrant {
-    /// The same grant, `elapsed` microseconds later.
+    /// Returns the grant with the age of its window increased by `elapsed` microseconds.
     #[must_use]
     pub fn aged_by(self, elapsed: Micros) -> WindowGrant {
         WindowGrant { age: self.age.saturating_add(elapsed), ..self }
     }
 }
 
-/// One node's share of one tenant's rate, and its demand.
+/// A node's request for a share of one tenant's rate: the share that it holds and its demand.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 #[musli(packed)]
 pub struct ShareRequest {
     /// The hash of the tenant's name.
     pub tenant_key: u64,
-    /// The share held, in millionths.
+    /// The held share, in millionths of the rate.
     pub held_share: u32,
-    /// Thousandths of units that the bucket lost when the share shrank, for the lease holder's pool.
+    /// The thousandths of units that the bucket returned to the lease holder's pool when its share shrank.
     pub returned_milli: u64,
-    /// The demand in thousandths of units a second.
+    /// The demand, in thousandths of units a second.
     pub demand_milli: u64,
-    /// The units of calls that the bucket could not serve.
+    /// The units that the bucket lacked for calls.
     pub missing_units: u32,
-    /// The units of the smallest of these calls; fewer are of no use.
+    /// The units of the smallest of these calls; fewer units serve no call.
     pub smallest_call: u32,
-    /// The units of a usual call, a moving average.
+    /// The moving average of the units of a call.
     pub usual_call: u32,
-    /// The demand in thousandths of calls a second.
+    /// The demand, in thousandths of calls a second.
     pub call_rate_milli: u64,
 }
 
@@ -55,13 +55,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 #[musli(packed)]
 pub struct ShareGrant {
-    /// False where the responder doesn't hold the lease of the role, or a later request overtook this one.
+    /// False if the responder doesn't hold the lease of the role, or if it received a later request before this one.
     pub granted: bool,
-    /// The share from now on, in millionths.
+    /// The new share, in millionths of the rate.
     pub share: u32,
-    /// Thousandths of units that may be used at once on top.
+    /// Additional units that may be used at once, in thousandths.
     pub burst_milli: u64,
-    /// Units lent to calls that wait now, independent of the share.
+    /// The units lent to waiting calls, independent of the share.
     pub loaned_units: u32,
 }
 
@@ -71,23 +71,23 @@
 pub struct LoanRequest {
     /// The hash of the tenant's name.
     pub tenant_key: u64,
-    /// The units that calls wait for.
+    /// The units that waiting calls lack.
     pub missing_units: u32,
-    /// The units of the smallest of these calls; fewer are of no use.
+    /// The units of the smallest of these calls; fewer units serve no call.
     pub smallest_call: u32,
 }
 
-/// The units that a standby lends out of its own bucket, for calls that wait now.
+/// The units that a standby lends from its own bucket to waiting calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 #[musli(packed)]
 pub struct Loan {
     /// The hash of the tenant's name.
     pub tenant_key: u64,
-    /// The units; zero where the standby has too few.
+    /// The lent units; zero if the standby has too few.
     pub units: u32,
 }
 
-/// A claim to the lease of a role. The pair of `voter_set` and `epoch` only grows.
+/// A claim to the lease of a role. Invariant: the pair of `voter_set` and `epoch` never decreases.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 #[musli(packed)]
 pub struct LeaseClaim {
@@ -95,64 +95,64 @@
     pub role: u32,
     /// The version of the set of voters that the lease was granted under.
     pub voter_set: u64,
-    /// The lease's epoch, its fencing token; zero where the sender doesn't hold it.
+    /// The epoch of the lease, its fencing token; zero if the sender doesn't hold the lease.
     pub epoch: u64,
-    /// The lease holder; the default id where none is known.
+    /// The lease holder; the default ID if none is known.
     pub holder: NodeId,
 }
 
 /// Messages of quotas: slices of windows and shares of rates.
 ///
-/// The number of each variant is its tag on the wire, unique among the variants of all these enums; see
+/// The number of each variant is its tag on the wire, unique among the variants of all message enums; see
 /// [`Message`](super::Message).
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[musli(name(type = usize))]
 pub enum QuotaMessage {
-    /// From a lease holder to the voters: put these grants on disk.
+    /// A lease holder asks the voters to sync these grants to disk.
     #[musli(name = 20)]
     ReplicateGrants {
         /// The version of the set of voters.
         voter_set: Version,
-        /// The role whose lease the sender holds.
+        /// The role of the sender's lease.
         role: u32,
-        /// The lease's epoch, by which older holders are fenced.
+        /// The epoch of the lease, which fences earlier holders.
         epoch: u64,
-        /// The number that the response repeats.
+        /// The ID that the response repeats.
         request_id: u64,
         /// The grants.
         grants: Vec<WindowGrant>,
     },
 
-    /// From a voter: the grants of that request are on its disk.
+    /// A voter has the grants of the request on its disk.
     #[musli(name = 21)]
     GrantsSynced {
         /// The role of the request.
         role: u32,
         /// The epoch of the request.
         epoch: u64,
-        /// The number of the request.
+        /// The ID of the request.
         request_id: u64,
     },
 
     /// A node requests units of a window.
     #[musli(name = 24)]
     SliceRequest {
-        /// The number that the response repeats.
+        /// The ID that the response repeats.
         request_id: u64,
         /// The tenant's name.
         tenant: String,
-        /// How many units the node would use.
+        /// The number of units that the node could use.
         wanted_units: u64,
         /// The newest window that the node knows.
         window: u64,
-        /// The sum of units that it returned in that window.
+        /// The sum of all units that the node returned in that window.
         returned: u64,
     },
 
-    /// Units are granted; sent once a majority of voters has the grant on disk.
+    /// The lease holder grants units; sent once a majority of the voters has the grant on disk.
     #[musli(name = 25)]
     SliceGranted {
-        /// The number of the request.
+        /// The ID of the request.
         request_id: u64,
         /// The tenant's name.
         tenant: String,
@@ -160,44 +160,44 @@
         window: u64,
         /// The sum of all grants to the node in this window.
         granted_total: u64,
-        /// How long the units may be used from the moment of the request, in microseconds.
+        /// The time for which the units may be used, counted from the request, in microseconds.
         remaining: Micros,
-        /// The lease's epoch.
+        /// The epoch of the lease.
         epoch: u64,
     },
 
-    /// Nothing is left of the window.
+    /// No units are left in the window.
     #[musli(name = 26)]
     WindowSpent {
-        /// The number of the request.
+        /// The ID of the request.
         request_id: u64,
         /// The tenant's name.
         tenant: String,
         /// The number of the window.
         window: u64,
-        /// How long the window still lasts, in microseconds.
+        /// The remaining time of the window, in microseconds.
         remaining: Micros,
     },
 
     /// The receiver of a request does not hold the lease.
     #[musli(name = 27)]
     NotLeaseHolder {
-        /// The number of the request.
+        /// The ID of the request.
         request_id: u64,
         /// The tenant's name.
         tenant: String,
-        /// The lease holder by what the sender knows; the default id where it knows none.
+        /// The lease holder according to the sender; the default ID if it knows none.
         holder: NodeId,
     },
 
-    /// The lease holder asks for idle units back.
+    /// The lease holder recalls idle units.
     #[musli(name = 28)]
     RecallSlice {
         /// The tenant's name.
         tenant: String,
         /// The number of the window.
         window: u64,
-        /// The lease's epoch.
+        /// The epoch of the lease.
         epoch: u64,
     },
 
@@ -212,21 +212,21 @@
         returned: u64,
     },
 
-    /// The lease holder of these roles wants to receive share requests now.
+    /// The lease holder of these roles asks for share requests.
     #[musli(name = 35)]
     ShareProbe {
         /// The leases that the sender holds.
         claims: Vec<LeaseClaim>,
     },
 
-    /// Which incarnation listens at the address that was probed.
+    /// The incarnation at the probed address replies to a probe.
     #[musli(name = 36)]
     ShareProbeReply {
-        /// The sender's own address.
+        /// The address of the sender.
         addr: String,
         /// The claims of the probe.
         claims: Vec<LeaseClaim>,
-        /// How long ago this incarnation started, in microseconds; it had the address to itself since then.
+        /// The time since this incarnation started, in microseconds, during which no other one used the address.
         #[musli(default)]
         age: Micros,
     },
@@ -234,14 +234,14 @@
     /// A node requests shares of several rates from one lease holder.
     #[musli(name = 37)]
     ShareRequests {
-        /// The number that the response repeats.
+        /// The ID that the response repeats.
         request_id: u64,
         /// One request for each tenant.
         requests: Vec<ShareRequest>,
-        /// The newest claims that the sender knows for the roles of these tenants.
+        /// The newest claims to the roles of these tenants that the sender knows.
         claims: Vec<LeaseClaim>,
-        /// For how long this incarnation was granted nothing and held the same share, in microseconds and in
-        /// the order of `requests`.
+        /// The time for which this incarnation was granted nothing and held the same share, in microseconds and
+        /// in the order of `requests`.
         #[musli(default)]
         idle_for: Vec<Micros>,
     },
@@ -249,18 +249,18 @@
     /// The response to [`ShareRequests`](QuotaMessage::ShareRequests).
     #[musli(name = 38)]
     ShareGrants {
-        /// The number of the request.
+        /// The ID of the request.
         request_id: u64,
         /// One grant for each request, in the same order.
         grants: Vec<ShareGrant>,
-        /// The lease holders of these roles by what the sender knows.
+        /// The lease holders of these roles according to the sender.
         claims: Vec<LeaseClaim>,
     },
 
-    /// A node requests units from the standby, as the lease holder does not answer or has none.
+    /// A node requests units from the standby, because the lease holder does not reply or has no units.
     #[musli(name = 45)]
     LoanRequests {
-        /// The number that the response repeats.
+        /// The ID that the response repeats.
         request_id: u64,
         /// One request for each tenant.
         requests: Vec<LoanRequest>,
@@ -269,15 +269,15 @@
     /// The response to [`LoanRequests`](QuotaMessage::LoanRequests).
     #[musli(name = 46)]
     Loans {
-        /// The number of the request.
+        /// The ID of the request.
         request_id: u64,
-        /// What is lent of each tenant that the sender knows.
+        /// One loan for each tenant that the sender knows.
         loans: Vec<Loan>,
     },
 }
 
 impl QuotaMessage {
-    /// The name of its kind, for logs and traces.
+    /// Returns the name of the message kind, for logs and traces.
     pub fn name(&self) -> &'static str {
         match self {
             QuotaMessage::ReplicateGrants { .. } => "ReplicateGrants",
--- a/crates/core/tests/digests.rs
+++ b/crates/core/tests/digests.rs
@@ -99,7 +99,7 @@
     let mut log = digest_log(0..max_digests);
     assert_eq!((log.len(), log.newest_gap()), (MAX_DIGESTS, None));
     log.insert_all([EntryDigest::of(&entry(max_digests + 4))]);
-    assert_eq!((log.lowest_kept_version(), log.len()), (5, MAX_DIGESTS - 4));
+    assert_eq!((log.lowest_retained_version(), log.len()), (5, MAX_DIGESTS - 4));
     assert_eq!(log.status_of(ChangeId(104), &document(4)), ChangeStatus::Unknown);
     assert_eq!(log.status_of(ChangeId(105), &document(5)), ChangeStatus::Decided(5));
     assert_eq!(log.newest_gap(), Some((max_digests, max_digests + 3)));
