--- a/crates/core/tests/ballots.rs
+++ b/crates/core/tests/ballots.rs
@@ -1,4 +1,5 @@
-//! Competing proposers: a core that voted for another proposer's ballot leaves it the time that it needs.
+//! Competing proposers: a core that promised or accepted another proposer's ballot gives this ballot time to
+//! complete.
 
 mod fleet;
 
@@ -7,7 +8,7 @@
 use sumacvale_core::node::Event;
 use sumacvale_core::protocol::{Ballot, Change, ConsensusMessage, Message};
 
-/// Three voters with version 1, of which the third does not run: the test sends its messages.
+/// Starts two of three voters with version 1; the test sends the messages of the third.
 fn two_of_three() -> Fleet {
     let mut fleet = Fleet::default();
     fleet.auto = false;
@@ -25,12 +26,12 @@
     fleet.carry(1, effects);
 }
 
-/// A ballot of the third voter, higher than all before it.
+/// A ballot of the third voter.
 fn competing_ballot(number: u64) -> Ballot {
     Ballot { number, node_id: NodeId(3), incarnation: 1 }
 }
 
-/// How many prepares the first voter has sent since then.
+/// Counts the `Prepare` messages of the first voter among the frames sent from index `since` on.
 fn prepares_sent(fleet: &Fleet, since: usize) -> usize {
     fleet.sent[since..]
         .iter()
@@ -41,20 +42,20 @@
 }
 
 #[test]
-fn a_voter_starts_no_ballot_while_that_of_another_proposer_is_under_way() {
+fn a_voter_starts_no_ballot_while_another_proposers_ballot_is_in_progress() {
     let mut fleet = two_of_three();
     fleet.tell(3, 1, Message::Consensus(ConsensusMessage::Prepare { instance: 2, ballot: competing_ballot(50) }));
     let since = fleet.sent.len();
     submit_change(&mut fleet, 1);
     fleet.run(350 * MS);
-    assert_eq!(prepares_sent(&fleet, since), 0, "it pre-empted a ballot that had no time to complete");
+    assert_eq!(prepares_sent(&fleet, since), 0, "preempted a ballot before it had time to complete");
 
-    // The other proposer goes on to its accept phase, which takes a write as well.
+    // The other proposer enters its accept phase, which needs another disk write.
     let next = decree(2, 0, &[], &[1, 2, 3]);
     fleet.tell(3, 1, Message::Consensus(ConsensusMessage::Accept { ballot: competing_ballot(50), entry: next }));
     fleet.run(350 * MS);
-    assert_eq!(prepares_sent(&fleet, since), 0, "it pre-empted a ballot in its accept phase");
-    // The change is still pending, and is rejected once the other's version is known.
+    assert_eq!(prepares_sent(&fleet, since), 0, "preempted a ballot in its accept phase");
+    // The change stays pending, and is rejected once the other proposer's version is known.
     fleet.run(SEC);
     assert_eq!(fleet.node(1).version(), Some(2));
     assert_eq!(fleet.kept(1).entries[&2].change_id, ChangeId(2));
@@ -68,7 +69,7 @@
     fleet.run(100 * MS);
     submit_change(&mut fleet, 1);
     let has_started = |fleet: &Fleet| prepares_sent(fleet, since) > 0;
-    assert!(fleet.run_until(325 * MS, has_started).is_some(), "it still yields to a proposer that may have failed");
+    assert!(fleet.run_until(325 * MS, has_started).is_some(), "still yields to a proposer that may have failed");
 }
 
 #[test]
@@ -80,5 +81,5 @@
     let since = fleet.sent.len();
     submit_change(&mut fleet, 2);
     fleet.run(50 * MS);
-    assert!(prepares_sent(&fleet, since) > 0, "it yields to a ballot that is decided");
+    assert!(prepares_sent(&fleet, since) > 0, "yields to a ballot whose version is decided");
 }
--- a/crates/core/tests/digests.rs
+++ b/crates/core/tests/digests.rs
@@ -1,4 +1,4 @@
-//! The log of digests: the status of changes, and that nothing is concluded where digests are missing.
+//! The log of digests: it reports the status of changes, and no result where digests are missing.
 
 use sumacvale_core::base::{ChangeId, NodeId, Version};
 use sumacvale_core::consensus::{ChangeStatus, DigestLog, MAX_DIGESTS};
@@ -40,7 +40,7 @@
     assert_eq!(log.status_of(ChangeId(104), &document(4)), ChangeStatus::Decided(4));
     assert_eq!(log.status_of(ChangeId(104), &document(5)), ChangeStatus::IdReused);
     assert_eq!(log.status_of(ChangeId(999), &document(4)), ChangeStatus::Unknown);
-    // Of two changes with one identifier each is known.
+    // Two changes with the same identifier are both recognized.
     let mut log = digest_log(0..10);
     log.insert_all([EntryDigest::of(&LogEntry { change_id: ChangeId(104), body: "other".into(), ..entry(10) })]);
     assert_eq!(log.status_of(ChangeId(104), &document(4)), ChangeStatus::Decided(4));
@@ -57,8 +57,8 @@
 }
 
 #[test]
-fn nothing_is_concluded_where_digests_are_missing() {
-    // The versions whose digests are kept, the base, and the version known to come after it.
+fn lookups_return_no_result_where_digests_are_missing() {
+    // The versions whose digests are retained, the base revision, and the version known to follow it.
     let cases: [(&[Version], u64, Option<Version>); 7] = [
         (&[0, 1, 2, 3], 3, Some(2)),
         (&[0, 1, 2, 3], 4, Some(2)),
@@ -68,9 +68,9 @@
         (&[2, 3], 3, None),
         (&[3, 2], 6, Some(3)),
     ];
-    for (kept, base, expected) in cases {
-        let after = digest_log(kept.iter().copied()).after_revision(base).map(|digest| digest.version);
-        assert_eq!(after, expected, "{kept:?}, {base}");
+    for (retained, base, expected) in cases {
+        let successor = digest_log(retained.iter().copied()).after_revision(base).map(|digest| digest.version);
+        assert_eq!(successor, expected, "{retained:?}, {base}");
     }
     assert_eq!(digest_log([0, 1, 3]).after_version(1), None);
     assert_eq!(digest_log([0, 1, 3]).after_version(2).map(|digest| digest.version), Some(3));
@@ -78,19 +78,19 @@
 }
 
 #[test]
-fn gaps_are_filled_from_the_newest_on_in_chunks() {
-    let full = digest_log(0..1_000);
+fn gaps_are_filled_in_chunks_the_newest_versions_first() {
+    let complete_log = digest_log(0..1_000);
     let mut log = digest_log((0..50).chain(400..410).chain([999]));
     assert_eq!(log.newest_gap(), Some((410, 998)));
     let mut chunks = 0;
     while let Some((from, to)) = log.newest_gap() {
-        let chunk = full.chunk(from, to, 300);
+        let chunk = complete_log.chunk(from, to, 300);
         assert!(chunk.len() <= 300 && chunk.last().is_some_and(|digest| digest.version == to));
         assert_eq!(log.insert_all(chunk.clone()), chunk, "the whole chunk is new");
         assert!(log.insert_all(chunk).is_empty(), "nothing is inserted twice");
         chunks += 1;
     }
-    assert_eq!((log, chunks), (full, 4));
+    assert_eq!((log, chunks), (complete_log, 4));
 }
 
 #[test]
@@ -106,10 +106,10 @@
     assert!(log.insert_all([EntryDigest::of(&entry(3))]).is_empty(), "digests that are too old are not inserted");
 }
 
-/// Two digests of one version in one input, as a faulty peer may send them: the first counts, and the other's
-/// change identifier stays unknown.
+/// A faulty peer may send two digests of one version in one message: the first is inserted, and the change
+/// identifier of the second stays unknown.
 #[test]
-fn of_two_digests_of_one_version_the_first_counts() {
+fn only_the_first_of_two_digests_of_one_version_is_inserted() {
     let first = EntryDigest::of(&entry(4));
     let second = EntryDigest::of(&LogEntry { change_id: ChangeId(900), body: "other".into(), ..entry(4) });
     let mut log = digest_log(0..4);
--- a/crates/core/tests/golden/folder.rs
+++ b/crates/core/tests/golden/folder.rs
@@ -5,21 +5,22 @@
 use std::io::Write;
 use std::path::PathBuf;
 
-/// Set to `1`, golden files that are missing are written. Files that exist are never changed.
+/// The environment variable that, set to `1`, makes the tests write missing golden files. Existing files are
+/// never changed.
 const WRITE_VARIABLE: &str = "GOLDEN_WRITE";
 
-/// A folder of golden files that must hold exactly the files that the test cases name.
+/// A folder of golden files, which must hold exactly the files that the test cases name.
 pub struct GoldenFolder {
     path: PathBuf,
 }
 
 impl GoldenFolder {
-    /// The folder at this path below the folder of the crate under test.
+    /// Returns the folder at this path below the folder of the crate under test.
     pub fn in_crate(crate_folder: &str, relative_path: &str) -> GoldenFolder {
         GoldenFolder { path: PathBuf::from(crate_folder).join(relative_path) }
     }
 
-    /// The bytes of a golden file, after checking that the program still writes the same bytes.
+    /// Checks that the program still writes the bytes of a golden file, and returns these bytes.
     ///
     /// # Panics
     ///
@@ -62,7 +63,7 @@
     }
 }
 
-/// The position of the first byte in which two byte strings differ, if they differ.
+/// Returns the position of the first byte in which two byte strings differ, if they differ.
 fn first_difference(left: &[u8], right: &[u8]) -> Option<usize> {
     let shared = left.iter().zip(right).take_while(|(left, right)| left == right).count();
     (left != right).then_some(shared)
--- a/crates/core/tests/golden/frames.rs
+++ b/crates/core/tests/golden/frames.rs
@@ -10,8 +10,9 @@
     QuotaMessage, decode_frame, encode_frame,
 };
 
-/// A message, and what tells its file from others of the same variant; empty for the plain one.
+/// A message with a golden file.
 struct Case {
+    /// The part of the file name that tells this case from others of the same variant; empty for the plain case.
     label: String,
     message: Message,
 }
@@ -43,12 +44,22 @@
 }
 
 fn cases() -> Vec<Case> {
-    let groups = [gossip(), agreement(), news(), workers(), terms(), quota(), changes(), shares(), other()];
+    let groups = [
+        gossip(),
+        consensus(),
+        freshness_and_updates(),
+        worker_reports(),
+        leases(),
+        quota(),
+        forwarded_changes(),
+        share_messages(),
+        registrations_and_clocks(),
+    ];
     groups.into_iter().flatten().collect()
 }
 
 fn gossip() -> Vec<Case> {
-    let found = |version| {
+    let bootstrap = |version| {
         Message::Membership(MembershipMessage::Bootstrap {
             sender: core(6),
             version,
@@ -58,39 +69,39 @@
     };
     vec![
         plain(Message::Dissemination(DisseminationMessage::Gossip {
-            heartbeats: vec![beat()],
-            records: vec![peer(), leaving_peer()],
+            heartbeats: vec![heartbeat()],
+            records: vec![peer(), draining_peer()],
             unknown_nodes: vec![NodeId(201), NodeId(202)],
             wants_reply: true,
             incarnation_set: 203,
             compact_heartbeats: vec![0x21, 0x00, 0xE2, 0x23],
         })),
-        plain(found(Some(211))),
-        case("without_version", found(None)),
+        plain(bootstrap(Some(211))),
+        case("without_version", bootstrap(None)),
     ]
 }
 
-fn agreement() -> Vec<Case> {
+fn consensus() -> Vec<Case> {
     let promise =
         |accepted| Message::Consensus(ConsensusMessage::Promise { instance: 221, ballot: ballot(222), accepted });
-    let accept = |decree| Message::Consensus(ConsensusMessage::Accept { ballot: ballot(223), entry: decree });
+    let accept = |entry| Message::Consensus(ConsensusMessage::Accept { ballot: ballot(223), entry });
     vec![
         plain(Message::Consensus(ConsensusMessage::Prepare { instance: 224, ballot: ballot(225) })),
         plain(promise(Some((ballot(226), full_decree())))),
         case("body", promise(Some((ballot(226), body_decree())))),
-        case("patch", promise(Some((ballot(226), patch_decree())))),
-        case("packed", promise(Some((ballot(226), packed_decree())))),
+        case("patch", promise(Some((ballot(226), patch_entry())))),
+        case("packed", promise(Some((ballot(226), compressed_entry())))),
         case("nothing_accepted", promise(None)),
         plain(Message::Consensus(ConsensusMessage::Reject { instance: 227, ballot: ballot(228) })),
         plain(accept(full_decree())),
         case("body", accept(body_decree())),
-        case("patch", accept(patch_decree())),
-        case("packed", accept(packed_decree())),
+        case("patch", accept(patch_entry())),
+        case("packed", accept(compressed_entry())),
         plain(Message::Consensus(ConsensusMessage::Accepted { instance: 229, ballot: ballot(230) })),
         plain(Message::Consensus(ConsensusMessage::Replicate { entries: vec![full_decree(), body_decree()] })),
         case("body", Message::Consensus(ConsensusMessage::Replicate { entries: vec![body_decree()] })),
-        case("patch", Message::Consensus(ConsensusMessage::Replicate { entries: vec![patch_decree()] })),
-        case("packed", Message::Consensus(ConsensusMessage::Replicate { entries: vec![packed_decree()] })),
+        case("patch", Message::Consensus(ConsensusMessage::Replicate { entries: vec![patch_entry()] })),
+        case("packed", Message::Consensus(ConsensusMessage::Replicate { entries: vec![compressed_entry()] })),
         plain(Message::Consensus(ConsensusMessage::Synced { version: 231 })),
         plain(Message::Consensus(ConsensusMessage::DigestRequest { from: 232, to: 233 })),
         plain(Message::Consensus(ConsensusMessage::DigestReply {
@@ -101,33 +112,33 @@
     ]
 }
 
-fn news() -> Vec<Case> {
-    let confirmed = |ready| {
+fn freshness_and_updates() -> Vec<Case> {
+    let freshness_reply = |ready_set| {
         Message::Consensus(ConsensusMessage::FreshnessReply {
             seq: 241,
             version: 242,
             synced_version: 243,
-            ready_set: ready,
+            ready_set,
             has_accepted: true,
         })
     };
-    let tell = |stamp, before, decree| {
+    let update = |confirmed_age, preceding, entry| {
         Message::Dissemination(DisseminationMessage::Update {
             request_seq: 251,
             answered_after: 252,
-            confirmed_age: stamp,
+            confirmed_age,
             version: 254,
-            preceding: before,
-            entry: decree,
+            preceding,
+            entry,
             change_index: 255,
             is_complete: true,
-            reports: vec![row(), gone_row()],
+            reports: vec![worker_report(), removal_report()],
         })
     };
     vec![
         plain(Message::Consensus(ConsensusMessage::FreshnessProbe { seq: 244, version: 245 })),
-        plain(confirmed(Some(246))),
-        case("not_ready", confirmed(None)),
+        plain(freshness_reply(Some(246))),
+        case("not_ready", freshness_reply(None)),
         plain(Message::Dissemination(DisseminationMessage::Subscribe {
             seq: 247,
             next_version: 248,
@@ -135,27 +146,31 @@
             incarnation: 250,
             topics: vec!["small".into(), "large".into()],
         })),
-        plain(tell(Some(253), vec![patch_decree()], Some(full_decree()))),
-        case("body", tell(Some(253), Vec::new(), Some(body_decree()))),
-        case("patch", tell(Some(253), Vec::new(), Some(patch_decree()))),
-        case("packed", tell(Some(253), vec![packed_decree()], Some(packed_decree()))),
-        case("without_decree", tell(Some(253), Vec::new(), None)),
-        case("without_stamp", tell(None, Vec::new(), None)),
+        plain(update(Some(253), vec![patch_entry()], Some(full_decree()))),
+        case("body", update(Some(253), Vec::new(), Some(body_decree()))),
+        case("patch", update(Some(253), Vec::new(), Some(patch_entry()))),
+        case("packed", update(Some(253), vec![compressed_entry()], Some(compressed_entry()))),
+        case("without_decree", update(Some(253), Vec::new(), None)),
+        case("without_stamp", update(None, Vec::new(), None)),
     ]
 }
 
-fn workers() -> Vec<Case> {
+fn worker_reports() -> Vec<Case> {
     vec![
-        plain(Message::Dissemination(DisseminationMessage::Reports { reports: vec![row(), gone_row()] })),
-        plain(Message::Dissemination(DisseminationMessage::Removals { reports: vec![gone_row(), row()] })),
-        plain(Message::Dissemination(DisseminationMessage::RemovalsReceived { keys: row_keys() })),
-        plain(Message::Dissemination(DisseminationMessage::RemovalsKnownByAll { keys: row_keys() })),
+        plain(Message::Dissemination(DisseminationMessage::Reports {
+            reports: vec![worker_report(), removal_report()],
+        })),
+        plain(Message::Dissemination(DisseminationMessage::Removals {
+            reports: vec![removal_report(), worker_report()],
+        })),
+        plain(Message::Dissemination(DisseminationMessage::RemovalsReceived { keys: removal_keys() })),
+        plain(Message::Dissemination(DisseminationMessage::RemovalsKnownByAll { keys: removal_keys() })),
     ]
 }
 
-fn terms() -> Vec<Case> {
+fn leases() -> Vec<Case> {
     let grants = || vec![grant(1), grant(2)];
-    let lives = || vec![life(3), life(4)];
+    let incarnations = || vec![life(3), life(4)];
     vec![
         plain(Message::Lease(LeaseMessage::Request {
             voter_set: 261,
@@ -170,7 +185,7 @@
             request_id: 267,
             grants: grants(),
             has_no_predecessor: true,
-            registered: lives(),
+            registered: incarnations(),
         })),
         plain(Message::Lease(LeaseMessage::Rejected {
             role: 268,
@@ -192,7 +207,7 @@
             voter_set: 281,
             is_complete: true,
             grants: grants(),
-            registered: lives(),
+            registered: incarnations(),
         })),
         plain(Message::Lease(LeaseMessage::HeldLeasesQuery { query_id: 282 })),
         plain(Message::Lease(LeaseMessage::NoHeldLeases { query_id: 283 })),
@@ -229,8 +244,8 @@
     ]
 }
 
-/// One case for each variant of `Change` and of `Fate`, labelled by it.
-fn changes() -> Vec<Case> {
+/// One case for each variant of `Change` and of `ChangeOutcome`, labelled with the name of the variant.
+fn forwarded_changes() -> Vec<Case> {
     let changes = [
         Change::Tree("{\"tree\":1}".into()),
         Change::Document("{\"revision\":2}".into()),
@@ -240,7 +255,7 @@
         Change::ReadHistory,
         Change::ReadNewest,
     ];
-    let fates = [
+    let outcomes = [
         ChangeOutcome::Committed { version: 331 },
         ChangeOutcome::Stale { version: 332 },
         ChangeOutcome::NoQuorum,
@@ -262,38 +277,38 @@
             }),
         )
     };
-    let forwarded = |fate: ChangeOutcome| {
-        case(outcome_name(&fate), Message::Consensus(ConsensusMessage::ForwardReply { request_id: 324, outcome: fate }))
+    let forward_reply = |outcome: ChangeOutcome| {
+        case(outcome_name(&outcome), Message::Consensus(ConsensusMessage::ForwardReply { request_id: 324, outcome }))
     };
-    changes.into_iter().map(forward).chain(fates.into_iter().map(forwarded)).collect()
+    changes.into_iter().map(forward).chain(outcomes.into_iter().map(forward_reply)).collect()
 }
 
-fn shares() -> Vec<Case> {
-    let marks = || vec![share_mark(1), share_mark(2)];
+fn share_messages() -> Vec<Case> {
+    let claims = || vec![lease_claim(1), lease_claim(2)];
     vec![
-        plain(Message::Quota(QuotaMessage::ShareProbe { claims: marks() })),
+        plain(Message::Quota(QuotaMessage::ShareProbe { claims: claims() })),
         plain(Message::Quota(QuotaMessage::ShareProbeReply {
             addr: "10.5.0.1:7400".into(),
-            claims: marks(),
+            claims: claims(),
             age: 341,
         })),
         plain(Message::Quota(QuotaMessage::ShareRequests {
             request_id: 342,
-            requests: vec![share_ask()],
-            claims: marks(),
+            requests: vec![share_request()],
+            claims: claims(),
             idle_for: vec![343],
         })),
         plain(Message::Quota(QuotaMessage::ShareGrants {
             request_id: 344,
-            grants: vec![share_given()],
-            claims: marks(),
+            grants: vec![share_grant()],
+            claims: claims(),
         })),
         plain(Message::Quota(QuotaMessage::LoanRequests { request_id: 345, requests: vec![loan_request()] })),
         plain(Message::Quota(QuotaMessage::Loans { request_id: 346, loans: vec![loan()] })),
     ]
 }
 
-fn other() -> Vec<Case> {
+fn registrations_and_clocks() -> Vec<Case> {
     vec![
         plain(Message::Membership(MembershipMessage::Ready { voter_set: 351 })),
         plain(Message::Membership(MembershipMessage::Register {
@@ -315,13 +330,13 @@
 fn frames_are_encoded_to_the_golden_bytes_and_decoded_from_them() {
     for case in cases() {
         let file_name = case.file_name();
-        let encoded = encode_frame(&case.frame()).expect("the frame can be packed");
+        let encoded = encode_frame(&case.frame()).expect("the frame can be encoded");
         let stored = folder().expect_same_bytes(&file_name, &encoded);
         let decoded = decode_frame(&stored).unwrap_or_else(|error| panic!("{file_name}: {error}"));
         assert_eq!(decoded, case.frame(), "{file_name}: decoded to another value");
         assert_eq!(encode_frame(&decoded).as_ref(), Ok(&stored), "{file_name}: encoded again to other bytes");
     }
-    // In the same test, so that files which this run writes are there already.
+    // In the same test, so that the files that this run writes exist already.
     let file_names: Vec<String> = cases().iter().map(Case::file_name).collect();
     folder().expect_only(file_names.iter().map(String::as_str));
 }
@@ -331,7 +346,7 @@
     let messages: BTreeSet<&str> = cases().iter().map(|case| message_name(&case.message)).collect();
     assert_eq!(messages, message_names().into_iter().collect(), "variants of Message");
     let labels_of = |variant: &str| -> BTreeSet<String> {
-        let of_variant = changes().into_iter().filter(|case| message_name(&case.message) == variant);
+        let of_variant = forwarded_changes().into_iter().filter(|case| message_name(&case.message) == variant);
         of_variant.map(|case| case.label).collect()
     };
     let owned = |names: &[&str]| -> BTreeSet<String> { names.iter().map(|name| (*name).to_owned()).collect() };
--- a/crates/core/tests/golden/main.rs
+++ b/crates/core/tests/golden/main.rs
@@ -4,9 +4,9 @@
 //! when the file was added. For each case the tests check that the value is still encoded to these
 //! bytes, and that the bytes are still decoded to this value.
 //!
-//! - `frames/` holds one whole `Frame` for each variant of `Msg`, and further ones for optional
+//! - `frames/` holds one whole `Frame` for each variant of `Message`, and further ones for optional
 //!   content. File names are `<variant>.bin` or `<variant>-<case>.bin`.
-//! - `forms/` holds the packed forms of a `Decree`, and a `Patch`.
+//! - `forms/` holds the compressed forms of a `LogEntry`, and a `Patch`.
 //!
 //! # Adding a variant
 //!
@@ -21,8 +21,8 @@
 //!
 //! # When a test fails
 //!
-//! A test that fails for an existing file means that releases next to each other no longer
-//! understand each other. Don't replace the file: restore the encoding.
+//! A test that fails for an existing file means that adjacent releases no longer understand each
+//! other. Don't replace the file: restore the encoding.
 
 mod folder;
 mod forms;
--- a/crates/core/tests/golden/values.rs
+++ b/crates/core/tests/golden/values.rs
@@ -1,5 +1,5 @@
-//! Values whose fields all differ from each other and from their defaults, so that two fields that
-//! change places, or one that is lost, change the bytes.
+//! Values whose fields all differ from each other and from their defaults, so that swapped or missing
+//! fields change the bytes.
 
 use sumacvale_core::base::{ChangeId, NodeId};
 use sumacvale_core::config::{Item, ListPatch, Patch};
@@ -30,7 +30,7 @@
     Item { name: name.into(), json: format!("{{\"name\":\"{name}\",\"slots\":{slots}}}") }
 }
 
-/// A decree in which every field is set.
+/// A log entry in which every field is set.
 pub fn full_decree() -> LogEntry {
     LogEntry {
         version: 1_001,
@@ -46,22 +46,22 @@
     }
 }
 
-/// A decree that is told by its body alone.
+/// A log entry with its body alone.
 pub fn body_decree() -> LogEntry {
     LogEntry { version: 1_101, patch: None, compressed: Vec::new(), ..full_decree() }
 }
 
-/// A decree that is told by its patch alone.
-pub fn patch_decree() -> LogEntry {
+/// A log entry with its patch alone.
+pub fn patch_entry() -> LogEntry {
     LogEntry { version: 1_201, body: String::new(), compressed: Vec::new(), ..full_decree() }
 }
 
-/// A decree that is told by its packed form alone.
-pub fn packed_decree() -> LogEntry {
+/// A log entry with its compressed form alone.
+pub fn compressed_entry() -> LogEntry {
     LogEntry { version: 1_301, body: String::new(), patch: None, ..full_decree() }
 }
 
-pub fn beat() -> Heartbeat {
+pub fn heartbeat() -> Heartbeat {
     Heartbeat { node_id: NodeId(2_001), incarnation: 2_002, heartbeat: 2_003, version: 2_004, draining: true }
 }
 
@@ -79,12 +79,12 @@
     }
 }
 
-/// As `peer`, with the other value of each flag.
-pub fn leaving_peer() -> PeerRecord {
+/// The same as `peer`, with the opposite value of each flag.
+pub fn draining_peer() -> PeerRecord {
     PeerRecord { node_id: NodeId(2_111), is_core: false, draining: true, ..peer() }
 }
 
-pub fn row() -> WorkerReport {
+pub fn worker_report() -> WorkerReport {
     WorkerReport {
         worker_id: "worker-1".into(),
         incarnation: 2_201,
@@ -101,12 +101,12 @@
     }
 }
 
-/// As `row`, with the other value of each flag.
-pub fn gone_row() -> WorkerReport {
-    WorkerReport { worker_id: "worker-2".into(), incarnation: 2_211, draining: false, removed: true, ..row() }
+/// The same as `worker_report`, with the opposite value of each flag.
+pub fn removal_report() -> WorkerReport {
+    WorkerReport { worker_id: "worker-2".into(), incarnation: 2_211, draining: false, removed: true, ..worker_report() }
 }
 
-pub fn row_keys() -> Vec<RemovalKey> {
+pub fn removal_keys() -> Vec<RemovalKey> {
     vec![
         RemovalKey { worker_id: "worker-3".into(), incarnation: 2_301, removed: true },
         RemovalKey { worker_id: "worker-4".into(), incarnation: 2_302, removed: false },
@@ -131,7 +131,7 @@
     }
 }
 
-pub fn share_ask() -> ShareRequest {
+pub fn share_request() -> ShareRequest {
     ShareRequest {
         tenant_key: 0xFEED_0000_0000_0001,
         held_share: 3_001,
@@ -144,7 +144,7 @@
     }
 }
 
-pub fn share_given() -> ShareGrant {
+pub fn share_grant() -> ShareGrant {
     ShareGrant { granted: true, share: 3_101, burst_milli: 3_102, loaned_units: 3_103 }
 }
 
@@ -156,18 +156,23 @@
     Loan { tenant_key: 0xFEED_0000_0000_0003, units: 3_161 }
 }
 
-pub fn share_mark(number: u32) -> LeaseClaim {
-    let wide = u64::from(number);
-    LeaseClaim { role: 3_200 + number, voter_set: 3_300 + wide, epoch: 3_400 + wide, holder: NodeId(3_500 + wide) }
+pub fn lease_claim(number: u32) -> LeaseClaim {
+    let number_u64 = u64::from(number);
+    LeaseClaim {
+        role: 3_200 + number,
+        voter_set: 3_300 + number_u64,
+        epoch: 3_400 + number_u64,
+        holder: NodeId(3_500 + number_u64),
+    }
 }
 
 pub fn digest(number: u8) -> EntryDigest {
-    let wide = u64::from(number);
+    let number_u64 = u64::from(number);
     EntryDigest {
-        version: 3_600 + wide,
-        change_id: ChangeId(3_700 + wide),
-        voters_since: 3_800 + wide,
-        revision: 3_900 + wide,
+        version: 3_600 + number_u64,
+        change_id: ChangeId(3_700 + number_u64),
+        voters_since: 3_800 + number_u64,
+        revision: 3_900 + number_u64,
         content: std::array::from_fn(|position| number + position as u8),
     }
 }
--- a/crates/core/tests/golden/variants.rs
+++ b/crates/core/tests/golden/variants.rs
@@ -5,11 +5,11 @@
     QuotaMessage,
 };
 
-/// Makes a function that names the variant of a value, and the list of all these names.
+/// Defines a function that returns the name of a value's variant, and the list of all these names.
 ///
 /// The function is a `match` without a wildcard, so the compiler reports a variant that is not
-/// listed here. The list comes from the same lines, so a listed variant without a case is reported
-/// by the tests.
+/// listed. The list is generated from the same lines, so the tests report a listed variant without a
+/// case.
 macro_rules! name_variants {
     ($type:ident, $function:ident, $list:ident, { $($variant:ident => $name:literal,)+ }) => {
         pub fn $function(value: &$type) -> &'static str {
@@ -22,7 +22,7 @@
     };
 }
 
-/// The name of a message's variant, and so of its golden file.
+/// Returns the name of a message's variant, which is also the name of its golden file.
 pub fn message_name(message: &Message) -> &'static str {
     match message {
         Message::Consensus(message) => consensus_name(message),
@@ -33,7 +33,7 @@
     }
 }
 
-/// The names of all messages, of all concerns.
+/// Returns the names of all message variants.
 pub fn message_names() -> Vec<&'static str> {
     [CONSENSUS_NAMES, MEMBERSHIP_NAMES, LEASE_NAMES, QUOTA_NAMES, DISSEMINATION_NAMES].concat()
 }
--- a/crates/core/tests/peers.rs
+++ b/crates/core/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Case tables for gossip: heartbeats, records, failure detection and replaced nodes.
+//! Tests of gossip: heartbeats, records, failure detection and replaced nodes.
 
 use std::collections::BTreeSet;
 use sumacvale_core::base::{MS, Micros, NodeId, Rng, SEC};
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn compact_heartbeats_never_move_a_heartbeat_back() {
+fn compact_heartbeats_never_decrease_a_heartbeat() {
     let large = 0xffff_fff0;
     for (name, known, sent, expected) in [
         ("one ahead", 5, 6, 6),
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn compact_heartbeats_are_merged_only_between_the_same_incarnation_sets() {
+fn compact_heartbeats_are_merged_only_between_equal_incarnation_sets() {
     let both = [peer(1, 1, 9, 0), peer(2, 1, 5, 0)];
     let cases: [(&str, Vec<PeerRecord>, Micros, bool); 6] = [
         ("the same incarnations", vec![peer(1, 1, 1, 0), peer(2, 1, 1, 0)], SEC, true),
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_version_is_merged_after_the_compact_heartbeat_that_overtook_it() {
+fn a_version_is_merged_after_a_compact_heartbeat_that_arrived_first() {
     let mut table = peer_table(&[peer(2, 1, 5, 3)], 0);
     for (name, counter, version, expected_version, outcome) in [
         ("an older heartbeat with a newer version", 4, 9, 3, Some(false)),
@@ -117,10 +117,10 @@
     }
 }
 
-/// Some nodes without versions that exchange frames, stepped every 25 ms.
+/// Nodes without a configuration that exchange gossip, stepped every 25 ms of virtual time.
 struct GossipNet {
     nodes: Vec<Option<Node>>,
-    /// Frames that are under way: the receiver's address and the bytes.
+    /// The frames in transit: the address of the receiver and the bytes.
     frames: Vec<(String, Vec<u8>)>,
     sent_bytes: usize,
     now: Micros,
@@ -155,7 +155,7 @@
         GossipNet { nodes, frames: Vec::new(), sent_bytes: 0, now: SEC }
     }
 
-    /// Runs until a moment; `is_lost` decides by its number whether a frame is lost.
+    /// Runs until this virtual time; `is_lost` decides by the number of a frame whether the frame is lost.
     fn run(&mut self, until: Micros, is_lost: impl Fn(usize) -> bool) {
         let mut frame_number = 0;
         while self.now < until {
@@ -198,10 +198,10 @@
 }
 
 #[test]
-fn all_nodes_know_the_live_ones_through_frame_loss_failures_and_restarts() {
-    for (name, percent) in [("no loss", 0), ("a tenth of the frames lost", 10), ("a third", 33)] {
+fn all_nodes_agree_on_the_live_nodes_despite_frame_loss_failures_and_restarts() {
+    for (name, loss_percent) in [("no loss", 0), ("a tenth of the frames lost", 10), ("a third", 33)] {
         let mut net = GossipNet::new(12);
-        let lost = |frame_number: usize| Rng::new(frame_number as u64).chance(percent);
+        let lost = |frame_number: usize| Rng::new(frame_number as u64).chance(loss_percent);
         net.run(8 * SEC, lost);
         net.expect_live(name, 12);
         net.nodes[5] = None;
@@ -219,28 +219,33 @@
     }
 }
 
-/// A machine that comes back without its disk is another node at the same address.
+/// A machine that restarts without its disk is another node at the same address. The node that it replaced must
+/// not return through the gossip of peers that still know it.
 #[test]
-fn a_node_whose_address_a_newer_one_has_does_not_come_back() {
-    for (name, percent) in [("no loss", 0), ("a tenth of the frames lost", 10), ("a third", 33)] {
-        for down in [500 * MS, 1_500 * MS, 3 * SEC] {
+fn a_node_replaced_at_its_address_does_not_return() {
+    for (name, loss_percent) in [("no loss", 0), ("a tenth of the frames lost", 10), ("a third", 33)] {
+        for downtime in [500 * MS, 1_500 * MS, 3 * SEC] {
             let mut net = GossipNet::new(12);
-            let lost = |frame_number: usize| Rng::new(frame_number as u64).chance(percent);
+            let lost = |frame_number: usize| Rng::new(frame_number as u64).chance(loss_percent);
             net.run(8 * SEC, lost);
             net.nodes[5] = None;
-            net.run(8 * SEC + down, lost);
+            net.run(8 * SEC + downtime, lost);
             net.nodes[5] = Some(GossipNet::node_with_id(NodeId(106), 5, 1, net.now));
             let mut failed_at: BTreeSet<NodeId> = BTreeSet::new();
             while net.now < 28 * SEC {
                 net.run(net.now + 100 * MS, lost);
                 for node in net.nodes.iter().flatten() {
-                    let known = node.dissemination.peers.entries.contains_key(&NodeId(6));
-                    if !node.dissemination.peers.is_alive(NodeId(6), net.now) && known {
+                    let is_known = node.dissemination.peers.entries.contains_key(&NodeId(6));
+                    if !node.dissemination.peers.is_alive(NodeId(6), net.now) && is_known {
                         failed_at.insert(node.settings.node_id);
                     }
                     let is_back = failed_at.contains(&node.settings.node_id)
                         && node.dissemination.peers.is_alive(NodeId(6), net.now);
-                    assert!(!is_back, "{name}, {down}: {:?} has it back at {}", node.settings.node_id, net.now);
+                    assert!(
+                        !is_back,
+                        "{name}, {downtime}: {:?} has the replaced node as alive again at {}",
+                        node.settings.node_id, net.now
+                    );
                 }
             }
             net.expect_live(name, 12);
@@ -249,7 +254,7 @@
 }
 
 #[test]
-fn a_replaced_node_is_known_again_only_if_its_heartbeat_advanced() {
+fn a_replaced_node_returns_only_if_its_heartbeat_advanced() {
     for (name, record, is_known_again) in [
         ("the heartbeat that was known", peer(2, 1, 5, 0), false),
         ("an older heartbeat", peer(2, 1, 4, 0), false),
@@ -273,7 +278,7 @@
             version: record.version,
             draining: false,
         };
-        // The record of a node that is back is requested; that of one that is not is not requested.
+        // The record is requested only if the heartbeat shows that the node is alive.
         let outcome = if is_known_again { None } else { Some(false) };
         assert_eq!(other_table.merge_heartbeat(&heartbeat, FAILURE_TIMEOUT), outcome, "{name}, its heartbeat");
         table.merge(&PeerRecord { heartbeat: 9, ..replacement.clone() }, 70 * SEC);
@@ -288,7 +293,7 @@
     net.run(10 * SEC, |_| false);
     net.sent_bytes = 0;
     net.run(20 * SEC, |_| false);
-    // Each link carries a frame of some 40 bytes and two bytes for each node, both ways.
+    // Each link carries, both ways, a frame of some 40 bytes plus two bytes for each node.
     let bytes_per_second = net.sent_bytes / 12 / 10;
     assert!(bytes_per_second < 2_200, "{bytes_per_second} bytes a second for each node");
     let frame = |message| Frame { from: NodeId(1), to: NodeId(2), incarnation: 1, fleet_id: 1, sent_at: 1, message };
