--- a/crates/core/tests/fleet/mod.rs
+++ b/crates/core/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A few cores in one test: frames arrive at once, and disks sync at once unless they are stalled.
+//! A fleet of a few cores in virtual time: frames arrive at once, and disks sync at once unless they are stalled.
 
 #![allow(dead_code)]
 
@@ -12,15 +12,15 @@
 use sumacvale_core::node::{Effect, Event, Node, NodeSettings};
 use sumacvale_core::protocol::{Frame, LogEntry, Message, Voter};
 
-/// How often each node is ticked.
+/// The interval between two ticks of each node, in microseconds.
 const TICK: Micros = 25 * MS;
 
-/// The core with this node id at the address of the machine with the same number.
+/// Returns the core with this node ID at the address of the machine with the same number.
 pub fn core(machine: u64) -> Voter {
     core_at(machine, index(machine))
 }
 
-/// The address of a machine.
+/// Returns the address of a machine.
 pub fn address(machine: u64) -> String {
     addr(index(machine))
 }
@@ -29,8 +29,8 @@
     usize::try_from(machine).expect("machines have small numbers")
 }
 
-/// A log entry with an empty document; `voters` are the voters since version `voters_since`, and
-/// `previous_voters` those before.
+/// Creates a log entry with an empty document; `voters` are the voters since version `voters_since`, and
+/// `previous_voters` the voters before that version.
 pub fn decree(version: u64, voters_since: u64, previous_voters: &[u64], voters: &[u64]) -> LogEntry {
     let cores = |machines: &[u64]| machines.iter().map(|machine| core(*machine)).collect::<Vec<_>>();
     LogEntry {
@@ -47,48 +47,51 @@
     }
 }
 
-/// The state of a disk that holds these versions; `ready_set` is the set of voters whose takeover it has.
+/// Creates the state of a disk with these versions; `ready_set` is the set of voters whose takeover is on it.
 pub fn kept(node_id: u64, entries: &[LogEntry], ready_set: Option<u64>) -> DurableState {
     let entries = entries.iter().map(|entry| (entry.version, entry.clone())).collect();
     DurableState { node_id: NodeId(node_id), entries, ready_set, ..DurableState::default() }
 }
 
+/// A machine with its disk and the node that runs on it.
 #[derive(Default)]
 struct Machine {
-    /// The node that runs, if it does.
+    /// The running node, if any.
     node: Option<Node>,
-    /// What is synced to the disk.
+    /// The synced state of the disk.
     disk: DurableState,
+    /// The incarnation of the last node that was started.
     incarnation: u64,
-    /// Writes that are not synced yet, the oldest first.
+    /// The writes that are not synced yet, the oldest first.
     unsynced: VecDeque<UnsyncedWrite>,
 }
 
+/// The writes of one effect, and the token that reports their sync.
 struct UnsyncedWrite {
     token: u64,
     writes: Vec<DurableWrite>,
 }
 
-/// A frame that is under way.
-struct FrameOnWire {
+/// A frame in transit.
+struct FrameInTransit {
     from_machine: u64,
     to_address: String,
     frame: Frame,
 }
 
-/// Machines by number, with the frames that are under way between them.
+/// Machines by number, and the frames in transit between them.
 pub struct Fleet {
     /// The virtual time, in microseconds.
     pub now: Micros,
-    /// Whether cores that start from now on change the set of voters without an operator.
+    /// Whether cores that are started from now on change the set of voters without an operator.
     pub auto: bool,
-    /// Machines whose disks sync nothing.
+    /// Machines whose disks are stalled: they sync no writes.
     pub stuck: BTreeSet<u64>,
-    /// All frames that were sent, with the machine that sent each.
+    /// All sent frames, each with the machine that sent it.
     pub sent: Vec<(u64, Frame)>,
     machines: BTreeMap<u64, Machine>,
-    on_wire: VecDeque<FrameOnWire>,
-    /// Pairs of machines between which frames are lost, from the first to the second.
+    in_transit: VecDeque<FrameInTransit>,
+    /// Pairs of a sending and a receiving machine between which frames are lost.
     partitions: BTreeSet<(u64, u64)>,
 }
 
@@ -100,7 +103,7 @@
             stuck: BTreeSet::new(),
             sent: Vec::new(),
             machines: BTreeMap::new(),
-            on_wire: VecDeque::new(),
+            in_transit: VecDeque::new(),
             partitions: BTreeSet::new(),
         }
     }
@@ -112,7 +115,7 @@
         self.start_at(machine, machine, disk);
     }
 
-    /// Starts a core with this node id on a machine.
+    /// Starts a core with this node ID on a machine.
     pub fn start_at(&mut self, node_id: u64, machine: u64, disk: DurableState) {
         let incarnation = self.machines.get(&machine).map_or(0, |known| known.incarnation) + 1;
         let settings = NodeSettings {
@@ -130,7 +133,7 @@
         self.machines.insert(machine, Machine { node: Some(node), disk, incarnation, unsynced: VecDeque::new() });
     }
 
-    /// Restarts the process of a machine with what was synced.
+    /// Restarts the process of a machine from the synced state of its disk.
     pub fn restart(&mut self, machine: u64) {
         let disk = self.kept(machine).clone();
         self.start_at(disk.node_id.0, machine, disk);
@@ -144,32 +147,32 @@
         }
     }
 
-    /// The node that runs on a machine.
+    /// Returns the node that runs on a machine.
     pub fn node(&self, machine: u64) -> &Node {
         self.machines[&machine].node.as_ref().expect("it runs")
     }
 
-    /// What is synced to the disk of a machine.
+    /// Returns the synced state of the disk of a machine.
     pub fn kept(&self, machine: u64) -> &DurableState {
         &self.machines[&machine].disk
     }
 
-    /// Loses all frames between these machines and those from now on.
-    pub fn part(&mut self, these: &[u64], those: &[u64]) {
-        for this in these {
-            for that in those {
-                self.partitions.insert((*this, *that));
-                self.partitions.insert((*that, *this));
+    /// Partitions the first machines from the second: all frames between them are lost from now on.
+    pub fn part(&mut self, first_machines: &[u64], second_machines: &[u64]) {
+        for first in first_machines {
+            for second in second_machines {
+                self.partitions.insert((*first, *second));
+                self.partitions.insert((*second, *first));
             }
         }
     }
 
-    /// Delivers a message from a node to a machine, whatever partitions there are, and all that follows.
+    /// Delivers a message from a node to a machine despite partitions, and then all frames that follow from it.
     pub fn tell(&mut self, from: u64, machine: u64, message: Message) {
         self.tell_late(from, machine, message, 0);
     }
 
-    /// The same with a frame that was under way for so much longer than others.
+    /// The same for a frame that was in transit for `delay` longer than others, in microseconds.
     pub fn tell_late(&mut self, from: u64, machine: u64, message: Message, delay: Micros) {
         let frame = Frame {
             from: NodeId(from),
@@ -184,20 +187,20 @@
         self.deliver();
     }
 
-    /// Steps the node of a machine; the effects are not carried out.
+    /// Steps the node of a machine and returns the effects without carrying them out.
     pub fn step(&mut self, machine: u64, event: Event) -> Vec<Effect> {
         let now = self.now;
         let Some(stepped) = self.machines.get_mut(&machine) else { return Vec::new() };
         stepped.node.as_mut().map(|node| node.step(event, now)).unwrap_or_default()
     }
 
-    /// Carries out the effects of a step: frames are under way, and writes wait to be synced.
+    /// Carries out the effects of a step: queues frames for delivery and writes for the next sync.
     pub fn carry(&mut self, machine: u64, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Send { to, frame } => {
                     self.sent.push((machine, (*frame).clone()));
-                    self.on_wire.push_back(FrameOnWire { from_machine: machine, to_address: to, frame: *frame });
+                    self.in_transit.push_back(FrameInTransit { from_machine: machine, to_address: to, frame: *frame });
                 }
                 Effect::Write { token, writes } => {
                     if let Some(writer) = self.machines.get_mut(&machine) {
@@ -209,11 +212,12 @@
         }
     }
 
-    /// Syncs the oldest write of each disk that is not stalled; whether there was any.
+    /// Syncs the oldest write of each disk that is not stalled, and returns whether there was any.
     fn sync(&mut self) -> bool {
-        let running: Vec<u64> = self.machines.keys().copied().filter(|machine| !self.stuck.contains(machine)).collect();
+        let unstalled: Vec<u64> =
+            self.machines.keys().copied().filter(|machine| !self.stuck.contains(machine)).collect();
         let mut has_synced = false;
-        for number in running {
+        for number in unstalled {
             let Some(machine) = self.machines.get_mut(&number) else { continue };
             let Some(UnsyncedWrite { token, writes }) = machine.unsynced.pop_front() else { continue };
             for write in &writes {
@@ -226,10 +230,10 @@
         has_synced
     }
 
-    /// Delivers all frames and syncs all writes, until there are none.
+    /// Delivers frames and syncs writes until none are left, except on stalled disks.
     fn deliver(&mut self) {
         loop {
-            if let Some(FrameOnWire { from_machine, to_address, frame }) = self.on_wire.pop_front() {
+            if let Some(FrameInTransit { from_machine, to_address, frame }) = self.in_transit.pop_front() {
                 let receiver = self.machines.keys().copied().find(|machine| address(*machine) == to_address);
                 let is_connected = |machine: &u64| !self.partitions.contains(&(from_machine, *machine));
                 if let Some(machine) = receiver.filter(is_connected) {
@@ -247,7 +251,8 @@
         self.run_until(span, |_| false);
     }
 
-    /// Runs until a condition holds; how long that took, or none if it did not hold within `limit`.
+    /// Runs until a condition holds and returns the elapsed time, or `None` if the condition did not hold within
+    /// `limit`, in microseconds.
     pub fn run_until(&mut self, limit: Micros, holds: impl Fn(&Fleet) -> bool) -> Option<Micros> {
         let started_at = self.now;
         while self.now < started_at + limit {
--- a/crates/core/tests/recovery/load.rs
+++ b/crates/core/tests/recovery/load.rs
@@ -1,4 +1,4 @@
-//! Calls of all tenants at all fronts, and what becomes of them after machines were lost.
+//! A load of calls of all tenants at all fronts, and the outcomes of these calls after machines were lost.
 
 use crate::net::{ALL, CORES, DOWNTIME, Net, TENANTS};
 use std::collections::BTreeMap;
@@ -7,61 +7,67 @@
 use sumacvale_core::node::Event;
 use sumacvale_core::quota::AcquireOutcome;
 
-/// How often each tenant calls, in microseconds: at three quarters of its rate.
+/// The mean interval between two calls of a tenant, in microseconds: three quarters of the tenant's rate.
 pub const CALL_INTERVAL: Micros = SEC / 30;
-/// How long a call waits for a unit of the quota, in microseconds.
+/// The time that a call waits for a unit of the quota, in microseconds.
 pub const CALL_TIMEOUT: Micros = 500 * MS;
 
-/// What a call without a unit waited for when it was rejected.
+/// The reason why a call had no unit when it was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Cause {
-    /// The role has no holder, and restarted voters that are needed for a lease still have their fence.
+pub enum RejectionCause {
+    /// The role has no holder, and the start-up fences of restarted voters prevent a majority for a lease.
     StartupFence,
-    /// The role has no holder; the lease of a lost one may still be valid.
+    /// The role has no holder; the lease of a lost holder may still be valid.
     EarlierLease,
     /// The holder awaits its first renewal.
     FirstRenewal,
-    /// Shares that former holders granted may be in use.
+    /// Shares that former holders granted may still be in use.
     FormerShares,
-    /// The holder's pool is empty yet.
+    /// The holder's pool has not filled yet.
     EmptyPool,
 }
 
-pub fn cause(net: &Net, tenant: &str) -> Cause {
+/// Returns the reason why a tenant's calls find no unit now.
+pub fn rejection_cause(net: &Net, tenant: &str) -> RejectionCause {
     let role = quota_role(tenant);
     let cores = || net.nodes[..CORES].iter().flatten();
     let Some(holder) = cores().find(|core| core.leases.held.valid_epoch(role, net.now).is_some()) else {
         let voters = cores().filter(|core| core.leases.grantor.fence_until <= net.now).count();
-        return if 2 * voters <= CORES { Cause::StartupFence } else { Cause::EarlierLease };
+        return if 2 * voters <= CORES { RejectionCause::StartupFence } else { RejectionCause::EarlierLease };
     };
     if holder.share_epoch(role, net.now).is_none() {
-        return Cause::FirstRenewal;
+        return RejectionCause::FirstRenewal;
     }
-    let pool = holder.quota.share_pools.list().into_iter().find(|p| p.0 == sumacvale_core::quota::tenant_key(tenant));
-    if pool.is_none_or(|p| p.2 > 0) { Cause::FormerShares } else { Cause::EmptyPool }
+    let pool = holder
+        .quota
+        .share_pools
+        .list()
+        .into_iter()
+        .find(|candidate| candidate.0 == sumacvale_core::quota::tenant_key(tenant));
+    if pool.is_none_or(|pool| pool.2 > 0) { RejectionCause::FormerShares } else { RejectionCause::EmptyPool }
 }
 
-/// A call that has no unit yet.
+/// A call that waits for a unit.
 pub struct WaitingCall {
     pub front: usize,
     pub tenant: String,
     pub received_at: Micros,
 }
 
-/// A call that got no unit in time.
+/// A call that was rejected, because it got no unit in time.
 pub struct RejectedCall {
     pub tenant: String,
     pub received_at: Micros,
-    pub cause: Cause,
+    pub cause: RejectionCause,
 }
 
-/// Calls of all tenants at all fronts, each of which waits for a unit of its tenant's quota.
+/// A load of calls of all tenants at all fronts, each of which needs a unit of its tenant's quota.
 pub struct Calls {
     rng: Rng,
-    /// When each tenant calls next.
+    /// When each tenant's next call is due.
     next_at: Vec<Micros>,
     waiting: Vec<WaitingCall>,
-    /// How often each tenant calls, in microseconds.
+    /// The mean interval between two calls of a tenant, in microseconds.
     interval: Micros,
     /// When each tenant's calls got their units.
     pub served: BTreeMap<String, Vec<Micros>>,
@@ -73,6 +79,7 @@
         Calls::with_interval(seed, now, CALL_INTERVAL)
     }
 
+    /// Creates a load with this mean interval between two calls of a tenant, in microseconds.
     pub fn with_interval(seed: u64, now: Micros, interval: Micros) -> Calls {
         Calls {
             rng: Rng::new(seed),
@@ -88,13 +95,14 @@
         self.served.entry(tenant).or_default().push(now);
     }
 
+    /// Starts the calls that are due, and retries or rejects the waiting ones.
     pub fn advance(&mut self, net: &mut Net) {
-        for t in 0..TENANTS {
-            while self.next_at[t] <= net.now {
-                self.next_at[t] += self.interval / 2 + self.rng.below(self.interval);
+        for tenant_number in 0..TENANTS {
+            while self.next_at[tenant_number] <= net.now {
+                self.next_at[tenant_number] += self.interval / 2 + self.rng.below(self.interval);
                 let front = CORES + usize::try_from(self.rng.below((ALL - CORES) as u64)).expect("small");
                 if net.nodes[front].is_some() {
-                    self.call(net, front, format!("t{t}"));
+                    self.call(net, front, format!("t{tenant_number}"));
                 }
             }
         }
@@ -104,7 +112,7 @@
             match node.quota.slices.rates.acquire_for_waiter(&tenant, 1, now) {
                 Some(AcquireOutcome::Acquired { .. }) => self.serve(tenant, now),
                 _ if now >= received_at + CALL_TIMEOUT => {
-                    let cause = cause(net, &tenant);
+                    let cause = rejection_cause(net, &tenant);
                     self.rejected.push(RejectedCall { tenant, received_at, cause });
                 }
                 _ => {
@@ -115,19 +123,21 @@
         }
     }
 
+    /// Starts a call at a front: the call is served, rejected, or waits for a unit.
     pub fn call(&mut self, net: &Net, front: usize, tenant: String) {
         let node = net.nodes[front].as_ref().expect("it runs");
         let received_at = net.now;
         match node.quota.slices.acquire_unit(&tenant, received_at) {
             AcquireOutcome::Acquired { .. } => self.serve(tenant, received_at),
             AcquireOutcome::RateExhausted { wait, may_get_more, .. } if !may_get_more && wait > CALL_TIMEOUT => {
-                let cause = cause(net, &tenant);
+                let cause = rejection_cause(net, &tenant);
                 self.rejected.push(RejectedCall { tenant, received_at, cause });
             }
             _ => self.waiting.push(WaitingCall { front, tenant, received_at }),
         }
     }
 
+    /// Runs the fleet under this load for a span of virtual time, in microseconds.
     pub fn run(&mut self, net: &mut Net, duration: Micros) {
         let end = net.now + duration;
         while net.now < end {
@@ -137,29 +147,30 @@
     }
 }
 
-/// The outcomes of the calls received in the two seconds after some machines restarted from a loss of power.
+/// The outcomes of the calls received in the two seconds after machines restarted from a power loss.
 #[derive(Default)]
 pub struct CallsAfterLoss {
     pub calls: usize,
-    pub rejected: BTreeMap<Cause, usize>,
-    /// How long after the last start the last rejected call was received, in milliseconds, for each loss.
-    pub last_rejected: Vec<Micros>,
+    pub rejected: BTreeMap<RejectionCause, usize>,
+    /// For each power loss, the time from the last start to the last rejected call, in milliseconds.
+    pub last_rejected_ms: Vec<Micros>,
 }
 
 impl CallsAfterLoss {
-    /// Some machines lose power under load and start again after a while.
-    pub fn add_loss(&mut self, seed: u64, lost: &[usize]) {
+    /// Adds the outcomes of one power loss: the machines `lost` lose power under load and restart after
+    /// [`DOWNTIME`].
+    pub fn add_power_loss(&mut self, seed: u64, lost: &[usize]) {
         let mut net = Net::new(|_, _, _| false);
         net.run(8 * SEC);
         let mut calls = Calls::new(seed, net.now);
         calls.run(&mut net, 8 * SEC);
-        for i in lost {
-            net.nodes[*i] = None;
+        for index in lost {
+            net.nodes[*index] = None;
         }
         calls.run(&mut net, DOWNTIME);
         let mut draw = Rng::new(seed);
-        for i in lost {
-            net.start(*i);
+        for index in lost {
+            net.start(*index);
             calls.run(&mut net, draw.below(30) * MS);
         }
         let from = net.now;
@@ -169,13 +180,15 @@
         for call in &rejected {
             *self.rejected.entry(call.cause).or_default() += 1;
         }
-        self.last_rejected.push(rejected.iter().map(|call| call.received_at - from).max().unwrap_or(0) / MS);
+        self.last_rejected_ms.push(rejected.iter().map(|call| call.received_at - from).max().unwrap_or(0) / MS);
         self.calls += rejected.len() + calls.served.values().flatten().filter(|at| counted.contains(at)).count();
     }
 
     pub fn print(&mut self, title: &str) {
-        self.last_rejected.sort_unstable();
-        let CallsAfterLoss { calls, rejected, last_rejected } = self;
-        println!("{title}: of {calls} calls rejected {rejected:?}; the last one received after ms {last_rejected:?}");
+        self.last_rejected_ms.sort_unstable();
+        let CallsAfterLoss { calls, rejected, last_rejected_ms } = self;
+        println!(
+            "{title}: of {calls} calls rejected {rejected:?}; the last one received after ms {last_rejected_ms:?}"
+        );
     }
 }
--- a/crates/core/tests/recovery/main.rs
+++ b/crates/core/tests/recovery/main.rs
@@ -1,4 +1,4 @@
-//! Recovery after losses of frames, of machines and of power: no node needs a restart to serve again.
+//! Recovery from frame loss, machine loss and power loss: no node needs a restart to serve again.
 
 mod load;
 mod net;
@@ -6,7 +6,7 @@
 mod nodes;
 mod standby;
 
-use load::{CallsAfterLoss, Cause};
+use load::{CallsAfterLoss, RejectionCause};
 use net::{ALL, CORES, DOWNTIME, Net, TENANTS};
 use nodes::core;
 use sumacvale_core::base::{MS, Micros, Rng, SEC};
@@ -15,16 +15,16 @@
 use sumacvale_core::protocol::{Frame, LeaseMessage, Message};
 use sumacvale_core::quota::AcquireOutcome;
 
-/// How long a restarted node may take to serve, in microseconds: it needs a greeting, a request and a
-/// reply, half a second apart each.
+/// The maximum time until a restarted node serves, in microseconds: it needs a first contact, a request and a
+/// reply, each half a second apart.
 const RECOVERY_TIME: Micros = 2_500 * MS;
 
-/// Runs until every role has a holder, and returns how long that took, in microseconds.
+/// Runs until every role has a holder, and returns the elapsed time in microseconds.
 fn run_until_all_roles_are_held(net: &mut Net) -> Micros {
     let from = net.now;
     let is_held = |net: &Net, role| {
         let holds = |core: &Node| core.leases.held.valid_epoch(role, net.now).is_some();
-        (0..CORES).any(|i| net.nodes[i].as_ref().is_some_and(holds))
+        (0..CORES).any(|index| net.nodes[index].as_ref().is_some_and(holds))
     };
     while net.now < from + 5 * SEC && !(0..ROLE_COUNT).all(|role| is_held(net, role)) {
         net.run(5 * MS);
@@ -33,19 +33,19 @@
 }
 
 #[test]
-fn roles_are_held_soon_after_all_cores_lost_power() {
+fn all_roles_are_held_soon_after_all_cores_lost_power() {
     for seed in 0..50 {
         let mut rng = Rng::new(seed);
         let mut net = Net::new(|_, _, _| false);
         net.run(5 * SEC);
-        for i in 0..CORES {
-            net.nodes[i] = None;
+        for index in 0..CORES {
+            net.nodes[index] = None;
         }
         net.run(DOWNTIME);
         let mut order = [0, 1, 2];
         order.rotate_left(usize::try_from(rng.below(3)).expect("small"));
-        for i in order {
-            net.start(i);
+        for index in order {
+            net.start(index);
             net.run(rng.below(150) * MS);
         }
         let delay = run_until_all_roles_are_held(&mut net);
@@ -53,44 +53,48 @@
     }
 }
 
-/// The frames of the third core reach the others late, as while its first connection attempts, made before
-/// the others had power, run into their time-out.
+/// The frames of the third core reach the others late, as when its first connection attempts were made before the
+/// others had power and must time out first.
 #[test]
-fn a_voter_reached_late_lifts_its_fence_though_others_request_leases_already() {
-    for late in [50, 150, 300] {
+fn a_voter_whose_frames_are_delayed_lifts_its_fence_despite_pending_lease_requests() {
+    for delay_ms in [50, 150, 300] {
         let from = std::rc::Rc::new(std::cell::Cell::new(Micros::MAX));
         let lost_from = from.clone();
-        let mut net = Net::new(move |now, i, _| i == 2 && now >= lost_from.get() && now < lost_from.get() + late * MS);
+        let mut net =
+            Net::new(move |now, from, _| from == 2 && now >= lost_from.get() && now < lost_from.get() + delay_ms * MS);
         net.run(5 * SEC);
-        for i in 0..CORES {
-            net.nodes[i] = None;
+        for index in 0..CORES {
+            net.nodes[index] = None;
         }
         net.run(DOWNTIME);
         from.set(net.now);
-        for i in 0..CORES {
-            net.start(i);
+        for index in 0..CORES {
+            net.start(index);
         }
-        // The first core holds no role before it received frames of the third; all roles are held soon after.
-        net.run(late * MS);
+        // No voter lifts its fence, so the first core holds no role, before the frames of the third core arrive; all
+        // roles are held soon after.
+        net.run(delay_ms * MS);
         assert!(
-            (0..CORES).all(|i| net.nodes[i].as_ref().is_some_and(|core| core.leases.grantor.fence_until > net.now)),
+            (0..CORES)
+                .all(|index| net.nodes[index].as_ref().is_some_and(|core| core.leases.grantor.fence_until > net.now)),
             "every voter must await the replies of all"
         );
         let delay = run_until_all_roles_are_held(&mut net);
-        assert!(delay <= 400 * MS, "reached after {late} ms: roles held {} ms later", delay / MS);
+        assert!(delay <= 400 * MS, "reached after {delay_ms} ms: roles held {} ms later", delay / MS);
         assert!(
-            (0..CORES).all(|i| net.nodes[i].as_ref().is_some_and(|core| core.leases.grantor.fence_until <= net.now)),
+            (0..CORES)
+                .all(|index| net.nodes[index].as_ref().is_some_and(|core| core.leases.grantor.fence_until <= net.now)),
             "no voter is left with its fence"
         );
     }
 }
 
-/// A voter that was told in a newer incarnation that nobody holds a lease grants others what its former
-/// incarnation granted here, so votes of the former one are dropped: those counted, and those in transit.
+/// A restarted voter that learned that nobody holds a lease may grant to others what its earlier incarnation granted
+/// here. Votes of the earlier incarnation must be dropped, both the counted ones and those in transit.
 #[test]
-fn votes_of_a_former_incarnation_do_not_count_once_the_newer_one_got_a_reply() {
+fn votes_of_an_earlier_incarnation_are_dropped_once_the_newer_one_got_a_reply() {
     let voter = core(1).node_id;
-    let mut net = Net::new(|now, i, j| now > 100 * SEC + 35 * MS && i != j && j == 0);
+    let mut net = Net::new(|now, from, to| now > 100 * SEC + 35 * MS && from != to && to == 0);
     let open_request = |net: &Net| {
         let held = &net.nodes[0].as_ref().expect("it runs").leases.held.by_role;
         held.iter().find_map(|(role, lease)| {
@@ -124,17 +128,17 @@
     assert_eq!(
         (open_role, open_id, is_granted),
         (role, request_id, false),
-        "the vote of the former incarnation was counted"
+        "the vote of the earlier incarnation was counted"
     );
 }
 
-/// The fronts that have no share of some tenant's rate, so that its calls are rejected.
+/// Returns the fronts that lack a share of some tenant's rate, so that they reject calls of the tenant.
 fn fronts_without_shares(net: &Net) -> Vec<usize> {
-    let has_share = |i: usize, t: usize| {
-        let node = net.nodes[i].as_ref().expect("it runs");
-        !matches!(node.quota.slices.acquire_unit(&format!("t{t}"), net.now), AcquireOutcome::Empty)
+    let has_share = |index: usize, tenant_number: usize| {
+        let node = net.nodes[index].as_ref().expect("it runs");
+        !matches!(node.quota.slices.acquire_unit(&format!("t{tenant_number}"), net.now), AcquireOutcome::Empty)
     };
-    (CORES..ALL).filter(|i| !(0..TENANTS).all(|t| has_share(*i, t))).collect()
+    (CORES..ALL).filter(|index| !(0..TENANTS).all(|tenant_number| has_share(*index, tenant_number))).collect()
 }
 
 #[test]
@@ -146,12 +150,12 @@
         net.run(8 * SEC);
         net.run(8 * SEC);
         assert_eq!(fronts_without_shares(&net), Vec::<usize>::new(), "seed {seed}: before the loss");
-        for i in 0..ALL {
-            net.nodes[i] = None;
+        for index in 0..ALL {
+            net.nodes[index] = None;
         }
         net.run(DOWNTIME);
-        for i in 0..ALL {
-            net.start(i);
+        for index in 0..ALL {
+            net.start(index);
             net.run(rng.below(30) * MS);
         }
         let from = net.now;
@@ -165,15 +169,15 @@
     assert!(times.iter().all(|time| *time <= 1_000), "{times:?}");
 }
 
-/// A holder that did not lose power may still use what a restarted voter granted it.
+/// A holder that did not lose power may still use the lease that a restarted voter granted before its restart.
 #[test]
 fn a_restarted_voter_keeps_its_fence_while_a_possible_holder_is_silent_or_holds_a_lease() {
-    for silent in [false, true] {
-        let mut net = Net::new(move |now, i, j| silent && now > 105 * SEC && (i == 0 || j == 0));
+    for is_silent in [false, true] {
+        let mut net = Net::new(move |now, from, to| is_silent && now > 105 * SEC && (from == 0 || to == 0));
         net.run(5 * SEC);
-        let holds_any = |net: &Net, i: usize| {
+        let holds_any = |net: &Net, index: usize| {
             let holds = |role, core: &Node| core.leases.held.valid_epoch(role, net.now).is_some();
-            (0..ROLE_COUNT).any(|role| net.nodes[i].as_ref().is_some_and(|core| holds(role, core)))
+            (0..ROLE_COUNT).any(|role| net.nodes[index].as_ref().is_some_and(|core| holds(role, core)))
         };
         assert!(holds_any(&net, 0), "rendezvous hashing nominates the first core for some role");
         let from = net.now;
@@ -185,10 +189,10 @@
         while net.now < from + 900 * MS {
             net.run(5 * MS);
             let is_fenced =
-                |i: usize| net.nodes[i].as_ref().is_some_and(|core| core.leases.grantor.fence_until > net.now);
+                |index: usize| net.nodes[index].as_ref().is_some_and(|core| core.leases.grantor.fence_until > net.now);
             assert!(
                 is_fenced(1) && is_fenced(2),
-                "silent {silent}: {} ms after the holder's grant",
+                "silent {is_silent}: {} ms after the holder's grant",
                 (net.now - from) / MS
             );
         }
@@ -198,47 +202,47 @@
 }
 
 #[test]
-fn fronts_that_lost_power_together_recover_though_the_first_replies_are_lost() {
+fn fronts_recover_from_a_common_power_loss_though_the_first_replies_are_lost() {
     let mut net = Net::new(|_, _, _| false);
     net.run(5 * SEC);
     assert_eq!(net.not_fresh(), Vec::<usize>::new());
-    for i in CORES..ALL {
-        net.nodes[i] = None;
+    for index in CORES..ALL {
+        net.nodes[index] = None;
     }
     net.run(DOWNTIME);
-    for i in CORES..ALL {
-        net.start(i);
+    for index in CORES..ALL {
+        net.start(index);
     }
     net.run(RECOVERY_TIME);
     assert_eq!(net.not_fresh(), Vec::<usize>::new(), "these reject every call");
     net.run(2 * SEC);
-    assert_eq!(net.without_all_peers(), Vec::<usize>::new(), "these do not know all nodes");
+    assert_eq!(net.with_missing_peers(), Vec::<usize>::new(), "these do not know all nodes");
 }
 
 #[test]
-fn after_any_loss_of_frames_during_restarts_all_nodes_serve_and_know_each_other() {
+fn all_nodes_serve_and_know_each_other_after_frame_loss_during_restarts() {
     for seed in 0..200 {
         let mut rng = Rng::new(seed);
         let lossless_from = 108 * SEC;
         let mut net = Net::new(move |now, _, _| now < lossless_from && rng.below(3) == 0);
-        let mut draw = Rng::new(seed ^ 0xabcd);
+        let mut restart_rng = Rng::new(seed ^ 0xabcd);
         net.run(SEC);
         while net.now < lossless_from - SEC {
-            let i = usize::try_from(draw.below(ALL as u64)).expect("small");
-            net.nodes[i] = None;
-            net.run(draw.below(800) * MS);
-            net.start(i);
-            net.run(draw.below(600) * MS);
+            let index = usize::try_from(restart_rng.below(ALL as u64)).expect("small");
+            net.nodes[index] = None;
+            net.run(restart_rng.below(800) * MS);
+            net.start(index);
+            net.run(restart_rng.below(600) * MS);
         }
         net.run(lossless_from.saturating_sub(net.now) + RECOVERY_TIME);
         assert_eq!(net.not_fresh(), Vec::<usize>::new(), "seed {seed}: these reject every call");
         net.run(3 * SEC);
-        assert_eq!(net.without_all_peers(), Vec::<usize>::new(), "seed {seed}: these do not know all nodes");
+        assert_eq!(net.with_missing_peers(), Vec::<usize>::new(), "seed {seed}: these do not know all nodes");
     }
 }
 
-/// The kernel of a machine that did not lose power closes a connection only some time after the other machine
-/// lost its power: what is written meanwhile is lost, also after that machine has started again.
+/// The kernel closes a connection only some time after the machine at the other end lost power. Frames written
+/// meanwhile are lost, even after that machine has restarted.
 #[test]
 fn fronts_recover_soon_after_all_cores_lost_power_though_their_connections_lose_frames() {
     let mut times = Vec::new();
@@ -248,18 +252,18 @@
         net.connection_timeout = Some(1_500 * MS);
         net.run(15 * SEC);
         assert_eq!(fronts_without_shares(&net), Vec::<usize>::new(), "seed {seed}: before the loss");
-        for i in 0..CORES {
-            net.nodes[i] = None;
+        for index in 0..CORES {
+            net.nodes[index] = None;
         }
         net.run(DOWNTIME);
-        for i in 0..CORES {
-            net.start(i);
+        for index in 0..CORES {
+            net.start(index);
             net.run(rng.below(30) * MS);
         }
         let from = net.now;
         let has_recovered = |net: &Net| {
-            let is_confirmed = |i: usize| {
-                let node = net.nodes[i].as_ref().expect("it runs");
+            let is_confirmed = |index: usize| {
+                let node = net.nodes[index].as_ref().expect("it runs");
                 node.consensus.freshness.confirmed_at(node.version()).is_some_and(|confirmed_at| confirmed_at >= from)
             };
             (CORES..ALL).all(is_confirmed) && fronts_without_shares(net).is_empty()
@@ -278,32 +282,32 @@
 
 #[test]
 fn calls_are_served_soon_after_all_machines_lost_power_under_load() {
-    let mut after = CallsAfterLoss::default();
-    (0..40).for_each(|seed| after.add_loss(seed, &(0..ALL).collect::<Vec<_>>()));
-    after.print("all machines");
-    assert!(after.rejected.keys().all(|cause| *cause == Cause::EmptyPool), "{:?}", after.rejected);
-    // Without the credit for the time since the start of the fronts 153 of 14,734.
-    let with_empty_pool = after.rejected.get(&Cause::EmptyPool).copied().unwrap_or(0);
+    let mut outcomes = CallsAfterLoss::default();
+    (0..40).for_each(|seed| outcomes.add_power_loss(seed, &(0..ALL).collect::<Vec<_>>()));
+    outcomes.print("all machines");
+    assert!(outcomes.rejected.keys().all(|cause| *cause == RejectionCause::EmptyPool), "{:?}", outcomes.rejected);
+    // Without the credit for the time since the start of the fronts, 153 of 14,734 calls find an empty pool.
+    let with_empty_pool = outcomes.rejected.get(&RejectionCause::EmptyPool).copied().unwrap_or(0);
     assert!(
-        with_empty_pool * 1_000 <= after.calls * 7,
+        with_empty_pool * 1_000 <= outcomes.calls * 7,
         "{with_empty_pool} of {} calls found an empty pool",
-        after.calls
+        outcomes.calls
     );
 }
 
 #[test]
 fn calls_are_served_soon_after_some_machines_lost_power_under_load() {
-    // The most that may find an empty pool, of about 15,000 calls; without the credit 191, 142, 112 and 355.
-    for (name, lost, most) in [
+    // The maximum number of calls that find an empty pool, of about 15,000; without the credit 191, 142, 112 and 355.
+    for (name, lost, max_rejected) in [
         ("a core", &[0][..], 110),
         ("two cores", &[0, 1], 70),
         ("all cores", &[0, 1, 2], 60),
         ("two cores, four fronts", &[0, 1, 3, 4, 5, 6], 150),
     ] {
-        let mut after = CallsAfterLoss::default();
-        (0..40).for_each(|seed| after.add_loss(seed, lost));
-        after.print(name);
-        let with_empty_pool = after.rejected.get(&Cause::EmptyPool).copied().unwrap_or(0);
-        assert!(with_empty_pool <= most, "{name}: {with_empty_pool}");
+        let mut outcomes = CallsAfterLoss::default();
+        (0..40).for_each(|seed| outcomes.add_power_loss(seed, lost));
+        outcomes.print(name);
+        let with_empty_pool = outcomes.rejected.get(&RejectionCause::EmptyPool).copied().unwrap_or(0);
+        assert!(with_empty_pool <= max_rejected, "{name}: {with_empty_pool}");
     }
 }
