--- a/crates/core/src/stream/sse.rs
+++ b/crates/core/src/stream/sse.rs
@@ -1,43 +1,44 @@
-//! Streams of server-sent events, split into whole events. Source: WHATWG HTML, §9.2 "Server-sent
-//! events".
+//! The splitting of streams of server-sent events into complete events. Source: WHATWG HTML, §9.2
+//! "Server-sent events".
 //!
-//! The client receives whole events only, so that a stream that breaks can be resumed at another
-//! worker exactly after the last one. For that, the worker numbers its events without gaps in the
-//! `id` field.
+//! The client receives complete events only, so that a broken stream can be resumed at another worker
+//! exactly after the last forwarded event. This requires that the worker numbers its events without
+//! gaps in the `id` field.
 
 use bytes::{Buf, Bytes, BytesMut};
 use displaydoc::Display;
 
-/// The largest event, in bytes.
-const MAX_EVENT_SIZE: usize = 1 << 20;
+/// The maximum size of an event, in bytes.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// The byte order mark that may begin a stream.
+/// The UTF-8 byte order mark that may begin a stream.
 const BYTE_ORDER_MARK: &[u8] = b"\xef\xbb\xbf";
 
-/// Why a stream can't go on.
+/// Why a stream is invalid and must be aborted.
 #[derive(Clone, Debug, PartialEq, Eq, Display, thiserror::Error)]
 pub enum StreamError {
-    /// an event has more than 1 MiB; the worker must send smaller ones
+    /// an event exceeds 1 MiB; the worker must send smaller events
     EventTooLarge,
-    /// event {received} came where {expected} was due; the worker must number its events without gaps
+    /// received event {received}, expected event {expected}; the worker must number its events without gaps
     EventGap {
-        /// The number of the event.
+        /// The number of the received event.
         received: u64,
-        /// The number that was due.
+        /// The number that would have followed without a gap.
         expected: u64,
     },
-    /// an event without a number came where a stream is resumed; the worker must number its events
+    /// received an event without a number on a resumed stream; the worker must number its events
     MissingEventId,
 }
 
-/// The `id` field of an event, as far as it was read.
+/// The `id` field of an event.
 #[derive(Clone, Copy, Debug, Default)]
 enum EventId {
-    /// The event has no such field.
+    /// The event has no `id` field so far.
     #[default]
     Absent,
-    /// The field is not a decimal number.
+    /// The value is not a decimal number.
     Invalid,
+    /// The value is this number.
     Number(u64),
 }
 
@@ -51,38 +52,39 @@
     }
 }
 
-/// Splits a stream of server-sent events into whole events and keeps track of their numbers.
+/// Splits a stream of server-sent events into complete events and tracks their numbers.
 #[derive(Clone, Debug, Default)]
 pub struct EventSplitter {
-    /// The bytes of the event that is not complete yet.
+    /// The bytes of the incomplete event.
     buffer: BytesMut,
-    /// How many bytes of `buffer` were scanned.
+    /// The number of bytes of `buffer` that were scanned.
     scanned: usize,
-    /// Where in `buffer` the current line begins; at most `scanned`.
+    /// The index in `buffer` at which the current line begins; at most `scanned`.
     line_start: usize,
-    /// The last line ended with CR, so an LF that follows belongs to its end.
-    ended_with_cr: bool,
-    /// The last event was not forwarded, so the rest of its line end is not either.
-    dropped_last: bool,
+    /// True if the last line ended with CR, so that a following LF belongs to the same line end.
+    is_after_cr: bool,
+    /// True if the last event was dropped, so that the rest of its line end must be dropped too.
+    is_last_dropped: bool,
     /// The `id` field of the current event.
     id: EventId,
-    /// The current event has a line that is no comment.
+    /// True if the current event has a line that is not a comment.
     has_fields: bool,
-    /// No event of this connection was completed yet.
+    /// True until the first event of this connection is complete.
     is_first: bool,
-    /// The number of the last event that was forwarded.
+    /// The number of the last forwarded event.
     last_id: Option<u64>,
-    /// The match allows to resume the stream, so the numbers of events are checked.
+    /// True if the match allows resuming the stream, so that event numbers are checked.
     is_resumable: bool,
-    /// An event without a number was forwarded after `last_id`.
+    /// True if an event without a number was forwarded after `last_id`.
     has_unnumbered: bool,
-    /// The stream was resumed, and events up to `last_id` may be repeated.
+    /// True after a resume until an event after `last_id` arrives; events up to `last_id` may be repeated
+    /// and are dropped.
     is_resuming: bool,
 }
 
 impl EventSplitter {
-    /// A splitter for the first connection of a call. `last_event_id` is the event that the client
-    /// received last of an earlier call.
+    /// Creates a splitter for the first connection of a call. `last_event_id` is the number of the last
+    /// event that the client received in an earlier call.
     #[must_use]
     pub fn new(is_resumable: bool, last_event_id: Option<u64>) -> Self {
         let last_id = last_event_id.filter(|_| is_resumable);
@@ -95,14 +97,14 @@
         }
     }
 
-    /// The event after which the stream can be resumed elsewhere exactly; `Some(None)` is its
-    /// beginning, `None` that it can't be resumed.
+    /// Returns the number of the event after which the stream can be resumed at another worker.
+    /// `Some(None)` is the beginning of the stream; `None` means that the stream can't be resumed.
     #[must_use]
     pub fn resume_point(&self) -> Option<Option<u64>> {
         (self.is_resumable && !self.has_unnumbered).then_some(self.last_id)
     }
 
-    /// A connection to another worker follows: the incomplete event of the old one is dropped.
+    /// Prepares for a connection to another worker, and drops the incomplete event of the old connection.
     pub fn resume(&mut self) {
         *self = EventSplitter {
             is_resumable: self.is_resumable,
@@ -113,13 +115,13 @@
         };
     }
 
-    /// Whether no event is incomplete.
+    /// Whether all received events are complete.
     #[must_use]
     pub fn is_between_events(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// Adds bytes from the worker and returns the whole events to forward.
+    /// Adds bytes from the worker and returns the complete events to forward.
     ///
     /// # Errors
     /// Fails if an event is too large, or if the stream is resumable and its numbers have a gap.
@@ -128,11 +130,11 @@
         let mut events = Vec::new();
         while let Some(byte) = self.buffer.get(self.scanned).copied() {
             self.scanned += 1;
-            if byte == b'\n' && std::mem::take(&mut self.ended_with_cr) {
+            if byte == b'\n' && std::mem::take(&mut self.is_after_cr) {
                 self.finish_line_end(&mut events);
                 continue;
             }
-            self.ended_with_cr = byte == b'\r';
+            self.is_after_cr = byte == b'\r';
             if byte != b'\n' && byte != b'\r' {
                 continue;
             }
@@ -142,29 +144,30 @@
                 self.finish_event(&mut events)?;
             }
         }
-        if self.buffer.len() > MAX_EVENT_SIZE { Err(StreamError::EventTooLarge) } else { Ok(events) }
+        if self.buffer.len() > MAX_EVENT_BYTES { Err(StreamError::EventTooLarge) } else { Ok(events) }
     }
 
-    /// An LF after a CR: if the CR completed an event, the LF is forwarded or dropped like it.
+    /// Handles an LF after a CR. If the CR completed an event, the LF is forwarded or dropped like the
+    /// event.
     fn finish_line_end(&mut self, events: &mut Vec<Bytes>) {
         self.line_start = self.scanned;
         if self.scanned == 1 {
             let line_end = self.split_scanned();
-            if !self.dropped_last {
+            if !self.is_last_dropped {
                 events.push(line_end);
             }
         }
     }
 
-    /// A blank line completed an event.
+    /// Handles a blank line, which completes an event.
     fn finish_event(&mut self, events: &mut Vec<Bytes>) -> Result<(), StreamError> {
         let mut event = self.split_scanned();
         // The client has already received the byte order mark of the first connection.
         if std::mem::take(&mut self.is_first) && self.is_resuming && event.starts_with(BYTE_ORDER_MARK) {
             event.advance(BYTE_ORDER_MARK.len());
         }
-        self.dropped_last = !self.accept_event()?;
-        if !self.dropped_last {
+        self.is_last_dropped = !self.accept_event()?;
+        if !self.is_last_dropped {
             events.push(event);
         }
         Ok(())
@@ -177,7 +180,7 @@
         event
     }
 
-    /// Reads the line that just ended; true for the blank line that completes an event.
+    /// Reads the line that just ended. Returns true for the blank line that completes an event.
     fn read_line(&mut self) -> bool {
         let mut line = &self.buffer[self.line_start..self.scanned - 1];
         if self.is_first && self.line_start == 0 {
@@ -191,14 +194,15 @@
             Some(colon) => (&line[..colon], &line[colon + 1..]),
             None => (line, &line[line.len()..]),
         };
-        // An id with a NUL is ignored, as the standard says.
+        // The standard requires that an `id` with a NUL is ignored.
         if field == b"id" && !value.contains(&0) {
             self.id = EventId::parse(value.strip_prefix(b" ").unwrap_or(value));
         }
         false
     }
 
-    /// Whether the event that was just completed is forwarded: not if the client already has it.
+    /// Whether the event that was just completed is to be forwarded. An event that the client already has
+    /// is dropped.
     fn accept_event(&mut self) -> Result<bool, StreamError> {
         let id = std::mem::take(&mut self.id);
         if !std::mem::take(&mut self.has_fields) || !self.is_resumable {
--- a/crates/core/tests/rejections.rs
+++ b/crates/core/tests/rejections.rs
@@ -53,11 +53,11 @@
     let body = "{\"prompt\":\"good day\"}";
     for (view, key, path, body, expected) in [
         (&unconfigured, "key", "/chat", body, RejectionReason::NoConfiguration),
-        (&stale, "key", "/chat", body, RejectionReason::OldStamp),
-        (&fresh, "other", "/chat", body, RejectionReason::Key),
+        (&stale, "key", "/chat", body, RejectionReason::StaleView),
+        (&fresh, "other", "/chat", body, RejectionReason::InvalidKey),
         (&fresh, "key", "/other", body, RejectionReason::NoMatch),
-        (&fresh, "key", "/chat", "no JSON", RejectionReason::Body),
-        (&fresh, "key", "/chat", body, RejectionReason::QuotaUnsettled),
+        (&fresh, "key", "/chat", "no JSON", RejectionReason::InvalidBody),
+        (&fresh, "key", "/chat", body, RejectionReason::QuotaHolderUnreachable),
     ] {
         assert_eq!(reject(view.clone(), key, path, body), (Some(expected), vec![(expected, 1)]));
     }
@@ -68,12 +68,12 @@
     let (rejections, mut log) = (RejectionCounters::default(), RejectionLog::default());
     assert_eq!(log.line(&rejections, NOW), None, "nothing was rejected");
     for _ in 0..3 {
-        rejections.add(RejectionReason::OldStamp);
+        rejections.add(RejectionReason::StaleView);
     }
-    rejections.add(RejectionReason::Full);
+    rejections.add(RejectionReason::SlotsExhausted);
     assert_eq!(log.line(&rejections, NOW + 999 * MS), None, "less than a second later");
     assert_eq!(log.line(&rejections, NOW + SEC).as_deref(), Some("old_stamp=3 full=1"));
-    rejections.add(RejectionReason::Full);
+    rejections.add(RejectionReason::SlotsExhausted);
     assert_eq!(log.line(&rejections, NOW + 2 * SEC).as_deref(), Some("full=1"), "only what was added");
     assert_eq!(log.line(&rejections, NOW + 3 * SEC), None, "nothing was rejected since");
 }
