--- a/crates/core/src/call/quota_queue.rs
+++ b/crates/core/src/call/quota_queue.rs
@@ -117,7 +117,7 @@
     }
 
     /// Grants the available units to the waiting calls, or notifies them that the quota is exhausted.
-    /// Called when the lease holder answers and when units are refunded.
+    /// Called after an answer of the lease holder, after a refund, and periodically for rates.
     pub fn serve_quota_queue(&self, tenant: &str, now: Micros) -> Vec<Wakeup> {
         let mut wakeups = Vec::new();
         let mut queues = self.quota_queues.lock_shard(tenant);
--- a/crates/core/tests/call/admission.rs
+++ b/crates/core/tests/call/admission.rs
@@ -1,4 +1,4 @@
-//! What is checked before a call is sent, and again once the connection is open.
+//! The authorization of a call at its admission, after each wait and once the connection is open.
 
 use super::fixture::*;
 
--- a/crates/core/tests/call/attempts.rs
+++ b/crates/core/tests/call/attempts.rs
@@ -1,4 +1,4 @@
-//! What follows a failed attempt, and which response the client gets.
+//! Failed attempts: whether they are retried, and the response to the client otherwise.
 
 use super::fixture::*;
 use sumacvale_core::protocol::WorkerReport;
@@ -481,7 +481,7 @@
     assert_eq!((call.shared.counters.attempts_first.get(), call.shared.counters.retries.get()), (1, 0));
 }
 
-/// Each worker reports anew that it has capacity, and the queues are served.
+/// Sends a new report of each worker, which makes declined workers available again, and serves the queues.
 fn report_all_workers(call: &mut CallFixture) -> String {
     call.update_view(|view| {
         let reports = view.workers.iter().cloned().map(|report| WorkerReport { seq: report.seq + 1, ..report });
@@ -514,13 +514,13 @@
         ])
     };
     let served = || followed_by(vec![(again(), "send window 1")], complete_response());
-    let unpaid = || vec![(again(), "send window 1"), (declined_head(503), "close, 503 worker_full no")];
-    let patience = || vec![(Advance(60 * SEC), ""), (Deliver(Event::Wake), "503 full no")];
-    // Name, path; the steps; whether workers report; what follows; units left; first attempts and retries.
+    let over_budget = || vec![(again(), "send window 1"), (declined_head(503), "close, 503 worker_full no")];
+    let timed_out = || vec![(Advance(60 * SEC), ""), (Deliver(Event::Wake), "503 full no")];
+    // Name, path; the steps; whether the workers report; the following steps; units left; first attempts and retries.
     let cases = vec![
         ("served when a worker has capacity", "/chat", declined_by_all(), true, served(), 8, (1, 2)),
-        ("no retry beyond the budget", "/chat", declined_by_all(), true, unpaid(), 9, (1, 2)),
-        ("only until its slot deadline", "/chat", declined_by_all(), false, patience(), 9, (1, 1)),
+        ("no retry beyond the budget", "/chat", declined_by_all(), true, over_budget(), 9, (1, 2)),
+        ("only until its slot deadline", "/chat", declined_by_all(), false, timed_out(), 9, (1, 1)),
         (
             "never again at a worker where it may have run",
             "/confirm",
--- a/crates/core/tests/call/exploration.rs
+++ b/crates/core/tests/call/exploration.rs
@@ -1,35 +1,35 @@
-//! All orders of events up to a small depth, on the real machine: a call and a world in which
-//! client, worker, network, operator and time may do whatever is possible next. Each path is
-//! replayed from its beginning, and the invariants are checked after every step.
+//! An exhaustive exploration of the orders of events up to a small depth, on the real call machine. The
+//! environment lets the client, worker, network, operator and time do whatever is possible next. Each
+//! path is replayed from its beginning, and the invariants are checked after every step.
 
 use super::fixture::*;
 use std::sync::Arc;
 use sumacvale_core::config::CompiledConfig;
 
-/// One thing that may happen next.
+/// A possible next event of the environment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Choice {
     Wake,
     BodyReceived,
     BodyTimedOut,
-    BodyBudgetUsedUp,
+    BodyBudgetExhausted,
     /// The client closes its connection.
     ClientDisconnects,
     Connected,
-    /// No connection: the worker is not there, or this node's share of its connections is in use.
+    /// Opening the connection fails: the worker is unreachable, or this node has no free connection.
     ConnectFails,
     ConnectDeclined,
     /// Opening the connection times out.
     ConnectTimesOut,
-    /// While the connection is opened: the key is revoked, the worker is removed, the window ends,
-    /// the match is moved to another pool.
+    /// While the connection is being opened, the key is revoked, the worker is removed, the quota window
+    /// ends, or the match is routed to another pool.
     KeyRevokedThenConnected,
     WorkerRemovedThenConnected,
-    WindowEndsThenConnected,
+    WindowExpiredThenConnected,
     RouteMovedThenConnected,
-    /// A kept connection was closed and nothing was written on it.
+    /// A reused connection was closed before anything was written on it.
     NotSent,
-    /// Nothing can be written on the new connection.
+    /// Writing on the new connection fails before the first byte.
     SendFails,
     /// The connection ends without a response.
     LostAfterSend,
@@ -37,38 +37,36 @@
     Head(u16, HeadKind),
     /// The next event of a stream, or all of a plain body.
     NextEvent,
-    HalfEvent,
+    PartialEvent,
     RepeatedEvent,
     SkippedEvent,
     End,
     ResponseAborts,
     StreamIdles,
-    /// The lease holder grants units, or says that the window is spent, or does not answer in time.
+    /// The lease holder grants units, answers that the window is exhausted, or does not answer in time.
     UnitsGranted,
-    WindowSpends,
+    WindowExhausted,
     QuotaUnanswered,
-    /// A slot comes free, or none in time.
+    /// A slot becomes free, or the wait for a slot times out.
     SlotFreed,
     SlotWaitTimesOut,
 }
 
-/// What a head says beside its status.
+/// The properties of a response head beside its status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum HeadKind {
     Plain,
-    /// The end of its body can't be told from a break.
+    /// The end of the body can't be distinguished from a broken connection.
     Unbounded,
-    /// It names another call, or none.
+    /// The head names another call, or no call.
     Foreign,
-    /// It did not run the call.
+    /// The worker states that it did not run the call.
     NotRun,
-    /// It names another call, which it did not run.
+    /// The head names another call and states that this other call did not run.
     ForeignNotRun,
 }
 
-use Choice as C;
-
-/// What the call waits for.
+/// The input that the call waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Awaited {
     Start,
@@ -82,66 +80,72 @@
 }
 
 impl Awaited {
+    /// Returns the events that are possible while the call waits for this input.
     fn choices(self) -> &'static [Choice] {
         match self {
-            Awaited::Start => &[C::Wake, C::ClientDisconnects],
-            Awaited::Body => &[C::BodyReceived, C::BodyTimedOut, C::BodyBudgetUsedUp, C::ClientDisconnects],
-            Awaited::QuotaUnit => &[C::UnitsGranted, C::WindowSpends, C::QuotaUnanswered, C::ClientDisconnects],
-            Awaited::Slot => &[C::SlotFreed, C::SlotWaitTimesOut, C::ClientDisconnects],
+            Awaited::Start => &[Choice::Wake, Choice::ClientDisconnects],
+            Awaited::Body => {
+                &[Choice::BodyReceived, Choice::BodyTimedOut, Choice::BodyBudgetExhausted, Choice::ClientDisconnects]
+            }
+            Awaited::QuotaUnit => {
+                &[Choice::UnitsGranted, Choice::WindowExhausted, Choice::QuotaUnanswered, Choice::ClientDisconnects]
+            }
+            Awaited::Slot => &[Choice::SlotFreed, Choice::SlotWaitTimesOut, Choice::ClientDisconnects],
             Awaited::Connection => &[
-                C::Connected,
-                C::ConnectFails,
-                C::ConnectDeclined,
-                C::ConnectTimesOut,
-                C::KeyRevokedThenConnected,
-                C::WorkerRemovedThenConnected,
-                C::WindowEndsThenConnected,
-                C::RouteMovedThenConnected,
-                C::ClientDisconnects,
+                Choice::Connected,
+                Choice::ConnectFails,
+                Choice::ConnectDeclined,
+                Choice::ConnectTimesOut,
+                Choice::KeyRevokedThenConnected,
+                Choice::WorkerRemovedThenConnected,
+                Choice::WindowExpiredThenConnected,
+                Choice::RouteMovedThenConnected,
+                Choice::ClientDisconnects,
             ],
             Awaited::ResponseHead => &[
-                C::Head(200, HeadKind::Plain),
-                C::Head(200, HeadKind::Unbounded),
-                C::Head(200, HeadKind::Foreign),
-                C::Head(503, HeadKind::NotRun),
-                C::Head(503, HeadKind::ForeignNotRun),
-                C::Head(503, HeadKind::Plain),
-                C::Head(500, HeadKind::Plain),
-                C::Head(504, HeadKind::Plain),
-                C::Head(404, HeadKind::Plain),
-                C::NotSent,
-                C::SendFails,
-                C::LostAfterSend,
-                C::HeadTimesOut,
-                C::ClientDisconnects,
+                Choice::Head(200, HeadKind::Plain),
+                Choice::Head(200, HeadKind::Unbounded),
+                Choice::Head(200, HeadKind::Foreign),
+                Choice::Head(503, HeadKind::NotRun),
+                Choice::Head(503, HeadKind::ForeignNotRun),
+                Choice::Head(503, HeadKind::Plain),
+                Choice::Head(500, HeadKind::Plain),
+                Choice::Head(504, HeadKind::Plain),
+                Choice::Head(404, HeadKind::Plain),
+                Choice::NotSent,
+                Choice::SendFails,
+                Choice::LostAfterSend,
+                Choice::HeadTimesOut,
+                Choice::ClientDisconnects,
             ],
             Awaited::ResponseBody => &[
-                C::NextEvent,
-                C::HalfEvent,
-                C::RepeatedEvent,
-                C::SkippedEvent,
-                C::End,
-                C::ResponseAborts,
-                C::StreamIdles,
-                C::ClientDisconnects,
+                Choice::NextEvent,
+                Choice::PartialEvent,
+                Choice::RepeatedEvent,
+                Choice::SkippedEvent,
+                Choice::End,
+                Choice::ResponseAborts,
+                Choice::StreamIdles,
+                Choice::ClientDisconnects,
             ],
             Awaited::Nothing => &[],
         }
     }
 }
 
-/// A kind of route.
+/// A route of the configuration, with the properties that the invariants depend on.
 #[derive(Clone, Copy, Debug)]
 struct Route {
     path: &'static str,
     idempotent: bool,
     is_stream: bool,
-    /// How many workers may be tried.
+    /// The maximum number of attempts.
     max_attempts: usize,
-    /// It has a latency target, so a worker's unbacked promise is not forwarded.
+    /// Whether the match has a latency target.
     has_latency_target: bool,
-    /// There is no quota unit at first, or no slot.
+    /// Whether the node has no quota unit at first.
     without_unit: bool,
+    /// Whether all slots are occupied at first.
     without_slot: bool,
 }
 
@@ -166,45 +170,47 @@
     Route { path: "/draft", is_stream: true, max_attempts: 16, has_latency_target: false, ..PLAIN },
 ];
 
-/// Retries that the budget pays for at the beginning.
+/// The number of retries in the retry budget at the beginning.
 const FUNDED_RETRIES: usize = 2;
 
-/// Statuses that promise that a call has not run and never will.
+/// HTTP statuses that guarantee that the call has not run and never will.
 const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// The call and all that the world knows of it.
-struct World {
+/// The call and the state of its environment, from which the invariants are checked.
+struct Environment {
     route: Route,
     fixture: CallFixture,
     awaited: Awaited,
-    /// One entry for each time that the call was written to a worker: whether it may have run there.
+    /// Whether the call may have run, for each time that it was written to a worker.
     possible_runs: Vec<bool>,
-    /// The status of the local response, if there was one.
+    /// The status of the local response, if one was sent.
     local_status: Option<u16>,
     head_forwarded: bool,
     response_ended: bool,
-    /// The end of the current response can be told from a break.
+    /// True if the end of the current response can be distinguished from a broken connection.
     has_definite_end: bool,
-    /// The numbers of the events that the client has.
+    /// The numbers of the events that were forwarded to the client.
     forwarded_ids: Vec<u64>,
     /// The status of the last head.
     status: u16,
-    /// The current response is a stream of events.
+    /// True if the current response is an event stream.
     is_event_stream: bool,
-    /// The event that this worker sends next, and whether half of one was sent.
+    /// The number of the event that the worker sends next.
     next_id: u64,
-    is_half_sent: bool,
+    /// True if the worker has sent part of that event.
+    has_partial_event: bool,
 }
 
-impl World {
-    fn new(route: Route, configs: &Configs) -> World {
+impl Environment {
+    fn new(route: Route, configs: &Configs) -> Environment {
         let config = if route.has_latency_target { &configs.latency_target } else { &configs.plain };
-        let mut fixture = CallFixture::of(route.path, 3, 4, if route.without_unit { 0 } else { 9 }, config.clone());
+        let mut fixture =
+            CallFixture::with_config(route.path, 3, 4, if route.without_unit { 0 } else { 9 }, config.clone());
         (0..FUNDED_RETRIES).for_each(|_| fixture.fund_retry());
         if route.without_slot {
             fixture.occupy_slots();
         }
-        World {
+        Environment {
             route,
             fixture,
             awaited: Awaited::Start,
@@ -217,11 +223,11 @@
             is_event_stream: false,
             forwarded_ids: Vec::new(),
             next_id: 0,
-            is_half_sent: false,
+            has_partial_event: false,
         }
     }
 
-    /// Advances the time to the call's next deadline.
+    /// Advances the time to the call's next wake-up.
     fn advance_to_wake(&mut self) -> Event {
         let deadline = self.fixture.machine.next_wake(&self.fixture.view).unwrap_or(0);
         self.fixture.advance(deadline.saturating_sub(self.fixture.now));
@@ -231,46 +237,50 @@
     fn event(&mut self, choice: Choice, configs: &Configs) -> Option<Event> {
         let is_event_stream = self.is_event_stream;
         Some(match choice {
-            C::Wake => Event::Wake,
-            C::BodyReceived => Event::RequestBody(Ok(Bytes::from_static(b"{\"prompt\":\"x\"}"))),
-            C::BodyTimedOut => Event::RequestBody(Err(BodyError::TimedOut)),
-            C::BodyBudgetUsedUp => Event::RequestBody(Err(BodyError::NoCapacity)),
-            C::ClientDisconnects => Event::ClientDisconnected,
-            C::Connected => Event::Connected,
-            C::ConnectFails => Event::AttemptFailed(FailurePoint::Connect),
-            C::ConnectDeclined => Event::AttemptFailed(FailurePoint::Declined),
-            C::ConnectTimesOut | C::HeadTimesOut | C::StreamIdles | C::QuotaUnanswered | C::SlotWaitTimesOut => {
-                // Calls that may wait for longer than the view is fresh belong to another test.
+            Choice::Wake => Event::Wake,
+            Choice::BodyReceived => Event::RequestBody(Ok(Bytes::from_static(b"{\"prompt\":\"x\"}"))),
+            Choice::BodyTimedOut => Event::RequestBody(Err(BodyError::TimedOut)),
+            Choice::BodyBudgetExhausted => Event::RequestBody(Err(BodyError::NoCapacity)),
+            Choice::ClientDisconnects => Event::ClientDisconnected,
+            Choice::Connected => Event::Connected,
+            Choice::ConnectFails => Event::AttemptFailed(FailurePoint::Connect),
+            Choice::ConnectDeclined => Event::AttemptFailed(FailurePoint::Declined),
+            Choice::ConnectTimesOut
+            | Choice::HeadTimesOut
+            | Choice::StreamIdles
+            | Choice::QuotaUnanswered
+            | Choice::SlotWaitTimesOut => {
+                // Each advance confirms the view. Another test covers calls that wait until the view is stale.
                 self.advance_to_wake()
             }
-            C::KeyRevokedThenConnected => {
+            Choice::KeyRevokedThenConnected => {
                 let config = configs.key_revoked.clone();
                 self.fixture.update_view(|view| (view.version, view.config) = (Some(2), config));
                 Event::Connected
             }
-            C::RouteMovedThenConnected => {
+            Choice::RouteMovedThenConnected => {
                 let config = configs.route_moved.clone();
                 self.fixture.update_view(|view| (view.version, view.config) = (Some(2), config));
                 Event::Connected
             }
-            C::WorkerRemovedThenConnected => {
+            Choice::WorkerRemovedThenConnected => {
                 self.fixture.remove_last_worker();
                 Event::Connected
             }
-            C::WindowEndsThenConnected => {
+            Choice::WindowExpiredThenConnected => {
                 self.fixture.advance(1_100 * MS);
                 Event::Connected
             }
-            C::NotSent => {
+            Choice::NotSent => {
                 self.possible_runs.pop();
                 Event::NotSent
             }
-            C::SendFails => {
+            Choice::SendFails => {
                 self.possible_runs.pop();
                 Event::AttemptFailed(FailurePoint::Connect)
             }
-            C::LostAfterSend => Event::AttemptFailed(FailurePoint::Sent),
-            C::Head(status, kind) => {
+            Choice::LostAfterSend => Event::AttemptFailed(FailurePoint::Sent),
+            Choice::Head(status, kind) => {
                 let not_run = matches!(kind, HeadKind::NotRun | HeadKind::ForeignNotRun);
                 let is_foreign = matches!(kind, HeadKind::Foreign | HeadKind::ForeignNotRun);
                 if not_run && !is_foreign {
@@ -282,7 +292,7 @@
                 self.has_definite_end = kind != HeadKind::Unbounded;
                 self.next_id =
                     if self.head_forwarded { self.forwarded_ids.last().map_or(0, |last| last + 1) } else { 0 };
-                self.is_half_sent = false;
+                self.has_partial_event = false;
                 Event::ResponseHead(ResponseHead {
                     status,
                     is_event_stream,
@@ -292,27 +302,27 @@
                     load: None,
                 })
             }
-            C::NextEvent if !is_event_stream => Event::ResponseChunk(Bytes::from_static(b"ok")),
-            C::NextEvent => self.event_chunk(self.next_id),
-            C::RepeatedEvent if is_event_stream && self.next_id > 0 => self.event_chunk(self.next_id - 1),
-            C::SkippedEvent if is_event_stream => self.event_chunk(self.next_id + 1),
-            C::HalfEvent if is_event_stream && !self.is_half_sent => {
-                self.is_half_sent = true;
+            Choice::NextEvent if !is_event_stream => Event::ResponseChunk(Bytes::from_static(b"ok")),
+            Choice::NextEvent => self.event_chunk(self.next_id),
+            Choice::RepeatedEvent if is_event_stream && self.next_id > 0 => self.event_chunk(self.next_id - 1),
+            Choice::SkippedEvent if is_event_stream => self.event_chunk(self.next_id + 1),
+            Choice::PartialEvent if is_event_stream && !self.has_partial_event => {
+                self.has_partial_event = true;
                 Event::ResponseChunk(Bytes::from(format!("id: {}\nda", self.next_id)))
             }
-            C::RepeatedEvent | C::SkippedEvent | C::HalfEvent => return None,
-            C::End => Event::ResponseEnd,
-            C::ResponseAborts => Event::ResponseAborted,
-            C::UnitsGranted | C::WindowSpends => {
+            Choice::RepeatedEvent | Choice::SkippedEvent | Choice::PartialEvent => return None,
+            Choice::End => Event::ResponseEnd,
+            Choice::ResponseAborts => Event::ResponseAborted,
+            Choice::UnitsGranted | Choice::WindowExhausted => {
                 let (now, slices) = (self.fixture.now, &self.fixture.shared.slices);
-                if choice == C::UnitsGranted {
+                if choice == Choice::UnitsGranted {
                     slices.add_granted("t", 2, 5, now + SEC);
                 } else {
                     slices.mark_spent("t", 1, now + SEC, now);
                 }
                 self.fixture.shared.serve_quota_queue("t", now).pop()?.event
             }
-            C::SlotFreed => {
+            Choice::SlotFreed => {
                 let worker_id = self.fixture.view.workers.first()?.worker_id.clone();
                 self.fixture.shared.worker_loads.end(&worker_id);
                 self.fixture.expire_waiters().pop()?.event
@@ -321,13 +331,16 @@
     }
 
     fn event_chunk(&mut self, id: u64) -> Event {
-        let rest =
-            if std::mem::take(&mut self.is_half_sent) { "ta: a\n\n".into() } else { format!("id: {id}\ndata: a\n\n") };
+        let rest = if std::mem::take(&mut self.has_partial_event) {
+            "ta: a\n\n".into()
+        } else {
+            format!("id: {id}\ndata: a\n\n")
+        };
         self.next_id = id + 1;
         Event::ResponseChunk(Bytes::from(rest))
     }
 
-    /// One choice happens; `None` if it can't happen now.
+    /// Performs one choice. Returns `None` if the choice is impossible now.
     fn step(&mut self, choice: Choice, configs: &Configs) -> Option<Result<(), String>> {
         let event = self.event(choice, configs)?;
         let mut awaited_next = None;
@@ -364,17 +377,17 @@
                 check(!self.response_ended, "sent after the end of the response")?;
                 let may_have_run = self.possible_runs.contains(&true);
                 let resumes = last_event_id.is_some() && last_event_id == self.forwarded_ids.last().copied();
-                check(!may_have_run || self.route.idempotent || resumes, "it may run twice")?;
+                check(!may_have_run || self.route.idempotent || resumes, "the call may run twice")?;
                 check(
                     !self.head_forwarded || self.forwarded_ids.is_empty() || resumes,
-                    "a stream is resumed at another point than its last event",
+                    "a stream is resumed at a point other than its last event",
                 )?;
                 self.possible_runs.push(true);
                 *awaited_next = Some(Awaited::ResponseHead);
             }
             Effect::ForwardHead => {
                 check(self.local_status.is_none() && !self.head_forwarded, "two responses")?;
-                check(!NOT_RUN_STATUSES.contains(&self.status), "a worker's unbacked promise is forwarded")?;
+                check(!NOT_RUN_STATUSES.contains(&self.status), "a status that guarantees no run is forwarded")?;
                 self.head_forwarded = true;
             }
             Effect::ForwardChunk(chunk) => {
@@ -386,7 +399,7 @@
             Effect::FinishResponse => {
                 check(self.head_forwarded && !self.response_ended, "an end without a head")?;
                 check(self.has_definite_end, "a broken response that looks complete")?;
-                check(!self.is_half_sent, "a stream that ends within an event and looks complete")?;
+                check(!self.has_partial_event, "a stream that ends within an event and looks complete")?;
                 self.response_ended = true;
             }
             Effect::AbortResponse(_) => {
@@ -398,10 +411,10 @@
                 let may_have_run = self.possible_runs.contains(&true);
                 check(
                     !NOT_RUN_STATUSES.contains(&response.status) || !may_have_run,
-                    "the status promises that it did not run, and it may have",
+                    "the status guarantees that the call did not run, but it may have run",
                 )?;
                 check(!(200..300).contains(&response.status), "a local response with a successful status")?;
-                check(!may_have_run || response.execution.name() != "no", "reported as not run, and it may have")?;
+                check(!may_have_run || response.execution.name() != "no", "reported as not run, but it may have run")?;
                 self.local_status = Some(response.status);
             }
             Effect::CloseConnection | Effect::RequestUnits { .. } | Effect::WakeCall(_) => {}
@@ -409,16 +422,16 @@
         Ok(())
     }
 
-    /// The invariants after every step.
+    /// Checks the invariants that hold after every step.
     fn check_invariants(&self) -> Result<(), String> {
         let in_order = self.forwarded_ids.windows(2).all(|pair| pair[1] == pair[0] + 1);
         check(!self.route.is_stream || !self.is_resumable() || in_order, "events are missing or repeated")?;
-        check(self.possible_runs.len() <= self.route.max_attempts.max(1), "more workers than its route allows")?;
+        check(self.possible_runs.len() <= self.route.max_attempts.max(1), "more attempts than the route allows")?;
         check(self.possible_runs.len() <= FUNDED_RETRIES + 1, "a retry beyond the budget")?;
         if self.fixture.machine.is_finished() {
             let occupied = if self.route.without_slot { 12 } else { 0 };
             let Holdings { in_flight, waiting, .. } = self.fixture.holdings();
-            check(in_flight <= occupied && waiting == (0, 0), "it holds a slot or waits in a queue after its end")?;
+            check(in_flight <= occupied && waiting == (0, 0), "a finished call holds a slot or waits in a queue")?;
         }
         Ok(())
     }
@@ -428,7 +441,7 @@
     }
 }
 
-/// Names the invariant that is broken unless `holds`.
+/// Returns the violation as an error unless the invariant holds.
 fn check(holds: bool, violation: &str) -> Result<(), String> {
     if holds { Ok(()) } else { Err(violation.to_owned()) }
 }
@@ -441,19 +454,19 @@
     route_moved: Arc<CompiledConfig>,
 }
 
-/// How many events a path has; the first three are the head, the body and the connection.
+/// The maximum number of events on a path. The first three are the head, the body and the connection.
 const DEPTH: usize = 8;
 
-/// Replays a path; `None` if its last step can't happen, else which invariant is broken.
-fn replay(route: Route, path: &[Choice], configs: &Configs) -> Option<(World, Result<(), String>)> {
-    let mut world = World::new(route, configs);
+/// Replays a path. Returns `None` if its last step is impossible, else whether an invariant was violated.
+fn replay(route: Route, path: &[Choice], configs: &Configs) -> Option<(Environment, Result<(), String>)> {
+    let mut environment = Environment::new(route, configs);
     for (index, choice) in path.iter().enumerate() {
-        let outcome = world.step(*choice, configs)?;
+        let outcome = environment.step(*choice, configs)?;
         if outcome.is_err() || index + 1 == path.len() {
-            return Some((world, outcome));
+            return Some((environment, outcome));
         }
     }
-    Some((world, Ok(())))
+    Some((environment, Ok(())))
 }
 
 #[test]
@@ -468,17 +481,21 @@
     for route in ROUTES {
         let mut pending_paths = vec![Vec::new()];
         while let Some(path) = pending_paths.pop() {
-            let Some((world, outcome)) = replay(route, &path, &configs) else { continue };
+            let Some((environment, outcome)) = replay(route, &path, &configs) else { continue };
             paths += 1;
             if let Err(violation) = outcome {
                 panic!("{violation}: {} after {path:?}", route.path);
             }
-            finished += u64::from(world.fixture.machine.is_finished());
+            finished += u64::from(environment.fixture.machine.is_finished());
             if path.len() < DEPTH {
-                pending_paths.extend(world.awaited.choices().iter().map(|choice| [&path[..], &[*choice]].concat()));
+                pending_paths
+                    .extend(environment.awaited.choices().iter().map(|choice| [&path[..], &[*choice]].concat()));
             }
         }
     }
     println!("{paths} paths, {finished} to the end of the call");
-    assert!(paths > 10_000 && finished > 5_000, "{paths} paths, {finished} to the end: the world does too little");
+    assert!(
+        paths > 10_000 && finished > 5_000,
+        "{paths} paths, {finished} to the end: the environment does too little"
+    );
 }
--- a/crates/core/tests/call/fixture.rs
+++ b/crates/core/tests/call/fixture.rs
@@ -1,4 +1,4 @@
-//! One call with all that its steps see, and scripts of actions with the effects that must follow.
+//! A fixture of one call with the context of its steps, and scripts of actions with their expected effects.
 
 pub use bytes::Bytes;
 use std::sync::Arc;
@@ -13,10 +13,10 @@
 use sumacvale_core::quota::WindowSlices;
 pub use sumacvale_core::retry::FailurePoint;
 
-/// When the call is received, in microseconds.
+/// The time at which the call is received, in microseconds.
 pub const START: Micros = 10 * SEC;
 
-/// The report of worker `number`.
+/// Creates the report of worker `number`.
 pub fn worker_report(number: u64, slots: u32) -> WorkerReport {
     WorkerReport {
         worker_id: format!("w{number}"),
@@ -34,7 +34,8 @@
     }
 }
 
-/// Matches without a latency target; the tenant's key is valid or revoked.
+/// Creates a configuration with matches without a latency target. The tenant's key is valid if `has_key`, else
+/// revoked.
 pub fn config(has_key: bool) -> Arc<CompiledConfig> {
     let keys = if has_key { format!("\"sha256:{}\"", sha256_hex(b"key")) } else { String::new() };
     let matched =
@@ -52,7 +53,7 @@
     Arc::new(CompiledConfig::compile(if has_key { 1 } else { 2 }, &document))
 }
 
-/// Matches with a latency target, whose calls go to the pools that `pools` says.
+/// Creates a configuration with matches with a latency target. `pools` sets the `pool` or `split` of each match.
 pub fn latency_target_config(pools: &str, version: u64) -> Arc<CompiledConfig> {
     let matched =
         |name: &str, more: &str| format!("\"{name}\":{{\"under\":\"/{name}/\",{pools},\"kind\":\"lookup\"{more}}}");
@@ -81,24 +82,24 @@
     Arc::new(compiled)
 }
 
-/// What all calls of the node hold or wait for.
+/// The resources that all calls of the node hold or wait for.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Holdings {
-    /// Reserved slots.
+    /// The number of reserved slots.
     pub in_flight: u64,
-    /// Calls that wait for a slot, and for a quota unit.
+    /// The number of calls that wait for a slot, and the number that wait for a quota unit.
     pub waiting: (u64, u64),
-    /// Units of tenant `t` that are not taken.
+    /// The number of units of tenant `t` that no call has acquired.
     pub free_units: u64,
 }
 
 impl Holdings {
-    pub fn of(in_flight: u64, waiting: (u64, u64), free_units: u64) -> Self {
+    pub fn new(in_flight: u64, waiting: (u64, u64), free_units: u64) -> Self {
         Holdings { in_flight, waiting, free_units }
     }
 }
 
-/// One call and the node that serves it.
+/// One call and the state of the node that serves it.
 pub struct CallFixture {
     pub shared: SharedCallState,
     pub thread_caches: ThreadCaches,
@@ -110,13 +111,13 @@
 }
 
 impl CallFixture {
-    /// A call by the tenant's key of a match without a latency target.
+    /// Creates a call with the tenant's key to a match without a latency target.
     pub fn new(path: &str, workers: u64, slots: u32, units: u64) -> CallFixture {
-        CallFixture::of(path, workers, slots, units, config(true))
+        CallFixture::with_config(path, workers, slots, units, config(true))
     }
 
-    /// The same with another configuration.
-    pub fn of(path: &str, workers: u64, slots: u32, units: u64, config: Arc<CompiledConfig>) -> CallFixture {
+    /// Creates a call with the tenant's key under this configuration.
+    pub fn with_config(path: &str, workers: u64, slots: u32, units: u64, config: Arc<CompiledConfig>) -> CallFixture {
         let slices = Arc::new(WindowSlices::default());
         if units > 0 {
             slices.add_granted("t", 1, units, START + SEC);
@@ -140,8 +141,8 @@
         }
     }
 
-    /// A call of a match with a latency target, by a key or none, of a client that waits for so many
-    /// milliseconds, or for ever if that is zero.
+    /// Creates a call to a match with a latency target. An empty `key` means no key. The client's deadline is in
+    /// `time_left` milliseconds; 0 means no deadline.
     pub fn with_latency_target(path: &str, key: &str, time_left: Micros, workers: u64) -> CallFixture {
         let mut call = CallFixture::new(path, workers, 4, 9);
         call.update_view(|view| view.config = latency_target_config("\"pool\":\"p\"", 1));
@@ -155,7 +156,7 @@
         call
     }
 
-    /// Replaces the call by another one and returns the old one.
+    /// Replaces the call by a new call and returns the old one.
     pub fn next_call(&mut self, id: u64, path: &str) -> CallMachine {
         let next = CallMachine::new(id, request_head(path), self.view.clone(), self.now);
         std::mem::replace(&mut self.machine, next)
@@ -167,7 +168,7 @@
         self.view = Arc::new(view);
     }
 
-    /// Advances the time, at which the view is confirmed again.
+    /// Advances the time and confirms the view at the new time.
     pub fn advance(&mut self, time: Micros) {
         self.now += time;
         let now = self.now;
@@ -191,7 +192,7 @@
         }
     }
 
-    /// The retry budget pays for one more retry.
+    /// Adds one retry to the retry budget.
     pub fn fund_retry(&mut self) {
         (0..5).for_each(|_| self.shared.retry_budget.deposit());
     }
@@ -209,17 +210,17 @@
         run(&mut self.machine, &mut context)
     }
 
-    /// The effects of one event.
+    /// Steps the call and returns the effects.
     pub fn effects(&mut self, event: Event) -> Effects {
         self.with_context(|machine, context| machine.step(event, context))
     }
 
-    /// The wakeups of the periodic work on all queues.
+    /// Runs the periodic expiry of all queues and returns the wakeups.
     pub fn expire_waiters(&mut self) -> Vec<Wakeup> {
         self.with_context(|_, context| SharedCallState::expire_waiters(context).0)
     }
 
-    /// The effects of one event in words.
+    /// Steps the call and returns a description of the effects.
     pub fn step(&mut self, event: Event) -> String {
         let effects = self.effects(event);
         let described: Vec<_> = effects.into_iter().map(|effect| self.describe(effect)).collect();
@@ -252,7 +253,8 @@
         }
     }
 
-    /// The same prefix is placed at the same worker, whichever that is.
+    /// Describes a connection by whether its worker is the same as before. Which worker is chosen depends on the hash of
+    /// the prompt prefix.
     fn describe_connect(&mut self, endpoint: Endpoint) -> &'static str {
         let description = match &self.last_endpoint {
             Some(last) if last.worker_id == endpoint.worker_id => "connect again",
@@ -265,36 +267,36 @@
 
     pub fn holdings(&self) -> Holdings {
         let free_units = self.shared.slices.list().iter().find(|slice| slice.0 == "t").map_or(0, |slice| slice.4);
-        Holdings::of(self.shared.worker_loads.total_in_flight(), self.shared.queue_lengths(), free_units)
+        Holdings::new(self.shared.worker_loads.total_in_flight(), self.shared.queue_lengths(), free_units)
     }
 }
 
-/// The head of a call by the tenant's key.
+/// Creates the request head of a call with the tenant's key.
 pub fn request_head(path: &str) -> RequestHead {
     RequestHead { method: "POST".into(), path: path.into(), api_key: Some("key".into()), ..RequestHead::default() }
 }
 
-/// What happens to a call: an event, or a change of what the node knows.
+/// A step of a script: an event for the call, or a change of the node's state.
 pub enum Action {
     Deliver(Event),
-    /// The body comes.
+    /// The body arrives.
     DeliverBody,
-    /// The retry budget pays for one more retry.
+    /// One retry is added to the retry budget.
     FundRetry,
     RevokeKey,
-    /// The view was not confirmed for too long.
+    /// The view becomes stale.
     ExpireView,
     /// The worker that the call was last connected to is removed.
     RemoveWorker,
     Advance(Micros),
-    /// Units of this window come.
+    /// Units of this window are granted.
     GrantUnits(u64),
     /// All slots are reserved.
     OccupySlots,
-    /// A version comes in which the matches go to these pools.
+    /// A new version routes the matches to these pools.
     MoveRoute(&'static str),
-    /// The lease holder grants units of this window, or for zero says that the window is spent; the
-    /// call that waits gets the event.
+    /// The lease holder grants units of this window, or answers that the window is exhausted if the window is 0. The
+    /// waiting call receives the event.
     AnswerQuota(u64),
 }
 
@@ -303,7 +305,7 @@
     RemoveWorker, RevokeKey,
 };
 
-/// Actions, each with the effects that must follow.
+/// A list of actions with the expected effects of each.
 pub type Script = Vec<(Action, &'static str)>;
 
 fn perform(call: &mut CallFixture, action: Action) -> String {
@@ -333,13 +335,14 @@
     String::new()
 }
 
+/// Performs the actions of a script and checks the effects of each.
 pub fn run(name: &str, call: &mut CallFixture, script: Vec<(Action, &str)>) {
     for (index, (action, expected)) in script.into_iter().enumerate() {
         assert_eq!(perform(call, action), expected, "{name}, step {index}");
     }
 }
 
-/// A successful head.
+/// Delivers a successful response head.
 pub fn ok_head(is_event_stream: bool, has_definite_end: bool) -> Action {
     Deliver(Event::ResponseHead(ResponseHead {
         status: 200,
@@ -349,12 +352,12 @@
     }))
 }
 
-/// A head with this status.
+/// Delivers a response head with this status.
 pub fn status_head(status: u16) -> Action {
     Deliver(Event::ResponseHead(ResponseHead { status, has_definite_end: true, ..ResponseHead::default() }))
 }
 
-/// A head that states that the call did not run.
+/// Delivers a response head that states that the call did not run.
 pub fn declined_head(status: u16) -> Action {
     Deliver(Event::ResponseHead(ResponseHead {
         status,
@@ -368,12 +371,12 @@
     Deliver(Event::ResponseChunk(Bytes::from(text.to_owned())))
 }
 
-/// The head and the body were read, and a connection is opened.
+/// Returns the script up to the opening of a connection.
 pub fn until_connecting() -> Script {
     vec![(Deliver(Event::Wake), "read body"), (DeliverBody, "connect")]
 }
 
-/// The call was sent, with this effect.
+/// Returns the script up to the sending of the request, which has this effect.
 pub fn until_sent_with(effect: &'static str) -> Script {
     followed_by(until_connecting(), vec![(Deliver(Event::Connected), effect)])
 }
@@ -382,25 +385,25 @@
     until_sent_with("send window 1")
 }
 
-/// The call was sent, and then `more` happens.
+/// Returns the script up to the sending of the request, followed by `more`.
 pub fn after_send(more: Script) -> Script {
     followed_by(until_sent(), more)
 }
 
-/// One script after another.
+/// Concatenates two scripts.
 pub fn followed_by(first: Script, second: Script) -> Script {
     first.into_iter().chain(second).collect()
 }
 
-/// A response comes and ends.
+/// Returns the script of a complete response.
 pub fn complete_response() -> Script {
     vec![(ok_head(false, true), "forward head"), (chunk("ok"), "forward 2"), (Deliver(Event::ResponseEnd), "finish")]
 }
 
-/// Name, path, workers, slots of each, units; the script; the units left at the end.
+/// A case: name, path, number of workers, slots of each worker, units; the script; the units left at the end.
 pub type Case = (&'static str, &'static str, u64, u32, u64, Script, u64);
 
-/// Runs each case to the end of its call, which then holds nothing.
+/// Runs each case and checks that its call has ended and holds no resources.
 pub fn check(cases: Vec<Case>) {
     for (name, path, workers, slots, units, script, units_left) in cases {
         let mut call = CallFixture::new(path, workers, slots, units);
@@ -414,10 +417,11 @@
     }
 }
 
-/// Name, path, key, how long the client waits, workers; the script; the units left at the end.
+/// A case: name, path, key, the client's deadline in milliseconds, number of workers; the script; the units left at
+/// the end.
 pub type LatencyTargetCase = (&'static str, &'static str, &'static str, Micros, u64, Script, u64);
 
-/// The same for calls of matches with a latency target.
+/// Runs each case of a match with a latency target and checks that its call has ended and holds no resources.
 pub fn check_with_latency_target(cases: Vec<LatencyTargetCase>) {
     for (name, path, key, time_left, workers, script, units_left) in cases {
         let mut call = CallFixture::with_latency_target(path, key, time_left, workers);
--- a/crates/core/tests/call/main.rs
+++ b/crates/core/tests/call/main.rs
@@ -1,6 +1,6 @@
-//! One call step by step: the effects of each event, and what the call holds then.
+//! Tests of the call machine: the effects of each event, and the resources that the call holds afterwards.
 
-// A table of cases is one function, however long.
+// A test function with a table of cases may be long.
 #![allow(clippy::too_many_lines)]
 
 mod admission;
--- a/crates/core/tests/call/streaming.rs
+++ b/crates/core/tests/call/streaming.rs
@@ -1,4 +1,4 @@
-//! Streams of events: their proper end, their breaks, and how they are resumed elsewhere.
+//! Event streams: complete ends, broken streams, and resuming at another worker.
 
 use super::fixture::*;
 
--- a/crates/core/tests/call/waiting.rs
+++ b/crates/core/tests/call/waiting.rs
@@ -1,4 +1,4 @@
-//! Waiting for a quota unit or a slot, and what is released.
+//! Calls that wait for a quota unit or a slot, and the resources that they release.
 
 use super::fixture::*;
 use std::sync::Arc;
@@ -124,26 +124,26 @@
     let first = call.next_call(2, "/chat");
     assert_eq!(call.step(Event::Wake), "read body");
     assert_eq!(call.step(Event::RequestBody(Ok(Bytes::from_static(b"{\"prompt\":\"x\"}")))), "", "it waits");
-    assert_eq!(call.holdings(), Holdings::of(1, (1, 0), 7));
+    assert_eq!(call.holdings(), Holdings::new(1, (1, 0), 7));
     // The first call ends, which assigns its slot to the second one.
     let second = std::mem::replace(&mut call.machine, first);
     let endpoint = call.last_endpoint.clone().expect("a slot");
     assert_eq!(call.step(Event::ClientDisconnected), "wake 2");
-    assert_eq!(call.holdings(), Holdings::of(1, (0, 0), 7), "the slot is assigned to it");
-    // The second call left meanwhile: the slot and the unit are free again.
+    assert_eq!(call.holdings(), Holdings::new(1, (0, 0), 7), "the slot is assigned to the second call");
+    // The second call was cancelled before the event arrived: the slot and the unit are free again.
     call.machine = second;
     assert_eq!(call.step(Event::ClientDisconnected), "");
     assert_eq!(call.step(Event::SlotAssigned(endpoint)), "");
-    assert_eq!(call.holdings(), Holdings::of(0, (0, 0), 8));
+    assert_eq!(call.holdings(), Holdings::new(0, (0, 0), 8));
 }
 
-/// A first call holds the only slot, and a second one waits for it.
+/// Creates a first call that holds the only slot, and a second call that waits for the slot.
 fn one_call_waiting() -> (CallFixture, CallMachine) {
     let mut call = CallFixture::new("/chat", 1, 1, 2);
     run("first", &mut call, until_sent());
     let first = call.next_call(2, "/chat");
     run("second", &mut call, vec![(Deliver(Event::Wake), "read body"), (DeliverBody, "request units")]);
-    assert_eq!(call.holdings(), Holdings::of(1, (1, 0), 0), "it waits");
+    assert_eq!(call.holdings(), Holdings::new(1, (1, 0), 0), "it waits");
     (call, first)
 }
 
@@ -153,13 +153,13 @@
     let (mut call, first) = one_call_waiting();
     assert_eq!(recall(&call), Some(1), "the unit of the call that waits, not of the one that was sent");
     assert_eq!(recall(&call), Some(1), "once");
-    // The first call ends: the second one gets the slot, but has no unit.
+    // The first call ends: the second call is assigned the slot, but has no unit.
     let second = std::mem::replace(&mut call.machine, first);
     let endpoint = call.last_endpoint.clone().expect("a slot");
     assert_eq!(call.step(Event::ClientDisconnected), "wake 2");
     call.machine = second;
     run("no unit", &mut call, vec![(Deliver(Event::SlotAssigned(endpoint.clone())), "request units")]);
-    assert_eq!(call.holdings(), Holdings::of(0, (0, 1), 0), "the slot is free for others while it waits for a unit");
+    assert_eq!(call.holdings(), Holdings::new(0, (0, 1), 0), "the slot is free for others while it waits for a unit");
     run(
         "a unit",
         &mut call,
@@ -186,7 +186,7 @@
     let (mut call, _first) = one_call_waiting();
     recall(&call);
     assert_eq!(call.step(Event::ClientDisconnected), "");
-    assert_eq!(call.holdings().free_units, 0, "what was recalled does not come back twice");
+    assert_eq!(call.holdings().free_units, 0, "a recalled unit is not refunded as well");
 }
 
 #[test]
@@ -199,7 +199,7 @@
 
 #[test]
 fn a_full_queue_wakes_the_call_that_it_displaces() {
-    // Eight drafts wait for a unit; a lookup comes, whose kind has more weight.
+    // Eight drafts wait for a unit when a lookup arrives, whose kind has a higher weight.
     let mut call = CallFixture::new("/draft", 1, 1, 0);
     let mut machines = Vec::new();
     for id in 1..=9 {
@@ -212,7 +212,7 @@
     assert_eq!(call.holdings().waiting, (0, 8));
 }
 
-/// The configuration of the fixture with another quota of the tenant.
+/// Creates the fixture's configuration with this quota of the tenant.
 fn config_with_quota(version: u64, quota: &str) -> Arc<CompiledConfig> {
     let document = format!(
         "{{\"pools\":{{\"p\":{{}}}},\"matches\":{{\"chat\":{{\"path\":\"/chat\",\"pool\":\"p\",\"kind\":\"chat\"}}}},\
@@ -224,10 +224,10 @@
     Arc::new(compiled)
 }
 
-const CALLS: &str = r#"{"rate":100,"burst":1000}"#;
-const TOKENS: &str = r#"{"rate":100,"burst":1000,"measure":"tokens","untold":70}"#;
+const QUOTA_IN_CALLS: &str = r#"{"rate":100,"burst":1000}"#;
+const QUOTA_IN_TOKENS: &str = r#"{"rate":100,"burst":1000,"measure":"tokens","untold":70}"#;
 
-/// The node's share of the rate in force brings so many units.
+/// Grants the node `units` units of the rate in force.
 fn grant_rate_units(call: &CallFixture, request_id: u64, units: u32) {
     let rates = &call.shared.slices.rates;
     rates.make_request("t", request_id, u64::from(units), call.now).expect("it has a rate");
@@ -235,15 +235,17 @@
     assert!(rates.apply_grant("t", request_id, grant, call.now, call.now));
 }
 
-/// A newer configuration counts tokens in place of calls, or the other way round, while a call waits for units: it
-/// learns so as it is granted too few, or before that as it is woken by the configuration.
+/// Guards against a call that uses the number of units of an old measure. A newer configuration changes the measure
+/// from calls to tokens or back while the call waits for units. The call notices the change when it is granted too
+/// few units, or when the new configuration wakes it.
 #[test]
 fn a_call_that_waits_takes_the_units_of_the_measure_in_force() {
-    for (name, before, after, first_units, more_units) in
-        [("from calls to tokens", CALLS, TOKENS, 69, 70), ("from tokens to calls", TOKENS, CALLS, 0, 1)]
-    {
+    for (name, before, after, first_units, more_units) in [
+        ("from calls to tokens", QUOTA_IN_CALLS, QUOTA_IN_TOKENS, 69, 70),
+        ("from tokens to calls", QUOTA_IN_TOKENS, QUOTA_IN_CALLS, 0, 1),
+    ] {
         let old_config = config_with_quota(1, before);
-        let mut call = CallFixture::of("/chat", 1, 4, 0, old_config.clone());
+        let mut call = CallFixture::with_config("/chat", 1, 4, 0, old_config.clone());
         call.shared.slices.rates.apply_plan(&old_config, START);
         run(name, &mut call, vec![(Deliver(Event::Wake), "read body"), (DeliverBody, "request units")]);
         let new_config = config_with_quota(2, after);
@@ -266,7 +268,7 @@
     }
 }
 
-/// A call that waits is offered units again and again, which must not count as further demand.
+/// Guards against counting a waiting call as new demand each time that the queue is served.
 #[test]
 fn a_call_that_waits_counts_once_in_the_demand_for_a_window() {
     let mut call = CallFixture::new("/chat", 1, 4, 0);
@@ -279,10 +281,10 @@
     assert_eq!(wanted, first_wanted);
 }
 
-/// Calls that come while others have waited for the lease holder for a second are queued as well, however little
-/// time they have: its successor may answer at any moment.
+/// Guards against rejecting calls early in an outage of the lease holder: a call that arrives after others have waited
+/// for more than a second is queued too, whatever its deadline, as a successor may answer at any moment.
 #[test]
-fn a_call_that_comes_late_in_an_outage_of_the_lease_holder_waits_for_its_answer() {
+fn a_call_that_arrives_late_in_an_outage_of_the_lease_holder_waits_for_its_answer() {
     let mut call = CallFixture::new("/chat", 1, 4, 0);
     let waits = || vec![(Deliver(Event::Wake), "read body"), (DeliverBody, "request units")];
     run("the first call", &mut call, waits());
@@ -292,7 +294,7 @@
         run("a later call", &mut call, waits());
     }
     assert_eq!(call.holdings().waiting, (0, 3));
-    // The wakeups of all three calls come to the last one, which uses the first of them.
+    // The fixture delivers the wakeups of all three calls to the last call, which uses the first of them.
     run("the answer", &mut call, vec![(AnswerQuota(1), "connect")]);
-    assert_eq!(call.holdings().waiting, (0, 0), "each of them got a unit");
+    assert_eq!(call.holdings().waiting, (0, 0), "each call was granted a unit");
 }
--- a/crates/core/tests/config.rs
+++ b/crates/core/tests/config.rs
@@ -1,4 +1,4 @@
-//! Each file in `cases/config` contains a document and the errors that its validation must give.
+//! Validation of configuration documents. Each file in `cases/config` contains a document and the expected errors.
 
 use datatest_stable::Result;
 use sonic_rs::{JsonContainerTrait, JsonValueTrait, Value};
@@ -20,7 +20,7 @@
     Ok(())
 }
 
-/// The document of a case: `text` as it stands (it may be no JSON at all), or else `tree`.
+/// Returns the document of a case: `text` verbatim (which may be invalid JSON), or else `tree`.
 fn document(case: &Value) -> Result<String> {
     match case.pointer(["text"]).and_then(|text| text.as_str()) {
         Some(text) => Ok(text.to_owned()),
@@ -28,7 +28,7 @@
     }
 }
 
-/// The errors of a case, each as its code and pointer.
+/// Returns the expected errors of a case, each as its code and JSON pointer.
 fn expected_errors(case: &Value) -> Result<Vec<String>> {
     let errors = case.pointer(["troubles"]).and_then(|list| list.as_array()).ok_or("no troubles")?;
     Ok(errors.iter().filter_map(|error| error.as_str().map(str::to_owned)).collect())
--- a/crates/core/tests/documents/main.rs
+++ b/crates/core/tests/documents/main.rs
@@ -1,4 +1,4 @@
-//! Changes of documents with revisions, decided by cores that are stepped directly.
+//! Changes of documents with revisions, decided by cores that the test steps directly.
 
 mod net;
 #[path = "../nodes/mod.rs"]
@@ -6,7 +6,7 @@
 mod packed;
 mod patches;
 
-use net::{ALL, CORES, FRONT, Net, me};
+use net::{ALL, CORES, FRONT, SimulatedNetwork, machine_settings};
 use nodes::{core, doc};
 use std::collections::{BTreeMap, BTreeSet};
 use sumacvale_core::base::{ChangeId, MS, Micros, NodeId, Rng, SEC, hash64};
@@ -18,75 +18,93 @@
     Change, ChangeOutcome, ConsensusMessage, DisseminationMessage, Frame, Message, PeerRecord,
 };
 
+/// A document must name the revision in force as its base and have a higher revision of its own. A document that
+/// is sent again has the same outcome as before.
 #[test]
-fn documents_build_on_one_another_by_their_revisions() {
+fn a_document_is_committed_only_on_the_revision_in_force() {
     type Submitted = (usize, u64, String, &'static str);
-    let d = doc;
-    // Name; the node, base, document and outcome of each change; the version in the end.
+    let document = doc;
+    // Name; the node, base, document and outcome of each change; the final version.
     let cases: Vec<(&str, Vec<Submitted>, u64)> = vec![
-        ("the first one", vec![(0, 0, d(1, "a"), "committed")], 1),
-        ("at a front", vec![(FRONT, 0, d(1, "a"), "committed")], 1),
+        ("the first one", vec![(0, 0, document(1, "a"), "committed")], 1),
+        ("at a front", vec![(FRONT, 0, document(1, "a"), "committed")], 1),
         (
             "uneven steps",
-            vec![(0, 0, d(5, "a"), "committed"), (1, 5, d(90, "b"), "committed"), (2, 90, d(91, "c"), "committed")],
+            vec![
+                (0, 0, document(5, "a"), "committed"),
+                (1, 5, document(90, "b"), "committed"),
+                (2, 90, document(91, "c"), "committed"),
+            ],
             3,
         ),
-        ("the same again", vec![(0, 0, d(5, "a"), "committed"), (0, 0, d(5, "a"), "committed")], 1),
-        ("the same elsewhere", vec![(0, 0, d(5, "a"), "committed"), (FRONT, 0, d(5, "a"), "committed")], 1),
+        ("the same again", vec![(0, 0, document(5, "a"), "committed"), (0, 0, document(5, "a"), "committed")], 1),
+        (
+            "the same elsewhere",
+            vec![(0, 0, document(5, "a"), "committed"), (FRONT, 0, document(5, "a"), "committed")],
+            1,
+        ),
         (
             "the same after others",
-            vec![(0, 0, d(5, "a"), "committed"), (1, 5, d(6, "b"), "committed"), (2, 0, d(5, "a"), "committed")],
+            vec![
+                (0, 0, document(5, "a"), "committed"),
+                (1, 5, document(6, "b"), "committed"),
+                (2, 0, document(5, "a"), "committed"),
+            ],
             2,
         ),
-        ("a base that is passed", vec![(0, 0, d(5, "a"), "committed"), (1, 0, d(6, "b"), "stale")], 1),
-        ("a passed base within a step", vec![(0, 0, d(5, "a"), "committed"), (1, 3, d(6, "b"), "stale")], 1),
-        ("a base that never was", vec![(0, 0, d(5, "a"), "committed"), (1, 7, d(8, "b"), "stale")], 1),
-        ("an equal number", vec![(0, 0, d(5, "a"), "committed"), (1, 5, d(5, "b"), "invalid")], 1),
-        ("a lower number", vec![(0, 0, d(5, "a"), "committed"), (1, 5, d(4, "b"), "invalid")], 1),
+        ("a base that is passed", vec![(0, 0, document(5, "a"), "committed"), (1, 0, document(6, "b"), "stale")], 1),
+        (
+            "a passed base within a step",
+            vec![(0, 0, document(5, "a"), "committed"), (1, 3, document(6, "b"), "stale")],
+            1,
+        ),
+        ("a base that never was", vec![(0, 0, document(5, "a"), "committed"), (1, 7, document(8, "b"), "stale")], 1),
+        ("an equal number", vec![(0, 0, document(5, "a"), "committed"), (1, 5, document(5, "b"), "invalid")], 1),
+        ("a lower number", vec![(0, 0, document(5, "a"), "committed"), (1, 5, document(4, "b"), "invalid")], 1),
         ("no number", vec![(0, 0, "{}".into(), "invalid")], 0),
         ("not read whole", vec![(0, 0, "{\"revision\":1,".into(), "invalid")], 0),
-        ("refused, then mended", vec![(0, 0, d(0, "a"), "invalid"), (0, 0, d(2, "a"), "committed")], 1),
+        ("refused, then mended", vec![(0, 0, document(0, "a"), "invalid"), (0, 0, document(2, "a"), "committed")], 1),
     ];
-    for (name, sent, vers) in cases {
-        let mut net = Net::new(1);
+    for (name, sent, version) in cases {
+        let mut net = SimulatedNetwork::new(1);
         let mut last = "{}".to_owned();
-        for (index, (i, base, body, want)) in sent.into_iter().enumerate() {
-            let before = net.decided().0;
-            assert_eq!(net.submit_and_run(i, base, &body), want, "{name}, {index}");
-            if net.decided().0 > before {
+        for (index, (node, base, body, expected)) in sent.into_iter().enumerate() {
+            let previous_version = net.decided().0;
+            assert_eq!(net.submit_and_run(node, base, &body), expected, "{name}, {index}");
+            if net.decided().0 > previous_version {
                 last = body;
             }
         }
-        assert_eq!(net.decided(), (vers, last), "{name}");
+        assert_eq!(net.decided(), (version, last), "{name}");
     }
 }
 
 #[test]
 fn of_two_documents_on_one_base_exactly_one_wins() {
     for seed in 0..20 {
-        for (a, b) in [(0, 1), (1, 2), (2, 2), (FRONT, 0), (FRONT, FRONT)] {
-            let mut net = Net::new(seed);
+        for (first, second) in [(0, 1), (1, 2), (2, 2), (FRONT, 0), (FRONT, FRONT)] {
+            let mut net = SimulatedNetwork::new(seed);
             assert_eq!(net.submit_and_run(0, 0, &doc(3, "zero")), "committed");
-            net.submit(a, 1, 3, &doc(7, "a"));
-            net.submit(b, 2, 3, &doc(4, "b"));
+            net.submit(first, 1, 3, &doc(7, "a"));
+            net.submit(second, 2, 3, &doc(4, "b"));
             net.run(4 * SEC);
-            let ends = (net.outcome(1), net.outcome(2));
-            let want = if ends.0 == "committed" { doc(7, "a") } else { doc(4, "b") };
+            let outcomes = (net.outcome(1), net.outcome(2));
+            let expected = if outcomes.0 == "committed" { doc(7, "a") } else { doc(4, "b") };
             assert!(
-                matches!((ends.0.as_str(), ends.1.as_str()), ("committed", "stale") | ("stale", "committed")),
-                "seed {seed}, at {a} and {b}: {ends:?}"
+                matches!((outcomes.0.as_str(), outcomes.1.as_str()), ("committed", "stale") | ("stale", "committed")),
+                "seed {seed}, at {first} and {second}: {outcomes:?}"
             );
-            assert_eq!(net.decided(), (2, want), "seed {seed}, at {a} and {b}");
+            assert_eq!(net.decided(), (2, expected), "seed {seed}, at {first} and {second}");
         }
     }
 }
 
 #[test]
-fn one_document_sent_twice_at_once_is_one_change() {
+fn a_document_sent_to_several_nodes_at_once_is_one_change() {
     for seed in 0..10 {
-        let mut net = Net::new(seed);
-        for (i, request_id) in [(0, 1), (1, 2), (FRONT, 3)] {
-            net.submit(i, request_id, 0, &doc(9, "a"));
+        let mut net = SimulatedNetwork::new(seed);
+        for (node, request_id) in [(0, 1), (1, 2), (FRONT, 3)] {
+            net.submit(node, request_id, 0, &doc(9, "a"));
         }
         net.run(4 * SEC);
         assert_eq!([1, 2, 3].map(|r| net.outcome(r)), ["committed", "committed", "committed"], "seed {seed}");
@@ -96,8 +114,8 @@
 
 #[test]
 fn a_change_of_voters_makes_no_document_stale() {
-    // Between two documents.
-    let mut net = Net::new(3);
+    // A change of voters between two documents.
+    let mut net = SimulatedNetwork::new(3);
     assert_eq!(net.submit_and_run(0, 0, &doc(5, "a")), "committed");
     net.submit_voters(1, 1, &[0, 1]);
     net.run(4 * SEC);
@@ -106,9 +124,9 @@
     assert_eq!(net.submit_and_run(0, 0, &doc(5, "a")), "committed", "the first one again");
     assert_eq!(net.submit_and_run(0, 0, &doc(7, "c")), "stale");
     assert_eq!(net.decided(), (3, doc(6, "b")));
-    // At the same time: whichever comes first.
+    // A change of voters at the same time as a document, decided in either order.
     for seed in 0..10 {
-        let mut net = Net::new(seed);
+        let mut net = SimulatedNetwork::new(seed);
         net.submit_voters(1, 0, &[0, 1]);
         net.submit(1, 2, 0, &doc(5, "a"));
         net.run(6 * SEC);
@@ -119,8 +137,8 @@
 
 #[test]
 fn a_core_knows_the_outcomes_of_old_documents_after_a_partition() {
-    // What is sent to it after it missed three, and how that ends.
-    for (name, base, body, want) in [
+    // The documents that the core receives after it missed three versions, and their outcomes.
+    for (name, base, body, expected) in [
         ("the first it missed", 0, doc(2, "a"), "committed"),
         ("the second", 2, doc(4, "b"), "committed"),
         ("the newest", 4, doc(6, "c"), "committed"),
@@ -128,25 +146,25 @@
         ("another within", 2, doc(5, "x"), "stale"),
         ("one on the newest", 6, doc(7, "x"), "committed"),
     ] {
-        let mut net = Net::new(5);
+        let mut net = SimulatedNetwork::new(5);
         net.partitioned.push(2);
-        for (b, r, w) in [(0, 2, "a"), (2, 4, "b"), (4, 6, "c")] {
-            assert_eq!(net.submit_and_run(0, b, &doc(r, w)), "committed", "{name}");
+        for (missed_base, revision, pool) in [(0, 2, "a"), (2, 4, "b"), (4, 6, "c")] {
+            assert_eq!(net.submit_and_run(0, missed_base, &doc(revision, pool)), "committed", "{name}");
         }
         net.partitioned.clear();
-        assert_eq!(net.submit_and_run(2, base, &body), want, "{name}");
+        assert_eq!(net.submit_and_run(2, base, &body), expected, "{name}");
     }
 }
 
 #[test]
 fn a_document_with_an_unknown_outcome_is_retried_and_committed_once() {
-    let mut net = Net::new(8);
+    let mut net = SimulatedNetwork::new(8);
     net.partitioned.push(0);
     net.submit(0, 1, 0, &doc(2, "a"));
     net.run(4 * SEC);
     assert!(
         !["committed", "stale", "invalid"].contains(&net.outcome(1).as_str()),
-        "nobody could know: {}",
+        "the partitioned core can't know the outcome: {}",
         net.outcome(1)
     );
     assert_eq!(net.submit_and_run(1, 0, &doc(2, "a")), "committed");
@@ -156,7 +174,7 @@
     assert_eq!(net.decided(), (1, doc(2, "a")));
 }
 
-/// A document whose outcome is awaited.
+/// A submitted document whose outcome is pending.
 struct Submitted {
     base: u64,
     revision: u64,
@@ -166,42 +184,44 @@
     first_submitted_at: Micros,
 }
 
+/// Guards against a lost commit and a false rejection: frames are lost, cores are partitioned and restarted, and
+/// documents with unknown outcomes are sent again to other nodes.
 #[test]
 fn despite_losses_an_acknowledged_document_stays_and_a_rejected_one_is_never_decided() {
     let (mut committed, mut stale) = (0, 0);
     for seed in 0..24 {
-        let mut net = Net::new(seed);
+        let mut net = SimulatedNetwork::new(seed);
         let mut rng = Rng::new(1_000 + seed);
         net.loss_percent = 2;
         let mut submissions: [Option<Submitted>; 2] = [None, None];
-        let (mut done, mut refused) = (Vec::<(u64, String)>::new(), Vec::new());
+        let (mut acknowledged, mut rejected) = (Vec::<(u64, String)>::new(), Vec::new());
         let (mut request_id, mut serial) = (1, 0);
-        let mut all = BTreeMap::new();
+        let mut decided = BTreeMap::new();
         while net.now < 40 * SEC {
             net.run(100 * MS);
-            net.collect_decided(&mut all);
-            // One core at a time is partitioned or stopped, and later back.
+            net.collect_decided(&mut decided);
+            // At most one core at a time is partitioned or stopped, and later restored.
             if rng.chance(5) && net.partitioned.is_empty() && net.stopped.is_empty() {
-                let i = usize::try_from(rng.below(3)).expect("small");
-                if rng.chance(50) { net.partitioned.push(i) } else { net.stopped.push(i) }
+                let core_index = usize::try_from(rng.below(3)).expect("small");
+                if rng.chance(50) { net.partitioned.push(core_index) } else { net.stopped.push(core_index) }
             } else if rng.chance(8) {
                 net.partitioned.clear();
                 net.stopped.clone().into_iter().for_each(|i| net.restart(i));
             }
             for (index, submission) in submissions.iter_mut().enumerate() {
-                let to = usize::try_from(rng.below(4)).expect("small");
+                let target = usize::try_from(rng.below(4)).expect("small");
                 let Some(submitted) = submission else {
                     if !rng.chance(15) {
                         continue;
                     }
-                    // The base is what some core holds, which may be stale.
-                    let i = usize::try_from(rng.below(3)).expect("small");
-                    let base = net.nodes[i].consensus.state.newest().map_or(0, |d| d.revision);
+                    // The base is the newest revision of some core, which may be stale.
+                    let core_index = usize::try_from(rng.below(3)).expect("small");
+                    let base = net.nodes[core_index].consensus.state.newest().map_or(0, |entry| entry.revision);
                     serial += 1;
                     let revision = base + 1 + rng.below(9);
                     let body = doc(revision, &format!("by{index}n{serial}"));
                     request_id += 1;
-                    net.submit(to, request_id, base, &body);
+                    net.submit(target, request_id, base, &body);
                     *submission = Some(Submitted {
                         base,
                         revision,
@@ -213,18 +233,18 @@
                     continue;
                 };
                 match net.outcome(submitted.request_id).as_str() {
-                    "committed" => done.push((submitted.base, submitted.body.clone())),
-                    "stale" => refused.push(submitted.body.clone()),
+                    "committed" => acknowledged.push((submitted.base, submitted.body.clone())),
+                    "stale" => rejected.push(submitted.body.clone()),
                     "invalid" => panic!("seed {seed}: {} on {} is valid", submitted.revision, submitted.base),
                     "pending" if net.now < submitted.submitted_at + 4 * SEC => continue,
                     _ => {
-                        // The outcome is unknown: a retry at any node.
+                        // The outcome is unknown, so the document is sent again to any node.
                         assert!(
                             net.now < submitted.first_submitted_at + 30 * SEC,
-                            "seed {seed}: no clear answer in half a minute"
+                            "seed {seed}: no definite outcome within 30 s"
                         );
                         request_id += 1;
-                        net.submit(to, request_id, submitted.base, &submitted.body);
+                        net.submit(target, request_id, submitted.base, &submitted.body);
                         (submitted.request_id, submitted.submitted_at) = (request_id, net.now);
                         continue;
                     }
@@ -237,42 +257,42 @@
         net.loss_percent = 0;
         net.run(6 * SEC);
         net.decided();
-        net.collect_decided(&mut all);
-        let revs: Vec<_> = all.values().map(|x| x.0).collect();
-        assert!(revs.is_sorted_by(|a, b| a < b), "seed {seed}: numbers rise: {revs:?}");
-        let bodies: BTreeSet<_> = all.values().map(|x| x.1.clone()).collect();
-        let bases: BTreeSet<_> = done.iter().map(|d| d.0).collect();
-        assert_eq!(bases.len(), done.len(), "seed {seed}: two were taken on one base");
-        for (b, d) in &done {
-            assert!(bodies.contains(d), "seed {seed}: acknowledged on {b} and gone: {d}");
+        net.collect_decided(&mut decided);
+        let revisions: Vec<_> = decided.values().map(|entry| entry.0).collect();
+        assert!(revisions.is_sorted_by(|a, b| a < b), "seed {seed}: revisions increase: {revisions:?}");
+        let bodies: BTreeSet<_> = decided.values().map(|entry| entry.1.clone()).collect();
+        let bases: BTreeSet<_> = acknowledged.iter().map(|document| document.0).collect();
+        assert_eq!(bases.len(), acknowledged.len(), "seed {seed}: two documents were committed on one base");
+        for (base, body) in &acknowledged {
+            assert!(bodies.contains(body), "seed {seed}: acknowledged on {base} and lost: {body}");
         }
-        for d in &refused {
-            assert!(!bodies.contains(d), "seed {seed}: refused and in force: {d}");
+        for body in &rejected {
+            assert!(!bodies.contains(body), "seed {seed}: rejected and decided: {body}");
         }
-        (committed, stale) = (committed + done.len(), stale + refused.len());
+        (committed, stale) = (committed + acknowledged.len(), stale + rejected.len());
     }
-    assert!(committed > 200 && stale > 20, "enough happened: {committed} taken, {stale} refused");
+    assert!(committed > 200 && stale > 20, "too few outcomes: {committed} committed, {stale} stale");
 }
 
 #[test]
 fn the_outcome_of_a_change_is_known_after_hundreds_of_others_at_any_node_and_after_any_loss() {
-    let mut net = Net::new(11);
+    let mut net = SimulatedNetwork::new(11);
     for (revision, what) in [(1, "a"), (2, "b"), (3, "c")] {
         assert_eq!(net.submit_and_wait(0, revision - 1, &doc(revision, what)), "committed");
     }
-    let last = net.submit_many(3, 150, |r| doc(r, "later"));
-    let check_outcomes = |net: &mut Net, when: &str| {
-        for i in 0..ALL {
+    let last = net.submit_many(3, 150, |revision| doc(revision, "later"));
+    let check_outcomes = |net: &mut SimulatedNetwork, when: &str| {
+        for node in 0..ALL {
             for (revision, what) in [(1, "a"), (2, "b"), (3, "c")] {
                 assert_eq!(
-                    net.submit_and_wait(i, revision - 1, &doc(revision, what)),
+                    net.submit_and_wait(node, revision - 1, &doc(revision, what)),
                     "committed",
-                    "{when}: taken, again at {i}"
+                    "{when}: committed, sent again to {node}"
                 );
                 assert_eq!(
-                    net.submit_and_wait(i, revision - 1, &doc(revision, "x")),
+                    net.submit_and_wait(node, revision - 1, &doc(revision, "x")),
                     "stale",
-                    "{when}: another one at {i}"
+                    "{when}: another document sent to {node}"
                 );
             }
         }
@@ -280,32 +300,32 @@
     check_outcomes(&mut net, "later");
     net.restart(0);
     net.run(2 * SEC);
-    check_outcomes(&mut net, "after a new start");
-    // Each disk is lost once, one after the other: no node has seen the changes themselves.
+    check_outcomes(&mut net, "after a restart");
+    // Each disk is lost once, one after the other, so that no node has seen the changes themselves.
     for i in 0..CORES {
         net.lose_disk(i);
         net.run(4 * SEC);
     }
     check_outcomes(&mut net, "after the loss of every disk");
-    assert_eq!(net.submit_many(last, 2, |r| doc(r, "last")), last + 2);
+    assert_eq!(net.submit_many(last, 2, |revision| doc(revision, "last")), last + 2);
 }
 
 #[test]
 fn a_core_that_joined_by_a_snapshot_rejects_nothing_that_may_have_been_decided() {
-    let mut net = Net::new(12);
+    let mut net = SimulatedNetwork::new(12);
     for revision in 1..=5 {
         assert_eq!(net.submit_and_wait(0, revision - 1, &doc(revision, "a")), "committed");
     }
-    let grown = |r| doc(r, "a") + &" ".repeat(300_000);
-    net.submit_many(5, 20, grown);
-    // It learns the newest version but no digests of those that it skipped.
+    let large_document = |revision| doc(revision, "a") + &" ".repeat(300_000);
+    net.submit_many(5, 20, large_document);
+    // The core receives the newest version but no digests of the versions that it skipped.
     net.dropped_kinds = vec!["DigestReply"];
     net.lose_disk(2);
     net.run(4 * SEC);
     for revision in 1..=5 {
         for what in ["a", "x"] {
-            let end = net.submit_and_wait(2, revision - 1, &doc(revision, what));
-            assert!(!["stale", "invalid"].contains(&end.as_str()), "{revision} {what}: {end}");
+            let outcome = net.submit_and_wait(2, revision - 1, &doc(revision, what));
+            assert!(!["stale", "invalid"].contains(&outcome.as_str()), "{revision} {what}: {outcome}");
         }
     }
     net.dropped_kinds.clear();
@@ -316,11 +336,11 @@
 
 #[test]
 fn a_change_that_may_have_been_forwarded_to_another_core_is_not_rejected_by_one_that_skipped_it() {
-    let mut net = Net::new(13);
+    let mut net = SimulatedNetwork::new(13);
     let body = doc(2, "a");
     let change_id = ChangeId(hash64(body.as_bytes()).max(1));
     net.partitioned.push(0);
-    // The change was first forwarded to this core, which cannot reach the others.
+    // The change is first forwarded to this core, which is partitioned from the others.
     let message = Message::Consensus(ConsensusMessage::Forward {
         request_id: 9,
         change_id,
@@ -337,7 +357,7 @@
         message,
     };
     net.step(0, Event::Frame(Box::new(frame)));
-    // It was forwarded to another core, which had it decided, and so was a later change.
+    // The change is also sent to another core, which gets it decided, followed by a later change.
     assert_eq!(net.submit_and_wait(1, 0, &body), "committed");
     assert_eq!(net.submit_and_wait(1, 2, &doc(4, "b")), "committed");
     let newest = net.nodes[1].consensus.state.newest().expect("has a version").clone();
@@ -349,11 +369,14 @@
     net.run(4 * SEC);
     let outcomes: Vec<_> =
         net.sent.iter().filter(|message| message.from == 0).filter_map(|message| message.outcome.clone()).collect();
-    assert!(!outcomes.is_empty(), "it says something in the end");
-    assert!(!outcomes.iter().any(|f| matches!(f, ChangeOutcome::Stale { .. })), "taken and refused: {outcomes:?}");
+    assert!(!outcomes.is_empty(), "the core replies with an outcome");
+    assert!(
+        !outcomes.iter().any(|outcome| matches!(outcome, ChangeOutcome::Stale { .. })),
+        "committed and rejected: {outcomes:?}"
+    );
 }
 
-/// A document with 350 matches, as a large fleet has.
+/// Returns a document with 350 matches, the size of a large fleet's.
 fn large(revision: u64) -> String {
     let matches: Vec<_> = (0..350)
         .map(|i| {
@@ -364,9 +387,11 @@
     format!("{{\"revision\":{revision},\"pools\":{{\"a\":{{}}}},\"matches\":{{{}}}}}", matches.join(","))
 }
 
+/// Guards against replaying every missed version: a restarted core must fetch the newest version directly and send
+/// no consensus message based on its old state.
 #[test]
-fn a_core_that_was_down_through_500_large_changes_catches_up_at_once_and_votes_on_nothing_old() {
-    let mut net = Net::new(14);
+fn a_core_that_missed_500_large_changes_catches_up_within_a_second_and_votes_on_no_old_version() {
+    let mut net = SimulatedNetwork::new(14);
     assert_eq!(net.submit_and_wait(0, 0, &large(1)), "committed");
     let bytes = large(1).len();
     net.stopped.push(2);
@@ -374,65 +399,69 @@
     net.run(2 * SEC);
     net.sent.clear();
     net.restart(2);
-    let from = net.now;
-    while net.nodes[2].version() != net.nodes[0].version() && net.now < from + 10 * SEC {
+    let restarted_at = net.now;
+    while net.nodes[2].version() != net.nodes[0].version() && net.now < restarted_at + 10 * SEC {
         net.run(MS);
     }
-    let caught_up_after = net.now - from;
+    let caught_up_after = net.now - restarted_at;
     let sent_kinds: Vec<_> = net.sent.iter().filter(|message| message.from == 2).map(|message| message.kind).collect();
     let forbidden_kinds = ["Prepare", "Promise", "Accept", "Accepted", "Replicate", "TakeoverReply", "LeaseGranted"];
-    assert!(!sent_kinds.iter().any(|index| forbidden_kinds.contains(index)), "acted on old state: {sent_kinds:?}");
+    assert!(!sent_kinds.iter().any(|kind| forbidden_kinds.contains(kind)), "acted on old state: {sent_kinds:?}");
     assert!(caught_up_after <= SEC, "{} ms until it held the newest version", caught_up_after / MS);
     assert_eq!(net.submit_and_wait(2, 0, &large(1)), "committed");
-    assert_eq!(net.submit_and_wait(2, 250, &large(251)), "committed", "one that it never heard of");
+    assert_eq!(net.submit_and_wait(2, 250, &large(251)), "committed", "a change that it never received");
     assert_eq!(net.submit_and_wait(2, 250, &(large(251) + " ")), "stale");
-    let known_after = net.now - from;
-    assert!(known_after <= 4 * SEC, "{} ms until it could tell of every order", known_after / MS);
+    let known_after = net.now - restarted_at;
+    assert!(known_after <= 4 * SEC, "{} ms until it knew the outcome of every change", known_after / MS);
     net.submit_many(last, 3, large);
     println!(
-        "500 changes of {bytes} bytes: newest version after {} ms, all orders after {} ms",
+        "500 changes of {bytes} bytes: newest version after {} ms, all outcomes after {} ms",
         caught_up_after / MS,
         known_after / MS
     );
 }
 
-/// A document of four megabytes.
+/// Returns a document of about 4 MiB.
 fn huge(revision: u64) -> String {
     doc(revision, "a") + &" ".repeat((4 << 20) - 100)
 }
 
 #[test]
 fn bodies_in_memory_are_bounded_in_bytes_while_a_disk_is_stalled() {
-    let mut net = Net::new(15);
+    let mut net = SimulatedNetwork::new(15);
     let last = net.submit_many(0, 8, huge);
     net.stalled_disks.push(2);
-    let mut most = 0;
-    let mut stalled = last;
+    let mut max_pending_bytes = 0;
+    let mut newest_revision = last;
     for _ in 0..12 {
-        // Through the others: the stalled core cannot acknowledge what is not on its disk.
-        let by = usize::try_from(stalled % 2).expect("small");
-        assert_eq!(net.submit_and_wait(by, stalled, &huge(stalled + 1)), "committed");
-        stalled += 1;
-        most = most.max(net.pending_writes.iter().flat_map(|pending| &pending.writes).map(DurableWrite::size).sum());
+        // Submitted to the other cores: the stalled core can't acknowledge what is not on its disk.
+        let submitter = usize::try_from(newest_revision % 2).expect("small");
+        assert_eq!(net.submit_and_wait(submitter, newest_revision, &huge(newest_revision + 1)), "committed");
+        newest_revision += 1;
+        max_pending_bytes = max_pending_bytes
+            .max(net.pending_writes.iter().flat_map(|pending| &pending.writes).map(DurableWrite::size).sum());
     }
-    let held: Vec<usize> =
-        net.nodes.iter().map(|x| x.consensus.state.history.values().map(|d| d.body.len()).sum()).collect();
-    println!("20 versions of 4 MiB: bodies held {held:?}, at most {most} bytes waited for the disk");
-    assert!(held.iter().all(|b| *b <= MAX_HISTORY_BYTES), "{held:?}");
-    assert_eq!(net.nodes[FRONT].consensus.state.history.len(), 1, "a front holds the newest alone");
-    assert_eq!(held[FRONT], huge(stalled).len());
-    assert!(most <= MAX_UNSYNCED_BYTES + 2 * huge(1).len(), "{most}");
+    let history_bytes: Vec<usize> = net
+        .nodes
+        .iter()
+        .map(|node| node.consensus.state.history.values().map(|entry| entry.body.len()).sum())
+        .collect();
+    println!("20 versions of 4 MiB: {history_bytes:?} bytes in memory, at most {max_pending_bytes} bytes pending");
+    assert!(history_bytes.iter().all(|bytes| *bytes <= MAX_HISTORY_BYTES), "{history_bytes:?}");
+    assert_eq!(net.nodes[FRONT].consensus.state.history.len(), 1, "a front holds only the newest version");
+    assert_eq!(history_bytes[FRONT], huge(newest_revision).len());
+    assert!(max_pending_bytes <= MAX_UNSYNCED_BYTES + 2 * huge(1).len(), "{max_pending_bytes}");
     net.resume_disks();
     net.run(2 * SEC);
-    assert_eq!(net.nodes[2].version(), net.nodes[0].version(), "it learns what it missed");
+    assert_eq!(net.nodes[2].version(), net.nodes[0].version(), "the stalled core catches up");
     for i in 0..CORES {
         assert_eq!(net.submit_and_wait(i, 3, &huge(4)), "committed", "at {i}");
         assert_eq!(net.submit_and_wait(i, 3, &doc(4, "x")), "stale", "at {i}");
     }
 }
 
-/// Reads any text as a document with revision 1.
-// It has the form of a `ConfigReader`.
+/// Accepts any text as a document with revision 1.
+// The signature is that of a `ConfigReader`.
 #[allow(clippy::unnecessary_wraps)]
 fn read_anything(_: &str) -> Result<CompiledConfig, Vec<ConfigError>> {
     Ok(CompiledConfig { revision: 1, ..CompiledConfig::default() })
@@ -440,40 +469,41 @@
 
 #[test]
 fn a_change_too_large_for_a_frame_is_rejected() {
-    let net = Net::new(16);
-    let kept = net.disks[0].clone();
-    let mut node = Node::new(NodeSettings { config_reader: read_anything, ..me(0, SEC) }, &kept, 1, SEC);
-    for (size, refused) in [(MAX_BODY_BYTES, false), (MAX_BODY_BYTES + 1, true)] {
+    let net = SimulatedNetwork::new(16);
+    let disk = net.disks[0].clone();
+    let mut node = Node::new(NodeSettings { config_reader: read_anything, ..machine_settings(0, SEC) }, &disk, 1, SEC);
+    for (size, is_rejected) in [(MAX_BODY_BYTES, false), (MAX_BODY_BYTES + 1, true)] {
         let change = Change::Document(" ".repeat(size));
-        let out = node.step(
+        let effects = node.step(
             Event::SubmitChange { request_id: 1, change_id: ChangeId(5), is_first_send: false, base: 0, change },
             2 * SEC,
         );
-        let invalid =
-            out.iter().any(|e| matches!(e, Effect::CompleteChange { outcome: ChangeOutcome::Invalid { .. }, .. }));
-        assert_eq!(invalid, refused, "{size}");
+        let is_invalid = effects
+            .iter()
+            .any(|effect| matches!(effect, Effect::CompleteChange { outcome: ChangeOutcome::Invalid { .. }, .. }));
+        assert_eq!(is_invalid, is_rejected, "{size}");
     }
 }
 
 #[test]
 fn pending_changes_of_a_core_are_bounded_in_bytes() {
-    let mut net = Net::new(17);
+    let mut net = SimulatedNetwork::new(17);
     net.partitioned.push(0);
-    // Retries of the same change count too, whether or not their caller still waits.
+    // Retries of the same change count too, whether or not their callers still wait.
     for request_id in 1..=8 {
         net.submit(0, request_id, 0, &huge(1));
     }
-    let open = |net: &Net| (1..=8).filter(|r| net.outcome(*r) == "pending").count();
-    assert_eq!(open(&net), 8, "so many fit");
+    let pending_count = |net: &SimulatedNetwork| (1..=8).filter(|request| net.outcome(*request) == "pending").count();
+    assert_eq!(pending_count(&net), 8, "eight changes fit");
     net.submit(0, 9, 0, &huge(1));
-    assert_eq!(net.outcome(9), "Unknown", "said at once, and nothing more than that");
-    assert_eq!(open(&net), 8);
+    assert_eq!(net.outcome(9), "Unknown", "the ninth change is answered at once, with an unknown outcome");
+    assert_eq!(pending_count(&net), 8);
 }
 
 #[test]
 fn a_large_version_is_sent_to_a_few_subscribers_at_a_time() {
     const SUBSCRIBERS: u64 = 12;
-    let mut net = Net::new(18);
+    let mut net = SimulatedNetwork::new(18);
     let peer = |i: u64| PeerRecord {
         node_id: NodeId(900 + i),
         incarnation: 1,
@@ -485,7 +515,7 @@
         draining: false,
         version: 0,
     };
-    let frame = |net: &Net, from, message| Frame {
+    let frame = |net: &SimulatedNetwork, from, message| Frame {
         from,
         to: core(0).node_id,
         incarnation: 1,
@@ -494,37 +524,45 @@
         message,
     };
     for i in 0..SUBSCRIBERS {
-        let rows = vec![peer(i)];
+        let records = vec![peer(i)];
         let message = Message::Dissemination(DisseminationMessage::Gossip {
             heartbeats: vec![],
-            records: rows,
+            records,
             unknown_nodes: vec![],
             wants_reply: false,
             incarnation_set: 0,
             compact_heartbeats: vec![],
         });
-        let f = frame(&net, peer(i).node_id, message);
-        net.step(0, Event::Frame(Box::new(f)));
-        let ask = Message::Dissemination(DisseminationMessage::Subscribe {
+        let gossip_frame = frame(&net, peer(i).node_id, message);
+        net.step(0, Event::Frame(Box::new(gossip_frame)));
+        let subscribe = Message::Dissemination(DisseminationMessage::Subscribe {
             seq: 1,
             next_version: 1,
             from_index: 0,
             incarnation: 0,
             topics: vec!["config".into()],
         });
-        let f = frame(&net, peer(i).node_id, ask);
-        net.step(0, Event::Frame(Box::new(f)));
+        let subscribe_frame = frame(&net, peer(i).node_id, subscribe);
+        net.step(0, Event::Frame(Box::new(subscribe_frame)));
     }
     net.update_bytes.clear();
-    // Text that compression does not make smaller.
+    // Random text, which compression hardly makes smaller.
     let mut rng = Rng::new(18);
     let noise: String = (0..3 << 16).map(|_| format!("{:016x}", rng.next_u64())).collect();
     assert_eq!(net.submit_and_wait(1, 0, &doc(1, &noise)), "committed");
     net.run(SEC / 2);
-    let by_first_core: Vec<_> = net.update_bytes.iter().filter(|t| t.0.0 == 0).map(|t| *t.1).collect();
-    let (most, sum) = (by_first_core.iter().max().copied().unwrap_or(0), by_first_core.iter().sum::<usize>());
-    let one = net.nodes[0].consensus.state.newest().map_or(0, |d| d.without_body().size());
-    assert!(one > noise.len() / 3 && one < noise.len(), "{one} bytes packed of {}", noise.len());
-    assert!(most <= one, "{most} bytes in one step, {one} for one");
-    assert!(sum >= one * usize::try_from(SUBSCRIBERS).expect("small"), "all were told: {sum}");
+    let bytes_per_step: Vec<_> =
+        net.update_bytes.iter().filter(|update| update.0.0 == 0).map(|update| *update.1).collect();
+    let (max_bytes, sum) = (bytes_per_step.iter().max().copied().unwrap_or(0), bytes_per_step.iter().sum::<usize>());
+    let entry_bytes = net.nodes[0].consensus.state.newest().map_or(0, |entry| entry.without_body().size());
+    assert!(
+        entry_bytes > noise.len() / 3 && entry_bytes < noise.len(),
+        "{entry_bytes} bytes compressed of {}",
+        noise.len()
+    );
+    assert!(max_bytes <= entry_bytes, "{max_bytes} bytes in one step, {entry_bytes} for one subscriber");
+    assert!(
+        sum >= entry_bytes * usize::try_from(SUBSCRIBERS).expect("small"),
+        "every subscriber received the version: {sum}"
+    );
 }
--- a/crates/core/tests/documents/net.rs
+++ b/crates/core/tests/documents/net.rs
@@ -1,4 +1,5 @@
-//! Three cores and a node without a vote that are stepped directly, with a network and disks that can fail.
+//! Three cores and a node without a vote that the test steps directly, with a simulated network and disks that can
+//! fail.
 
 use super::nodes::{self, addr, core, founded};
 use std::collections::BTreeMap;
@@ -9,14 +10,14 @@
     Change, ChangeOutcome, ConsensusMessage, DisseminationMessage, Frame, LogEntry, Message, Voter,
 };
 
-/// How many cores there are.
+/// The number of cores.
 pub const CORES: usize = 3;
-/// The node without a vote, which forwards changes.
+/// The index of the node without a vote, which forwards changes.
 pub const FRONT: usize = 3;
-/// How many nodes there are.
+/// The number of nodes.
 pub const ALL: usize = 4;
 
-/// A write that waits for a stalled disk.
+/// The writes of one sync that wait for a stalled disk.
 pub struct PendingWrite {
     pub machine: usize,
     pub token: u64,
@@ -28,44 +29,45 @@
     pub from: usize,
     /// The kind of the message.
     pub kind: &'static str,
-    /// The outcome that it brings, in a reply to a forwarded change.
+    /// The outcome in a reply to a forwarded change.
     pub outcome: Option<ChangeOutcome>,
 }
 
-/// Nodes with a network latency of one millisecond.
-pub struct Net {
+/// A simulated network of nodes with a latency of one millisecond.
+pub struct SimulatedNetwork {
     pub now: Micros,
     pub nodes: Vec<Node>,
     pub in_flight: BTreeMap<(Micros, u64), (usize, Frame)>,
-    /// What each node has on its disk; the node without a vote has nothing.
+    /// The contents of each node's disk; the disk of the node without a vote is empty.
     pub disks: Vec<DurableState>,
     /// Nodes that are partitioned from all others.
     pub partitioned: Vec<usize>,
     /// Nodes whose process is stopped.
     pub stopped: Vec<usize>,
-    /// How many of a hundred frames are lost.
+    /// The percentage of frames that are lost.
     pub loss_percent: u64,
     pub rng: Rng,
-    /// The newest number of a frame or request.
+    /// The number of the newest frame or request.
     pub sequence: u64,
     /// The outcomes of changes and reads, by request.
     pub outcomes: BTreeMap<u64, ChangeOutcome>,
-    /// The node identifier of each machine: one that lost its disk comes back with another.
+    /// The node ID of each machine. A machine that lost its disk restarts with a new ID.
     pub node_ids: Vec<NodeId>,
-    /// Kinds of messages that are lost.
+    /// The kinds of messages that are dropped.
     pub dropped_kinds: Vec<&'static str>,
-    /// Machines whose disk is stalled, and the writes that wait for it.
+    /// The machines whose disks are stalled.
     pub stalled_disks: Vec<usize>,
+    /// The writes that wait for stalled disks.
     pub pending_writes: Vec<PendingWrite>,
-    /// The bytes of entries in updates to subscribers, by sender and time.
+    /// The number of bytes of entries in updates to subscribers, by sender and time.
     pub update_bytes: BTreeMap<(usize, Micros), usize>,
     /// Every message that was sent, except gossip.
     pub sent: Vec<SentMessage>,
-    /// The bytes of entries and changes that were sent to other machines.
+    /// The number of bytes of entries and changes that were sent to other machines.
     pub entry_bytes: usize,
 }
 
-/// The bytes of entries and changes in a message.
+/// Returns the number of bytes of entries and changes in a message.
 fn entry_bytes(message: &Message) -> usize {
     match message {
         Message::Consensus(
@@ -80,18 +82,22 @@
     }
 }
 
-/// Each machine is in a zone of its own.
-pub fn me(i: usize, incarnation: Micros) -> NodeSettings {
-    NodeSettings { zone: format!("z{i}"), ..nodes::me(i, CORES, incarnation) }
+/// Returns the settings of a node. Each machine is in a zone of its own.
+pub fn machine_settings(machine: usize, incarnation: Micros) -> NodeSettings {
+    NodeSettings { zone: format!("z{machine}"), ..nodes::me(machine, CORES, incarnation) }
 }
 
-impl Net {
+impl SimulatedNetwork {
     pub fn new(seed: u64) -> Self {
         let disk = founded(CORES, "{}".into(), 0);
-        let disks: Vec<_> = (0..ALL).map(|i| if i < CORES { disk.clone() } else { DurableState::default() }).collect();
-        let nodes =
-            disks.iter().enumerate().map(|(i, disk)| Node::new(me(i, SEC), disk, seed * 10 + i as u64, SEC)).collect();
-        let mut net = Net {
+        let disks: Vec<_> =
+            (0..ALL).map(|machine| if machine < CORES { disk.clone() } else { DurableState::default() }).collect();
+        let nodes = disks
+            .iter()
+            .enumerate()
+            .map(|(machine, disk)| Node::new(machine_settings(machine, SEC), disk, seed * 10 + machine as u64, SEC))
+            .collect();
+        let mut net = SimulatedNetwork {
             now: SEC,
             nodes,
             disks,
@@ -102,7 +108,7 @@
             rng: Rng::new(seed),
             sequence: 0,
             outcomes: BTreeMap::new(),
-            node_ids: (0..ALL).map(|i| core(i).node_id).collect(),
+            node_ids: (0..ALL).map(|machine| core(machine).node_id).collect(),
             dropped_kinds: Vec::new(),
             stalled_disks: Vec::new(),
             update_bytes: BTreeMap::new(),
@@ -114,21 +120,21 @@
         net
     }
 
-    pub fn step(&mut self, i: usize, event: Event) {
+    pub fn step(&mut self, machine: usize, event: Event) {
         let now = self.now;
-        if self.stopped.contains(&i) {
+        if self.stopped.contains(&machine) {
             return;
         }
-        for effect in self.nodes[i].step(event, now) {
+        for effect in self.nodes[machine].step(event, now) {
             match effect {
                 Effect::Send { to, frame } => {
                     if let Message::Dissemination(DisseminationMessage::Update { entry: Some(entry), .. }) =
                         &frame.message
                     {
-                        *self.update_bytes.entry((i, now)).or_default() += entry.size();
+                        *self.update_bytes.entry((machine, now)).or_default() += entry.size();
                     }
-                    let Some(j) = (0..ALL).find(|j| addr(*j) == to) else { continue };
-                    if i != j {
+                    let Some(receiver) = (0..ALL).find(|receiver| addr(*receiver) == to) else { continue };
+                    if machine != receiver {
                         self.entry_bytes += entry_bytes(&frame.message);
                     }
                     let outcome =
@@ -140,28 +146,30 @@
                     if !matches!(frame.message, Message::Dissemination(DisseminationMessage::Gossip { .. })) {
                         let name = frame.message.name();
                         let is_dropped = self.dropped_kinds.contains(&name);
-                        self.sent.push(SentMessage { from: i, kind: name, outcome });
+                        self.sent.push(SentMessage { from: machine, kind: name, outcome });
                         if is_dropped {
                             continue;
                         }
                     }
-                    if i != j && (self.partitioned.contains(&i) || self.partitioned.contains(&j)) {
+                    if machine != receiver
+                        && (self.partitioned.contains(&machine) || self.partitioned.contains(&receiver))
+                    {
                         continue;
                     }
                     if self.loss_percent > 0 && self.rng.chance(self.loss_percent) {
                         continue;
                     }
                     self.sequence += 1;
-                    self.in_flight.insert((now + MS, self.sequence), (j, *frame));
+                    self.in_flight.insert((now + MS, self.sequence), (receiver, *frame));
                 }
-                Effect::Write { token, writes } if self.stalled_disks.contains(&i) => {
-                    self.pending_writes.push(PendingWrite { machine: i, token, writes });
+                Effect::Write { token, writes } if self.stalled_disks.contains(&machine) => {
+                    self.pending_writes.push(PendingWrite { machine, token, writes });
                 }
                 Effect::Write { token, writes } => {
                     for write in &writes {
-                        self.disks[i].apply(write);
+                        self.disks[machine].apply(write);
                     }
-                    self.step(i, Event::Synced(token));
+                    self.step(machine, Event::Synced(token));
                 }
                 Effect::CompleteChange { request_id, outcome } => {
                     self.outcomes.insert(request_id, outcome);
@@ -171,41 +179,42 @@
         }
     }
 
-    /// Adds the revision and body of each version that any node or disk holds.
-    pub fn collect_decided(&self, all: &mut BTreeMap<u64, (u64, String)>) {
+    /// Adds the revision and body of each version that any node or disk holds, and checks that no version has two bodies.
+    pub fn collect_decided(&self, decided: &mut BTreeMap<u64, (u64, String)>) {
         let on_disks = self.disks.iter().flat_map(|disk| disk.entries.values());
         for entry in self.nodes.iter().flat_map(|node| node.consensus.state.history.values()).chain(on_disks) {
-            let known = all.entry(entry.version).or_insert_with(|| (entry.revision, entry.body.clone()));
+            let known = decided.entry(entry.version).or_insert_with(|| (entry.revision, entry.body.clone()));
             assert_eq!(known.1, entry.body, "version {} is one document", entry.version);
         }
     }
 
-    /// Restarts the process of a machine, with its disk.
-    pub fn restart(&mut self, i: usize) {
+    /// Restarts the process of a machine from its disk.
+    pub fn restart(&mut self, machine: usize) {
         let (now, seed) = (self.now, self.rng.next_u64());
-        let me = NodeSettings { node_id: self.node_ids[i], ..me(i, now) };
-        self.nodes[i] = Node::new(me, &self.disks[i], seed, now);
-        self.stopped.retain(|stopped| *stopped != i);
+        let settings = NodeSettings { node_id: self.node_ids[machine], ..machine_settings(machine, now) };
+        self.nodes[machine] = Node::new(settings, &self.disks[machine], seed, now);
+        self.stopped.retain(|stopped| *stopped != machine);
     }
 
-    /// Restarts a machine without its disk: it is a new node, which replaces the old one among the voters.
-    pub fn lose_disk(&mut self, i: usize) {
-        self.disks[i] = DurableState::default();
-        self.node_ids[i] = NodeId(100 + self.now);
-        self.restart(i);
+    /// Restarts a machine without its disk as a new node, which replaces the old node among the voters.
+    pub fn lose_disk(&mut self, machine: usize) {
+        self.disks[machine] = DurableState::default();
+        self.node_ids[machine] = NodeId(100 + self.now);
+        self.restart(machine);
         self.run(2 * SEC);
-        let cores = (0..CORES).map(|j| Voter { node_id: self.node_ids[j], addr: addr(j) }).collect();
-        let (by, base) = ((i + 1) % CORES, self.nodes[(i + 1) % CORES].version().expect("has a version"));
+        let cores = (0..CORES).map(|voter| Voter { node_id: self.node_ids[voter], addr: addr(voter) }).collect();
+        let (submitter, base) =
+            ((machine + 1) % CORES, self.nodes[(machine + 1) % CORES].version().expect("has a version"));
         let request_id = 500_000 + self.sequence;
         let change_id = ChangeId(request_id);
         self.step(
-            by,
+            submitter,
             Event::SubmitChange { request_id, change_id, is_first_send: true, base, change: Change::Voters(cores) },
         );
         assert_eq!(self.wait_for_outcome(request_id, 4 * SEC), "committed");
     }
 
-    /// Runs until the outcome of this request is known, for this time at most.
+    /// Runs until the outcome of a request is known, at most for `timeout`.
     pub fn wait_for_outcome(&mut self, request_id: u64, timeout: Micros) -> String {
         let end = self.now + timeout;
         while !self.outcomes.contains_key(&request_id) && self.now < end {
@@ -215,10 +224,10 @@
     }
 
     /// Submits a document and runs until its outcome is known.
-    pub fn submit_and_wait(&mut self, i: usize, base: u64, body: &str) -> String {
+    pub fn submit_and_wait(&mut self, machine: usize, base: u64, body: &str) -> String {
         let request_id = 1_000 + self.sequence;
         self.sequence += 1;
-        self.submit(i, request_id, base, body);
+        self.submit(machine, request_id, base, body);
         self.wait_for_outcome(request_id, 5 * SEC)
     }
 
@@ -233,12 +242,12 @@
         }
     }
 
-    /// Submits so many documents after the one with this revision, through the cores that run.
+    /// Submits `count` documents after revision `from` to the running cores in turn, and returns the last revision.
     pub fn submit_many(&mut self, from: u64, count: u64, body: impl Fn(u64) -> String) -> u64 {
         for revision in from + 1..=from + count {
-            let up: Vec<_> = (0..CORES).filter(|i| !self.stopped.contains(i)).collect();
-            let by = up[usize::try_from(revision).expect("small") % up.len()];
-            assert_eq!(self.submit_and_wait(by, revision - 1, &body(revision)), "committed", "{revision}");
+            let running: Vec<_> = (0..CORES).filter(|machine| !self.stopped.contains(machine)).collect();
+            let submitter = running[usize::try_from(revision).expect("small") % running.len()];
+            assert_eq!(self.submit_and_wait(submitter, revision - 1, &body(revision)), "committed", "{revision}");
         }
         from + count
     }
@@ -248,21 +257,21 @@
         while self.now < end {
             self.now += MS;
             while let Some(entry) = self.in_flight.first_entry().filter(|entry| entry.key().0 <= self.now) {
-                let (j, frame) = entry.remove();
-                self.step(j, Event::Frame(Box::new(frame)));
+                let (receiver, frame) = entry.remove();
+                self.step(receiver, Event::Frame(Box::new(frame)));
             }
             if self.now.is_multiple_of(25 * MS) {
-                for i in 0..ALL {
-                    self.step(i, Event::Tick);
+                for machine in 0..ALL {
+                    self.step(machine, Event::Tick);
                 }
             }
         }
     }
 
-    pub fn submit(&mut self, i: usize, request_id: u64, base: u64, body: &str) {
+    pub fn submit(&mut self, machine: usize, request_id: u64, base: u64, body: &str) {
         let change_id = ChangeId(hash64(body.as_bytes()).max(1));
         self.step(
-            i,
+            machine,
             Event::SubmitChange {
                 request_id,
                 change_id,
@@ -273,17 +282,17 @@
         );
     }
 
-    /// Submits a document and runs for as long as a caller waits.
-    pub fn submit_and_run(&mut self, i: usize, base: u64, body: &str) -> String {
+    /// Submits a document and runs for four seconds, the time that a caller waits.
+    pub fn submit_and_run(&mut self, machine: usize, base: u64, body: &str) -> String {
         let request_id = 1_000 + self.sequence;
         self.sequence += 1;
-        self.submit(i, request_id, base, body);
+        self.submit(machine, request_id, base, body);
         self.run(4 * SEC);
         self.outcome(request_id)
     }
 
     pub fn submit_voters(&mut self, request_id: u64, base: u64, machines: &[usize]) {
-        let voters = machines.iter().map(|i| core(*i)).collect();
+        let voters = machines.iter().map(|machine| core(*machine)).collect();
         self.step(
             0,
             Event::SubmitChange {
@@ -306,12 +315,12 @@
         }
     }
 
-    /// The version and body that all cores hold that are not partitioned.
+    /// Returns the newest version and its body, which must be the same on all cores that are not partitioned.
     pub fn decided(&self) -> (u64, String) {
         let mut held: Vec<_> = (0..CORES)
-            .filter(|i| !self.partitioned.contains(i))
-            .map(|i| {
-                self.nodes[i]
+            .filter(|machine| !self.partitioned.contains(machine))
+            .map(|machine| {
+                self.nodes[machine]
                     .consensus
                     .state
                     .newest()
--- a/crates/core/tests/documents/packed.rs
+++ b/crates/core/tests/documents/packed.rs
@@ -1,6 +1,6 @@
-//! Compressed entries: their content, and how it is restored.
+//! Compressed log entries: restoring their content, and their size on the wire.
 
-use super::net::{CORES, FRONT, Net};
+use super::net::{CORES, FRONT, SimulatedNetwork};
 use super::nodes::doc;
 use sumacvale_core::base::{ChangeId, SEC};
 use sumacvale_core::config::{Item, ListPatch, Patch};
@@ -47,51 +47,51 @@
         let whole = entry(document(count), is_patch.then(|| patch(count))).compress();
         for sent in [whole.without_body(), whole.self_contained(), whole.self_contained_compressed()] {
             let restored = sent.clone().with_body_from(&previous).expect(name);
-            let same =
+            let is_same =
                 (restored.version, &restored.body, restored.revision) == (whole.version, &whole.body, whole.revision);
-            assert!(same && restored.patch == whole.patch, "{name}");
-            // What is sent on from there restores the same body.
+            assert!(is_same && restored.patch == whole.patch, "{name}");
+            // The restored entry can be sent to a further node, which restores the same body.
             assert_eq!(
                 restored.without_body().with_body_from(&previous).map(|d| d.body),
                 Some(whole.body.clone()),
                 "{name}"
             );
         }
-        let large = count > 100;
+        let is_large = count > 100;
         assert_eq!(
             whole.without_body().size() * 4 < whole.body.len(),
-            large,
+            is_large,
             "{name}: {}",
             whole.without_body().size()
         );
         assert_eq!(
             whole.self_contained_compressed().size() * 4 < whole.body.len(),
-            large,
+            is_large,
             "{name}: for nodes without the previous version"
         );
     }
 }
 
 #[test]
-fn bytes_that_are_no_compressed_entry_are_rejected() {
-    let good = entry(document(1_600), None).compress().without_body();
+fn bytes_that_are_not_a_compressed_entry_are_rejected() {
+    let valid = entry(document(1_600), None).compress().without_body();
     for (name, compressed) in [
-        ("cut short", good.compressed[..good.compressed.len() / 2].to_vec()),
+        ("truncated", valid.compressed[..valid.compressed.len() / 2].to_vec()),
         ("other bytes", vec![7; 100]),
-        ("a bomb", miniz_oxide::deflate::compress_to_vec(&vec![0; 64 << 20], 3)),
+        ("a decompression bomb", miniz_oxide::deflate::compress_to_vec(&vec![0; 64 << 20], 3)),
     ] {
-        assert_eq!(LogEntry { compressed, ..good.clone() }.decompress(), None, "{name}");
+        assert_eq!(LogEntry { compressed, ..valid.clone() }.decompress(), None, "{name}");
     }
 }
 
-/// The bytes on the wire for a large document are a fraction of it.
+/// A large document must cost fewer bytes on the wire, to all nodes together, than the document itself has.
 #[test]
 fn a_large_document_is_sent_compressed_to_all_nodes() {
     let large = |revision: u64| {
         let pools: Vec<_> = (0..1_600).map(|i| format!("\"pool-{i}-of-the-fleet\":{{}}")).collect();
         format!("{{\"revision\":{revision},\"pools\":{{{}}}}}", pools.join(","))
     };
-    let mut net = Net::new(31);
+    let mut net = SimulatedNetwork::new(31);
     assert_eq!(net.submit_and_wait(0, 0, &doc(1, "a")), "committed");
     net.run(SEC);
     net.entry_bytes = 0;
@@ -101,7 +101,7 @@
     println!("a document of {size} bytes: {} bytes to {CORES} cores and a front", net.entry_bytes);
     assert!(net.entry_bytes < size, "{} of {size}", net.entry_bytes);
     assert_eq!(net.nodes[FRONT].consensus.state.newest().map(|d| d.body.clone()), Some(large(2)));
-    // A core that lost its disk, and a restarted node without a vote, receive it compressed too.
+    // A core that lost its disk and a restarted node without a vote receive the document too.
     net.lose_disk(2);
     net.restart(FRONT);
     net.run(3 * SEC);
--- a/crates/core/tests/documents/patches.rs
+++ b/crates/core/tests/documents/patches.rs
@@ -1,6 +1,6 @@
-//! Patches of documents: what they make of a document, and how nodes agree on them.
+//! Patches of documents: applying them, and deciding them on a network of nodes.
 
-use super::net::{ALL, CORES, FRONT, Net};
+use super::net::{ALL, CORES, FRONT, SimulatedNetwork};
 use sumacvale_core::base::{ChangeId, SEC};
 use sumacvale_core::config::{CompiledConfig, ConfigError, Item, ListPatch, Patch};
 use sumacvale_core::node::Event;
@@ -24,32 +24,32 @@
 #[test]
 fn a_patch_adds_replaces_and_removes_by_name() {
     let old = document(3, &[("a", 1), ("b", 2), ("c", 3)]);
-    for (name, put, remove, want) in [
+    for (name, put, remove, expected) in [
         ("added", vec![("d", 4)], vec![], vec![("a", 1), ("b", 2), ("c", 3), ("d", 4)]),
         ("replaced in its place", vec![("b", 9)], vec![], vec![("a", 1), ("b", 9), ("c", 3)]),
         ("removed", vec![], vec!["a", "c"], vec![("b", 2)]),
         ("all at once", vec![("e", 5), ("c", 7)], vec!["a"], vec![("b", 2), ("c", 7), ("e", 5)]),
         ("every one", vec![], vec!["a", "b", "c"], vec![]),
     ] {
-        let made = patch(8, &put, &remove).apply(&old).expect(name);
-        assert_eq!(made, document(8, &want), "{name}");
+        let patched = patch(8, &put, &remove).apply(&old).expect(name);
+        assert_eq!(patched, document(8, &expected), "{name}");
     }
-    let made = patch(8, &[("a", 1)], &[]).apply("{\"number\":1}").expect("a list that was not there");
-    assert_eq!(made, "{\"number\":8,\"rows\":[{\"name\":\"a\",\"what\":1}]}");
+    let patched = patch(8, &[("a", 1)], &[]).apply("{\"number\":1}").expect("a list that was not there");
+    assert_eq!(patched, "{\"number\":8,\"rows\":[{\"name\":\"a\",\"what\":1}]}");
     assert_eq!(Patch::unchanged().apply(&old).expect("unchanged"), old);
 }
 
 #[test]
-fn a_patch_with_anything_wrong_changes_nothing() {
+fn an_invalid_patch_changes_nothing() {
     let old = document(3, &[("a", 1), ("b", 2)]);
     let two_lists = Patch { lists: vec![ListPatch::default(), ListPatch::default()], ..patch(8, &[], &[]) };
     let other_list = |list: &str| {
-        let mut p = patch(8, &[("a", 1)], &[]);
-        p.lists[0].list = list.into();
-        p
+        let mut patch = patch(8, &[("a", 1)], &[]);
+        patch.lists[0].list = list.into();
+        patch
     };
-    let mut list_twice = patch(8, &[("a", 1)], &[]);
-    list_twice.lists.push(list_twice.lists[0].clone());
+    let mut repeated_list = patch(8, &[("a", 1)], &[]);
+    repeated_list.lists.push(repeated_list.lists[0].clone());
     for (name, patch, code) in [
         ("names nothing", patch(8, &[], &[]), "missing"),
         ("names nothing in two lists", two_lists, "missing"),
@@ -57,66 +57,66 @@
         ("puts one twice", patch(8, &[("a", 5), ("a", 6)], &[]), "duplicate"),
         ("removes one twice", patch(8, &[], &["a", "a"]), "duplicate"),
         ("puts and removes one", patch(8, &[("a", 5)], &["a"]), "duplicate"),
-        ("names a list twice", list_twice, "duplicate"),
+        ("names a list twice", repeated_list, "duplicate"),
         ("a number in the place of a list", other_list("number_of"), "wrong_value"),
     ] {
         let old = old.replace("\"kept\":", "\"number_of\":5,\"kept\":");
-        let troubles = patch.apply(&old).expect_err(name);
-        assert!(troubles.iter().all(|t| t.code() == code), "{name}: {troubles:?}");
+        let errors = patch.apply(&old).expect_err(name);
+        assert!(errors.iter().all(|error| error.code() == code), "{name}: {errors:?}");
     }
 }
 
 /// RFC 6901, section 3: `~` is written `~0`, and `/` is written `~1`.
 #[test]
-fn pointers_into_a_patch_escape_the_names_in_them() {
+fn json_pointers_in_errors_of_a_patch_are_escaped() {
     let mut duplicate = patch(8, &[("a/b~c", 1), ("a/b~c", 2)], &[]);
     duplicate.lists[0].list = "r/w~s".into();
     let mut dangling = patch(8, &[], &["z"]);
     dangling.lists[0].list = "r/w~s".into();
     let pointers = |patch: &Patch| -> Vec<String> {
-        let errors = patch.apply("{\"number\":1}").expect_err("it is wrong");
+        let errors = patch.apply("{\"number\":1}").expect_err("an invalid patch");
         errors.iter().map(|error| error.pointer().to_owned()).collect()
     };
     assert_eq!(pointers(&duplicate), ["/r~1w~0s/a~1b~0c"]);
     assert_eq!(pointers(&dangling), ["/r~1w~0s"]);
 }
 
-/// Reads a document of rows; one whose `what` is 666666 is invalid.
+/// Reads a document of rows. A row whose `what` is 666666 makes the document invalid.
 fn read(text: &str) -> Result<CompiledConfig, Vec<ConfigError>> {
     let missing = || vec![ConfigError::Missing { pointer: "/number".into(), expected: "a number".into() }];
     let number = sonic_rs::get(text, &["number"]).map_err(|_| missing())?;
     let revision = number.as_raw_str().parse().map_err(|_| missing())?;
     if text.contains("\"what\":666666}") {
-        return Err(vec![ConfigError::Missing { pointer: "/rows".into(), expected: "luck".into() }]);
+        return Err(vec![ConfigError::Missing { pointer: "/rows".into(), expected: "valid rows".into() }]);
     }
     Ok(CompiledConfig { revision, ..CompiledConfig::default() })
 }
 
-/// Nodes that read documents of rows.
-fn patch_net(seed: u64) -> Net {
-    let mut net = Net::new(seed);
+/// Creates a network of nodes that read documents of rows.
+fn patch_net(seed: u64) -> SimulatedNetwork {
+    let mut net = SimulatedNetwork::new(seed);
     for node in &mut net.nodes {
         node.settings.config_reader = read;
     }
     net
 }
 
-fn send_patch(net: &mut Net, node: usize, request_id: u64, base: u64, patch: &Patch) {
-    let [a, b, c, d, ..] = patch.hash();
-    let change_id = ChangeId(u64::from(u32::from_be_bytes([a, b, c, d])).max(1));
+fn send_patch(net: &mut SimulatedNetwork, node: usize, request_id: u64, base: u64, patch: &Patch) {
+    let [byte0, byte1, byte2, byte3, ..] = patch.hash();
+    let change_id = ChangeId(u64::from(u32::from_be_bytes([byte0, byte1, byte2, byte3])).max(1));
     let change = Change::Patch(patch.clone());
     net.step(node, Event::SubmitChange { request_id, change_id, is_first_send: false, base, change });
 }
 
-fn submit_patch(net: &mut Net, node: usize, base: u64, patch: &Patch) -> String {
+fn submit_patch(net: &mut SimulatedNetwork, node: usize, base: u64, patch: &Patch) -> String {
     net.sequence += 1;
     let request_id = 10_000 + net.sequence;
     send_patch(net, node, request_id, base, patch);
     net.wait_for_outcome(request_id, 5 * SEC)
 }
 
-/// A network whose newest document has three rows.
-fn net_with_document(seed: u64) -> (Net, Vec<(&'static str, u64)>) {
+/// Creates a network whose newest document has three rows.
+fn net_with_document(seed: u64) -> (SimulatedNetwork, Vec<(&'static str, u64)>) {
     let mut net = patch_net(seed);
     let rows = vec![("a", 1), ("b", 2), ("c", 3)];
     assert_eq!(net.submit_and_wait(0, 0, &document(5, &rows)), "committed");
@@ -130,9 +130,9 @@
     assert_eq!(submit_patch(&mut net, FRONT, 5, &patch(7, &[("d", 4)], &["a"])), "committed");
     assert_eq!(submit_patch(&mut net, 2, 7, &patch(8, &[("b", 9)], &[])), "committed");
     net.run(SEC);
-    let want = document(8, &[("b", 9), ("c", 3), ("d", 4)]);
-    assert_eq!(net.decided(), (3, want.clone()));
-    assert_eq!(net.nodes[FRONT].consensus.state.newest().map(|d| d.body.clone()), Some(want.clone()));
+    let expected = document(8, &[("b", 9), ("c", 3), ("d", 4)]);
+    assert_eq!(net.decided(), (3, expected.clone()));
+    assert_eq!(net.nodes[FRONT].consensus.state.newest().map(|entry| entry.body.clone()), Some(expected.clone()));
     net.step(
         FRONT,
         Event::SubmitChange {
@@ -143,7 +143,7 @@
             change: Change::ReadNewest,
         },
     );
-    assert_eq!(net.wait_for_outcome(1, SEC), format!("{:?}", ChangeOutcome::Content { text: want }));
+    assert_eq!(net.wait_for_outcome(1, SEC), format!("{:?}", ChangeOutcome::Content { text: expected }));
     // A document follows a patch, and a patch follows that document.
     assert_eq!(net.submit_and_wait(1, 8, &document(9, &[("x", 1)])), "committed");
     assert_eq!(submit_patch(&mut net, 0, 9, &patch(10, &[("y", 2)], &[])), "committed");
@@ -153,7 +153,7 @@
 
 #[test]
 fn patches_have_the_same_outcomes_as_documents() {
-    for (name, base, number, puts, remove, want) in [
+    for (name, base, number, put, remove, expected) in [
         ("on another base", 4, 9, vec![("d", 1)], vec![], "stale"),
         ("on a base that never was", 6, 9, vec![("d", 1)], vec![], "stale"),
         ("a number that is not above its base", 5, 5, vec![("d", 1)], vec![], "invalid"),
@@ -165,7 +165,7 @@
         for node in 0..ALL {
             let (mut net, rows) = net_with_document(2);
             let previous = net.decided();
-            assert_eq!(submit_patch(&mut net, node, base, &patch(number, &puts, &remove)), want, "{name} at {node}");
+            assert_eq!(submit_patch(&mut net, node, base, &patch(number, &put, &remove)), expected, "{name} at {node}");
             assert_eq!(net.decided(), previous, "{name} at {node}: nothing changed");
             assert_eq!(previous.1, document(5, &rows));
         }
@@ -188,18 +188,18 @@
 }
 
 #[test]
-fn of_two_patches_on_one_base_exactly_one_wins() {
+fn of_two_patches_on_one_base_exactly_one_is_committed() {
     for seed in 0..20 {
-        for (a, b) in [(0, 1), (2, 2), (FRONT, 0), (FRONT, FRONT)] {
+        for (first, second) in [(0, 1), (2, 2), (FRONT, 0), (FRONT, FRONT)] {
             let (mut net, _) = net_with_document(seed);
-            send_patch(&mut net, a, 1, 5, &patch(7, &[("d", 1)], &[]));
-            send_patch(&mut net, b, 2, 5, &patch(6, &[("e", 1)], &[]));
+            send_patch(&mut net, first, 1, 5, &patch(7, &[("d", 1)], &[]));
+            send_patch(&mut net, second, 2, 5, &patch(6, &[("e", 1)], &[]));
             net.run(4 * SEC);
             let outcomes = [net.outcome(1), net.outcome(2)];
-            let winners: Vec<_> = outcomes.iter().filter(|e| *e == "committed").collect();
+            let committed: Vec<_> = outcomes.iter().filter(|outcome| *outcome == "committed").collect();
             assert!(
-                winners.len() == 1 && outcomes.contains(&"stale".to_owned()),
-                "seed {seed}, at {a} and {b}: {outcomes:?}"
+                committed.len() == 1 && outcomes.contains(&"stale".to_owned()),
+                "seed {seed}, at {first} and {second}: {outcomes:?}"
             );
             net.decided();
         }
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn a_node_that_missed_patches_learns_the_document_that_they_made() {
+fn a_node_that_missed_patches_receives_the_resulting_document() {
     for behind in [0, 1, 2, FRONT] {
         for missed in [1, 5, 200] {
             let (mut net, _) = net_with_document(4);
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn a_restarted_core_goes_on_from_patches_on_its_disk() {
+fn a_restarted_core_recovers_the_document_from_patches_on_its_disk() {
     let (mut net, _) = net_with_document(5);
     for number in 6..20 {
         assert_eq!(submit_patch(&mut net, 0, number - 1, &patch(number, &[("d", number)], &[])), "committed");
@@ -257,7 +257,7 @@
                 net.partitioned.clear();
             }
             let next = patch(number + 1, &[("d", number)], &[]);
-            // The outcome is unknown: a retry at any node.
+            // While the outcome is unknown, the patch is sent again to other nodes.
             let mut outcome = submit_patch(&mut net, node, number, &next);
             for again in 0..8 {
                 if outcome == "committed" {
@@ -272,17 +272,17 @@
         net.loss_percent = 0;
         net.partitioned.clear();
         net.run(4 * SEC);
-        let want = document(number, &[("a", 1), ("b", 2), ("c", 3), ("d", number - 1)]);
-        assert_eq!(net.decided().1, want, "seed {seed}");
+        let expected = document(number, &[("a", 1), ("b", 2), ("c", 3), ("d", number - 1)]);
+        assert_eq!(net.decided().1, expected, "seed {seed}");
     }
 }
 
-/// The bytes on the wire for one row among 1,600, compared to the whole document.
+/// Compares the bytes on the wire for a patch of one row among 1,600 with those for the whole document.
 #[test]
 fn a_change_of_one_item_among_many_costs_a_tenth_at_most() {
     let names: Vec<String> = (0..1_600).map(|i| format!("row-{i:04}-with-a-name-as-long-as-those-of-routes")).collect();
     let rows: Vec<_> = names.iter().map(|n| (n.as_str(), 1)).collect();
-    let bytes = |change: &dyn Fn(&mut Net) -> String| {
+    let bytes = |change: &dyn Fn(&mut SimulatedNetwork) -> String| {
         let mut net = patch_net(6);
         assert_eq!(net.submit_and_wait(0, 0, &document(5, &rows)), "committed");
         net.run(2 * SEC);
@@ -294,10 +294,10 @@
     };
     let mut changed = rows.clone();
     changed[800].1 = 2;
-    let whole = bytes(&|net| net.submit_and_wait(0, 5, &document(6, &changed)));
-    let one = bytes(&|net| submit_patch(net, 0, 5, &patch(6, &[(rows[800].0, 2)], &[])));
-    println!("one row of 1,600: {one} bytes as a patch, {whole} whole");
-    assert!(one * 10 < whole, "{one} of {whole}");
+    let document_bytes = bytes(&|net| net.submit_and_wait(0, 5, &document(6, &changed)));
+    let patch_bytes = bytes(&|net| submit_patch(net, 0, 5, &patch(6, &[(rows[800].0, 2)], &[])));
+    println!("one row of 1,600: {patch_bytes} bytes as a patch, {document_bytes} as a document");
+    assert!(patch_bytes * 10 < document_bytes, "{patch_bytes} of {document_bytes}");
 }
 
 #[test]
@@ -312,12 +312,12 @@
     let stripped = whole.without_body();
     assert!(stripped.lacks_body() && !whole.lacks_body());
     assert_eq!(stripped.clone().with_body_from(&base), Some(whole.clone()));
-    assert_eq!(whole.clone().with_body_from(&entry()), Some(whole), "a whole one needs nothing");
+    assert_eq!(whole.clone().with_body_from(&entry()), Some(whole), "an entry with its body needs no previous one");
     for previous in [entry(), LogEntry { version: 3, ..base.clone() }, LogEntry { version: 5, ..base.clone() }] {
         assert_eq!(stripped.clone().with_body_from(&previous), None, "on {}", previous.version);
     }
     let other = LogEntry { body: "[]".into(), ..base };
-    assert_eq!(stripped.with_body_from(&other), None, "on what is no document");
+    assert_eq!(stripped.with_body_from(&other), None, "on a body that is not a document");
 }
 
 fn entry() -> LogEntry {
--- a/crates/core/tests/rejections.rs
+++ b/crates/core/tests/rejections.rs
@@ -1,4 +1,4 @@
-//! Each rejection has a reason, which is counted and logged once a second while calls are rejected.
+//! The reasons of rejected calls: their counters, and the log line that is written at most once a second.
 
 use std::sync::Arc;
 use sumacvale_core::base::{MS, Micros, SEC, sha256_hex};
@@ -21,7 +21,7 @@
     Arc::new(CompiledConfig::compile(1, &document))
 }
 
-/// The reason of the local response of a node with this view, and the counters that grew.
+/// Returns the reason of the local response of a node with this view, and the counters that increased.
 fn reject(view: View, key: &str, path: &str, body: &str) -> (Option<RejectionReason>, Vec<(RejectionReason, u64)>) {
     let shared = SharedCallState::new("z", 8, 1 << 20, Arc::new(WindowSlices::default()));
     let view = Arc::new(view);
--- a/crates/core/tests/routes.rs
+++ b/crates/core/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Which match a call is routed by, and to which of its pools.
+//! Routing: the match that a call is routed by, and the pool that serves the call.
 
 use sumacvale_core::config::{CompiledConfig, validate};
 
@@ -33,7 +33,7 @@
         ("POST", "one.test", "", ""),
         ("POST", "one.test", "//", "one"),
         ("POST", "two.test", "/v1/z", "two"),
-        // Matches of the host have precedence over those of all hosts, even over longer ones.
+        // Matches of the call's host have precedence over matches of all hosts, even with longer prefixes.
         ("POST", "two.test", "/v1/a/z", "two"),
         ("POST", "six.test", "/v1/a/z", "any"),
         ("POST", "", "/v1/a/z", "any"),
@@ -45,9 +45,9 @@
 }
 
 #[test]
-fn a_match_with_a_host_routes_no_calls_of_another() {
+fn a_match_with_a_host_routes_no_calls_of_another_host() {
     let document = r#"{"pools":{"p":{}},"matches":{"m":{"host":"one.test","path":"/x","pool":"p"}}}"#;
-    // The document is rejected or its host is respected, but the host is never ignored.
+    // The document may be rejected, but if it is valid, its host is not ignored.
     let Ok(config) = validate(document) else { return };
     assert_eq!(matched_name(&config, "POST", "one.test", "/x"), "m");
     assert_eq!(matched_name(&config, "POST", "two.test", "/x"), "", "the match names one.test");
@@ -55,7 +55,7 @@
 
 #[test]
 fn calls_are_split_between_pools_by_weight() {
-    // The split, the calls of a round, and how many of them go to p, q and r.
+    // The split, the number of calls, and how many of these calls go to p, q and r.
     for (split, round, expected) in [
         (r#"{"p":1}"#, 1, [1, 0, 0]),
         (r#"{"p":9,"q":1}"#, 10, [9, 1, 0]),
--- a/crates/core/tests/stream.rs
+++ b/crates/core/tests/stream.rs
@@ -1,9 +1,9 @@
-//! Streams of events: every line end, every split, every break.
+//! The splitter of event streams, with every kind of line end, every split of the input and a break at every byte.
 
 use sumacvale_core::base::Rng;
 use sumacvale_core::stream::{EventSplitter, StreamError};
 
-/// What a reader of the stream gets: the fields of each event that has any.
+/// Parses a stream as a client does: returns the fields of each event that has fields.
 fn read_events(stream: &[u8]) -> Vec<Vec<String>> {
     let text = String::from_utf8_lossy(stream).replace("\r\n", "\n").replace('\r', "\n");
     let text = text.strip_prefix('\u{feff}').unwrap_or(&text).to_owned();
@@ -15,14 +15,14 @@
         .collect()
 }
 
-/// The events `from..to`, with comments and with the fields in any order.
+/// Creates a stream of the events `from..to`, with random comments and with the fields in random order.
 fn stream_of(from: u64, to: u64, line_end: &str, has_bom: bool, rng: &mut Rng) -> Vec<u8> {
     let mut stream = if has_bom { "\u{feff}".to_owned() } else { String::new() };
     for number in from..to {
         if rng.chance(20) {
             stream += &format!(": hold{line_end}{line_end}");
         }
-        // The number may come after the data, and twice: the last one counts.
+        // The `id` field may follow the data and may occur twice: the last one counts.
         let id = if rng.chance(30) { format!("id: 0{line_end}id:{number}") } else { format!("id: {number}") };
         let data = format!("data: piece {number}{line_end}data: of many");
         stream += &if rng.chance(50) {
@@ -34,8 +34,9 @@
     stream.into_bytes()
 }
 
+/// Guards against lost, changed or delayed bytes when the input is split anywhere, also within a line end.
 #[test]
-fn nothing_is_lost_or_held_back_whatever_the_line_ends_and_splits() {
+fn complete_events_are_forwarded_unchanged_for_all_line_ends_and_splits() {
     let mut rng = Rng::new(1);
     for line_end in ["\n", "\r\n", "\r"] {
         for has_bom in [false, true] {
@@ -72,10 +73,10 @@
             for broken_at in 0..=stream.len() {
                 let mut splitter = EventSplitter::new(true, None);
                 let mut output = splitter.push(&stream[..broken_at]).expect("valid").concat();
-                let due = splitter.resume_point().expect("all events have numbers").map_or(0, |last| last + 1);
+                let next_number = splitter.resume_point().expect("all events have numbers").map_or(0, |last| last + 1);
                 splitter.resume();
-                // A worker may begin a little before the event that is due.
-                let rest = stream_of(due.saturating_sub(rng.below(2)), 5, line_end, has_bom, &mut rng);
+                // A worker may repeat the last event.
+                let rest = stream_of(next_number.saturating_sub(rng.below(2)), 5, line_end, has_bom, &mut rng);
                 output.extend(splitter.push(&rest).expect("valid").concat());
                 let resumed = data(read_events(&output));
                 assert_eq!(resumed, data(all_events.clone()), "{line_end:?} broken at {broken_at}");
@@ -125,6 +126,6 @@
     assert_eq!(
         EventSplitter::new(true, Some(3)).push(b"id: 5\ndata: a\n\n"),
         Err(StreamError::EventGap { received: 5, expected: 4 }),
-        "what the client did not receive is not skipped"
+        "an event that the client did not receive is not skipped"
     );
 }
