--- a/crates/core/src/call/quota_queue.rs
+++ b/crates/core/src/call/quota_queue.rs
@@ -132,7 +132,7 @@
                     wakeups.extend(queue.drop_all(tenant, Event::WindowSpent(remaining)));
                 }
                 NextGrant::Rejected(AcquireOutcome::RateExhausted { wait, interval, may_get_more }) => {
-                    wakeups.extend(queue.drop_late(tenant, RateRefill { wait, interval, may_get_more }, now));
+                    wakeups.extend(queue.drop_past_deadline(tenant, RateRefill { wait, interval, may_get_more }, now));
                     break;
                 }
                 NextGrant::Rejected(AcquireOutcome::Empty | AcquireOutcome::Acquired { .. }) => {
@@ -234,9 +234,9 @@
     }
 
     /// Drops the calls for which the rate provides no units before their deadlines.
-    fn drop_late(&mut self, tenant: &str, refill: RateRefill, now: Micros) -> impl Iterator<Item = Wakeup> {
+    fn drop_past_deadline(&mut self, tenant: &str, refill: RateRefill, now: Micros) -> impl Iterator<Item = Wakeup> {
         let mut available_at = now.saturating_add(refill.wait);
-        let late = self.waiters.drain_where(|waiter, _| {
+        let dropped = self.waiters.drain_where(|waiter, _| {
             let is_past_deadline =
                 if refill.may_get_more { now >= waiter.rate_deadline } else { available_at > waiter.rate_deadline };
             if !is_past_deadline {
@@ -245,7 +245,7 @@
             is_past_deadline
         });
         let event = Event::WindowSpent(RateRefill::retry_after(refill.wait));
-        late.into_iter().map(move |waiter| wakeup(tenant, waiter.call_id, event.clone()))
+        dropped.into_iter().map(move |waiter| wakeup(tenant, waiter.call_id, event.clone()))
     }
 
     /// Drops all calls if the lease holder has not answered for [`MAX_UNANSWERED_WAIT`].
--- a/crates/core/src/call/steps/acquire_unit.rs
+++ b/crates/core/src/call/steps/acquire_unit.rs
@@ -57,7 +57,7 @@
         UnitOutcome::HolderUnreachable { retry_after } => {
             // An answer may still help later calls, so units are requested anyway.
             effects.push(Effect::RequestUnits { tenant, waiting: u64::from(units) });
-            ControlFlow::Break(quota_unsettled(&call, retry_after))
+            ControlFlow::Break(quota_holder_unreachable(&call, retry_after))
         }
     }
 }
@@ -163,7 +163,7 @@
 }
 
 /// Ends a call for which no lease holder of the quota answered before the deadline.
-pub(super) fn quota_unsettled(call: &Call<BodyRead>, retry_after: Micros) -> Halt {
+pub(super) fn quota_holder_unreachable(call: &Call<BodyRead>, retry_after: Micros) -> Halt {
     let remedy = "nobody could say in time whether the quota has room; try again";
     let response = LocalResponse::new(RejectionReason::QuotaHolderUnreachable, remedy);
     reject(call, response.with_retry_after(retry_after))
--- a/crates/core/src/call/steps/quota.rs
+++ b/crates/core/src/call/steps/quota.rs
@@ -1,6 +1,8 @@
 //! The phase `BodyRead`: the call waits in the quota queue of its tenant.
 
-use super::acquire_unit::{on_unit_granted, quota_exhausted, quota_unsettled, reject, request_unit, units_in_force};
+use super::acquire_unit::{
+    on_unit_granted, quota_exhausted, quota_holder_unreachable, reject, request_unit, units_in_force,
+};
 use super::authorization::reauthorize;
 use crate::base::SEC;
 use crate::call::context::StepContext;
@@ -19,7 +21,7 @@
     match event {
         Event::UnitGranted(unit) => on_unit_granted(call, unit, context, effects),
         Event::WindowSpent(retry_after) => ControlFlow::Break(quota_exhausted(&call, retry_after)),
-        Event::DroppedFromQueue(retry_after) => ControlFlow::Break(quota_unsettled(&call, retry_after)),
+        Event::DroppedFromQueue(retry_after) => ControlFlow::Break(quota_holder_unreachable(&call, retry_after)),
         Event::Wake if call.lookup_since.is_some() => request_unit(call, context, effects),
         Event::Wake => recheck_wait(call, context, effects),
         _ => ControlFlow::Continue(CallState::BodyRead(call)),
@@ -37,7 +39,7 @@
     {
         return ControlFlow::Break(match authorized {
             Err(response) => reject(&call, response),
-            Ok(()) => quota_unsettled(&call, SEC),
+            Ok(()) => quota_holder_unreachable(&call, SEC),
         });
     }
     let needs_other_units = units_in_force(&call.state, &call.head, context) != call.state.units;
--- a/crates/core/tests/call/exploration.rs
+++ b/crates/core/tests/call/exploration.rs
@@ -494,8 +494,5 @@
         }
     }
     println!("{paths} paths, {finished} to the end of the call");
-    assert!(
-        paths > 10_000 && finished > 5_000,
-        "{paths} paths, {finished} to the end: the environment does too little"
-    );
+    assert!(paths > 10_000 && finished > 5_000, "{paths} paths, {finished} to the end: too few are explored");
 }
--- a/crates/core/tests/call/fixture.rs
+++ b/crates/core/tests/call/fixture.rs
@@ -253,8 +253,8 @@
         }
     }
 
-    /// Describes a connection by whether its worker is the same as before. Which worker is chosen depends on the hash of
-    /// the prompt prefix.
+    /// Describes a connection by whether its worker is the same as before. Which worker is chosen depends on the hash
+    /// of the prompt prefix.
     fn describe_connect(&mut self, endpoint: Endpoint) -> &'static str {
         let description = match &self.last_endpoint {
             Some(last) if last.worker_id == endpoint.worker_id => "connect again",
--- a/crates/core/tests/documents/main.rs
+++ b/crates/core/tests/documents/main.rs
@@ -26,10 +26,10 @@
     let document = doc;
     // Name; the node, base, document and outcome of each change; the final version.
     let cases: Vec<(&str, Vec<Submitted>, u64)> = vec![
-        ("the first one", vec![(0, 0, document(1, "a"), "committed")], 1),
+        ("the first document", vec![(0, 0, document(1, "a"), "committed")], 1),
         ("at a front", vec![(FRONT, 0, document(1, "a"), "committed")], 1),
         (
-            "uneven steps",
+            "revisions with gaps",
             vec![
                 (0, 0, document(5, "a"), "committed"),
                 (1, 5, document(90, "b"), "committed"),
@@ -37,14 +37,18 @@
             ],
             3,
         ),
-        ("the same again", vec![(0, 0, document(5, "a"), "committed"), (0, 0, document(5, "a"), "committed")], 1),
         (
-            "the same elsewhere",
+            "the same document again",
+            vec![(0, 0, document(5, "a"), "committed"), (0, 0, document(5, "a"), "committed")],
+            1,
+        ),
+        (
+            "the same document at another node",
             vec![(0, 0, document(5, "a"), "committed"), (FRONT, 0, document(5, "a"), "committed")],
             1,
         ),
         (
-            "the same after others",
+            "the same document after others",
             vec![
                 (0, 0, document(5, "a"), "committed"),
                 (1, 5, document(6, "b"), "committed"),
@@ -52,18 +56,26 @@
             ],
             2,
         ),
-        ("a base that is passed", vec![(0, 0, document(5, "a"), "committed"), (1, 0, document(6, "b"), "stale")], 1),
+        ("a superseded base", vec![(0, 0, document(5, "a"), "committed"), (1, 0, document(6, "b"), "stale")], 1),
         (
-            "a passed base within a step",
+            "a base between two revisions",
             vec![(0, 0, document(5, "a"), "committed"), (1, 3, document(6, "b"), "stale")],
             1,
         ),
-        ("a base that never was", vec![(0, 0, document(5, "a"), "committed"), (1, 7, document(8, "b"), "stale")], 1),
-        ("an equal number", vec![(0, 0, document(5, "a"), "committed"), (1, 5, document(5, "b"), "invalid")], 1),
-        ("a lower number", vec![(0, 0, document(5, "a"), "committed"), (1, 5, document(4, "b"), "invalid")], 1),
-        ("no number", vec![(0, 0, "{}".into(), "invalid")], 0),
-        ("not read whole", vec![(0, 0, "{\"revision\":1,".into(), "invalid")], 0),
-        ("refused, then mended", vec![(0, 0, document(0, "a"), "invalid"), (0, 0, document(2, "a"), "committed")], 1),
+        (
+            "a base that never existed",
+            vec![(0, 0, document(5, "a"), "committed"), (1, 7, document(8, "b"), "stale")],
+            1,
+        ),
+        ("an equal revision", vec![(0, 0, document(5, "a"), "committed"), (1, 5, document(5, "b"), "invalid")], 1),
+        ("a lower revision", vec![(0, 0, document(5, "a"), "committed"), (1, 5, document(4, "b"), "invalid")], 1),
+        ("no revision", vec![(0, 0, "{}".into(), "invalid")], 0),
+        ("truncated JSON", vec![(0, 0, "{\"revision\":1,".into(), "invalid")], 0),
+        (
+            "rejected, then corrected",
+            vec![(0, 0, document(0, "a"), "invalid"), (0, 0, document(2, "a"), "committed")],
+            1,
+        ),
     ];
     for (name, sent, version) in cases {
         let mut net = SimulatedNetwork::new(1);
@@ -121,7 +133,7 @@
     net.run(4 * SEC);
     assert_eq!((net.outcome(1), net.decided()), ("committed".into(), (2, doc(5, "a"))));
     assert_eq!(net.submit_and_run(1, 5, &doc(6, "b")), "committed");
-    assert_eq!(net.submit_and_run(0, 0, &doc(5, "a")), "committed", "the first one again");
+    assert_eq!(net.submit_and_run(0, 0, &doc(5, "a")), "committed", "the first document again");
     assert_eq!(net.submit_and_run(0, 0, &doc(7, "c")), "stale");
     assert_eq!(net.decided(), (3, doc(6, "b")));
     // A change of voters at the same time as a document, decided in either order.
@@ -139,12 +151,12 @@
 fn a_core_knows_the_outcomes_of_old_documents_after_a_partition() {
     // The documents that the core receives after it missed three versions, and their outcomes.
     for (name, base, body, expected) in [
-        ("the first it missed", 0, doc(2, "a"), "committed"),
+        ("the first document that it missed", 0, doc(2, "a"), "committed"),
         ("the second", 2, doc(4, "b"), "committed"),
         ("the newest", 4, doc(6, "c"), "committed"),
-        ("another on the base that it holds", 0, doc(3, "x"), "stale"),
-        ("another within", 2, doc(5, "x"), "stale"),
-        ("one on the newest", 6, doc(7, "x"), "committed"),
+        ("another document on the base that it holds", 0, doc(3, "x"), "stale"),
+        ("another document on a base that it missed", 2, doc(5, "x"), "stale"),
+        ("a document on the newest revision", 6, doc(7, "x"), "committed"),
     ] {
         let mut net = SimulatedNetwork::new(5);
         net.partitioned.push(2);
--- a/crates/core/tests/documents/net.rs
+++ b/crates/core/tests/documents/net.rs
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Adds the revision and body of each version that any node or disk holds, and checks that no version has two bodies.
+    /// Adds the revision and body of each version that any node or disk holds. Checks that no version has two bodies.
     pub fn collect_decided(&self, decided: &mut BTreeMap<u64, (u64, String)>) {
         let on_disks = self.disks.iter().flat_map(|disk| disk.entries.values());
         for entry in self.nodes.iter().flat_map(|node| node.consensus.state.history.values()).chain(on_disks) {
--- a/crates/core/tests/documents/patches.rs
+++ b/crates/core/tests/documents/patches.rs
@@ -29,7 +29,7 @@
         ("replaced in its place", vec![("b", 9)], vec![], vec![("a", 1), ("b", 9), ("c", 3)]),
         ("removed", vec![], vec!["a", "c"], vec![("b", 2)]),
         ("all at once", vec![("e", 5), ("c", 7)], vec!["a"], vec![("b", 2), ("c", 7), ("e", 5)]),
-        ("every one", vec![], vec!["a", "b", "c"], vec![]),
+        ("every item removed", vec![], vec!["a", "b", "c"], vec![]),
     ] {
         let patched = patch(8, &put, &remove).apply(&old).expect(name);
         assert_eq!(patched, document(8, &expected), "{name}");
@@ -51,8 +51,8 @@
     let mut repeated_list = patch(8, &[("a", 1)], &[]);
     repeated_list.lists.push(repeated_list.lists[0].clone());
     for (name, patch, code) in [
-        ("names nothing", patch(8, &[], &[]), "missing"),
-        ("names nothing in two lists", two_lists, "missing"),
+        ("changes nothing", patch(8, &[], &[]), "missing"),
+        ("changes nothing in two lists", two_lists, "missing"),
         ("removes what is not there", patch(8, &[("a", 5)], &["z"]), "dangling"),
         ("puts one twice", patch(8, &[("a", 5), ("a", 6)], &[]), "duplicate"),
         ("removes one twice", patch(8, &[], &["a", "a"]), "duplicate"),
@@ -155,12 +155,12 @@
 fn patches_have_the_same_outcomes_as_documents() {
     for (name, base, number, put, remove, expected) in [
         ("on another base", 4, 9, vec![("d", 1)], vec![], "stale"),
-        ("on a base that never was", 6, 9, vec![("d", 1)], vec![], "stale"),
+        ("on a base that never existed", 6, 9, vec![("d", 1)], vec![], "stale"),
         ("a number that is not above its base", 5, 5, vec![("d", 1)], vec![], "invalid"),
-        ("nothing named", 5, 9, vec![], vec![], "invalid"),
+        ("an empty patch", 5, 9, vec![], vec![], "invalid"),
         ("removes what is not there", 5, 9, vec![], vec!["z"], "invalid"),
         ("makes an invalid document", 5, 9, vec![("d", 666_666)], vec![], "invalid"),
-        ("one that is invalid in part", 5, 9, vec![("d", 1), ("e", 666_666)], vec!["a"], "invalid"),
+        ("one with a valid and an invalid row", 5, 9, vec![("d", 1), ("e", 666_666)], vec!["a"], "invalid"),
     ] {
         for node in 0..ALL {
             let (mut net, rows) = net_with_document(2);
@@ -183,7 +183,7 @@
     }
     for node in 0..ALL {
         assert_eq!(submit_patch(&mut net, node, 5, &first), "committed", "at {node}");
-        assert_eq!(submit_patch(&mut net, node, 5, &patch(6, &[("d", 2)], &["a"])), "stale", "another one at {node}");
+        assert_eq!(submit_patch(&mut net, node, 5, &patch(6, &[("d", 2)], &["a"])), "stale", "another patch at {node}");
     }
 }
 
--- a/crates/core/tests/stream.rs
+++ b/crates/core/tests/stream.rs
@@ -110,7 +110,7 @@
     for (name, stream, error) in [
         ("a gap", "id: 0\ndata: a\n\nid: 2\ndata: c\n\n", StreamError::EventGap { received: 2, expected: 1 }),
         ("a repeat", "id: 0\ndata: a\n\nid: 0\ndata: a\n\n", StreamError::EventGap { received: 0, expected: 1 }),
-        ("a step back", "id: 3\ndata: a\n\nid: 2\ndata: a\n\n", StreamError::EventGap { received: 2, expected: 4 }),
+        ("a lower number", "id: 3\ndata: a\n\nid: 2\ndata: a\n\n", StreamError::EventGap { received: 2, expected: 4 }),
     ] {
         let bytes = stream.as_bytes();
         assert_eq!(EventSplitter::new(true, None).push(bytes), Err(error), "{name} within one worker's stream");
