--- a/crates/core/src/node/consensus/digest_sync.rs
+++ b/crates/core/src/node/consensus/digest_sync.rs
@@ -79,15 +79,15 @@
     }
 
     /// Handles a request for the digests of the versions `from` to `to`.
-    pub(super) fn on_digest_request(&mut self, by: NodeId, from: Version, to: Version, now: Micros) {
+    pub(super) fn on_digest_request(&mut self, sender: NodeId, from: Version, to: Version, now: Micros) {
         let digests = self.consensus.state.digests.chunk(from, to, MAX_CHUNK_DIGESTS);
-        self.send_consensus(by, ConsensusMessage::DigestReply { from, to, digests }, now);
+        self.send_consensus(sender, ConsensusMessage::DigestReply { from, to, digests }, now);
     }
 
     /// Handles the digests that another voter has of the versions `from` to `to`.
     pub(super) fn on_digest_reply(
         &mut self,
-        by: NodeId,
+        sender: NodeId,
         from: Version,
         to: Version,
         digests: Vec<EntryDigest>,
@@ -104,7 +104,7 @@
         self.persist(vec![DurableWrite::Digests(inserted)], Vec::new());
         self.consensus.digest_sync.empty_replies = 0;
         if let Some((from, to)) = self.consensus.state.digests.newest_gap() {
-            self.request_digests(by, from, to, now);
+            self.request_digests(sender, from, to, now);
         }
     }
 }
--- a/crates/core/src/node/consensus/forwarding.rs
+++ b/crates/core/src/node/consensus/forwarding.rs
@@ -17,7 +17,7 @@
 /// microseconds.
 const RESEND_INTERVAL: Micros = 1_200 * MS;
 /// A voter that replies to nothing for so long is taken to be unreachable, in microseconds.
-const SILENCE_TIMEOUT: Micros = 250 * MS;
+const UNRESPONSIVE_TIMEOUT: Micros = 250 * MS;
 /// How much longer than a voter's own time-out the request is kept here, in microseconds.
 const FORWARD_MARGIN: Micros = 1_500 * MS;
 
@@ -107,7 +107,7 @@
     /// Gives up the forwarded requests that cannot be completed in time, and sends the others on.
     pub(in crate::node) fn tick_forward(&mut self, now: Micros) {
         for (request_id, mut forward) in std::mem::take(&mut self.consensus.forwards) {
-            if now >= forward.deadline || self.is_forward_cut_off(&forward, now) {
+            if now >= forward.deadline || self.should_abandon_forward(&forward, now) {
                 self.complete_forward(request_id, forward.abandoned_outcome());
                 continue;
             }
@@ -121,27 +121,29 @@
     }
 
     /// Whether no voter has replied to anything since the request came, or no core is known.
-    fn is_forward_cut_off(&self, forward: &Forward, now: Micros) -> bool {
+    fn should_abandon_forward(&self, forward: &Forward, now: Micros) -> bool {
         let waited = now.saturating_sub(forward.received_at);
         let voters = self.consensus.state.voters();
         if voters.is_empty() {
             return waited >= QUORUM_TIMEOUT && self.nearest_core(now, 0).is_none();
         }
         let any_replied = voters.iter().any(|voter| self.has_core_replied(voter.node_id, forward.received_at));
-        let all_silent =
-            voters.iter().all(|voter| self.is_core_silent(voter.node_id, forward.received_at, QUORUM_TIMEOUT, now));
-        waited >= QUORUM_TIMEOUT && (!any_replied || all_silent)
+        let all_unresponsive = voters
+            .iter()
+            .all(|voter| self.is_core_unresponsive(voter.node_id, forward.received_at, QUORUM_TIMEOUT, now));
+        waited >= QUORUM_TIMEOUT && (!any_replied || all_unresponsive)
     }
 
     /// Sends the request to a voter, or to the next one where the last one declined or is silent.
     fn forward_to_voter(&mut self, request_id: u64, forward: &mut Forward, now: Micros) {
-        let is_silent =
-            forward.last_send.is_some_and(|last| self.is_core_silent(last.voter, last.sent_at, SILENCE_TIMEOUT, now));
-        if now < forward.resend_at && !is_silent {
+        let is_unresponsive = forward
+            .last_send
+            .is_some_and(|last| self.is_core_unresponsive(last.voter, last.sent_at, UNRESPONSIVE_TIMEOUT, now));
+        if now < forward.resend_at && !is_unresponsive {
             return;
         }
         let Some(voter) = self.next_voter(forward, now) else { return };
-        if is_silent && now < forward.resend_at && forward.tried.contains(&voter) {
+        if is_unresponsive && now < forward.resend_at && forward.tried.contains(&voter) {
             return;
         }
         let message = forward.send_to(voter, request_id, now);
@@ -164,20 +166,20 @@
     }
 
     /// Handles a request that another node has forwarded; a node without a vote declines it.
-    pub(super) fn on_forward(&mut self, by: NodeId, request_id: u64, submitted: SubmittedChange, now: Micros) {
+    pub(super) fn on_forward(&mut self, sender: NodeId, request_id: u64, submitted: SubmittedChange, now: Micros) {
         if self.voter() {
-            self.accept_change(Requester::Peer { node_id: by, request_id }, submitted, now);
+            self.accept_change(Requester::Peer { node_id: sender, request_id }, submitted, now);
         } else {
             let declined = ConsensusMessage::ForwardReply { request_id, outcome: ChangeOutcome::NoQuorum };
-            self.send_consensus(by, declined, now);
+            self.send_consensus(sender, declined, now);
         }
     }
 
     /// Handles a voter's reply to a forwarded request.
-    pub(super) fn on_forward_reply(&mut self, by: NodeId, request_id: u64, outcome: ChangeOutcome, now: Micros) {
+    pub(super) fn on_forward_reply(&mut self, sender: NodeId, request_id: u64, outcome: ChangeOutcome, now: Micros) {
         let Some(forward) = self.consensus.forwards.get(&request_id) else { return };
         match outcome {
-            ChangeOutcome::NoQuorum => self.on_forward_declined(by, request_id, now),
+            ChangeOutcome::NoQuorum => self.on_forward_declined(sender, request_id, now),
             ChangeOutcome::Unknown if !forward.submitted.change.is_read() => {}
             outcome => {
                 self.consensus.forwards.remove(&request_id);
@@ -188,9 +190,9 @@
 
     /// Handles a voter that has proposed nothing for this request. Once all that were sent the request have
     /// declined it and no other live voter is left, the caller is told.
-    fn on_forward_declined(&mut self, by: NodeId, request_id: u64, now: Micros) {
+    fn on_forward_declined(&mut self, sender: NodeId, request_id: u64, now: Micros) {
         let Some(mut forward) = self.consensus.forwards.remove(&request_id) else { return };
-        forward.undeclined.remove(&by);
+        forward.undeclined.remove(&sender);
         forward.resend_at = now;
         let is_untried =
             |voter: NodeId| !forward.tried.contains(&voter) && self.dissemination.peers.is_alive(voter, now);
--- a/crates/core/src/node/consensus/freshness.rs
+++ b/crates/core/src/node/consensus/freshness.rs
@@ -60,13 +60,13 @@
     }
 
     /// Handles a freshness probe; a prober that is behind is sent the later entries too.
-    pub(super) fn on_freshness_probe(&mut self, by: NodeId, seq: u64, version: Version, now: Micros) {
+    pub(super) fn on_freshness_probe(&mut self, sender: NodeId, seq: u64, version: Version, now: Micros) {
         let Some(newest) = self.version() else { return };
         if !self.settings.is_core {
             return;
         }
         if newest > version {
-            self.replicate_to(by, version, now);
+            self.replicate_to(sender, version, now);
         }
         let reply = ConsensusMessage::FreshnessReply {
             seq,
@@ -75,30 +75,30 @@
             ready_set: self.membership.synced_ready_set,
             has_accepted: self.consensus.state.accepted.is_some(),
         };
-        self.send_consensus(by, reply, now);
+        self.send_consensus(sender, reply, now);
     }
 
     /// Handles a voter's reply to a freshness probe.
-    pub(super) fn on_freshness_reply(&mut self, by: NodeId, reply: FreshnessReply, now: Micros) {
-        self.record_probe_reply(by, reply.seq, now);
+    pub(super) fn on_freshness_reply(&mut self, sender: NodeId, reply: FreshnessReply, now: Micros) {
+        self.record_probe_reply(sender, reply.seq, now);
         if let Some(ready_set) = reply.ready_set {
-            self.on_ready(by, ready_set);
+            self.on_ready(sender, ready_set);
         }
-        self.record_synced_version(by, reply.synced_version);
+        self.record_synced_version(sender, reply.synced_version);
         let Some(newest) = self.version() else { return };
-        if reply.version < newest && by != self.settings.node_id {
-            self.replicate_to(by, reply.version, now);
+        if reply.version < newest && sender != self.settings.node_id {
+            self.replicate_to(sender, reply.version, now);
         }
-        self.count_confirmation(by, &reply, newest);
+        self.count_confirmation(sender, &reply, newest);
     }
 
     /// Counts a reply towards the confirmation of the newest version; a majority confirms it.
-    fn count_confirmation(&mut self, by: NodeId, reply: &FreshnessReply, newest: Version) {
+    fn count_confirmation(&mut self, sender: NodeId, reply: &FreshnessReply, newest: Version) {
         let Some(probe) = self.consensus.freshness.open_probes.get_mut(&reply.seq) else { return };
         if probe.version != newest || reply.version != newest || reply.has_accepted {
             return;
         }
-        probe.confirmed_by.insert(by);
+        probe.confirmed_by.insert(sender);
         if is_majority(self.consensus.state.voters(), &probe.confirmed_by) {
             let sent_at = probe.sent_at;
             self.consensus.freshness.open_probes.remove(&reply.seq);
--- a/crates/core/src/node/consensus/learner.rs
+++ b/crates/core/src/node/consensus/learner.rs
@@ -96,12 +96,12 @@
     }
 
     /// Handles decided entries, the oldest first.
-    pub(super) fn on_replicate(&mut self, by: NodeId, entries: Vec<LogEntry>, now: Micros) {
+    pub(super) fn on_replicate(&mut self, sender: NodeId, entries: Vec<LogEntry>, now: Micros) {
         let newest = entries.last().map(|entry| entry.version);
         let restored = self.restore_bodies(entries);
         if restored.last().map(|entry| entry.version) != newest && self.settings.is_core {
             // The newest entry came as a patch of one that this core does not hold.
-            self.report_synced_version(by, now);
+            self.report_synced_version(sender, now);
         }
         // The newest comes into force at once; those before it only fill the history.
         for entry in restored.into_iter().rev() {
@@ -139,12 +139,12 @@
 
     /// Handles the report of the newest version that a node has on its disk; a node that is behind is sent
     /// the later entries.
-    pub(super) fn on_synced_version(&mut self, by: NodeId, version: Version, now: Micros) {
-        self.record_synced_version(by, version);
-        if by == self.settings.node_id {
+    pub(super) fn on_synced_version(&mut self, sender: NodeId, version: Version, now: Micros) {
+        self.record_synced_version(sender, version);
+        if sender == self.settings.node_id {
             self.consensus.synced_version = self.consensus.synced_version.max(Some(version));
         } else if self.version().is_some_and(|newest| newest > version) {
-            self.replicate_to(by, version, now);
+            self.replicate_to(sender, version, now);
         }
     }
 
--- a/crates/core/src/node/consensus/mod.rs
+++ b/crates/core/src/node/consensus/mod.rs
@@ -81,31 +81,31 @@
 
     /// Handles a message of the agreement on versions.
     pub(super) fn on_consensus_message(&mut self, envelope: &Envelope, message: ConsensusMessage, now: Micros) {
-        let by = envelope.from;
+        let sender = envelope.from;
         match message {
-            ConsensusMessage::Prepare { instance, ballot } => self.on_prepare(by, instance, ballot, now),
+            ConsensusMessage::Prepare { instance, ballot } => self.on_prepare(sender, instance, ballot, now),
             ConsensusMessage::Promise { instance, ballot, accepted } => {
-                self.on_promise(by, instance, ballot, accepted, now);
+                self.on_promise(sender, instance, ballot, accepted, now);
             }
             ConsensusMessage::Reject { instance, ballot } => self.on_reject(instance, ballot, now),
-            ConsensusMessage::Accept { ballot, entry } => self.on_accept(by, ballot, entry, now),
-            ConsensusMessage::Accepted { instance, ballot } => self.on_accepted(by, instance, ballot, now),
-            ConsensusMessage::Replicate { entries } => self.on_replicate(by, entries, now),
-            ConsensusMessage::Synced { version } => self.on_synced_version(by, version, now),
-            ConsensusMessage::FreshnessProbe { seq, version } => self.on_freshness_probe(by, seq, version, now),
+            ConsensusMessage::Accept { ballot, entry } => self.on_accept(sender, ballot, entry, now),
+            ConsensusMessage::Accepted { instance, ballot } => self.on_accepted(sender, instance, ballot, now),
+            ConsensusMessage::Replicate { entries } => self.on_replicate(sender, entries, now),
+            ConsensusMessage::Synced { version } => self.on_synced_version(sender, version, now),
+            ConsensusMessage::FreshnessProbe { seq, version } => self.on_freshness_probe(sender, seq, version, now),
             ConsensusMessage::FreshnessReply { seq, version, synced_version, ready_set, has_accepted } => {
                 let reply = FreshnessReply { seq, version, synced_version, ready_set, has_accepted };
-                self.on_freshness_reply(by, reply, now);
+                self.on_freshness_reply(sender, reply, now);
             }
             ConsensusMessage::Forward { request_id, change_id, is_first_send, base, change } => {
                 let submitted = SubmittedChange { change_id, is_first_send, base, change };
-                self.on_forward(by, request_id, submitted, now);
+                self.on_forward(sender, request_id, submitted, now);
             }
             ConsensusMessage::ForwardReply { request_id, outcome } => {
-                self.on_forward_reply(by, request_id, outcome, now);
+                self.on_forward_reply(sender, request_id, outcome, now);
             }
-            ConsensusMessage::DigestRequest { from, to } => self.on_digest_request(by, from, to, now),
-            ConsensusMessage::DigestReply { from, to, digests } => self.on_digest_reply(by, from, to, digests, now),
+            ConsensusMessage::DigestRequest { from, to } => self.on_digest_request(sender, from, to, now),
+            ConsensusMessage::DigestReply { from, to, digests } => self.on_digest_reply(sender, from, to, digests, now),
         }
     }
 }
--- a/crates/core/src/node/consensus/outcomes.rs
+++ b/crates/core/src/node/consensus/outcomes.rs
@@ -87,17 +87,17 @@
     /// had its base.
     fn stale_outcome_of_missing_base(&self, pending: &PendingChange) -> Option<ChangeOutcome> {
         let version = self.version()?;
-        let confirmed = self
+        let is_confirmed = self
             .consensus
             .freshness
             .confirmed_at(Some(version))
             .is_some_and(|confirmed_at| confirmed_at + CHANGE_TIMEOUT > pending.deadline);
-        confirmed.then_some(ChangeOutcome::Stale { version })
+        is_confirmed.then_some(ChangeOutcome::Stale { version })
     }
 
     /// The outcome of a change that has reached its deadline, or whose majority is lost.
     fn timeout_outcome(&self, pending: &PendingChange, now: Micros) -> Option<ChangeOutcome> {
-        if now < pending.deadline && !self.is_change_cut_off(pending, Self::received_at(pending), now) {
+        if now < pending.deadline && !self.should_abandon_change(pending, Self::received_at(pending), now) {
             return None;
         }
         let is_base_passed = self.current_base(&pending.change).is_some_and(|base| base > pending.base);
--- a/crates/core/src/node/consensus/proposer.rs
+++ b/crates/core/src/node/consensus/proposer.rs
@@ -44,10 +44,10 @@
         if now < self.consensus.state.backoff_until.max(self.consensus.state.yields_until) {
             return;
         }
-        let wanted = self.proposable_change(now).is_some();
-        let stuck = self.consensus.state.accepted.is_some()
+        let has_proposable_change = self.proposable_change(now).is_some();
+        let has_stalled_entry = self.consensus.state.accepted.is_some()
             && now.saturating_sub(self.consensus.state.accepted_at) > UNDECIDED_TIMEOUT;
-        if wanted || stuck {
+        if has_proposable_change || has_stalled_entry {
             self.start_ballot(version + 1, now);
         }
     }
@@ -109,7 +109,7 @@
     /// Handles a promise; a majority of promises ends the prepare phase.
     pub(in crate::node) fn on_promise(
         &mut self,
-        by: NodeId,
+        sender: NodeId,
         instance: Version,
         ballot: Ballot,
         accepted: Option<(Ballot, LogEntry)>,
@@ -127,7 +127,7 @@
                 None => return,
             },
         };
-        self.record_promise(by, accepted);
+        self.record_promise(sender, accepted);
         if !self.has_majority_answered() {
             return;
         }
@@ -145,9 +145,9 @@
     }
 
     /// Counts a promise and keeps the accepted entry of the highest ballot.
-    fn record_promise(&mut self, by: NodeId, accepted: Option<(Ballot, LogEntry)>) {
+    fn record_promise(&mut self, sender: NodeId, accepted: Option<(Ballot, LogEntry)>) {
         let Some(proposal) = self.consensus.state.proposal.as_mut() else { return };
-        proposal.answered.insert(by);
+        proposal.answered.insert(sender);
         if let Some(accepted) = accepted
             && proposal.highest_accepted.as_ref().is_none_or(|highest| accepted.0 > highest.0)
         {
@@ -238,12 +238,12 @@
     }
 
     /// Handles an acceptance; with a majority of them the entry is decided and replicated.
-    pub(in crate::node) fn on_accepted(&mut self, by: NodeId, instance: Version, ballot: Ballot, now: Micros) {
+    pub(in crate::node) fn on_accepted(&mut self, sender: NodeId, instance: Version, ballot: Ballot, now: Micros) {
         if !self.is_current_proposal(instance, ballot, Phase::Accept) {
             return;
         }
         if let Some(proposal) = self.consensus.state.proposal.as_mut() {
-            proposal.answered.insert(by);
+            proposal.answered.insert(sender);
         }
         if !self.has_majority_answered() {
             return;
--- a/crates/core/src/node/dispatch.rs
+++ b/crates/core/src/node/dispatch.rs
@@ -9,7 +9,7 @@
 use crate::protocol::{Frame, Message};
 
 /// A node that was not stepped for so long was stalled: messages may have waited meanwhile.
-const STALL: Micros = 500 * MS;
+const STALL_THRESHOLD: Micros = 500 * MS;
 
 /// Who sent a message, and when. Times are in microseconds.
 #[derive(Clone, Copy, Debug)]
@@ -53,7 +53,7 @@
     fn advance_clock(&mut self, now: Micros) -> Micros {
         let last_step = self.clock.last_step;
         let now = now.max(last_step);
-        if now - last_step > STALL {
+        if now - last_step > STALL_THRESHOLD {
             self.clock.resumed_at = now;
         }
         self.dissemination.contact.record_step(last_step, now);
--- a/crates/core/src/node/dissemination/contact.rs
+++ b/crates/core/src/node/dissemination/contact.rs
@@ -12,26 +12,26 @@
 
 /// A majority that replied to a probe sent at most so long ago counts as reached: one round of probes, and
 /// some time for the replies.
-const REACHED_WITHIN: Micros = 650 * MS;
+const MAJORITY_CONTACT_TIMEOUT: Micros = 650 * MS;
 /// After so long without a reply of a majority, the majority counts as lost.
-const LOST_AFTER: Micros = 1_200 * MS;
+const MAJORITY_LOST_TIMEOUT: Micros = 1_200 * MS;
 /// A caller is not kept waiting longer than this, in microseconds, while no majority replies.
 pub(in crate::node) const QUORUM_TIMEOUT: Micros = 400 * MS;
 /// A caller waits for the replies to one more probe where the majority is known to be lost, as it may be
 /// back.
 const LAST_PROBE_TIMEOUT: Micros = 50 * MS;
 /// Once a caller has waited for so long, the voters are probed again.
-const PROBE_AFTER: Micros = 75 * MS;
+const CALLER_WAIT_BEFORE_PROBE: Micros = 75 * MS;
 /// How often voters are probed while callers wait.
-const PROBE_INTERVAL: Micros = 100 * MS;
+const CALLER_PROBE_INTERVAL: Micros = 100 * MS;
 /// How often voters are probed while no majority has replied lately.
-const SUSPECT_INTERVAL: Micros = 200 * MS;
+const NO_MAJORITY_PROBE_INTERVAL: Micros = 200 * MS;
 /// A node that was not stepped for so long was stalled: replies may have waited for it.
-const STALL: Micros = 150 * MS;
+const STALL_THRESHOLD: Micros = 150 * MS;
 /// The shortest time between two probes.
-const MIN_INTERVAL: Micros = 20 * MS;
+const MIN_PROBE_INTERVAL: Micros = 20 * MS;
 /// How many probes are remembered, so that their replies count.
-const REMEMBERED_PROBES: usize = 64;
+const MAX_REMEMBERED_PROBES: usize = 64;
 
 /// What one core's replies showed last.
 #[derive(Clone, Copy, Debug, Default)]
@@ -61,7 +61,7 @@
 
     /// Notes that the node runs; what it did not receive while it was stalled proves nothing.
     pub fn record_step(&mut self, last_step: Micros, now: Micros) {
-        if now.saturating_sub(last_step) > STALL {
+        if now.saturating_sub(last_step) > STALL_THRESHOLD {
             self.running_since = now;
         }
     }
@@ -69,7 +69,7 @@
     fn record_probe(&mut self, seq: u64, now: Micros) {
         self.last_probe_at = now;
         self.sent_probes.insert(seq, now);
-        while self.sent_probes.len() > REMEMBERED_PROBES {
+        while self.sent_probes.len() > MAX_REMEMBERED_PROBES {
             self.sent_probes.pop_first();
         }
     }
@@ -94,8 +94,8 @@
     }
 
     /// Notes a core's reply to a probe.
-    pub(in crate::node) fn record_probe_reply(&mut self, by: NodeId, seq: u64, now: Micros) {
-        self.dissemination.contact.record_reply(by, seq, now);
+    pub(in crate::node) fn record_probe_reply(&mut self, from: NodeId, seq: u64, now: Micros) {
+        self.dissemination.contact.record_reply(from, seq, now);
     }
 
     /// The newest moment that holds for a majority of the voters, this one among them.
@@ -122,35 +122,35 @@
     }
 
     /// For how long no majority has replied, counted from `since` at the earliest.
-    fn majority_silence(&self, since: Micros, now: Micros) -> Micros {
+    fn time_without_majority(&self, since: Micros, now: Micros) -> Micros {
         let replied_at = self.majority_replied_at(now);
         now.saturating_sub(replied_at.max(self.dissemination.contact.running_since).max(since))
     }
 
     /// Whether a majority replied lately to a probe.
     pub(in crate::node) fn is_majority_reached(&self, now: Micros) -> bool {
-        now.saturating_sub(self.majority_reached_at(now)) <= REACHED_WITHIN
+        now.saturating_sub(self.majority_reached_at(now)) <= MAJORITY_CONTACT_TIMEOUT
     }
 
     /// Whether no majority has replied to a round of probes.
-    pub(in crate::node) fn is_majority_silent(&self, now: Micros) -> bool {
-        self.majority_silence(0, now) > REACHED_WITHIN
+    pub(in crate::node) fn is_majority_unresponsive(&self, now: Micros) -> bool {
+        self.time_without_majority(0, now) > MAJORITY_CONTACT_TIMEOUT
     }
 
     /// Whether this voter knows that it has lost the majority.
     pub(in crate::node) fn is_majority_lost(&self, now: Micros) -> bool {
-        self.voter() && self.majority_silence(0, now) >= LOST_AFTER
+        self.voter() && self.time_without_majority(0, now) >= MAJORITY_LOST_TIMEOUT
     }
 
     /// Whether a caller that has waited here since `since` is to be redirected to another core.
     pub(in crate::node) fn should_redirect(&self, since: Micros, now: Micros) -> bool {
         let timeout = if self.is_majority_lost(now) { LAST_PROBE_TIMEOUT } else { QUORUM_TIMEOUT };
-        self.voter() && self.majority_silence(since, now) >= timeout
+        self.voter() && self.time_without_majority(since, now) >= timeout
     }
 
     /// Whether a change that was received at `since` cannot complete here, since no majority replies. What
     /// the voters themselves propose has its own time-out.
-    pub(in crate::node) fn is_change_cut_off(&self, pending: &PendingChange, since: Micros, now: Micros) -> bool {
+    pub(in crate::node) fn should_abandon_change(&self, pending: &PendingChange, since: Micros, now: Micros) -> bool {
         pending.requester != Requester::Internal && self.should_redirect(since, now)
     }
 
@@ -160,7 +160,13 @@
     }
 
     /// Whether a core that was probed since `since` has not replied for so long.
-    pub(in crate::node) fn is_core_silent(&self, node_id: NodeId, since: Micros, timeout: Micros, now: Micros) -> bool {
+    pub(in crate::node) fn is_core_unresponsive(
+        &self,
+        node_id: NodeId,
+        since: Micros,
+        timeout: Micros,
+        now: Micros,
+    ) -> bool {
         let contact = &self.dissemination.contact;
         now.saturating_sub(contact.last_reply_at(node_id).max(contact.running_since).max(since)) >= timeout
     }
@@ -168,17 +174,17 @@
     /// When the voters are to be probed next, whatever is due otherwise.
     pub(in crate::node) fn next_probe_at(&self, now: Micros) -> Micros {
         let last_probe_at = self.dissemination.contact.last_probe_at;
-        let is_in_contact = now.saturating_sub(self.majority_replied_at(now)) <= REACHED_WITHIN;
+        let is_in_contact = now.saturating_sub(self.majority_replied_at(now)) <= MAJORITY_CONTACT_TIMEOUT;
         let is_unprobed = |since: Micros| since > last_probe_at;
         if self.consensus.reads.iter().any(|read| is_unprobed(read.received_at))
             || (!is_in_contact && self.waiting_since().any(is_unprobed))
         {
-            return last_probe_at + MIN_INTERVAL;
+            return last_probe_at + MIN_PROBE_INTERVAL;
         }
-        if self.waiting_since().any(|since| now.saturating_sub(since) >= PROBE_AFTER) {
-            return last_probe_at + PROBE_INTERVAL;
+        if self.waiting_since().any(|since| now.saturating_sub(since) >= CALLER_WAIT_BEFORE_PROBE) {
+            return last_probe_at + CALLER_PROBE_INTERVAL;
         }
-        if is_in_contact { Micros::MAX } else { last_probe_at + SUSPECT_INTERVAL }
+        if is_in_contact { Micros::MAX } else { last_probe_at + NO_MAJORITY_PROBE_INTERVAL }
     }
 
     /// Whether any caller waits for an answer.
--- a/crates/core/src/node/dissemination/frame_delay.rs
+++ b/crates/core/src/node/dissemination/frame_delay.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 /// Clocks of two nodes drift apart by one part in so many at most.
-const MAX_DRIFT: u64 = 5_000;
+const DRIFT_DIVISOR: u64 = 5_000;
 
 /// The smallest difference seen between this node's clock and one incarnation of a peer.
 #[derive(Clone, Copy, Debug)]
@@ -35,7 +35,7 @@
         if known.incarnation != frame.incarnation {
             *known = first;
         }
-        let drift = i128::from(now.saturating_sub(known.measured_at) / MAX_DRIFT);
+        let drift = i128::from(now.saturating_sub(known.measured_at) / DRIFT_DIVISOR);
         known.offset = (known.offset + drift).min(offset);
         known.measured_at = now;
         Micros::try_from(offset - known.offset).unwrap_or(0)
--- a/crates/core/src/node/dissemination/gossip.rs
+++ b/crates/core/src/node/dissemination/gossip.rs
@@ -10,14 +10,14 @@
 use crate::protocol::{DisseminationMessage, Heartbeat, Message, PeerRecord};
 
 /// Every so many heartbeats one target is drawn among all nodes, so that partitions merge again.
-const RANDOM_TARGET_EVERY: u64 = 4;
+const RANDOM_TARGET_INTERVAL: u64 = 4;
 /// A restarted node without a configuration serves nobody, so it contacts the seeds this often.
 const GREETING_INTERVAL: Micros = 100 * MS;
 /// For so long after its start a core greets the nodes that its disk names: they may not notice by
 /// themselves that their connections to its former incarnation are dead.
-const GREET_REGISTERED: Micros = 2 * SEC;
+const REGISTERED_GREETING_PERIOD: Micros = 2 * SEC;
 /// A core that sent no frame for so long may have been replaced, and is greeted again.
-const CORE_SILENCE: Micros = 2 * peers::GOSSIP_INTERVAL;
+const CORE_FRAME_TIMEOUT: Micros = 2 * peers::GOSSIP_INTERVAL;
 
 /// A gossip message as it came from a peer.
 #[derive(Clone, Copy, Debug)]
@@ -82,7 +82,7 @@
     fn draw_gossip_targets(&mut self, now: Micros) -> Vec<NodeId> {
         let own_id = self.settings.node_id;
         let mut targets = self.dissemination.peers.gossip_targets(own_id, &self.settings.zone, now);
-        if self.dissemination.heartbeat.is_multiple_of(RANDOM_TARGET_EVERY) {
+        if self.dissemination.heartbeat.is_multiple_of(RANDOM_TARGET_INTERVAL) {
             targets.extend(self.dissemination.peers.random_peer(own_id, &mut self.rng));
         }
         targets.sort_unstable();
@@ -95,7 +95,7 @@
         // Seeds may be addresses of machines that were replaced; the version names the current cores.
         let mut addresses = self.settings.seeds.clone();
         addresses.extend(self.consensus.state.voters().iter().map(|voter| voter.addr.clone()));
-        if now < self.clock.started_at + GREET_REGISTERED {
+        if now < self.clock.started_at + REGISTERED_GREETING_PERIOD {
             addresses.extend(self.registered_incarnations().into_iter().map(|registered| registered.addr));
         }
         addresses.sort_unstable();
@@ -123,9 +123,10 @@
         let is_voter_address = self.settings.manages_voters
             && self.voter()
             && self.consensus.state.voters().iter().any(|voter| voter.addr == addr);
-        let is_silent_core =
-            |entry: &peers::PeerEntry| is_voter_address && now.saturating_sub(entry.contacted_at) > CORE_SILENCE;
-        at_address.any(|entry| self.dissemination.peers.is_alive(entry.record.node_id, now) && !is_silent_core(entry))
+        let is_unresponsive_core =
+            |entry: &peers::PeerEntry| is_voter_address && now.saturating_sub(entry.contacted_at) > CORE_FRAME_TIMEOUT;
+        at_address
+            .any(|entry| self.dissemination.peers.is_alive(entry.record.node_id, now) && !is_unresponsive_core(entry))
     }
 
     fn gossip_to(&mut self, to: NodeId, wants_reply: bool, unknown_nodes: Vec<NodeId>, now: Micros) {
--- a/crates/core/src/node/dissemination/peer_clocks.rs
+++ b/crates/core/src/node/dissemination/peer_clocks.rs
@@ -2,7 +2,7 @@
 //!
 //! What a peer passes on is then never taken for younger than it is, also the first frames of a peer's new
 //! incarnation, however long they were delayed. The bound is lowered with time, as clocks drift. Reports from
-//! a peer without a bound wait for one for [`WAIT_TIMEOUT`] and are then dropped.
+//! a peer without a bound wait for one for [`CLOCK_BOUND_TIMEOUT`] and are then dropped.
 
 use crate::base::{Incarnation, MS, Micros, NodeId, SEC};
 use crate::node::Node;
@@ -14,19 +14,19 @@
 /// A bound is measured anew after this: clocks drift apart.
 const RENEW_INTERVAL: Micros = 20 * SEC;
 /// A round trip that takes longer gives a poor bound, which is measured anew soon.
-const FAST_ROUND_TRIP: Micros = 20 * MS;
+const SLOW_ROUND_TRIP_THRESHOLD: Micros = 20 * MS;
 /// A bound from a slow round trip is measured anew after this.
 const RENEW_SLOW_INTERVAL: Micros = SEC;
 /// Clocks drift apart by one part in so many at most.
-const MAX_DRIFT: i128 = 1_000;
+const DRIFT_DIVISOR: i128 = 1_000;
 /// Reports that wait for a bound are dropped after this.
-const WAIT_TIMEOUT: Micros = 2 * SEC;
+const CLOCK_BOUND_TIMEOUT: Micros = 2 * SEC;
 /// How many reports of a peer wait at most.
-const MAX_WAITING: usize = 4_096;
+const MAX_WAITING_REPORTS: usize = 4_096;
 /// How many requests to a peer are remembered, so that their replies count.
-const REMEMBERED_REQUESTS: usize = 8;
+const MAX_REMEMBERED_REQUESTS: usize = 8;
 /// Peers that sent no report for so long are forgotten.
-const FORGET_AFTER: Micros = 60 * SEC;
+const IDLE_PEER_RETENTION: Micros = 60 * SEC;
 
 /// A report from a peer whose clock offset is not known yet.
 #[derive(Clone, Debug)]
@@ -47,7 +47,7 @@
 impl OffsetBound {
     /// The bound that still holds now, however fast the clocks drift apart.
     fn offset_now(&self, now: Micros) -> i128 {
-        self.offset - i128::from(now.saturating_sub(self.measured_at)) / MAX_DRIFT
+        self.offset - i128::from(now.saturating_sub(self.measured_at)) / DRIFT_DIVISOR
     }
 }
 
@@ -97,14 +97,14 @@
         let measured = i128::from(requested_at) - i128::from(reading);
         let known = self.offset_now(now).unwrap_or(measured);
         self.bound = Some(OffsetBound { offset: known.max(measured), measured_at: now });
-        let is_slow = now.saturating_sub(requested_at) > FAST_ROUND_TRIP;
+        let is_slow = now.saturating_sub(requested_at) > SLOW_ROUND_TRIP_THRESHOLD;
         self.probe_due = now + if is_slow { RENEW_SLOW_INTERVAL } else { RENEW_INTERVAL };
     }
 
     /// Drops reports that waited for too long; how many.
     fn drop_overdue(&mut self, now: Micros) -> usize {
         let before = self.waiting.len();
-        self.waiting.retain(|waiting| now.saturating_sub(waiting.received_at) < WAIT_TIMEOUT);
+        self.waiting.retain(|waiting| now.saturating_sub(waiting.received_at) < CLOCK_BOUND_TIMEOUT);
         before - self.waiting.len()
     }
 }
@@ -114,7 +114,7 @@
 pub(in crate::node) struct PeerClocks {
     peers: BTreeMap<NodeId, PeerClock>,
     /// The peers whose reports wait for a bound.
-    with_waiting: BTreeSet<NodeId>,
+    peers_with_waiting_reports: BTreeSet<NodeId>,
 }
 
 impl PeerClocks {
@@ -130,8 +130,8 @@
 
     /// Forgets peers that sent no report for long.
     pub fn expire(&mut self, now: Micros) {
-        self.peers.retain(|_, clock| now.saturating_sub(clock.last_used_at) < FORGET_AFTER);
-        self.with_waiting.retain(|node_id| self.peers.contains_key(node_id));
+        self.peers.retain(|_, clock| now.saturating_sub(clock.last_used_at) < IDLE_PEER_RETENTION);
+        self.peers_with_waiting_reports.retain(|node_id| self.peers.contains_key(node_id));
     }
 }
 
@@ -159,8 +159,8 @@
     ) {
         let clock = self.dissemination.peer_clocks.clock_of(sender, now);
         clock.waiting.extend(reports.into_iter().map(|report| WaitingReport { received_at: now, sent_at, report }));
-        clock.waiting.truncate(MAX_WAITING);
-        self.dissemination.peer_clocks.with_waiting.insert(sender.0);
+        clock.waiting.truncate(MAX_WAITING_REPORTS);
+        self.dissemination.peer_clocks.peers_with_waiting_reports.insert(sender.0);
     }
 
     /// Requests a reading of a peer's clock, when that is due.
@@ -170,7 +170,7 @@
         let Some(clock) = clock.filter(|clock| now >= clock.probe_due) else { return };
         clock.probe_due = now + RETRY_INTERVAL;
         clock.probes.push_back(ClockProbe { request_id, sent_at: now });
-        if clock.probes.len() > REMEMBERED_REQUESTS {
+        if clock.probes.len() > MAX_REMEMBERED_REQUESTS {
             clock.probes.pop_front();
         }
         self.send(peer, Message::Dissemination(DisseminationMessage::ClockRequest { request_id }), now);
@@ -194,7 +194,7 @@
         let Some(probe) = clock.probes.iter().find(|probe| probe.request_id == request_id).copied() else { return };
         clock.record_reading(probe.sent_at, reading, now);
         let waiting = std::mem::take(&mut clock.waiting);
-        self.dissemination.peer_clocks.with_waiting.remove(&from);
+        self.dissemination.peer_clocks.peers_with_waiting_reports.remove(&from);
         for WaitingReport { sent_at, report, .. } in waiting {
             let clock = self.dissemination.peer_clocks.peers.get(&from);
             let Some(sent_at) = clock.and_then(|clock| clock.earliest_sent_at(sent_at, now)) else { continue };
@@ -204,11 +204,11 @@
 
     /// Drops reports that waited for too long, and requests the clocks that others wait for.
     pub(in crate::node) fn tick_peer_clocks(&mut self, now: Micros) {
-        for peer in self.dissemination.peer_clocks.with_waiting.clone() {
+        for peer in self.dissemination.peer_clocks.peers_with_waiting_reports.clone() {
             let Some(clock) = self.dissemination.peer_clocks.peers.get_mut(&peer) else { continue };
             let dropped = clock.drop_overdue(now);
             if clock.waiting.is_empty() {
-                self.dissemination.peer_clocks.with_waiting.remove(&peer);
+                self.dissemination.peer_clocks.peers_with_waiting_reports.remove(&peer);
             }
             self.counters.reports_unaged += dropped as u64;
             self.request_clock(peer, now);
--- a/crates/core/src/node/dissemination/removals.rs
+++ b/crates/core/src/node/dissemination/removals.rs
@@ -23,7 +23,7 @@
 
 /// What one round over all removals is to send.
 #[derive(Debug, Default)]
-struct RemovalRound {
+struct RemovalBatch {
     /// Requests that are answered now, and whether they are accepted.
     answers: Vec<(u64, bool)>,
     /// Reports for each node that has not acknowledged them.
@@ -102,13 +102,13 @@
             return;
         }
         let live_nodes = self.other_live_nodes(now);
-        let mut round = RemovalRound::default();
+        let mut batch = RemovalBatch::default();
         let mut removals = std::mem::take(&mut self.dissemination.workers.removals);
         for removal in removals.0.values_mut() {
-            self.step_removal(removal, &live_nodes, &mut round, now);
+            self.advance_removal(removal, &live_nodes, &mut batch, now);
         }
         self.dissemination.workers.removals = removals;
-        self.send_removal_round(round, &live_nodes, now);
+        self.send_removal_batch(batch, &live_nodes, now);
     }
 
     fn other_live_nodes(&self, now: Micros) -> Vec<LiveNode> {
@@ -120,12 +120,12 @@
             .collect()
     }
 
-    fn step_removal(&self, removal: &mut Removal, live_nodes: &[LiveNode], round: &mut RemovalRound, now: Micros) {
+    fn advance_removal(&self, removal: &mut Removal, live_nodes: &[LiveNode], batch: &mut RemovalBatch, now: Micros) {
         let is_known_by_all = live_nodes.iter().all(|node| removal.known_by.contains(&node.node_id));
-        let is_committed = self.answer_waiting_requests(removal, is_known_by_all, round, now);
+        let is_committed = self.answer_waiting_requests(removal, is_known_by_all, batch, now);
         if is_known_by_all {
             if removal.waiting_requests.is_empty() && is_committed {
-                round.known_by_all.push(removal.key.clone());
+                batch.known_by_all.push(removal.key.clone());
             }
             return;
         }
@@ -139,7 +139,7 @@
         };
         let report = WorkerReport { age: now.saturating_sub(entry.reported_at), ..entry.report.clone() };
         for node in live_nodes.iter().filter(|node| !removal.known_by.contains(&node.node_id)) {
-            round.reports.entry(node.node_id).or_default().push(report.clone());
+            batch.reports.entry(node.node_id).or_default().push(report.clone());
         }
     }
 
@@ -149,7 +149,7 @@
         &self,
         removal: &mut Removal,
         is_known_by_all: bool,
-        round: &mut RemovalRound,
+        batch: &mut RemovalBatch,
         now: Micros,
     ) -> bool {
         let voters = self.consensus.state.voters();
@@ -159,7 +159,7 @@
         known_by.extend(is_voter.then_some(self.settings.node_id));
         let is_committed = !voters.is_empty() && is_majority(voters, &known_by);
         let no_voter_knows = !voters.iter().any(|voter| known_by.contains(&voter.node_id));
-        let is_cut_off = |since: Micros| {
+        let should_abandon = |since: Micros| {
             if is_voter {
                 self.should_redirect(since, now)
             } else {
@@ -170,23 +170,23 @@
             let waited = now.saturating_sub(request.received_at);
             let is_accepted = is_committed && (is_known_by_all || waited >= ALL_NODES_TIMEOUT);
             let is_answered =
-                is_accepted || waited >= REMOVAL_TIMEOUT || (!is_committed && is_cut_off(request.received_at));
+                is_accepted || waited >= REMOVAL_TIMEOUT || (!is_committed && should_abandon(request.received_at));
             if is_answered {
-                round.answers.push((request.request_id, is_accepted));
+                batch.answers.push((request.request_id, is_accepted));
             }
             !is_answered
         });
         is_committed
     }
 
-    fn send_removal_round(&mut self, round: RemovalRound, live_nodes: &[LiveNode], now: Micros) {
-        for (request_id, is_accepted) in round.answers {
+    fn send_removal_batch(&mut self, batch: RemovalBatch, live_nodes: &[LiveNode], now: Micros) {
+        for (request_id, is_accepted) in batch.answers {
             self.acknowledge_report(request_id, is_accepted);
         }
-        for (node_id, reports) in round.reports {
+        for (node_id, reports) in batch.reports {
             self.send(node_id, Message::Dissemination(DisseminationMessage::Removals { reports }), now);
         }
-        let keys = round.known_by_all;
+        let keys = batch.known_by_all;
         if keys.is_empty() {
             return;
         }
--- a/crates/core/src/node/dissemination/reports.rs
+++ b/crates/core/src/node/dissemination/reports.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 
 /// For so long after a stall of this node, reports of other nodes are dropped: they may have waited.
-const AFTER_STALL: Micros = 300 * MS;
+const STALL_RECOVERY_PERIOD: Micros = 300 * MS;
 
 impl Node {
     /// Handles a report that a worker made to this node; false if it is older than what is known of the
@@ -92,7 +92,7 @@
         now: Micros,
     ) {
         // What waited while this node was stalled is of an unknown age.
-        let is_after_stall = now.saturating_sub(self.clock.resumed_at) < AFTER_STALL;
+        let is_after_stall = now.saturating_sub(self.clock.resumed_at) < STALL_RECOVERY_PERIOD;
         let earliest_sent_at = self.earliest_sent_at(sender, sent_at, now);
         let (removals, in_service): (Vec<_>, Vec<_>) = reports.iter().partition(|report| report.is_out_of_service());
         for report in removals {
--- a/crates/core/src/node/dissemination/updates.rs
+++ b/crates/core/src/node/dissemination/updates.rs
@@ -15,13 +15,13 @@
 /// How often changes of workers are sent to subscribers.
 const PUSH_INTERVAL: Micros = 100 * MS;
 /// How many bytes of a new version are sent in one step of the timer.
-const PUSH_BYTES: usize = 512 << 10;
+const MAX_PUSH_BYTES: usize = 512 << 10;
 /// A subscriber that did not renew its subscription for so long is sent no changes of workers.
-const SUBSCRIBER_SILENCE: Micros = 2 * SEC;
+const SUBSCRIPTION_TIMEOUT: Micros = 2 * SEC;
 /// A version that no majority confirmed for so long may be outdated: another core is asked.
-const STALE_AFTER: Micros = 1_500 * MS;
+const STALENESS_THRESHOLD: Micros = 1_500 * MS;
 /// How many subscription requests to an upstream are remembered, so that late answers count.
-const REMEMBERED_REQUESTS: usize = 8;
+const MAX_REMEMBERED_REQUESTS: usize = 8;
 /// The topic of the configuration. All other topics are names of pools.
 const CONFIG_TOPIC: &str = "config";
 
@@ -108,7 +108,7 @@
 
     fn is_version_stale(&self, now: Micros) -> bool {
         let confirmed_at = self.consensus.freshness.confirmed_at(self.version());
-        confirmed_at.is_none_or(|confirmed_at| now.saturating_sub(confirmed_at) > STALE_AFTER)
+        confirmed_at.is_none_or(|confirmed_at| now.saturating_sub(confirmed_at) > STALENESS_THRESHOLD)
     }
 
     /// A live core, in this node's zone before the others. While the version may be outdated, `attempt`
@@ -157,7 +157,7 @@
         let seq = workers.last_request_seq;
         let upstream = workers.upstreams.entry(to).or_default();
         upstream.sent_requests.insert(seq, now);
-        while upstream.sent_requests.len() > REMEMBERED_REQUESTS {
+        while upstream.sent_requests.len() > MAX_REMEMBERED_REQUESTS {
             upstream.sent_requests.pop_first();
         }
         let subscribe = DisseminationMessage::Subscribe {
@@ -271,7 +271,7 @@
     pub(in crate::node) fn push_versions(&mut self, now: Micros) {
         let next_version = self.next_version();
         let entry_bytes = self.consensus.state.newest().map_or(0, |entry| entry.without_body().size());
-        let limit = (PUSH_BYTES / entry_bytes.max(1)).max(1);
+        let limit = (MAX_PUSH_BYTES / entry_bytes.max(1)).max(1);
         let targets: Vec<_> = self
             .dissemination
             .workers
@@ -309,7 +309,7 @@
 
     fn has_changes_for(&self, subscriber: &Subscriber, now: Micros) -> bool {
         let workers = &self.dissemination.workers;
-        now.saturating_sub(subscriber.subscribed_at) < SUBSCRIBER_SILENCE
+        now.saturating_sub(subscriber.subscribed_at) < SUBSCRIPTION_TIMEOUT
             && subscriber.sent_index < workers.change_index
             && workers.entries.values().any(|entry| {
                 entry.change_index > subscriber.sent_index && subscriber.topics.contains(&entry.report.pool)
--- a/crates/core/src/node/lease/grantor.rs
+++ b/crates/core/src/node/lease/grantor.rs
@@ -17,7 +17,7 @@
     ///
     /// A voter that accepted a change of the set doesn't vote until it knows whether the change was decided:
     /// the next set relies on that.
-    pub(super) fn on_lease_request(&mut self, by: NodeId, request: LeaseRequest, now: Micros) {
+    pub(super) fn on_lease_request(&mut self, from: NodeId, request: LeaseRequest, now: Micros) {
         let LeaseRequest { voter_set, role, epoch, request_id, is_new_epoch } = request;
         if !self.is_ready() || voter_set != self.voter_set() || self.is_changing_voters() {
             return;
@@ -26,19 +26,19 @@
         if is_new_epoch && now < self.leases.grantor.earlier_sets_until {
             return;
         }
-        match self.leases.grantor.request(role, by, epoch, is_new_epoch, now) {
+        match self.leases.grantor.request(role, from, epoch, is_new_epoch, now) {
             LeaseDecision::Rejected { epoch, holder, remaining } => {
                 let rejected = LeaseMessage::Rejected { role, epoch, request_id, holder, remaining };
-                self.send(by, Message::Lease(rejected), now);
+                self.send(from, Message::Lease(rejected), now);
             }
             LeaseDecision::Granted { is_new_epoch: true } => {
                 let vote = self.vote_for_new_epoch(&request, now);
-                let reply = self.send_effect(by, Message::Lease(vote.into()), now).into_iter().collect();
+                let reply = self.send_effect(from, Message::Lease(vote.into()), now).into_iter().collect();
                 self.persist(vec![DurableWrite::Epoch { role, epoch }], reply);
             }
             LeaseDecision::Granted { is_new_epoch: false } => {
                 let vote = self.vote_for_known_epoch(&request);
-                self.send(by, Message::Lease(vote.into()), now);
+                self.send(from, Message::Lease(vote.into()), now);
             }
         }
     }
--- a/crates/core/src/node/lease/holder.rs
+++ b/crates/core/src/node/lease/holder.rs
@@ -47,23 +47,23 @@
             return;
         }
         self.leases.held.renewal_due = now + CHECK_INTERVAL;
-        let is_majority_silent = self.is_majority_silent(now);
+        let is_majority_unresponsive = self.is_majority_unresponsive(now);
         for role in 0..ROLE_COUNT {
             let is_held = self.leases.held.valid_epoch(role, now).is_some();
             if !self.draining && (is_held || self.is_candidate(role, now)) {
-                self.request_lease_if_due(role, is_held, is_majority_silent, now);
+                self.request_lease_if_due(role, is_held, is_majority_unresponsive, now);
             }
         }
     }
 
-    fn request_lease_if_due(&mut self, role: u32, is_held: bool, is_majority_silent: bool, now: Micros) {
+    fn request_lease_if_due(&mut self, role: u32, is_held: bool, is_majority_unresponsive: bool, now: Micros) {
         let voter_set = self.voter_set();
         let highest_granted = self.leases.grantor.epochs.get(&role).copied().unwrap_or(0);
         let held = &mut self.leases.held;
         held.last_request_id += 1;
         let request_id = held.last_request_id;
         let lease = held.by_role.entry(role).or_default();
-        if !lease.is_request_due(is_majority_silent, now) {
+        if !lease.is_request_due(is_majority_unresponsive, now) {
             return;
         }
         if !is_held {
@@ -87,12 +87,12 @@
     }
 
     /// Counts a voter's grant. `delay` is how long it was in transit, during which the windows went on.
-    pub(super) fn on_lease_vote(&mut self, by: NodeId, vote: LeaseVote, delay: Micros, now: Micros) {
+    pub(super) fn on_lease_vote(&mut self, from: NodeId, vote: LeaseVote, delay: Micros, now: Micros) {
         let LeaseVote { role, epoch, request_id, .. } = vote;
         let Some(lease) = self.leases.held.by_role.get_mut(&role) else { return };
-        let Some(open) = lease.matching_request(request_id, epoch) else { return };
-        open.granted_by.insert(by);
-        let (sent_at, mut granted_by) = (open.sent_at, open.granted_by.clone());
+        let Some(open_request) = lease.matching_request(request_id, epoch) else { return };
+        open_request.granted_by.insert(from);
+        let (sent_at, mut granted_by) = (open_request.sent_at, open_request.granted_by.clone());
         let received = vote.grants.into_iter().map(|grant| grant.aged_by(delay));
         lease.inherited_grants.extend(received.map(|grant| ReceivedGrant { received_at: now, grant }));
         lease.registered.extend(vote.registered);
@@ -161,7 +161,7 @@
     pub(super) fn on_lease_rejected(&mut self, rejection: &LeaseRejection, now: Micros) {
         let LeaseRejection { role, epoch, request_id, holder, remaining } = *rejection;
         let Some(lease) = self.leases.held.by_role.get_mut(&role) else { return };
-        if lease.open_request.as_ref().is_none_or(|open| open.request_id != request_id) {
+        if lease.open_request.as_ref().is_none_or(|open_request| open_request.request_id != request_id) {
             return;
         }
         self.counters.leases_rejected += 1;
--- a/crates/core/src/node/lease/mod.rs
+++ b/crates/core/src/node/lease/mod.rs
@@ -89,16 +89,16 @@
 impl Node {
     /// Handles a message about leases.
     pub(super) fn on_lease_message(&mut self, envelope: &Envelope, message: LeaseMessage, now: Micros) {
-        let by = envelope.from;
+        let from = envelope.from;
         match message {
             LeaseMessage::Request { voter_set, role, epoch, request_id, is_new_epoch } => {
                 let request = LeaseRequest { voter_set, role, epoch, request_id, is_new_epoch };
-                self.on_lease_request(by, request, now);
+                self.on_lease_request(from, request, now);
             }
             LeaseMessage::Granted { role, epoch, request_id, grants, has_no_predecessor, registered } => {
                 if !self.is_former_incarnation(envelope.incarnation_of_sender()) {
                     let vote = LeaseVote { role, epoch, request_id, grants, has_no_predecessor, registered };
-                    self.on_lease_vote(by, vote, envelope.delay, now);
+                    self.on_lease_vote(from, vote, envelope.delay, now);
                 }
             }
             LeaseMessage::Rejected { role, epoch, request_id, holder, remaining } => {
@@ -108,7 +108,7 @@
             LeaseMessage::HeldLeasesQuery { query_id } => {
                 self.on_held_leases_query(envelope.incarnation_of_sender(), query_id, now);
             }
-            LeaseMessage::NoHeldLeases { query_id } => self.on_no_held_leases(by, query_id, now),
+            LeaseMessage::NoHeldLeases { query_id } => self.on_no_held_leases(from, query_id, now),
         }
     }
 }
--- a/crates/core/src/node/lease/startup_fence.rs
+++ b/crates/core/src/node/lease/startup_fence.rs
@@ -70,15 +70,15 @@
 
     /// Replies that this core holds no lease, or not at all. What it has requested meanwhile is won without
     /// the votes of the voter's former incarnations, including those in transit.
-    pub(super) fn on_held_leases_query(&mut self, by: (NodeId, Incarnation), query_id: u64, now: Micros) {
+    pub(super) fn on_held_leases_query(&mut self, from: (NodeId, Incarnation), query_id: u64, now: Micros) {
         let holds_none = self.leases.held.by_role.values().all(|lease| lease.expires_at <= now);
-        if !self.settings.is_core || !holds_none || self.is_former_incarnation(by) {
+        if !self.settings.is_core || !holds_none || self.is_former_incarnation(from) {
             return;
         }
-        let (voter, incarnation) = by;
+        let (voter, incarnation) = from;
         if self.leases.startup_fence.answered.insert(voter, incarnation) != Some(incarnation) {
-            for open in self.leases.held.by_role.values_mut().filter_map(|lease| lease.open_request.as_mut()) {
-                open.granted_by.remove(&voter);
+            for open_request in self.leases.held.by_role.values_mut().filter_map(|lease| lease.open_request.as_mut()) {
+                open_request.granted_by.remove(&voter);
             }
         }
         self.send(voter, Message::Lease(LeaseMessage::NoHeldLeases { query_id }), now);
@@ -91,11 +91,11 @@
     }
 
     /// A core replied that it holds no lease: once all did, the fence is lifted.
-    pub(super) fn on_no_held_leases(&mut self, by: NodeId, query_id: u64, now: Micros) {
+    pub(super) fn on_no_held_leases(&mut self, from: NodeId, query_id: u64, now: Micros) {
         if query_id != self.leases.startup_fence.query_id || now >= self.leases.grantor.fence_until {
             return;
         }
-        self.leases.startup_fence.without_leases.insert(by);
+        self.leases.startup_fence.without_leases.insert(from);
         if self.possible_holders().is_subset(&self.leases.startup_fence.without_leases) {
             self.leases.grantor.fence_until = now;
         }
--- a/crates/core/src/node/membership/bootstrap.rs
+++ b/crates/core/src/node/membership/bootstrap.rs
@@ -57,12 +57,12 @@
     }
 
     /// Replicates the newest version to a node that has none, or counts the announcement of a seed.
-    pub(super) fn on_bootstrap(&mut self, by: NodeId, announcement: BootstrapAnnouncement, now: Micros) {
+    pub(super) fn on_bootstrap(&mut self, from: NodeId, announcement: BootstrapAnnouncement, now: Micros) {
         if self.version().is_some() {
-            if by != self.settings.node_id && announcement.version.is_none() {
+            if from != self.settings.node_id && announcement.version.is_none() {
                 self.replicate_newest_to(&announcement.sender.addr, now);
             }
-        } else if self.is_bootstrap_peer(by, &announcement) {
+        } else if self.is_bootstrap_peer(from, &announcement) {
             self.record_bootstrap_peer(announcement, now);
             self.advance_bootstrap(now);
         }
@@ -74,9 +74,9 @@
     }
 
     /// Whether the announcement comes from a seed with which this core may found a fleet.
-    fn is_bootstrap_peer(&self, by: NodeId, announcement: &BootstrapAnnouncement) -> bool {
+    fn is_bootstrap_peer(&self, from: NodeId, announcement: &BootstrapAnnouncement) -> bool {
         let BootstrapAnnouncement { sender, may_bootstrap, .. } = announcement;
-        let is_seed = sender.node_id == by && self.settings.seeds.contains(&sender.addr);
+        let is_seed = sender.node_id == from && self.settings.seeds.contains(&sender.addr);
         self.settings.is_core && self.settings.may_bootstrap && *may_bootstrap && is_seed
     }
 
--- a/crates/core/src/node/membership/mod.rs
+++ b/crates/core/src/node/membership/mod.rs
@@ -74,23 +74,23 @@
 impl Node {
     /// Handles a message about the set of voters.
     pub(super) fn on_membership_message(&mut self, envelope: &Envelope, message: MembershipMessage, now: Micros) {
-        let by = envelope.from;
+        let from = envelope.from;
         match message {
             MembershipMessage::Bootstrap { sender, version, vote, may_bootstrap } => {
-                self.on_bootstrap(by, BootstrapAnnouncement { sender, version, vote, may_bootstrap }, now);
+                self.on_bootstrap(from, BootstrapAnnouncement { sender, version, vote, may_bootstrap }, now);
             }
-            MembershipMessage::TakeoverRequest { voter_set } => self.on_takeover_request(by, voter_set, now),
+            MembershipMessage::TakeoverRequest { voter_set } => self.on_takeover_request(from, voter_set, now),
             MembershipMessage::TakeoverReply { voter_set, is_complete, grants, registered } => {
                 let reply = TakeoverReply { voter_set, is_complete, grants, registered };
-                self.on_takeover_reply(by, reply, envelope.delay, now);
+                self.on_takeover_reply(from, reply, envelope.delay, now);
             }
             MembershipMessage::Register { voter_set, request_id, incarnations } => {
-                self.on_register(by, voter_set, request_id, incarnations, now);
+                self.on_register(from, voter_set, request_id, incarnations, now);
             }
             MembershipMessage::Registered { voter_set, request_id } => {
-                self.on_registered(by, voter_set, request_id, now);
+                self.on_registered(from, voter_set, request_id, now);
             }
-            MembershipMessage::Ready { voter_set } => self.on_ready(by, voter_set),
+            MembershipMessage::Ready { voter_set } => self.on_ready(from, voter_set),
         }
     }
 }
--- a/crates/core/src/node/membership/registrations.rs
+++ b/crates/core/src/node/membership/registrations.rs
@@ -17,7 +17,7 @@
 /// A lease holder relies on a registration for this long after it asked for it, in microseconds.
 const REGISTRATION_VALIDITY: Micros = 8 * SEC;
 /// A registration that is older than this, in microseconds, is renewed.
-const RENEW_AFTER: Micros = 4 * SEC;
+const RENEWAL_AGE: Micros = 4 * SEC;
 /// A voter forgets a registration after this long, in microseconds: later than any share that was granted by it
 /// expires, which is a share lease after a lease holder last relied on it.
 const REGISTRATION_RETENTION: Micros = 20 * SEC;
@@ -218,7 +218,7 @@
         let pending: BTreeSet<_> =
             registrations.pending.values().filter(is_fresh).flat_map(|p| &p.incarnations).copied().collect();
         let is_due = |incarnation: &NodeIncarnation| {
-            !pending.contains(incarnation) && !registrations.is_confirmed(*incarnation, RENEW_AFTER, now)
+            !pending.contains(incarnation) && !registrations.is_confirmed(*incarnation, RENEWAL_AGE, now)
         };
         let with_addr = |(node_id, incarnation): NodeIncarnation| {
             let addr = self.dissemination.peers.address(node_id)?.to_owned();
--- a/crates/core/src/node/membership/takeover.rs
+++ b/crates/core/src/node/membership/takeover.rs
@@ -46,7 +46,7 @@
     /// The set that is taken over to, named by its version.
     voter_set: Option<Version>,
     /// Since when this incarnation knows the set, in microseconds of its monotonic clock.
-    since: Micros,
+    known_since: Micros,
     /// The nodes that replied.
     replied: BTreeSet<NodeId>,
     /// What they handed over of windows, by tenant and node that it was granted to.
@@ -128,9 +128,9 @@
         }
         let voter_set = entry.voters_since;
         if self.membership.takeover.voter_set != Some(voter_set) {
-            self.membership.takeover = Takeover { voter_set: Some(voter_set), since: now, ..Takeover::default() };
+            self.membership.takeover = Takeover { voter_set: Some(voter_set), known_since: now, ..Takeover::default() };
         }
-        if now >= self.membership.takeover.since + TAKEOVER_TIMEOUT {
+        if now >= self.membership.takeover.known_since + TAKEOVER_TIMEOUT {
             return self.take_over_by_timeout(now);
         }
         if now >= self.membership.takeover.next_request_at {
@@ -149,7 +149,7 @@
 
     /// Hands over what this node knows. A node that does so acts under no earlier set any more, also after a
     /// start: so it replies only once the newest set is on its disk, and is requested again until then.
-    pub(super) fn on_takeover_request(&mut self, by: NodeId, voter_set: Version, now: Micros) {
+    pub(super) fn on_takeover_request(&mut self, from: NodeId, voter_set: Version, now: Micros) {
         let Some(entry) = self.consensus.state.newest() else { return };
         let is_complete = self.membership.ready_set == Some(voter_set);
         let was_voter = entry.previous_voters.iter().any(|voter| voter.node_id == self.settings.node_id);
@@ -160,7 +160,7 @@
         let grants = self.grants_of(|_| true, now);
         let registered = self.registered_incarnations();
         let reply = MembershipMessage::TakeoverReply { voter_set, is_complete, grants, registered };
-        self.send(by, Message::Membership(reply), now);
+        self.send(from, Message::Membership(reply), now);
     }
 
     /// Whether a majority of the newest set is ready, and so took over what was granted before.
@@ -172,24 +172,24 @@
     }
 
     /// Records that a voter is ready, which it announces only once that is on its disk.
-    pub(in crate::node) fn on_ready(&mut self, by: NodeId, voter_set: Version) {
-        if by == self.settings.node_id {
+    pub(in crate::node) fn on_ready(&mut self, from: NodeId, voter_set: Version) {
+        if from == self.settings.node_id {
             self.membership.synced_ready_set = self.membership.synced_ready_set.max(Some(voter_set));
         }
-        let newest = self.consensus.state.ready_sets.entry(by).or_insert(voter_set);
+        let newest = self.consensus.state.ready_sets.entry(from).or_insert(voter_set);
         *newest = (*newest).max(voter_set);
     }
 
     /// Collects what a voter handed over. One that is ready itself hands over everything; others count as
     /// one voter of the set before.
-    pub(super) fn on_takeover_reply(&mut self, by: NodeId, reply: TakeoverReply, delay: Micros, now: Micros) {
+    pub(super) fn on_takeover_reply(&mut self, from: NodeId, reply: TakeoverReply, delay: Micros, now: Micros) {
         let TakeoverReply { voter_set, is_complete, grants, registered } = reply;
         let takeover = &self.membership.takeover;
         if self.is_ready() || takeover.voter_set != Some(voter_set) || voter_set != self.voter_set() {
             return;
         }
         let takeover = &mut self.membership.takeover;
-        takeover.replied.insert(by);
+        takeover.replied.insert(from);
         takeover.registered.extend(registered.into_iter().map(|row| ((row.node_id, row.incarnation), row)));
         for grant in grants {
             takeover.merge_grant(grant.aged_by(delay), now);
--- a/crates/core/src/node/membership/voters.rs
+++ b/crates/core/src/node/membership/voters.rs
@@ -22,7 +22,7 @@
 /// count as its replacement, in microseconds.
 pub const REPLACEMENT_MARGIN: Micros = 300 * MS;
 /// How long a voter must be silent to be replaced by a recent candidate, in microseconds.
-pub const SILENCE_TIMEOUT: Micros = 1_500 * MS;
+pub const SUSPECT_TIMEOUT: Micros = 1_500 * MS;
 /// How long after it was first known a candidate counts as recent, in microseconds.
 const RECENT_PERIOD: Micros = 10 * SEC;
 /// How long after its own start a node takes no newly known candidate for recent, in microseconds: it
@@ -37,11 +37,11 @@
 
 /// The condition of a voter, in ascending order of how certainly it must be replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum VoterStanding {
-    /// It was last seen less than [`SILENCE_TIMEOUT`] ago.
+pub enum VoterStatus {
+    /// It was last seen less than [`SUSPECT_TIMEOUT`] ago.
     Live,
     /// It is silent, but has failed only if a candidate is recent.
-    Silent,
+    Suspect,
     /// It is unknown, or was silent for [`FAILURE_TIMEOUT`].
     Failed,
     /// It is leaving.
@@ -58,7 +58,7 @@
     /// Its zone, if it is known.
     pub zone: Option<String>,
     /// Its condition.
-    pub standing: VoterStanding,
+    pub status: VoterStatus,
 }
 
 /// A live core without a vote that has the newest version.
@@ -110,17 +110,17 @@
 
 /// The condition of a voter by what is known of the peers.
 #[must_use]
-pub fn voter_standing(voter: &Voter, peers: &BTreeMap<NodeId, PeerEntry>, now: Micros) -> VoterStanding {
+pub fn voter_status(voter: &Voter, peers: &BTreeMap<NodeId, PeerEntry>, now: Micros) -> VoterStatus {
     let own = peers.get(&voter.node_id);
     if peers.values().any(|other| replaces(other, voter, own, now)) {
-        return VoterStanding::Replaced;
+        return VoterStatus::Replaced;
     }
-    let Some(own) = own else { return VoterStanding::Failed };
+    let Some(own) = own else { return VoterStatus::Failed };
     match now.saturating_sub(own.heartbeat_at.max(own.contacted_at)) {
-        _ if own.record.draining => VoterStanding::Draining,
-        silence if silence >= FAILURE_TIMEOUT => VoterStanding::Failed,
-        silence if silence >= SILENCE_TIMEOUT => VoterStanding::Silent,
-        _ => VoterStanding::Live,
+        _ if own.record.draining => VoterStatus::Draining,
+        silence if silence >= FAILURE_TIMEOUT => VoterStatus::Failed,
+        silence if silence >= SUSPECT_TIMEOUT => VoterStatus::Suspect,
+        _ => VoterStatus::Live,
     }
 }
 
@@ -143,12 +143,12 @@
 /// The voter that must be replaced most certainly, if any.
 fn voter_to_replace<'a>(slots: &'a [VoterSlot], candidates: &[Candidate]) -> Option<&'a VoterSlot> {
     let has_recent = candidates.iter().any(|candidate| candidate.is_recent);
-    let must_be_replaced = |slot: &&VoterSlot| match slot.standing {
-        VoterStanding::Live => false,
-        VoterStanding::Silent => has_recent,
-        VoterStanding::Failed | VoterStanding::Draining | VoterStanding::Replaced => true,
+    let must_be_replaced = |slot: &&VoterSlot| match slot.status {
+        VoterStatus::Live => false,
+        VoterStatus::Suspect => has_recent,
+        VoterStatus::Failed | VoterStatus::Draining | VoterStatus::Replaced => true,
     };
-    slots.iter().filter(must_be_replaced).max_by_key(|slot| (slot.standing, slot.voter.node_id))
+    slots.iter().filter(must_be_replaced).max_by_key(|slot| (slot.status, slot.voter.node_id))
 }
 
 /// The candidate in the zone with the fewest of the remaining voters; among those the one at the address of
@@ -159,7 +159,7 @@
     removed: Option<&VoterSlot>,
 ) -> Option<&'a Candidate> {
     let voters_in = |zone: &str| remaining.iter().filter(|slot| slot.zone.as_deref() == Some(zone)).count();
-    let must_be_recent = removed.is_some_and(|removed| removed.standing == VoterStanding::Silent);
+    let must_be_recent = removed.is_some_and(|removed| removed.status == VoterStatus::Suspect);
     candidates.iter().filter(|candidate| candidate.is_recent || !must_be_recent).min_by_key(|candidate| {
         let node_id = candidate.node.node_id;
         let is_elsewhere = removed.is_none_or(|removed| removed.voter.addr != candidate.node.addr);
@@ -174,11 +174,11 @@
 pub fn proposal_delay(own_id: NodeId, slots: &[VoterSlot], version: Version) -> Micros {
     let mut ranked: Vec<_> = slots
         .iter()
-        .filter(|slot| slot.standing <= VoterStanding::Silent)
+        .filter(|slot| slot.status <= VoterStatus::Suspect)
         .map(|slot| {
             let node_id = slot.voter.node_id;
             let weight = rendezvous_weight(node_id.0, &version.to_le_bytes());
-            (slot.standing == VoterStanding::Silent, Reverse(weight), node_id)
+            (slot.status == VoterStatus::Suspect, Reverse(weight), node_id)
         })
         .collect();
     ranked.sort_unstable();
@@ -203,13 +203,13 @@
     fn voter_slot(&self, voter: &Voter, now: Micros) -> VoterSlot {
         let peers = &self.dissemination.peers.entries;
         let is_self = voter.node_id == self.settings.node_id;
-        let standing = match is_self {
-            true if self.draining => VoterStanding::Draining,
-            true => VoterStanding::Live,
-            false => voter_standing(voter, peers, now),
+        let status = match is_self {
+            true if self.draining => VoterStatus::Draining,
+            true => VoterStatus::Live,
+            false => voter_status(voter, peers, now),
         };
         let zone = peers.get(&voter.node_id).map(|peer| peer.record.zone.clone());
-        VoterSlot { voter: voter.clone(), zone, standing }
+        VoterSlot { voter: voter.clone(), zone, status }
     }
 
     fn candidates(&self, version: Version, now: Micros) -> Vec<Candidate> {
@@ -310,8 +310,8 @@
         let mut slots = self.voter_slots(now);
         if now.saturating_sub(self.clock.started_at.max(self.clock.resumed_at)) <= FAILURE_TIMEOUT {
             for slot in &mut slots {
-                if matches!(slot.standing, VoterStanding::Failed | VoterStanding::Silent) {
-                    slot.standing = VoterStanding::Live;
+                if matches!(slot.status, VoterStatus::Failed | VoterStatus::Suspect) {
+                    slot.status = VoterStatus::Live;
                 }
             }
         }
--- a/crates/core/src/node/outbox.rs
+++ b/crates/core/src/node/outbox.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug)]
 struct PendingWrite {
     token: u64,
-    then: Vec<Effect>,
+    deferred: Vec<Effect>,
     bytes: usize,
 }
 
@@ -65,19 +65,20 @@
     pub fn defer(&mut self, effect: Effect) -> Result<(), Effect> {
         match self.pending_writes.back_mut() {
             Some(newest) => {
-                newest.then.push(effect);
+                newest.deferred.push(effect);
                 Ok(())
             }
             None => Err(effect),
         }
     }
 
-    fn begin_write(&mut self, writes: Vec<DurableWrite>, then: Vec<Effect>) {
+    fn begin_write(&mut self, writes: Vec<DurableWrite>, deferred: Vec<Effect>) {
         self.last_token += 1;
         let token = self.last_token;
-        let bytes = writes.iter().map(DurableWrite::size).sum::<usize>() + then.iter().map(body_bytes).sum::<usize>();
+        let bytes =
+            writes.iter().map(DurableWrite::size).sum::<usize>() + deferred.iter().map(body_bytes).sum::<usize>();
         self.unsynced_bytes += bytes;
-        self.pending_writes.push_back(PendingWrite { token, then, bytes });
+        self.pending_writes.push_back(PendingWrite { token, deferred, bytes });
         self.effects.push(Effect::Write { token, writes });
     }
 
@@ -86,12 +87,12 @@
         self.pending_writes.front().filter(|write| write.token <= token)?;
         let write = self.pending_writes.pop_front()?;
         self.unsynced_bytes -= write.bytes;
-        Some(write.then)
+        Some(write.deferred)
     }
 
     /// For the digest of a node's state: the effects of each write that is not synced yet.
     pub fn deferred_effects(&self) -> impl Iterator<Item = &Vec<Effect>> {
-        self.pending_writes.iter().map(|write| &write.then)
+        self.pending_writes.iter().map(|write| &write.deferred)
     }
 
     /// For the digest of a node's state: the frames that this node sent to itself.
@@ -166,8 +167,8 @@
     }
 
     /// Writes to the disk. Nothing in `then` is emitted before `writes` are synced.
-    pub(super) fn persist(&mut self, writes: Vec<DurableWrite>, then: Vec<Effect>) {
-        self.outbox.begin_write(writes, then);
+    pub(super) fn persist(&mut self, writes: Vec<DurableWrite>, deferred: Vec<Effect>) {
+        self.outbox.begin_write(writes, deferred);
     }
 
     /// Whether so much waits for the disk that more would only use memory.
--- a/crates/core/src/node/publisher.rs
+++ b/crates/core/src/node/publisher.rs
@@ -2,7 +2,7 @@
 //!
 //! Guarantees that each view is consistent in itself: it is built within one step and never changed
 //! afterwards. A new one is published when the version changed, when something else changed at most every
-//! [`MIN_INTERVAL`], and at least every [`MAX_INTERVAL`].
+//! [`MIN_PUBLISH_INTERVAL`], and at least every [`MAX_PUBLISH_INTERVAL`].
 
 use super::{Effect, Node};
 use crate::base::{MS, Micros, NodeId, Version};
@@ -66,17 +66,17 @@
 }
 
 /// A new view is published at most this often, unless the version changed.
-const MIN_INTERVAL: Micros = 20 * MS;
+const MIN_PUBLISH_INTERVAL: Micros = 20 * MS;
 /// A new view is published at least this often.
-const MAX_INTERVAL: Micros = 100 * MS;
+const MAX_PUBLISH_INTERVAL: Micros = 100 * MS;
 
 impl Node {
-    /// Publishes a new view when something changed, and at least every [`MAX_INTERVAL`].
+    /// Publishes a new view when something changed, and at least every [`MAX_PUBLISH_INTERVAL`].
     pub(super) fn publish(&mut self, now: Micros) {
         let is_new_version = self.version() != self.publisher.version;
         let age = now.saturating_sub(self.publisher.published_at);
-        let is_due = age >= MIN_INTERVAL && self.publisher.is_dirty;
-        if !is_new_version && !is_due && age < MAX_INTERVAL {
+        let is_due = age >= MIN_PUBLISH_INTERVAL && self.publisher.is_dirty;
+        if !is_new_version && !is_due && age < MAX_PUBLISH_INTERVAL {
             return;
         }
         self.publisher.is_dirty = false;
--- a/crates/core/src/node/quota/shares.rs
+++ b/crates/core/src/node/quota/shares.rs
@@ -232,7 +232,7 @@
         let roles: BTreeSet<_> = tenants.iter().map(|tenant| quota_role(tenant)).collect();
         for role in roles {
             if self.share_holder(role) == Some(to) {
-                self.try_next_voter(role, to);
+                self.fail_over_to_next_voter(role, to);
             }
         }
         for tenant in tenants {
@@ -240,7 +240,7 @@
         }
     }
 
-    fn try_next_voter(&mut self, role: u32, unresponsive: NodeId) {
+    fn fail_over_to_next_voter(&mut self, role: u32, unresponsive: NodeId) {
         self.leases.held.holder_hints.remove(&role);
         if let Some(voter) = self.voter_after(unresponsive) {
             self.quota.share_client.next_voters.insert(role, voter);
@@ -287,7 +287,7 @@
                 }
             } else if self.share_holder(claim.role) == Some(from) {
                 if claim.holder == NodeId::default() {
-                    self.try_next_voter(claim.role, from);
+                    self.fail_over_to_next_voter(claim.role, from);
                 } else {
                     self.quota.share_client.next_voters.insert(claim.role, claim.holder);
                 }
--- a/crates/core/src/node/quota/windows.rs
+++ b/crates/core/src/node/quota/windows.rs
@@ -276,7 +276,7 @@
         let nodes = self.live_node_count(now);
         let request = SliceRequest { node_id: from, request_id, wanted_units, received_at: now };
         let actions = self.quota.window_ledger.request(tenant, quota, request, returned, nodes, now);
-        self.run_ledger_actions(tenant, actions, now);
+        self.apply_ledger_actions(tenant, actions, now);
     }
 
     /// A node has returned units of a window.
@@ -292,7 +292,7 @@
         if self.leases.held.valid_epoch(quota_role(tenant), now).is_some() {
             let nodes = self.live_node_count(now);
             let actions = self.quota.window_ledger.return_units(tenant, quota, from, window, returned, nodes, now);
-            self.run_ledger_actions(tenant, actions, now);
+            self.apply_ledger_actions(tenant, actions, now);
         }
     }
 
@@ -304,7 +304,7 @@
             match (self.leases.held.valid_epoch(quota_role(&tenant), now), self.window_quota(&tenant)) {
                 (Some(_), Some(quota)) => {
                     let actions = self.quota.window_ledger.tick(&tenant, quota, nodes, now);
-                    self.run_ledger_actions(&tenant, actions, now);
+                    self.apply_ledger_actions(&tenant, actions, now);
                 }
                 // A tenant that is not in this node's configuration may be in the next one.
                 (Some(_), None) => {}
@@ -313,7 +313,7 @@
         }
     }
 
-    fn run_ledger_actions(&mut self, tenant: &str, actions: Vec<LedgerAction>, now: Micros) {
+    fn apply_ledger_actions(&mut self, tenant: &str, actions: Vec<LedgerAction>, now: Micros) {
         let role = quota_role(tenant);
         let Some(epoch) = self.leases.held.valid_epoch(role, now) else { return };
         let mut grants = Vec::new();
--- a/crates/core/tests/voters.rs
+++ b/crates/core/tests/voters.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use sumacvale_core::base::{MS, Micros, NodeId, SEC};
 use sumacvale_core::node::membership::voters::{
-    Candidate, PROPOSAL_RANK_DELAY, REPLACEMENT_MARGIN, SILENCE_TIMEOUT, VoterSlot, VoterStanding, choose_voters,
-    proposal_delay, target_voter_count, voter_standing,
+    Candidate, PROPOSAL_RANK_DELAY, REPLACEMENT_MARGIN, SUSPECT_TIMEOUT, VoterSlot, VoterStatus, choose_voters,
+    proposal_delay, target_voter_count, voter_status,
 };
 use sumacvale_core::peers::{FAILURE_TIMEOUT, PeerEntry};
 use sumacvale_core::protocol::{PeerRecord, Voter};
@@ -13,8 +13,8 @@
     Voter { node_id: NodeId(n), addr: format!("10.0.0.{n}:7000") }
 }
 
-fn slot(n: u64, zone: &str, standing: VoterStanding) -> VoterSlot {
-    VoterSlot { voter: voter(n), zone: Some(zone.into()), standing }
+fn slot(n: u64, zone: &str, status: VoterStatus) -> VoterSlot {
+    VoterSlot { voter: voter(n), zone: Some(zone.into()), status }
 }
 
 fn candidate(n: u64, zone: &str) -> Candidate {
@@ -40,8 +40,8 @@
 
 #[test]
 fn voters_are_replaced_one_at_a_time_and_only_by_a_candidate() {
-    use VoterStanding::{Draining, Failed, Live, Replaced, Silent};
-    let three = |standings: [VoterStanding; 3]| {
+    use VoterStatus::{Draining, Failed, Live, Replaced, Suspect};
+    let three = |standings: [VoterStatus; 3]| {
         let [first, second, third] = standings;
         vec![slot(1, "a", first), slot(2, "b", second), slot(3, "c", third)]
     };
@@ -52,11 +52,11 @@
         ("replaced, no candidate", three([Live, Live, Replaced]), vec![], 1, &[]),
         ("failed", three([Live, Live, Failed]), vec![candidate(4, "a")], 1, &[1, 2, 4]),
         ("draining", three([Live, Draining, Live]), vec![candidate(4, "a")], 1, &[1, 3, 4]),
-        ("silent, a candidate known for long", three([Live, Silent, Live]), vec![candidate(4, "a")], 1, &[]),
-        ("silent, a recent candidate", three([Live, Silent, Live]), vec![recent_candidate(4, "a")], 1, &[1, 3, 4]),
+        ("silent, a candidate known for long", three([Live, Suspect, Live]), vec![candidate(4, "a")], 1, &[]),
+        ("silent, a recent candidate", three([Live, Suspect, Live]), vec![recent_candidate(4, "a")], 1, &[1, 3, 4]),
         (
             "silent, the recent one of two candidates",
-            three([Live, Silent, Live]),
+            three([Live, Suspect, Live]),
             vec![candidate(5, "b"), recent_candidate(4, "a")],
             1,
             &[1, 3, 4],
@@ -94,11 +94,8 @@
 
 #[test]
 fn the_candidate_at_the_removed_address_is_preferred_within_its_zone() {
-    let slots = vec![
-        slot(1, "a", VoterStanding::Live),
-        slot(2, "b", VoterStanding::Live),
-        slot(3, "c", VoterStanding::Replaced),
-    ];
+    let slots =
+        vec![slot(1, "a", VoterStatus::Live), slot(2, "b", VoterStatus::Live), slot(3, "c", VoterStatus::Replaced)];
     for n in 4..40 {
         let at_same_address =
             Candidate { node: Voter { node_id: NodeId(n), addr: voter(3).addr }, ..candidate(n, "c") };
@@ -145,27 +142,27 @@
         entry
     };
     let cases = [
-        ("seen now", vec![own(0)], VoterStanding::Live),
-        ("just before silent", vec![own(SILENCE_TIMEOUT - 1)], VoterStanding::Live),
-        ("silent", vec![own(SILENCE_TIMEOUT)], VoterStanding::Silent),
-        ("just before failed", vec![own(FAILURE_TIMEOUT - 1)], VoterStanding::Silent),
-        ("failed", vec![own(FAILURE_TIMEOUT)], VoterStanding::Failed),
-        ("unknown", vec![], VoterStanding::Failed),
-        ("reported by others only", vec![peer(1, 1, SEC, ago(0), 0)], VoterStanding::Live),
-        ("draining", vec![draining()], VoterStanding::Draining),
-        ("another at its address", vec![own(SEC), peer(2, 1, ago(500 * MS), now, now)], VoterStanding::Replaced),
-        ("another, hardly later", vec![own(REPLACEMENT_MARGIN), peer(2, 1, ago(0), now, now)], VoterStanding::Live),
+        ("seen now", vec![own(0)], VoterStatus::Live),
+        ("just before silent", vec![own(SUSPECT_TIMEOUT - 1)], VoterStatus::Live),
+        ("silent", vec![own(SUSPECT_TIMEOUT)], VoterStatus::Suspect),
+        ("just before failed", vec![own(FAILURE_TIMEOUT - 1)], VoterStatus::Suspect),
+        ("failed", vec![own(FAILURE_TIMEOUT)], VoterStatus::Failed),
+        ("unknown", vec![], VoterStatus::Failed),
+        ("reported by others only", vec![peer(1, 1, SEC, ago(0), 0)], VoterStatus::Live),
+        ("draining", vec![draining()], VoterStatus::Draining),
+        ("another at its address", vec![own(SEC), peer(2, 1, ago(500 * MS), now, now)], VoterStatus::Replaced),
+        ("another, hardly later", vec![own(REPLACEMENT_MARGIN), peer(2, 1, ago(0), now, now)], VoterStatus::Live),
         (
             "another, just late enough",
             vec![own(REPLACEMENT_MARGIN + 1), peer(2, 1, ago(0), now, now)],
-            VoterStanding::Replaced,
+            VoterStatus::Replaced,
         ),
-        ("another known for longer than it", vec![own(SEC), peer(2, 1, 0, now, now)], VoterStanding::Live),
-        ("another, reported by others only", vec![own(SEC), peer(2, 1, ago(500 * MS), now, 0)], VoterStanding::Live),
+        ("another known for longer than it", vec![own(SEC), peer(2, 1, 0, now, now)], VoterStatus::Live),
+        ("another, reported by others only", vec![own(SEC), peer(2, 1, ago(500 * MS), now, 0)], VoterStatus::Live),
         (
             "another that failed too",
             vec![own(9 * SEC), peer(2, 1, ago(8 * SEC), ago(FAILURE_TIMEOUT), ago(FAILURE_TIMEOUT))],
-            VoterStanding::Failed,
+            VoterStatus::Failed,
         ),
         (
             "reported by others after its successor was in contact",
@@ -173,27 +170,27 @@
                 peer(1, 1, ago(REPLACEMENT_MARGIN + 1), now, 0),
                 peer(2, 1, ago(REPLACEMENT_MARGIN + 20 * MS), now, now),
             ],
-            VoterStanding::Replaced,
+            VoterStatus::Replaced,
         ),
         (
             "reported by others, its successor not in contact for long enough",
             vec![peer(1, 1, ago(REPLACEMENT_MARGIN), now, 0), peer(2, 1, ago(REPLACEMENT_MARGIN + 20 * MS), now, now)],
-            VoterStanding::Live,
+            VoterStatus::Live,
         ),
-        ("a front there", vec![own(SEC), front()], VoterStanding::Live),
-        ("a core elsewhere", vec![own(SEC), peer(2, 2, ago(500 * MS), now, now)], VoterStanding::Live),
+        ("a front there", vec![own(SEC), front()], VoterStatus::Live),
+        ("a core elsewhere", vec![own(SEC), peer(2, 2, ago(500 * MS), now, now)], VoterStatus::Live),
     ];
     for (name, entries, expected) in cases {
         let peers = entries.into_iter().collect::<BTreeMap<_, _>>();
-        assert_eq!(voter_standing(&voter(1), &peers, now), expected, "{name}");
+        assert_eq!(voter_status(&voter(1), &peers, now), expected, "{name}");
     }
 }
 
 #[test]
 fn live_voters_propose_one_after_the_other() {
-    use VoterStanding::{Draining, Failed, Live, Replaced, Silent};
+    use VoterStatus::{Draining, Failed, Live, Replaced, Suspect};
     for version in 0..20 {
-        let standings = [Live, Silent, Live, Failed, Live, Draining, Replaced];
+        let standings = [Live, Suspect, Live, Failed, Live, Draining, Replaced];
         let slots: Vec<_> = standings.iter().enumerate().map(|(i, s)| slot(i as u64 + 1, "a", *s)).collect();
         let delay = |n: u64| proposal_delay(NodeId(n), &slots, version);
         let mut live = [delay(1), delay(3), delay(5)];
