--- a/crates/core/src/node/consensus/acceptor.rs
+++ b/crates/core/src/node/consensus/acceptor.rs
@@ -1,6 +1,6 @@
 //! The acceptor of the Paxos instances: it promises and accepts ballots.
 //!
-//! An acceptor answers no ballot below one that it promised, and a promise reports the accepted entry of the
+//! An acceptor accepts no ballot below one that it promised, and a promise reports the accepted entry of the
 //! highest ballot (Lamport, Paxos Made Simple, §2.2, phases 1b and 2b). Both replies are sent only once they
 //! are synced to disk. A core that is behind, has no vote, or has too many unsynced bytes does not vote.
 
@@ -9,14 +9,15 @@
 use crate::node::Node;
 use crate::protocol::{Ballot, ConsensusMessage, LogEntry, Message};
 
-/// How long this core starts no ballot of its own after a vote for another proposer's, in microseconds.
+/// How long this core starts no ballot after it voted for one of another proposer, in microseconds.
 ///
-/// The proposer needs one write on the disks of a majority before its next phase; where disks take as long
-/// as the backoff between ballots, proposers would pre-empt each other without end.
+/// The proposer needs one write on the disks of a majority before its next phase. If disks take as long as
+/// the backoff between ballots, proposers would otherwise preempt each other without end.
 const YIELD_TIMEOUT: Micros = 400 * MS;
 
 impl Node {
-    /// Whether this core may vote on `instance`. If one of the two cores is behind, it is brought up to date.
+    /// Returns whether this core may vote on `instance`. If this core or the proposer is behind, it is
+    /// brought up to date.
     fn may_vote(&mut self, proposer: NodeId, instance: Version, now: Micros) -> bool {
         let Some(version) = self.version() else { return false };
         if instance <= version {
@@ -30,7 +31,7 @@
         self.voter() && !self.is_disk_behind()
     }
 
-    /// Promises the ballot if this core may vote and has promised no higher one; else rejects it.
+    /// Promises the ballot if this core may vote and has promised no higher one; otherwise rejects it.
     fn try_promise(&mut self, proposer: NodeId, instance: Version, ballot: Ballot, now: Micros) -> bool {
         if instance == 0 || !self.may_vote(proposer, instance, now) {
             return false;
@@ -47,7 +48,7 @@
         true
     }
 
-    /// Handles a `Prepare`: promises the ballot and reports the entry that was accepted, if any.
+    /// Handles a `Prepare`: promises the ballot and reports the accepted entry, if any.
     pub(super) fn on_prepare(&mut self, proposer: NodeId, instance: Version, ballot: Ballot, now: Micros) {
         if !self.try_promise(proposer, instance, ballot, now) {
             return;
--- a/crates/core/src/node/consensus/admission.rs
+++ b/crates/core/src/node/consensus/admission.rs
@@ -1,7 +1,7 @@
-//! Admission of changes at a core that will propose them.
+//! Admission of changes at the core that will propose them.
 //!
-//! A change is rejected at once if it is invalid by itself. It is not admitted either while the changes that
-//! wait here hold too many bytes; its outcome is then unknown to the caller, who retries.
+//! An invalid change is rejected at once. A change is not admitted either while the pending changes of this
+//! core hold too many bytes; its outcome is then unknown to the caller, who retries.
 
 use super::outcomes::CHANGE_TIMEOUT;
 use crate::base::{ChangeId, Micros, Version};
@@ -9,7 +9,7 @@
 use crate::node::Node;
 use crate::protocol::{Change, ChangeOutcome};
 
-/// How many bytes the pending changes of one core may have in total.
+/// The maximum size of all pending changes of one core, in bytes.
 const MAX_PENDING_BYTES: usize = 32 << 20;
 
 /// A change or a read as a caller sent it.
@@ -21,12 +21,12 @@
     pub is_first_send: bool,
     /// The version (for documents and patches: the revision) that the change is built on.
     pub base: Version,
-    /// What is changed or read.
+    /// The change or the read.
     pub change: Change,
 }
 
 impl Node {
-    /// Answers a read, or admits a change, which this core then tries to get decided.
+    /// Answers a read, or admits a change as pending, so that this core proposes it.
     pub(in crate::node) fn admit_change(&mut self, requester: Requester, submitted: SubmittedChange, now: Micros) {
         match submitted.change {
             Change::ReadNewest => return self.read_newest(requester, now),
@@ -59,7 +59,7 @@
         });
     }
 
-    /// How many bytes the pending changes have.
+    /// Returns the size of all pending changes, in bytes.
     fn pending_bytes(&self) -> usize {
         self.consensus.state.pending_changes.iter().map(|pending| pending.change.size()).sum()
     }
--- a/crates/core/src/node/consensus/digest_sync.rs
+++ b/crates/core/src/node/consensus/digest_sync.rs
@@ -1,4 +1,4 @@
-//! Synchronization of the digests of versions that a core skipped: they are fetched from other voters.
+//! Synchronization of the digests of skipped versions, which a core fetches from other voters.
 //!
 //! A core requests its newest gap from the live voters in turn, one chunk after the other. If no voter has
 //! any digest of the gap, the core does not request that gap again for [`UNAVAILABLE_BACKOFF`].
@@ -8,14 +8,14 @@
 use crate::node::Node;
 use crate::protocol::{ConsensusMessage, EntryDigest};
 
-/// How many digests one message has at most: under 50 KB.
+/// The maximum number of digests in one message: less than 50 KB.
 const MAX_CHUNK_DIGESTS: usize = 500;
-/// When an unanswered request is repeated, in microseconds.
+/// The time after which an unanswered request is repeated, in microseconds.
 const RETRY_INTERVAL: Micros = 200 * MS;
-/// How long a gap that no voter can fill is not requested again, in microseconds.
+/// How long a core does not request a gap again that no voter can fill, in microseconds.
 const UNAVAILABLE_BACKOFF: Micros = 5 * SEC;
 
-/// A gap in the digests that no voter could fill.
+/// A gap in the digests that no voter could fill at its last request.
 #[derive(Clone, Copy, Debug)]
 struct UnavailableGap {
     /// The lowest version of the gap.
@@ -26,26 +26,27 @@
     retry_at: Micros,
 }
 
-/// The progress of a core in fetching the digests that it misses.
+/// The progress of a core in fetching its missing digests.
 #[derive(Clone, Copy, Debug, Default)]
 pub(in crate::node) struct DigestSync {
     /// When the next request may be sent.
     request_due: Micros,
-    /// Counts the requests; it selects the voter for the next one.
+    /// The number of requests so far, by which the voter for the next one is selected.
     request_count: usize,
-    /// How many replies in a row brought nothing new.
+    /// The number of consecutive replies without a new digest.
     empty_replies: usize,
     /// The gap that no voter could fill when it was last requested.
     unavailable: Option<UnavailableGap>,
 }
 
 impl DigestSync {
-    /// Whether this gap could not be filled lately.
+    /// Returns whether this gap is unavailable and may not be requested again yet.
     fn is_unavailable(&self, from: Version, to: Version, now: Micros) -> bool {
         self.unavailable.is_some_and(|gap| gap.from == from && gap.to == to && now < gap.retry_at)
     }
 
-    /// Notes a reply that brought nothing new; once every other voter has sent one, the gap is unavailable.
+    /// Records a reply without a new digest. Once there are as many in a row as other voters, the gap is
+    /// unavailable.
     fn record_empty_reply(&mut self, from: Version, to: Version, other_voters: usize, now: Micros) {
         self.empty_replies += 1;
         if self.empty_replies >= other_voters {
@@ -56,7 +57,7 @@
 }
 
 impl Node {
-    /// Requests the digests of the newest gap when that is due.
+    /// Requests the digests of the newest gap, if a request is due.
     pub(in crate::node) fn tick_digest_sync(&mut self, now: Micros) {
         if !self.settings.is_core || now < self.consensus.digest_sync.request_due {
             return;
@@ -84,7 +85,7 @@
         self.send_consensus(sender, ConsensusMessage::DigestReply { from, to, digests }, now);
     }
 
-    /// Handles the digests that another voter has of the versions `from` to `to`.
+    /// Handles another voter's digests of the versions `from` to `to`.
     pub(super) fn on_digest_reply(
         &mut self,
         sender: NodeId,
--- a/crates/core/src/node/consensus/forwarding.rs
+++ b/crates/core/src/node/consensus/forwarding.rs
@@ -1,8 +1,8 @@
 //! Forwarding of changes and reads from nodes without a vote to a voter.
 //!
-//! A request goes to the nearest voter first, and to another one when that one declines or does not reply.
+//! A request goes to the nearest voter first, and to another one if that voter declines or does not reply.
 //! The caller is told that nothing was proposed only if every voter that was sent the request has declined
-//! it, each after a single send; otherwise the outcome is unknown when the request is given up.
+//! it, each after a single send; otherwise the outcome of an abandoned request is unknown.
 
 use super::admission::SubmittedChange;
 use super::outcomes::CHANGE_TIMEOUT;
@@ -13,39 +13,39 @@
 use crate::protocol::{Change, ChangeOutcome, ConsensusMessage};
 use std::collections::BTreeSet;
 
-/// After this time the request goes to another voter though the last one still replies to probes, in
+/// The time after which a request is sent to another voter although the last one still replies to probes, in
 /// microseconds.
 const RESEND_INTERVAL: Micros = 1_200 * MS;
-/// A voter that replies to nothing for so long is taken to be unreachable, in microseconds.
+/// The time without any reply after which a voter counts as unreachable, in microseconds.
 const UNRESPONSIVE_TIMEOUT: Micros = 250 * MS;
-/// How much longer than a voter's own time-out the request is kept here, in microseconds.
+/// The time that a request is kept here beyond a voter's own time-out, in microseconds.
 const FORWARD_MARGIN: Micros = 1_500 * MS;
 
-/// The last send of a forwarded request.
+/// The last attempt to send a forwarded request.
 #[derive(Clone, Copy, Debug)]
 struct LastSend {
     voter: NodeId,
     sent_at: Micros,
 }
 
-/// A change or read that a voter must complete for a caller at this node.
+/// A change or read that this node forwards to a voter for a caller.
 #[derive(Clone, Debug)]
 pub(in crate::node) struct Forward {
     submitted: SubmittedChange,
     /// When the request was received, in microseconds of this node's clock.
     pub received_at: Micros,
-    /// When the request is given up.
+    /// When the request is abandoned.
     deadline: Micros,
-    /// When the request is sent again, also if the last voter is reachable.
+    /// When the request is sent again even if the last voter is reachable.
     resend_at: Micros,
     last_send: Option<LastSend>,
-    /// Voters that were sent the request and have not declined it. Invariant: a subset of `tried`.
+    /// The voters that were sent the request and have not declined it. Invariant: a subset of `tried`.
     undeclined: BTreeSet<NodeId>,
-    /// Voters that were sent the request.
+    /// The voters that were sent the request.
     tried: BTreeSet<NodeId>,
-    /// Voters that were sent the request more than once. If one of them declines, that is about the last
-    /// send only: it may have proposed the change after an earlier one, also in an earlier incarnation of
-    /// which it remembers nothing. Invariant: a subset of `tried`.
+    /// The voters that were sent the request more than once. If one of them declines, the reply covers the
+    /// last send only: the voter may have proposed the change after an earlier send, possibly in an earlier
+    /// incarnation of which it remembers nothing. Invariant: a subset of `tried`.
     sent_repeatedly: BTreeSet<NodeId>,
 }
 
@@ -63,13 +63,13 @@
         }
     }
 
-    /// The outcome when the request is given up.
+    /// Returns the outcome for the caller if the request is abandoned now.
     fn abandoned_outcome(&self) -> ChangeOutcome {
         let is_unproposed = self.undeclined.is_empty() && self.sent_repeatedly.is_empty();
         if is_unproposed || self.submitted.change.is_read() { ChangeOutcome::NoQuorum } else { ChangeOutcome::Unknown }
     }
 
-    /// Notes that the request is sent to this voter now, and gives the message.
+    /// Records that the request is sent to this voter now, and returns the message.
     fn send_to(&mut self, voter: NodeId, request_id: u64, now: Micros) -> ConsensusMessage {
         self.resend_at = now + RESEND_INTERVAL;
         self.last_send = Some(LastSend { voter, sent_at: now });
@@ -85,7 +85,7 @@
 }
 
 impl Node {
-    /// Handles a change or read of a caller at this node.
+    /// Handles a change or read of a caller at this node: admits it as a voter, or forwards it.
     pub(in crate::node) fn submit_change(&mut self, request_id: u64, submitted: SubmittedChange, now: Micros) {
         if self.voter() {
             self.accept_change(Requester::Local(request_id), submitted, now);
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Gives up the forwarded requests that cannot be completed in time, and sends the others on.
+    /// Abandons the forwarded requests that cannot be completed in time, and sends those that are due.
     pub(in crate::node) fn tick_forward(&mut self, now: Micros) {
         for (request_id, mut forward) in std::mem::take(&mut self.consensus.forwards) {
             if now >= forward.deadline || self.should_abandon_forward(&forward, now) {
@@ -120,7 +120,8 @@
         self.outbox.push(Effect::CompleteChange { request_id, outcome });
     }
 
-    /// Whether no voter has replied to anything since the request came, or no core is known.
+    /// Returns whether a request must be abandoned: no voter has replied since it was received, all voters
+    /// have become unresponsive, or no core is known.
     fn should_abandon_forward(&self, forward: &Forward, now: Micros) -> bool {
         let waited = now.saturating_sub(forward.received_at);
         let voters = self.consensus.state.voters();
@@ -134,7 +135,7 @@
         waited >= QUORUM_TIMEOUT && (!any_replied || all_unresponsive)
     }
 
-    /// Sends the request to a voter, or to the next one where the last one declined or is silent.
+    /// Sends the request to the next voter if a send is due or the last voter is unresponsive.
     fn forward_to_voter(&mut self, request_id: u64, forward: &mut Forward, now: Micros) {
         let is_unresponsive = forward
             .last_send
@@ -150,8 +151,8 @@
         self.send_consensus(voter, message, now);
     }
 
-    /// The voter for the next send: the nearest core first, then a live voter that was not tried yet,
-    /// preferably one that has replied since the request came; then any live voter in the same order.
+    /// Returns the voter for the next send: the nearest core first, then a live voter that was not tried yet,
+    /// preferably one that has replied since the request was received; then any live voter in the same order.
     fn next_voter(&self, forward: &Forward, now: Micros) -> Option<NodeId> {
         let nearest = self.nearest_core(now, 0)?;
         if forward.tried.is_empty() {
@@ -165,7 +166,7 @@
         best_untried.or_else(|| live.iter().find(has_replied)).or(live.first()).copied()
     }
 
-    /// Handles a request that another node has forwarded; a node without a vote declines it.
+    /// Handles a request that another node has forwarded. A node without a vote declines the request.
     pub(super) fn on_forward(&mut self, sender: NodeId, request_id: u64, submitted: SubmittedChange, now: Micros) {
         if self.voter() {
             self.accept_change(Requester::Peer { node_id: sender, request_id }, submitted, now);
@@ -188,8 +189,8 @@
         }
     }
 
-    /// Handles a voter that has proposed nothing for this request. Once all that were sent the request have
-    /// declined it and no other live voter is left, the caller is told.
+    /// Handles a voter's reply that it has proposed nothing for this request. Completes the request once
+    /// every voter that was sent it has declined and no other live voter is left.
     fn on_forward_declined(&mut self, sender: NodeId, request_id: u64, now: Micros) {
         let Some(mut forward) = self.consensus.forwards.remove(&request_id) else { return };
         forward.undeclined.remove(&sender);
--- a/crates/core/src/node/consensus/freshness.rs
+++ b/crates/core/src/node/consensus/freshness.rs
@@ -1,8 +1,8 @@
-//! Freshness probes: a voter asks all voters whether they know anything newer than its version.
+//! Freshness probes: a voter asks all voters whether they know a newer version than its own.
 //!
 //! If a majority holds the same version and has accepted no entry for the next one, the version is confirmed
-//! as the newest as of the moment when the probe was sent. Probes go out at a fixed interval, and sooner while
-//! callers wait or the majority does not reply.
+//! as the newest as of the time when the probe was sent. Probes are sent at a fixed interval, and sooner
+//! while callers wait or the majority does not reply.
 
 use crate::base::{Micros, NodeId, SEC, Version};
 use crate::consensus::is_majority;
@@ -29,7 +29,7 @@
 }
 
 impl Node {
-    /// Sends a freshness probe when one is due.
+    /// Sends a freshness probe if one is due.
     pub(in crate::node) fn tick_freshness(&mut self, now: Micros) {
         if !self.voter() || now < self.consensus.freshness.probe_due.min(self.next_probe_at(now)) {
             return;
@@ -44,7 +44,8 @@
         self.send_freshness_probe(seq, version, now);
     }
 
-    /// Sends a probe from a node without a vote while its callers wait, to learn which voters it reaches.
+    /// Sends a probe from a node without a vote while its callers wait, to determine which voters are
+    /// reachable.
     pub(in crate::node) fn tick_contact_probe(&mut self, now: Micros) {
         if self.voter() || !self.has_waiting_callers() || now < self.next_probe_at(now) {
             return;
@@ -59,7 +60,7 @@
         self.broadcast_to_voters(&Message::Consensus(ConsensusMessage::FreshnessProbe { seq, version }), now);
     }
 
-    /// Handles a freshness probe; a prober that is behind is sent the later entries too.
+    /// Handles a freshness probe. A prober that is behind is also sent the later entries.
     pub(super) fn on_freshness_probe(&mut self, sender: NodeId, seq: u64, version: Version, now: Micros) {
         let Some(newest) = self.version() else { return };
         if !self.settings.is_core {
@@ -92,7 +93,7 @@
         self.count_confirmation(sender, &reply, newest);
     }
 
-    /// Counts a reply towards the confirmation of the newest version; a majority confirms it.
+    /// Counts a reply towards the confirmation of the newest version. A majority confirms it.
     fn count_confirmation(&mut self, sender: NodeId, reply: &FreshnessReply, newest: Version) {
         let Some(probe) = self.consensus.freshness.open_probes.get_mut(&reply.seq) else { return };
         if probe.version != newest || reply.version != newest || reply.has_accepted {
--- a/crates/core/src/node/consensus/learner.rs
+++ b/crates/core/src/node/consensus/learner.rs
@@ -1,8 +1,8 @@
-//! The learner of the Paxos instances: decided entries are applied here and replicated to others.
+//! The learner of the Paxos instances: it applies decided entries and replicates them to other nodes.
 //!
-//! An entry counts as committed once a majority of the voters that it names has it synced to disk. A node
-//! that is behind receives the entries that it misses, or the newest alone where these are too many. While
-//! too many bytes wait for the disk, a core applies nothing; it is sent the entries again later.
+//! An entry is committed once a majority of the voters that it names has it synced to disk. A node that is
+//! behind receives the entries that it misses, or only the newest one if they are too large. While too many
+//! bytes are unsynced, a core applies no entry; the entries are sent to it again later.
 
 use crate::base::{Micros, NodeId, Version};
 use crate::config::CompiledConfig;
@@ -12,7 +12,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// How many bytes of older entries are replicated along with the newest one.
+/// The maximum size of the entries in one message, in bytes. The newest entry is sent whatever its size.
 const MAX_REPLICATED_BYTES: usize = 2 << 20;
 
 impl Node {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Adds an entry that is not newer than the newest one to the history of a core.
+    /// Adds an older entry to the history of a core.
     fn backfill_entry(&mut self, entry: LogEntry) {
         if self.settings.is_core && self.consensus.state.backfill(&entry) {
             self.persist(vec![DurableWrite::Commit(entry)], Vec::new());
@@ -68,7 +68,7 @@
         self.publisher.is_dirty = true;
     }
 
-    /// Writes an applied entry to disk; once it is synced, the voters and this core itself are told.
+    /// Writes an applied entry to disk. Once the entry is synced, the voters and this core are notified.
     fn persist_commit(&mut self, entry: LogEntry, now: Micros) {
         let version = entry.version;
         if version == 0 {
@@ -76,7 +76,7 @@
         }
         let mut receivers: Vec<_> = entry.voters.iter().map(|voter| voter.node_id).collect();
         if !receivers.contains(&self.settings.node_id) {
-            // Voters must know a new core before they can admit it.
+            // Voters must know a new core before they can add it to the set.
             self.dissemination.peers.gossip_due = now;
             receivers.push(self.settings.node_id);
         }
@@ -100,17 +100,17 @@
         let newest = entries.last().map(|entry| entry.version);
         let restored = self.restore_bodies(entries);
         if restored.last().map(|entry| entry.version) != newest && self.settings.is_core {
-            // The newest entry came as a patch of one that this core does not hold.
+            // The newest entry was received as a patch of an entry that this core does not hold.
             self.report_synced_version(sender, now);
         }
-        // The newest comes into force at once; those before it only fill the history.
+        // The newest entry comes into force at once; those before it only fill the history.
         for entry in restored.into_iter().rev() {
             self.apply_entry(entry, now);
         }
     }
 
-    /// Entries with their bodies, in the same order, each restored from the one before it where it came as a
-    /// patch. Entries that cannot be restored are left out.
+    /// Restores the bodies of entries, in the same order. An entry that was received as a patch is restored
+    /// from the one before it. Entries that cannot be restored are left out.
     pub(in crate::node) fn restore_bodies(&self, entries: Vec<LogEntry>) -> Vec<LogEntry> {
         let mut restored: Vec<LogEntry> = Vec::with_capacity(entries.len());
         for entry in entries {
@@ -124,20 +124,20 @@
         restored
     }
 
-    /// Reports the newest version that is synced to this node's disk. No newer one may be reported: the
+    /// Reports the newest version that is synced to this node's disk. No newer version may be reported: the
     /// receiver counts the report towards the commit of that version.
     pub(super) fn report_synced_version(&mut self, receiver: NodeId, now: Micros) {
         let version = self.consensus.synced_version.unwrap_or(0);
         self.send_consensus(receiver, ConsensusMessage::Synced { version }, now);
     }
 
-    /// Notes the newest version that a node has on its disk.
+    /// Records the newest version that a node has on its disk.
     pub(super) fn record_synced_version(&mut self, node_id: NodeId, version: Version) {
         let recorded = self.consensus.state.synced_versions.entry(node_id).or_insert(version);
         *recorded = (*recorded).max(version);
     }
 
-    /// Handles the report of the newest version that a node has on its disk; a node that is behind is sent
+    /// Handles the report of the newest version that a node has on its disk. A node that is behind is sent
     /// the later entries.
     pub(super) fn on_synced_version(&mut self, sender: NodeId, version: Version, now: Micros) {
         self.record_synced_version(sender, version);
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Sends the entries after `version`, or the newest alone where too many are missing.
+    /// Sends the entries after `version`, or only the newest one if they are too large.
     pub(in crate::node) fn replicate_to(&mut self, receiver: NodeId, version: Version, now: Micros) {
         let entries = self.later_entries(version);
         if !entries.is_empty() {
@@ -156,8 +156,9 @@
         }
     }
 
-    /// The entries after `version` as far as [`MAX_REPLICATED_BYTES`] allows, the newest in any case; the
-    /// oldest first. An entry goes as a patch where the receiver holds the one before it.
+    /// Returns the entries after `version`, oldest first: the newest one, and those before it up to
+    /// [`MAX_REPLICATED_BYTES`] in total. An entry is sent as a patch if the receiver holds the entry before
+    /// it.
     fn later_entries(&self, version: Version) -> Vec<LogEntry> {
         let history = &self.consensus.state.history;
         let newest = self.version();
@@ -173,7 +174,7 @@
         let newest_first = history.range(version + 1..).rev();
         let mut entries: Vec<_> = newest_first.map(|(_, entry)| to_wire(entry)).take_while(fits).collect();
         entries.reverse();
-        // Where older entries did not fit, the receiver does not hold the one before the first.
+        // If older entries did not fit, the receiver does not hold the entry before the first one.
         if let Some(first) = entries.first_mut().filter(|entry| entry.version > version + 1)
             && let Some(full) = history.get(&first.version)
         {
@@ -182,7 +183,7 @@
         entries
     }
 
-    /// Whether a majority of the voters of the newest version has this version on disk.
+    /// Returns whether a majority of the voters of the newest version has this version on disk.
     pub(in crate::node) fn is_committed(&self, version: Version) -> bool {
         let synced = self.consensus.state.synced_versions.iter().filter(|(_, synced)| **synced >= version);
         let holders: BTreeSet<NodeId> = synced.map(|(node_id, _)| *node_id).collect();
--- a/crates/core/src/node/consensus/mod.rs
+++ b/crates/core/src/node/consensus/mod.rs
@@ -1,12 +1,6 @@
-//! Agreement on versions of the configuration: one Paxos instance a version.
+//! Agreement on versions of the configuration, with one Paxos instance per version.
 //!
-//! [`acceptor`], [`proposer`] and [`learner`] are the three roles of Lamport, Paxos Made Simple, §2:
-//! acceptors vote on ballots, proposers run ballots for the changes that wait, and learners apply and
-//! replicate what was decided. [`admission`] and [`validation`] decide which changes wait, and [`outcomes`]
-//! replies to their requesters. [`freshness`] confirms with a majority that the newest version here is the
-//! newest of all, [`reader`] completes linearizable reads by that, and [`forwarding`] sends the changes of
-//! callers at nodes without a vote to a voter. [`digest_sync`] fetches the digests of versions that this
-//! node skipped.
+//! [`acceptor`], [`proposer`] and [`learner`] are the three roles of Lamport, Paxos Made Simple, §2: acceptors vote on ballots, proposers run ballots for the pending changes, and learners apply and replicate decided entries. [`admission`] and [`validation`] decide which changes become pending, and [`outcomes`] replies to their requesters. [`freshness`] confirms with a majority that the newest version here is the newest of all, [`reader`] uses that confirmation to complete linearizable reads, and [`forwarding`] sends the changes of callers at nodes without a vote to a voter. [`digest_sync`] fetches the digests of versions that this node skipped.
 
 mod acceptor;
 mod admission;
@@ -30,29 +24,29 @@
 use freshness::FreshnessReply;
 use std::collections::BTreeMap;
 
-/// The state of a node for the agreement on versions.
+/// The consensus state of a node.
 #[derive(Clone, Debug)]
 pub struct Consensus {
     /// The votes of this node, the versions that it knows, and its own proposal.
     pub state: ConsensusState,
-    /// When the newest version here was last confirmed to be the newest of all.
+    /// The last confirmation that the newest version here is the newest of all.
     pub freshness: Freshness,
     /// The newest version that is synced to this node's disk (on a front: that it holds).
     ///
     /// Invariant: at most the newest version in `state`. Only this version is reported to other voters, as
     /// they count the report towards the commit.
     pub(in crate::node) synced_version: Option<Version>,
-    /// Changes and reads that were forwarded to a voter, by the identifier of the caller's request.
+    /// The changes and reads that were forwarded to a voter, by the identifier of the caller's request.
     pub(in crate::node) forwards: BTreeMap<u64, forwarding::Forward>,
-    /// Reads that wait until the newest version is confirmed, in the order of their arrival.
+    /// The reads that wait until the newest version is confirmed, in the order of their arrival.
     pub(in crate::node) reads: Vec<reader::Read>,
     /// The progress in fetching the digests of versions that this node skipped.
     pub(in crate::node) digest_sync: digest_sync::DigestSync,
 }
 
 impl Consensus {
-    /// The state after a start from what the disk holds; the first freshness probe has the sequence number
-    /// after `first_probe`.
+    /// Creates the state after a start from the durable state. The first freshness probe has the sequence
+    /// number after `first_probe`.
     pub(super) fn new(durable: &DurableState, first_probe: u64) -> Self {
         let state = ConsensusState::new(durable);
         let synced_version = state.version();
@@ -68,18 +62,18 @@
 }
 
 impl Node {
-    /// Sends a message of the agreement on versions.
+    /// Sends a consensus message.
     fn send_consensus(&mut self, receiver: NodeId, message: ConsensusMessage, now: Micros) {
         self.send(receiver, Message::Consensus(message), now);
     }
 
-    /// The voters of the newest version other than this node, in their order.
+    /// Returns the voters of the newest version except this node, in their order.
     fn other_voters(&self) -> impl Iterator<Item = NodeId> {
         let voters = self.consensus.state.voters().iter().map(|voter| voter.node_id);
         voters.filter(|node_id| *node_id != self.settings.node_id)
     }
 
-    /// Handles a message of the agreement on versions.
+    /// Handles a consensus message.
     pub(super) fn on_consensus_message(&mut self, envelope: &Envelope, message: ConsensusMessage, now: Micros) {
         let sender = envelope.from;
         match message {
--- a/crates/core/src/node/consensus/outcomes.rs
+++ b/crates/core/src/node/consensus/outcomes.rs
@@ -1,8 +1,8 @@
-//! Outcomes of pending changes, and their replies to the requesters.
+//! The outcomes of pending changes, and the replies to their requesters.
 //!
 //! A change is reported as committed only once a majority of the voters has its version on disk, and as stale
-//! only if it can never be decided. Whatever is not certain in time is reported as unknown; only a change
-//! that this core has never proposed is reported as having found no quorum.
+//! only if it can never be decided. A change whose outcome is not certain in time is reported as unknown;
+//! only a change that this core has never proposed is reported as having found no quorum.
 
 use crate::base::{Micros, SEC};
 use crate::consensus::{ChangeStatus, PendingChange, Requester};
@@ -10,11 +10,11 @@
 use crate::protocol::{ChangeOutcome, ConsensusMessage};
 use std::cmp::Ordering;
 
-/// How long a change may be pending at a core, in microseconds.
+/// The time after which a pending change times out at a core, in microseconds.
 pub(super) const CHANGE_TIMEOUT: Micros = 3 * SEC;
 
 impl Node {
-    /// Replies to whoever requested a change or a read.
+    /// Replies to the requester of a change or a read.
     pub(in crate::node) fn complete_change(&mut self, requester: Requester, outcome: ChangeOutcome, now: Micros) {
         match requester {
             Requester::Local(request_id) => self.outbox.push(Effect::CompleteChange { request_id, outcome }),
@@ -25,12 +25,12 @@
         }
     }
 
-    /// When a pending change was received, in microseconds of this node's clock.
+    /// Returns when a pending change was received, in microseconds of this node's clock.
     pub(in crate::node) fn received_at(pending: &PendingChange) -> Micros {
         pending.deadline.saturating_sub(CHANGE_TIMEOUT)
     }
 
-    /// Replies to every change whose outcome is known, and to those that have timed out.
+    /// Replies to every change whose outcome is known, and to every change that has timed out.
     pub(super) fn complete_decided_changes(&mut self, now: Micros) {
         let pending_changes = std::mem::take(&mut self.consensus.state.pending_changes);
         for mut pending in pending_changes {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Whether the change is known to have become a version.
+    /// Returns whether the change is known to have become a version.
     fn change_status(&self, pending: &PendingChange) -> ChangeStatus {
         match pending.decided_version {
             Some(version) => ChangeStatus::Decided(version),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The outcome of a change if it is certain.
+    /// Returns the outcome of a change if it is certain.
     fn final_outcome(&self, pending: &PendingChange, now: Micros) -> Option<ChangeOutcome> {
         if let Some(version) = pending.decided_version {
             let is_handed_over = !pending.changes_voters() || self.is_taken_over();
@@ -73,8 +73,9 @@
         }
     }
 
-    /// A change whose base is older than the newest version. "Stale" is final: no proposer will propose the
-    /// change later, as the only version that it could have become is known to be another change.
+    /// Returns "stale" for a change whose base is older than the newest version, if that outcome is final: no
+    /// proposer will propose the change later, as the only version that it could have become is known to be
+    /// another change.
     fn stale_outcome_of_passed_base(&self, pending: &PendingChange) -> Option<ChangeOutcome> {
         let version = self.version()?;
         let is_superseded =
@@ -82,9 +83,9 @@
         is_superseded.then_some(ChangeOutcome::Stale { version })
     }
 
-    /// A change whose base is newer than the newest version here: stale if the version here was confirmed
-    /// as the newest after the change was received. Nothing newer had been acknowledged by then, so neither
-    /// had its base.
+    /// Returns "stale" for a change whose base is newer than the newest version here, if the version here was
+    /// confirmed as the newest after the change was received. Nothing newer had been acknowledged by then, so
+    /// the change's base had not been either.
     fn stale_outcome_of_missing_base(&self, pending: &PendingChange) -> Option<ChangeOutcome> {
         let version = self.version()?;
         let is_confirmed = self
@@ -95,7 +96,7 @@
         is_confirmed.then_some(ChangeOutcome::Stale { version })
     }
 
-    /// The outcome of a change that has reached its deadline, or whose majority is lost.
+    /// Returns the outcome of a change that has reached its deadline or whose majority is lost.
     fn timeout_outcome(&self, pending: &PendingChange, now: Micros) -> Option<ChangeOutcome> {
         if now < pending.deadline && !self.should_abandon_change(pending, Self::received_at(pending), now) {
             return None;
--- a/crates/core/src/node/consensus/proposer.rs
+++ b/crates/core/src/node/consensus/proposer.rs
@@ -1,9 +1,9 @@
-//! The proposer of the Paxos instances: it runs ballots for the changes that wait at this core.
+//! The proposer of the Paxos instances: it runs ballots for the pending changes of this core.
 //!
-//! Each version of the configuration is one instance (Lamport, Paxos Made Simple, §2.2 and §3). A ballot
-//! has two phases: `Prepare` to all voters until a majority has promised, then `Accept` until a majority has
+//! Each version of the configuration is one instance (Lamport, Paxos Made Simple, §2.2 and §3). A ballot has
+//! two phases: `Prepare` to all voters until a majority has promised, then `Accept` until a majority has
 //! accepted. A rejected or timed-out ballot is followed by a random backoff; a promise to another proposer
-//! holds back own ballots (see [`super::acceptor`]). A core without a vote runs no ballots.
+//! delays this core's own ballots (see [`super::acceptor`]). A core without a vote runs no ballots.
 
 use crate::base::{MS, Micros, NodeId, Version};
 use crate::config::Patch;
@@ -12,15 +12,15 @@
 use crate::protocol::{Ballot, Change, ConsensusMessage, LogEntry, Message};
 use std::collections::BTreeSet;
 
-/// The time-out of one phase of a ballot, in microseconds. Up to as much again is added at random to the
-/// prepare phase; the accept phase has twice this time.
+/// The time-out of one phase of a ballot, in microseconds. The prepare phase has a random addition of up to
+/// the same time, and the accept phase has twice this time.
 const PHASE_TIMEOUT: Micros = 400 * MS;
-/// An entry that was accepted here and is not decided for so long is proposed again by this core, in
-/// microseconds: its proposer may have failed.
+/// The time after which this core proposes an entry again that it accepted and that is still undecided, in
+/// microseconds: the entry's proposer may have failed.
 const UNDECIDED_TIMEOUT: Micros = 700 * MS;
-/// The shortest backoff after a ballot that failed, in microseconds.
+/// The shortest backoff after a failed ballot, in microseconds.
 const MIN_BACKOFF: Micros = 20 * MS;
-/// The random part that is added to the backoff, in microseconds.
+/// The maximum random addition to the backoff, in microseconds.
 const BACKOFF_JITTER: Micros = 250 * MS;
 
 impl Node {
@@ -52,14 +52,14 @@
         }
     }
 
-    /// The first pending change for which a ballot may be started.
+    /// Returns the first pending change for which a ballot may be started.
     fn proposable_change(&self, now: Micros) -> Option<&PendingChange> {
         let is_taken_over = self.is_taken_over();
         self.consensus.state.pending_changes.iter().find(|pending| self.may_propose(pending, is_taken_over, now))
     }
 
-    /// Whether a ballot for this change may be started: its base is the newest version, it is not decided
-    /// yet, and a change of voters waits until the previous one is taken over.
+    /// Returns whether a ballot for this change may be started: its base is the newest version, it is not
+    /// decided yet, and, for a change of voters, the previous set has been taken over.
     fn may_propose(&self, pending: &PendingChange, is_taken_over: bool, now: Micros) -> bool {
         self.current_base(&pending.change) == Some(pending.base)
             && pending.decided_version.is_none()
@@ -67,15 +67,15 @@
                 || (is_taken_over && self.voter_change_rejection(&pending.change, now).is_none()))
     }
 
-    /// Gives up the current ballot; the next one starts after a random backoff.
+    /// Abandons the current ballot; the next one starts after a random backoff.
     fn back_off(&mut self, now: Micros) {
         self.consensus.state.proposal = None;
         let jitter = self.rng.below(BACKOFF_JITTER);
         self.consensus.state.backoff_until = now + MIN_BACKOFF + jitter;
     }
 
-    /// Starts the prepare phase (Lamport, Paxos Made Simple, §2.2, phase 1a) with a ballot above all that
-    /// this core used or promised.
+    /// Starts the prepare phase (Lamport, Paxos Made Simple, §2.2, phase 1a) with a ballot above every ballot
+    /// that this core used or promised.
     fn start_ballot(&mut self, instance: Version, now: Micros) {
         self.counters.ballots += 1;
         let state = &mut self.consensus.state;
@@ -122,8 +122,8 @@
             None => None,
             Some((accepted_ballot, entry)) => match self.consensus.state.restore_body(entry) {
                 Some(restored) => Some((accepted_ballot, restored)),
-                // An accepted entry must not be ignored, so a promise whose entry cannot be restored does
-                // not count.
+                // An accepted entry must not be ignored, so a promise whose entry cannot be restored does not
+                // count.
                 None => return,
             },
         };
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Whether this core's proposal is for this instance and ballot, and in this phase.
+    /// Returns whether this core's proposal has this instance, ballot and phase.
     fn is_current_proposal(&self, instance: Version, ballot: Ballot, phase: Phase) -> bool {
         let proposal = self.consensus.state.proposal.as_ref();
         proposal
@@ -155,14 +155,14 @@
         }
     }
 
-    /// Whether a majority of the voters has answered in the current phase.
+    /// Returns whether a majority of the voters has answered in the current phase.
     fn has_majority_answered(&self) -> bool {
         let state = &self.consensus.state;
         state.proposal.as_ref().is_some_and(|proposal| is_majority(state.voters(), &proposal.answered))
     }
 
-    /// The value of the accept phase: the entry that was accepted with the highest ballot, or else a change
-    /// of this core's own (Lamport, Paxos Made Simple, §2.2, phase 2a).
+    /// Returns the value for the accept phase: the accepted entry of the highest ballot, or else a pending
+    /// change of this core (Lamport, Paxos Made Simple, §2.2, phase 2a).
     fn choose_value(&mut self, instance: Version, now: Micros) -> Option<LogEntry> {
         let highest = self.consensus.state.proposal.as_mut().and_then(|proposal| proposal.highest_accepted.take());
         match highest {
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Sends `Accept` for this entry to all voters.
+    /// Starts the accept phase: sends `Accept` for this entry to all voters.
     fn start_accept_phase(&mut self, ballot: Ballot, entry: LogEntry, now: Micros) {
         for pending in &mut self.consensus.state.pending_changes {
             if pending.change_id == entry.change_id {
@@ -188,8 +188,8 @@
         self.broadcast_to_voters(&Message::Consensus(ConsensusMessage::Accept { ballot, entry: stripped }), now);
     }
 
-    /// The entry that the first change that may be proposed makes of the newest version; none if there is no
-    /// such change or the newest version is not the one before `instance`.
+    /// Builds the entry that results from the first proposable change; none if there is no such change or the
+    /// newest version is not the one before `instance`.
     fn new_entry(&self, instance: Version, now: Micros) -> Option<LogEntry> {
         let newest = self.consensus.state.newest()?;
         if newest.version != instance - 1 {
@@ -237,7 +237,8 @@
         }
     }
 
-    /// Handles an acceptance; with a majority of them the entry is decided and replicated.
+    /// Handles an acceptance. A majority of acceptances decides the entry, which is then applied and
+    /// replicated.
     pub(in crate::node) fn on_accepted(&mut self, sender: NodeId, instance: Version, ballot: Ballot, now: Micros) {
         if !self.is_current_proposal(instance, ballot, Phase::Accept) {
             return;
@@ -250,7 +251,7 @@
         }
         let value = self.consensus.state.proposal.as_ref().and_then(|proposal| proposal.value.clone());
         let Some(entry) = value else { return };
-        // Both the old and the new voters must learn a change of the voters.
+        // Both the old and the new voters must learn a change of voters.
         let voters = self.consensus.state.voters().iter().chain(&entry.voters);
         let mut learners: BTreeSet<_> = voters.map(|voter| voter.node_id).collect();
         learners.remove(&self.settings.node_id);
--- a/crates/core/src/node/consensus/reader.rs
+++ b/crates/core/src/node/consensus/reader.rs
@@ -1,8 +1,9 @@
 //! Reads of the configuration, its history and the outcomes of changes.
 //!
-//! A read of the newest configuration is linearizable: its reply lacks nothing that was acknowledged before
-//! the read came. A voter replies once a majority has confirmed, on a freshness probe sent after the read
-//! came, that nothing newer was accepted. Nodes without a vote forward the read to a voter.
+//! A read of the newest configuration is linearizable: its reply includes every change that was acknowledged
+//! before the read was received. A voter replies once a majority has confirmed, on a freshness probe sent
+//! after the read was received, that no newer entry was accepted. Nodes without a vote forward the read to a
+//! voter.
 
 use super::admission::SubmittedChange;
 use crate::base::{MS, Micros};
@@ -10,10 +11,10 @@
 use crate::node::Node;
 use crate::protocol::{ChangeOutcome, LogEntry};
 
-/// How long a read waits at most, also while a newer version is being decided, in microseconds.
+/// The maximum time that a read waits, even while a newer version is being decided, in microseconds.
 const READ_TIMEOUT: Micros = 900 * MS;
 
-/// A read of the newest configuration that waits for its confirmation.
+/// A read of the newest configuration that waits until that version is confirmed.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::node) struct Read {
     requester: Requester,
@@ -51,7 +52,7 @@
         }
     }
 
-    /// The outcome of an earlier change, as far as it is known here.
+    /// Returns the outcome of an earlier change, as far as this node knows it.
     pub(super) fn query_outcome(&self, query: &SubmittedChange) -> ChangeOutcome {
         let state = &self.consensus.state;
         match (state.outcome_of(query.change_id), self.version()) {
@@ -61,14 +62,14 @@
         }
     }
 
-    /// The entries of the history as JSON, the newest first.
+    /// Returns the entries of the history as JSON, newest first.
     pub fn history_json(&self) -> String {
         let entries: Vec<_> = self.consensus.state.history.values().rev().map(entry_json).collect();
         format!("[{}]", entries.join(","))
     }
 }
 
-/// One entry of the history as JSON.
+/// Formats one entry of the history as JSON.
 fn entry_json(entry: &LogEntry) -> String {
     let voters: Vec<_> = entry.voters.iter().map(|voter| format!("\"{}\"", voter.node_id)).collect();
     format!(
--- a/crates/core/src/node/consensus/validation.rs
+++ b/crates/core/src/node/consensus/validation.rs
@@ -6,17 +6,18 @@
 use crate::protocol::{Change, ChangeOutcome, LogEntry, Voter};
 use std::collections::BTreeSet;
 
-/// The largest body of a change in bytes: twice this size fits into one frame between nodes.
+/// The maximum size of the body of a change, in bytes: two bodies of this size fit into one frame between
+/// nodes.
 pub const MAX_BODY_BYTES: usize = 7 << 20;
 
-/// All errors of a configuration in one line.
+/// Joins all errors of a configuration into one line.
 fn join_errors(errors: &[ConfigError]) -> String {
     errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
 }
 
 impl Node {
-    /// Why a change cannot be admitted, whatever the state of the fleet. A change of voters is judged only
-    /// when its turn has come, see [`Node::voter_change_rejection`].
+    /// Returns why a change cannot be admitted, whatever the state of the fleet. A change of voters is
+    /// validated only when a ballot for it may start, see [`Node::voter_change_rejection`].
     pub(super) fn change_error(&self, change: &Change, base: u64) -> Option<String> {
         match change {
             Change::Tree(body) => self.parse_config(body).err(),
@@ -31,7 +32,7 @@
         }
     }
 
-    /// The compiled configuration of a body, or all of its errors in one line.
+    /// Compiles the configuration of a body; the error holds all of its errors in one line.
     pub(super) fn parse_config(&self, body: &str) -> Result<CompiledConfig, String> {
         if body.len() > MAX_BODY_BYTES {
             return Err(format!("the configuration has {} bytes; make it {MAX_BODY_BYTES} at most", body.len()));
@@ -39,7 +40,8 @@
         (self.settings.config_reader)(body).map_err(|errors| join_errors(&errors))
     }
 
-    /// Why a patch is invalid: by itself, or in the document that it makes where its base is the newest one.
+    /// Returns why a patch is invalid: by itself or, if its base is the newest revision, in the resulting
+    /// document.
     fn patch_error(&self, patch: &Patch, base: u64) -> Option<String> {
         if patch.number <= base {
             return Some(format!(
@@ -55,15 +57,15 @@
         self.apply_patch(newest, patch).err()
     }
 
-    /// The body that a patch makes of this entry, and its compiled configuration.
+    /// Applies a patch to this entry; returns the new body and its compiled configuration.
     pub(super) fn apply_patch(&self, entry: &LogEntry, patch: &Patch) -> Result<(String, CompiledConfig), String> {
         let body = patch.apply(&entry.body).map_err(|errors| join_errors(&errors))?;
         let config = self.parse_config(&body)?;
         Ok((body, config))
     }
 
-    /// What the base of a change is compared with: documents and patches are built on a revision, all other
-    /// changes on a version.
+    /// Returns the number that the base of a change is compared with: documents and patches are built on a
+    /// revision, all other changes on a version.
     pub(super) fn current_base(&self, change: &Change) -> Option<u64> {
         match change {
             Change::Document(_) | Change::Patch(_) => self.consensus.state.newest().map(|entry| entry.revision),
@@ -71,14 +73,15 @@
         }
     }
 
-    /// Why a change of voters cannot be proposed now. Voters are judged against the set that they would
-    /// replace, so only where the change's base is the newest version.
+    /// Returns why a change of voters cannot be proposed now. The voters are compared with the set that they
+    /// would replace, so this is meaningful only if the change's base is the newest version.
     pub(super) fn voter_change_rejection(&self, change: &Change, now: Micros) -> Option<ChangeOutcome> {
         let Change::Voters(voters) = change else { return None };
         self.voter_change_error(voters, now).map(|reason| ChangeOutcome::Invalid { reason })
     }
 
-    /// At most one voter may be added and one removed at a time, and the added one must be a live core.
+    /// Returns why a set of voters is invalid: at most one voter may be added and one removed at a time, and
+    /// the added voter must be a live core.
     fn voter_change_error(&self, voters: &[Voter], now: Micros) -> Option<String> {
         let current = self.consensus.state.voters();
         let node_ids: BTreeSet<_> = voters.iter().map(|voter| voter.node_id).collect();
@@ -98,7 +101,7 @@
         ))
     }
 
-    /// Whether a live core is known under this identifier and address.
+    /// Returns whether a live core is known with this identifier and address.
     fn is_live_core(&self, voter: &Voter, now: Micros) -> bool {
         let peers = &self.dissemination.peers;
         peers.is_alive(voter.node_id, now)
--- a/crates/core/src/node/counters.rs
+++ b/crates/core/src/node/counters.rs
@@ -1,6 +1,6 @@
-//! Counters of the control plane, for the metrics of a node.
+//! Counters of the control plane, exported as metrics of a node.
 //!
-//! The description of each counter is its help text in the metrics.
+//! The doc comment of each counter is its help text in the metrics.
 
 macro_rules! counters {
     ($($(#[doc = $description:literal])* $name:ident,)*) => {
--- a/crates/core/src/node/dispatch.rs
+++ b/crates/core/src/node/dispatch.rs
@@ -1,6 +1,6 @@
-//! Dispatch: each event and each message is handed to the concern that handles it.
+//! Dispatch of each event and each message to the concern that handles it.
 //!
-//! Guarantees that time never goes back between two steps, and that what a node sends to itself is handled
+//! Guarantees that time never decreases between two steps, and that messages of a node to itself are handled
 //! within the same step.
 
 use super::consensus::SubmittedChange;
@@ -8,35 +8,36 @@
 use crate::base::{Incarnation, MS, Micros, NodeId, SEC};
 use crate::protocol::{Frame, Message};
 
-/// A node that was not stepped for so long was stalled: messages may have waited meanwhile.
+/// The time without a step after which a node counts as stalled, in microseconds: messages may have been
+/// queued during that time.
 const STALL_THRESHOLD: Micros = 500 * MS;
 
-/// Who sent a message, and when. Times are in microseconds.
+/// The sender of a message and the time when it was sent. Times are in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Envelope {
     /// The sender.
     pub from: NodeId,
     /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// When it was sent, by the sender's clock.
+    /// When the message was sent, by the sender's clock.
     pub sent_at: Micros,
-    /// How much longer it was under way than the quickest message from its sender; for a message of this
-    /// node to itself, how long it waited for the disk.
+    /// The transit time of the message beyond that of the fastest message from the same sender; for a message
+    /// of this node to itself, the time that the message waited for the disk.
     pub delay: Micros,
-    /// Whether it names no receiver: its sender knows only the address.
+    /// Whether the message names no receiver, because the sender knows only the address.
     pub is_greeting: bool,
 }
 
 impl Envelope {
-    /// The sender and its incarnation.
+    /// Returns the sender and its incarnation.
     pub fn incarnation_of_sender(&self) -> (NodeId, Incarnation) {
         (self.from, self.incarnation)
     }
 }
 
 impl Node {
-    /// Handles an event at a moment, in microseconds by this node's clock; returns the effects in the order
-    /// in which they are to be carried out.
+    /// Handles an event at `now`, in microseconds by this node's clock. Returns the effects in the order in
+    /// which the host must carry them out.
     pub fn step(&mut self, event: Event, now: Micros) -> Vec<Effect> {
         let now = self.advance_clock(now);
         self.on_event(event, now);
@@ -49,7 +50,7 @@
         self.outbox.take_effects()
     }
 
-    /// Notes a step, and whether the node was stalled before it. Returns the time of the step.
+    /// Records a step, and a stall if the node was stalled before. Returns the time of the step.
     fn advance_clock(&mut self, now: Micros) -> Micros {
         let last_step = self.clock.last_step;
         let now = now.max(last_step);
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Handles the frames that this node sent to itself, and those that it sends to itself meanwhile.
+    /// Handles the frames that this node sent to itself, including those sent while these are handled.
     fn handle_loopback(&mut self, now: Micros) {
         while let Some(frame) = self.outbox.next_loopback() {
             self.on_message(frame, now);
@@ -106,7 +107,7 @@
         self.tick_forward(now);
         self.tick_voters(now);
         self.tick_digest_sync(now);
-        // Once a second: the last publication was in another one.
+        // Runs once a second: the last view was published in an earlier second.
         if now / SEC != self.publisher.published_at / SEC {
             self.dissemination.expire(now);
         }
@@ -123,8 +124,8 @@
         self.on_message(frame, now);
     }
 
-    /// Whether a frame is from this node, for another node, or of another fleet. Fleet 0 means that the
-    /// sender knows none.
+    /// Returns whether a frame must be dropped: it is from this node, for another node, or of another fleet.
+    /// Fleet 0 means that the sender knows no fleet.
     fn is_foreign(&self, frame: &Frame) -> bool {
         let own_id = self.settings.node_id;
         let own_fleet = self.fleet_id();
@@ -134,7 +135,7 @@
     }
 
     fn on_message(&mut self, frame: Frame, now: Micros) {
-        // What this node sent to itself may have waited for its own disk.
+        // A message of this node to itself may have waited for the disk.
         let delay = if frame.from == self.settings.node_id {
             now.saturating_sub(frame.sent_at)
         } else {
--- a/crates/core/src/node/dissemination/frame_delay.rs
+++ b/crates/core/src/node/dissemination/frame_delay.rs
@@ -1,17 +1,17 @@
-//! Frame delays: how much longer a frame was under way than the quickest one from its sender.
+//! Frame delays: the transit time of a frame beyond that of the fastest frame from the same sender.
 //!
-//! Needs no round trip, so it works from the second frame of an incarnation on; it cannot show a delay that
-//! all frames have in common. What must not be taken for too young uses
+//! The measurement needs no round trip, so it works from the second frame of an incarnation on. It cannot
+//! show a delay that all frames have in common. Data that must not be taken for younger than it is uses
 //! [`peer_clocks`](super::peer_clocks) instead.
 
 use crate::base::{Incarnation, Micros, NodeId};
 use crate::protocol::Frame;
 use std::collections::BTreeMap;
 
-/// Clocks of two nodes drift apart by one part in so many at most.
+/// The clocks of two nodes drift apart by at most one part in this many.
 const DRIFT_DIVISOR: u64 = 5_000;
 
-/// The smallest difference seen between this node's clock and one incarnation of a peer.
+/// The smallest offset seen between this node's clock and one incarnation of a peer.
 #[derive(Clone, Copy, Debug)]
 struct SmallestOffset {
     incarnation: Incarnation,
@@ -19,15 +19,15 @@
     measured_at: Micros,
 }
 
-/// The smallest clock offset to each peer, by which delays of frames show.
+/// The smallest clock offset to each peer, from which the delays of frames follow.
 #[derive(Clone, Debug, Default)]
 pub(in crate::node) struct FrameDelays {
     smallest: BTreeMap<NodeId, SmallestOffset>,
 }
 
 impl FrameDelays {
-    /// How much longer this frame was under way than the quickest one from this incarnation of its sender,
-    /// in microseconds.
+    /// Returns the transit time of this frame beyond that of the fastest frame from this incarnation of its
+    /// sender, in microseconds.
     pub fn measure(&mut self, frame: &Frame, now: Micros) -> Micros {
         let offset = i128::from(now) - i128::from(frame.sent_at);
         let first = SmallestOffset { incarnation: frame.incarnation, offset, measured_at: now };
--- a/crates/core/src/node/dissemination/gossip.rs
+++ b/crates/core/src/node/dissemination/gossip.rs
@@ -1,38 +1,39 @@
-//! Gossip: heartbeats and records of nodes, passed on among all of them.
+//! Gossip: the spread of heartbeats and records of nodes among all nodes.
 //!
-//! Each node gossips at [`GOSSIP_INTERVAL`](peers::GOSSIP_INTERVAL) to a few targets and asks for their
-//! gossip in reply. A pair that knows the same incarnations exchanges compact heartbeats of two bytes a
-//! node; others exchange deltas. While a node has no configuration it contacts its seeds more often.
+//! Each node gossips every [`GOSSIP_INTERVAL`](peers::GOSSIP_INTERVAL) to a few targets and requests their
+//! gossip in reply. Two nodes that know the same incarnations exchange compact heartbeats of two bytes per
+//! node; others exchange deltas. A node without a configuration contacts its seeds more often.
 
 use crate::base::{MS, Micros, NodeId, SEC};
 use crate::node::Node;
 use crate::peers::{self, Delta, HeartbeatStamp};
 use crate::protocol::{DisseminationMessage, Heartbeat, Message, PeerRecord};
 
-/// Every so many heartbeats one target is drawn among all nodes, so that partitions merge again.
+/// The number of heartbeats after which one target is drawn among all nodes, so that partitions merge again.
 const RANDOM_TARGET_INTERVAL: u64 = 4;
-/// A restarted node without a configuration serves nobody, so it contacts the seeds this often.
+/// The interval at which a restarted node without a configuration contacts the seeds, in microseconds: it
+/// serves no calls until then.
 const GREETING_INTERVAL: Micros = 100 * MS;
-/// For so long after its start a core greets the nodes that its disk names: they may not notice by
-/// themselves that their connections to its former incarnation are dead.
+/// The time after its start for which a core greets the nodes that are registered on its disk, in
+/// microseconds: they may not detect by themselves that their connections to its former incarnation are dead.
 const REGISTERED_GREETING_PERIOD: Micros = 2 * SEC;
-/// A core that sent no frame for so long may have been replaced, and is greeted again.
+/// The time without a frame after which a core is greeted again, in microseconds: it may have been replaced.
 const CORE_FRAME_TIMEOUT: Micros = 2 * peers::GOSSIP_INTERVAL;
 
-/// A gossip message as it came from a peer.
+/// A gossip message from a peer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReceivedGossip<'a> {
     /// The node that sent it.
     pub from: NodeId,
-    /// Heartbeats of nodes that this node is taken to know.
+    /// Heartbeats of nodes that the sender assumes this node to know.
     pub heartbeats: &'a [Heartbeat],
     /// Full records of nodes.
     pub records: &'a [PeerRecord],
     /// Nodes whose records the sender requests.
     pub unknown_nodes: &'a [NodeId],
-    /// Whether the sender wants this node's gossip in reply.
+    /// Whether the sender requests this node's gossip in reply.
     pub wants_reply: bool,
-    /// The hash of the incarnations that the sender knows.
+    /// The hash of all incarnations that the sender knows.
     pub incarnation_set: u64,
     /// Compact heartbeats of those incarnations; empty if the sender sent a delta.
     pub compact_heartbeats: &'a [u8],
@@ -59,7 +60,7 @@
         self.dissemination.peers.merge(&record, now);
     }
 
-    /// Advances this node's heartbeat and gossips, when that is due.
+    /// Advances this node's heartbeat and gossips, if that is due.
     pub(in crate::node) fn tick_gossip(&mut self, now: Micros) {
         if now < self.dissemination.peers.gossip_due {
             return;
@@ -78,7 +79,7 @@
         }
     }
 
-    /// The targets of this round, sorted, each once.
+    /// Draws the gossip targets of this round, sorted and without duplicates.
     fn draw_gossip_targets(&mut self, now: Micros) -> Vec<NodeId> {
         let own_id = self.settings.node_id;
         let mut targets = self.dissemination.peers.gossip_targets(own_id, &self.settings.zone, now);
@@ -90,9 +91,9 @@
         targets
     }
 
-    /// The addresses at which nodes should be known, sorted, each once.
+    /// Returns the addresses whose nodes this node should know, sorted and without duplicates.
     fn greeting_addresses(&self, now: Micros) -> Vec<String> {
-        // Seeds may be addresses of machines that were replaced; the version names the current cores.
+        // Seeds may be addresses of replaced machines; the newest version names the current cores.
         let mut addresses = self.settings.seeds.clone();
         addresses.extend(self.consensus.state.voters().iter().map(|voter| voter.addr.clone()));
         if now < self.clock.started_at + REGISTERED_GREETING_PERIOD {
@@ -103,7 +104,7 @@
         addresses
     }
 
-    /// Sends this node's own record to whatever node is at an address.
+    /// Sends this node's own record to the node at an address, whichever node that is.
     fn greet(&mut self, address: &str, now: Micros) {
         let greeting = DisseminationMessage::Gossip {
             heartbeats: Vec::new(),
@@ -116,8 +117,8 @@
         self.send_to_address(address, Message::Dissemination(greeting), now);
     }
 
-    /// Whether the node at this address need not be greeted. A core that sends nothing may have been
-    /// replaced by a node that knows no peer.
+    /// Returns whether the node at this address need not be greeted. A core that sends no frames may have
+    /// been replaced by a node that knows no peers.
     fn needs_no_greeting(&self, addr: &str, now: Micros) -> bool {
         let mut at_address = self.dissemination.peers.entries.values().filter(|entry| entry.record.addr == addr);
         let is_voter_address = self.settings.manages_voters
@@ -156,17 +157,17 @@
         self.send(to, Message::Dissemination(gossip), now);
     }
 
-    /// Handles a frame that names no receiver, a greeting: its sender knows no node at this address.
+    /// Handles a greeting: a frame that names no receiver, because its sender knows no node at this address.
     ///
-    /// What this node sent it before was lost, or went to an incarnation that has forgotten it, so
-    /// everything is sent anew. Without that neither side would send this node's record again: one takes
-    /// it for known, and the other has no address to request it from.
+    /// Earlier records for the sender were lost, or went to an incarnation that has forgotten them, so all
+    /// records are sent again. Otherwise neither side would send this node's record: this node assumes that
+    /// the sender has it, and the sender has no address to request it from.
     pub(in crate::node) fn on_greeting(&mut self, from: NodeId) {
         self.dissemination.peers.forget_sent(from);
         self.dissemination.peers.incarnation_sets.remove(&from);
     }
 
-    /// Merges the gossip of a peer and replies if it asks for that or if either side lacks records.
+    /// Merges the gossip of a peer, and replies if the peer requests it or either side lacks records.
     pub(super) fn on_gossip(&mut self, gossip: &ReceivedGossip<'_>, now: Micros) {
         let from = gossip.from;
         let is_new_peer = !self.dissemination.peers.entries.contains_key(&from);
@@ -195,8 +196,8 @@
         }
     }
 
-    /// Merges records and heartbeats of other nodes: whether one of them has a newer version than this
-    /// node, and the nodes whose records are to be requested.
+    /// Merges records and heartbeats of other nodes. Returns whether one of them has a newer version than
+    /// this node, and the nodes whose records must be requested.
     fn merge_gossip(&mut self, gossip: &ReceivedGossip<'_>, now: Micros) -> (bool, Vec<NodeId>) {
         let own_id = self.settings.node_id;
         let own_version = self.version();
@@ -214,8 +215,8 @@
         (has_newer_version, unknown_here)
     }
 
-    /// Notes what the sender knows. A heartbeat of a node that is unknown here does not count, since its
-    /// record is still to come.
+    /// Records which heartbeats the sender knows. The heartbeat of a node that is unknown here does not
+    /// count, since the record of that node is still to be received.
     fn record_received_gossip(&mut self, gossip: &ReceivedGossip<'_>) {
         let peers = &mut self.dissemination.peers;
         let heartbeats: Vec<_> = gossip
@@ -228,7 +229,7 @@
         peers.record_received(gossip.from, heartbeats.into_iter().chain(records));
     }
 
-    /// Tells all live nodes that this one drains, so that none counts on it any more.
+    /// Starts to drain and notifies all live nodes, so that they no longer rely on this node.
     pub(in crate::node) fn shut_down(&mut self, now: Micros) {
         self.draining = true;
         self.advance_heartbeat(now);
--- a/crates/core/src/node/dissemination/mod.rs
+++ b/crates/core/src/node/dissemination/mod.rs
@@ -1,12 +1,13 @@
-//! How updates spread and failures are detected: gossip among nodes, reports of workers, contact to voters.
+//! Dissemination of updates and failure detection: gossip among nodes, reports of workers, and contact with
+//! the voters.
 //!
-//! Nothing here is needed for the safety of decisions: it guarantees that what is known becomes known to
-//! all live nodes in time, and that nothing is taken for younger than it is. It backs off where no majority
-//! of the voters answers: callers are then redirected, and reports are not acknowledged.
+//! Nothing here is needed for the safety of decisions. This concern guarantees that updates reach all live
+//! nodes in time, and that no data is taken for younger than it is. While no majority of the voters replies,
+//! callers are redirected and reports are not acknowledged.
 //!
 //! - [`gossip`]: heartbeats and records of nodes;
-//! - [`reports`] and [`updates`]: what workers report, passed on to the nodes that subscribe to it;
-//! - [`removals`]: workers that drain or leave, acknowledged once a majority of the voters knows;
+//! - [`reports`] and [`updates`]: reports of workers, passed on to the nodes that subscribe to them;
+//! - [`removals`]: workers that drain or leave, acknowledged once a majority of the voters knows the removal;
 //! - [`contact`] and [`reachability`]: whether this node exchanges messages with a majority of the voters;
 //! - [`peer_clocks`]: bounds on the clocks of peers, so that no report is taken for younger than it is;
 //! - [`peer_incarnations`]: restarted peers, whose old connections are dead.
@@ -29,17 +30,17 @@
 use crate::protocol::DisseminationMessage;
 use crate::workers::{WaitingRequest, WorkerTable};
 
-/// What a node knows of other nodes and of workers.
+/// The dissemination state of a node: the other nodes and the workers that it knows.
 #[derive(Clone, Debug)]
 pub struct Dissemination {
     /// The nodes of the fleet.
     pub peers: PeerTable,
-    /// The workers, and who subscribes to whom for them.
+    /// The workers, and the subscriptions to their reports.
     pub workers: WorkerTable,
     /// This node's own heartbeat counter.
     pub(in crate::node) heartbeat: u64,
     pub(in crate::node) contact: contact::Contact,
-    /// Reports of workers that wait until a majority of the voters is in contact.
+    /// Reports of workers whose acknowledgement waits until a majority of the voters is in contact.
     pub(in crate::node) pending_acks: Vec<WaitingRequest>,
     pub(in crate::node) frame_delays: frame_delay::FrameDelays,
     pub(in crate::node) peer_clocks: peer_clocks::PeerClocks,
@@ -47,7 +48,7 @@
 }
 
 impl Dissemination {
-    /// The state after a start; `first_request` numbers the first subscription.
+    /// Creates the state after a start. The first subscription has the number after `first_request`.
     pub(super) fn new(report_interval: Micros, first_request: u64, now: Micros) -> Self {
         Dissemination {
             peers: PeerTable::default(),
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Forgets peers and workers that have been silent for long.
+    /// Drops peers and workers without recent contact.
     pub(super) fn expire(&mut self, now: Micros) {
         self.peers.expire(now);
         self.workers.expire(now);
--- a/crates/core/src/node/dissemination/peer_clocks.rs
+++ b/crates/core/src/node/dissemination/peer_clocks.rs
@@ -1,43 +1,44 @@
-//! Clock offset bounds: how far this node's clock is ahead of a peer's at least, from round trips.
+//! Clock offset bounds: the least time by which this node's clock is ahead of a peer's, from round trips.
 //!
-//! What a peer passes on is then never taken for younger than it is, also the first frames of a peer's new
-//! incarnation, however long they were delayed. The bound is lowered with time, as clocks drift. Reports from
-//! a peer without a bound wait for one for [`CLOCK_BOUND_TIMEOUT`] and are then dropped.
+//! With such a bound, data that a peer passes on is never taken for younger than it is. This holds even for
+//! the first frames of a peer's new incarnation, however long they were delayed. The bound decreases with
+//! time, as clocks drift. Reports from a peer without a bound wait for one for [`CLOCK_BOUND_TIMEOUT`] and
+//! are then dropped.
 
 use crate::base::{Incarnation, MS, Micros, NodeId, SEC};
 use crate::node::Node;
 use crate::protocol::{DisseminationMessage, Message, WorkerReport};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A request that has no reply is sent again after this.
+/// The time after which a request without a reply is sent again, in microseconds.
 const RETRY_INTERVAL: Micros = 250 * MS;
-/// A bound is measured anew after this: clocks drift apart.
+/// The time after which a bound is measured again, in microseconds: clocks drift apart.
 const RENEW_INTERVAL: Micros = 20 * SEC;
-/// A round trip that takes longer gives a poor bound, which is measured anew soon.
+/// The round-trip time above which a bound is imprecise and soon measured again, in microseconds.
 const SLOW_ROUND_TRIP_THRESHOLD: Micros = 20 * MS;
-/// A bound from a slow round trip is measured anew after this.
+/// The time after which a bound from a slow round trip is measured again, in microseconds.
 const RENEW_SLOW_INTERVAL: Micros = SEC;
-/// Clocks drift apart by one part in so many at most.
+/// The clocks of two nodes drift apart by at most one part in this many.
 const DRIFT_DIVISOR: i128 = 1_000;
-/// Reports that wait for a bound are dropped after this.
+/// The time after which reports that wait for a bound are dropped, in microseconds.
 const CLOCK_BOUND_TIMEOUT: Micros = 2 * SEC;
-/// How many reports of a peer wait at most.
+/// The maximum number of waiting reports of one peer.
 const MAX_WAITING_REPORTS: usize = 4_096;
-/// How many requests to a peer are remembered, so that their replies count.
+/// The maximum number of requests to a peer that are remembered so that their replies count.
 const MAX_REMEMBERED_REQUESTS: usize = 8;
-/// Peers that sent no report for so long are forgotten.
+/// The time without a report after which a peer is dropped, in microseconds.
 const IDLE_PEER_RETENTION: Micros = 60 * SEC;
 
 /// A report from a peer whose clock offset is not known yet.
 #[derive(Clone, Debug)]
 struct WaitingReport {
     received_at: Micros,
-    /// When it was sent, by the peer's clock.
+    /// When the report was sent, by the peer's clock.
     sent_at: Micros,
     report: WorkerReport,
 }
 
-/// A lower bound of how far this node's clock is ahead of a peer's, in microseconds.
+/// A lower bound of the time by which this node's clock is ahead of a peer's, in microseconds.
 #[derive(Clone, Copy, Debug)]
 struct OffsetBound {
     offset: i128,
@@ -45,7 +46,7 @@
 }
 
 impl OffsetBound {
-    /// The bound that still holds now, however fast the clocks drift apart.
+    /// Returns the bound that still holds now, however fast the clocks drift apart.
     fn offset_now(&self, now: Micros) -> i128 {
         self.offset - i128::from(now.saturating_sub(self.measured_at)) / DRIFT_DIVISOR
     }
@@ -58,7 +59,7 @@
     sent_at: Micros,
 }
 
-/// What is known of the clock of one incarnation of a peer.
+/// The clock offset of one incarnation of a peer, and the reports that wait for it.
 #[derive(Clone, Debug)]
 struct PeerClock {
     incarnation: Incarnation,
@@ -85,13 +86,13 @@
         self.bound.map(|bound| bound.offset_now(now))
     }
 
-    /// The earliest moment, by this node's clock, at which a frame of the peer can have been sent.
+    /// Returns the earliest time, by this node's clock, at which a frame of the peer can have been sent.
     fn earliest_sent_at(&self, sent_at: Micros, now: Micros) -> Option<Micros> {
         let earliest = i128::from(sent_at) + self.offset_now(now)?;
         Some(Micros::try_from(earliest.max(0)).unwrap_or(now).min(now))
     }
 
-    /// Notes a reading of the peer's clock that was requested at `requested_at`.
+    /// Records a reading of the peer's clock that was requested at `requested_at`.
     fn record_reading(&mut self, requested_at: Micros, reading: Micros, now: Micros) {
         self.probes.clear();
         let measured = i128::from(requested_at) - i128::from(reading);
@@ -101,7 +102,7 @@
         self.probe_due = now + if is_slow { RENEW_SLOW_INTERVAL } else { RENEW_INTERVAL };
     }
 
-    /// Drops reports that waited for too long; how many.
+    /// Drops reports that waited for too long, and returns their number.
     fn drop_overdue(&mut self, now: Micros) -> usize {
         let before = self.waiting.len();
         self.waiting.retain(|waiting| now.saturating_sub(waiting.received_at) < CLOCK_BOUND_TIMEOUT);
@@ -118,7 +119,7 @@
 }
 
 impl PeerClocks {
-    /// The clock of the sender's incarnation; that of an earlier one is forgotten.
+    /// Returns the clock of the sender's incarnation, and drops that of an earlier one.
     fn clock_of(&mut self, (node_id, incarnation): (NodeId, Incarnation), now: Micros) -> &mut PeerClock {
         let clock = self.peers.entry(node_id).or_insert_with(|| PeerClock::new(incarnation, now));
         if clock.incarnation != incarnation {
@@ -128,7 +129,7 @@
         clock
     }
 
-    /// Forgets peers that sent no report for long.
+    /// Drops peers that sent no report within [`IDLE_PEER_RETENTION`].
     pub fn expire(&mut self, now: Micros) {
         self.peers.retain(|_, clock| now.saturating_sub(clock.last_used_at) < IDLE_PEER_RETENTION);
         self.peers_with_waiting_reports.retain(|node_id| self.peers.contains_key(node_id));
@@ -136,8 +137,8 @@
 }
 
 impl Node {
-    /// The earliest moment, by this node's clock, at which a frame can have been sent; none while that is
-    /// not known.
+    /// Returns the earliest time, by this node's clock, at which a frame can have been sent; none while there
+    /// is no bound for the sender's clock.
     pub(in crate::node) fn earliest_sent_at(
         &mut self,
         sender: (NodeId, Incarnation),
@@ -149,7 +150,7 @@
         earliest
     }
 
-    /// Keeps reports of unknown age until their sender's clock has been read.
+    /// Keeps reports of unknown age until a reading of their sender's clock is received.
     pub(in crate::node) fn wait_for_clock(
         &mut self,
         sender: (NodeId, Incarnation),
@@ -163,7 +164,7 @@
         self.dissemination.peer_clocks.peers_with_waiting_reports.insert(sender.0);
     }
 
-    /// Requests a reading of a peer's clock, when that is due.
+    /// Requests a reading of a peer's clock, if one is due.
     fn request_clock(&mut self, peer: NodeId, now: Micros) {
         let request_id = self.next_request_id();
         let clock = self.dissemination.peer_clocks.peers.get_mut(&peer);
@@ -176,12 +177,12 @@
         self.send(peer, Message::Dissemination(DisseminationMessage::ClockRequest { request_id }), now);
     }
 
-    /// Replies at once: the frame's `sent_at` is the reading.
+    /// Handles a request to read this node's clock: the reading is the `sent_at` of the reply's frame.
     pub(in crate::node) fn on_clock_request(&mut self, from: NodeId, request_id: u64, now: Micros) {
         self.send(from, Message::Dissemination(DisseminationMessage::ClockReply { request_id }), now);
     }
 
-    /// The peer's clock showed `reading` after this node requested it: applies the reports that waited.
+    /// Handles a reading of a peer's clock, and applies the reports that waited for it.
     pub(in crate::node) fn on_clock_reply(
         &mut self,
         (from, incarnation): (NodeId, Incarnation),
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Drops reports that waited for too long, and requests the clocks that others wait for.
+    /// Drops reports that waited for too long, and requests the clocks that other reports wait for.
     pub(in crate::node) fn tick_peer_clocks(&mut self, now: Micros) {
         for peer in self.dissemination.peer_clocks.peers_with_waiting_reports.clone() {
             let Some(clock) = self.dissemination.peer_clocks.peers.get_mut(&peer) else { continue };
--- a/crates/core/src/node/dissemination/peer_incarnations.rs
+++ b/crates/core/src/node/dissemination/peer_incarnations.rs
@@ -1,9 +1,9 @@
-//! Which incarnation of each peer sent frames to this node.
+//! Detection of restarted peers by the incarnation of their frames.
 //!
-//! A process that restarts knows nothing of the connections of its former incarnation. If that ended by a
-//! loss of power, no peer was notified, and what is written into such a connection is lost until the
-//! sender's kernel gives it up, a second or more later. The first frame of the new incarnation shows that
-//! the old connection is dead.
+//! A restarted process knows nothing of the connections of its former incarnation. If that incarnation ended
+//! by a loss of power, no peer was notified, and data written into such a connection is lost until the
+//! sender's kernel gives the connection up, a second or more later. The first frame of the new incarnation
+//! shows that the old connection is dead.
 
 use crate::base::{Incarnation, NodeId};
 use crate::node::{Effect, Node};
@@ -11,17 +11,18 @@
 use crate::protocol::{DisseminationMessage, Frame, Message};
 use std::collections::BTreeMap;
 
-/// The newest incarnation that sent a frame, of each peer, and the peer that sent the last one from each
+/// The newest incarnation of each peer that sent a frame, and the last peer that sent a frame from each
 /// address.
 #[derive(Clone, Debug, Default)]
 pub(in crate::node) struct PeerIncarnations {
     newest: BTreeMap<NodeId, Incarnation>,
-    /// Every peer here is in `newest` too.
+    /// Invariant: every peer here is also in `newest`.
     by_address: BTreeMap<String, NodeId>,
 }
 
 impl PeerIncarnations {
-    /// Notes that an incarnation sent a frame; whether another one was known at its address before.
+    /// Records that an incarnation sent a frame. Returns whether another incarnation or node was known at its
+    /// address before.
     fn record(&mut self, node_id: NodeId, incarnation: Incarnation, address: &str, peers: &PeerTable) -> bool {
         let replaces_another =
             match self.by_address.get(address) {
@@ -36,7 +37,7 @@
         replaces_another
     }
 
-    /// Forgets peers that are not in the table any more.
+    /// Drops peers that are no longer in the table.
     pub fn expire(&mut self, peers: &PeerTable) {
         self.newest.retain(|node_id, _| peers.entries.contains_key(node_id));
         self.by_address.retain(|_, node_id| self.newest.contains_key(node_id));
@@ -44,7 +45,8 @@
 }
 
 impl Node {
-    /// Has connections to a former incarnation of the sender opened anew, before anything is answered.
+    /// Requests new connections to a peer whose new incarnation sent this frame, before any message is
+    /// answered.
     pub(in crate::node) fn on_frame_from_incarnation(&mut self, frame: &Frame) {
         let newest = self.dissemination.peer_incarnations.newest.get(&frame.from);
         if newest.is_some_and(|incarnation| *incarnation >= frame.incarnation) {
@@ -59,13 +61,14 @@
         }
         self.counters.peers_restarted += 1;
         self.outbox.push(Effect::Reconnect { to: address });
-        // Requests to the former incarnation are not answered any more.
+        // Requests to the former incarnation will not be answered.
         if is_core && !self.voter() {
             self.dissemination.workers.subscribe_due = 0;
         }
     }
 
-    /// Where the sender of a frame listens, by its own record or as it was known, and whether it is a core.
+    /// Returns the address where the sender of a frame listens, from its own record or the known one, and
+    /// whether the sender is a core.
     fn address_of_sender(&self, frame: &Frame) -> Option<(String, bool)> {
         let own_record = match &frame.message {
             Message::Dissemination(DisseminationMessage::Gossip { records, .. }) => {
--- a/crates/core/src/node/dissemination/reachability.rs
+++ b/crates/core/src/node/dissemination/reachability.rs
@@ -1,8 +1,9 @@
-//! Whether what is reported to this node reaches the others, and what may be concluded from silence.
+//! Reachability: whether reports to this node reach the other nodes, and when a missing report proves a
+//! failure.
 //!
-//! While no core is in contact, silence of workers proves nothing: those that report to cores only cannot be
-//! received then. After a start this node does not know all workers; it counts as complete once every live
-//! worker had time to report, or once its upstreams are complete.
+//! While no core is in contact, missing reports of workers prove nothing: reports of workers that report to
+//! cores only cannot be received then. After a start this node does not know all workers. It counts as
+//! complete once every live worker had time to report, or once its upstreams are complete.
 
 use super::contact::QUORUM_TIMEOUT;
 use crate::base::{MS, Micros};
@@ -10,14 +11,14 @@
 use crate::protocol::PeerRecord;
 use crate::workers::REPORT_TIMEOUT;
 
-/// Freshness older than this means that the cores were out of contact.
+/// The age of the last confirmation above which the cores count as out of contact, in microseconds.
 const CORE_CONTACT_TIMEOUT: Micros = 1_500 * MS;
-/// How much later than its interval a report may come.
+/// The time by which a report may exceed its interval, in microseconds.
 const REPORT_SLACK: Micros = 300 * MS;
 
 impl Node {
-    /// Whether what a worker reported here at `since` reaches the nodes that must know; none while the
-    /// voters' replies are still awaited.
+    /// Returns whether a report that this node received at `since` reaches the nodes that must know it; none
+    /// while the voters' replies are pending.
     pub(in crate::node) fn reaches_others(&self, since: Micros, now: Micros) -> Option<bool> {
         if self.voter() {
             return match self.is_majority_reached(now) {
@@ -31,21 +32,21 @@
         (now.saturating_sub(since) >= QUORUM_TIMEOUT).then_some(false)
     }
 
-    /// Whether no core was in contact yet though another one is live: what is reported until then is passed
-    /// on at the first contact.
+    /// Returns whether no core was in contact yet although another core is live. Reports received until then
+    /// are passed on at the first contact.
     fn is_before_first_contact(&self, now: Micros) -> bool {
         let is_other_core = |record: &PeerRecord| record.is_core && record.node_id != self.settings.node_id;
         self.dissemination.workers.core_contact_at == 0 && self.dissemination.peers.live(now).any(is_other_core)
     }
 
-    /// Whether the cores were in contact lately.
+    /// Returns whether the cores were in contact recently.
     pub(in crate::node) fn is_core_in_contact(&self, now: Micros) -> bool {
         let core_contact_at = self.dissemination.workers.core_contact_at;
         now.saturating_sub(core_contact_at) <= CORE_CONTACT_TIMEOUT && core_contact_at > 0
     }
 
-    /// Notes contact with the cores. While none is in contact no node receives reports of workers that
-    /// report to cores only, so that time does not count as their silence.
+    /// Records contact with the cores. While no core is in contact, no node receives the reports of workers
+    /// that report to cores only, so the workers' time-outs do not run during that time.
     pub(in crate::node) fn tick_core_contact(&mut self, now: Micros) {
         let confirmed_at = self.consensus.freshness.confirmed_at(self.version()).unwrap_or(0);
         let workers = &mut self.dissemination.workers;
@@ -59,7 +60,7 @@
         }
     }
 
-    /// From when on this node knows every live worker, in microseconds.
+    /// Returns the time from which on this node knows every live worker, in microseconds.
     pub(in crate::node) fn workers_complete_at(&self) -> Micros {
         let workers = &self.dissemination.workers;
         let latest = self.clock.started_at + workers.report_timeout();
@@ -72,7 +73,7 @@
         workers.complete_at.unwrap_or(by_reports).min(by_reports)
     }
 
-    /// Counts this node as complete if, for every pool, one of its home nodes is.
+    /// Marks this node as complete if, for every pool, one of the pool's home nodes is complete.
     pub(in crate::node) fn update_completeness(&mut self, now: Micros) {
         if now >= self.workers_complete_at() || self.config.pools.is_empty() {
             return;
--- a/crates/core/src/node/dissemination/removals.rs
+++ b/crates/core/src/node/dissemination/removals.rs
@@ -1,9 +1,9 @@
-//! Removals of workers: sent to every live node at once, and acknowledged once a majority of the voters
-//! knows them.
+//! Removals of workers: sent to every live node at once, and acknowledged once a majority of the voters knows
+//! them.
 //!
 //! An acknowledged removal is known to a majority of the voters, so it survives the loss of this node: each
-//! core that knows it spreads it too. The acknowledgement waits a little for all live nodes, so that the
-//! worker may usually stop at once; it is refused where no majority answers.
+//! core that knows the removal spreads it too. The acknowledgement waits a short time for all live nodes, so
+//! that the worker may usually stop at once. If no majority replies, the removal is not acknowledged.
 
 use super::contact::QUORUM_TIMEOUT;
 use crate::base::{Micros, NodeId};
@@ -21,14 +21,14 @@
     is_core: bool,
 }
 
-/// What one round over all removals is to send.
+/// The answers and messages that result from one pass over all removals.
 #[derive(Debug, Default)]
 struct RemovalBatch {
-    /// Requests that are answered now, and whether they are accepted.
+    /// The requests that are answered now, and whether they are accepted.
     answers: Vec<(u64, bool)>,
-    /// Reports for each node that has not acknowledged them.
+    /// The reports for each node that has not acknowledged them.
     reports: BTreeMap<NodeId, Vec<WorkerReport>>,
-    /// Removals that all live nodes know.
+    /// The removals that all live nodes know.
     known_by_all: Vec<RemovalKey>,
 }
 
@@ -51,7 +51,7 @@
             .get(&report.worker_id)
             .filter(|entry| entry.report.is_out_of_service())
             .map(|entry| (entry.report.removal_key(), entry.known_by_all));
-        // If the worker is in service, this report is older than one that it made to another node.
+        // If the worker is in service, this report is older than one that the worker made to another node.
         let Some((key, false)) = known else {
             self.acknowledge_when_reachable(request_id, now);
             return;
@@ -62,7 +62,8 @@
         self.tick_removals(now);
     }
 
-    /// Acknowledges a report if it reaches other nodes; in doubt it waits for the voters' replies.
+    /// Acknowledges a report if it reaches other nodes. While that is unknown, the acknowledgement waits for
+    /// the voters' replies.
     fn acknowledge_when_reachable(&mut self, request_id: u64, now: Micros) {
         match self.reaches_others(now, now) {
             Some(is_accepted) => self.acknowledge_report(request_id, is_accepted),
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Acknowledges the reports that waited for the voters' replies.
+    /// Acknowledges the reports whose wait for the voters' replies is over.
     pub(in crate::node) fn complete_pending_acks(&mut self, now: Micros) {
         for request in std::mem::take(&mut self.dissemination.pending_acks) {
             match self.reaches_others(request.received_at, now) {
@@ -143,8 +144,8 @@
         }
     }
 
-    /// Answers the requests of a removal that need not wait longer; whether a majority of the voters
-    /// knows it.
+    /// Answers the requests of a removal that need not wait any longer. Returns whether a majority of the
+    /// voters knows the removal.
     fn answer_waiting_requests(
         &self,
         removal: &mut Removal,
@@ -154,7 +155,7 @@
     ) -> bool {
         let voters = self.consensus.state.voters();
         let is_voter = self.voter();
-        // That all nodes that this one reaches know it proves nothing where it is cut off with them.
+        // Knowledge of all reachable nodes proves nothing if this node is partitioned together with them.
         let mut known_by = removal.known_by.clone();
         known_by.extend(is_voter.then_some(self.settings.node_id));
         let is_committed = !voters.is_empty() && is_majority(voters, &known_by);
@@ -197,12 +198,12 @@
         }
     }
 
-    /// Applies the removals that a node sends, and acknowledges them. `delay` is how much longer the frame
-    /// was under way than the quickest one from its sender, in microseconds.
+    /// Applies the removals from a node, and acknowledges them. `delay` is the transit time of the frame
+    /// beyond that of the fastest frame from the same sender, in microseconds.
     pub(in crate::node) fn on_removals(&mut self, from: NodeId, reports: &[WorkerReport], delay: Micros, now: Micros) {
         let mut keys: Vec<RemovalKey> = Vec::new();
         for report in reports {
-            // A removal stays true however long it was under way.
+            // A removal stays valid whatever its transit time.
             let made_at = now.saturating_sub(report.age.saturating_add(delay));
             self.apply_report(report, made_at, now);
             let key = report.removal_key();
@@ -214,7 +215,7 @@
         self.send(from, Message::Dissemination(DisseminationMessage::RemovalsReceived { keys }), now);
     }
 
-    /// A node acknowledges removals.
+    /// Records a node's acknowledgement of removals.
     pub(in crate::node) fn on_removals_received(&mut self, from: NodeId, keys: &[RemovalKey], now: Micros) {
         for key in keys {
             if let Some(removal) = self.dissemination.workers.removals.get(key) {
@@ -224,7 +225,7 @@
         self.tick_removals(now);
     }
 
-    /// All live nodes know these removals, so they need not be spread any more.
+    /// Stops spreading removals that all live nodes know.
     pub(in crate::node) fn on_removals_known_by_all(&mut self, keys: &[RemovalKey]) {
         let workers = &mut self.dissemination.workers;
         for key in keys {
--- a/crates/core/src/node/dissemination/reports.rs
+++ b/crates/core/src/node/dissemination/reports.rs
@@ -1,8 +1,8 @@
-//! Reports of workers, and how they reach the home nodes of their pools.
+//! Reports of workers, and their way to the home nodes of their pools.
 //!
-//! A report that a worker makes to this node is sent on to the home nodes of its pool in every zone. A
-//! report from another node is taken to be as old as it can be by the sender's clock, so that no silent
-//! worker is taken for a live one; while the bound on that clock is not known, the report waits.
+//! A report that a worker makes to this node is sent to the home nodes of the worker's pool in every zone. A
+//! report from another node is given the greatest age that the bound on the sender's clock allows, so that no
+//! failed worker is taken for a live one. While that bound is not known, the report waits.
 
 use crate::base::{Incarnation, MS, Micros, NodeId};
 use crate::node::Node;
@@ -11,12 +11,13 @@
 use crate::workers::removals::TAKE_OVER_AFTER;
 use std::collections::BTreeMap;
 
-/// For so long after a stall of this node, reports of other nodes are dropped: they may have waited.
+/// The time after a stall of this node during which reports of other nodes are dropped, in microseconds: they
+/// may have been queued during the stall.
 const STALL_RECOVERY_PERIOD: Micros = 300 * MS;
 
 impl Node {
-    /// Handles a report that a worker made to this node; false if it is older than what is known of the
-    /// worker, and so does not count.
+    /// Handles a report that a worker made to this node. Returns false if the report is older than the known
+    /// one of the worker and so is ignored.
     pub(in crate::node) fn on_report(&mut self, report: &WorkerReport, now: Micros) -> bool {
         let mut report = report.clone();
         if report.incarnation == UNNUMBERED_INCARNATION {
@@ -33,7 +34,7 @@
         true
     }
 
-    /// Whether the report is of a drain or removal that is known already.
+    /// Returns whether the report is of a drain or removal that is known already.
     fn is_known_removal(&self, report: &WorkerReport) -> bool {
         self.dissemination.workers.entries.get(&report.worker_id).is_some_and(|entry| {
             entry.report.is_out_of_service()
@@ -42,8 +43,8 @@
         })
     }
 
-    /// Merges a report that was made at `made_at`; whether it changed what is known. A worker that is new,
-    /// moved or left is sent to subscribers without delay.
+    /// Merges a report that was made at `made_at`. Returns whether the report changed the known state. A
+    /// worker that is new, moved or left is sent to subscribers without delay.
     pub(in crate::node) fn apply_report(&mut self, report: &WorkerReport, made_at: Micros, now: Micros) -> bool {
         let is_known_removal = self.is_known_removal(report);
         let is_routine = self.dissemination.workers.entries.get(&report.worker_id).is_some_and(|entry| {
@@ -55,14 +56,14 @@
             return false;
         }
         let workers = &mut self.dissemination.workers;
-        // Reports to a single core are far apart: the next one would come late.
+        // The interval between reports to a single core is long, so the next push must not wait.
         if !is_routine && self.settings.reports_to_cores_only {
             workers.push_due = now;
         }
         if !report.is_out_of_service() {
             workers.removals.remove(&report.worker_id);
         } else if self.settings.is_core && !is_known_removal {
-            // Every core keeps a removal, in case the core that spreads it is lost.
+            // Every core keeps a removal, in case the core that spreads the removal is lost.
             workers.removals.start(&report.removal_key(), now + TAKE_OVER_AFTER, now);
         }
         true
@@ -82,8 +83,8 @@
         outcome
     }
 
-    /// Handles reports that another node received. Each is taken to be as old as it can be by its sender's
-    /// clock; while the bound on that clock is not known, only removals count at once.
+    /// Handles reports that another node received. Each is given the greatest age that the bound on the
+    /// sender's clock allows. While that bound is not known, only removals are applied at once.
     pub(in crate::node) fn on_reports(
         &mut self,
         sender: (NodeId, Incarnation),
@@ -91,7 +92,7 @@
         reports: &[WorkerReport],
         now: Micros,
     ) {
-        // What waited while this node was stalled is of an unknown age.
+        // Reports that were queued while this node was stalled are of unknown age.
         let is_after_stall = now.saturating_sub(self.clock.resumed_at) < STALL_RECOVERY_PERIOD;
         let earliest_sent_at = self.earliest_sent_at(sender, sent_at, now);
         let (removals, in_service): (Vec<_>, Vec<_>) = reports.iter().partition(|report| report.is_out_of_service());
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Sends what workers reported to this node to the home nodes of their pools in each zone.
+    /// Sends the reports that workers made to this node to the home nodes of their pools in each zone.
     pub(in crate::node) fn flush_reports(&mut self, now: Micros) {
         if self.dissemination.workers.unsent.is_empty() {
             return;
--- a/crates/core/src/node/dissemination/updates.rs
+++ b/crates/core/src/node/dissemination/updates.rs
@@ -1,9 +1,9 @@
 //! Updates: snapshots and deltas of the workers and of the configuration, sent to subscribers.
 //!
 //! Each node subscribes to the home nodes of its topics: the two nodes of its zone that rendezvous hashing
-//! gives for each pool and for the configuration. The home nodes of the configuration subscribe to a core.
-//! A subscriber names the change index up to which it has its upstream's changes, and receives those after
-//! it; if the upstream restarted, or the subscriber wants more topics, it receives a snapshot.
+//! selects for each pool and for the configuration. The home nodes of the configuration subscribe to a core.
+//! A subscriber names the change index up to which it has its upstream's changes, and receives later ones. If
+//! the upstream restarted, or the subscriber requests more topics, the subscriber receives a snapshot.
 
 use crate::base::{Incarnation, MS, Micros, NodeId, SEC, Version, rendezvous_weight};
 use crate::freshness;
@@ -12,46 +12,47 @@
 use crate::workers::{Subscriber, Upstream};
 use std::collections::BTreeMap;
 
-/// How often changes of workers are sent to subscribers.
+/// The interval at which changes of workers are sent to subscribers, in microseconds.
 const PUSH_INTERVAL: Micros = 100 * MS;
-/// How many bytes of a new version are sent in one step of the timer.
+/// The maximum size of a new version for all its receivers together in one tick, in bytes.
 const MAX_PUSH_BYTES: usize = 512 << 10;
-/// A subscriber that did not renew its subscription for so long is sent no changes of workers.
+/// The time without a renewal after which a subscriber is sent no more changes of workers, in microseconds.
 const SUBSCRIPTION_TIMEOUT: Micros = 2 * SEC;
-/// A version that no majority confirmed for so long may be outdated: another core is asked.
+/// The age of its last confirmation above which a version may be outdated and another core is requested, in
+/// microseconds.
 const STALENESS_THRESHOLD: Micros = 1_500 * MS;
-/// How many subscription requests to an upstream are remembered, so that late answers count.
+/// The maximum number of subscription requests to an upstream that are remembered so that late answers count.
 const MAX_REMEMBERED_REQUESTS: usize = 8;
 /// The topic of the configuration. All other topics are names of pools.
 const CONFIG_TOPIC: &str = "config";
 
-/// A subscription as it came from a peer; see [`DisseminationMessage::Subscribe`].
+/// A subscription from a peer; see [`DisseminationMessage::Subscribe`].
 #[derive(Clone, Debug)]
 pub(super) struct Subscription {
-    /// The number of the request.
+    /// The sequence number of the request.
     pub seq: u64,
-    /// One more than the version that the subscriber holds; 0 for none.
+    /// The version after the one that the subscriber holds; 0 if it holds none.
     pub next_version: Version,
     /// The change index up to which the subscriber has this node's changes.
     pub from_index: u64,
-    /// The incarnation of this node that counted this index.
+    /// The incarnation of this node to which the change index belongs.
     pub incarnation: Incarnation,
-    /// The topics that the subscriber wants.
+    /// The topics that the subscriber requests.
     pub topics: Vec<String>,
 }
 
-/// The part of an update that follows its version; see [`DisseminationMessage::Update`].
+/// An update from an upstream, apart from its log entries; see [`DisseminationMessage::Update`].
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReceivedUpdate<'a> {
-    /// The subscription that it answers.
+    /// The sequence number of the subscription that the update answers.
     pub request_seq: u64,
-    /// How long after that subscription it was sent, in microseconds.
+    /// The time from the receipt of that subscription to this update, in microseconds.
     pub answered_after: Micros,
-    /// How long before that a majority confirmed the version, in microseconds.
+    /// The age of the version's last confirmation by a majority when the update was sent, in microseconds.
     pub confirmed_age: Option<Micros>,
     /// The upstream's version.
     pub version: Version,
-    /// The change index up to which this node now has the upstream's changes.
+    /// The change index up to which this node has the upstream's changes after this update.
     pub change_index: u64,
     /// Whether every live worker has reported to the upstream.
     pub is_complete: bool,
@@ -59,7 +60,7 @@
     pub reports: &'a [WorkerReport],
 }
 
-/// A version for a subscriber: either patches that lead to it, or the whole version alone.
+/// The entries that bring a subscriber to the newest version: either patches, or the whole version alone.
 #[derive(Clone, Debug, Default)]
 struct EntryChain {
     preceding: Vec<LogEntry>,
@@ -73,8 +74,8 @@
         topics
     }
 
-    /// The nodes that this one subscribes to, and for which topics: the home nodes in its zone; for the
-    /// configuration a home node subscribes to a core.
+    /// Returns the nodes that this node subscribes to, and their topics: the home nodes in its zone, and for
+    /// the configuration also a core if this node is a home node or its version may be outdated.
     fn desired_upstreams(&self, now: Micros) -> BTreeMap<NodeId, Vec<String>> {
         let mut upstreams: BTreeMap<NodeId, Vec<String>> = BTreeMap::new();
         for topic in self.topics() {
@@ -97,8 +98,8 @@
         upstreams
     }
 
-    /// The core that this node subscribes to for the configuration, if it is one of the home nodes of that
-    /// or if its version may be outdated.
+    /// Returns the core that this node subscribes to for the configuration, if this node is one of the
+    /// configuration's home nodes or its version may be outdated.
     fn config_core(&self, home_nodes: &[NodeId], now: Micros) -> Option<NodeId> {
         if !self.is_version_stale(now) && !home_nodes.contains(&self.settings.node_id) {
             return None;
@@ -111,8 +112,8 @@
         confirmed_at.is_none_or(|confirmed_at| now.saturating_sub(confirmed_at) > STALENESS_THRESHOLD)
     }
 
-    /// A live core, in this node's zone before the others. While the version may be outdated, `attempt`
-    /// rotates among all of them.
+    /// Returns a live core, preferably in this node's zone. While the version may be outdated, `attempt`
+    /// rotates among all live cores.
     pub(in crate::node) fn nearest_core(&self, now: Micros, attempt: u64) -> Option<NodeId> {
         let own_id = self.settings.node_id;
         let consensus = &self.consensus.state;
@@ -136,7 +137,7 @@
         ranked.get(index).map(|candidate| candidate.2)
     }
 
-    /// Renews this node's subscriptions, when that is due.
+    /// Renews this node's subscriptions, if that is due.
     pub(in crate::node) fn tick_subscribe(&mut self, now: Micros) {
         if now < self.dissemination.workers.subscribe_due {
             return;
@@ -170,16 +171,16 @@
         self.send(to, Message::Dissemination(subscribe), now);
     }
 
-    /// One more than the version that this node holds; 0 for none.
+    /// Returns the version after the one that this node holds; 0 if it holds none.
     fn next_version(&self) -> Version {
         self.version().map_or(0, |version| version + 1)
     }
 
-    /// Notes a subscription, and answers it at once.
+    /// Records a subscription, and answers it at once.
     pub(super) fn on_subscribe(&mut self, from: NodeId, subscription: Subscription, now: Micros) {
         let workers = &mut self.dissemination.workers;
         let topics = &subscription.topics;
-        // Of a topic that it did not want before, the subscriber needs a snapshot.
+        // The subscriber needs a snapshot of a topic that it did not request before.
         let has_new_topics = workers
             .subscribers
             .get(&from)
@@ -200,13 +201,13 @@
         self.send_update(from, now);
     }
 
-    /// Sends a subscriber what changed since the last update to it.
+    /// Sends a subscriber the changes since its last update.
     fn send_update(&mut self, to: NodeId, now: Micros) {
         let Some(subscriber) = self.dissemination.workers.subscribers.get(&to).cloned() else { return };
         let reports = self.dissemination.workers.changes_after(subscriber.sent_index, &subscriber.topics, now);
         let own_version = self.version();
         let next_version = self.next_version();
-        // Home nodes of pools only name the version; its entry comes from those of the configuration.
+        // Home nodes of pools only name the version; the home nodes of the configuration send its entry.
         let wants_config = subscriber.topics.iter().any(|topic| topic == CONFIG_TOPIC);
         let chain = if wants_config && subscriber.next_version < next_version {
             self.entries_after(subscriber.next_version.checked_sub(1))
@@ -233,7 +234,7 @@
         self.send(to, Message::Dissemination(update), now);
     }
 
-    /// The newest version for a node that holds `held`: as patches if those are smaller.
+    /// Returns the newest version for a node that holds `held`: as patches if those are smaller.
     fn entries_after(&mut self, held: Option<Version>) -> EntryChain {
         let body_bytes = self.consensus.state.newest().map_or(0, |entry| entry.body.len());
         let patches = held.and_then(|version| self.consensus.state.patch_chain.after(version));
@@ -247,7 +248,7 @@
         }
     }
 
-    /// Applies the version of an update. Of the versions that lead to it only the patches are kept.
+    /// Applies the version of an update. Only the patches of the versions that lead to it are kept.
     pub(super) fn apply_update_entries(&mut self, preceding: Vec<LogEntry>, newest: Option<LogEntry>, now: Micros) {
         let Some(newest) = newest else { return };
         let held = self.version();
@@ -267,7 +268,7 @@
         self.apply_entry(restored, now);
     }
 
-    /// Sends the newest version to subscribers that lack it; a large one to a few at a time.
+    /// Sends the newest version to subscribers that lack it; a large version goes to a few of them at a time.
     pub(in crate::node) fn push_versions(&mut self, now: Micros) {
         let next_version = self.next_version();
         let entry_bytes = self.consensus.state.newest().map_or(0, |entry| entry.without_body().size());
@@ -286,7 +287,7 @@
         }
     }
 
-    /// Sends new versions at every step of the timer, and changes of workers when that is due.
+    /// Sends new versions at every tick, and changes of workers if those are due.
     pub(in crate::node) fn tick_push(&mut self, now: Micros) {
         self.push_versions(now);
         if now < self.dissemination.workers.push_due {
@@ -316,8 +317,8 @@
             })
     }
 
-    /// Merges an update of an upstream. One that answers no remembered request is dropped, since its age is
-    /// not known.
+    /// Merges an update of an upstream. An update that answers no remembered request is dropped, since its
+    /// age is unknown.
     pub(super) fn on_update(
         &mut self,
         (from, incarnation): (NodeId, Incarnation),
@@ -332,7 +333,7 @@
         }
         upstream.change_index = upstream.change_index.max(update.change_index);
         upstream.is_complete = update.is_complete;
-        // It cannot have been sent before this moment, whatever the upstream's clock shows.
+        // The update cannot have been sent before this time, whatever the upstream's clock shows.
         let sent_at = requested_at.saturating_add(update.answered_after).min(now);
         if let Some(age) = update.confirmed_age {
             self.consensus.freshness.confirm(update.version, sent_at.saturating_sub(age));
--- a/crates/core/src/node/io.rs
+++ b/crates/core/src/node/io.rs
@@ -1,7 +1,7 @@
-//! The interface of a node: its settings, the events that it handles and the effects that it wants.
+//! The interface of a node: its settings, the events that it handles and the effects that it emits.
 //!
-//! A node does no I/O itself. Its host turns frames, timers and requests into [`Event`]s, and carries out
-//! the [`Effect`]s of each step in their order.
+//! A node does no I/O itself. Its host converts frames, timers and requests into [`Event`]s, and carries out
+//! the [`Effect`]s of each step in order.
 
 use crate::base::{ChangeId, Incarnation, Micros, NodeId, Version};
 use crate::config::ConfigReader;
@@ -10,41 +10,41 @@
 use crate::protocol::{Change, ChangeOutcome, Frame, WorkerReport};
 use std::sync::Arc;
 
-/// The settings of a node, fixed at its start except for its seeds.
+/// The settings of a node. Only the seeds may change while the node runs.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
-    /// The node's id. A core keeps it on its disk; any other node makes one at every start.
+    /// The node's identifier. A core keeps it on its disk; any other node draws a new one at every start.
     pub node_id: NodeId,
-    /// The incarnation that starts now, greater than all earlier ones of this id.
+    /// The incarnation that starts now. Invariant: greater than all earlier incarnations of this node.
     pub incarnation: Incarnation,
-    /// Where the node listens for frames of other nodes.
+    /// The address where the node listens for frames of other nodes.
     pub addr: String,
-    /// Where the node serves the admin API.
+    /// The address where the node serves the admin API.
     pub admin: String,
     /// The zone that the node runs in.
     pub zone: String,
-    /// Addresses of nodes to contact first.
+    /// The addresses of nodes that this node contacts first, to join the fleet.
     pub seeds: Vec<String>,
-    /// Whether the node has a disk and so may be a voter.
+    /// Whether the node is a core: it has a disk and may be a voter.
     pub is_core: bool,
-    /// How the operator's documents are read.
+    /// The parser for the operator's configuration documents.
     pub config_reader: ConfigReader,
     /// Whether this node may take part in the bootstrap of a fleet.
     pub may_bootstrap: bool,
-    /// Whether cores change the set of voters without an operator.
+    /// Whether cores propose changes of the set of voters themselves, without an operator.
     pub manages_voters: bool,
-    /// How many machines with disks may be lost at once.
+    /// The number of cores that may be lost at once.
     pub tolerated_losses: u32,
-    /// How often each worker reports, in microseconds.
+    /// The interval between reports of each worker, in microseconds.
     pub report_interval: Micros,
-    /// Whether workers report to cores only, one at a time.
+    /// Whether each worker reports to one core at a time and to no other node.
     pub reports_to_cores_only: bool,
 }
 
 /// An event that a node handles in one step.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The timer elapsed; the host ticks a node every 25 ms or so.
+    /// The timer elapsed. The host ticks a node about every 25 ms.
     Tick,
     /// A frame arrived from another node.
     Frame(Box<Frame>),
@@ -52,40 +52,40 @@
     Synced(u64),
     /// A worker reported to this node.
     Report(WorkerReport),
-    /// A worker reported and waits for [`Effect::AcknowledgeReport`].
+    /// A worker reported to this node and waits for [`Effect::AcknowledgeReport`].
     ReportWithAck {
-        /// The number that the acknowledgement names.
+        /// The identifier of the request, repeated in the acknowledgement.
         request_id: u64,
         /// The report.
         report: WorkerReport,
     },
-    /// An operator submits a change; answered by [`Effect::CompleteChange`].
+    /// An operator submits a change or a read, which [`Effect::CompleteChange`] answers.
     SubmitChange {
-        /// The number that the answer names.
+        /// The identifier of the request, repeated in the answer.
         request_id: u64,
-        /// The id that makes the change idempotent.
+        /// The identifier of the change, which makes retries idempotent.
         change_id: ChangeId,
-        /// Whether nobody can have sent this change id before.
+        /// Whether no node can have been sent this change identifier before.
         is_first_send: bool,
-        /// The version or revision that the change is made to.
+        /// The version (for documents and patches: the revision) that the change is built on.
         base: Version,
         /// The change.
         change: Change,
     },
-    /// Calls of a tenant wait for units of its quota.
+    /// Calls of a tenant wait for units of the tenant's quota.
     QuotaNeeded {
         /// The tenant.
         tenant: String,
-        /// How many calls wait.
+        /// The number of waiting calls.
         waiting: u64,
     },
-    /// The seeds are replaced by these addresses.
+    /// The operator replaced the seeds by these addresses.
     SeedsChanged(Vec<String>),
-    /// The node drains: the others are told so.
+    /// The node starts to drain and notifies the live nodes.
     Shutdown,
 }
 
-/// What a node wants its host to do.
+/// An action that a node requests from its host.
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Send a frame.
@@ -95,31 +95,31 @@
         /// The frame.
         frame: Box<Frame>,
     },
-    /// Connections to this address lead to a process that has ended: open a new one.
+    /// Open a new connection to this address: the process behind the current ones has ended.
     Reconnect {
         /// The address.
         to: String,
     },
-    /// Write to disk, and step the node with [`Event::Synced`] once that is synced.
+    /// Write to disk. Once the write is synced, the host steps the node with [`Event::Synced`].
     Write {
-        /// The number of the write; later writes have greater ones.
+        /// The token of the write. Tokens increase with each write.
         token: u64,
-        /// What to write, all or nothing.
+        /// The records to write, atomically.
         writes: Vec<DurableWrite>,
     },
     /// Answer a submitted change.
     CompleteChange {
-        /// The number that it was submitted under.
+        /// The identifier of the request that submitted the change.
         request_id: u64,
-        /// What became of it.
+        /// The outcome of the change.
         outcome: ChangeOutcome,
     },
     /// Answer a worker's report.
     AcknowledgeReport {
-        /// The number that it was reported under.
+        /// The identifier of the request that carried the report.
         request_id: u64,
-        /// Whether it will be known in time wherever calls are accepted; if not, the worker is to report
-        /// to another node.
+        /// Whether the report will reach every node that accepts calls in time. If false, the worker must
+        /// report to another node.
         is_accepted: bool,
     },
     /// Replace the view that the data plane reads.
--- a/crates/core/src/node/lease/grantor.rs
+++ b/crates/core/src/node/lease/grantor.rs
@@ -1,9 +1,9 @@
-//! A voter's replies to requests for leases.
+//! A voter's replies to lease requests.
 //!
-//! Guarantee: a grant of a new epoch is sent only once the epoch is on the disk, and none is given while
-//! leases may be valid that this voter cannot know of: under another set of voters, while a change of the
-//! set may be under way, and for a while after the set changed. It then sends no reply at all, which leaves
-//! the vote to the voters that know.
+//! Guarantees that a grant of a new epoch is sent only once the epoch is on the disk, and that no new epoch
+//! is granted while a lease may be valid that this voter cannot know of: under another set of voters, while a
+//! change of the set may be in progress, and for a lease's duration after the set changed. In these cases the
+//! voter sends no reply, which leaves the decision to voters that know those leases.
 
 use super::{LeaseRequest, LeaseVote};
 use crate::base::{Micros, NodeId};
@@ -13,16 +13,16 @@
 use crate::protocol::{LeaseMessage, Message};
 
 impl Node {
-    /// Decides on a request and replies to it.
+    /// Decides on a lease request and replies to it.
     ///
-    /// A voter that accepted a change of the set doesn't vote until it knows whether the change was decided:
-    /// the next set relies on that.
+    /// A voter that accepted a change of the set does not vote until it knows whether the change was decided:
+    /// the next set relies on this.
     pub(super) fn on_lease_request(&mut self, from: NodeId, request: LeaseRequest, now: Micros) {
         let LeaseRequest { voter_set, role, epoch, request_id, is_new_epoch } = request;
         if !self.is_ready() || voter_set != self.voter_set() || self.is_changing_voters() {
             return;
         }
-        // No reply, rather than a rejection, which would end the request that others may grant.
+        // A rejection would end the request, which other voters may still grant.
         if is_new_epoch && now < self.leases.grantor.earlier_sets_until {
             return;
         }
@@ -43,7 +43,7 @@
         }
     }
 
-    /// A vote with all that the new holder has to inherit.
+    /// Returns a vote with the grants and registrations that the new holder inherits.
     fn vote_for_new_epoch(&self, request: &LeaseRequest, now: Micros) -> LeaseVote {
         LeaseVote {
             grants: self.grants_of(|tenant| quota_role(tenant) == request.role, now),
@@ -52,7 +52,7 @@
         }
     }
 
-    /// A vote for a holder that inherited everything before.
+    /// Returns a vote for a renewal: the holder has inherited everything already.
     fn vote_for_known_epoch(&self, request: &LeaseRequest) -> LeaseVote {
         LeaseVote {
             role: request.role,
--- a/crates/core/src/node/lease/holder.rs
+++ b/crates/core/src/node/lease/holder.rs
@@ -1,9 +1,9 @@
-//! Requests for leases, their renewal, and what a holder does once a majority has granted one.
+//! Lease requests, renewals, and the start of a lease that a majority has granted.
 //!
-//! Guarantee: a lease starts only with the grants of a majority of the voters of one set, and its holder
-//! first inherits all that these voters recorded as granted. A core requests a vacant role only in its turn
-//! by rendezvous hashing, backs off after a rejection for as long as the voter said, and stops requesting
-//! while it receives no replies.
+//! Guarantees that a lease starts only with the grants of a majority of the voters of one set, and that its
+//! holder first inherits every grant that these voters recorded. A core requests a vacant role only in its
+//! turn by rendezvous hashing, backs off after a rejection for as long as the voter said, and sends no
+//! further requests while no majority replies to it.
 
 use super::{LeaseRejection, LeaseRequest, LeaseVote};
 use crate::base::{MS, Micros, NodeId, rendezvous_weight};
@@ -13,16 +13,16 @@
 use crate::protocol::Message;
 use std::cmp::Reverse;
 
-/// How often leases are considered for a request or a renewal, in microseconds.
+/// The interval at which leases are checked for a due request or renewal, in microseconds.
 const CHECK_INTERVAL: Micros = 100 * MS;
-/// How much later than the candidate ranked before it each candidate requests a vacant role, in
+/// The delay by which each candidate requests a vacant role after the candidate ranked before it, in
 /// microseconds.
 const RANK_DELAY: Micros = 100 * MS;
-/// The shortest back-off after a rejection, in microseconds; the longest is [`LEASE_DURATION`].
+/// The shortest backoff after a rejection, in microseconds. The longest is [`LEASE_DURATION`].
 const MIN_BACKOFF: Micros = 20 * MS;
 
 impl Node {
-    /// The voters in the order in which rendezvous hashing nominates them for a role.
+    /// Returns the voters in the order in which rendezvous hashing ranks them for a role.
     pub(in crate::node) fn ranked_voters(&self, role: u32) -> Vec<NodeId> {
         let voters = self.consensus.state.voters().iter().map(|voter| voter.node_id);
         let mut ranked: Vec<_> =
@@ -31,8 +31,8 @@
         ranked.into_iter().map(|(_, node)| node).collect()
     }
 
-    /// Whether it is this core's turn to request a role: a vacant one falls to the voter ranked first, and
-    /// after a while to the next ones.
+    /// Returns whether this core may request a role now. The voter ranked first may request a vacant role at
+    /// once, and each next one [`RANK_DELAY`] later.
     fn is_candidate(&self, role: u32, now: Micros) -> bool {
         let ranked = self.ranked_voters(role);
         let Some(rank) = ranked.iter().position(|node| *node == self.settings.node_id) else { return false };
@@ -41,7 +41,8 @@
         now >= vacant_since + RANK_DELAY * rank as u64
     }
 
-    /// Renews the leases that this core holds, and requests the vacant ones that it is a candidate for.
+    /// Renews the leases that this core holds, and requests the vacant ones for which this core is a
+    /// candidate.
     pub(in crate::node) fn tick_leases(&mut self, now: Micros) {
         if !self.is_ready() || now < self.leases.held.renewal_due {
             return;
@@ -77,7 +78,7 @@
     fn send_lease_request(&mut self, request: LeaseRequest, now: Micros) {
         let own_id = self.settings.node_id;
         let voters: Vec<_> = self.consensus.state.voters().iter().map(|voter| voter.node_id).collect();
-        // A core votes for itself last, so that a request that fails blocks no other candidate.
+        // A core votes for itself last, so that a failed request blocks no other candidate.
         let includes_self = !request.is_new_epoch || voters.len() == 1;
         for voter in voters {
             if includes_self || voter != own_id {
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Counts a voter's grant. `delay` is how long it was in transit, during which the windows went on.
+    /// Counts a voter's grant. `delay` is the grant's transit time, by which the granted windows have aged.
     pub(super) fn on_lease_vote(&mut self, from: NodeId, vote: LeaseVote, delay: Micros, now: Micros) {
         let LeaseVote { role, epoch, request_id, .. } = vote;
         let Some(lease) = self.leases.held.by_role.get_mut(&role) else { return };
@@ -110,11 +111,11 @@
         }
     }
 
-    /// A majority granted the request that was sent then.
+    /// Starts or extends the lease that a majority has granted; `sent_at` is when the request was sent.
     fn on_lease_majority(&mut self, role: u32, sent_at: Micros, now: Micros) {
         let Some(lease) = self.leases.held.by_role.get_mut(&role) else { return };
         lease.open_request = None;
-        // A renewal that is granted only after the lease expired renews nothing: the ledger is gone.
+        // A renewal that is granted after the lease expired is void: the ledger is gone.
         if !lease.is_new_epoch && !lease.is_valid(now) {
             return;
         }
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Starts a new lease by what the majority that granted it knows.
+    /// Starts a new lease from the state that the granting majority recorded.
     fn on_lease_won(&mut self, role: u32, now: Micros) {
         let voter_set = self.voter_set();
         let Some(lease) = self.leases.held.by_role.get_mut(&role) else { return };
@@ -139,7 +140,7 @@
         for inherited in inherited_grants {
             self.quota.window_ledger.inherit(&inherited.into_current(now), now);
         }
-        // A holder under an earlier set may act until its lease expires.
+        // A holder under an earlier set of voters may act until its lease expires.
         let overlap = if voter_set > 0 { LEASE_DURATION } else { 0 };
         self.quota.share_pools.begin_lease(role, has_no_predecessor, now, overlap);
         // Every voter of this majority that confirmed a registration did so before it voted.
@@ -149,7 +150,7 @@
         self.leases.held.renewal_due = now;
     }
 
-    /// Drops what an earlier lease of this core recorded of the windows of a role.
+    /// Drops the windows of a role that an earlier lease of this core recorded.
     fn forget_windows(&mut self, role: u32) {
         let tenants = self.quota.window_ledger.list().into_iter().map(|entry| entry.0);
         for tenant in tenants.filter(|tenant| quota_role(tenant) == role) {
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Learns from a voter's rejection, and backs off unless the lease is still valid.
+    /// Records the epoch and holder from a voter's rejection, and backs off unless the lease is still valid.
     pub(super) fn on_lease_rejected(&mut self, rejection: &LeaseRejection, now: Micros) {
         let LeaseRejection { role, epoch, request_id, holder, remaining } = *rejection;
         let Some(lease) = self.leases.held.by_role.get_mut(&role) else { return };
--- a/crates/core/src/node/lease/mod.rs
+++ b/crates/core/src/node/lease/mod.rs
@@ -1,8 +1,6 @@
-//! Leases of the singleton roles: which core hands out the quotas of which tenants.
+//! Leases of the singleton roles: a role's lease holder grants the quotas of the tenants in that role.
 //!
-//! [`holder`] requests and renews leases, [`grantor`] decides on requests as a voter, and [`startup_fence`]
-//! lets a voter that has just started grant anew as soon as no lease of its earlier incarnation can be
-//! valid. What they decide, and why a role has one holder at a time, is in [`crate::lease`].
+//! [`holder`] requests and renews leases, [`grantor`] decides on requests as a voter, and [`startup_fence`] lets a restarted voter grant new leases as soon as no lease of its earlier incarnation can be valid. The decisions themselves, and why a role has at most one holder at a time, are in [`crate::lease`].
 
 mod grantor;
 mod holder;
@@ -15,20 +13,20 @@
 use crate::protocol::{LeaseMessage, RegisteredIncarnation, WindowGrant};
 use std::collections::BTreeMap;
 
-/// What a node keeps for leases, as a holder and as a voter.
+/// The lease state of a node, as a holder and as a voter.
 #[derive(Clone, Debug)]
 pub struct Leases {
     /// The leases that this node granted as a voter.
     pub grantor: LeaseGrantor,
     /// The leases that this node holds or requests.
     pub held: HeldLeases,
-    /// What this node learned since its start of leases that its earlier incarnation granted.
+    /// The progress in proving that no lease of an earlier incarnation is valid.
     pub(in crate::node) startup_fence: startup_fence::StartupFence,
 }
 
 impl Leases {
-    /// The state after a start, by what the disk holds. Leases of earlier sets of voters that this node
-    /// knows nothing of may be valid until `earlier_sets_until`.
+    /// Creates the state after a start from the durable state. Leases of earlier sets of voters that this
+    /// node does not know may be valid until `earlier_sets_until`.
     pub(super) fn new(durable: &DurableState, first_request: u64, earlier_sets_until: Micros, now: Micros) -> Self {
         let fence_until = now + LEASE_DURATION;
         let role_fences = durable.grants.keys().map(|(tenant, _)| (quota_role(tenant), fence_until)).collect();
@@ -65,7 +63,7 @@
     }
 }
 
-/// One voter's grant of a request, with what it knows; see [`LeaseMessage::Granted`].
+/// A voter's grant of a request, with the state that the new holder inherits; see [`LeaseMessage::Granted`].
 #[derive(Debug)]
 struct LeaseVote {
     role: u32,
@@ -76,7 +74,7 @@
     registered: Vec<RegisteredIncarnation>,
 }
 
-/// One voter's rejection of a request; see [`LeaseMessage::Rejected`].
+/// A voter's rejection of a request; see [`LeaseMessage::Rejected`].
 #[derive(Clone, Copy, Debug)]
 struct LeaseRejection {
     role: u32,
--- a/crates/core/src/node/lease/startup_fence.rs
+++ b/crates/core/src/node/lease/startup_fence.rs
@@ -1,13 +1,13 @@
-//! How a voter that has just started learns that no lease of its earlier incarnation is valid any more.
+//! The start-up fence: a restarted voter proves that no lease of its earlier incarnations is valid.
 //!
-//! A voter keeps no lease on its disk, so after a start it grants no new one until any that it granted
-//! before must have expired: the start-up fence, [`LeaseGrantor::fence_until`]. Where every core that may
-//! hold a lease replies that it holds none, such as after a loss of power of all of them, there is nothing
-//! to wait for, and the fence is lifted early.
+//! A voter keeps no leases on its disk, so after a start it grants no new lease until every lease that it may
+//! have granted before has expired: the start-up fence, [`LeaseGrantor::fence_until`]. If every core that may
+//! hold a lease replies that it holds none, for example after a power loss of all cores, the fence is lifted
+//! early.
 //!
-//! Why that is safe: a core that replied so counts no vote of the voter's former incarnations from then on,
-//! neither those that it has counted for an open request nor those that are in transit. So it can win a
-//! lease only by votes that the new incarnation knows of.
+//! Why this is safe: after such a reply, a core counts no vote of the voter's former incarnations, neither
+//! those already counted for an open request nor those in transit. It can win a lease only by votes that the
+//! new incarnation knows of.
 //!
 //! [`LeaseGrantor::fence_until`]: crate::lease::LeaseGrantor::fence_until
 
@@ -16,28 +16,27 @@
 use crate::protocol::{LeaseMessage, Message};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How often the possible holders that have not replied are queried again, in microseconds.
+/// The interval at which possible holders that have not replied are queried again, in microseconds.
 const QUERY_INTERVAL: Micros = 50 * MS;
 
-/// What a node learned of leases that former incarnations of voters granted: as the voter, and as a
-/// possible holder.
+/// The state of the start-up fence: as the voter that queries, and as a possible holder that replies.
 #[derive(Clone, Debug, Default)]
 pub(in crate::node) struct StartupFence {
-    /// When the possible holders are queried next, in microseconds.
+    /// When the next queries are sent, in microseconds.
     next_query_at: Micros,
-    /// Identifies the query of this incarnation, so that replies to an earlier one don't count; 0 until
-    /// the first query.
+    /// The identifier of this incarnation's query, by which replies to an earlier incarnation are ignored; 0
+    /// before the first query.
     query_id: u64,
-    /// The nodes that replied to this incarnation that they hold no lease.
+    /// The nodes that told this incarnation that they hold no lease.
     without_leases: BTreeSet<NodeId>,
-    /// The incarnations of voters that this node replied to that it holds no lease. Invariant: no vote of
-    /// an earlier incarnation of these voters is counted.
+    /// The incarnations of voters that this node told that it holds no lease. Invariant: no vote of an
+    /// earlier incarnation of these voters is counted.
     answered: BTreeMap<NodeId, Incarnation>,
 }
 
 impl Node {
-    /// All other cores to which an earlier incarnation of this voter may have granted a lease: it granted
-    /// them under versions that it has in its log.
+    /// Returns all other cores to which an earlier incarnation of this voter may have granted a lease: the
+    /// voters of every version in the log.
     fn possible_holders(&self) -> BTreeSet<NodeId> {
         let entries = self.consensus.state.history.values();
         entries
@@ -47,7 +46,7 @@
             .collect()
     }
 
-    /// Queries all possible holders, until all have replied that they hold no lease or the fence expires.
+    /// Queries the possible holders until all have replied that they hold no lease, or the fence expires.
     pub(in crate::node) fn tick_startup_fence(&mut self, now: Micros) {
         let is_fenced = now < self.leases.grantor.fence_until;
         if !self.voter() || !is_fenced || now < self.leases.startup_fence.next_query_at {
@@ -68,8 +67,8 @@
         }
     }
 
-    /// Replies that this core holds no lease, or not at all. What it has requested meanwhile is won without
-    /// the votes of the voter's former incarnations, including those in transit.
+    /// Replies that this core holds no lease; sends no reply if it holds one. Open requests drop the votes of
+    /// the voter's former incarnations, and later ones ignore those still in transit.
     pub(super) fn on_held_leases_query(&mut self, from: (NodeId, Incarnation), query_id: u64, now: Micros) {
         let holds_none = self.leases.held.by_role.values().all(|lease| lease.expires_at <= now);
         if !self.settings.is_core || !holds_none || self.is_former_incarnation(from) {
@@ -84,13 +83,13 @@
         self.send(voter, Message::Lease(LeaseMessage::NoHeldLeases { query_id }), now);
     }
 
-    /// Whether a newer incarnation of this voter was told that this core holds no lease, so that votes of
-    /// the given one don't count.
+    /// Returns whether this core told a newer incarnation of the voter that it holds no lease. Votes of the
+    /// given incarnation must then be ignored.
     pub(super) fn is_former_incarnation(&self, (voter, incarnation): (NodeId, Incarnation)) -> bool {
         self.leases.startup_fence.answered.get(&voter).is_some_and(|answered| *answered > incarnation)
     }
 
-    /// A core replied that it holds no lease: once all did, the fence is lifted.
+    /// Records a core's reply that it holds no lease. Lifts the fence once all possible holders have replied.
     pub(super) fn on_no_held_leases(&mut self, from: NodeId, query_id: u64, now: Micros) {
         if query_id != self.leases.startup_fence.query_id || now >= self.leases.grantor.fence_until {
             return;
--- a/crates/core/src/node/membership/bootstrap.rs
+++ b/crates/core/src/node/membership/bootstrap.rs
@@ -1,10 +1,10 @@
 //! The bootstrap of a fleet by its seeds.
 //!
-//! Guarantee: the seeds found at most one fleet. Each seed votes once, on its disk, for the set of nodes
-//! that it found at the addresses of the seeds, and announces the vote only once it is synced. The fleet is
-//! founded by whoever received the same vote from every seed, so no two different sets can both be founded.
-//! While seeds are missing, or voted for different sets, nothing is founded; a split vote is counted in
-//! `bootstrap_split` and needs the operator.
+//! Guarantees that the seeds found at most one fleet. Each seed votes once, on its disk, for the set of nodes
+//! that it found at the addresses of the seeds, and announces the vote only once it is synced. A node that
+//! received the same vote from every seed founds the fleet, so no two different sets can both found one.
+//! While seeds are missing, or voted for different sets, no fleet is founded; a split vote is counted in
+//! `bootstrap_split` and must be resolved by the operator.
 
 use super::BootstrapAnnouncement;
 use crate::base::{ChangeId, MS, Micros, NodeId, SEC, Version, hash64};
@@ -12,25 +12,25 @@
 use crate::node::Node;
 use crate::protocol::{ConsensusMessage, LogEntry, MembershipMessage, Message, Voter};
 
-/// How often a core without a version announces its vote, in microseconds.
+/// The interval at which a core without a version announces its vote, in microseconds.
 const ANNOUNCE_INTERVAL: Micros = 300 * MS;
-/// How long an announcement counts, in microseconds.
+/// The time for which an announcement is valid, in microseconds.
 const ANNOUNCEMENT_TIMEOUT: Micros = 2 * SEC;
 /// The first version of a fleet.
 const FIRST_VERSION: Version = 0;
 
-/// What a seed announced while there is no version yet.
+/// A seed's announcement from before the first version.
 #[derive(Clone, Debug)]
 pub(in crate::node) struct BootstrapPeer {
     voter: Voter,
-    /// The set of voters that it voted for; empty if it has not voted or the vote is not synced.
+    /// The set of voters that the seed voted for; empty if the seed has not voted or its vote is not synced.
     vote: Vec<Voter>,
     /// When the announcement was received, in microseconds.
     received_at: Micros,
 }
 
 impl Node {
-    /// Announces this core's vote to all seeds and all live cores, for as long as it has no version.
+    /// Announces this core's vote to all seeds and all live cores, as long as it has no version.
     pub(in crate::node) fn tick_bootstrap(&mut self, now: Micros) {
         if !self.settings.is_core || self.version().is_some() || now < self.membership.bootstrap_due {
             return;
@@ -56,7 +56,8 @@
         if self.outbox.is_synced() { self.consensus.state.bootstrap_vote.clone() } else { Vec::new() }
     }
 
-    /// Replicates the newest version to a node that has none, or counts the announcement of a seed.
+    /// Replicates the newest version to a node that has none or, without a version here, records a seed's
+    /// announcement.
     pub(super) fn on_bootstrap(&mut self, from: NodeId, announcement: BootstrapAnnouncement, now: Micros) {
         if self.version().is_some() {
             if from != self.settings.node_id && announcement.version.is_none() {
@@ -73,7 +74,7 @@
         self.send_to_address(address, Message::Consensus(ConsensusMessage::Replicate { entries }), now);
     }
 
-    /// Whether the announcement comes from a seed with which this core may found a fleet.
+    /// Returns whether the announcement is from a seed with which this core may found a fleet.
     fn is_bootstrap_peer(&self, from: NodeId, announcement: &BootstrapAnnouncement) -> bool {
         let BootstrapAnnouncement { sender, may_bootstrap, .. } = announcement;
         let is_seed = sender.node_id == from && self.settings.seeds.contains(&sender.addr);
@@ -87,7 +88,8 @@
         peers.retain(|_, peer| now.saturating_sub(peer.received_at) < ANNOUNCEMENT_TIMEOUT);
     }
 
-    /// Votes once all seeds were received, and founds the fleet once all of them voted for the same set.
+    /// Votes once all seeds have announced themselves, and founds the fleet once all of them voted for the
+    /// same set.
     fn advance_bootstrap(&mut self, now: Micros) {
         let seeds = &self.settings.seeds;
         if !seeds.contains(&self.settings.addr) || self.membership.bootstrap_peers.len() < seeds.len() {
@@ -110,7 +112,7 @@
     }
 }
 
-/// The log entry that founds a fleet. Every seed derives the same one from the set of voters.
+/// Returns the log entry that founds a fleet. Every seed derives the same entry from the set of voters.
 fn first_entry(voters: Vec<Voter>) -> LogEntry {
     let text: String = voters.iter().map(|voter| format!("{}@{};", voter.node_id, voter.addr)).collect();
     LogEntry {
--- a/crates/core/src/node/membership/mod.rs
+++ b/crates/core/src/node/membership/mod.rs
@@ -1,9 +1,6 @@
-//! Who votes: the bootstrap of a fleet, changes of the set of voters, and the hand-over between sets.
+//! Membership: the bootstrap of a fleet, changes of the set of voters, and the handover between sets.
 //!
-//! [`bootstrap`] founds the fleet, [`voters`] proposes a replacement for each voter that fails, leaves or
-//! was replaced, [`takeover`] lets a changed set of voters take over what the set before it granted, and
-//! [`registrations`] keeps the incarnations of nodes that may hold shares of rates on the voters' disks.
-//! A set of voters is named by the version that began it.
+//! [`bootstrap`] founds the fleet, [`voters`] proposes a replacement for each voter that failed, drains or was replaced, [`takeover`] lets a new set of voters take over the grants of the previous set, and [`registrations`] records the incarnations of nodes that may hold shares of rates on the voters' disks. A set of voters is identified by the version that introduced it.
 
 mod bootstrap;
 mod registrations;
@@ -16,18 +13,18 @@
 use crate::protocol::{MembershipMessage, RegisteredIncarnation, Voter, WindowGrant};
 use std::collections::BTreeMap;
 
-/// What a node keeps for the set of voters.
+/// The membership state of a node.
 #[derive(Clone, Debug)]
 pub struct Membership {
-    /// The newest set of voters whose predecessor's grants this node took over.
+    /// The newest set of voters for which this node has taken over the grants of the previous set.
     pub(in crate::node) ready_set: Option<Version>,
-    /// The same, once it is synced to the disk: only then is it reported to others.
+    /// The newest `ready_set` that is synced to disk. Only a synced set is reported to other nodes.
     pub(in crate::node) synced_ready_set: Option<Version>,
     /// The change of voters that is due, if any.
     pub(in crate::node) planned_change: Option<voters::PlannedChange>,
-    /// What this node has collected for the newest set of voters.
+    /// The replies that this node has collected to take over the previous set's grants.
     pub(in crate::node) takeover: takeover::Takeover,
-    /// What the seeds announced while there is no version yet, by address.
+    /// The announcements of seeds from before the first version, by address.
     pub(in crate::node) bootstrap_peers: BTreeMap<String, bootstrap::BootstrapPeer>,
     /// When this node next announces its bootstrap vote to the seeds, in microseconds.
     pub(in crate::node) bootstrap_due: Micros,
@@ -38,7 +35,7 @@
 }
 
 impl Membership {
-    /// The state after a start, by what the disk holds.
+    /// Creates the state after a start from the durable state.
     pub(super) fn new(durable: &DurableState, now: Micros) -> Self {
         Membership {
             ready_set: durable.ready_set,
@@ -53,7 +50,7 @@
     }
 }
 
-/// What a node announces while there may be no fleet yet; see [`MembershipMessage::Bootstrap`].
+/// A node's announcement while there may be no fleet yet; see [`MembershipMessage::Bootstrap`].
 #[derive(Debug)]
 struct BootstrapAnnouncement {
     sender: Voter,
@@ -62,7 +59,7 @@
     may_bootstrap: bool,
 }
 
-/// What a voter hands over to a voter of a newer set; see [`MembershipMessage::TakeoverReply`].
+/// The state that a voter hands over to a voter of a newer set; see [`MembershipMessage::TakeoverReply`].
 #[derive(Debug)]
 struct TakeoverReply {
     voter_set: Version,
@@ -72,7 +69,7 @@
 }
 
 impl Node {
-    /// Handles a message about the set of voters.
+    /// Handles a membership message.
     pub(super) fn on_membership_message(&mut self, envelope: &Envelope, message: MembershipMessage, now: Micros) {
         let from = envelope.from;
         match message {
--- a/crates/core/src/node/membership/registrations.rs
+++ b/crates/core/src/node/membership/registrations.rs
@@ -1,10 +1,11 @@
-//! Which incarnations of nodes may hold shares of rates: registered on the disks of a majority of voters before
-//! a lease holder grants them any share.
+//! Registrations of the node incarnations that may hold shares of rates. A majority of voters has a registration on
+//! disk before a lease holder grants that incarnation any share.
 //!
-//! So a new lease holder, which asks a majority, knows every incarnation that may hold a share of an earlier lease
-//! (the *suspects* of [`SharePools`](crate::quota::SharePools)). It probes their addresses every
-//! [`PROBE_INTERVAL`]: one that replies reports its share, and one whose address or node id has a later incarnation
-//! is dead. Voters forget a registration [`REGISTRATION_RETENTION`] after a lease holder last asked for it.
+//! Therefore a new lease holder, which queries a majority, knows every incarnation that may hold a share of an
+//! earlier lease (the *suspects* of [`SharePools`](crate::quota::SharePools)). The lease holder probes the
+//! suspects' addresses every [`PROBE_INTERVAL`]: a suspect that replies reports its share, and a suspect whose
+//! address or node id has a later incarnation is dead. Voters drop a registration [`REGISTRATION_RETENTION`] after
+//! a lease holder last requested it.
 
 use crate::base::{Incarnation, MS, Micros, NodeId, SEC, Version};
 use crate::consensus::{DurableState, DurableWrite, is_majority};
@@ -14,28 +15,28 @@
 use crate::quota::{RESERVE_MARK, STANDBY_SHARE};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A lease holder relies on a registration for this long after it asked for it, in microseconds.
+/// The time for which a lease holder relies on a registration, from its request on, in microseconds.
 const REGISTRATION_VALIDITY: Micros = 8 * SEC;
-/// A registration that is older than this, in microseconds, is renewed.
+/// The age at which a registration is renewed, in microseconds.
 const RENEWAL_AGE: Micros = 4 * SEC;
-/// A voter forgets a registration after this long, in microseconds: later than any share that was granted by it
-/// expires, which is a share lease after a lease holder last relied on it.
+/// The time after which a voter drops a registration, in microseconds. By then every share that was granted by
+/// it has expired: shares end one share lease after a lease holder last relied on the registration.
 const REGISTRATION_RETENTION: Micros = 20 * SEC;
-/// A registration that no majority has confirmed is sent again after this long, in microseconds.
+/// The time after which an unconfirmed registration is sent again, in microseconds.
 const RESPONSE_TIMEOUT: Micros = 200 * MS;
 /// The interval between probes of suspects, in microseconds.
 const PROBE_INTERVAL: Micros = 150 * MS;
-/// The interval at which what is out of date is dropped, in microseconds.
+/// The interval at which outdated entries are dropped, in microseconds.
 const CLEANUP_INTERVAL: Micros = SEC;
-/// How long unconfirmed registrations, and requests that wait for one, are kept, in microseconds.
+/// How long unconfirmed registrations, and share requests that wait for one, are kept, in microseconds.
 const PENDING_RETENTION: Micros = SEC;
-/// The most incarnations that are registered, in one message, and that wait for a registration.
+/// The maximum number of registered incarnations, also for one message and for the requests that wait.
 const MAX_INCARNATIONS: usize = 10_000;
 
-/// One incarnation of a node.
+/// A node and one of its incarnations.
 type NodeIncarnation = (NodeId, Incarnation);
 
-/// Registrations that no majority of voters has confirmed yet.
+/// A registration request that no majority of voters has confirmed yet.
 #[derive(Clone, Debug)]
 struct PendingRegistration {
     sent_at: Micros,
@@ -51,20 +52,20 @@
     batch: ShareRequests,
 }
 
-/// A registration on a voter's disk, or on the way there.
+/// A registration that is on a voter's disk or is being written to it.
 #[derive(Clone, Debug)]
 struct Registration {
     addr: String,
-    /// When a lease holder last asked for it.
+    /// When a lease holder last requested the registration.
     requested_at: Micros,
 }
 
-/// A node's registrations: as a voter those on its disk, as a lease holder those that it relies on.
+/// The registrations of a node: as a voter those on its disk, as a lease holder those that it relies on.
 #[derive(Clone, Debug, Default)]
 pub(in crate::node) struct Registrations {
     registered: BTreeMap<NodeIncarnation, Registration>,
     cleaned_up_at: Micros,
-    /// As a lease holder: when it asked for what a majority has confirmed.
+    /// As a lease holder: the registrations that a majority has confirmed, and when each was requested.
     confirmed: BTreeMap<NodeIncarnation, Micros>,
     pending: BTreeMap<u64, PendingRegistration>,
     waiting: BTreeMap<NodeIncarnation, WaitingRequests>,
@@ -72,7 +73,7 @@
 }
 
 impl Registrations {
-    /// The registrations that are on the disk, as if a lease holder asked for them now.
+    /// Creates the registrations from the durable state, as if a lease holder had requested them now.
     pub fn new(durable: &DurableState, now: Micros) -> Self {
         let registered = durable
             .registered
@@ -82,7 +83,8 @@
         Registrations { registered, cleaned_up_at: now, ..Registrations::default() }
     }
 
-    /// Whether a majority confirmed the registration less than `age` microseconds ago.
+    /// Returns whether a majority confirmed a registration that was requested less than `age` microseconds
+    /// ago.
     fn is_confirmed(&self, incarnation: NodeIncarnation, age: Micros, now: Micros) -> bool {
         self.confirmed.get(&incarnation).is_some_and(|requested_at| now < requested_at + age)
     }
@@ -92,7 +94,8 @@
         self.registered.insert((incarnation.node_id, incarnation.incarnation), registration);
     }
 
-    /// Forgets the registrations that no lease holder asked for lately, and returns them.
+    /// Drops the registrations that no lease holder requested within [`REGISTRATION_RETENTION`], and returns
+    /// them.
     fn remove_outdated(&mut self, now: Micros) -> Vec<NodeIncarnation> {
         let is_outdated = |registration: &Registration| now > registration.requested_at + REGISTRATION_RETENTION;
         let outdated: Vec<_> =
@@ -106,7 +109,7 @@
 
 /// The voter's side.
 impl Node {
-    /// All incarnations that this voter has registered.
+    /// Returns all incarnations that this voter has registered.
     pub(in crate::node) fn registered_incarnations(&self) -> Vec<RegisteredIncarnation> {
         let row = |((node_id, incarnation), registration): (&NodeIncarnation, &Registration)| RegisteredIncarnation {
             node_id: *node_id,
@@ -127,8 +130,9 @@
         }
     }
 
-    /// Registers incarnations for a lease holder. A voter that knows of a later set of voters confirms nothing to
-    /// a lease holder of an earlier one: what it handed over to the later set would lack it.
+    /// Registers incarnations for a lease holder. A voter that knows a later set of voters confirms nothing to a
+    /// lease holder of an earlier set: the state that it handed over to the later set would lack the
+    /// registration.
     pub(in crate::node) fn on_register(
         &mut self,
         from: NodeId,
@@ -152,7 +156,7 @@
             let then = self.send_effect(from, message, now).into_iter().collect();
             self.persist(vec![DurableWrite::Register(new)], then);
         } else if let Some(effect) = self.send_effect(from, message, now) {
-            // What was known may still be on its way to the disk.
+            // A known registration may not be synced to disk yet.
             if let Err(effect) = self.outbox.defer(effect) {
                 self.emit(effect);
             }
@@ -162,7 +166,8 @@
 
 /// The lease holder's side.
 impl Node {
-    /// Returns requests that may be answered now; others wait for the registration of their sender.
+    /// Returns the requests if they may be answered now. Otherwise they wait for the registration of their
+    /// sender.
     pub(in crate::node) fn admit_share_requests(
         &mut self,
         from: (NodeId, Incarnation),
@@ -172,8 +177,8 @@
         let rates = self.tenant_rates();
         let is_granted_here = |key: &u64| rates.get(key).is_some_and(|t| self.share_epoch(t.role, now).is_some());
         let any_is_granted_here = batch.requests.iter().any(|request| is_granted_here(&request.tenant_key));
-        // What standbys without calls of their own hold is counted by every later lease holder, registered or not;
-        // others are granted no reserve.
+        // Every later lease holder counts the reserves of standbys without calls of their own, registered or not;
+        // other nodes are granted no reserve.
         let is_reserve =
             |request: &ShareRequest| request.smallest_call == RESERVE_MARK && request.held_share <= STANDBY_SHARE;
         let is_for_reserves = batch.requests.iter().all(is_reserve);
@@ -191,7 +196,7 @@
         None
     }
 
-    /// Registers, in one message, the senders of waiting requests and all nodes that will send some.
+    /// Registers, in one message, the senders of waiting requests and all nodes that will send requests.
     fn register_incarnations(&mut self, now: Micros) {
         let incarnations = self.unregistered_incarnations(now);
         if incarnations.is_empty() {
@@ -210,7 +215,7 @@
         self.broadcast_to_voters(&Message::Membership(message), now);
     }
 
-    /// The incarnations whose registration is due and not pending.
+    /// Returns the incarnations whose registration is due and not pending.
     fn unregistered_incarnations(&self, now: Micros) -> Vec<RegisteredIncarnation> {
         let voter_set = self.voter_set();
         let registrations = &self.membership.registrations;
@@ -231,7 +236,8 @@
         all.into_iter().filter(is_due).filter_map(with_addr).take(MAX_INCARNATIONS).collect()
     }
 
-    /// A voter has registrations on disk; once a majority has, the requests that wait for them are answered.
+    /// Handles a voter's confirmation that registrations are on its disk. Once a majority has confirmed, the
+    /// requests that wait for these registrations are answered.
     pub(in crate::node) fn on_registered(&mut self, from: NodeId, voter_set: Version, request_id: u64, now: Micros) {
         let current_set = self.voter_set();
         let pending = self.membership.registrations.pending.get_mut(&request_id);
@@ -251,7 +257,7 @@
         }
     }
 
-    /// Drops what is out of date, renews registrations, and probes suspects.
+    /// Drops outdated entries, renews registrations, and probes suspects.
     pub(in crate::node) fn tick_registrations(&mut self, now: Micros) {
         if now >= self.membership.registrations.cleaned_up_at + CLEANUP_INTERVAL {
             self.clean_up_registrations(now);
@@ -299,7 +305,7 @@
         Some(LeaseClaim { role, voter_set: self.voter_set(), epoch, holder: self.settings.node_id })
     }
 
-    /// Makes all nodes but the cores send their share requests for these roles now.
+    /// Requests all nodes except the cores to send their share requests for these roles now.
     pub(in crate::node) fn solicit_share_requests(&mut self, roles: &[u32], now: Micros) {
         let claims: Vec<_> = roles.iter().filter_map(|role| self.lease_claim(*role, now)).collect();
         if claims.is_empty() {
@@ -313,7 +319,7 @@
         self.membership.registrations.probed_at = 0;
     }
 
-    /// An incarnation that replies to a probe of a lease was alive under it.
+    /// Handles the reply of an incarnation to a probe: it was alive under the leases that it claims.
     pub(in crate::node) fn on_share_probe_reply(
         &mut self,
         from: (NodeId, Incarnation),
--- a/crates/core/src/node/membership/takeover.rs
+++ b/crates/core/src/node/membership/takeover.rs
@@ -1,26 +1,26 @@
-//! How a changed set of voters takes over what the set before it granted.
+//! The takeover of the previous set's grants by a new set of voters.
 //!
-//! A voter of a new set grants nothing before it is *ready* for it. There are two ways:
+//! A voter of a new set grants nothing before it is *ready* for that set, in one of two ways:
 //!
-//! - it receives replies from a majority of the set before, or from one voter that is ready already;
-//! - it has known the set for [`TAKEOVER_TIMEOUT`]. No lease of an earlier set is valid any more by then,
-//!   and what remains of earlier grants is counted as spent or as in use.
+//! - it receives replies from a majority of the previous set, or from one voter that is ready already;
+//! - it has known the set for [`TAKEOVER_TIMEOUT`]. By then no lease of an earlier set is valid, and whatever
+//!   may remain of earlier grants is counted as spent or as in use.
 //!
-//! Why a majority of the set before is enough, whatever its members took over themselves: a set is changed
-//! only once a majority of it is ready. What it granted is on the disks of a majority too, so any majority
-//! contains a voter of each. A member that skipped versions adds what it knows, and hides nothing.
+//! Why a majority of the previous set is enough, whatever its members took over themselves: a set is changed
+//! only once a majority of it is ready. Its grants are on the disks of a majority too, so any majority
+//! contains a voter of each. A member that skipped versions adds what it knows and hides nothing.
 //!
-//! Why time is enough: a voter that accepted a change of the set does not vote for a lease until it knows
-//! whether that version was decided ([`Node::is_changing_voters`]), also after a start, as what it accepted
-//! is on its disk. A majority of the set before accepted the change before any node could learn it, and
-//! every lease needs the vote of one of that majority. So each lease of an earlier set was requested before
-//! this node learned the new set, and has expired a lease's duration later.
+//! Why the time-out is enough: a voter that accepted a change of the set does not vote for a lease until it
+//! knows whether that version was decided ([`Node::is_changing_voters`]). This holds across a restart, as the
+//! accepted entry is on the voter's disk. A majority of the previous set accepted the change before any node
+//! could learn it, and every lease needs the vote of one voter of that majority. Therefore each lease of an
+//! earlier set was requested before this node learned the new set, and has expired a lease's duration later.
 //!
-//! Why a lease of an earlier set and one of this set for the same role are never valid at once, though the
-//! holder of the earlier one may not know this set: the voters of this set that voted in the earlier one
-//! keep their entries of its leases, and a majority of them intersects each majority that granted one. A
-//! voter that is new, or any voter once their number fell, does not vote for a new lease until those that
-//! it knows nothing of have expired: a lease's duration after it learned the set.
+//! Why a lease of an earlier set and a lease of this set for the same role are never valid at once, even if
+//! the holder of the earlier one does not know this set: the voters of this set that voted in the earlier one
+//! keep their records of its leases, and a majority of them intersects each majority that granted one. A
+//! voter that is new, or any voter of a set that has shrunk, does not vote for a new lease until the leases
+//! that it does not know have expired: a lease's duration after it learned the set.
 
 use super::TakeoverReply;
 use crate::base::{Incarnation, MS, Micros, NodeId, Version};
@@ -32,33 +32,35 @@
 use crate::protocol::{MembershipMessage, Message, RegisteredIncarnation, WindowGrant};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How often the voters that can hand over are requested to, in microseconds.
+/// The interval between requests to the voters that can hand over, in microseconds.
 const REQUEST_INTERVAL: Micros = 100 * MS;
-/// How long after it learned the set a voter that nobody handed over to is ready anyway, in microseconds.
-/// By then a voter that is lost has been detected too, so it is replaced no later.
+/// The time after it learned the set when a voter becomes ready without any handover, in microseconds. By
+/// then the failure of a lost voter has been detected too, so the time-out does not delay that voter's
+/// replacement.
 const TAKEOVER_TIMEOUT: Micros = FAILURE_TIMEOUT;
-/// The clocks of holders may run slower than this node's by a fiftieth.
+/// Clocks of lease holders may run slower than this node's by one part in 50.
 const _: () = assert!(TAKEOVER_TIMEOUT > LEASE_DURATION + LEASE_DURATION / 50, "leases of earlier sets have expired");
 
-/// What a voter has collected for the newest set.
+/// The replies that a voter has collected for the newest set.
 #[derive(Clone, Debug, Default)]
 pub(in crate::node) struct Takeover {
-    /// The set that is taken over to, named by its version.
+    /// The set that takes over, identified by its version.
     voter_set: Option<Version>,
-    /// Since when this incarnation knows the set, in microseconds of its monotonic clock.
+    /// When this incarnation learned the set, in microseconds of its monotonic clock.
     known_since: Micros,
     /// The nodes that replied.
     replied: BTreeSet<NodeId>,
-    /// What they handed over of windows, by tenant and node that it was granted to.
+    /// The grants of windows that were handed over, by tenant and by the node that they were granted to.
     grants: BTreeMap<(String, NodeId), ReceivedGrant>,
-    /// The registrations that they handed over.
+    /// The registrations that were handed over.
     registered: BTreeMap<(NodeId, Incarnation), RegisteredIncarnation>,
     /// When the next requests are sent, in microseconds.
     next_request_at: Micros,
 }
 
 impl Takeover {
-    /// Of two records of one grant the greater total counts, and the earlier start of its window.
+    /// Adds a grant. Of two records of the same grant, the greater total and the earlier start of the window
+    /// are kept.
     fn merge_grant(&mut self, mut grant: WindowGrant, now: Micros) {
         let key = (grant.tenant.clone(), grant.node_id);
         if let Some(known) = self.grants.get(&key) {
@@ -74,13 +76,14 @@
         self.grants.insert(key, ReceivedGrant { received_at: now, grant });
     }
 
-    /// Takes the collected grants out, with the ages that their windows have now.
+    /// Removes and returns the collected grants, with the current ages of their windows.
     fn drain_grants(&mut self, now: Micros) -> Vec<WindowGrant> {
         std::mem::take(&mut self.grants).into_values().map(|received| received.into_current(now)).collect()
     }
 }
 
-/// Whether this voter may know nothing of leases of earlier sets, by its newest version alone.
+/// Returns whether leases of earlier sets may exist that this voter does not know, judged by its newest
+/// version alone.
 pub(in crate::node) fn may_miss_leases(consensus: &ConsensusState, own_id: NodeId) -> bool {
     consensus.newest().is_some_and(|entry| {
         let was_voter = entry.previous_voters.iter().any(|voter| voter.node_id == own_id);
@@ -89,8 +92,8 @@
 }
 
 impl Node {
-    /// Records that a new set of voters is in force here. Under the set before it this node was a voter or
-    /// not, among that many voters.
+    /// Records that a new set of voters is in force on this node. `was_voter` and `previous_count` describe
+    /// the set before it: whether this node was a voter, and the number of voters.
     pub(in crate::node) fn on_voters_changed(&mut self, was_voter: bool, previous_count: usize, now: Micros) {
         self.membership.voters_changed_at = now;
         let has_shrunk = self.consensus.state.voters().len() < previous_count;
@@ -99,24 +102,24 @@
         }
     }
 
-    /// The newest set of voters, named by the version that began it.
+    /// Returns the newest set of voters, identified by the version that introduced it.
     pub(in crate::node) fn voter_set(&self) -> Version {
         self.consensus.state.newest().map_or(0, |entry| entry.voters_since)
     }
 
-    /// Whether this voter may grant in the newest set.
+    /// Returns whether this voter may grant in the newest set.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.voter() && self.membership.ready_set == Some(self.voter_set())
     }
 
-    /// Whether this voter accepted a change of the set and doesn't know whether it was decided.
+    /// Returns whether this voter accepted a change of the set and does not know whether it was decided.
     pub(in crate::node) fn is_changing_voters(&self) -> bool {
         self.consensus.state.accepted.as_ref().is_some_and(|a| a.1.voters_since != self.voter_set())
     }
 
-    /// Makes this voter ready for the newest set: at once if no set came before it, else by requests to
-    /// the voters of both sets, or by time.
+    /// Makes this voter ready for the newest set: at once if the set has no predecessor, otherwise by
+    /// requests to the voters of both sets, or by time-out.
     pub(in crate::node) fn tick_takeover(&mut self, now: Micros) {
         if !self.voter() || self.is_ready() {
             return;
@@ -147,8 +150,9 @@
         }
     }
 
-    /// Hands over what this node knows. A node that does so acts under no earlier set any more, also after a
-    /// start: so it replies only once the newest set is on its disk, and is requested again until then.
+    /// Hands over the grants and registrations of this node. After its reply the node must not act under an
+    /// earlier set, not even after a restart. So it replies only once the newest set is on its disk, and is
+    /// requested again until then.
     pub(super) fn on_takeover_request(&mut self, from: NodeId, voter_set: Version, now: Micros) {
         let Some(entry) = self.consensus.state.newest() else { return };
         let is_complete = self.membership.ready_set == Some(voter_set);
@@ -163,7 +167,7 @@
         self.send(from, Message::Membership(reply), now);
     }
 
-    /// Whether a majority of the newest set is ready, and so took over what was granted before.
+    /// Returns whether a majority of the newest set is ready, and so has taken over the earlier grants.
     pub(in crate::node) fn is_taken_over(&self) -> bool {
         let voter_set = self.voter_set();
         let ready_sets = self.consensus.state.ready_sets.iter();
@@ -171,7 +175,7 @@
         is_majority(self.consensus.state.voters(), &ready)
     }
 
-    /// Records that a voter is ready, which it announces only once that is on its disk.
+    /// Records that a voter is ready. A voter announces this only once it is on its disk.
     pub(in crate::node) fn on_ready(&mut self, from: NodeId, voter_set: Version) {
         if from == self.settings.node_id {
             self.membership.synced_ready_set = self.membership.synced_ready_set.max(Some(voter_set));
@@ -180,8 +184,8 @@
         *newest = (*newest).max(voter_set);
     }
 
-    /// Collects what a voter handed over. One that is ready itself hands over everything; others count as
-    /// one voter of the set before.
+    /// Collects a voter's handover. A voter that is ready hands over everything; any other voter counts as
+    /// one of the previous set.
     pub(super) fn on_takeover_reply(&mut self, from: NodeId, reply: TakeoverReply, delay: Micros, now: Micros) {
         let TakeoverReply { voter_set, is_complete, grants, registered } = reply;
         let takeover = &self.membership.takeover;
@@ -201,8 +205,8 @@
         }
     }
 
-    /// Takes over where nobody is left to hand over. All open windows count as spent, and all shares of
-    /// rates that nobody reports count as in use by an unknown incarnation that nobody can prove dead.
+    /// Takes over by time-out, without a handover. All open windows count as spent. All shares of rates that
+    /// no node reports count as in use by an unknown incarnation, which cannot be proved dead.
     fn take_over_by_timeout(&mut self, now: Micros) {
         self.counters.takeovers_by_timeout += 1;
         let grants = self.spent_windows();
@@ -211,7 +215,8 @@
         self.complete_takeover(grants, now);
     }
 
-    /// A grant of the whole quota for each tenant with a window, numbered above all windows of earlier sets.
+    /// Returns a grant of the whole quota for each tenant with a window, numbered above all windows of
+    /// earlier sets.
     fn spent_windows(&self) -> Vec<WindowGrant> {
         let window = epoch_base(self.voter_set());
         let spent = |tenant: &String, quota: &Limit| match quota {
@@ -227,13 +232,15 @@
         self.config.tenants.iter().filter_map(|(name, tenant)| spent(name, &tenant.quota)).collect()
     }
 
-    /// Records what was taken over, and announces that this voter is ready once all of it is on its disk.
+    /// Records the state that was taken over, and announces that this voter is ready once all of it is on its
+    /// disk.
     fn complete_takeover(&mut self, grants: Vec<WindowGrant>, now: Micros) {
         let voter_set = self.voter_set();
         let new_grants = grants.into_iter().filter(|grant| self.record_grant(grant, now));
         let mut writes: Vec<_> = new_grants.map(DurableWrite::Grant).collect();
-        // The majority of the set before that confirmed a registration did so before it saw this set, and one
-        // of its members is among the voters that handed over: so a majority of this set has it now.
+        // The majority of the previous set that confirmed a registration did so before it learned this set,
+        // and one of its members is among the voters that handed over. So a majority of this set has the
+        // registration now.
         let registered = std::mem::take(&mut self.membership.takeover.registered);
         writes.push(DurableWrite::Register(registered.into_values().collect()));
         self.record_registrations(&writes, now);
--- a/crates/core/src/node/membership/voters.rs
+++ b/crates/core/src/node/membership/voters.rs
@@ -1,12 +1,12 @@
 //! Changes of the set of voters, which the voters propose themselves, one voter at a time.
 //!
-//! Guarantee: each change adds one voter or replaces one, and is an ordinary log entry, so all
-//! nodes agree on it. A voter that failed, leaves or was replaced is only removed when a core is there to
-//! take its place, so losses never shrink the set. The next change is proposed only once a majority of the
-//! newest set is ready (see [`takeover`](super::takeover)).
+//! Guarantees that each change adds one voter or replaces one, and is an ordinary log entry, so all nodes
+//! agree on it. A voter that failed, drains or was replaced is removed only if a core is available to replace
+//! it, so losses never shrink the set. The next change is proposed only once a majority of the newest set is
+//! ready (see [`takeover`](super::takeover)).
 //!
-//! Back-off: the voters propose in an order drawn by rendezvous hashing for each version, so that they don't
-//! compete, and a node that has just started or resumed takes no silence for a failure.
+//! Backoff: the voters propose in an order that rendezvous hashing draws for each version, so that they do
+//! not compete. A node that has just started or resumed counts no unresponsive voter as failed.
 
 use crate::base::{ChangeId, MS, Micros, NodeId, SEC, Version, rendezvous_weight};
 use crate::consensus::{PendingChange, Requester, is_majority};
@@ -16,48 +16,49 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How much later than the voter ranked before it each voter proposes, in microseconds.
+/// The delay by which each voter proposes after the voter ranked before it, in microseconds.
 pub const PROPOSAL_RANK_DELAY: Micros = 300 * MS;
-/// How much later than the last contact with a voter another node at its address must have made contact to
-/// count as its replacement, in microseconds.
+/// The minimum time between the last contact with a voter and a contact with another node at its address for
+/// that node to count as its replacement, in microseconds.
 pub const REPLACEMENT_MARGIN: Micros = 300 * MS;
-/// How long a voter must be silent to be replaced by a recent candidate, in microseconds.
+/// The time without contact after which a voter is suspected and may be replaced by a recent candidate, in
+/// microseconds.
 pub const SUSPECT_TIMEOUT: Micros = 1_500 * MS;
-/// How long after it was first known a candidate counts as recent, in microseconds.
+/// The time after its discovery for which a candidate counts as recent, in microseconds.
 const RECENT_PERIOD: Micros = 10 * SEC;
-/// How long after its own start a node takes no newly known candidate for recent, in microseconds: it
-/// learns of all nodes then.
+/// The time after its own start for which a node counts no newly discovered candidate as recent, in
+/// microseconds: it discovers all nodes then.
 const DISCOVERY_PERIOD: Micros = SEC;
-/// How often a voter checks whether a change is due, in microseconds.
+/// The interval at which a voter checks whether a change is due, in microseconds.
 const CHECK_INTERVAL: Micros = 50 * MS;
-/// How long a proposed change may take to be decided, in microseconds.
+/// The time after which a proposed change times out, in microseconds.
 const PROPOSAL_TIMEOUT: Micros = 2 * SEC;
-/// How often a core that leaves probes which versions the voters have, in microseconds.
+/// The interval at which a draining core without a vote probes the versions of the voters, in microseconds.
 const PROBE_INTERVAL: Micros = 100 * MS;
 
-/// The condition of a voter, in ascending order of how certainly it must be replaced.
+/// The status of a voter, in ascending order of the priority of its replacement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum VoterStatus {
-    /// It was last seen less than [`SUSPECT_TIMEOUT`] ago.
+    /// The last contact was less than [`SUSPECT_TIMEOUT`] ago.
     Live,
-    /// It is silent, but has failed only if a candidate is recent.
+    /// The last contact was less than [`FAILURE_TIMEOUT`] ago; only a recent candidate may replace the voter.
     Suspect,
-    /// It is unknown, or was silent for [`FAILURE_TIMEOUT`].
+    /// The voter is unknown, or there was no contact for [`FAILURE_TIMEOUT`].
     Failed,
-    /// It is leaving.
+    /// The voter is draining.
     Draining,
-    /// Another node runs at its address.
+    /// Another node runs at the voter's address.
     Replaced,
 }
 
-/// A voter, its zone and its condition.
+/// A voter with its zone and its status.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VoterSlot {
     /// The voter.
     pub voter: Voter,
-    /// Its zone, if it is known.
+    /// The voter's zone, if known.
     pub zone: Option<String>,
-    /// Its condition.
+    /// The voter's status.
     pub status: VoterStatus,
 }
 
@@ -66,39 +67,40 @@
 pub struct Candidate {
     /// The core.
     pub node: Voter,
-    /// Its zone.
+    /// The core's zone.
     pub zone: String,
-    /// Whether it became known only recently, as a machine does that replaces another.
+    /// Whether the core was discovered only recently, as a machine that replaces another is.
     pub is_recent: bool,
 }
 
 /// A change of voters that is due.
 #[derive(Clone, Debug)]
 pub(in crate::node) struct PlannedChange {
-    /// The version that it changes.
+    /// The version on which the change is based.
     version: Version,
     /// Since when the change is due, in microseconds.
     due_since: Micros,
-    /// When it is considered again, in microseconds.
+    /// When the change is checked again, in microseconds.
     next_check_at: Micros,
 }
 
-/// How many voters, of so many cores, tolerate that many losses: an odd number.
+/// Returns the number of voters, out of this many cores, that tolerates the given losses. The number is odd.
 #[must_use]
 pub fn target_voter_count(tolerated_losses: u32, cores: usize) -> usize {
     let count = (2 * tolerated_losses as usize + 1).min(cores);
     if count.is_multiple_of(2) { count.saturating_sub(1) } else { count }
 }
 
-/// Whether a node at the address of a voter came there after it, by when both were in contact. Other nodes
-/// may still report a voter that never contacted this incarnation long after its loss, so the time when it
-/// was first reported proves nothing then.
+/// Returns whether a node at a voter's address started there after the voter, judged by when both were in
+/// contact. A voter that never contacted this incarnation may still be reported by other nodes long after its
+/// loss, so the time of its first report proves nothing.
 fn is_successor(other: &PeerEntry, voter: &PeerEntry) -> bool {
     let is_known_later = voter.contacted_at == 0 || other.discovered_at >= voter.discovered_at;
     is_known_later && other.contacted_at > voter.contacted_at.max(voter.discovered_at) + REPLACEMENT_MARGIN
 }
 
-/// Whether another node runs at the address of a voter now. `own` is the voter's own entry.
+/// Returns whether `other` runs at the address of a voter now and replaces it. `own` is the voter's own
+/// entry.
 fn replaces(other: &PeerEntry, voter: &Voter, own: Option<&PeerEntry>, now: Micros) -> bool {
     let is_live = !other.record.draining && now.saturating_sub(other.heartbeat_at) < FAILURE_TIMEOUT;
     other.record.is_core
@@ -108,7 +110,7 @@
         && own.is_none_or(|own| is_successor(other, own))
 }
 
-/// The condition of a voter by what is known of the peers.
+/// Returns the status of a voter from the entries of the peer table.
 #[must_use]
 pub fn voter_status(voter: &Voter, peers: &BTreeMap<NodeId, PeerEntry>, now: Micros) -> VoterStatus {
     let own = peers.get(&voter.node_id);
@@ -124,7 +126,7 @@
     }
 }
 
-/// The next set of voters, if it should differ by one from this one.
+/// Returns the next set of voters if a voter must be replaced or added.
 #[must_use]
 pub fn choose_voters(slots: &[VoterSlot], candidates: &[Candidate], tolerated_losses: u32) -> Option<Vec<Voter>> {
     let removed = voter_to_replace(slots, candidates);
@@ -140,7 +142,7 @@
     Some(voters)
 }
 
-/// The voter that must be replaced most certainly, if any.
+/// Returns the voter with the highest priority of replacement, if any.
 fn voter_to_replace<'a>(slots: &'a [VoterSlot], candidates: &[Candidate]) -> Option<&'a VoterSlot> {
     let has_recent = candidates.iter().any(|candidate| candidate.is_recent);
     let must_be_replaced = |slot: &&VoterSlot| match slot.status {
@@ -151,8 +153,9 @@
     slots.iter().filter(must_be_replaced).max_by_key(|slot| (slot.status, slot.voter.node_id))
 }
 
-/// The candidate in the zone with the fewest of the remaining voters; among those the one at the address of
-/// the removed voter, then the first by rendezvous hashing. A silent voter is replaced by a recent one only.
+/// Returns the candidate in the zone with the fewest remaining voters; among those the one at the address of
+/// the removed voter, then the first by rendezvous hashing. A suspected voter is replaced only by a recent
+/// candidate.
 fn best_candidate<'a>(
     candidates: &'a [Candidate],
     remaining: &[&VoterSlot],
@@ -168,8 +171,8 @@
     })
 }
 
-/// How long a voter waits before it proposes a change, in microseconds: the live ones in an order by
-/// rendezvous hashing that is drawn anew for each version, then the silent ones, then all others.
+/// Returns the delay before a voter proposes a change, in microseconds: first the live voters in an order by
+/// rendezvous hashing that differs by version, then the suspected voters, then all others.
 #[must_use]
 pub fn proposal_delay(own_id: NodeId, slots: &[VoterSlot], version: Version) -> Micros {
     let mut ranked: Vec<_> = slots
@@ -186,7 +189,8 @@
     PROPOSAL_RANK_DELAY * rank as u64
 }
 
-/// Whether no other node at the same address was seen later: of two, the later one is running.
+/// Returns whether no other node at the same address was seen later. Of two nodes at one address, the later
+/// one is running.
 fn is_latest_at_address(peer: &PeerEntry, peers: &BTreeMap<NodeId, PeerEntry>) -> bool {
     !peers.values().any(|other| {
         other.record.node_id != peer.record.node_id
@@ -225,7 +229,7 @@
             .collect()
     }
 
-    /// The newest version that a core is known to have.
+    /// Returns the newest version that a core is known to have.
     fn known_version(&self, peer: &PeerEntry) -> Version {
         let synced = self.consensus.state.synced_versions.get(&peer.record.node_id).copied();
         peer.record.version.max(synced.unwrap_or(0))
@@ -240,8 +244,9 @@
         }
     }
 
-    /// Whether this node may stop: a majority that doesn't count it, and was seen recently, has on its
-    /// disks what this node has. While it votes and a core is live that could replace it, it waits for that.
+    /// Returns whether this node may stop: a majority that does not count it, and was seen recently, has on
+    /// its disks all that this node has. A voter also waits for its replacement while a live core could
+    /// replace it.
     #[must_use]
     pub fn may_stop(&self, now: Micros) -> bool {
         let Some(version) = self.version().filter(|_| self.settings.is_core) else { return true };
@@ -261,7 +266,8 @@
         self.consensus.state.accepted.is_none() && is_majority(voters, &up_to_date)
     }
 
-    /// Whether a voter was seen recently, has this version on its disk, and is ready for the newest set.
+    /// Returns whether a voter was seen recently, has this version on its disk, and is ready for the newest
+    /// set.
     fn is_up_to_date(&self, node: NodeId, version: Version, now: Micros) -> bool {
         let peer = self.dissemination.peers.entries.get(&node);
         let is_live = peer.is_some_and(|peer| now.saturating_sub(peer.heartbeat_at) < FAILURE_TIMEOUT);
@@ -269,8 +275,8 @@
         is_live && has_version && self.consensus.state.ready_sets.get(&node) == Some(&self.voter_set())
     }
 
-    /// Probes the voters' versions for [`Node::may_stop`]: a core that leaves and has no vote any more
-    /// learns them from nothing else.
+    /// Probes the voters' versions for [`Node::may_stop`]: a draining core without a vote learns them in no
+    /// other way.
     fn probe_before_stop(&mut self, now: Micros) {
         let is_leaving = self.draining && self.settings.is_core && !self.voter();
         let Some(version) = self.version().filter(|_| is_leaving) else { return };
@@ -283,7 +289,7 @@
     /// Proposes the change of voters that is due, if it is this voter's turn.
     pub(in crate::node) fn tick_voters(&mut self, now: Micros) {
         self.probe_before_stop(now);
-        // A node that leaves proposes too, after all others: there may be no other voter.
+        // A draining voter proposes too, after all others: there may be no other voter.
         if !self.settings.manages_voters || !self.voter() {
             return;
         }
@@ -304,8 +310,8 @@
         }
     }
 
-    /// The voters by their condition, but with no silence taken for a failure just after a start or a
-    /// resumption, when this node has seen no peer for a while.
+    /// Returns the voters with their status. Just after a start or a resumption, when this node has been in
+    /// contact with no peer for a while, no voter counts as suspected or failed.
     fn voter_slots_after_grace(&self, now: Micros) -> Vec<VoterSlot> {
         let mut slots = self.voter_slots(now);
         if now.saturating_sub(self.clock.started_at.max(self.clock.resumed_at)) <= FAILURE_TIMEOUT {
@@ -318,7 +324,7 @@
         slots
     }
 
-    /// Whether no change of voters is pending here, and the newest set has taken over.
+    /// Returns whether no change of voters is pending here and the newest set has taken over.
     fn may_propose_voters(&self) -> bool {
         let pending = &self.consensus.state.pending_changes;
         !pending.iter().any(|change| change.requester == Requester::Internal) && self.is_taken_over()
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -1,9 +1,6 @@
-//! One node: the state machines of all concerns over one state, stepped by events.
+//! One node: the state machines of all concerns over one shared state, stepped by events.
 //!
-//! [`Node::step`] takes an [`Event`] and the time, and returns [`Effect`]s; it does no I/O itself. Each
-//! concern has a folder with its own state: [`consensus`], [`membership`], [`lease`], [`quota`] and
-//! [`dissemination`]. `dispatch` hands each event to its concern, `outbox` collects what is sent and what
-//! waits for the disk, and `publisher` publishes the [`View`] that the data plane reads.
+//! [`Node::step`] takes an [`Event`] and the current time and returns [`Effect`]s; the node does no I/O itself. Each concern has a folder with its own state: [`consensus`], [`membership`], [`lease`], [`quota`] and [`dissemination`]. `dispatch` routes each event to its concern, `outbox` collects the messages to send and the effects that wait for the disk, and `publisher` publishes the [`View`] that the data plane reads.
 
 pub mod consensus;
 mod counters;
@@ -38,15 +35,15 @@
 
 /// The state of one node, by concern.
 ///
-/// A clone shares [`Quota::slices`] with its original: clones are for the model checker, which copies
-/// the slices as well.
+/// A clone shares [`Quota::slices`] with its original: only the model checker clones nodes, and it copies the
+/// slices as well.
 #[derive(Clone)]
 pub struct Node {
-    /// How the node was started.
+    /// The settings that the node was started with.
     pub settings: NodeSettings,
-    /// The source of all random draws of the node.
+    /// The random number generator for all random choices of the node.
     pub rng: Rng,
-    /// The log of configuration versions, and what decides on them.
+    /// The log of configuration versions, and the Paxos state that decides on them.
     pub consensus: Consensus,
     /// The set of voters, its bootstrap and its changes.
     pub membership: Membership,
@@ -54,37 +51,39 @@
     pub leases: Leases,
     /// Quota windows and rate shares.
     pub quota: Quota,
-    /// What the node knows of peers and of workers.
+    /// The peers and workers that the node knows, and how updates about them spread.
     pub dissemination: Dissemination,
-    /// The configuration that is in force here, compiled.
+    /// The compiled configuration that is in force on this node.
     pub config: Arc<CompiledConfig>,
     /// The counters for metrics.
     pub counters: Counters,
-    /// Whether this node shuts down, and has told the others so.
+    /// True once this node has started to shut down and has notified the live nodes.
     pub draining: bool,
     outbox: outbox::Outbox,
     publisher: publisher::Publisher,
     clock: StepClock,
-    /// The number of the newest request of this incarnation.
+    /// The identifier of the newest request of this incarnation.
     last_request_id: u64,
 }
 
-/// Moments of this incarnation, in microseconds by the node's own clock.
+/// Times of this incarnation, in microseconds by the node's own clock.
 #[derive(Clone, Copy, Debug)]
 struct StepClock {
-    /// When the node was stepped last. Time never goes back between two steps.
+    /// When the last step ran. Invariant: never decreases.
     last_step: Micros,
-    /// When it was stepped again after a stall: messages may have waited while it stood still.
+    /// When the node resumed after its last stall. Messages received shortly after this time may have been
+    /// queued during the stall.
     resumed_at: Micros,
     /// When this incarnation started.
     started_at: Micros,
 }
 
 impl Node {
-    /// A node that starts now with what its disk holds. The same `seed` gives the same random draws.
+    /// Creates a node that starts at `now` from its durable state. The same `seed` gives the same random
+    /// choices.
     pub fn new(settings: NodeSettings, durable: &DurableState, seed: u64, now: Micros) -> Self {
         let mut rng = Rng::new(seed);
-        // Requests of a new incarnation never match answers to an earlier one.
+        // A random start keeps requests of a new incarnation from matching replies to an earlier one.
         let last_request_id = rng.next_u64() >> 16;
         let consensus = Consensus::new(durable, last_request_id);
         let newest = consensus.state.newest();
@@ -111,32 +110,32 @@
         }
     }
 
-    /// The newest version of the configuration that the node holds.
+    /// Returns the newest version of the configuration that the node holds.
     pub fn version(&self) -> Option<Version> {
         self.consensus.state.version()
     }
 
-    /// Whether that version was confirmed so lately that the node may serve by it.
+    /// Returns whether the newest version was confirmed recently enough for the node to serve by it.
     pub fn is_fresh(&self, now: Micros) -> bool {
         self.consensus.freshness.is_fresh(self.version(), now)
     }
 
-    /// Whether the node is one of the voters of the version that it holds.
+    /// Returns whether this core is one of the voters of the version that it holds.
     pub fn voter(&self) -> bool {
         self.settings.is_core && self.consensus.state.is_voter(self.settings.node_id)
     }
 
-    /// This node as one of the voters.
+    /// Returns this node's entry for a set of voters.
     fn as_voter(&self) -> Voter {
         Voter { node_id: self.settings.node_id, addr: self.settings.addr.clone() }
     }
 
-    /// The fleet that the node belongs to; 0 while it knows none.
+    /// Returns the identifier of the fleet that the node belongs to; 0 if the node knows none.
     fn fleet_id(&self) -> u64 {
         self.consensus.state.newest().map_or(0, |entry| entry.fleet_id)
     }
 
-    /// The next number for a request of this incarnation.
+    /// Returns the identifier for the next request of this incarnation.
     fn next_request_id(&mut self) -> u64 {
         self.last_request_id += 1;
         self.last_request_id
