--- a/crates/core/src/node/outbox.rs
+++ b/crates/core/src/node/outbox.rs
@@ -1,8 +1,8 @@
-//! The effects of a step, and those that wait until a write is synced to disk.
+//! The effects of a step, and the effects that are deferred until a write is synced to disk.
 //!
-//! Guarantees that nothing which depends on a write leaves the node before that write is synced, and that
-//! deferred effects leave in the order of their writes. While more than [`MAX_UNSYNCED_BYTES`] wait, a core
-//! accepts no further votes and versions.
+//! Guarantees that no effect that depends on a write leaves the node before that write is synced, and that
+//! deferred effects leave in the order of their writes. While more than [`MAX_UNSYNCED_BYTES`] are unsynced,
+//! a core accepts no further votes and versions.
 
 use super::{Effect, Node};
 use crate::base::{Micros, NodeId};
@@ -10,10 +10,10 @@
 use crate::protocol::{ConsensusMessage, Frame, Message};
 use std::collections::VecDeque;
 
-/// How many bytes may wait for the disk before a core accepts no further votes and versions.
+/// The number of unsynced bytes above which a core accepts no further votes and versions.
 pub const MAX_UNSYNCED_BYTES: usize = 24 << 20;
 
-/// Effects that wait until a write is synced.
+/// A write that is not synced yet, and the effects that wait for it.
 #[derive(Clone, Debug)]
 struct PendingWrite {
     token: u64,
@@ -21,18 +21,18 @@
     bytes: usize,
 }
 
-/// The effects of the step that runs now, and those that wait for the disk.
+/// The effects of the current step, and the effects that wait for the disk.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Outbox {
-    /// The effects of this step, in their order.
+    /// The effects of this step, in the order in which they were emitted.
     effects: Vec<Effect>,
-    /// Frames that this node sent to itself: they are handled within the same step.
+    /// Frames that this node sent to itself. They are handled within the same step.
     loopback: VecDeque<Frame>,
     /// The token of the newest write.
     last_token: u64,
     /// Writes that are not synced yet, the oldest first.
     pending_writes: VecDeque<PendingWrite>,
-    /// The bytes of bodies in the writes that are not synced yet.
+    /// The bytes of bodies in the writes and deferred effects that are not synced yet.
     unsynced_bytes: usize,
 }
 
@@ -42,26 +42,26 @@
         self.effects.push(effect);
     }
 
-    /// The next frame that this node sent to itself.
+    /// Removes and returns the next frame that this node sent to itself.
     pub fn next_loopback(&mut self) -> Option<Frame> {
         self.loopback.pop_front()
     }
 
-    /// Ends the step: all its effects.
+    /// Ends the step and returns all its effects.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// Whether all writes are synced.
+    /// Returns whether all writes are synced.
     pub fn is_synced(&self) -> bool {
         self.pending_writes.is_empty()
     }
 
-    /// Emits an effect once all writes that were begun before are synced.
+    /// Defers an effect until all earlier writes are synced.
     ///
     /// # Errors
     ///
-    /// Returns the effect if they are synced already: the caller is to emit it at once.
+    /// Returns the effect if all writes are synced already: the caller must emit the effect at once.
     pub fn defer(&mut self, effect: Effect) -> Result<(), Effect> {
         match self.pending_writes.back_mut() {
             Some(newest) => {
@@ -82,7 +82,8 @@
         self.effects.push(Effect::Write { token, writes });
     }
 
-    /// The next write that is synced, given the token of the newest synced one.
+    /// Removes the oldest write if `token`, the newest synced one, covers it. Returns the effects that waited
+    /// for the write.
     fn next_synced(&mut self, token: u64) -> Option<Vec<Effect>> {
         self.pending_writes.front().filter(|write| write.token <= token)?;
         let write = self.pending_writes.pop_front()?;
@@ -90,18 +91,18 @@
         Some(write.deferred)
     }
 
-    /// For the digest of a node's state: the effects of each write that is not synced yet.
+    /// Returns the deferred effects of each unsynced write, for the digest of a node's state.
     pub fn deferred_effects(&self) -> impl Iterator<Item = &Vec<Effect>> {
         self.pending_writes.iter().map(|write| &write.deferred)
     }
 
-    /// For the digest of a node's state: the frames that this node sent to itself.
+    /// Returns the frames that this node sent to itself, for the digest of a node's state.
     pub fn loopback(&self) -> &VecDeque<Frame> {
         &self.loopback
     }
 }
 
-/// The bytes of a body that waits to be sent.
+/// Returns the size of the body in a message that waits to be sent.
 fn body_bytes(effect: &Effect) -> usize {
     match effect {
         Effect::Send { frame, .. } => match &frame.message {
@@ -113,7 +114,7 @@
 }
 
 impl Node {
-    /// A frame from this node.
+    /// Builds a frame from this node to `to`.
     pub(super) fn frame(&self, to: NodeId, message: Message, now: Micros) -> Frame {
         Frame {
             from: self.settings.node_id,
@@ -125,7 +126,7 @@
         }
     }
 
-    /// The effect that sends a message to a node; none where its address is not known.
+    /// Returns the effect that sends a message to a node; none if its address is unknown.
     pub(super) fn send_effect(&self, to: NodeId, message: Message, now: Micros) -> Option<Effect> {
         let address = if to == self.settings.node_id {
             self.settings.addr.clone()
@@ -145,7 +146,8 @@
         }
     }
 
-    /// Sends a message to whatever node is at an address; nothing is sent to the empty address.
+    /// Sends a message to the node at an address, whichever node that is. Does nothing if the address is
+    /// empty.
     pub(super) fn send_to_address(&mut self, to: &str, message: Message, now: Micros) {
         if to.is_empty() {
             return;
@@ -154,7 +156,7 @@
         self.emit(Effect::Send { to: to.to_owned(), frame });
     }
 
-    /// Emits an effect. What this node sends to itself never leaves it.
+    /// Emits an effect. A message of this node to itself never leaves the node.
     pub(super) fn emit(&mut self, effect: Effect) {
         match effect {
             Effect::Send { to, frame } if to == self.settings.addr => self.outbox.loopback.push_back(*frame),
@@ -166,19 +168,20 @@
         }
     }
 
-    /// Writes to the disk. Nothing in `then` is emitted before `writes` are synced.
+    /// Writes to the disk. No effect in `deferred` is emitted before `writes` are synced.
     pub(super) fn persist(&mut self, writes: Vec<DurableWrite>, deferred: Vec<Effect>) {
         self.outbox.begin_write(writes, deferred);
     }
 
-    /// Whether so much waits for the disk that more would only use memory.
+    /// Returns whether more than [`MAX_UNSYNCED_BYTES`] wait for the disk.
     ///
-    /// A core whose disk stalls or is full stops voting then, and what it misses is replicated to it later.
+    /// A core whose disk stalls or is full then stops voting, which bounds its memory. The versions that it
+    /// misses are replicated to it later.
     pub(super) fn is_disk_behind(&self) -> bool {
         self.outbox.unsynced_bytes > MAX_UNSYNCED_BYTES
     }
 
-    /// All writes up to this one are synced.
+    /// Emits the effects that waited for writes up to `token`, which are synced now.
     pub(super) fn on_synced(&mut self, token: u64) {
         while let Some(effects) = self.outbox.next_synced(token) {
             for effect in effects {
--- a/crates/core/src/node/publisher.rs
+++ b/crates/core/src/node/publisher.rs
@@ -1,8 +1,8 @@
 //! The view that a node publishes to its data plane and to operators.
 //!
 //! Guarantees that each view is consistent in itself: it is built within one step and never changed
-//! afterwards. A new one is published when the version changed, when something else changed at most every
-//! [`MIN_PUBLISH_INTERVAL`], and at least every [`MAX_PUBLISH_INTERVAL`].
+//! afterwards. A new view is published when the version changed, at most every [`MIN_PUBLISH_INTERVAL`] when
+//! something else changed, and at least every [`MAX_PUBLISH_INTERVAL`].
 
 use super::{Effect, Node};
 use crate::base::{MS, Micros, NodeId, Version};
@@ -11,47 +11,48 @@
 use crate::protocol::{LogEntry, PeerRecord, WorkerReport};
 use std::sync::Arc;
 
-/// What the data plane and operators read: an immutable snapshot, replaced as one. All moments are in
-/// microseconds by the node's clock.
+/// An immutable snapshot of a node that the data plane and operators read, replaced as a whole. All times are
+/// in microseconds by the node's clock.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     /// The newest version of the configuration that the node holds.
     pub version: Option<Version>,
     /// When a majority of the voters last confirmed that no newer version was decided.
     pub confirmed_at: Option<Micros>,
-    /// From when on every live worker is known.
+    /// The time from which on every live worker is known.
     pub workers_complete_at: Micros,
-    /// The configuration of that version, compiled.
+    /// The compiled configuration of `version`.
     pub config: Arc<CompiledConfig>,
-    /// The log entry of that version.
+    /// The log entry of `version`.
     pub entry: Option<Arc<LogEntry>>,
     /// The workers that may be sent requests.
     pub workers: Arc<Vec<WorkerReport>>,
-    /// All known nodes, and whether each is live.
+    /// All known nodes, and whether each of them is live.
     pub nodes: Vec<(PeerRecord, bool)>,
     /// Whether the node is a voter.
     pub voter: bool,
-    /// Whether others hold all that this node holds, so that a stop loses nothing.
+    /// Whether the node may stop without loss: a majority without this node holds all that this node holds.
     pub may_stop: bool,
     /// The roles whose lease this node holds, and their epochs.
     pub held_leases: Vec<(u32, u64)>,
-    /// What the node granted as a lease holder: tenant, window, units granted and units returned.
+    /// The units that the node granted as a lease holder: tenant, window, units granted and units returned.
     pub grants: Vec<(String, u64, u64, u64)>,
-    /// By the hash of a tenant's name: how much of its rate the node granted as a lease holder, in
-    /// millionths, and how much may be granted to nodes that it does not know of.
+    /// The pools of rates that the node lends as a lease holder: the hash of the tenant's name, the granted
+    /// part of the rate in millionths, and the part that may be granted to nodes that this node does not
+    /// know.
     pub share_pools: Vec<(u64, u64, u64)>,
     /// The nodes that this one subscribes to.
     pub upstreams: Vec<NodeId>,
-    /// Name, value and description of each counter.
+    /// The name, value and description of each counter.
     pub counters: Vec<(&'static str, u64, &'static str)>,
 }
 
-/// What was published last, and whether something changed since.
+/// The last published view, and whether the state has changed since.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Publisher {
-    /// Whether something in the view changed since it was published.
+    /// Whether a part of the view has changed since the last publication.
     pub is_dirty: bool,
-    /// When a view was published last, in microseconds.
+    /// When the last view was published, in microseconds.
     pub published_at: Micros,
     version: Option<Version>,
     entry: Option<Arc<LogEntry>>,
@@ -59,19 +60,19 @@
 }
 
 impl Publisher {
-    /// The state after a start: nothing is published yet, so a view is due.
+    /// Returns the state after a start: no view is published yet, so one is due.
     pub fn new() -> Self {
         Publisher { is_dirty: true, ..Publisher::default() }
     }
 }
 
-/// A new view is published at most this often, unless the version changed.
+/// The shortest interval between two views of the same version, in microseconds.
 const MIN_PUBLISH_INTERVAL: Micros = 20 * MS;
-/// A new view is published at least this often.
+/// The longest interval between two views, in microseconds.
 const MAX_PUBLISH_INTERVAL: Micros = 100 * MS;
 
 impl Node {
-    /// Publishes a new view when something changed, and at least every [`MAX_PUBLISH_INTERVAL`].
+    /// Publishes a new view if the state changed, and at least every [`MAX_PUBLISH_INTERVAL`].
     pub(super) fn publish(&mut self, now: Micros) {
         let is_new_version = self.version() != self.publisher.version;
         let age = now.saturating_sub(self.publisher.published_at);
--- a/crates/core/src/node/quota/mod.rs
+++ b/crates/core/src/node/quota/mod.rs
@@ -1,8 +1,6 @@
 //! Quotas over all nodes together: slices of windows and shares of rates.
 //!
-//! [`windows`] grants units of counting windows; a grant is on the disks of a majority of voters before the node
-//! receives it. [`shares`] lends shares of rates, which expire by time and are on no disk; [`standby`] lends
-//! units of them where the lease holder does not answer. What they do alike stands here: finding the lease holder, trying the next voter after a time-out, and fencing.
+//! [`windows`] grants units of counting windows; a grant is on the disks of a majority of voters before the node receives it. [`shares`] lends shares of rates, which expire by time and are on no disk; [`standby`] lends units of them while the lease holder does not answer. This module holds the parts in common: finding the lease holder, failover to the next voter after a time-out, and fencing.
 
 mod shares;
 mod standby;
@@ -19,40 +17,44 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A node's state of quotas: as a lease holder, as a voter, and for its own calls.
+/// The quota state of a node: as a lease holder, as a voter, and for its own calls.
 #[derive(Clone, Debug)]
 pub struct Quota {
-    /// As a lease holder: what it granted of each tenant's window.
+    /// As a lease holder: the units granted of each tenant's window.
     pub window_ledger: WindowLedger,
-    /// As a lease holder: what it lent of each tenant's rate.
+    /// As a lease holder: the shares lent of each tenant's rate.
     pub share_pools: SharePools,
     /// For its own calls: the slices and shares that the data plane takes units from.
     pub slices: Arc<WindowSlices>,
-    /// As a voter: the grants that are on its disk, or are being written.
+    /// As a voter: the grants that are on its disk or are being written to it.
     pub(in crate::node) grants: BTreeMap<(String, NodeId), WindowGrant>,
-    /// The newest window of each tenant with a grant, and when it began as far as this node knows.
-    pub(in crate::node) windows: BTreeMap<String, (u64, Micros)>,
-    /// Requests for slices that the lease holder has not answered, by tenant.
+    /// The newest window of each tenant with a grant.
+    pub(in crate::node) windows: BTreeMap<String, windows::NewestWindow>,
+    /// This node's newest request for a slice of each tenant's window, by tenant.
     pub(in crate::node) slice_requests: BTreeMap<String, windows::PendingSliceRequest>,
-    /// As a lease holder: grants that are not yet on a majority's disks, by the number of the request to voters.
+    /// As a lease holder: the grants that are not yet on a majority's disks, by the identifier of the request to
+    /// the voters.
     pub(in crate::node) pending_grants: BTreeMap<u64, windows::PendingGrants>,
-    /// For its own calls: requests for shares, and what is known of the lease holders.
+    /// For its own calls: the requests for shares, and the known lease holders.
     pub(in crate::node) share_client: shares::ShareClient,
-    /// Loans of the standbys, requested and granted.
+    /// The requests for loans of standbys, and the roles that this node is the standby of.
     pub(in crate::node) standby: standby::StandbyLending,
 }
 
 impl Quota {
-    /// The state after a start, by what the disk holds and the configuration that is in force.
+    /// Creates the state after a start from the durable state and the configuration that is in force.
     pub(super) fn new(durable: &DurableState, config: &CompiledConfig, now: Micros) -> Self {
         let slices = Arc::<WindowSlices>::default();
         slices.rates.apply_plan(config, now);
+        let newest_window = |grant: &WindowGrant| {
+            (grant.tenant.clone(), windows::NewestWindow { number: grant.window, started_at: now })
+        };
         Quota {
             window_ledger: WindowLedger::default(),
             share_pools: SharePools::default(),
             slices,
             grants: durable.grants.clone(),
-            windows: durable.grants.values().map(|grant| (grant.tenant.clone(), (grant.window, now))).collect(),
+            windows: durable.grants.values().map(newest_window).collect(),
             slice_requests: BTreeMap::new(),
             pending_grants: BTreeMap::new(),
             share_client: shares::ShareClient::default(),
@@ -117,29 +119,31 @@
         self.dissemination.peers.live(now).count() as u64
     }
 
-    /// The lease holder of a role as far as this node knows as a grantor; the default id where it knows none.
+    /// Returns the other node to which this node granted the lease of a role as a voter; the default id if it
+    /// knows none.
     fn other_lease_holder(&self, role: u32, now: Micros) -> NodeId {
         let granted = self.leases.grantor.granted.get(&role);
         let other = granted.filter(|lease| lease.expires_at > now && lease.holder != self.settings.node_id);
         other.map(|lease| lease.holder).unwrap_or_default()
     }
 
-    /// The voter to send a request for a role to: `preferred` or else the last known lease holder, where that is
-    /// still a voter, or else the voter that ranks first for the role.
+    /// Returns the voter to send a request for a role to: `preferred` or else the last known lease holder, if
+    /// that is still a voter, or else the voter that ranks first for the role.
     fn voter_to_request_from(&self, role: u32, preferred: Option<NodeId>) -> Option<NodeId> {
         let candidate = preferred.or_else(|| self.leases.held.holder_hints.get(&role).copied());
         let voter = candidate.filter(|node_id| self.consensus.state.is_voter(*node_id));
         voter.or_else(|| self.ranked_voters(role).first().copied())
     }
 
-    /// The voter after one that did not respond; it knows who holds the lease now.
+    /// Returns the voter after one that did not respond. The next voter knows the current lease holder.
     fn voter_after(&self, unresponsive: NodeId) -> Option<NodeId> {
         let voters = self.consensus.state.voters();
         let next = voters.iter().position(|voter| voter.node_id == unresponsive).map_or(0, |index| index + 1);
         voters.get(next % voters.len().max(1)).map(|voter| voter.node_id)
     }
 
-    /// Whether a message is of a lease that a later one has fenced; counts it if so.
+    /// Returns whether a message belongs to a lease that a later one has fenced off, and counts the message
+    /// if so.
     fn is_message_fenced(&mut self, role: u32, epoch: u64) -> bool {
         let is_fenced = self.leases.grantor.is_fenced(role, epoch);
         if is_fenced {
--- a/crates/core/src/node/quota/shares.rs
+++ b/crates/core/src/node/quota/shares.rs
@@ -1,9 +1,9 @@
 //! Shares of rates: requested by the nodes that use them, granted by the lease holders of their tenants' roles.
 //!
 //! Requests for the tenants of several roles go in one message to each lease holder. A request without a response
-//! after [`RESPONSE_TIMEOUT`] is sent to the next voter, which knows who holds the lease now. A node remembers the
-//! fencing token of the newest lease of each role and ignores grants of an earlier one; a lease holder that learns
-//! of a later lease grants nothing.
+//! after [`RESPONSE_TIMEOUT`] is sent to the next voter, which knows the current lease holder. A node remembers
+//! the fencing token of the newest lease of each role and ignores grants of an earlier lease; a lease holder that
+//! learns of a later lease grants nothing.
 
 use super::{Node, NodeId};
 use crate::base::{Incarnation, MS, Micros, SEC, Version};
@@ -39,7 +39,7 @@
     by_key: Arc<RatesByKey>,
 }
 
-/// A lease's place in the order of all leases of its role.
+/// The fencing token of a lease: its position in the order of all leases of its role.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct FencingToken {
     voter_set: Version,
@@ -52,19 +52,19 @@
     }
 }
 
-/// A node's requests to a lease holder, as one message carries them.
+/// A node's share requests to a lease holder, in one message.
 #[derive(Clone, Debug)]
 pub(in crate::node) struct ShareRequests {
     pub(in crate::node) request_id: u64,
     pub(in crate::node) requests: Vec<ShareRequest>,
-    /// For how long the requesting incarnation held just its share of each and was granted nothing, in
-    /// microseconds.
+    /// For how long the requesting incarnation has held exactly its share of each rate and was granted
+    /// nothing, in microseconds.
     pub(in crate::node) idle_for: Vec<Micros>,
     /// The newest leases that the requester knows of.
     pub(in crate::node) claims: Vec<LeaseClaim>,
 }
 
-/// A message of requests without a response.
+/// A message of share requests that has no response yet.
 #[derive(Clone, Debug)]
 struct PendingShareRequests {
     to: NodeId,
@@ -79,7 +79,7 @@
     pending: BTreeMap<u64, PendingShareRequests>,
     /// The newest lease of each role that this node knows of.
     newest_leases: BTreeMap<u32, FencingToken>,
-    /// The voter to send the next request of a role to, where the last one did not respond or redirected.
+    /// The voter to send the next request of a role to, if the last one did not respond or redirected.
     next_voters: BTreeMap<u32, NodeId>,
     /// The units that calls of a tenant wait for.
     waiting_units: BTreeMap<String, u64>,
@@ -89,7 +89,7 @@
 
 /// Requests and grants, for this node's own calls.
 impl Node {
-    /// The rates of the configuration in force, by the hash of the tenant's name.
+    /// Returns the rates of the configuration in force, by the hash of the tenant's name.
     pub(in crate::node) fn tenant_rates(&mut self) -> Arc<RatesByKey> {
         let version = self.config.version;
         if let Some(cached) = self.quota.share_client.rates.as_ref().filter(|cached| cached.version == version) {
@@ -107,7 +107,7 @@
         by_key
     }
 
-    /// Calls of a tenant wait for `waiting` units, or its bucket runs low.
+    /// Requests a share soon, as calls of a tenant wait for `waiting` units or the tenant's bucket runs low.
     pub(in crate::node) fn on_rate_needed(&mut self, tenant: &str, waiting: u64, now: Micros) {
         self.quota.slices.rates.request_soon(tenant);
         self.quota.slices.rates.record_waiting(tenant, waiting, now);
@@ -167,13 +167,13 @@
         self.send_quota(to, QuotaMessage::ShareRequests { request_id, requests, claims, idle_for }, now);
     }
 
-    /// The newest lease of a role that this node knows of, without its holder.
+    /// Returns the newest lease of a role that this node knows, without its holder.
     fn newest_claim(&self, role: u32) -> Option<LeaseClaim> {
         let FencingToken { voter_set, epoch } = *self.quota.share_client.newest_leases.get(&role)?;
         Some(LeaseClaim { role, voter_set, epoch, holder: NodeId::default() })
     }
 
-    /// Records that `holder` claims a lease; false where a later lease of the role is known.
+    /// Records that `holder` claims a lease. Returns false if a later lease of the role is known.
     fn accept_lease_claim(&mut self, claim: &LeaseClaim, holder: NodeId) -> bool {
         let newest = self.quota.share_client.newest_leases.entry(claim.role).or_default();
         let token = FencingToken::from(claim);
@@ -187,7 +187,8 @@
         true
     }
 
-    /// A lease holder wants to know at once which shares this node holds: replies, and sends its requests.
+    /// Handles a lease holder's probe for the shares of this node: replies, and sends this node's requests at
+    /// once.
     pub(in crate::node) fn on_share_probe(&mut self, from: NodeId, claims: &[LeaseClaim], now: Micros) {
         let addr = self.settings.addr.clone();
         let age = now.saturating_sub(self.clock.started_at);
@@ -212,7 +213,8 @@
         self.voter_to_request_from(role, self.quota.share_client.next_voters.get(&role).copied())
     }
 
-    /// A node that did not respond is not sent the request again: another voter knows who holds the lease now.
+    /// Times out the requests without a response. The next voter is then sent the requests: it knows the
+    /// current lease holder.
     fn time_out_share_requests(&mut self, now: Micros) {
         let pending = &mut self.quota.share_client.pending;
         let is_late =
@@ -247,7 +249,7 @@
         }
     }
 
-    /// The response to this node's requests.
+    /// Handles the response to this node's requests.
     pub(in crate::node) fn on_share_grants(
         &mut self,
         from: NodeId,
@@ -272,12 +274,12 @@
                 self.quota.slices.rates.request_rejected(tenant, request_id);
             }
         }
-        // Calls that came while the request was pending need not wait for the next tick.
+        // Calls that were received while the request was pending need not wait for the next tick.
         self.tick_shares(now);
     }
 
-    /// Learns from a response who holds which lease. Returns the roles of which a later lease is known, so that
-    /// the grants of this one must be ignored.
+    /// Records the lease holders that a response names. Returns the roles of which a later lease is known, so
+    /// that the response's grants of these roles must be ignored.
     fn observe_claims(&mut self, from: NodeId, claims: &[LeaseClaim]) -> BTreeSet<u32> {
         let mut fenced_roles = BTreeSet::new();
         for claim in claims {
@@ -297,24 +299,24 @@
     }
 }
 
-/// What all requests of one message have in common, for the lease holder.
+/// The context that all requests of one message share, for the lease holder.
 struct RequestContext<'a> {
     from: (NodeId, Incarnation),
     request_id: u64,
     claims: &'a [LeaseClaim],
     voter_set: Version,
     live_nodes: u64,
-    /// The roles that the requester is the standby of.
+    /// The roles of which the requester is the standby.
     standby_roles: BTreeSet<u32>,
 }
 
 impl RequestContext<'_> {
-    /// Whether the requester knows of a later lease of the role than this one.
+    /// Returns whether the requester knows a later lease of the role.
     fn knows_later_lease(&self, role: u32, token: FencingToken) -> bool {
         self.claims.iter().any(|claim| claim.role == role && FencingToken::from(claim) > token)
     }
 
-    /// Whether the requester knows of just this lease.
+    /// Returns whether the requester knows this lease as the newest of the role.
     fn knows_lease(&self, role: u32, token: FencingToken) -> bool {
         self.claims.iter().any(|claim| claim.role == role && FencingToken::from(claim) == token)
     }
@@ -336,14 +338,14 @@
         self.quota.share_pools.expire(|key| rates.get(&key).map(|tenant| tenant.rate), now);
     }
 
-    /// The epoch of a lease under which shares may be granted: a lease holder waits until a majority knows that
-    /// the lease was held, so that no later one takes itself for the first.
+    /// Returns the epoch of a lease under which shares may be granted: a lease holder waits until a majority
+    /// knows that the lease was held, so that no later holder counts itself as the first.
     pub fn share_epoch(&self, role: u32, now: Micros) -> Option<u64> {
         let epoch = self.leases.held.valid_epoch(role, now)?;
         self.leases.held.by_role.get(&role).filter(|lease| lease.is_renewed).map(|_| epoch)
     }
 
-    /// Grants shares and loans, one for each request, and says who holds the leases.
+    /// Grants shares and loans, one for each request, and names the lease holders.
     pub(in crate::node) fn on_share_requests(
         &mut self,
         from: (NodeId, Incarnation),
@@ -375,7 +377,8 @@
         self.send_quota(from.0, QuotaMessage::ShareGrants { request_id, grants, claims }, now);
     }
 
-    /// The epoch under which a role's shares may be granted, unless the requester knows of a later lease.
+    /// Returns the epoch under which a role's shares may be granted, unless the requester knows a later
+    /// lease.
     fn grantable_epoch(&self, role: u32, context: &RequestContext<'_>, now: Micros) -> Option<u64> {
         let voter_set = context.voter_set;
         self.share_epoch(role, now)
--- a/crates/core/src/node/quota/standby.rs
+++ b/crates/core/src/node/quota/standby.rs
@@ -1,13 +1,13 @@
-//! Standby lending: a second lender of each role, for when the lease holder does not answer.
+//! Standby lending: a second lender for each role while the lease holder does not answer.
 //!
-//! The live voter that ranks first for a role after its lease holder is the role's *standby*. It requests shares of
-//! that role's rates like any other node and is granted at least [`STANDBY_SHARE`]; out of these it lends units to
-//! nodes whose requests no lease holder granted for [`HEDGE_AFTER`] or found nothing there. So a tenant
-//! goes on while the lease of a lost holder runs out.
+//! The live voter that ranks first for a role after its lease holder is the role's *standby*. The standby requests
+//! shares of that role's rates like any other node and is granted at least [`STANDBY_SHARE`]. Out of these shares
+//! it lends units to nodes whose requests no lease holder granted within [`HEDGE_AFTER`], or whose lease holder had
+//! no units. Therefore a tenant's calls go on until the lease of a lost holder has expired.
 //!
-//! Guarantees that standby lending adds no unit: a loan is spent in the standby's own bucket before it is sent, is
-//! accepted once, as the response to the request that it names, and is worth nothing [`LOAN_DURATION`] after that
-//! request was sent. Where nodes disagree about who is the standby, they ask in vain.
+//! Guarantees that standby lending adds no units: a loan is spent in the standby's own bucket before it is sent, is
+//! accepted once, as the response to the request that it names, and is void [`LOAN_DURATION`] after that request
+//! was sent. If nodes disagree about which node is the standby, their requests are granted nothing.
 //!
 //! [`STANDBY_SHARE`]: crate::quota::STANDBY_SHARE
 //! [`HEDGE_AFTER`]: crate::quota::HEDGE_AFTER
@@ -21,13 +21,14 @@
 use crate::quota::{LOAN_DURATION, tenant_key};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// For this long after the set of voters changed, in microseconds, a former voter may hold what it was granted as a
-/// standby: the leases under the former set end within 2.5 s, and what they granted a share lease later.
+/// The time after a change of the set of voters, in microseconds, during which a former voter may hold shares that
+/// it was granted as a standby: the leases under the former set end within 2.5 s, and the shares that they granted
+/// one share lease later.
 const FORMER_VOTERS_RETENTION: Micros = 10 * SEC;
-/// How often a voter determines the roles that it is the standby of, in microseconds.
+/// The interval at which a voter determines the roles of which it is the standby, in microseconds.
 const ROLES_INTERVAL: Micros = 100 * MS;
 
-/// Requests for loans in one message to a standby.
+/// The loan requests in one message to a standby that has no response yet.
 #[derive(Clone, Debug)]
 struct PendingLoans {
     to: NodeId,
@@ -36,20 +37,20 @@
     tenants: BTreeMap<u64, String>,
 }
 
-/// A node's state of standby lending.
+/// The standby lending state of a node.
 #[derive(Clone, Debug, Default)]
 pub(in crate::node) struct StandbyLending {
-    /// As a voter: the roles that it is the standby of, as determined at `roles_determined_at`.
+    /// As a voter: the roles of which this node is the standby, as determined at `roles_determined_at`.
     roles: BTreeSet<u32>,
     roles_determined_at: Micros,
     /// The lease holder of each role whose claim was accepted last.
     holders: BTreeMap<u32, NodeId>,
-    /// The requests that no standby has answered, by the number of the message.
+    /// The requests that no standby has answered, by the identifier of the message.
     pending: BTreeMap<u64, PendingLoans>,
 }
 
 impl StandbyLending {
-    /// Records who holds the lease of a role.
+    /// Records the lease holder of a role.
     pub fn record_holder(&mut self, role: u32, holder: NodeId) {
         self.holders.insert(role, holder);
     }
@@ -57,7 +58,7 @@
 
 /// For its own calls.
 impl Node {
-    /// Whether another node stands by for the lease holder of a role, so that calls may wait for its loans.
+    /// Returns whether another node is the standby of a role, so that calls may wait for its loans.
     pub(super) fn has_other_standby(&self, role: u32, now: Micros) -> bool {
         self.known_standby(role, now).is_some_and(|standby| standby != self.settings.node_id)
     }
@@ -66,14 +67,14 @@
         self.standby_of(role, *self.quota.standby.holders.get(&role)?, now)
     }
 
-    /// The live voter that ranks first for a role, but for its lease holder.
+    /// Returns the standby of a role: the live voter that ranks first, except for the lease holder.
     pub(super) fn standby_of(&self, role: u32, holder: NodeId, now: Micros) -> Option<NodeId> {
         let peers = &self.dissemination.peers;
         let is_live = |voter: NodeId| voter == self.settings.node_id || peers.is_live(voter, now);
         self.ranked_voters(role).into_iter().find(|voter| *voter != holder && is_live(*voter))
     }
 
-    /// Requests loans for the calls that the lease holders do not serve, one message to each standby.
+    /// Requests loans for the calls that the lease holders do not serve, in one message to each standby.
     pub(super) fn request_loans(&mut self, now: Micros) {
         self.quota.standby.pending.retain(|_, pending| now < pending.sent_at + LOAN_DURATION);
         let mut by_standby: BTreeMap<NodeId, Vec<String>> = BTreeMap::new();
@@ -103,7 +104,7 @@
         self.send_quota(to, QuotaMessage::LoanRequests { request_id, requests }, now);
     }
 
-    /// The standby's response: calls use what was lent, or learn that there is nothing.
+    /// Handles the standby's response: waiting calls use the lent units, or learn that there are none.
     pub(super) fn on_loans(&mut self, from: NodeId, request_id: u64, loans: &[Loan], now: Micros) {
         if self.quota.standby.pending.get(&request_id).is_none_or(|pending| pending.to != from) {
             return;
@@ -119,7 +120,7 @@
 
 /// The lease holder's side.
 impl Node {
-    /// The roles that a node stands by for, of those that this node may hold.
+    /// Returns the roles of which a node is the standby, if this node holds their leases.
     pub(super) fn roles_with_standby(&self, node: NodeId, now: Micros) -> BTreeSet<u32> {
         if !self.consensus.state.is_voter(node) {
             return BTreeSet::new();
@@ -128,8 +129,8 @@
         (0..ROLE_COUNT).filter(|role| self.standby_of(*role, own_id, now) == Some(node)).collect()
     }
 
-    /// The nodes, with their addresses, that may be standbys of lease holders before this one: the voters, and for a
-    /// while after the set of voters changed, or after a start, all that were voters before.
+    /// Returns the nodes, with their addresses, that may be standbys of earlier lease holders: the voters and, for a
+    /// while after the set of voters changed or after a start, all former voters.
     pub(in crate::node) fn possible_standbys(&self, now: Micros) -> BTreeMap<NodeId, String> {
         let state = &self.consensus.state;
         let mut voters: Vec<_> = state.voters().iter().collect();
@@ -139,8 +140,8 @@
         voters.into_iter().map(|voter| (voter.node_id, voter.addr.clone())).collect()
     }
 
-    /// Lends out of this node's own bucket what its pool has too little of, such as what it held as the standby of
-    /// the lease holder before it.
+    /// Lends units out of this node's own bucket that its pool lacks, such as those that this node held as the
+    /// standby of the previous lease holder.
     pub(super) fn lend_own_units(&mut self, tenant: &str, missing_units: u32, smallest_call: u32, now: Micros) -> u32 {
         let request = LoanRequest { tenant_key: tenant_key(tenant), missing_units, smallest_call };
         if missing_units == 0 { 0 } else { self.quota.slices.rates.lend(tenant, &request, now) }
@@ -149,7 +150,8 @@
 
 /// The standby's side.
 impl Node {
-    /// The roles that this node is the standby of: it holds shares of their rates though no call comes here.
+    /// Returns the roles of which this node is the standby: it holds shares of their rates although it
+    /// receives no calls.
     pub(super) fn standby_roles(&mut self, now: Micros) -> BTreeSet<u32> {
         if now >= self.quota.standby.roles_determined_at + ROLES_INTERVAL {
             self.quota.standby.roles_determined_at = now;
@@ -164,7 +166,7 @@
         is_held && !self.draining && self.standby_of(role, holder, now) == Some(self.settings.node_id)
     }
 
-    /// Lends what this node's own buckets have.
+    /// Handles requests for loans: lends units out of this node's own buckets.
     pub(super) fn on_loan_requests(&mut self, from: NodeId, request_id: u64, requests: &[LoanRequest], now: Micros) {
         let rates = self.tenant_rates();
         let mut loans = Vec::new();
--- a/crates/core/src/node/quota/windows.rs
+++ b/crates/core/src/node/quota/windows.rs
@@ -1,8 +1,9 @@
 //! Slices of counting windows: requested, granted on a majority's disks, recalled and returned.
 //!
 //! Guarantees that a node receives a grant only once a majority of voters has it on disk, so that every later
-//! lease holder counts it, and that messages of an earlier lease are fenced by its epoch. A request without a
-//! response is sent to the next voter after [`RESPONSE_TIMEOUT`], but only as calls go on to need units.
+//! lease holder counts the grant, and that messages of an earlier lease are fenced off by its epoch. A
+//! request without a response after [`RESPONSE_TIMEOUT`] is sent to the next voter, but only if calls still
+//! need units.
 
 use crate::base::{MS, Micros, NodeId, SEC, Version};
 use crate::config::{Limit, WindowQuota};
@@ -13,13 +14,13 @@
 use crate::quota::{LedgerAction, SliceRequest};
 use std::collections::{BTreeSet, VecDeque};
 
-/// After this long, in microseconds, a request counts as timed out.
+/// The time after which a request without a response counts as timed out, in microseconds.
 const RESPONSE_TIMEOUT: Micros = 250 * MS;
-/// How many requests of each tenant that newer ones have replaced are remembered.
+/// The maximum number of replaced requests that are remembered for each tenant.
 const MAX_REPLACED_REQUESTS: usize = 8;
-/// How often a request follows a redirection to another lease holder.
+/// The maximum number of redirections to another lease holder that a request follows.
 const MAX_REDIRECTIONS: u8 = 3;
-/// Grants that no majority has on disk by then, in microseconds, are dropped.
+/// The time after which grants that no majority has on disk are dropped, in microseconds.
 const GRANT_TIMEOUT: Micros = 2 * SEC;
 
 /// A request that a newer one has replaced.
@@ -35,19 +36,19 @@
     request_id: u64,
     sent_at: Micros,
     to: NodeId,
-    /// Earlier requests whose grants may still come, oldest first.
+    /// Earlier requests whose grants may still be received, oldest first.
     replaced: VecDeque<ReplacedRequest>,
-    /// How many calls began to wait while it was pending.
+    /// The number of calls that began to wait while the request was pending.
     waiting: u64,
     redirections: u8,
-    /// Whether a response came.
+    /// Whether a response was received.
     is_answered: bool,
-    /// The receiver knew no lease holder: the next request goes to the next voter.
+    /// Whether the receiver knew no lease holder, so that the next request goes to the next voter.
     is_next_voter_due: bool,
 }
 
 impl PendingSliceRequest {
-    /// The requests whose grants may still come once a newer request replaces this one.
+    /// Returns the requests whose grants may still be received after a newer request replaces this one.
     fn into_replaced(self) -> VecDeque<ReplacedRequest> {
         let mut replaced = self.replaced;
         replaced.push_back(ReplacedRequest { request_id: self.request_id, sent_at: self.sent_at });
@@ -57,8 +58,8 @@
         replaced
     }
 
-    /// When the request was sent whose grant comes late, or after another response to it: a request that is
-    /// delivered twice is answered twice.
+    /// Returns when the request of a late or repeated grant was sent. A request that is delivered twice is
+    /// answered twice.
     fn sent_at_of_late_grant(&self, request_id: u64) -> Option<Micros> {
         if self.is_answered && self.request_id == request_id {
             return Some(self.sent_at);
@@ -67,12 +68,21 @@
     }
 }
 
+/// The newest window of a tenant with a grant.
+#[derive(Clone, Copy, Debug)]
+pub(in crate::node) struct NewestWindow {
+    /// The number of the window.
+    pub(super) number: u64,
+    /// When the window started as far as this node knows, in microseconds.
+    pub(super) started_at: Micros,
+}
+
 /// A grant that answers a request of a node.
 #[derive(Clone, Debug)]
 struct RequestedGrant {
     request_id: u64,
     grant: WindowGrant,
-    /// How long the window still lasted when it was granted, in microseconds.
+    /// The remaining time of the window when the grant was made, in microseconds.
     remaining: Micros,
 }
 
@@ -86,7 +96,7 @@
     grants: Vec<RequestedGrant>,
 }
 
-/// Grants that a lease holder asks a voter to put on disk.
+/// Grants that a lease holder replicates to a voter.
 #[derive(Debug)]
 pub(super) struct GrantBatch {
     pub voter_set: Version,
@@ -105,7 +115,7 @@
         }
     }
 
-    /// Calls of a tenant wait here, or its slice runs low.
+    /// Requests units for a tenant, as its calls wait here or its slice or bucket runs low.
     pub(in crate::node) fn on_quota_needed(&mut self, tenant: &str, waiting: u64, now: Micros) {
         if self.window_quota(tenant).is_none() {
             if self.quota.slices.rates.is_rate(tenant) {
@@ -149,7 +159,7 @@
         self.send_quota(to, QuotaMessage::SliceRequest { request_id, tenant, wanted_units, window, returned }, now);
     }
 
-    /// The pending request that this is the first response to, now marked as answered.
+    /// Returns the pending request to which this is the first response, and marks it as answered.
     fn answer_slice_request(&mut self, request_id: u64, tenant: &str) -> Option<&PendingSliceRequest> {
         let request = self.quota.slice_requests.get_mut(tenant)?;
         if request.request_id != request_id || request.is_answered {
@@ -159,7 +169,7 @@
         Some(request)
     }
 
-    /// Adds granted units to this node's slice; they are valid as counted from the moment of the request.
+    /// Adds granted units to this node's slice. Their validity counts from when the request was sent.
     pub(in crate::node) fn on_slice_granted(
         &mut self,
         request_id: u64,
@@ -173,7 +183,8 @@
         if self.is_message_fenced(role, epoch) {
             return;
         }
-        // The lease holder counts the units as this node's whenever they arrive, so late ones are used too.
+        // The lease holder counts the units as this node's whenever they are received, so late ones are used
+        // too.
         let pending = self.quota.slice_requests.get(tenant);
         let late = pending.and_then(|request| request.sent_at_of_late_grant(request_id)).map(|sent_at| (sent_at, 0));
         let answered = late.or_else(|| self.answer_slice_request(request_id, tenant).map(|r| (r.sent_at, r.waiting)));
@@ -188,8 +199,9 @@
         }
     }
 
-    /// The lease holder reports that nothing is left of a window. The report was under way for `delay`
-    /// microseconds: the window went on meanwhile, and where it ended, units are requested anew.
+    /// Handles the lease holder's reply that a window is spent. `delay` is the reply's transit time, by which
+    /// the remaining time of the window has decreased; if the window has ended since, units are requested
+    /// again.
     pub(in crate::node) fn on_window_spent(
         &mut self,
         request_id: u64,
@@ -208,7 +220,8 @@
         self.outbox.push(Effect::WakeTenant { tenant: tenant.to_owned() });
     }
 
-    /// The receiver of a request holds no lease: follows its redirection, or tries the next voter later.
+    /// Handles the reply of a node that holds no lease: follows the redirection, or marks the next voter as
+    /// due.
     pub(in crate::node) fn on_not_lease_holder(
         &mut self,
         from: NodeId,
@@ -230,7 +243,7 @@
             self.leases.held.holder_hints.insert(role, holder);
             self.request_slice(tenant, waiting.max(1), redirections + 1, Some(holder), now);
         } else if let Some(request) = self.quota.slice_requests.get_mut(tenant) {
-            // It knows no lease holder: the calls that wait soon cause a request to the next voter.
+            // The voter knows no lease holder: the waiting calls soon cause a request to the next voter.
             request.is_answered = true;
             request.is_next_voter_due = true;
         }
@@ -255,7 +268,7 @@
 
 /// The lease holder's side.
 impl Node {
-    /// Grants units, or says who else holds the lease.
+    /// Grants units, or redirects the requester to the lease holder.
     pub(in crate::node) fn on_slice_request(
         &mut self,
         from: NodeId,
@@ -279,7 +292,7 @@
         self.apply_ledger_actions(tenant, actions, now);
     }
 
-    /// A node has returned units of a window.
+    /// Handles units of a window that a node returns.
     pub(in crate::node) fn on_return_slice(
         &mut self,
         from: NodeId,
@@ -296,7 +309,7 @@
         }
     }
 
-    /// Serves the requests that wait, and drops what belongs to leases that have ended.
+    /// Serves the waiting requests, and drops the state of leases that have ended.
     pub(in crate::node) fn tick_windows(&mut self, now: Micros) {
         self.quota.pending_grants.retain(|_, pending| now.saturating_sub(pending.requested_at) < GRANT_TIMEOUT);
         let nodes = self.live_node_count(now);
@@ -352,7 +365,8 @@
         self.broadcast_to_voters(&Message::Quota(message), now);
     }
 
-    /// A voter has grants on disk; once a majority has, and the lease is still the same, they are sent.
+    /// Handles a voter's confirmation that grants are on its disk. Once a majority has confirmed, and the
+    /// lease is still the same, the grants are sent to their nodes.
     pub(in crate::node) fn on_grants_synced(
         &mut self,
         from: NodeId,
@@ -391,7 +405,7 @@
 
 /// The voter's side.
 impl Node {
-    /// Puts grants on disk, unless they are of a fenced lease, another set of voters or an earlier window.
+    /// Writes grants to disk, unless they are of a fenced lease, another set of voters or an earlier window.
     pub(super) fn on_replicate_grants(&mut self, from: NodeId, batch: GrantBatch, delay: Micros, now: Micros) {
         let GrantBatch { voter_set, role, epoch, request_id, mut grants } = batch;
         if !self.is_ready() || voter_set != self.voter_set() {
@@ -403,7 +417,7 @@
         for grant in &mut grants {
             grant.age = grant.age.saturating_add(delay);
         }
-        // A grant of an earlier window can't be kept beside one of a newer window, so it is not confirmed.
+        // A grant of an earlier window cannot be kept beside one of a newer window, so it is not confirmed.
         if grants.iter().any(|grant| grant.window < self.newest_window(&grant.tenant)) {
             return;
         }
@@ -414,26 +428,26 @@
         self.persist(writes, then.into_iter().collect());
     }
 
-    /// The newest window of a tenant with a grant; zero where there is none.
+    /// Returns the number of the newest window of a tenant with a grant; 0 if there is none.
     fn newest_window(&self, tenant: &str) -> u64 {
-        self.quota.windows.get(tenant).map_or(0, |window| window.0)
+        self.quota.windows.get(tenant).map_or(0, |window| window.number)
     }
 
-    /// Records a grant among those that the next lease holder will read; true if it was not known.
+    /// Records a grant for the next lease holder. Returns true if the grant was not known.
     pub(in crate::node) fn record_grant(&mut self, grant: &WindowGrant, now: Micros) -> bool {
         let newest = self.newest_window(&grant.tenant);
         if grant.window < newest {
             return false;
         }
-        // A sender that started a moment ago may not know how long the window has run.
+        // A sender that has just started may not know how long the window has run.
         let fence_until = self.clock.started_at + LEASE_DURATION;
         self.leases.grantor.role_fences.entry(quota_role(&grant.tenant)).or_insert(fence_until);
         let started_at = now.saturating_sub(grant.age);
         if grant.window > newest {
             self.quota.grants.retain(|(tenant, _), _| *tenant != grant.tenant);
-            self.quota.windows.insert(grant.tenant.clone(), (grant.window, started_at));
+            self.quota.windows.insert(grant.tenant.clone(), NewestWindow { number: grant.window, started_at });
         } else if let Some(window) = self.quota.windows.get_mut(&grant.tenant) {
-            window.1 = window.1.min(started_at);
+            window.started_at = window.started_at.min(started_at);
         }
         let key = (grant.tenant.clone(), grant.node_id);
         if self.quota.grants.get(&key).is_some_and(|known| known.granted_total >= grant.granted_total) {
@@ -443,11 +457,11 @@
         true
     }
 
-    /// The grants of the tenants that `filter` accepts, with the age of their windows by now.
+    /// Returns the grants of the tenants that `filter` accepts, with the current ages of their windows.
     pub(in crate::node) fn grants_of(&self, filter: impl Fn(&str) -> bool, now: Micros) -> Vec<WindowGrant> {
         let with_age = |grant: &WindowGrant| {
             let window = self.quota.windows.get(&grant.tenant);
-            let age = window.map_or(0, |(_, started_at)| now.saturating_sub(*started_at));
+            let age = window.map_or(0, |window| now.saturating_sub(window.started_at));
             WindowGrant { age, ..grant.clone() }
         };
         self.quota.grants.values().filter(|grant| filter(&grant.tenant)).map(with_age).collect()
--- a/crates/core/src/node/state_digest.rs
+++ b/crates/core/src/node/state_digest.rs
@@ -1,26 +1,26 @@
-//! A canonical digest of a node's state, by which the model checker recognises states that it has visited.
+//! A canonical digest of a node's state, by which the model checker recognizes visited states.
 //!
-//! Guarantees that two nodes with the same digest behave alike from here on, as far as the [`Scope`] goes,
-//! up to collisions of a 64-bit hash.
+//! Guarantees that two nodes with the same digest behave alike from then on, as far as the [`Scope`] covers
+//! their state and apart from collisions of a 64-bit hash.
 
 use super::Node;
 use std::fmt::{Debug, Write};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The room that is reserved for the `Debug` forms of a node's state.
+/// The initial capacity of the buffer for the `Debug` forms of a node's state, in bytes.
 const INITIAL_BYTES: usize = 4_096;
 
-/// How much of a node's state a digest covers.
+/// The part of a node's state that a digest covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// What decides on versions: consensus, freshness, the set of voters and its takeover.
+    /// The state that decides on versions: consensus, freshness, the set of voters and its takeover.
     Agreement,
-    /// All state that decides anything; left out are counters, what was published last, and what follows
-    /// from the version (the compiled configuration).
+    /// All state that affects any decision. Counters, the last published view and the compiled configuration,
+    /// which follows from the version, are left out.
     Full,
 }
 
-/// Collects the `Debug` forms of values. Those of all types here are canonical: their maps and sets are
+/// The concatenated `Debug` forms of values. They are canonical, since all maps and sets of these types are
 /// ordered.
 struct DigestInput(String);
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// The digest of any value by its `Debug` form.
+/// Returns the digest of any value by its `Debug` form.
 #[must_use]
 pub fn digest_of(value: &dyn Debug) -> u64 {
     let mut input = DigestInput::new();
@@ -48,7 +48,7 @@
 }
 
 impl Node {
-    /// The digest of this node's state. Tokens of writes are left out: only their order counts.
+    /// Returns the digest of this node's state. Tokens of writes are left out: only their order matters.
     #[must_use]
     pub fn digest(&self, scope: Scope) -> u64 {
         let mut input = DigestInput::new();
