--- a/crates/core/src/node/membership/registrations.rs
+++ b/crates/core/src/node/membership/registrations.rs
@@ -98,8 +98,12 @@
     /// them.
     fn remove_outdated(&mut self, now: Micros) -> Vec<NodeIncarnation> {
         let is_outdated = |registration: &Registration| now > registration.requested_at + REGISTRATION_RETENTION;
-        let outdated: Vec<_> =
-            self.registered.iter().filter(|(_, r)| is_outdated(r)).map(|(incarnation, _)| *incarnation).collect();
+        let outdated: Vec<_> = self
+            .registered
+            .iter()
+            .filter(|(_, registration)| is_outdated(registration))
+            .map(|(incarnation, _)| *incarnation)
+            .collect();
         if !outdated.is_empty() {
             self.registered.retain(|incarnation, _| !outdated.contains(incarnation));
         }
@@ -111,12 +115,10 @@
 impl Node {
     /// Returns all incarnations that this voter has registered.
     pub(in crate::node) fn registered_incarnations(&self) -> Vec<RegisteredIncarnation> {
-        let row = |((node_id, incarnation), registration): (&NodeIncarnation, &Registration)| RegisteredIncarnation {
-            node_id: *node_id,
-            incarnation: *incarnation,
-            addr: registration.addr.clone(),
+        let to_registered = |((node_id, incarnation), registration): (&NodeIncarnation, &Registration)| {
+            RegisteredIncarnation { node_id: *node_id, incarnation: *incarnation, addr: registration.addr.clone() }
         };
-        self.membership.registrations.registered.iter().map(row).collect()
+        self.membership.registrations.registered.iter().map(to_registered).collect()
     }
 
     /// Records the registrations among writes that another voter handed over.
@@ -145,12 +147,13 @@
             return;
         }
         let registrations = &mut self.membership.registrations;
-        let is_known = |i: &RegisteredIncarnation| registrations.registered.contains_key(&(i.node_id, i.incarnation));
+        let is_known =
+            |new: &RegisteredIncarnation| registrations.registered.contains_key(&(new.node_id, new.incarnation));
         let (known, new): (Vec<_>, Vec<_>) = incarnations.into_iter().partition(is_known);
         if registrations.registered.len() + new.len() > MAX_INCARNATIONS {
             return;
         }
-        known.iter().chain(&new).for_each(|i| registrations.record(i, now));
+        known.iter().chain(&new).for_each(|incarnation| registrations.record(incarnation, now));
         let message = Message::Membership(MembershipMessage::Registered { voter_set, request_id });
         if !new.is_empty() {
             let then = self.send_effect(from, message, now).into_iter().collect();
@@ -175,7 +178,8 @@
         now: Micros,
     ) -> Option<ShareRequests> {
         let rates = self.tenant_rates();
-        let is_granted_here = |key: &u64| rates.get(key).is_some_and(|t| self.share_epoch(t.role, now).is_some());
+        let is_granted_here =
+            |key: &u64| rates.get(key).is_some_and(|tenant| self.share_epoch(tenant.role, now).is_some());
         let any_is_granted_here = batch.requests.iter().any(|request| is_granted_here(&request.tenant_key));
         // Every later lease holder counts the reserves of standbys without calls of their own, registered or not;
         // other nodes are granted no reserve.
@@ -207,7 +211,7 @@
         let pending = PendingRegistration {
             sent_at: now,
             voter_set,
-            incarnations: incarnations.iter().map(|i| (i.node_id, i.incarnation)).collect(),
+            incarnations: incarnations.iter().map(|new| (new.node_id, new.incarnation)).collect(),
             confirmed_by: BTreeSet::new(),
         };
         self.membership.registrations.pending.insert(request_id, pending);
@@ -230,7 +234,7 @@
             Some(RegisteredIncarnation { node_id, incarnation, addr })
         };
         let peers = self.dissemination.peers.live(now).map(|peer| (peer.is_core, (peer.node_id, peer.incarnation)));
-        let requesters = peers.filter(|(is_core, i)| !is_core || registrations.confirmed.contains_key(i));
+        let requesters = peers.filter(|(is_core, peer)| !is_core || registrations.confirmed.contains_key(peer));
         let all: BTreeSet<_> =
             requesters.map(|(_, incarnation)| incarnation).chain(registrations.waiting.keys().copied()).collect();
         all.into_iter().filter(is_due).filter_map(with_addr).take(MAX_INCARNATIONS).collect()
--- a/crates/core/src/node/quota/windows.rs
+++ b/crates/core/src/node/quota/windows.rs
@@ -187,7 +187,9 @@
         // too.
         let pending = self.quota.slice_requests.get(tenant);
         let late = pending.and_then(|request| request.sent_at_of_late_grant(request_id)).map(|sent_at| (sent_at, 0));
-        let answered = late.or_else(|| self.answer_slice_request(request_id, tenant).map(|r| (r.sent_at, r.waiting)));
+        let answered = late.or_else(|| {
+            self.answer_slice_request(request_id, tenant).map(|request| (request.sent_at, request.waiting))
+        });
         let Some((sent_at, waiting)) = answered else { return };
         if !self.settings.is_core {
             self.leases.grantor.observe_epoch(role, epoch);
--- a/crates/core/tests/cutoff.rs
+++ b/crates/core/tests/cutoff.rs
@@ -1,4 +1,4 @@
-//! A core that is partitioned from its majority: its reply to each kind of call, and how soon it comes.
+//! The replies of a core that is partitioned from its majority to each kind of call, and their delay.
 
 mod nodes;
 
@@ -34,38 +34,38 @@
 const CALL_KINDS: [CallKind; 6] =
     [CallKind::Change, CallKind::Read, CallKind::Report, CallKind::NewWorker, CallKind::Drain, CallKind::Removal];
 
-/// Which frames of a partitioned machine are lost.
+/// The frames of a partitioned machine that are lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Partition {
-    /// Those from it and to it.
+    /// Frames from the machine and to it.
     Both,
-    /// Those to it.
+    /// Frames to the machine.
     Inbound,
-    /// Those from it.
+    /// Frames from the machine.
     Outbound,
 }
 
 const PARTITIONS: [Partition; 3] = [Partition::Both, Partition::Inbound, Partition::Outbound];
 
-/// Nodes with a network latency of one millisecond; cores come first, then nodes without a vote.
+/// A network of nodes with a latency of one millisecond. Cores come first, then nodes without a vote.
 struct Net {
     now: Micros,
     nodes: Vec<Node>,
     in_flight: BTreeMap<(Micros, u64), (usize, usize, Frame)>,
     pending_syncs: BTreeMap<(Micros, u64), (usize, u64)>,
     disks: Vec<DurableState>,
-    /// Frames from the first to the second node are lost.
+    /// Links on which frames are lost, from the first to the second node.
     blocked_links: Vec<(usize, usize)>,
     /// Nodes whose process is paused.
     paused: Vec<usize>,
-    /// How long a sync to disk takes, in microseconds.
+    /// The duration of a sync to disk, in microseconds.
     sync_delay: Micros,
-    /// How many of a hundred frames are lost.
+    /// The share of lost frames, in percent.
     loss_percent: u64,
-    /// The most that a frame is delayed, in microseconds.
+    /// The maximum random delay of a frame, in microseconds.
     max_delay: Micros,
     rng: Rng,
-    /// The newest number of a frame, sync or call.
+    /// The newest number of an effect or call.
     sequence: u64,
     replies: BTreeMap<u64, (Reply, Micros)>,
     contents: BTreeMap<u64, String>,
@@ -90,10 +90,13 @@
     fn new(seed: u64, cores: usize, fronts: usize) -> Self {
         let disk = founded(cores, doc(1, "p"), 1);
         let disks: Vec<_> =
-            (0..cores + fronts).map(|i| if i < cores { disk.clone() } else { DurableState::default() }).collect();
-        let me = |i: usize| me(i, cores, SEC);
-        let nodes =
-            disks.iter().enumerate().map(|(i, disk)| Node::new(me(i), disk, seed * 10 + i as u64, SEC)).collect();
+            (0..cores + fronts).map(|node| if node < cores { disk.clone() } else { DurableState::default() }).collect();
+        let me = |node: usize| me(node, cores, SEC);
+        let nodes = disks
+            .iter()
+            .enumerate()
+            .map(|(node, disk)| Node::new(me(node), disk, seed * 10 + node as u64, SEC))
+            .collect();
         let mut net = Net {
             now: SEC,
             nodes,
@@ -115,29 +118,29 @@
         net
     }
 
-    fn step(&mut self, i: usize, event: Event) {
+    fn step(&mut self, node: usize, event: Event) {
         let now = self.now;
-        for effect in self.nodes[i].step(event, now) {
-            self.apply_effect(i, effect);
+        for effect in self.nodes[node].step(event, now) {
+            self.apply_effect(node, effect);
         }
     }
 
-    fn apply_effect(&mut self, i: usize, effect: Effect) {
+    fn apply_effect(&mut self, node: usize, effect: Effect) {
         self.sequence += 1;
         match effect {
             Effect::Send { to, frame } => {
-                let Some(j) = (0..self.nodes.len()).find(|j| addr(*j) == to) else { return };
+                let Some(peer) = (0..self.nodes.len()).find(|peer| addr(*peer) == to) else { return };
                 if self.loss_percent > 0 && self.rng.chance(self.loss_percent) {
                     return;
                 }
                 let delay = if self.max_delay > 0 { self.rng.below(self.max_delay) } else { 0 };
-                self.in_flight.insert((self.now + MS + delay, self.sequence), (i, j, *frame));
+                self.in_flight.insert((self.now + MS + delay, self.sequence), (node, peer, *frame));
             }
             Effect::Write { token, writes } => {
                 for write in &writes {
-                    self.disks[i].apply(write);
+                    self.disks[node].apply(write);
                 }
-                self.pending_syncs.insert((self.now + self.sync_delay, self.sequence), (i, token));
+                self.pending_syncs.insert((self.now + self.sync_delay, self.sequence), (node, token));
             }
             Effect::CompleteChange { request_id, outcome } => {
                 self.outcomes.insert(request_id, outcome.clone());
@@ -163,24 +166,24 @@
         while self.now < end {
             self.now += MS;
             while let Some(entry) = self.pending_syncs.first_entry().filter(|entry| entry.key().0 <= self.now) {
-                let (i, token) = entry.remove();
-                self.step(i, Event::Synced(token));
+                let (node, token) = entry.remove();
+                self.step(node, Event::Synced(token));
             }
             while let Some(entry) = self.in_flight.first_entry().filter(|entry| entry.key().0 <= self.now) {
-                let ((due, sequence), (i, j, frame)) = entry.remove_entry();
-                if self.blocked_links.contains(&(i, j)) {
+                let ((due, sequence), (node, peer, frame)) = entry.remove_entry();
+                if self.blocked_links.contains(&(node, peer)) {
                     continue;
                 }
-                if self.paused.contains(&j) {
-                    self.in_flight.insert((due.max(self.now) + MS, sequence), (i, j, frame));
+                if self.paused.contains(&peer) {
+                    self.in_flight.insert((due.max(self.now) + MS, sequence), (node, peer, frame));
                     continue;
                 }
-                self.step(j, Event::Frame(Box::new(frame)));
+                self.step(peer, Event::Frame(Box::new(frame)));
             }
             if self.now.is_multiple_of(25 * MS) {
-                for i in 0..self.nodes.len() {
-                    if !self.paused.contains(&i) {
-                        self.step(i, Event::Tick);
+                for node in 0..self.nodes.len() {
+                    if !self.paused.contains(&node) {
+                        self.step(node, Event::Tick);
                     }
                 }
             }
@@ -190,47 +193,47 @@
     /// Partitions these nodes from all others.
     fn partition(&mut self, partitioned: &[usize], partition: Partition) {
         let all = self.nodes.len();
-        for i in partitioned {
-            for j in (0..all).filter(|j| !partitioned.contains(j)) {
+        for node in partitioned {
+            for peer in (0..all).filter(|peer| !partitioned.contains(peer)) {
                 if partition != Partition::Outbound {
-                    self.blocked_links.push((j, *i));
+                    self.blocked_links.push((peer, *node));
                 }
                 if partition != Partition::Inbound {
-                    self.blocked_links.push((*i, j));
+                    self.blocked_links.push((*node, peer));
                 }
             }
         }
     }
 
     /// Sends a call to a node; returns the identifier of the request.
-    fn send_call(&mut self, i: usize, kind: CallKind) -> u64 {
+    fn send_call(&mut self, node: usize, kind: CallKind) -> u64 {
         self.sequence += 1;
         let request_id = 1_000_000 + self.sequence;
         match kind {
             CallKind::Change => {
                 let base = self.newest_revision();
-                self.submit_document(i, request_id, base, &doc(base + 1, &format!("o{request_id}")));
+                self.submit_document(node, request_id, base, &doc(base + 1, &format!("o{request_id}")));
             }
             CallKind::Read => {
                 let change = Change::ReadNewest;
                 self.step(
-                    i,
+                    node,
                     Event::SubmitChange { request_id, change_id: ChangeId(0), is_first_send: false, base: 0, change },
                 );
             }
-            CallKind::Report => self.step(i, Event::ReportWithAck { request_id, report: report("old", request_id) }),
+            CallKind::Report => self.step(node, Event::ReportWithAck { request_id, report: report("old", request_id) }),
             CallKind::NewWorker => {
-                self.step(i, Event::ReportWithAck { request_id, report: report(&format!("w{request_id}"), 1) });
+                self.step(node, Event::ReportWithAck { request_id, report: report(&format!("w{request_id}"), 1) });
             }
             CallKind::Drain => self.step(
-                i,
+                node,
                 Event::ReportWithAck {
                     request_id,
                     report: WorkerReport { draining: true, ..report("drains", request_id) },
                 },
             ),
             CallKind::Removal => {
-                self.step(i, Event::ReportWithAck { request_id, report: WorkerReport::removal("leaves", 1) });
+                self.step(node, Event::ReportWithAck { request_id, report: WorkerReport::removal("leaves", 1) });
             }
         }
         request_id
@@ -241,10 +244,10 @@
         self.nodes.iter().map(|node| node.consensus.state.newest().map_or(0, |entry| entry.revision)).max().unwrap_or(0)
     }
 
-    fn submit_document(&mut self, i: usize, request_id: u64, base: u64, body: &str) {
+    fn submit_document(&mut self, node: usize, request_id: u64, base: u64, body: &str) {
         let change_id = ChangeId(hash64(body.as_bytes()).max(1));
         self.step(
-            i,
+            node,
             Event::SubmitChange {
                 request_id,
                 change_id,
@@ -255,7 +258,7 @@
         );
     }
 
-    /// Waits for the reply to a call; returns it and how long it took.
+    /// Waits for the reply to a call. Returns the reply and its delay.
     fn wait_for_reply(&mut self, request_id: u64) -> (Reply, Micros) {
         let at = self.now;
         while !self.replies.contains_key(&request_id) && self.now < at + 6 * SEC {
@@ -266,35 +269,37 @@
         (reply, replied_at.saturating_sub(at))
     }
 
-    fn call(&mut self, i: usize, kind: CallKind) -> (Reply, Micros) {
-        let request_id = self.send_call(i, kind);
+    fn call(&mut self, node: usize, kind: CallKind) -> (Reply, Micros) {
+        let request_id = self.send_call(node, kind);
         self.wait_for_reply(request_id)
     }
 
-    /// Registers workers, so that their later reports are no news.
+    /// Registers workers, so that their later reports are not of new workers.
     fn register_workers(&mut self) {
-        for (i, worker) in ["old", "drains", "leaves"].iter().enumerate() {
-            self.step(i, Event::ReportWithAck { request_id: i as u64, report: report(worker, 1) });
+        for (index, worker) in ["old", "drains", "leaves"].iter().enumerate() {
+            self.step(index, Event::ReportWithAck { request_id: index as u64, report: report(worker, 1) });
         }
         self.run(200 * MS);
     }
 }
 
-/// How long after the partition calls come.
+/// The times after the start of the partition at which calls are sent.
 const PARTITION_AGES: [Micros; 7] = [0, 100 * MS, 300 * MS, 700 * MS, 1_300 * MS, 4_000 * MS, 20_000 * MS];
-/// Well within the time-out of a caller (one second), there and back.
+/// The maximum delay of a reply: with both transits well within the time-out of a caller, one second.
 const MAX_REPLY_TIME: Micros = 450 * MS;
-/// The time of one last probe whether the majority is back.
+/// The maximum delay of a reply of a core that knows the loss of its majority: the time for one more probe.
 const REPLY_TIME_ONCE_KNOWN: Micros = 75 * MS;
-/// By then a core knows that it has lost its majority.
+/// The time after the partition when a core knows that it has lost its majority.
 const LOSS_KNOWN_AFTER: Micros = 1_300 * MS;
-/// For so long a report may still be acknowledged by the last confirmation.
+/// The time after the partition during which a report may still be acknowledged by the last confirmation.
 const CONFIRMATION_TRUSTED: Micros = 700 * MS;
 
 fn may_use_last_confirmation(kind: CallKind) -> bool {
     matches!(kind, CallKind::Report | CallKind::NewWorker)
 }
 
+/// A caller of a core that has lost its majority must be redirected well within its own time-out, in
+/// whichever direction frames are lost.
 #[test]
 fn a_core_without_its_majority_replies_unknown_at_once() {
     for kind in CALL_KINDS {
@@ -317,6 +322,7 @@
     }
 }
 
+/// Calls that were received just before a partition must not wait for the full time-out of a change.
 #[test]
 fn a_core_that_loses_its_majority_while_calls_wait_replies_soon() {
     for kind in [CallKind::Change, CallKind::Read, CallKind::Drain, CallKind::Removal] {
@@ -339,6 +345,7 @@
     }
 }
 
+/// A node without a vote reaches no voter: it must abandon forwarded calls as soon as a core does.
 #[test]
 fn a_partitioned_node_without_a_vote_replies_unknown_soon() {
     for kind in CALL_KINDS {
@@ -350,7 +357,7 @@
                 net.run(age);
                 let name = format!("{kind:?} {partition:?}, {} ms after the partition", age / MS);
                 let (reply, elapsed) = net.call(3, kind);
-                // Its confirmation is up to a second older than that of the cores.
+                // The confirmation of this node is up to a second older than that of the cores.
                 if may_use_last_confirmation(kind) && age < 1_600 * MS {
                     continue;
                 }
@@ -361,9 +368,11 @@
     }
 }
 
+/// The nearest core declines or does not reply. The request must reach another voter within the time-out of
+/// the caller.
 #[test]
 fn a_change_is_forwarded_to_a_core_with_a_majority() {
-    // Its nearest core is partitioned from the other cores, or from all nodes.
+    // The node's nearest core is partitioned from the other cores, or from all nodes.
     for (name, to_front) in [("from all", true), ("from the cores", false)] {
         for partition in PARTITIONS {
             for kind in [CallKind::Change, CallKind::Read] {
@@ -372,7 +381,7 @@
                         let mut net = Net::new(3, 3, 3);
                         net.partition(&[near], partition);
                         if !to_front {
-                            net.blocked_links.retain(|(i, j)| *i < 3 && *j < 3);
+                            net.blocked_links.retain(|(node, peer)| *node < 3 && *peer < 3);
                         }
                         net.run(*age);
                         let (reply, elapsed) = net.call(3 + near, kind);
@@ -386,9 +395,10 @@
     }
 }
 
+/// Slow disks, delayed and lost frames must not be mistaken for the loss of the majority.
 #[test]
 fn a_core_with_its_majority_redirects_no_call() {
-    // Name, sync delay, frames lost of a hundred, most delay of a frame, partitioned core.
+    // Name, sync delay, percentage of lost frames, maximum delay of a frame, partitioned core.
     let cases: [(&str, Micros, u64, Micros, &[usize]); 7] = [
         ("well", 0, 0, 0, &[]),
         ("disks of 2 ms", 2 * MS, 0, 0, &[]),
@@ -408,16 +418,23 @@
         for round in 0..40 {
             net.run(137 * MS);
             for kind in CALL_KINDS {
-                let i = [0, 1, 3][round % 3];
-                let (reply, elapsed) = net.call(i, kind);
+                let node = [0, 1, 3][round % 3];
+                let (reply, elapsed) = net.call(node, kind);
                 worst = worst.max(elapsed);
-                assert_eq!(reply, Reply::Success, "{name}: {kind:?} at {i}, round {round}, after {} ms", elapsed / MS);
+                assert_eq!(
+                    reply,
+                    Reply::Success,
+                    "{name}: {kind:?} at {node}, round {round}, after {} ms",
+                    elapsed / MS
+                );
             }
         }
         println!("{name}: the slowest reply after {} ms", worst / MS);
     }
 }
 
+/// After a pause of the process, replies are still queued. Their absence until then does not prove a
+/// partition.
 #[test]
 fn a_paused_core_is_not_taken_for_partitioned() {
     for paused in [300 * MS, SEC, 3 * SEC, 30 * SEC] {
@@ -439,6 +456,7 @@
     }
 }
 
+/// A core that probed too rarely during a partition would redirect calls long after the partition has healed.
 #[test]
 fn a_core_accepts_calls_again_soon_after_a_partition() {
     for partition in PARTITIONS {
@@ -457,7 +475,8 @@
     }
 }
 
-/// Cores that reach only each other are no majority.
+/// Two cores that reach only each other are no majority, although each of them receives replies from another
+/// core.
 #[test]
 fn two_of_five_cores_acknowledge_nothing() {
     for kind in [CallKind::Change, CallKind::Read, CallKind::Drain, CallKind::Removal] {
@@ -472,24 +491,27 @@
     }
 }
 
+/// A partitioned holder must lose its leases, and the other cores must take them over.
 #[test]
 fn a_core_without_its_majority_holds_no_lease() {
     for partition in PARTITIONS {
-        for i in 0..3 {
+        for node in 0..3 {
             let mut net = Net::new(11, 3, 1);
-            let held = |net: &Net, i: usize| {
-                (0..8).filter(|role| net.nodes[i].leases.held.valid_epoch(*role, net.now).is_some()).count()
+            let held = |net: &Net, node: usize| {
+                (0..8).filter(|role| net.nodes[node].leases.held.valid_epoch(*role, net.now).is_some()).count()
             };
-            net.partition(&[i], partition);
+            net.partition(&[node], partition);
             net.run(SEC);
-            assert_eq!(held(&net, i), 0, "core {i} {partition:?}: still grants a second after the partition");
+            assert_eq!(held(&net, node), 0, "core {node} {partition:?}: still grants a second after the partition");
             net.run(SEC);
-            let others: usize = (0..3).filter(|j| *j != i).map(|j| held(&net, j)).sum();
-            assert_eq!(others, 8, "core {i} {partition:?}: the others hold all leases");
+            let others: usize = (0..3).filter(|peer| *peer != node).map(|peer| held(&net, peer)).sum();
+            assert_eq!(others, 8, "core {node} {partition:?}: the others hold all leases");
         }
     }
 }
 
+/// A voter that is behind must not answer a read before a majority has confirmed its version, also with lost
+/// and delayed frames.
 #[test]
 fn a_read_returns_all_acknowledged_changes() {
     for seed in 0..12 {
@@ -503,16 +525,22 @@
             if net.wait_for_reply(request_id).0 != Reply::Success {
                 continue;
             }
-            let reads: Vec<_> = (0..5).map(|i| net.send_call(i, CallKind::Read)).collect();
-            for (i, read) in reads.into_iter().enumerate() {
+            let reads: Vec<_> = (0..5).map(|node| net.send_call(node, CallKind::Read)).collect();
+            for (node, read) in reads.into_iter().enumerate() {
                 if net.wait_for_reply(read).0 == Reply::Success {
-                    assert_eq!(net.contents.get(&read), Some(&body), "seed {seed}: read at {i} after a change at {at}");
+                    assert_eq!(
+                        net.contents.get(&read),
+                        Some(&body),
+                        "seed {seed}: read at {node} after a change at {at}"
+                    );
                 }
             }
         }
     }
 }
 
+/// The partition starts while a change is in progress. A retry of the change must succeed, and another change
+/// on the same base must be rejected, at every core.
 #[test]
 fn a_change_with_an_unknown_outcome_is_neither_lost_nor_rejected() {
     let mut unknown = 0;
@@ -527,7 +555,7 @@
             let first = net.wait_for_reply(1).0;
             let name = format!("{partition:?} {after} ms after it was sent, then the reply {first:?}");
             unknown += u32::from(first == Reply::Unknown);
-            // A retry at another core, as the caller does.
+            // The caller retries at another core.
             net.submit_document(1, 2, 1, &body);
             assert_eq!(net.wait_for_reply(2).0, Reply::Success, "{name}");
             net.submit_document(2, 3, 1, &other);
@@ -545,9 +573,9 @@
             net.submit_document(0, 7, 1, &other);
             assert!(matches!(net.wait_for_reply(7).0, Reply::Rejected(_)), "{name}, back: two on one base");
             net.run(SEC);
-            for i in 0..3 {
+            for node in 0..3 {
                 assert_eq!(
-                    net.nodes[i].consensus.state.newest().map(|entry| entry.body.clone()),
+                    net.nodes[node].consensus.state.newest().map(|entry| entry.body.clone()),
                     Some(body.clone()),
                     "{name}"
                 );
@@ -557,7 +585,8 @@
     assert!(unknown > 10, "only {unknown} changes had an unknown outcome");
 }
 
-/// A core that receives nothing goes on sending; the changes of the others must not suffer by it.
+/// A core that receives nothing still sends. If its ballots preempted those of the others, their changes
+/// would be delayed.
 #[test]
 fn a_core_that_receives_nothing_delays_no_change_of_the_others() {
     for after in 0..8 {
@@ -581,8 +610,9 @@
     }
 }
 
-/// The voter that was first sent the change proposes it in a ballot, and is restarted. Its next incarnation
-/// knows nothing of that and declines the change when it is forwarded once more.
+/// The voter that was first sent the change proposes it in a ballot and restarts. Its next incarnation
+/// remembers nothing of the proposal and declines the change when it is forwarded again. The caller must not
+/// be told that nothing was proposed.
 #[test]
 fn a_restarted_voter_does_not_decline_for_its_earlier_incarnation() {
     let (cores, front) = (3, 3);
@@ -602,8 +632,10 @@
             net.run(MS);
         }
         let voter = proposing_core(&net).expect("the change is proposed in a ballot");
-        // From now on the cores receive nothing from each other; the node without a vote reaches all of them.
-        net.blocked_links.extend((0..cores).flat_map(|i| (0..cores).filter(move |j| i != *j).map(move |j| (i, j))));
+        // From now on the cores receive nothing from each other. The node without a vote reaches all of them.
+        net.blocked_links.extend(
+            (0..cores).flat_map(|node| (0..cores).filter(move |peer| node != *peer).map(move |peer| (node, peer))),
+        );
         let now = net.now;
         net.nodes[voter] = Node::new(me(voter, cores, now), &net.disks[voter], seed, now);
         net.wait_for_reply(request_id);
--- a/crates/core/tests/draining.rs
+++ b/crates/core/tests/draining.rs
@@ -1,4 +1,4 @@
-//! A core that drains may stop once a majority without it holds what it holds.
+//! A draining core may stop once a majority that does not include it holds all that it holds.
 
 mod fleet;
 
@@ -30,6 +30,7 @@
     fleet.carry(machine, effects);
 }
 
+/// A voter that stops before its replacement would leave the fleet with one voter less.
 #[test]
 fn a_draining_voter_waits_until_it_is_replaced() {
     let mut fleet = three_voters();
@@ -41,11 +42,13 @@
     fleet.run(SEC);
     assert!(!fleet.node(B).consensus.state.is_voter(NodeId(A)), "it was replaced");
     assert!(!fleet.node(A).voter());
-    // B and C are a majority without it and without D.
+    // B and C are a majority without A and D.
     assert!(may_stop(&fleet, A));
     assert!(fleet.kept(D).ready_set != Some(1), "D has synced no takeover");
 }
 
+/// The replacement is decided by the draining voter's own vote. If it stopped then, only one disk of the new
+/// set would hold the version.
 #[test]
 fn a_draining_voter_waits_while_only_one_other_disk_holds_the_newest_version() {
     let mut fleet = three_voters();
@@ -64,6 +67,7 @@
     assert!(waited.is_some(), "it may stop once another disk has it");
 }
 
+/// A version that a core holds in memory only is lost with that core.
 #[test]
 fn a_draining_voter_waits_until_the_newest_version_is_on_two_other_disks() {
     let mut fleet = three_voters();
@@ -82,6 +86,7 @@
     assert!(fleet.run_until(SEC, |fleet| may_stop(fleet, A)).is_some(), "B and C hold it");
 }
 
+/// Without a candidate, waiting for a replacement would never end.
 #[test]
 fn a_draining_voter_stops_without_a_replacement_if_the_others_hold_all_versions() {
     let mut fleet = three_voters();
@@ -89,6 +94,7 @@
     assert!(fleet.run_until(SEC, |fleet| may_stop(fleet, A)).is_some(), "no core could take its place");
 }
 
+/// One voter is lost already. If another one stopped, a single core would hold the newest version.
 #[test]
 fn a_draining_voter_waits_while_it_holds_one_of_two_copies() {
     let mut fleet = three_voters();
@@ -102,6 +108,7 @@
     assert!(waited.is_some() && fleet.node(D).voter(), "D votes, and C and D hold all versions");
 }
 
+/// The accepted change may be decided by this voter's acceptance, and would be lost with its disk.
 #[test]
 fn a_draining_voter_waits_while_a_change_that_it_accepted_is_undecided() {
     let mut fleet = three_voters();
@@ -114,6 +121,7 @@
     assert!(!may_stop(&fleet, A), "it may be one of the two that decide it");
 }
 
+/// A fleet that shuts down as a whole has no replacements. Its voters must not wait for each other.
 #[test]
 fn all_voters_that_drain_together_may_stop_at_once() {
     let mut fleet = three_voters();
@@ -124,7 +132,8 @@
     assert!([A, B, C].iter().all(|machine| may_stop(&fleet, *machine)), "all of them drain");
 }
 
-/// Two of three voters were lost one after the other, and the third drains too.
+/// Two of three voters were lost one after the other, and the third drains too: no other voter could propose
+/// the replacement.
 #[test]
 fn a_sole_voter_that_drains_still_proposes_its_replacement() {
     let mut fleet = Fleet::default();
--- a/crates/core/tests/nodes/mod.rs
+++ b/crates/core/tests/nodes/mod.rs
@@ -1,5 +1,5 @@
-//! What the harnesses of nodes in virtual time share: addresses, cores, documents and settings.
-//! Machines are counted from 0; the first core of machine `machine` has the node id `machine + 1`.
+//! Addresses, cores, documents and settings that the harnesses of nodes in virtual time share. Machines are
+//! counted from 0. The first core of machine `machine` has the node id `machine + 1`.
 
 #![allow(dead_code)]
 
@@ -8,30 +8,30 @@
 use sumacvale_core::node::NodeSettings;
 use sumacvale_core::protocol::{LogEntry, Voter};
 
-/// The id of the fleet in all harnesses.
+/// The fleet identifier in all harnesses.
 pub const FLEET: u64 = 7;
 
-/// The address of a machine.
+/// Returns the address of a machine.
 pub fn addr(machine: usize) -> String {
     format!("n{machine}")
 }
 
-/// The first core of a machine.
+/// Returns the first core of a machine.
 pub fn core(machine: usize) -> Voter {
     core_at(machine as u64 + 1, machine)
 }
 
-/// A core with this node id on a machine.
+/// Returns a core with this node id on a machine.
 pub fn core_at(node_id: u64, machine: usize) -> Voter {
     Voter { node_id: NodeId(node_id), addr: addr(machine) }
 }
 
-/// An operator's document of this revision with one pool.
+/// Returns an operator's document of this revision with one pool.
 pub fn doc(revision: u64, pool: &str) -> String {
     format!("{{\"revision\":{revision},\"pools\":{{\"{pool}\":{{}}}}}}")
 }
 
-/// The settings of the first node of a machine; the first `cores` machines have cores.
+/// Returns the settings of the first node of a machine. The first `cores` machines have cores.
 pub fn me(machine: usize, cores: usize, incarnation: Micros) -> NodeSettings {
     NodeSettings {
         config_reader: sumacvale_core::config::validate,
@@ -50,7 +50,7 @@
     }
 }
 
-/// The disk of a core of a fleet that has only this version 0.
+/// Returns the disk of a core in a fleet whose only version is this version 0.
 pub fn founded(cores: usize, body: String, revision: u64) -> DurableState {
     let voters = (0..cores).map(core).collect();
     let entry = LogEntry {
--- a/crates/core/tests/self_recovery.rs
+++ b/crates/core/tests/self_recovery.rs
@@ -1,5 +1,5 @@
-//! No state that calls depend on may sustain itself: what a burst or an outage left behind is cleared by
-//! time, by an update or by a trial, never only by a success that the state itself prevents.
+//! State that affects calls must not sustain itself: the effects of a burst or an outage are cleared by time,
+//! by an update or by a trial, never only by a success that the state itself prevents.
 
 use sumacvale_core::base::{MS, Micros, SEC};
 use sumacvale_core::cache::{CacheOptions, LocalCache, Lookup, LookupContext, SharedCache, look_up};
@@ -15,12 +15,12 @@
 const WORKERS: usize = 6;
 const SLOTS: u32 = 8;
 
-fn report(i: usize, seq: u64) -> WorkerReport {
+fn report(index: usize, seq: u64) -> WorkerReport {
     WorkerReport {
-        worker_id: format!("w{i}"),
+        worker_id: format!("w{index}"),
         incarnation: 1,
         seq,
-        addr: format!("10.0.0.{i}:80"),
+        addr: format!("10.0.0.{index}:80"),
         pool: "p".into(),
         zone: "z".into(),
         slots: SLOTS,
@@ -29,7 +29,7 @@
 }
 
 fn table(seq: u64) -> PlacementTable {
-    let reports: Vec<_> = (0..WORKERS).map(|i| report(i, seq)).collect();
+    let reports: Vec<_> = (0..WORKERS).map(|index| report(index, seq)).collect();
     PlacementTable::new(reports.iter())
 }
 
@@ -49,11 +49,11 @@
     models.choose(&table(1), request, &context, &WorkerLoads::default())
 }
 
-fn send(models: &EngineModels, i: usize, request: &PromptRequest, now: Micros) -> u64 {
-    models.record_start("p", &table(1).endpoints[i], request, &PlacementWeights::default(), now)
+fn send(models: &EngineModels, index: usize, request: &PromptRequest, now: Micros) -> u64 {
+    models.record_start("p", &table(1).endpoints[index], request, &PlacementWeights::default(), now)
 }
 
-/// What each call of a burst experienced at each worker.
+/// The behavior of the workers towards each call of a burst.
 enum Burst {
     /// The first token was received after ten seconds.
     Slow,
@@ -61,13 +61,13 @@
     Overloaded,
 }
 
-/// How many of the calls that follow a burst, one every 100 ms, are placed in each of three periods of ten
+/// Returns how many of the calls after a burst, one every 100 ms, are placed in each of three periods of ten
 /// seconds.
 fn served_after(burst: &Burst) -> [usize; 3] {
     let models = EngineModels::new(1);
-    for k in 0..400u64 {
-        let (now, i) = (SEC + k * 5 * MS, usize::try_from(k).expect("small") % WORKERS);
-        let (worker, call) = (format!("w{i}"), send(&models, i, &request(k, 60 * SEC), now));
+    for number in 0..400u64 {
+        let (now, index) = (SEC + number * 5 * MS, usize::try_from(number).expect("small") % WORKERS);
+        let (worker, call) = (format!("w{index}"), send(&models, index, &request(number, 60 * SEC), now));
         match burst {
             Burst::Slow => models.record_first_token("p", &worker, call, now + 10 * SEC),
             Burst::Overloaded => models.record_load("p", &worker, 400, 4_000, now),
@@ -75,18 +75,20 @@
         models.record_end("p", &worker, call, CallOutcome::Done, now + 10 * SEC);
     }
     let mut served = [0; 3];
-    for k in 0..300u64 {
-        let (now, request) = (20 * SEC + k * 100 * MS, request(10_000 + k, SEC));
-        let Some(i) = choose(&models, &request, now) else { continue };
-        let (worker, call) = (format!("w{i}"), send(&models, i, &request, now));
+    for number in 0..300u64 {
+        let (now, request) = (20 * SEC + number * 100 * MS, request(10_000 + number, SEC));
+        let Some(index) = choose(&models, &request, now) else { continue };
+        let (worker, call) = (format!("w{index}"), send(&models, index, &request, now));
         models.record_first_token("p", &worker, call, now + 40 * MS);
         models.record_load("p", &worker, 0, 0, now + 40 * MS);
         models.record_end("p", &worker, call, CallOutcome::Done, now + 90 * MS);
-        served[usize::try_from(k).expect("small") / 100] += 1;
+        served[usize::try_from(number).expect("small") / 100] += 1;
     }
     served
 }
 
+/// All workers were measured as too slow. Without trial calls, no call is placed that could measure them
+/// again.
 #[test]
 fn workers_that_were_measured_as_too_slow_are_tried_again() {
     for (name, burst) in [("slow", Burst::Slow), ("overloaded", Burst::Overloaded)] {
@@ -96,6 +98,7 @@
     }
 }
 
+/// A worker that is marked as failed or full receives no calls, so no call could clear the mark.
 #[test]
 fn a_failed_worker_is_used_again_after_its_next_report() {
     let loads = WorkerLoads::default();
@@ -106,6 +109,7 @@
     assert_eq!(loads.current(&table(2))[..2], [0, 0], "no call to it was needed");
 }
 
+/// A low measured rate rejects all calls, so no slot is taken and freed that could raise the rate.
 #[test]
 fn a_measured_slow_rate_of_freed_slots_expires_without_a_freed_slot() {
     let key = |n: u64| (format!("t{n}"), Kind::Chat);
@@ -117,6 +121,7 @@
     assert!(queue.is_empty());
 }
 
+/// Retries alone cannot refill a spent budget, since they are denied.
 #[test]
 fn a_spent_retry_budget_is_refilled_by_first_attempts_which_need_none() {
     let budget = RetryBudget::default();
@@ -127,25 +132,27 @@
     assert!(budget.withdraw() && !budget.withdraw());
 }
 
+/// A node without replies must not back off so far that it misses the return of the lease holder.
 #[test]
 fn a_share_is_granted_however_long_no_reply_was_received() {
     let mut bucket = ShareBucket::new(Rate { milli_per_second: 40_000, burst_milli: 40_000 }, SEC);
     let (mut now, mut last) = (SEC, None);
-    for n in 1..40_000u64 {
+    for request_id in 1..40_000u64 {
         now += 5 * MS;
         let _ = bucket.acquire_unit(now);
         if bucket.is_request_due(true, now) {
-            bucket.make_request(1, n, 1, now);
-            last = Some((n, now));
+            bucket.make_request(1, request_id, 1, now);
+            last = Some((request_id, now));
         }
     }
-    let (n, sent_at) = last.expect("it goes on requesting");
+    let (request_id, sent_at) = last.expect("it goes on requesting");
     assert!(now - sent_at <= 1_005 * MS, "the last request was sent {} µs ago", now - sent_at);
     let grant = ShareGrant { granted: true, share: 500_000, burst_milli: 20_000, ..ShareGrant::default() };
-    assert!(bucket.apply_grant(n, grant, sent_at, now));
+    assert!(bucket.apply_grant(request_id, grant, sent_at, now));
     assert!(matches!(bucket.acquire_unit(now), AcquireOutcome::Acquired { .. }), "the first reply is enough");
 }
 
+/// If the lease holder is lost, no reply clears the mark of a spent window: the mark must expire by itself.
 #[test]
 fn a_spent_window_expires_though_its_holder_is_lost() {
     let slices = WindowSlices::default();
@@ -154,6 +161,7 @@
     assert!(matches!(slices.acquire_unit("t", SEC + 200 * MS), AcquireOutcome::Empty), "a slice is requested again");
 }
 
+/// A fetch that never completes keeps its lock. All later lookups of the key would wait for it without end.
 #[test]
 fn a_key_whose_fetch_never_completed_is_fetched_by_a_later_lookup() {
     let options = CacheOptions::default();
--- a/crates/core/tests/standby.rs
+++ b/crates/core/tests/standby.rs
@@ -1,4 +1,5 @@
-//! Standby lending: what the pool grants a standby, what its bucket lends, and what a borrower may use.
+//! Standby lending: the pool's grants to a standby, the loans out of the standby's bucket, and the use of a
+//! loan by its borrower.
 
 use std::collections::BTreeMap;
 use sumacvale_core::base::{MS, Micros, NodeId, SEC};
@@ -35,7 +36,7 @@
     pool.grant(requester, request, RATE, 90, SEC).expect("a new request")
 }
 
-/// A bucket that was granted a share, with its part of the burst.
+/// Returns a bucket that was granted a share and that share's part of the burst.
 fn granted_bucket(share: u32, now: Micros) -> ShareBucket {
     let mut bucket = ShareBucket::new(RATE, now);
     bucket.make_request(7, 1, 0, now);
@@ -48,6 +49,7 @@
     matches!(outcome, AcquireOutcome::Acquired { .. })
 }
 
+/// The reserve of a standby must not take units that the pool needs for calls.
 #[test]
 fn a_pool_grants_the_standby_a_part_of_what_it_has_in_plenty() {
     let request = share_request(0, 1, 0);
@@ -70,6 +72,8 @@
     assert_eq!(grant(&mut pool, 1, 1, SharePurpose::Standby, &request).share, 0, "of a burst of few usual calls");
 }
 
+/// A loan that is not spent in the standby's bucket, or is made from an expired share, would exceed the
+/// tenant's rate.
 #[test]
 fn a_standby_lends_whole_calls_out_of_its_own_bucket() {
     let mut bucket = granted_bucket(STANDBY_SHARE, SEC);
@@ -85,6 +89,7 @@
     assert_eq!(lend(&mut bucket, 9, 1, SEC + SHARE_LEASE), 0, "its share has expired");
 }
 
+/// A loan must be void [`LOAN_DURATION`] after its request, whether or not it was used.
 #[test]
 fn a_loan_is_worth_its_units_for_a_moment() {
     for (name, elapsed, units, expected) in [
@@ -100,7 +105,7 @@
         let taken = (0..9).take_while(|_| is_taken(bucket.acquire_unit(SEC + elapsed))).count();
         assert_eq!(taken, expected, "{name}");
     }
-    // The holder's loan and the standby's are used together, until the first of them expires.
+    // The loans of the lease holder and of the standby are used together, until the first of them expires.
     let mut bucket = granted_bucket(0, SEC);
     bucket.make_request(7, 2, 2, SEC);
     assert!(bucket.apply_grant(2, ShareGrant { granted: true, share: 0, burst_milli: 0, loaned_units: 2 }, SEC, SEC));
@@ -113,7 +118,8 @@
     assert!(matches!(rest, AcquireOutcome::Acquired { until, .. } if until == SEC + 250 * MS), "{rest:?}");
 }
 
-/// The standby is asked only for calls that wait, where the lease holder grants nothing or has nothing.
+/// The standby is sent a request only for waiting calls, and only if the lease holder does not answer or has
+/// no units. Requests beyond that would use up the standby's units.
 #[test]
 fn the_standby_is_asked_where_the_lease_holder_does_not_serve_the_calls() {
     // The first response was long enough ago for the pool to be warm.
@@ -142,7 +148,7 @@
         bucket.record_waiting(1, waits_at);
         assert_eq!(bucket.is_loan_due(now), expected, "{name}");
     }
-    // A standby that had none is left alone for a while, and calls don't wait for it.
+    // A standby that had no units is sent no request for a while, and calls do not wait for it.
     let mut bucket = bucket_with(true, Some(0));
     bucket.record_waiting(1, late);
     assert!(matches!(bucket.acquire_for_waiter(1, late), AcquireOutcome::RateExhausted { may_get_more: true, .. }));
@@ -157,7 +163,7 @@
     ));
     bucket.record_waiting(1, late + 300 * MS);
     assert!(bucket.is_loan_due(late + 300 * MS));
-    // Nor do calls wait for one that does not answer.
+    // Calls do not wait for a standby that does not answer either.
     bucket.make_loan_request(7, late + 300 * MS);
     let may_get_more = |bucket: &mut ShareBucket, now| match bucket.acquire_for_waiter(1, now) {
         AcquireOutcome::RateExhausted { may_get_more, .. } => may_get_more,
@@ -172,8 +178,9 @@
     assert!(!may_get_more(&mut bucket, late + 410 * MS), "it did not answer");
 }
 
-/// A standby that is not registered may hold its reserve until each possible one has reported under the new lease, or
-/// until shares have expired.
+/// A standby needs no registration, so a new lease holder may not know which one holds a reserve. It must
+/// count the reserve as in use until each possible standby has reported under the new lease or shares have
+/// expired; otherwise it would grant those units twice.
 #[test]
 fn a_new_lease_holder_counts_the_reserve_of_a_standby_that_it_did_not_hear() {
     const ROLE: u32 = 3;
@@ -181,7 +188,7 @@
     let voters: BTreeMap<_, _> = [1, 2].map(|node| (NodeId(node), format!("n{node}"))).into();
     let free_at = |pools: &mut SharePools, now: Micros| {
         let pool = pools.pool(ROLE, 7, RATE, now).expect("it holds the lease");
-        // A share that became free since the last refill brings nothing for the time before.
+        // A share that became free since the last refill adds no units for the time before.
         pool.expire(RATE, now.saturating_sub(4 * SEC));
         pool.expire(RATE, now);
         let asked = share_request(0, 1, 99);
@@ -197,7 +204,7 @@
         let mut pools = SharePools::default();
         pools.begin_lease(ROLE, first, SEC, 0);
         pools.set_reserve_suspects(ROLE, voters.clone());
-        // Whoever was registered is known to hold nothing since the lease began.
+        // The registered incarnations are known to have held nothing since the lease began.
         pools.set_suspects(ROLE, &[registered(5)]);
         assert!(pools.pool(ROLE, 7, RATE, SEC).is_some());
         assert!(pools.record_alive(ROLE, (NodeId(6), 2), "n5", 0, SEC), "{name}: the registered one is dead");
--- a/crates/core/tests/takeover.rs
+++ b/crates/core/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! Takeover of what an earlier set of voters granted, with losses in quick succession.
+//! Takeover of an earlier voter set's grants, also after several losses in quick succession.
 
 mod fleet;
 
@@ -17,21 +17,21 @@
 const D: u64 = 4;
 const E: u64 = 5;
 
-fn voter_ids(fleet: &Fleet, n: u64) -> Vec<u64> {
-    fleet.node(n).consensus.state.voters().iter().map(|voter| voter.node_id.0).collect()
+fn voter_ids(fleet: &Fleet, machine: u64) -> Vec<u64> {
+    fleet.node(machine).consensus.state.voters().iter().map(|voter| voter.node_id.0).collect()
 }
 
-fn held_roles(fleet: &Fleet, n: u64) -> Vec<u32> {
-    (0..ROLE_COUNT).filter(|role| fleet.node(n).leases.held.valid_epoch(*role, fleet.now).is_some()).collect()
+fn held_roles(fleet: &Fleet, machine: u64) -> Vec<u32> {
+    (0..ROLE_COUNT).filter(|role| fleet.node(machine).leases.held.valid_epoch(*role, fleet.now).is_some()).collect()
 }
 
-/// Whether these nodes hold all roles between them.
+/// Returns whether these nodes together hold the leases of all roles.
 fn are_all_roles_held(fleet: &Fleet, nodes: &[u64]) -> bool {
-    nodes.iter().map(|n| held_roles(fleet, *n).len()).sum::<usize>() == ROLE_COUNT as usize
+    nodes.iter().map(|machine| held_roles(fleet, *machine).len()).sum::<usize>() == ROLE_COUNT as usize
 }
 
-/// A fleet in which B was lost and replaced by D, and A is lost before any voter took over what A and B
-/// granted.
+/// Returns a fleet in which B was lost and replaced by D, and A was lost before any voter took over the
+/// grants of A and B.
 fn fleet_after_second_loss() -> Fleet {
     let first = decree(0, 0, &[], &[A, B, C]);
     let second = decree(1, 1, &[A, B, C], &[A, C, D]);
@@ -43,13 +43,15 @@
     fleet
 }
 
+/// A second voter is lost before the first loss was taken over, so no majority of the previous set can reply.
+/// The remaining voters must become ready by time-out, and replace the second voter too.
 #[test]
 fn a_fleet_recovers_from_a_second_loss_before_the_takeover() {
     let mut fleet = fleet_after_second_loss();
     fleet.start(E, kept(E, &[], None));
     let has_replaced_a = |fleet: &Fleet| {
         let voters = voter_ids(fleet, C);
-        voters.contains(&E) && [C, D, E].iter().all(|n| voter_ids(fleet, *n) == voters)
+        voters.contains(&E) && [C, D, E].iter().all(|machine| voter_ids(fleet, *machine) == voters)
     };
     let replaced = fleet.run_until(10 * SEC, has_replaced_a);
     assert!(replaced.is_some(), "A is not replaced: the voters are still {:?}", voter_ids(&fleet, C));
@@ -59,15 +61,17 @@
     println!("replaced after {replaced:?} µs, all roles held {held:?} µs later");
 }
 
+/// Lost voters may have granted epochs that the remaining ones do not know. A new lease with a lower epoch
+/// would be fenced off by nodes that know a higher one.
 #[test]
 fn a_later_set_uses_higher_epochs_than_unknown_earlier_ones() {
     let mut fleet = fleet_after_second_loss();
     let all = |fleet: &Fleet| are_all_roles_held(fleet, &[C, D]);
     assert!(fleet.run_until(20 * SEC, all).is_some(), "some roles have no holder");
-    // A and B may have granted any number of epochs that C does not know of.
-    for n in [C, D] {
-        for role in held_roles(&fleet, n) {
-            let epoch = fleet.node(n).leases.held.by_role[&role].epoch;
+    // A and B may have granted any number of epochs that C does not know.
+    for machine in [C, D] {
+        for role in held_roles(&fleet, machine) {
+            let epoch = fleet.node(machine).leases.held.by_role[&role].epoch;
             assert!(
                 epoch > 1_000_000,
                 "role {role} is held with epoch {epoch}: nodes that know of a higher one reject it"
@@ -76,7 +80,8 @@
     }
 }
 
-/// What the lost voters granted of a window is not known, so all of it counts as granted.
+/// The grants of the lost voters are unknown. A new holder that counted only the known grants would exceed
+/// the tenant's quota, so the whole window must count as granted.
 #[test]
 fn one_window_counts_as_spent_after_a_takeover_by_timeout() {
     let body = r#"{"defaults":{"quota":{"calls":50,"window_ms":5000}},"pools":{"llm":{}},
@@ -89,8 +94,8 @@
     fleet.start(C, kept(C, std::slice::from_ref(&second), Some(0)));
     fleet.start(D, kept(D, &[second], None));
     let home = quota_role("home");
-    let holder = |fleet: &Fleet| [C, D].into_iter().find(|n| held_roles(fleet, *n).contains(&home));
-    assert!(fleet.run_until(10 * SEC, |f| holder(f).is_some()).is_some(), "the role has no holder");
+    let holder = |fleet: &Fleet| [C, D].into_iter().find(|machine| held_roles(fleet, *machine).contains(&home));
+    assert!(fleet.run_until(10 * SEC, |fleet| holder(fleet).is_some()).is_some(), "the role has no holder");
     let held_since = fleet.now;
     let request_slice = |fleet: &mut Fleet, request_id| {
         let to = holder(fleet).expect("a holder");
@@ -117,7 +122,7 @@
             replies.filter(|message| matches!(message, Message::Quota(QuotaMessage::WindowSpent { .. }))).count(),
         )
     };
-    // The requester must be a known peer, else nothing can be sent to it.
+    // The requester must be a known peer, otherwise nothing can be sent to it.
     let front = PeerRecord {
         node_id: NodeId(90),
         incarnation: 1,
@@ -129,7 +134,7 @@
         draining: false,
         version: 1,
     };
-    for n in [C, D] {
+    for machine in [C, D] {
         let records = vec![front.clone()];
         let gossip = Message::Dissemination(DisseminationMessage::Gossip {
             heartbeats: vec![],
@@ -139,7 +144,7 @@
             incarnation_set: 0,
             compact_heartbeats: vec![],
         });
-        fleet.tell(90, n, gossip);
+        fleet.tell(90, machine, gossip);
     }
     let (granted_window, spent) = request_slice(&mut fleet, 1);
     assert!(granted_window.is_none() && spent > 0, "{granted_window:?} {spent}: the window may be spent");
@@ -151,29 +156,33 @@
     );
 }
 
-/// The incarnations that happen to be known here prove no share of a rate to be free.
+/// The lost voters may have registered more incarnations than the remaining ones know. If only the known ones
+/// were checked, shares of rates that are still in use would count as free.
 #[test]
 fn a_takeover_by_timeout_registers_an_unknown_incarnation() {
     let mut fleet = fleet_after_second_loss();
     fleet.run(5 * SEC);
-    for n in [C, D] {
-        let has_unknown = fleet.kept(n).registered.keys().any(|(node_id, _)| *node_id == NodeId::default());
-        assert!(has_unknown, "{n} takes the shares of incarnations that it does not know for free");
+    for machine in [C, D] {
+        let has_unknown = fleet.kept(machine).registered.keys().any(|(node_id, _)| *node_id == NodeId::default());
+        assert!(has_unknown, "{machine} takes the shares of incarnations that it does not know for free");
     }
 }
 
+/// The first set of a fleet has no predecessor. If its voters waited for replies of a majority, two of them
+/// that start without any ready voter would wait for each other.
 #[test]
 fn the_first_set_is_ready_without_a_takeover() {
     let mut fleet = Fleet::default();
-    for n in [A, B] {
-        // They were down when version 0 was decided, and a later one was replicated to them.
-        fleet.start(n, kept(n, &[decree(3, 0, &[], &[A, B, C])], None));
+    for machine in [A, B] {
+        // Both were down when version 0 was decided; a later version was replicated to them.
+        fleet.start(machine, kept(machine, &[decree(3, 0, &[], &[A, B, C])], None));
     }
     let held = |fleet: &Fleet| are_all_roles_held(fleet, &[A, B]);
     assert!(fleet.run_until(3 * SEC, held).is_some(), "each waits for the other");
 }
 
-/// C became a voter with version 5 and was not ready yet when B was lost.
+/// C became a voter with version 5 and was not ready yet when B was lost. If C did not count for its set, the
+/// next takeover would never have a majority.
 #[test]
 fn a_voter_that_was_never_ready_counts_for_its_set() {
     let five = decree(5, 5, &[A, B, E], &[A, B, C]);
@@ -191,8 +200,8 @@
     Message::Membership(MembershipMessage::TakeoverReply { voter_set, is_complete: false, grants, registered: vec![] })
 }
 
-/// A voter that knows only an older set counts as one of the set before. That is safe: of any majority one
-/// knows each grant of that set.
+/// A voter that knows only an older set counts as one of the previous set. No grant is lost by this: of any
+/// majority of the previous set, one voter knows each grant.
 #[test]
 fn a_voter_that_skipped_a_set_counts_and_no_grant_is_lost() {
     let six = decree(6, 6, &[A, B, C], &[A, C, D]);
@@ -201,18 +210,20 @@
         let mut fleet = Fleet::default();
         fleet.start(D, kept(D, std::slice::from_ref(&six), None));
         fleet.run(100 * MS);
-        for (n, grants) in voters {
-            fleet.tell(*n, D, takeover_reply(6, grants.clone()));
+        for (machine, grants) in voters {
+            fleet.tell(*machine, D, takeover_reply(6, grants.clone()));
         }
         let durable = fleet.kept(D).clone();
-        (durable.ready_set, durable.grants.into_values().map(|g| g.granted_total).collect::<Vec<_>>())
+        (durable.ready_set, durable.grants.into_values().map(|grant| grant.granted_total).collect::<Vec<_>>())
     };
-    // Only the newest version was replicated to C; A confirmed the grant together with B, which is lost.
+    // Only the newest version was replicated to C. A confirmed the grant together with B, which is lost.
     assert_eq!(take_over_from(&[(C, vec![])]), (None, vec![]), "one voter of three");
     assert_eq!(take_over_from(&[(C, vec![]), (E, vec![])]), (None, vec![]), "a node that was no voter does not count");
     assert_eq!(take_over_from(&[(C, vec![]), (A, vec![grant])]), (Some(6), vec![7]));
 }
 
+/// A voter that hands over before the new set is synced could lose power and act under the old set again,
+/// with grants that the new set does not know.
 #[test]
 fn a_voter_hands_over_only_once_the_new_set_is_on_its_disk() {
     let six = decree(6, 6, &[A, B, C], &[A, C, D]);
@@ -227,7 +238,7 @@
         fleet
             .sent
             .iter()
-            .filter(|s| matches!(s.1.message, Message::Membership(MembershipMessage::TakeoverReply { .. })))
+            .filter(|sent| matches!(sent.1.message, Message::Membership(MembershipMessage::TakeoverReply { .. })))
             .count()
     };
     assert_eq!(replies(&fleet), 0, "after a loss of power it would act under the old set again");
@@ -237,7 +248,8 @@
     assert!(replies(&fleet) > 0, "it hands over once the set is synced");
 }
 
-/// A and C decided on the new set, then A's disk stalls and A receives messages of B only.
+/// A and C decide on a new set, then A's disk stalls and A receives messages of B only. Without fencing, A
+/// and B would go on under the old set while C and D grant the same roles under the new one.
 #[test]
 fn no_role_is_held_under_two_sets_at_once() {
     let zero = decree(0, 0, &[], &[A, B, C]);
@@ -245,15 +257,15 @@
     let mut held_before = BTreeMap::new();
     let mut fleet = Fleet::default();
     fleet.auto = false;
-    for n in [A, B, C] {
-        fleet.start(n, kept(n, std::slice::from_ref(&zero), Some(0)));
+    for machine in [A, B, C] {
+        fleet.start(machine, kept(machine, std::slice::from_ref(&zero), Some(0)));
     }
     fleet.run(4 * SEC);
-    // The others take over all roles of C while it is partitioned.
+    // A and B take over all roles of C while C is partitioned.
     fleet.part(&[A, B], &[C, D]);
     fleet.run(4 * SEC);
-    for n in [A, B] {
-        held_before.insert(n, held_roles(&fleet, n));
+    for machine in [A, B] {
+        held_before.insert(machine, held_roles(&fleet, machine));
     }
     assert_eq!(held_before.values().map(Vec::len).sum::<usize>(), ROLE_COUNT as usize, "{held_before:?}");
     let ballot = Ballot { number: 99, node_id: NodeId(C), incarnation: 1 };
@@ -266,10 +278,10 @@
     for _ in 0..800 {
         fleet.run(25 * MS);
         let mut holders = BTreeMap::new();
-        for n in [A, B, C, D] {
-            for role in held_roles(&fleet, n) {
-                if let Some(other) = holders.insert(role, n) {
-                    panic!("{}: role {role} is held by {other} and by {n}", fleet.now);
+        for machine in [A, B, C, D] {
+            for role in held_roles(&fleet, machine) {
+                if let Some(other) = holders.insert(role, machine) {
+                    panic!("{}: role {role} is held by {other} and by {machine}", fleet.now);
                 }
             }
         }
@@ -278,8 +290,8 @@
     assert_eq!(later, ROLE_COUNT as usize, "the new set grants all roles by itself");
 }
 
-/// C holds roles by the votes of B and its own, unknown to A. B stops and is replaced by D: A and D are a
-/// majority of the new set, and neither knows of a lease of C.
+/// C holds roles by the votes of B and C, unknown to A. B stops and is replaced by D: A and D are a majority
+/// of the new set, and neither knows a lease of C.
 #[test]
 fn a_new_voter_grants_no_role_that_an_earlier_set_may_have_granted() {
     let zero = decree(0, 0, &[], &[A, B, C]);
@@ -287,50 +299,52 @@
     let mut fleet = Fleet::default();
     fleet.auto = false;
     fleet.part(&[A], &[C]);
-    for n in [A, B, C, D] {
-        fleet.start(n, kept(n, std::slice::from_ref(&zero), Some(0)));
+    for machine in [A, B, C, D] {
+        fleet.start(machine, kept(machine, std::slice::from_ref(&zero), Some(0)));
     }
     fleet.run(4 * SEC);
     let before = held_roles(&fleet, C);
     assert!(!before.is_empty(), "C holds nothing by the votes of B and C");
     // A and B decided on the new set, and the reply of B is enough for A and D to take over.
     fleet.part(&[A, B, D], &[C]);
-    for n in [A, B, D] {
-        fleet.tell(C, n, Message::Consensus(ConsensusMessage::Replicate { entries: vec![one.clone()] }));
+    for machine in [A, B, D] {
+        fleet.tell(C, machine, Message::Consensus(ConsensusMessage::Replicate { entries: vec![one.clone()] }));
     }
     for _ in 0..160 {
-        let later: Vec<_> = [A, B, D].iter().flat_map(|n| held_roles(&fleet, *n)).collect();
+        let later: Vec<_> = [A, B, D].iter().flat_map(|machine| held_roles(&fleet, *machine)).collect();
         let held_twice: Vec<_> = held_roles(&fleet, C).into_iter().filter(|role| later.contains(role)).collect();
         assert!(held_twice.is_empty(), "{}: {held_twice:?} are held by C and under the next set", fleet.now);
         fleet.run(25 * MS);
     }
-    let later: usize = [A, D].iter().map(|n| held_roles(&fleet, *n).len()).sum();
+    let later: usize = [A, D].iter().map(|machine| held_roles(&fleet, *machine).len()).sum();
     assert_eq!(later, ROLE_COUNT as usize, "the new set grants all roles");
 }
 
-/// Where all voters but the lost one reply, the new voter's vote is not needed, so nothing waits for it.
+/// If all voters except the lost one reply, the vote of the new voter is not needed, so no role waits for the
+/// time when that voter may vote.
 #[test]
 fn a_change_of_voters_leaves_no_role_vacant_where_the_remaining_voters_reply() {
     let zero = decree(0, 0, &[], &[A, B, C]);
     let one = decree(1, 1, &[A, B, C], &[A, C, D]);
     let mut fleet = Fleet::default();
     fleet.auto = false;
-    for n in [A, B, C, D] {
-        fleet.start(n, kept(n, std::slice::from_ref(&zero), Some(0)));
+    for machine in [A, B, C, D] {
+        fleet.start(machine, kept(machine, std::slice::from_ref(&zero), Some(0)));
     }
     fleet.run(4 * SEC);
     fleet.stop(B);
     fleet.run(750 * MS);
-    for n in [A, C, D] {
-        fleet.tell(B, n, Message::Consensus(ConsensusMessage::Replicate { entries: vec![one.clone()] }));
+    for machine in [A, C, D] {
+        fleet.tell(B, machine, Message::Consensus(ConsensusMessage::Replicate { entries: vec![one.clone()] }));
     }
     let all = |fleet: &Fleet| are_all_roles_held(fleet, &[A, C, D]);
-    // The leases of B expire at most a second after its last renewal.
+    // The leases of B expire at most one second after their last renewal.
     let vacant_for = fleet.run_until(4 * SEC, all).expect("all roles are held again");
     assert!(vacant_for <= 600 * MS, "roles were vacant for {vacant_for} µs after the change");
 }
 
-/// A lost disk makes a new node at the old address, which can't vote a second time in the old one's place.
+/// A core that lost its disk starts as a new node at the old address. A promise of that node must not count
+/// as a second vote in place of the old one.
 #[test]
 fn a_voter_that_lost_its_disk_does_not_promise_as_its_former_node() {
     let zero = decree(0, 0, &[], &[A, B, C]);
@@ -341,7 +355,7 @@
     let ballot = Ballot { number: 5, node_id: NodeId(B), incarnation: 1 };
     fleet.tell(B, A, Message::Consensus(ConsensusMessage::Prepare { instance: 1, ballot }));
     assert!(
-        !fleet.sent.iter().any(|s| matches!(s.1.message, Message::Consensus(ConsensusMessage::Promise { .. }))),
+        !fleet.sent.iter().any(|sent| matches!(sent.1.message, Message::Consensus(ConsensusMessage::Promise { .. }))),
         "{:?}",
         fleet.sent
     );
@@ -349,25 +363,29 @@
     assert!(!fleet.node(A).voter());
 }
 
+/// Each loss of the disk starts a new node at the same address. Its predecessors must not keep it from
+/// becoming a voter.
 #[test]
 fn a_machine_that_loses_its_disk_repeatedly_votes_again_each_time() {
     let mut fleet = Fleet::default();
-    for n in [A, B, C] {
-        fleet.start(n, kept(n, &[decree(0, 0, &[], &[A, B, C])], Some(0)));
+    for machine in [A, B, C] {
+        fleet.start(machine, kept(machine, &[decree(0, 0, &[], &[A, B, C])], Some(0)));
     }
     fleet.run(4 * SEC);
-    for (i, new) in [71, 72, 73].into_iter().enumerate() {
+    for (loss, new) in [71, 72, 73].into_iter().enumerate() {
         fleet.stop(A);
         fleet.run(500 * MS);
         fleet.start_at(new, A, kept(new, &[], None));
         let votes = |fleet: &Fleet| fleet.node(B).consensus.state.is_voter(NodeId(new)) && fleet.node(A).voter();
         let votes_after = fleet.run_until(4 * SEC, votes);
-        assert!(votes_after.is_some(), "loss {i}: the voters are {:?}", voter_ids(&fleet, B));
+        assert!(votes_after.is_some(), "loss {loss}: the voters are {:?}", voter_ids(&fleet, B));
         assert_eq!(voter_ids(&fleet, B).len(), 3);
         fleet.run(4 * SEC);
     }
 }
 
+/// A voter that accepted a change of the set must not grant a lease that the next set, which may be in force
+/// already, does not know. This holds across a restart.
 #[test]
 fn an_accepted_change_of_voters_stops_new_leases_until_its_outcome_is_known() {
     let zero = decree(0, 0, &[], &[A, B, C]);
@@ -379,7 +397,7 @@
             A,
             Message::Lease(LeaseMessage::Request { voter_set: 0, role: 0, epoch, request_id: 1, is_new_epoch: true }),
         );
-        fleet.sent.iter().any(|s| matches!(s.1.message, Message::Lease(LeaseMessage::Granted { .. })))
+        fleet.sent.iter().any(|sent| matches!(sent.1.message, Message::Lease(LeaseMessage::Granted { .. })))
     };
     let mut fleet = Fleet::default();
     fleet.start(A, kept(A, &[zero], Some(0)));
@@ -388,7 +406,7 @@
     let mut same_voters = one.clone();
     (same_voters.voters_since, same_voters.voters, same_voters.previous_voters) =
         (0, vec![core(A), core(B), core(C)], vec![]);
-    let ballot = |n| Ballot { number: n, node_id: NodeId(C), incarnation: 1 };
+    let ballot = |number| Ballot { number, node_id: NodeId(C), incarnation: 1 };
     fleet.tell(C, A, Message::Consensus(ConsensusMessage::Accept { ballot: ballot(9_000), entry: same_voters }));
     fleet.run(2 * SEC);
     assert!(is_granted(&mut fleet, 50), "other changes stop no leases");
@@ -400,21 +418,21 @@
     assert!(!is_granted(&mut fleet, 70), "also after a start");
 }
 
-/// The age of a window that a voter hands over counts from when it was sent, also where the replies of
-/// others are awaited meanwhile.
+/// The age of a window that a voter hands over must include the transit time and the wait for the replies of
+/// other voters. Otherwise the new voter would take the window for younger than it is.
 #[test]
 fn the_age_of_a_window_includes_its_transit_to_a_new_voter() {
     let six = decree(6, 6, &[A, B, C], &[A, C, D]);
     let grants = |granted_total, age| {
         vec![WindowGrant { tenant: "t".into(), window: 9, node_id: NodeId(90), granted_total, age }]
     };
-    // The other voter knows of the window too, or does not.
+    // The second voter knows the window too, or does not.
     for second_reply in [grants(7, 100 * MS), vec![]] {
         let mut fleet = Fleet::default();
         fleet.start(D, kept(D, std::slice::from_ref(&six), None));
         fleet.run(100 * MS);
-        for n in [A, C] {
-            fleet.tell(n, D, Message::Consensus(ConsensusMessage::Synced { version: 6 }));
+        for machine in [A, C] {
+            fleet.tell(machine, D, Message::Consensus(ConsensusMessage::Synced { version: 6 }));
         }
         fleet.tell_late(A, D, takeover_reply(6, grants(3, 400 * MS)), 200 * MS);
         fleet.run(300 * MS);
@@ -425,8 +443,8 @@
         let ages: Vec<_> = fleet
             .sent
             .iter()
-            .filter_map(|s| {
-                if let Message::Membership(MembershipMessage::TakeoverReply { grants, .. }) = &s.1.message {
+            .filter_map(|sent| {
+                if let Message::Membership(MembershipMessage::TakeoverReply { grants, .. }) = &sent.1.message {
                     Some(grants[0].age)
                 } else {
                     None
@@ -437,7 +455,7 @@
     }
 }
 
-/// A lease that a core has requested.
+/// A fleet with a core that has requested a lease.
 struct Requested {
     fleet: Fleet,
     role: u32,
@@ -445,8 +463,8 @@
     request_id: u64,
 }
 
-/// A core that requests the role of a tenant with a window of 1 s, in contact with a majority by the replies
-/// of B.
+/// Returns a core that requests the role of a tenant with a window of 1 s and is in contact with a majority
+/// by the replies of B.
 fn request_role_of_a_window() -> Requested {
     let mut zero = decree(0, 0, &[], &[A, B, C]);
     zero.body = r#"{"defaults":{"quota":{"calls":50,"window_ms":1000}},"pools":{"llm":{}},
@@ -458,7 +476,7 @@
     fleet.auto = false;
     fleet.start(A, kept(A, &[zero], Some(0)));
     let requested = |fleet: &Fleet| {
-        fleet.sent.iter().rev().find_map(|s| match s.1.message {
+        fleet.sent.iter().rev().find_map(|sent| match sent.1.message {
             Message::Lease(LeaseMessage::Request {
                 role: requested, epoch, request_id, is_new_epoch: true, ..
             }) if requested == role => Some((epoch, request_id)),
@@ -469,8 +487,8 @@
     for _ in 0..120 {
         // B replies to each probe, so that A is in contact with a majority.
         fleet.run(25 * MS);
-        let seq = fleet.sent.iter().rev().find_map(|s| {
-            if let Message::Consensus(ConsensusMessage::FreshnessProbe { seq, .. }) = s.1.message {
+        let seq = fleet.sent.iter().rev().find_map(|sent| {
+            if let Message::Consensus(ConsensusMessage::FreshnessProbe { seq, .. }) = sent.1.message {
                 Some(seq)
             } else {
                 None
@@ -497,7 +515,7 @@
     Requested { fleet, role, epoch, request_id }
 }
 
-/// The windows of which the holder grants a slice that is requested now.
+/// Requests a slice and returns the windows of which the holder grants one.
 fn granted_windows(fleet: &mut Fleet) -> Vec<u64> {
     fleet.sent.clear();
     fleet.tell(
@@ -511,8 +529,8 @@
             returned: 0,
         }),
     );
-    let grants = fleet.sent.iter().filter_map(|s| {
-        if let Message::Quota(QuotaMessage::ReplicateGrants { grants, .. }) = &s.1.message {
+    let grants = fleet.sent.iter().filter_map(|sent| {
+        if let Message::Quota(QuotaMessage::ReplicateGrants { grants, .. }) = &sent.1.message {
             Some(grants[0].window)
         } else {
             None
@@ -521,6 +539,8 @@
     grants.collect()
 }
 
+/// A new holder that ignored the transit time of a grant would take the window for younger than it is, and go
+/// on with a window that has ended.
 #[test]
 fn the_age_of_a_window_includes_its_transit_to_a_new_holder() {
     let Requested { mut fleet, role, epoch, request_id } = request_role_of_a_window();
@@ -543,8 +563,8 @@
     );
 }
 
-/// A holder that is the only one of its majority to know of a window votes for itself once the vote is on
-/// its disk: the window went on meanwhile.
+/// A new holder is the only one of its majority to know a window, and votes for itself once its vote is on
+/// its disk. The age of the window must include that wait.
 #[test]
 fn the_age_of_a_window_includes_the_wait_for_the_new_holders_disk() {
     let Requested { mut fleet, role, epoch, request_id } = request_role_of_a_window();
--- a/crates/core/tests/voters.rs
+++ b/crates/core/tests/voters.rs
@@ -1,4 +1,5 @@
-//! Changes of the set of voters: who is replaced when and by whom, and who proposes it.
+//! Changes of the set of voters: when a voter is replaced, by which candidate, and which voter proposes the
+//! change.
 
 use std::collections::BTreeMap;
 use sumacvale_core::base::{MS, Micros, NodeId, SEC};
@@ -9,20 +10,20 @@
 use sumacvale_core::peers::{FAILURE_TIMEOUT, PeerEntry};
 use sumacvale_core::protocol::{PeerRecord, Voter};
 
-fn voter(n: u64) -> Voter {
-    Voter { node_id: NodeId(n), addr: format!("10.0.0.{n}:7000") }
+fn voter(number: u64) -> Voter {
+    Voter { node_id: NodeId(number), addr: format!("10.0.0.{number}:7000") }
 }
 
-fn slot(n: u64, zone: &str, status: VoterStatus) -> VoterSlot {
-    VoterSlot { voter: voter(n), zone: Some(zone.into()), status }
+fn slot(number: u64, zone: &str, status: VoterStatus) -> VoterSlot {
+    VoterSlot { voter: voter(number), zone: Some(zone.into()), status }
 }
 
-fn candidate(n: u64, zone: &str) -> Candidate {
-    Candidate { node: voter(n), zone: zone.into(), is_recent: false }
+fn candidate(number: u64, zone: &str) -> Candidate {
+    Candidate { node: voter(number), zone: zone.into(), is_recent: false }
 }
 
-fn recent_candidate(n: u64, zone: &str) -> Candidate {
-    Candidate { is_recent: true, ..candidate(n, zone) }
+fn recent_candidate(number: u64, zone: &str) -> Candidate {
+    Candidate { is_recent: true, ..candidate(number, zone) }
 }
 
 fn node_ids(voters: Option<Vec<Voter>>) -> Vec<u64> {
@@ -92,28 +93,33 @@
     }
 }
 
+/// A machine that lost its disk restarts as a new node at the same address: that node, not another candidate
+/// of the zone, must replace the old one.
 #[test]
 fn the_candidate_at_the_removed_address_is_preferred_within_its_zone() {
     let slots =
         vec![slot(1, "a", VoterStatus::Live), slot(2, "b", VoterStatus::Live), slot(3, "c", VoterStatus::Replaced)];
-    for n in 4..40 {
+    for number in 4..40 {
         let at_same_address =
-            Candidate { node: Voter { node_id: NodeId(n), addr: voter(3).addr }, ..candidate(n, "c") };
-        let chosen =
-            node_ids(choose_voters(&slots, &[candidate(n + 100, "c"), at_same_address, candidate(n + 200, "c")], 1));
-        assert_eq!(chosen, [1, 2, n]);
+            Candidate { node: Voter { node_id: NodeId(number), addr: voter(3).addr }, ..candidate(number, "c") };
+        let chosen = node_ids(choose_voters(
+            &slots,
+            &[candidate(number + 100, "c"), at_same_address, candidate(number + 200, "c")],
+            1,
+        ));
+        assert_eq!(chosen, [1, 2, number]);
     }
 }
 
 fn peer(
-    n: u64,
+    number: u64,
     machine: u64,
     discovered_at: Micros,
     heartbeat_at: Micros,
     contacted_at: Micros,
 ) -> (NodeId, PeerEntry) {
     let record = PeerRecord {
-        node_id: NodeId(n),
+        node_id: NodeId(number),
         incarnation: 1,
         heartbeat: 1,
         addr: voter(machine).addr,
@@ -123,9 +129,11 @@
         draining: false,
         version: 0,
     };
-    (NodeId(n), PeerEntry { record, heartbeat_at, discovered_at, contacted_at, changed_at: discovered_at })
+    (NodeId(number), PeerEntry { record, heartbeat_at, discovered_at, contacted_at, changed_at: discovered_at })
 }
 
+/// A voter that is judged too early would be replaced while it lives; a stale report by other nodes must not
+/// hide its successor.
 #[test]
 fn a_voters_standing_follows_from_when_it_and_its_successor_were_in_contact() {
     let now = 100 * SEC;
@@ -186,20 +194,24 @@
     }
 }
 
+/// Voters that propose at the same time would preempt each other's ballots.
 #[test]
 fn live_voters_propose_one_after_the_other() {
     use VoterStatus::{Draining, Failed, Live, Replaced, Suspect};
     for version in 0..20 {
         let standings = [Live, Suspect, Live, Failed, Live, Draining, Replaced];
         let slots: Vec<_> = standings.iter().enumerate().map(|(i, s)| slot(i as u64 + 1, "a", *s)).collect();
-        let delay = |n: u64| proposal_delay(NodeId(n), &slots, version);
+        let delay = |number: u64| proposal_delay(NodeId(number), &slots, version);
         let mut live = [delay(1), delay(3), delay(5)];
         live.sort_unstable();
         assert_eq!(live, [0, PROPOSAL_RANK_DELAY, 2 * PROPOSAL_RANK_DELAY], "version {version}");
         assert_eq!(delay(2), 3 * PROPOSAL_RANK_DELAY, "the silent one comes last");
-        assert!([4, 6, 7].iter().all(|n| delay(*n) > 3 * PROPOSAL_RANK_DELAY), "voters that are lost come after all");
+        assert!(
+            [4, 6, 7].iter().all(|number| delay(*number) > 3 * PROPOSAL_RANK_DELAY),
+            "voters that are lost come after all"
+        );
     }
-    let all_live: Vec<_> = (1..4).map(|n| slot(n, "a", Live)).collect();
-    let first = |version: u64| (1..4).find(|n| proposal_delay(NodeId(*n), &all_live, version) == 0);
+    let all_live: Vec<_> = (1..4).map(|number| slot(number, "a", Live)).collect();
+    let first = |version: u64| (1..4).find(|number| proposal_delay(NodeId(*number), &all_live, version) == 0);
     assert!((0..50).map(first).collect::<std::collections::BTreeSet<_>>().len() > 1, "the order differs by version");
 }
