--- a/crates/core/src/node/consensus/mod.rs
+++ b/crates/core/src/node/consensus/mod.rs
@@ -1,6 +1,12 @@
 //! Agreement on versions of the configuration, with one Paxos instance per version.
 //!
-//! [`acceptor`], [`proposer`] and [`learner`] are the three roles of Lamport, Paxos Made Simple, §2: acceptors vote on ballots, proposers run ballots for the pending changes, and learners apply and replicate decided entries. [`admission`] and [`validation`] decide which changes become pending, and [`outcomes`] replies to their requesters. [`freshness`] confirms with a majority that the newest version here is the newest of all, [`reader`] uses that confirmation to complete linearizable reads, and [`forwarding`] sends the changes of callers at nodes without a vote to a voter. [`digest_sync`] fetches the digests of versions that this node skipped.
+//! [`acceptor`], [`proposer`] and [`learner`] are the three roles of Lamport, Paxos Made Simple, §2:
+//! acceptors vote on ballots, proposers run ballots for the pending changes, and learners apply and replicate
+//! decided entries. [`admission`] and [`validation`] decide which changes become pending, and [`outcomes`]
+//! replies to their requesters. [`freshness`] confirms with a majority that the newest version here is the
+//! newest of all, [`reader`] uses that confirmation to complete linearizable reads, and [`forwarding`] sends
+//! the changes of callers at nodes without a vote to a voter. [`digest_sync`] fetches the digests of versions
+//! that this node skipped.
 
 mod acceptor;
 mod admission;
--- a/crates/core/src/node/dissemination/contact.rs
+++ b/crates/core/src/node/dissemination/contact.rs
@@ -49,7 +49,9 @@
 pub(in crate::node) struct Contact {
     /// When each of the newest probes was sent, by sequence number.
     sent_probes: BTreeMap<u64, Micros>,
+    /// The newest contact with each core.
     last_replies: BTreeMap<NodeId, LastReply>,
+    /// When the last probe was sent.
     last_probe_at: Micros,
     /// The earliest time from which the absence of replies counts: the start, or the end of the last stall.
     running_since: Micros,
--- a/crates/core/src/node/dissemination/mod.rs
+++ b/crates/core/src/node/dissemination/mod.rs
@@ -39,11 +39,15 @@
     pub workers: WorkerTable,
     /// This node's own heartbeat counter.
     pub(in crate::node) heartbeat: u64,
+    /// The contact with the voters, from probes and their replies.
     pub(in crate::node) contact: contact::Contact,
     /// Reports of workers whose acknowledgement waits until a majority of the voters is in contact.
     pub(in crate::node) pending_acks: Vec<WaitingRequest>,
+    /// The smallest clock offset to each peer, for the delays of frames.
     pub(in crate::node) frame_delays: frame_delay::FrameDelays,
+    /// The bounds on the clocks of peers that pass on reports.
     pub(in crate::node) peer_clocks: peer_clocks::PeerClocks,
+    /// The newest incarnation of each peer that sent a frame.
     pub(in crate::node) peer_incarnations: peer_incarnations::PeerIncarnations,
 }
 
--- a/crates/core/src/node/dissemination/peer_clocks.rs
+++ b/crates/core/src/node/dissemination/peer_clocks.rs
@@ -63,10 +63,15 @@
 #[derive(Clone, Debug)]
 struct PeerClock {
     incarnation: Incarnation,
+    /// The bound on the clock offset; none before the first reading.
     bound: Option<OffsetBound>,
+    /// The newest requests without a reply.
     probes: VecDeque<ClockProbe>,
+    /// When the next request may be sent.
     probe_due: Micros,
+    /// When the peer last sent a report.
     last_used_at: Micros,
+    /// The reports that wait for a bound.
     waiting: Vec<WaitingReport>,
 }
 
--- a/crates/core/src/node/lease/mod.rs
+++ b/crates/core/src/node/lease/mod.rs
@@ -1,6 +1,8 @@
 //! Leases of the singleton roles: a role's lease holder grants the quotas of the tenants in that role.
 //!
-//! [`holder`] requests and renews leases, [`grantor`] decides on requests as a voter, and [`startup_fence`] lets a restarted voter grant new leases as soon as no lease of its earlier incarnation can be valid. The decisions themselves, and why a role has at most one holder at a time, are in [`crate::lease`].
+//! [`holder`] requests and renews leases, [`grantor`] decides on requests as a voter, and [`startup_fence`]
+//! lets a restarted voter grant new leases as soon as no lease of its earlier incarnation can be valid. The
+//! decisions themselves, and why a role has at most one holder at a time, are in [`crate::lease`].
 
 mod grantor;
 mod holder;
--- a/crates/core/src/node/membership/bootstrap.rs
+++ b/crates/core/src/node/membership/bootstrap.rs
@@ -22,6 +22,7 @@
 /// A seed's announcement from before the first version.
 #[derive(Clone, Debug)]
 pub(in crate::node) struct BootstrapPeer {
+    /// The seed.
     voter: Voter,
     /// The set of voters that the seed voted for; empty if the seed has not voted or its vote is not synced.
     vote: Vec<Voter>,
--- a/crates/core/src/node/membership/mod.rs
+++ b/crates/core/src/node/membership/mod.rs
@@ -1,6 +1,9 @@
 //! Membership: the bootstrap of a fleet, changes of the set of voters, and the handover between sets.
 //!
-//! [`bootstrap`] founds the fleet, [`voters`] proposes a replacement for each voter that failed, drains or was replaced, [`takeover`] lets a new set of voters take over the grants of the previous set, and [`registrations`] records the incarnations of nodes that may hold shares of rates on the voters' disks. A set of voters is identified by the version that introduced it.
+//! [`bootstrap`] founds the fleet, [`voters`] proposes a replacement for each voter that failed, drains or
+//! was replaced, [`takeover`] lets a new set of voters take over the grants of the previous set, and
+//! [`registrations`] records the incarnations of nodes that may hold shares of rates on the voters' disks. A
+//! set of voters is identified by the version that introduced it.
 
 mod bootstrap;
 mod registrations;
--- a/crates/core/src/node/membership/registrations.rs
+++ b/crates/core/src/node/membership/registrations.rs
@@ -41,7 +41,9 @@
 struct PendingRegistration {
     sent_at: Micros,
     voter_set: Version,
+    /// The incarnations to register.
     incarnations: Vec<NodeIncarnation>,
+    /// The voters that have the registrations on disk.
     confirmed_by: BTreeSet<NodeId>,
 }
 
@@ -55,6 +57,7 @@
 /// A registration that is on a voter's disk or is being written to it.
 #[derive(Clone, Debug)]
 struct Registration {
+    /// The address of the incarnation.
     addr: String,
     /// When a lease holder last requested the registration.
     requested_at: Micros,
@@ -63,12 +66,17 @@
 /// The registrations of a node: as a voter those on its disk, as a lease holder those that it relies on.
 #[derive(Clone, Debug, Default)]
 pub(in crate::node) struct Registrations {
+    /// As a voter: the registrations that are on its disk or are being written to it.
     registered: BTreeMap<NodeIncarnation, Registration>,
+    /// When outdated entries were last dropped.
     cleaned_up_at: Micros,
     /// As a lease holder: the registrations that a majority has confirmed, and when each was requested.
     confirmed: BTreeMap<NodeIncarnation, Micros>,
+    /// As a lease holder: the unconfirmed requests, by request identifier.
     pending: BTreeMap<u64, PendingRegistration>,
+    /// As a lease holder: the share requests that wait for the registration of their sender.
     waiting: BTreeMap<NodeIncarnation, WaitingRequests>,
+    /// As a lease holder: when the suspects were last probed.
     probed_at: Micros,
 }
 
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -1,6 +1,9 @@
 //! One node: the state machines of all concerns over one shared state, stepped by events.
 //!
-//! [`Node::step`] takes an [`Event`] and the current time and returns [`Effect`]s; the node does no I/O itself. Each concern has a folder with its own state: [`consensus`], [`membership`], [`lease`], [`quota`] and [`dissemination`]. `dispatch` routes each event to its concern, `outbox` collects the messages to send and the effects that wait for the disk, and `publisher` publishes the [`View`] that the data plane reads.
+//! [`Node::step`] takes an [`Event`] and the current time and returns [`Effect`]s; the node does no I/O
+//! itself. Each concern has a folder with its own state: [`consensus`], [`membership`], [`lease`], [`quota`]
+//! and [`dissemination`]. `dispatch` routes each event to its concern, `outbox` collects the messages to send
+//! and the effects that wait for the disk, and `publisher` publishes the [`View`] that the data plane reads.
 
 pub mod consensus;
 mod counters;
@@ -59,8 +62,11 @@
     pub counters: Counters,
     /// True once this node has started to shut down and has notified the live nodes.
     pub draining: bool,
+    /// The effects of the current step, and those that wait for the disk.
     outbox: outbox::Outbox,
+    /// The last published view.
     publisher: publisher::Publisher,
+    /// The times of the last step, the last resumption and the start.
     clock: StepClock,
     /// The identifier of the newest request of this incarnation.
     last_request_id: u64,
--- a/crates/core/src/node/outbox.rs
+++ b/crates/core/src/node/outbox.rs
@@ -16,8 +16,11 @@
 /// A write that is not synced yet, and the effects that wait for it.
 #[derive(Clone, Debug)]
 struct PendingWrite {
+    /// The token of the write.
     token: u64,
+    /// The effects to emit once the write is synced.
     deferred: Vec<Effect>,
+    /// The size of the write and of the bodies in `deferred`.
     bytes: usize,
 }
 
--- a/crates/core/src/node/publisher.rs
+++ b/crates/core/src/node/publisher.rs
@@ -54,8 +54,11 @@
     pub is_dirty: bool,
     /// When the last view was published, in microseconds.
     pub published_at: Micros,
+    /// The version of the last published view.
     version: Option<Version>,
+    /// The log entry of `version`.
     entry: Option<Arc<LogEntry>>,
+    /// The workers of the last published view, shared by all views until they change.
     workers: Arc<Vec<WorkerReport>>,
 }
 
--- a/crates/core/src/node/quota/mod.rs
+++ b/crates/core/src/node/quota/mod.rs
@@ -1,6 +1,9 @@
 //! Quotas over all nodes together: slices of windows and shares of rates.
 //!
-//! [`windows`] grants units of counting windows; a grant is on the disks of a majority of voters before the node receives it. [`shares`] lends shares of rates, which expire by time and are on no disk; [`standby`] lends units of them while the lease holder does not answer. This module holds the parts in common: finding the lease holder, failover to the next voter after a time-out, and fencing.
+//! [`windows`] grants units of counting windows; a grant is on the disks of a majority of voters before the
+//! node receives it. [`shares`] lends shares of rates, which expire by time and are on no disk; [`standby`]
+//! lends units of them while the lease holder does not answer. This module holds the parts in common: finding
+//! the lease holder, failover to the next voter after a time-out, and fencing.
 
 mod shares;
 mod standby;
--- a/crates/core/src/node/quota/shares.rs
+++ b/crates/core/src/node/quota/shares.rs
@@ -69,13 +69,16 @@
 struct PendingShareRequests {
     to: NodeId,
     sent_at: Micros,
+    /// Whether the time-out has been handled.
     has_timed_out: bool,
+    /// The tenants of the requests, in their order.
     tenants: Vec<String>,
 }
 
 /// The state of a node that requests shares.
 #[derive(Clone, Debug, Default)]
 pub(in crate::node) struct ShareClient {
+    /// The newest requests, by request identifier.
     pending: BTreeMap<u64, PendingShareRequests>,
     /// The newest lease of each role that this node knows of.
     newest_leases: BTreeMap<u32, FencingToken>,
@@ -83,7 +86,9 @@
     next_voters: BTreeMap<u32, NodeId>,
     /// The units that calls of a tenant wait for.
     waiting_units: BTreeMap<String, u64>,
+    /// When expired shares were last dropped, as a lease holder.
     pools_expired_at: Micros,
+    /// The rates of the newest configuration for which they were requested.
     rates: Option<CachedRates>,
 }
 
@@ -301,10 +306,13 @@
 
 /// The context that all requests of one message share, for the lease holder.
 struct RequestContext<'a> {
+    /// The requester.
     from: (NodeId, Incarnation),
     request_id: u64,
+    /// The newest leases that the requester knows.
     claims: &'a [LeaseClaim],
     voter_set: Version,
+    /// The number of live nodes.
     live_nodes: u64,
     /// The roles of which the requester is the standby.
     standby_roles: BTreeSet<u32>,
--- a/crates/core/src/node/quota/standby.rs
+++ b/crates/core/src/node/quota/standby.rs
@@ -42,6 +42,7 @@
 pub(in crate::node) struct StandbyLending {
     /// As a voter: the roles of which this node is the standby, as determined at `roles_determined_at`.
     roles: BTreeSet<u32>,
+    /// When `roles` was last determined, in microseconds.
     roles_determined_at: Micros,
     /// The lease holder of each role whose claim was accepted last.
     holders: BTreeMap<u32, NodeId>,
--- a/crates/core/src/node/quota/windows.rs
+++ b/crates/core/src/node/quota/windows.rs
@@ -35,11 +35,13 @@
 pub(in crate::node) struct PendingSliceRequest {
     request_id: u64,
     sent_at: Micros,
+    /// The node that was sent the request.
     to: NodeId,
     /// Earlier requests whose grants may still be received, oldest first.
     replaced: VecDeque<ReplacedRequest>,
     /// The number of calls that began to wait while the request was pending.
     waiting: u64,
+    /// The number of redirections that led to this request.
     redirections: u8,
     /// Whether a response was received.
     is_answered: bool,
@@ -92,6 +94,7 @@
     role: u32,
     epoch: u64,
     requested_at: Micros,
+    /// The voters that have the grants on disk.
     synced_by: BTreeSet<NodeId>,
     grants: Vec<RequestedGrant>,
 }
--- a/crates/core/tests/takeover.rs
+++ b/crates/core/tests/takeover.rs
@@ -182,7 +182,8 @@
 }
 
 /// C became a voter with version 5 and was not ready yet when B was lost. If C did not count for its set, the
-/// next takeover would never have a majority.
+/// next takeover would
+/// have no majority of the previous set.
 #[test]
 fn a_voter_that_was_never_ready_counts_for_its_set() {
     let five = decree(5, 5, &[A, B, E], &[A, B, C]);
--- a/crates/core/tests/voters.rs
+++ b/crates/core/tests/voters.rs
@@ -135,7 +135,7 @@
 /// A voter that is judged too early would be replaced while it lives; a stale report by other nodes must not
 /// hide its successor.
 #[test]
-fn a_voters_standing_follows_from_when_it_and_its_successor_were_in_contact() {
+fn a_voters_status_follows_from_when_it_and_its_successor_were_in_contact() {
     let now = 100 * SEC;
     let ago = |t: Micros| now - t;
     let own = |t: Micros| peer(1, 1, SEC, ago(t), ago(t));
