--- a/crates/core/src/node/consensus/freshness.rs
+++ b/crates/core/src/node/consensus/freshness.rs
@@ -1,8 +1,8 @@
-//! Freshness probes: a voter asks all voters whether they know anything newer than its version.
+//! Freshness probes: a voter asks all voters whether they know a newer version than its own.
 //!
 //! If a majority holds the same version and has accepted no entry for the next one, the version is confirmed
-//! as the newest as of the moment when the probe was sent. Probes go out at a fixed interval, and sooner while
-//! callers wait or the majority does not reply.
+//! as the newest as of the time when the probe was sent. Probes are sent at a fixed interval, and sooner
+//! while callers wait or the majority does not reply.
 
 use crate::base::{Micros, NodeId, SEC, Version};
 use crate::consensus::is_majority;
@@ -29,7 +29,7 @@
 }
 
 impl Node {
-    /// Sends a freshness probe when one is due.
+    /// Sends a freshness probe if one is due.
     pub(in crate::node) fn tick_freshness(&mut self, now: Micros) {
         if !self.voter() || now < self.consensus.freshness.probe_due.min(self.next_probe_at(now)) {
             return;
@@ -44,7 +44,8 @@
         self.send_freshness_probe(seq, version, now);
     }
 
-    /// Sends a probe from a node without a vote while its callers wait, to learn which voters it reaches.
+    /// Sends a probe from a node without a vote while its callers wait, to determine which voters are
+    /// reachable.
     pub(in crate::node) fn tick_contact_probe(&mut self, now: Micros) {
         if self.voter() || !self.has_waiting_callers() || now < self.next_probe_at(now) {
             return;
@@ -59,14 +60,14 @@
         self.broadcast_to_voters(&Message::Consensus(ConsensusMessage::FreshnessProbe { seq, version }), now);
     }
 
-    /// Handles a freshness probe; a prober that is behind is sent the later entries too.
-    pub(super) fn on_freshness_probe(&mut self, by: NodeId, seq: u64, version: Version, now: Micros) {
+    /// Handles a freshness probe. A prober that is behind is also sent the later entries.
+    pub(super) fn on_freshness_probe(&mut self, sender: NodeId, seq: u64, version: Version, now: Micros) {
         let Some(newest) = self.version() else { return };
         if !self.settings.is_core {
             return;
         }
         if newest > version {
-            self.replicate_to(by, version, now);
+            self.replicate_to(sender, version, now);
         }
         let reply = ConsensusMessage::FreshnessReply {
             seq,
@@ -75,30 +76,30 @@
             ready_set: self.membership.synced_ready_set,
             has_accepted: self.consensus.state.accepted.is_some(),
         };
-        self.send_consensus(by, reply, now);
+        self.send_consensus(sender, reply, now);
     }
 
     /// Handles a voter's reply to a freshness probe.
-    pub(super) fn on_freshness_reply(&mut self, by: NodeId, reply: FreshnessReply, now: Micros) {
-        self.record_probe_reply(by, reply.seq, now);
+    pub(super) fn on_freshness_reply(&mut self, sender: NodeId, reply: FreshnessReply, now: Micros) {
+        self.record_probe_reply(sender, reply.seq, now);
         if let Some(ready_set) = reply.ready_set {
-            self.on_ready(by, ready_set);
+            self.on_ready(sender, ready_set);
         }
-        self.record_synced_version(by, reply.synced_version);
+        self.record_synced_version(sender, reply.synced_version);
         let Some(newest) = self.version() else { return };
-        if reply.version < newest && by != self.settings.node_id {
-            self.replicate_to(by, reply.version, now);
+        if reply.version < newest && sender != self.settings.node_id {
+            self.replicate_to(sender, reply.version, now);
         }
-        self.count_confirmation(by, &reply, newest);
+        self.count_confirmation(sender, &reply, newest);
     }
 
-    /// Counts a reply towards the confirmation of the newest version; a majority confirms it.
-    fn count_confirmation(&mut self, by: NodeId, reply: &FreshnessReply, newest: Version) {
+    /// Counts a reply towards the confirmation of the newest version. A majority confirms it.
+    fn count_confirmation(&mut self, sender: NodeId, reply: &FreshnessReply, newest: Version) {
         let Some(probe) = self.consensus.freshness.open_probes.get_mut(&reply.seq) else { return };
         if probe.version != newest || reply.version != newest || reply.has_accepted {
             return;
         }
-        probe.confirmed_by.insert(by);
+        probe.confirmed_by.insert(sender);
         if is_majority(self.consensus.state.voters(), &probe.confirmed_by) {
             let sent_at = probe.sent_at;
             self.consensus.freshness.open_probes.remove(&reply.seq);
