--- a/crates/node/src/admin/config.rs
+++ b/crates/node/src/admin/config.rs
@@ -1,6 +1,6 @@
-//! Orders to change the configuration, and reads of it.
+//! Reads and changes the configuration and the list of voters.
 
-use super::responses::{json, quote, trouble};
+use super::responses::{error_response, json, quote};
 use crate::ops::{newest_version, submit_change};
 use crate::shared::Shared;
 use futures::StreamExt;
@@ -9,26 +9,34 @@
 use std::time::Duration;
 use sumacvale_core::base::{ChangeId, NodeId, Version};
 use sumacvale_core::config::check::ConfigError;
-use sumacvale_core::config::{effective as settings, validate};
+use sumacvale_core::config::{effective as effective_settings, validate};
 use sumacvale_core::protocol::{Change, ChangeOutcome, Voter};
 use viz::{Request, RequestExt, Response, StatusCode, header};
 
-const LARGE: usize = 4 << 20;
+/// The maximum size of a change, in bytes.
+const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// The body of a request, or the answer to one that is too long.
-pub async fn body(r: Request, most: usize) -> Result<String, Response> {
-    let mut s = r.into_body();
-    let mut b = Vec::new();
+/// Reads the body of a request.
+///
+/// # Errors
+/// The response to send if the body exceeds `max_body_bytes`, is not UTF-8, is aborted or times out.
+pub async fn body(request: Request, max_body_bytes: usize) -> Result<String, Response> {
+    let mut stream = request.into_body();
+    let mut bytes = Vec::new();
     loop {
-        match tokio::time::timeout(Duration::from_secs(10), s.next()).await {
+        match tokio::time::timeout(Duration::from_secs(10), stream.next()).await {
             Ok(None) => break,
-            Ok(Some(Ok(d))) if b.len() + d.len() <= most => b.extend_from_slice(&d),
+            Ok(Some(Ok(chunk))) if bytes.len() + chunk.len() <= max_body_bytes => bytes.extend_from_slice(&chunk),
             Ok(Some(Ok(_))) => {
-                let t = [ConfigError::TooLarge { pointer: String::new(), bytes: most + 1, max_bytes: most }];
-                return Err(listed(StatusCode::UNPROCESSABLE_ENTITY, &t));
+                let errors = [ConfigError::TooLarge {
+                    pointer: String::new(),
+                    bytes: max_body_bytes + 1,
+                    max_bytes: max_body_bytes,
+                }];
+                return Err(config_errors(StatusCode::UNPROCESSABLE_ENTITY, &errors));
             }
             _ => {
-                return Err(trouble(
+                return Err(error_response(
                     StatusCode::BAD_REQUEST,
                     "body",
                     "the body broke off or came too slowly; send it again",
@@ -36,114 +44,141 @@
             }
         }
     }
-    String::from_utf8(b).map_err(|_| listed(StatusCode::BAD_REQUEST, &[ConfigError::NotJson("it is not UTF-8".into())]))
+    String::from_utf8(bytes)
+        .map_err(|_| config_errors(StatusCode::BAD_REQUEST, &[ConfigError::NotJson("it is not UTF-8".into())]))
 }
 
-fn listed(s: StatusCode, v: &[ConfigError]) -> Response {
-    let ts: Vec<_> = v
+/// Returns a response that lists at most 200 errors of a configuration document.
+fn config_errors(status: StatusCode, errors: &[ConfigError]) -> Response {
+    let items: Vec<_> = errors
         .iter()
         .take(200)
-        .map(|t| {
-            format!("{{\"at\":{},\"code\":\"{}\",\"remedy\":{}}}", quote(t.pointer()), t.code(), quote(&t.to_string()))
+        .map(|error| {
+            format!(
+                "{{\"at\":{},\"code\":\"{}\",\"remedy\":{}}}",
+                quote(error.pointer()),
+                error.code(),
+                quote(&error.to_string())
+            )
         })
         .collect();
     json(
-        s,
+        status,
         format!(
             "{{\"code\":\"invalid\",\"remedy\":\"mend what is listed; nothing was changed\",\"troubles\":[{}]}}",
-            ts.join(",")
+            items.join(",")
         ),
     )
 }
 
-fn etag(r: &mut Response, v: Version) {
-    if let Ok(t) = header::HeaderValue::from_str(&format!("\"{v}\"")) {
-        r.headers_mut().insert(header::ETAG, t);
+/// Sets the `ETag` of a response to a version.
+fn set_etag(response: &mut Response, version: Version) {
+    if let Ok(value) = header::HeaderValue::from_str(&format!("\"{version}\"")) {
+        response.headers_mut().insert(header::ETAG, value);
     }
 }
 
-/// The newest tree and its version. With `?local=true` the one that this node holds, which may
-/// be older.
-pub async fn get(h: Arc<Shared>, r: Request) -> Response {
-    if h.view.load().entry.is_none() {
-        return trouble(
+/// Returns the newest configuration document, with its version as the `ETag`. With `?local=true` returns the
+/// document that this node holds, which may be older.
+pub async fn get(shared: Arc<Shared>, request: Request) -> Response {
+    if shared.view.load().entry.is_none() {
+        return error_response(
             StatusCode::SERVICE_UNAVAILABLE,
             "no_version",
             "this node has learned no version yet; wait until /readyz says ready",
         );
     }
-    let held = if asked(&r, "local") { h.view.load().entry.clone() } else { newest_version(&h).await };
-    let Some(d) = held else {
-        return trouble(
+    let entry = if has_query_flag(&request, "local") {
+        shared.view.load().entry.clone()
+    } else {
+        newest_version(&shared).await
+    };
+    let Some(entry) = entry else {
+        return error_response(
             StatusCode::SERVICE_UNAVAILABLE,
             "not_confirmed",
             "no majority of the cores confirms here which version is the newest; ask another node, or add ?local=true for what this one holds",
         );
     };
-    let mut r = json(StatusCode::OK, d.body.clone());
-    etag(&mut r, d.version);
-    r
+    let mut response = json(StatusCode::OK, entry.body.clone());
+    set_etag(&mut response, entry.version);
+    response
 }
 
-fn base(r: &Request) -> Result<Version, Box<Response>> {
-    let Some(v) = r.headers().get(header::IF_MATCH) else {
-        return Err(Box::new(trouble(
+/// Parses `If-Match`: the version that a change is based on.
+fn parse_base_version(request: &Request) -> Result<Version, Box<Response>> {
+    let Some(value) = request.headers().get(header::IF_MATCH) else {
+        return Err(Box::new(error_response(
             StatusCode::PRECONDITION_REQUIRED,
             "no_base",
             "send If-Match with the ETag that your change is built on",
         )));
     };
-    let t = v.to_str().unwrap_or("").trim();
-    let t = t.strip_prefix("W/").unwrap_or(t).trim_matches('"');
-    t.parse().map_err(|_| {
-        Box::new(trouble(StatusCode::BAD_REQUEST, "base", "If-Match must be one ETag of /v1/config, such as \"7\""))
+    let etag = value.to_str().unwrap_or("").trim();
+    let etag = etag.strip_prefix("W/").unwrap_or(etag).trim_matches('"');
+    etag.parse().map_err(|_| {
+        Box::new(error_response(
+            StatusCode::BAD_REQUEST,
+            "base",
+            "If-Match must be one ETag of /v1/config, such as \"7\"",
+        ))
     })
 }
 
-fn change_id(r: &Request) -> Result<ChangeId, Box<Response>> {
-    match r.headers().get("change-id") {
+/// Parses the `Change-Id` header; generates a random id if there is none.
+fn parse_or_generate_change_id(request: &Request) -> Result<ChangeId, Box<Response>> {
+    match request.headers().get("change-id") {
         None => {
-            let mut b = [0; 8];
-            if getrandom::fill(&mut b).is_err() {
-                return Err(Box::new(trouble(
+            let mut bytes = [0; 8];
+            if getrandom::fill(&mut bytes).is_err() {
+                return Err(Box::new(error_response(
                     StatusCode::INTERNAL_SERVER_ERROR,
                     "random",
                     "this machine gives no random numbers; send a Change-Id",
                 )));
             }
-            Ok(ChangeId(u64::from_be_bytes(b).max(1)))
+            Ok(ChangeId(u64::from_be_bytes(bytes).max(1)))
         }
-        Some(v) => v.to_str().ok().and_then(ChangeId::parse).filter(|c| c.0 != 0).ok_or_else(|| {
-            Box::new(trouble(StatusCode::BAD_REQUEST, "change_id", "Change-Id must be 16 hex digits, not all nought"))
+        Some(value) => value.to_str().ok().and_then(ChangeId::parse).filter(|id| id.0 != 0).ok_or_else(|| {
+            Box::new(error_response(
+                StatusCode::BAD_REQUEST,
+                "change_id",
+                "Change-Id must be 16 hex digits, not all nought",
+            ))
         }),
     }
 }
 
-/// Whether the query sets this switch.
-fn asked(r: &Request, switch: &str) -> bool {
-    let on = |x: &str| x.split_once('=').is_some_and(|(k, v)| k == switch && (v == "true" || v == "1"));
-    r.uri().query().is_some_and(|q| q.split('&').any(on))
+/// Returns true if the query sets `flag` to `true` or `1`.
+fn has_query_flag(request: &Request, flag: &str) -> bool {
+    let is_set = |pair: &str| {
+        pair.split_once('=').is_some_and(|(name, value)| name == flag && (value == "true" || value == "1"))
+    };
+    request.uri().query().is_some_and(|query| query.split('&').any(is_set))
 }
 
-fn told(f: ChangeOutcome, c: ChangeId) -> Response {
-    match f {
+/// Returns the response for the outcome of a change.
+fn outcome_response(outcome: ChangeOutcome, change_id: ChangeId) -> Response {
+    match outcome {
         ChangeOutcome::Committed { version } => {
-            let mut r =
-                json(StatusCode::OK, format!("{{\"state\":\"decided\",\"version\":{version},\"change\":\"{c}\"}}"));
-            etag(&mut r, version);
-            r
+            let mut response = json(
+                StatusCode::OK,
+                format!("{{\"state\":\"decided\",\"version\":{version},\"change\":\"{change_id}\"}}"),
+            );
+            set_etag(&mut response, version);
+            response
         }
         ChangeOutcome::Stale { version } => {
-            let mut r = json(
+            let mut response = json(
                 StatusCode::PRECONDITION_FAILED,
                 format!(
-                    "{{\"code\":\"stale_base\",\"remedy\":\"take the current version, build the change on it and send it again\",\"version\":{version},\"change\":\"{c}\"}}"
+                    "{{\"code\":\"stale_base\",\"remedy\":\"take the current version, build the change on it and send it again\",\"version\":{version},\"change\":\"{change_id}\"}}"
                 ),
             );
-            etag(&mut r, version);
-            r
+            set_etag(&mut response, version);
+            response
         }
-        ChangeOutcome::NoQuorum => trouble(
+        ChangeOutcome::NoQuorum => error_response(
             StatusCode::SERVICE_UNAVAILABLE,
             "no_majority",
             "no majority of the cores can be reached; nothing was changed, try again later",
@@ -151,63 +186,72 @@
         ChangeOutcome::Unknown => json(
             StatusCode::GATEWAY_TIMEOUT,
             format!(
-                "{{\"code\":\"unknown\",\"state\":\"unknown\",\"remedy\":\"the change may still be decided: ask /v1/changes/{c} or send it again with the same Change-Id and base\",\"change\":\"{c}\"}}"
+                "{{\"code\":\"unknown\",\"state\":\"unknown\",\"remedy\":\"the change may still be decided: ask /v1/changes/{change_id} or send it again with the same Change-Id and base\",\"change\":\"{change_id}\"}}"
             ),
         ),
-        ChangeOutcome::IdReused => {
-            trouble(StatusCode::CONFLICT, "change_id", "this Change-Id stands for another change; send a new one")
+        ChangeOutcome::IdReused => error_response(
+            StatusCode::CONFLICT,
+            "change_id",
+            "this Change-Id stands for another change; send a new one",
+        ),
+        ChangeOutcome::Invalid { reason: message } => {
+            error_response(StatusCode::UNPROCESSABLE_ENTITY, "invalid", &message)
         }
-        ChangeOutcome::Invalid { reason: why } => trouble(StatusCode::UNPROCESSABLE_ENTITY, "invalid", &why),
         ChangeOutcome::Content { text } => json(StatusCode::OK, text),
     }
 }
 
-/// The base, the id, whether the id was made up here, and the body of a change.
-async fn change_of(request: Request) -> Result<(Version, ChangeId, bool, String), Response> {
-    let fresh = !request.headers().contains_key("change-id");
-    let base_version = base(&request).map_err(|response| *response)?;
-    let change_id = change_id(&request).map_err(|response| *response)?;
-    Ok((base_version, change_id, fresh, body(request, LARGE).await?))
+/// Returns the base version of a change, its id, whether this node generated the id, and the body.
+async fn parse_change(request: Request) -> Result<(Version, ChangeId, bool, String), Response> {
+    let has_generated_id = !request.headers().contains_key("change-id");
+    let base_version = parse_base_version(&request).map_err(|response| *response)?;
+    let change_id = parse_or_generate_change_id(&request).map_err(|response| *response)?;
+    Ok((base_version, change_id, has_generated_id, body(request, MAX_BODY_BYTES).await?))
 }
 
-/// A document in the place of the newest one.
+/// Replaces the newest configuration document. With `?dry_run=true` only validates the change.
 pub async fn put(shared: Arc<Shared>, request: Request) -> Response {
-    let dry = asked(&request, "dry_run");
-    let (base_version, change_id, fresh, document) = match change_of(request).await {
+    let is_dry_run = has_query_flag(&request, "dry_run");
+    let (base_version, change_id, has_generated_id, document) = match parse_change(request).await {
         Ok(parts) => parts,
         Err(response) => return response,
     };
     if let Err(errors) = validate(&document) {
-        let state = if matches!(errors.first(), Some(ConfigError::NotJson(_))) {
+        let status = if matches!(errors.first(), Some(ConfigError::NotJson(_))) {
             StatusCode::BAD_REQUEST
         } else {
             StatusCode::UNPROCESSABLE_ENTITY
         };
-        return listed(state, &errors);
+        return config_errors(status, &errors);
     }
-    if dry {
+    if is_dry_run {
         let version = shared.view.load().version.unwrap_or(0);
         return if version == base_version {
             json(StatusCode::OK, format!("{{\"state\":\"valid\",\"version\":{version}}}"))
         } else {
-            told(ChangeOutcome::Stale { version }, change_id)
+            outcome_response(ChangeOutcome::Stale { version }, change_id)
         };
     }
-    told(submit_change(&shared, (change_id, fresh), base_version, Change::Tree(document)).await, change_id)
+    outcome_response(
+        submit_change(&shared, (change_id, has_generated_id), base_version, Change::Tree(document)).await,
+        change_id,
+    )
 }
 
-/// The versions that the fleet holds.
-pub async fn history(h: Arc<Shared>, _: Request) -> Response {
-    told(submit_change(&h, (ChangeId(0), false), 0, Change::ReadHistory).await, ChangeId(0))
+/// Lists the versions that the fleet holds.
+pub async fn history(shared: Arc<Shared>, _: Request) -> Response {
+    outcome_response(submit_change(&shared, (ChangeId(0), false), 0, Change::ReadHistory).await, ChangeId(0))
 }
 
-/// What became of a change.
+/// Returns the outcome of a change.
 pub async fn change(shared: Arc<Shared>, request: Request) -> Response {
     let Some(change_id) = request.param::<String>("cid").ok().and_then(|id| ChangeId::parse(&id)) else {
-        return trouble(StatusCode::BAD_REQUEST, "change_id", "a change id has 16 hex digits");
+        return error_response(StatusCode::BAD_REQUEST, "change_id", "a change id has 16 hex digits");
     };
-    let base_version =
-        request.uri().query().and_then(|q| q.split('&').find_map(|x| x.strip_prefix("base=")?.parse::<Version>().ok()));
+    let base_version = request
+        .uri()
+        .query()
+        .and_then(|query| query.split('&').find_map(|pair| pair.strip_prefix("base=")?.parse::<Version>().ok()));
     match submit_change(&shared, (change_id, false), base_version.unwrap_or(Version::MAX), Change::QueryOutcome).await {
         ChangeOutcome::Stale { version } => {
             json(StatusCode::OK, format!("{{\"state\":\"lost\",\"version\":{version},\"change\":\"{change_id}\"}}"))
@@ -218,22 +262,22 @@
                 "{{\"state\":\"unknown\",\"remedy\":\"not decided so far; add ?base=N with its base for a final word once a later version is decided\",\"change\":\"{change_id}\"}}"
             ),
         ),
-        outcome => told(outcome, change_id),
+        outcome => outcome_response(outcome, change_id),
     }
 }
 
-/// What is in force for one name.
+/// Returns the settings in force for one match or tenant.
 pub async fn effective(shared: Arc<Shared>, request: Request) -> Response {
-    let (sort, name) =
+    let (collection, name) =
         (request.param::<String>("sort").unwrap_or_default(), request.param::<String>("name").unwrap_or_default());
     let view = shared.view.load();
-    match settings(&view.config, &sort, &name) {
+    match effective_settings(&view.config, &collection, &name) {
         Some(text) => {
             let mut response = json(StatusCode::OK, text);
-            etag(&mut response, view.config.version);
+            set_etag(&mut response, view.config.version);
             response
         }
-        None => trouble(
+        None => error_response(
             StatusCode::NOT_FOUND,
             "not_found",
             "use /v1/effective/matches/NAME or /v1/effective/tenants/NAME with a name that is in the tree",
@@ -241,27 +285,30 @@
     }
 }
 
-/// The voters.
-pub async fn cores(h: Arc<Shared>, _: Request) -> Response {
-    let v = h.view.load();
-    let Some(d) = &v.entry else {
-        return trouble(StatusCode::SERVICE_UNAVAILABLE, "no_version", "this node has learned no version yet");
+/// Lists the voters, with the version of the configuration as the `ETag`.
+pub async fn cores(shared: Arc<Shared>, _: Request) -> Response {
+    let view = shared.view.load();
+    let Some(entry) = &view.entry else {
+        return error_response(StatusCode::SERVICE_UNAVAILABLE, "no_version", "this node has learned no version yet");
     };
-    let cs: Vec<_> =
-        d.voters.iter().map(|c| format!("{{\"id\":\"{}\",\"peer\":{}}}", c.node_id, quote(&c.addr))).collect();
-    let mut r = json(StatusCode::OK, format!("[{}]", cs.join(",")));
-    etag(&mut r, d.version);
-    r
+    let voters: Vec<_> = entry
+        .voters
+        .iter()
+        .map(|voter| format!("{{\"id\":\"{}\",\"peer\":{}}}", voter.node_id, quote(&voter.addr)))
+        .collect();
+    let mut response = json(StatusCode::OK, format!("[{}]", voters.join(",")));
+    set_etag(&mut response, entry.version);
+    response
 }
 
-/// A list of voters in the place of the newest one.
+/// Replaces the list of voters.
 pub async fn put_cores(shared: Arc<Shared>, request: Request) -> Response {
-    let (base_version, change_id, fresh, body) = match change_of(request).await {
+    let (base_version, change_id, has_generated_id, body) = match parse_change(request).await {
         Ok(parts) => parts,
         Err(response) => return response,
     };
     let Ok(list) = sonic_rs::from_str::<Value>(&body) else {
-        return listed(StatusCode::BAD_REQUEST, &[ConfigError::NotJson("send a list of cores".into())]);
+        return config_errors(StatusCode::BAD_REQUEST, &[ConfigError::NotJson("send a list of cores".into())]);
     };
     let mut voters = Vec::new();
     let parse_voter = |item: &Value| {
@@ -270,18 +317,21 @@
         addr.parse::<std::net::SocketAddr>().ok()?;
         Some(Voter { node_id, addr })
     };
-    for (index, item) in list.as_array().into_iter().flat_map(|a| a.iter()).enumerate() {
+    for (index, item) in list.as_array().into_iter().flat_map(|items| items.iter()).enumerate() {
         match parse_voter(item) {
             Some(voter) => voters.push(voter),
             None => {
-                let error = ConfigError::InvalidValue {
+                let invalid_value = ConfigError::InvalidValue {
                     pointer: format!("/{index}"),
                     actual: item.to_string(),
                     expected: "{\"id\": 16 hex digits, \"peer\": IP:PORT} as /v1/nodes shows".into(),
                 };
-                return listed(StatusCode::UNPROCESSABLE_ENTITY, &[error]);
+                return config_errors(StatusCode::UNPROCESSABLE_ENTITY, &[invalid_value]);
             }
         }
     }
-    told(submit_change(&shared, (change_id, fresh), base_version, Change::Voters(voters)).await, change_id)
+    outcome_response(
+        submit_change(&shared, (change_id, has_generated_id), base_version, Change::Voters(voters)).await,
+        change_id,
+    )
 }
--- a/crates/node/src/admin/metrics.rs
+++ b/crates/node/src/admin/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics in the text format of Prometheus.
+//! Exports metrics in the text format of Prometheus.
 
 use super::responses::{quote, text};
 use crate::shared::Shared;
@@ -7,10 +7,10 @@
 use sumacvale_core::call::{BUCKET_BOUNDS, COUNT_HELP, LatencyHistogram, RejectionCounters, RejectionReason};
 use viz::{Response, StatusCode};
 
-/// All metrics of this node.
-pub fn all(shared: &Shared) -> Response {
+/// Returns all metrics of this node.
+pub fn render(shared: &Shared) -> Response {
     let mut output = String::new();
-    let mut put = |name: &str, kind: &str, value: u64, help: &str| {
+    let mut write_metric = |name: &str, kind: &str, value: u64, help: &str| {
         let _ = writeln!(
             output,
             "# HELP sumacvale_{name} {}\n# TYPE sumacvale_{name} {kind}\nsumacvale_{name} {value}",
@@ -18,92 +18,103 @@
         );
     };
     for ((name, value), (_, help)) in shared.call_state.counters.list().into_iter().zip(COUNT_HELP) {
-        put(&format!("{name}_total"), "counter", value, help);
+        write_metric(&format!("{name}_total"), "counter", value, help);
     }
     let view = shared.view.load();
     for (name, count, help) in &view.counters {
-        put(&format!("{name}_total"), "counter", *count, help);
+        write_metric(&format!("{name}_total"), "counter", *count, help);
     }
-    let load = |a: &std::sync::atomic::AtomicU64| a.load(Ordering::Relaxed);
-    put("peer_bytes_total", "counter", load(&shared.link_counters.bytes_sent), "Bytes sent to other nodes.");
-    put(
+    let load = |counter: &std::sync::atomic::AtomicU64| counter.load(Ordering::Relaxed);
+    write_metric("peer_bytes_total", "counter", load(&shared.link_counters.bytes_sent), "Bytes sent to other nodes.");
+    write_metric(
         "peer_cross_zone_bytes_total",
         "counter",
         load(&shared.link_counters.cross_zone_bytes_sent),
         "Bytes sent to nodes of other zones.",
     );
-    put(
+    write_metric(
         "peer_invalid_frames_total",
         "counter",
         load(&shared.link_counters.invalid_frames),
         "Peer connections closed for what came on them.",
     );
-    put(
+    write_metric(
         "peer_skipped_frames_total",
         "counter",
         load(&shared.link_counters.skipped_frames),
         "Peers' frames skipped, as this release can't read them.",
     );
-    put(
+    write_metric(
         "peer_dropped_frames_total",
         "counter",
         load(&shared.link_counters.dropped_frames),
         "Frames dropped for want of room or for age.",
     );
-    if let Some(d) = &shared.disk_error_count {
-        put("disk_errors_total", "counter", load(d), "Writes that the disk refused.");
+    if let Some(error_count) = &shared.disk_error_count {
+        write_metric("disk_errors_total", "counter", load(error_count), "Writes that the disk refused.");
     }
-    put("version", "gauge", view.version.unwrap_or(0), "Version of the configuration in force.");
-    put("fresh", "gauge", u64::from(shared.may_admit(&view)), "Whether this node may admit calls.");
-    put("workers", "gauge", view.workers.len() as u64, "Workers that take calls.");
-    put("nodes", "gauge", view.nodes.iter().filter(|n| n.1).count() as u64, "Nodes that are here.");
-    put("in_flight", "gauge", shared.call_state.worker_loads.total_in_flight(), "Calls at workers.");
-    let (places, units) = shared.call_state.queue_lengths();
-    put("queued_for_slot", "gauge", places, "Calls that wait for a slot at a worker.");
-    put("queued_for_quota", "gauge", units, "Calls that wait for a unit of their quota.");
-    put("body_bytes", "gauge", shared.call_state.body_budget.used() as u64, "Bytes of bodies held at once.");
-    put("leases_held", "gauge", view.held_leases.len() as u64, "Leases held by this node.");
-    refusals(&mut output, &shared.call_state.rejections);
+    write_metric("version", "gauge", view.version.unwrap_or(0), "Version of the configuration in force.");
+    write_metric("fresh", "gauge", u64::from(shared.may_admit(&view)), "Whether this node may admit calls.");
+    write_metric("workers", "gauge", view.workers.len() as u64, "Workers that take calls.");
+    write_metric("nodes", "gauge", view.nodes.iter().filter(|n| n.1).count() as u64, "Nodes that are here.");
+    write_metric("in_flight", "gauge", shared.call_state.worker_loads.total_in_flight(), "Calls at workers.");
+    let (waiting_for_slot, waiting_for_quota) = shared.call_state.queue_lengths();
+    write_metric("queued_for_slot", "gauge", waiting_for_slot, "Calls that wait for a slot at a worker.");
+    write_metric("queued_for_quota", "gauge", waiting_for_quota, "Calls that wait for a unit of their quota.");
+    write_metric("body_bytes", "gauge", shared.call_state.body_budget.used() as u64, "Bytes of bodies held at once.");
+    write_metric("leases_held", "gauge", view.held_leases.len() as u64, "Leases held by this node.");
+    write_rejections(&mut output, &shared.call_state.rejections);
     let _ = writeln!(
         output,
         "# HELP sumacvale_share_ppm Share of a tenant's rate held here.\n# TYPE sumacvale_share_ppm gauge"
     );
-    for (t, share, _) in shared.call_state.slices.rates.list() {
-        let _ = writeln!(output, "sumacvale_share_ppm{{tenant={}}} {share}", quote(&t));
+    for (tenant, share, _) in shared.call_state.slices.rates.list() {
+        let _ = writeln!(output, "sumacvale_share_ppm{{tenant={}}} {share}", quote(&tenant));
     }
-    let f = &shared.call_state;
-    times(
+    let call_state = &shared.call_state;
+    write_histogram(
         &mut output,
         "time_to_first_byte_seconds",
         "From the head of a call to the head of its response.",
-        &f.time_to_first_byte,
+        &call_state.time_to_first_byte,
+    );
+    write_histogram(
+        &mut output,
+        "quota_wait_seconds",
+        "From the head of a call to its unit of the quota.",
+        &call_state.quota_wait,
+    );
+    write_histogram(
+        &mut output,
+        "slot_wait_seconds",
+        "From the head of a call to its slot at a worker.",
+        &call_state.slot_wait,
     );
-    times(&mut output, "quota_wait_seconds", "From the head of a call to its unit of the quota.", &f.quota_wait);
-    times(&mut output, "slot_wait_seconds", "From the head of a call to its slot at a worker.", &f.slot_wait);
     text(StatusCode::OK, output)
 }
 
-/// One counter for each reason, those of nought too, so that they can be watched from the start.
-fn refusals(s: &mut String, refusals: &RejectionCounters) {
+/// Writes one counter for each rejection reason. Counters of 0 are included, so that every series exists from
+/// the start.
+fn write_rejections(output: &mut String, rejections: &RejectionCounters) {
     let help = "Calls that got an answer of this node's own, by reason.";
-    let _ = writeln!(s, "# HELP sumacvale_rejected_total {help}\n# TYPE sumacvale_rejected_total counter");
+    let _ = writeln!(output, "# HELP sumacvale_rejected_total {help}\n# TYPE sumacvale_rejected_total counter");
     for reason in RejectionReason::ALL {
-        let count = refusals.get(*reason);
-        let _ = writeln!(s, "sumacvale_rejected_total{{reason=\"{}\"}} {count}", reason.name());
+        let count = rejections.get(*reason);
+        let _ = writeln!(output, "sumacvale_rejected_total{{reason=\"{}\"}} {count}", reason.name());
     }
 }
 
-/// One histogram, by the kinds of traffic.
-fn times(s: &mut String, n: &str, help: &str, t: &LatencyHistogram) {
-    let secs = |us: u64| format!("{}.{:06}", us / 1_000_000, us % 1_000_000);
-    let _ = writeln!(s, "# HELP sumacvale_{n} {help}\n# TYPE sumacvale_{n} histogram");
-    for x in t.snapshot() {
-        let k = x.kind;
-        for (e, c) in BUCKET_BOUNDS.iter().zip(&x.cumulative) {
-            let _ = writeln!(s, "sumacvale_{n}_bucket{{kind=\"{k}\",le=\"{}\"}} {c}", secs(*e));
+/// Writes one histogram, with a series for each kind of traffic.
+fn write_histogram(output: &mut String, name: &str, help: &str, histogram: &LatencyHistogram) {
+    let seconds = |micros: u64| format!("{}.{:06}", micros / 1_000_000, micros % 1_000_000);
+    let _ = writeln!(output, "# HELP sumacvale_{name} {help}\n# TYPE sumacvale_{name} histogram");
+    for series in histogram.snapshot() {
+        let kind = series.kind;
+        for (bound, count) in BUCKET_BOUNDS.iter().zip(&series.cumulative) {
+            let _ = writeln!(output, "sumacvale_{name}_bucket{{kind=\"{kind}\",le=\"{}\"}} {count}", seconds(*bound));
         }
-        let _ = writeln!(s, "sumacvale_{n}_bucket{{kind=\"{k}\",le=\"+Inf\"}} {}", x.count);
-        let _ = writeln!(s, "sumacvale_{n}_sum{{kind=\"{k}\"}} {}", secs(x.sum));
-        let _ = writeln!(s, "sumacvale_{n}_count{{kind=\"{k}\"}} {}", x.count);
+        let _ = writeln!(output, "sumacvale_{name}_bucket{{kind=\"{kind}\",le=\"+Inf\"}} {}", series.count);
+        let _ = writeln!(output, "sumacvale_{name}_sum{{kind=\"{kind}\"}} {}", seconds(series.sum));
+        let _ = writeln!(output, "sumacvale_{name}_count{{kind=\"{kind}\"}} {}", series.count);
     }
 }
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! What operators, workers and probes can ask of a node.
+//! The admin API for operators, workers and probes, and the routes of both HTTP listeners.
 
 mod config;
 mod metrics;
--- a/crates/node/src/admin/nodes.rs
+++ b/crates/node/src/admin/nodes.rs
@@ -1,4 +1,4 @@
-//! Lists of nodes and workers, and draining of this node.
+//! Lists nodes and workers, drains this node, and shows its view.
 
 use super::responses::{json, quote};
 use crate::clock;
@@ -8,15 +8,16 @@
 use sumacvale_core::protocol::WorkerReport;
 use viz::{Request, Response, StatusCode};
 
-/// A JSON list of JSON values.
-fn join(items: impl Iterator<Item = String>) -> String {
+/// Joins JSON values into a JSON array.
+fn json_array(items: impl Iterator<Item = String>) -> String {
     format!("[{}]", items.collect::<Vec<_>>().join(","))
 }
 
+/// Returns the nodes of the view as a JSON array.
 fn node_list(shared: &Shared) -> String {
     let view = shared.view.load();
     let voters = view.entry.as_ref().map(|entry| entry.voters.clone()).unwrap_or_default();
-    join(view.nodes.iter().map(|(node, alive)| {
+    json_array(view.nodes.iter().map(|(node, alive)| {
         format!(
             "{{\"id\":\"{}\",\"peer\":{},\"admin\":{},\"zone\":{},\"core\":{},\"votes\":{},\"alive\":{alive},\"leaving\":{},\"version\":{}}}",
             node.node_id, quote(&node.addr), quote(&node.admin), quote(&node.zone), node.is_core,
@@ -25,8 +26,9 @@
     }))
 }
 
+/// Returns the reports as a JSON array.
 fn worker_list(reports: &[WorkerReport]) -> String {
-    join(reports.iter().map(|report| {
+    json_array(reports.iter().map(|report| {
         format!(
             "{{\"id\":{},\"addr\":{},\"pool\":{},\"zone\":{},\"incarnation\":{},\"seq\":{},\"slots\":{},\"busy\":{}}}",
             quote(&report.worker_id),
@@ -41,20 +43,21 @@
     }))
 }
 
-/// All nodes known to this node.
+/// Lists all nodes known to this node.
 pub async fn nodes(shared: Arc<Shared>, _: Request) -> Response {
     json(StatusCode::OK, node_list(&shared))
 }
 
+/// Sets whether an operator drains this node, and logs a change.
 fn set_draining(shared: &Shared, draining: bool) -> Response {
     if shared.operator_draining.swap(draining, Ordering::AcqRel) != draining {
-        tracing::info!(draining, "an operator changed whether this node is ready");
+        tracing::info!(draining, "drain state of this node set by an operator");
     }
     json(StatusCode::OK, format!("{{\"draining\":{draining}}}"))
 }
 
-/// Marks this node as not ready, so that the platform routes no new clients to it. It goes on serving
-/// calls.
+/// Marks this node as not ready, so that the platform routes no new clients to it. The node continues to
+/// serve calls.
 pub async fn drain(shared: Arc<Shared>, _: Request) -> Response {
     set_draining(&shared, true)
 }
@@ -64,43 +67,46 @@
     set_draining(&shared, false)
 }
 
-/// All workers known to this node.
+/// Lists all workers known to this node.
 pub async fn workers(shared: Arc<Shared>, _: Request) -> Response {
     json(StatusCode::OK, worker_list(&shared.view.load().workers))
 }
 
-/// The whole view of this node, for comparison with that of another.
+/// Shows the whole view of this node, for comparison with the view of another node.
 pub async fn beliefs(shared: Arc<Shared>, _: Request) -> Response {
     let view = shared.view.load();
-    let age = view.confirmed_at.map_or("null".into(), |t| (clock::now().saturating_sub(t) / 1_000).to_string());
+    let view_age_ms = view
+        .confirmed_at
+        .map_or("null".into(), |confirmed_at| (clock::now().saturating_sub(confirmed_at) / 1_000).to_string());
     let entry = view.entry.as_ref();
-    let cores = join(
+    let cores = json_array(
         entry
             .iter()
             .flat_map(|entry| &entry.voters)
-            .map(|c| format!("{{\"id\":\"{}\",\"peer\":{}}}", c.node_id, quote(&c.addr))),
+            .map(|voter| format!("{{\"id\":\"{}\",\"peer\":{}}}", voter.node_id, quote(&voter.addr))),
     );
-    let terms = join(view.held_leases.iter().map(|(role, epoch)| format!("{{\"duty\":{role},\"epoch\":{epoch}}}")));
-    let grants = join(view.grants.iter().map(|(tenant, window, granted, returned)| {
+    let leases =
+        json_array(view.held_leases.iter().map(|(role, epoch)| format!("{{\"duty\":{role},\"epoch\":{epoch}}}")));
+    let grants = json_array(view.grants.iter().map(|(tenant, window, granted, returned)| {
         format!("{{\"tenant\":{},\"window\":{window},\"granted\":{granted},\"returned\":{returned}}}", quote(tenant))
     }));
-    let slices = join(shared.call_state.slices.list().iter().map(|(tenant, window, granted, returned, free)| {
+    let slices = json_array(shared.call_state.slices.list().iter().map(|(tenant, window, granted, returned, free)| {
         format!(
             "{{\"tenant\":{},\"window\":{window},\"granted\":{granted},\"returned\":{returned},\"free\":{free}}}",
             quote(tenant)
         )
     }));
-    let shares = join(shared.call_state.slices.rates.list().iter().map(|(tenant, share, free)| {
+    let shares = json_array(shared.call_state.slices.rates.list().iter().map(|(tenant, share, free)| {
         format!("{{\"tenant\":{},\"share_ppm\":{share},\"free\":{free}}}", quote(tenant))
     }));
-    let held = join(view.share_pools.iter().map(|(key, held, unknown)| {
-        let t = view
+    let share_pools = json_array(view.share_pools.iter().map(|(key, held, unknown)| {
+        let tenant_name = view
             .config
             .tenants
             .keys()
-            .find(|t| sumacvale_core::quota::tenant_key(t) == *key)
+            .find(|tenant| sumacvale_core::quota::tenant_key(tenant) == *key)
             .map_or("", String::as_str);
-        format!("{{\"tenant\":{},\"held_ppm\":{held},\"unknown_ppm\":{unknown}}}", quote(t))
+        format!("{{\"tenant\":{},\"held_ppm\":{held},\"unknown_ppm\":{unknown}}}", quote(tenant_name))
     }));
     let cache_counts =
         |name: &str, (hits, misses): (usize, usize)| format!("\"{name}\":{{\"hits\":{hits},\"misses\":{misses}}}");
@@ -114,10 +120,10 @@
     json(
         StatusCode::OK,
         format!(
-            "{{\"id\":\"{}\",\"zone\":{},\"fleet\":\"{fleet:016x}\",\"version\":{},\"change\":{},\"stamp_age_ms\":{age},\"fresh\":{},\"votes\":{},\"stopping\":{},\"cores\":{cores},\"nodes\":{},\"workers\":{},\"terms\":{terms},\"grants\":{grants},\"slices\":{slices},\"shares\":{shares},\"pools\":{held},\"cache\":{{{cache}}}}}",
+            "{{\"id\":\"{}\",\"zone\":{},\"fleet\":\"{fleet:016x}\",\"version\":{},\"change\":{},\"stamp_age_ms\":{view_age_ms},\"fresh\":{},\"votes\":{},\"stopping\":{},\"cores\":{cores},\"nodes\":{},\"workers\":{},\"terms\":{leases},\"grants\":{grants},\"slices\":{slices},\"shares\":{shares},\"pools\":{share_pools},\"cache\":{{{cache}}}}}",
             shared.node_id,
             quote(&shared.settings.zone),
-            view.version.map_or("null".into(), |n| n.to_string()),
+            view.version.map_or("null".into(), |version| version.to_string()),
             entry.map_or("null".into(), |entry| format!("\"{}\"", entry.change_id)),
             shared.may_admit(&view),
             view.voter,
--- a/crates/node/src/admin/report.rs
+++ b/crates/node/src/admin/report.rs
@@ -1,6 +1,6 @@
-//! Reports of workers.
+//! Receives the load reports of workers.
 
-use super::responses::{json, trouble};
+use super::responses::{error_response, json};
 use crate::shared::{Command, Shared};
 use sonic_rs::{JsonValueTrait, Value};
 use std::net::SocketAddr;
@@ -8,25 +8,27 @@
 use sumacvale_core::protocol::WorkerReport;
 use viz::{Request, Response, StatusCode};
 
-const LARGE: usize = 16 << 10;
+/// The maximum size of a report, in bytes.
+const MAX_REPORT_BYTES: usize = 16 << 10;
 
-/// A worker says who it is and how loaded.
-pub async fn take(h: Arc<Shared>, r: Request) -> Response {
-    let b = match super::config::body(r, LARGE).await {
-        Ok(b) => b,
-        Err(r) => return r,
+/// Passes a worker's report on to the control thread. A draining worker's report is answered only once a
+/// majority of the cores knows it.
+pub async fn receive(shared: Arc<Shared>, request: Request) -> Response {
+    let body = match super::config::body(request, MAX_REPORT_BYTES).await {
+        Ok(body) => body,
+        Err(response) => return response,
     };
-    let row = match row(&b) {
-        Ok(r) => r,
-        Err((at, want)) => {
-            return trouble(StatusCode::UNPROCESSABLE_ENTITY, "report", &format!("{at}: must be {want}"));
+    let report = match parse_report(&body) {
+        Ok(report) => report,
+        Err((field, expected)) => {
+            return error_response(StatusCode::UNPROCESSABLE_ENTITY, "report", &format!("{field}: must be {expected}"));
         }
     };
-    if row.draining {
-        return drains(&h, row).await;
+    if report.draining {
+        return receive_drain(&shared, report).await;
     }
-    if h.commands.try_send(Command::Report(row)).is_err() {
-        return trouble(
+    if shared.commands.try_send(Command::Report(report)).is_err() {
+        return error_response(
             StatusCode::SERVICE_UNAVAILABLE,
             "busy",
             "this node is behind with its reports; report to another one",
@@ -35,54 +37,61 @@
     json(StatusCode::ACCEPTED, "{\"ok\":true}".into())
 }
 
-/// A worker relies on it that no more calls come once its drain was taken, so that is said only
-/// when a majority of the cores knows it.
-async fn drains(h: &Shared, row: WorkerReport) -> Response {
-    if crate::ops::report_worker(h, row).await {
+/// Acknowledges a drain once a majority of the cores knows it: after the acknowledgement the worker relies
+/// on receiving no more calls.
+async fn receive_drain(shared: &Shared, report: WorkerReport) -> Response {
+    if crate::ops::report_worker(shared, report).await {
         return json(StatusCode::ACCEPTED, "{\"ok\":true}".into());
     }
-    trouble(
+    error_response(
         StatusCode::SERVICE_UNAVAILABLE,
         "not_known",
         "this node can't bring it to a majority of the cores now; report the drain to another one",
     )
 }
 
-type Bad = (&'static str, &'static str);
+/// The name of an invalid field and what its value must be.
+type FieldError = (&'static str, &'static str);
 
-fn row(b: &str) -> Result<WorkerReport, Bad> {
-    let v: Value = sonic_rs::from_str(b).map_err(|_| ("", "one JSON object"))?;
-    let text = |k: &'static str| {
-        v.pointer([k])
-            .and_then(|x| x.as_str())
-            .filter(|s| !s.is_empty() && s.len() <= 128)
+/// Parses and validates the JSON body of a report.
+fn parse_report(body: &str) -> Result<WorkerReport, FieldError> {
+    let document: Value = sonic_rs::from_str(body).map_err(|_| ("", "one JSON object"))?;
+    let text = |field: &'static str| {
+        document
+            .pointer([field])
+            .and_then(|value| value.as_str())
+            .filter(|value| !value.is_empty() && value.len() <= 128)
             .map(str::to_owned)
-            .ok_or((k, "a text of 1 to 128 bytes"))
+            .ok_or((field, "a text of 1 to 128 bytes"))
     };
-    let num = |k: &'static str| v.pointer([k]).and_then(sonic_rs::JsonValueTrait::as_u64).ok_or((k, "a whole number"));
-    let small = |k: &'static str| num(k).and_then(|n| u32::try_from(n).map_err(|_| (k, "a small whole number")));
-    let r = WorkerReport {
+    let integer = |field: &'static str| {
+        document.pointer([field]).and_then(sonic_rs::JsonValueTrait::as_u64).ok_or((field, "a whole number"))
+    };
+    let small_integer = |field: &'static str| {
+        integer(field).and_then(|value| u32::try_from(value).map_err(|_| (field, "a small whole number")))
+    };
+    let report = WorkerReport {
         worker_id: text("id")?,
-        incarnation: num("incarnation")?,
-        seq: num("seq")?,
+        incarnation: integer("incarnation")?,
+        seq: integer("seq")?,
         addr: text("addr")?,
         pool: text("pool")?,
         zone: text("zone")?,
-        slots: small("slots")?,
-        busy: small("busy")?,
-        draining: match v.pointer(["draining"]) {
+        slots: small_integer("slots")?,
+        busy: small_integer("busy")?,
+        draining: match document.pointer(["draining"]) {
             None => false,
-            Some(x) => x.as_bool().ok_or(("draining", "true or false"))?,
+            Some(value) => value.as_bool().ok_or(("draining", "true or false"))?,
         },
         warm_up_left: 0,
         removed: false,
         age: 0,
     };
-    if r.addr.parse::<SocketAddr>().is_err() {
+    if report.addr.parse::<SocketAddr>().is_err() {
         return Err(("addr", "an IP address and port"));
     }
-    if r.slots == 0 || r.slots > 100_000 {
+    if report.slots == 0 || report.slots > 100_000 {
         return Err(("slots", "from 1 to 100000"));
     }
-    Ok(r)
+    Ok(report)
 }
--- a/crates/node/src/admin/routes.rs
+++ b/crates/node/src/admin/routes.rs
@@ -1,6 +1,6 @@
-//! The routes of both listeners, and who may use them.
+//! The routes of the admin and client listeners, and the bearer tokens that they require.
 
-use super::responses::{text, trouble};
+use super::responses::{error_response, text};
 use super::{config, metrics, nodes, report};
 use crate::front;
 use crate::shared::Shared;
@@ -9,32 +9,35 @@
 use sumacvale_core::base::sha256_hex;
 use viz::{Request, Response, Result, Router, StatusCode, header};
 
-/// Whether the bearer token of a request has one of these hashes. The token itself is never stored.
-pub fn allowed(request: &Request, hashes: &[String]) -> bool {
+/// Returns true if the SHA-256 hash of the request's bearer token is among `token_hashes`. Tokens themselves
+/// are never stored.
+pub fn is_authorized(request: &Request, token_hashes: &[String]) -> bool {
     request
         .headers()
         .get(header::AUTHORIZATION)
         .and_then(|value| value.to_str().ok())
         .and_then(|value| value.strip_prefix("Bearer "))
-        .is_some_and(|token| hashes.contains(&sha256_hex(token.trim().as_bytes())))
+        .is_some_and(|token| token_hashes.contains(&sha256_hex(token.trim().as_bytes())))
 }
 
+/// Reports that the process runs.
 fn live(_: &Shared) -> Response {
     text(StatusCode::OK, "live\n".into())
 }
 
+/// Reports whether this node accepts new clients, and the reason if it does not.
 fn ready(shared: &Shared) -> Response {
     match crate::ops::readiness(shared) {
         Ok(()) => text(StatusCode::OK, "ready\n".into()),
-        Err(why) => text(StatusCode::SERVICE_UNAVAILABLE, format!("{why}\n")),
+        Err(reason) => text(StatusCode::SERVICE_UNAVAILABLE, format!("{reason}\n")),
     }
 }
 
-/// A handler that needs an operator's token.
+/// A handler of a route for operators.
 type Handler<F> = fn(Arc<Shared>, Request) -> F;
 
-/// Serves a route without a token.
-fn open(
+/// Makes a route that requires no token.
+fn public(
     shared: &Arc<Shared>,
     handler: fn(&Shared) -> Response,
 ) -> impl Fn(Request) -> std::future::Ready<Result<Response>> + Clone + Send + Sync + 'static {
@@ -42,8 +45,8 @@
     move |_| std::future::ready(Ok(handler(&shared)))
 }
 
-/// Serves a route with `handler` if the request has the token of an operator, and 401 otherwise.
-fn guarded<F>(
+/// Makes a route that runs `handler` if the request has an operator's token, and responds 401 otherwise.
+fn operator_only<F>(
     shared: &Arc<Shared>,
     handler: Handler<F>,
 ) -> impl Fn(Request) -> std::pin::Pin<Box<dyn Future<Output = Result<Response>> + Send>> + Clone + Send + Sync + 'static
@@ -54,8 +57,8 @@
     move |request: Request| {
         let shared = shared.clone();
         Box::pin(async move {
-            if !allowed(&request, &shared.settings.operator_token_hashes) {
-                return Ok(trouble(
+            if !is_authorized(&request, &shared.settings.operator_token_hashes) {
+                return Ok(error_response(
                     StatusCode::UNAUTHORIZED,
                     "token",
                     "send an operator's token as: Authorization: Bearer TOKEN",
@@ -66,47 +69,47 @@
     }
 }
 
-/// The routes for operators and workers.
+/// Returns the routes for operators and workers.
 pub fn admin(shared: &Arc<Shared>) -> Router {
-    let for_reports = shared.clone();
+    let shared_for_reports = shared.clone();
     Router::new()
-        .get("/livez", open(shared, live))
-        .get("/readyz", open(shared, ready))
-        .get("/metrics", open(shared, metrics::all))
-        .get("/v1/config", guarded(shared, config::get))
-        .put("/v1/config", guarded(shared, config::put))
-        .get("/v1/history", guarded(shared, config::history))
-        .get("/v1/changes/:cid", guarded(shared, config::change))
-        .get("/v1/effective/:sort/:name", guarded(shared, config::effective))
-        .get("/v1/cores", guarded(shared, config::cores))
-        .put("/v1/cores", guarded(shared, config::put_cores))
-        .post("/v1/drain", guarded(shared, nodes::drain))
-        .delete("/v1/drain", guarded(shared, nodes::undrain))
-        .get("/v1/nodes", guarded(shared, nodes::nodes))
-        .get("/v1/workers", guarded(shared, nodes::workers))
-        .get("/v1/beliefs", guarded(shared, nodes::beliefs))
+        .get("/livez", public(shared, live))
+        .get("/readyz", public(shared, ready))
+        .get("/metrics", public(shared, metrics::render))
+        .get("/v1/config", operator_only(shared, config::get))
+        .put("/v1/config", operator_only(shared, config::put))
+        .get("/v1/history", operator_only(shared, config::history))
+        .get("/v1/changes/:cid", operator_only(shared, config::change))
+        .get("/v1/effective/:sort/:name", operator_only(shared, config::effective))
+        .get("/v1/cores", operator_only(shared, config::cores))
+        .put("/v1/cores", operator_only(shared, config::put_cores))
+        .post("/v1/drain", operator_only(shared, nodes::drain))
+        .delete("/v1/drain", operator_only(shared, nodes::undrain))
+        .get("/v1/nodes", operator_only(shared, nodes::nodes))
+        .get("/v1/workers", operator_only(shared, nodes::workers))
+        .get("/v1/beliefs", operator_only(shared, nodes::beliefs))
         .post("/v1/report", move |request: Request| {
-            let shared = for_reports.clone();
+            let shared = shared_for_reports.clone();
             async move {
-                if !allowed(&request, &shared.settings.worker_token_hashes) {
-                    return Ok::<_, viz::Error>(trouble(
+                if !is_authorized(&request, &shared.settings.worker_token_hashes) {
+                    return Ok::<_, viz::Error>(error_response(
                         StatusCode::UNAUTHORIZED,
                         "token",
                         "send a worker's token as: Authorization: Bearer TOKEN",
                     ));
                 }
-                Ok(report::take(shared, request).await)
+                Ok(report::receive(shared, request).await)
             }
         })
 }
 
-/// The routes for callers.
+/// Returns the routes for clients.
 pub fn downstream(shared: &Arc<Shared>) -> Router {
-    let for_calls = shared.clone();
-    Router::new().get("/livez", open(shared, live)).get("/readyz", open(shared, ready)).any(
+    let shared_for_calls = shared.clone();
+    Router::new().get("/livez", public(shared, live)).get("/readyz", public(shared, ready)).any(
         "/*",
         move |request: Request| {
-            let shared = for_calls.clone();
+            let shared = shared_for_calls.clone();
             async move { Ok::<_, viz::Error>(front::serve(shared, request).await) }
         },
     )
