--- a/crates/node/src/import.rs
+++ b/crates/node/src/import.rs
@@ -1,49 +1,56 @@
-//! Matches from an `OpenAPI` file: a beginning for an operator, printed and not applied.
+//! Generates a configuration from an `OpenAPI` file, as a starting point that is printed and not applied.
 
 use openapiv3::{OpenAPI, Operation, ReferenceOr};
 use serde_json::{Map, Value, json};
 use sumacvale_core::config::validate;
 
-/// A tree with the pool and a match for each operation, and what was left out.
+/// Generates a configuration document with one pool and a match for each operation. Also returns a message for
+/// each path or operation that was skipped.
+///
+/// # Errors
+/// A message if the text is no `OpenAPI` 3 file in JSON or the generated document is invalid.
 pub fn import(text: &str, pool: &str) -> Result<(String, Vec<String>), String> {
-    let api: OpenAPI =
-        serde_json::from_str(text).map_err(|e| format!("no OpenAPI 3 file in JSON: {e}; convert it first"))?;
-    let (mut ms, mut out) = (Map::new(), Vec::new());
+    let api: OpenAPI = serde_json::from_str(text)
+        .map_err(|e| format!("not an OpenAPI 3 file in JSON: {e}; convert the file first"))?;
+    let (mut matches, mut skipped) = (Map::new(), Vec::new());
     for (path, item) in &api.paths.paths {
         let ReferenceOr::Item(item) = item else {
-            out.push(format!("{path}: is a reference; write it out in the file"));
+            skipped.push(format!("{path}: references are not supported; inline the path item in the file"));
             continue;
         };
-        for (method, op) in item.iter() {
-            let m = method.to_uppercase();
-            if !["GET", "POST", "PUT", "PATCH", "DELETE"].contains(&m.as_str()) {
-                out.push(format!("{m} {path}: this method is not served"));
+        for (method, operation) in item.iter() {
+            let upper_method = method.to_uppercase();
+            if !["GET", "POST", "PUT", "PATCH", "DELETE"].contains(&upper_method.as_str()) {
+                skipped.push(format!("{upper_method} {path}: method is not supported"));
                 continue;
             }
-            ms.insert(name(op, method, path), one(op, &m, path, pool));
+            matches.insert(match_name(operation, method, path), match_settings(operation, &upper_method, path, pool));
         }
     }
-    let tree = json!({ "pools": { pool: {} }, "matches": ms });
-    let s = serde_json::to_string_pretty(&tree).map_err(|e| e.to_string())?;
-    validate(&s).map_err(|v| v.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))?;
-    Ok((s, out))
+    let document = json!({ "pools": { pool: {} }, "matches": matches });
+    let document_text = serde_json::to_string_pretty(&document).map_err(|e| e.to_string())?;
+    validate(&document_text).map_err(|errors| errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))?;
+    Ok((document_text, skipped))
 }
 
-fn name(op: &Operation, method: &str, path: &str) -> String {
-    op.operation_id.clone().unwrap_or_else(|| format!("{method}{}", path.replace('/', "-")))
+/// Returns the name of the match: the operation id, or else the method and the path.
+fn match_name(operation: &Operation, method: &str, path: &str) -> String {
+    operation.operation_id.clone().unwrap_or_else(|| format!("{method}{}", path.replace('/', "-")))
 }
 
-/// What HTTP says of a method goes for its match: GET may be repeated.
-fn one(op: &Operation, method: &str, path: &str, pool: &str) -> Value {
-    let mut v = json!({ "path": path, "method": method, "pool": pool });
+/// Returns the settings of the match for an operation. GET is idempotent by HTTP, so its match may be retried.
+fn match_settings(operation: &Operation, method: &str, path: &str, pool: &str) -> Value {
+    let mut settings = json!({ "path": path, "method": method, "pool": pool });
     if method == "GET" {
-        v["kind"] = json!("lookup");
-        v["repeat"] = json!(true);
+        settings["kind"] = json!("lookup");
+        settings["repeat"] = json!(true);
     }
-    for (from, to) in [("x-kind", "kind"), ("x-repeat", "repeat"), ("x-resume", "resume"), ("x-prompt", "prompt")] {
-        if let Some(x) = op.extensions.get(from) {
-            v[to] = x.clone();
+    for (extension, setting) in
+        [("x-kind", "kind"), ("x-repeat", "repeat"), ("x-resume", "resume"), ("x-prompt", "prompt")]
+    {
+        if let Some(value) = operation.extensions.get(extension) {
+            settings[setting] = value.clone();
         }
     }
-    v
+    settings
 }
--- a/crates/node/src/ops.rs
+++ b/crates/node/src/ops.rs
@@ -1,4 +1,4 @@
-//! What any dialect's calls of operators, workers and the platform come to.
+//! The operations that every protocol adapter offers to operators, workers and the platform.
 
 use crate::clock;
 use crate::shared::{Command, Shared};
@@ -9,96 +9,106 @@
 use sumacvale_core::protocol::{Change, ChangeOutcome, LogEntry, UNNUMBERED_INCARNATION, WorkerReport};
 use tokio::sync::oneshot;
 
-/// How long a version that others confirmed may take to arrive here.
-const HOLD: Micros = 900 * MS;
-const LOOK: Duration = Duration::from_millis(10);
+/// How long this node waits for a version that a majority of the cores confirmed, in microseconds.
+const CATCH_UP_TIMEOUT: Micros = 900 * MS;
+/// How often the view is polled while this node waits for a version.
+const VIEW_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Hands a change or a question to the node, and waits for its end.
+/// Submits a change or a query to the control thread and returns its outcome. `has_generated_id` is true if this
+/// node generated the id, so that no other node can have received the change.
 pub async fn submit_change(
-    h: &Shared,
-    (change_id, fresh): (ChangeId, bool),
+    shared: &Shared,
+    (change_id, has_generated_id): (ChangeId, bool),
     base: u64,
     change: Change,
 ) -> ChangeOutcome {
-    let (tx, rx) = oneshot::channel();
-    if h.commands
-        .send(Command::SubmitChange { change_id, is_first_send: fresh, base, change, reply: tx })
+    let (reply_sender, outcome) = oneshot::channel();
+    if shared
+        .commands
+        .send(Command::SubmitChange { change_id, is_first_send: has_generated_id, base, change, reply: reply_sender })
         .await
         .is_err()
     {
         return ChangeOutcome::NoQuorum;
     }
-    rx.await.unwrap_or(ChangeOutcome::Unknown)
+    outcome.await.unwrap_or(ChangeOutcome::Unknown)
 }
 
-/// A whole document, built on the one with number `base`. The same document is the same change.
-pub async fn put_document(h: &Shared, base: u64, body: String) -> ChangeOutcome {
-    if let Err(v) = (h.adapter.config_reader)(&body) {
-        return ChangeOutcome::Invalid { reason: v.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ") };
+/// Replaces the configuration document, based on version `base`. The id of the change is the hash of the document,
+/// so a repeated submission is the same change.
+pub async fn put_document(shared: &Shared, base: u64, body: String) -> ChangeOutcome {
+    if let Err(errors) = (shared.adapter.config_reader)(&body) {
+        return ChangeOutcome::Invalid {
+            reason: errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "),
+        };
     }
     let change_id = ChangeId(hash64(body.as_bytes()).max(1));
-    submit_change(h, (change_id, false), base, Change::Document(body)).await
+    submit_change(shared, (change_id, false), base, Change::Document(body)).await
 }
 
-/// Changes to single items of the document with number `base`. The same patch is the same change.
-pub async fn patch_document(h: &Shared, base: u64, patch: Patch) -> ChangeOutcome {
+/// Changes single items of the configuration document, based on version `base`. The id of the change is the hash
+/// of the patch, so a repeated submission is the same change.
+pub async fn patch_document(shared: &Shared, base: u64, patch: Patch) -> ChangeOutcome {
     let [b0, b1, b2, b3, b4, b5, b6, b7, ..] = patch.hash();
     let change_id = ChangeId(u64::from_be_bytes([b0, b1, b2, b3, b4, b5, b6, b7]).max(1));
-    submit_change(h, (change_id, false), base, Change::Patch(patch)).await
+    submit_change(shared, (change_id, false), base, Change::Patch(patch)).await
 }
 
-/// The newest document: nothing that was acknowledged before this call is missing in it.
-pub async fn read_newest(h: &Shared) -> Option<String> {
-    match submit_change(h, (ChangeId(0), false), 0, Change::ReadNewest).await {
+/// Returns the newest configuration document: it contains every change that was acknowledged before this call.
+/// `None` if no majority of the cores confirms it.
+pub async fn read_newest(shared: &Shared) -> Option<String> {
+    match submit_change(shared, (ChangeId(0), false), 0, Change::ReadNewest).await {
         ChangeOutcome::Content { text } => Some(text),
         _ => None,
     }
 }
 
-/// The newest version, once this node holds it; nothing that was acknowledged before this call is
-/// missing in it.
-pub async fn newest_version(h: &Shared) -> Option<Arc<LogEntry>> {
-    let from = clock::now();
-    let body = read_newest(h).await?;
-    while clock::now() < from + HOLD {
-        let v = h.view.load_full();
-        let confirmed = v.confirmed_at.is_some_and(|t| t >= from);
-        if let Some(d) = v.entry.clone().filter(|d| confirmed || d.body == body) {
-            return Some(d);
+/// Returns the newest version once this node holds it: it contains every change that was acknowledged before this
+/// call. `None` if no majority of the cores confirms it or this node does not receive it in time.
+pub async fn newest_version(shared: &Shared) -> Option<Arc<LogEntry>> {
+    let started_at = clock::now();
+    let body = read_newest(shared).await?;
+    while clock::now() < started_at + CATCH_UP_TIMEOUT {
+        let view = shared.view.load_full();
+        let is_confirmed = view.confirmed_at.is_some_and(|time| time >= started_at);
+        if let Some(entry) = view.entry.clone().filter(|entry| is_confirmed || entry.body == body) {
+            return Some(entry);
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(VIEW_POLL_INTERVAL).await;
     }
     None
 }
 
-/// A worker says who it is and how it is; true once that counts wherever calls are taken.
-pub async fn report_worker(h: &Shared, row: WorkerReport) -> bool {
-    let (back, rx) = oneshot::channel();
-    h.commands.try_send(Command::ReportWithAck { report: row, reply: back }).is_ok() && rx.await.unwrap_or(false)
+/// Reports the state of a worker. Returns true once the report is acknowledged: from then on every node that
+/// admits calls takes it into account.
+pub async fn report_worker(shared: &Shared, worker_report: WorkerReport) -> bool {
+    let (reply_sender, acknowledged) = oneshot::channel();
+    shared.commands.try_send(Command::ReportWithAck { report: worker_report, reply: reply_sender }).is_ok()
+        && acknowledged.await.unwrap_or(false)
 }
 
-/// A worker has ended in order.
-pub async fn remove_worker(h: &Shared, id: &str) -> bool {
-    report_worker(h, WorkerReport::removal(id, UNNUMBERED_INCARNATION)).await
+/// Removes a worker that has shut down. Returns true once the removal is acknowledged.
+pub async fn remove_worker(shared: &Shared, worker_id: &str) -> bool {
+    report_worker(shared, WorkerReport::removal(worker_id, UNNUMBERED_INCARNATION)).await
 }
 
-/// Whether callers may be handed to this node.
-pub fn readiness(h: &Shared) -> Result<(), &'static str> {
-    let v = h.view.load();
-    if h.is_stopping() {
+/// Returns `Ok` if this node accepts new clients, else the reason why it does not.
+pub fn readiness(shared: &Shared) -> Result<(), &'static str> {
+    let view = shared.view.load();
+    if shared.is_stopping() {
         Err("stopping")
-    } else if h.operator_draining.load(std::sync::atomic::Ordering::Acquire) {
+    } else if shared.operator_draining.load(std::sync::atomic::Ordering::Acquire) {
         Err("draining")
-    } else if !h.may_admit(&v) {
+    } else if !shared.may_admit(&view) {
         Err("not fresh")
-    } else if !v.is_ready(clock::now()) {
+    } else if !view.is_ready(clock::now()) {
         Err("not all workers heard of yet")
     } else {
         Ok(())
     }
 }
 
-/// A request of a caller.
-pub async fn serve_call(h: Arc<Shared>, r: viz::Request) -> viz::Response {
-    crate::front::serve(h, r).await
+/// Serves one call.
+pub async fn serve_call(shared: Arc<Shared>, request: viz::Request) -> viz::Response {
+    crate::front::serve(shared, request).await
 }
--- a/crates/node/src/protocol_adapter.rs
+++ b/crates/node/src/protocol_adapter.rs
@@ -16,7 +16,7 @@
     pub quota_window: Option<&'static str>,
     /// The worker that an attempt is meant for.
     pub worker: Option<&'static str>,
-    /// The time for which the caller still waits, in milliseconds.
+    /// How much longer the caller waits, in milliseconds.
     pub time_left: Option<&'static str>,
     /// The urgency of a request, sent to the worker.
     pub urgency: Option<&'static str>,
@@ -48,7 +48,7 @@
     pub config_reader: ConfigReader,
 }
 
-/// The adapter of the product itself.
+/// The adapter for the protocol of this project itself.
 pub static STANDARD_ADAPTER: ProtocolAdapter = ProtocolAdapter {
     headers: HeaderNames {
         request_id: "x-call-id",
@@ -65,6 +65,6 @@
         worker_load: Some("x-load"),
     },
     preserves_host: false,
-    format_retry_after: |t, id| spread_retry_after(t, id).div_ceil(1_000_000).to_string(),
+    format_retry_after: |retry_after, call_id| spread_retry_after(retry_after, call_id).div_ceil(1_000_000).to_string(),
     config_reader: validate,
 };
--- a/crates/node/src/serve/connection_state.rs
+++ b/crates/node/src/serve/connection_state.rs
@@ -1,8 +1,8 @@
-//! What connections of clients are at.
+//! The phases of client connections, by which their time-outs are chosen.
 
 use super::ConnectionLimits;
 use crate::clock;
-use crate::watched::Watch;
+use crate::watched::SocketObserver;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use std::pin::Pin;
@@ -11,74 +11,81 @@
 use std::task::{Context, Poll};
 use sumacvale_core::base::Micros;
 
+/// Phase: no request has begun.
 const IDLE: u8 = 0;
-const HEAD: u8 = 1;
-const BUSY: u8 = 2;
+/// Phase: the head of a request is being read.
+const READING_HEAD: u8 = 1;
+/// Phase: a request is being served.
+const SERVING: u8 = 2;
 
-/// What a connection of a client is at, and since when.
+/// The phase of a client connection and the time at which it began.
 #[derive(Debug)]
 pub struct ConnectionState {
-    is: AtomicU8,
+    phase: AtomicU8,
+    /// The time at which an idle phase or the reading of a head began, in microseconds of the clock; not updated
+    /// for [`SERVING`], which has no time-out.
     since: AtomicU64,
-    pub eof: AtomicBool,
+    /// Set once the client has closed its side of the connection.
+    pub is_read_closed: AtomicBool,
 }
 
 impl Default for ConnectionState {
     fn default() -> Self {
-        ConnectionState { is: IDLE.into(), since: clock::now().into(), eof: AtomicBool::new(false) }
+        ConnectionState { phase: IDLE.into(), since: clock::now().into(), is_read_closed: AtomicBool::new(false) }
     }
 }
 
 impl ConnectionState {
-    fn enter(&self, s: u8) {
+    /// Starts a phase that has a time-out.
+    fn enter(&self, phase: u8) {
         self.since.store(clock::now(), Ordering::Relaxed);
-        self.is.store(s, Ordering::Release);
+        self.phase.store(phase, Ordering::Release);
     }
 
-    /// A request is being served.
-    pub fn busy(&self) {
-        self.is.store(BUSY, Ordering::Release);
+    /// Marks that a request is being served.
+    pub fn begin_serving(&self) {
+        self.phase.store(SERVING, Ordering::Release);
     }
 
-    /// When to look again, or nothing when its time is over.
-    pub fn due(&self, l: &ConnectionLimits, now: Micros) -> Option<Micros> {
+    /// Returns the time of the next check, or `None` if the connection has timed out.
+    pub fn next_check(&self, limits: &ConnectionLimits, now: Micros) -> Option<Micros> {
         let since = self.since.load(Ordering::Relaxed);
-        let may = match self.is.load(Ordering::Acquire) {
-            IDLE => since + l.idle_timeout(),
-            HEAD => since + l.header_timeout(),
-            _ => return Some(now + l.idle_timeout().min(l.header_timeout())),
+        let deadline = match self.phase.load(Ordering::Acquire) {
+            IDLE => since + limits.idle_timeout(),
+            READING_HEAD => since + limits.header_timeout(),
+            _ => return Some(now + limits.idle_timeout().min(limits.header_timeout())),
         };
-        // An idle one may begin a head at any time.
-        (now < may).then_some(may.min(now + l.idle_timeout().min(l.header_timeout())))
+        // An idle connection may begin a head at any time, so the shorter time-out bounds each wait.
+        (now < deadline).then_some(deadline.min(now + limits.idle_timeout().min(limits.header_timeout())))
     }
 }
 
-impl Watch for Arc<ConnectionState> {
+impl SocketObserver for Arc<ConnectionState> {
     fn after_read(&self, bytes: usize) {
         if bytes == 0 {
-            self.eof.store(true, Ordering::Relaxed);
-        } else if self.is.load(Ordering::Acquire) == IDLE {
-            self.enter(HEAD);
+            self.is_read_closed.store(true, Ordering::Relaxed);
+        } else if self.phase.load(Ordering::Acquire) == IDLE {
+            self.enter(READING_HEAD);
         }
     }
 }
 
-/// A response's body; when it goes, its connection is idle.
+/// A response body that marks its connection as idle when it is dropped.
 pub struct TrackedBody {
-    b: viz::Body,
-    at: Arc<ConnectionState>,
+    body: viz::Body,
+    connection: Arc<ConnectionState>,
 }
 
 impl TrackedBody {
-    /// A body on the connection with this state.
-    pub fn new(b: viz::Body, at: Arc<ConnectionState>) -> Self {
-        TrackedBody { b, at }
+    /// Wraps the body of a response on a connection.
+    pub fn new(body: viz::Body, connection: Arc<ConnectionState>) -> Self {
+        TrackedBody { body, connection }
     }
 }
 
 impl Drop for TrackedBody {
     fn drop(&mut self) {
-        self.at.enter(IDLE);
+        self.connection.enter(IDLE);
     }
 }
 
@@ -88,16 +95,16 @@
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
+        context: &mut Context<'_>,
     ) -> Poll<Option<std::result::Result<Frame<Bytes>, Self::Error>>> {
-        Pin::new(&mut self.b).poll_frame(cx)
+        Pin::new(&mut self.body).poll_frame(context)
     }
 
     fn is_end_stream(&self) -> bool {
-        self.b.is_end_stream()
+        self.body.is_end_stream()
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.b.size_hint()
+        self.body.size_hint()
     }
 }
--- a/crates/node/src/serve/mod.rs
+++ b/crates/node/src/serve/mod.rs
@@ -1,11 +1,11 @@
-//! Listeners for HTTP, closed without dropping what was read.
+//! HTTP listeners, whose shutdown completes every request that was read.
 
 mod connection_limits;
 mod connection_state;
 
 pub use connection_limits::ConnectionLimits;
 
-use crate::watched::Watched;
+use crate::watched::ObservedSocket;
 use crate::{clock, net};
 use connection_state::{ConnectionState, TrackedBody};
 use futures::TryFutureExt;
@@ -23,83 +23,97 @@
 use tokio::sync::{Semaphore, mpsc, watch};
 use viz::{Responder, Router, Tree};
 
-/// Serves until `stop` turns true, then finishes the calls that were read.
-pub async fn run(l: TcpListener, r: Router, conns: usize, lim: Arc<ConnectionLimits>, mut stop: watch::Receiver<bool>) {
-    let tree = Arc::new(Tree::from(r));
-    let room = Arc::new(Semaphore::new(conns));
-    let (done, mut all) = mpsc::channel::<()>(1);
-    let next = async || {
-        let p = room.clone().acquire_owned().await.map_err(std::io::Error::other)?;
-        l.accept().await.map(|a| (a, p))
+/// Serves connections until `stop` turns true, then completes the requests that were read.
+pub async fn run(
+    listener: TcpListener,
+    routes: Router,
+    max_connections: usize,
+    limits: Arc<ConnectionLimits>,
+    mut stop: watch::Receiver<bool>,
+) {
+    let tree = Arc::new(Tree::from(routes));
+    let connection_permits = Arc::new(Semaphore::new(max_connections));
+    // Every connection task holds a sender: the receiver ends once all tasks have ended.
+    let (task_alive, mut all_tasks) = mpsc::channel::<()>(1);
+    let accept = async || {
+        let permit = connection_permits.clone().acquire_owned().await.map_err(std::io::Error::other)?;
+        listener.accept().await.map(|accepted| (accepted, permit))
     };
     loop {
-        let got = tokio::select! {
+        let result = tokio::select! {
             biased;
-            _ = stop.wait_for(|s| *s) => break,
-            x = next() => x,
+            _ = stop.wait_for(|is_stopping| *is_stopping) => break,
+            result = accept() => result,
         };
-        let ((s, from), p) = match got {
-            Ok(x) => x,
+        let ((stream, remote_addr), permit) = match result {
+            Ok(accepted) => accepted,
             Err(e) => {
-                tracing::warn!(trouble = %e, "no connection could be taken; raise the limit of open files");
+                tracing::warn!(error = %e, "accept failed; raise the limit of open files");
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 continue;
             }
         };
-        let (tree, stop, done, lim) = (tree.clone(), stop.clone(), done.clone(), lim.clone());
+        let (tree, stop, task_alive, limits) = (tree.clone(), stop.clone(), task_alive.clone(), limits.clone());
         tokio::spawn(async move {
-            let (_p, _d) = (p, done);
-            talk(s, Responder::new(tree, Some(from)), &lim, stop).await;
+            let (_permit, _task_alive) = (permit, task_alive);
+            serve_connection(stream, Responder::new(tree, Some(remote_addr)), &limits, stop).await;
         });
     }
-    drop(l);
-    drop(done);
-    let _ = all.recv().await;
+    drop(listener);
+    drop(task_alive);
+    let _ = all_tasks.recv().await;
 }
 
-async fn talk(s: TcpStream, r: Responder<SocketAddr>, lim: &ConnectionLimits, mut stop: watch::Receiver<bool>) {
-    net::tune(&s, net::CLIENT);
-    let at = Arc::new(ConnectionState::default());
-    let says = service_fn(|q| {
-        at.busy();
-        let at = at.clone();
-        r.call(q).map_ok(move |r| r.map(|b| TrackedBody::new(b, at)))
+/// Serves the requests of one connection until it ends, times out or `stop` turns true.
+async fn serve_connection(
+    stream: TcpStream,
+    responder: Responder<SocketAddr>,
+    limits: &ConnectionLimits,
+    mut stop: watch::Receiver<bool>,
+) {
+    net::tune(&stream, net::CLIENT_USER_TIMEOUT);
+    let state = Arc::new(ConnectionState::default());
+    let service = service_fn(|request| {
+        state.begin_serving();
+        let state = state.clone();
+        responder.call(request).map_ok(move |response| response.map(|body| TrackedBody::new(body, state)))
     });
-    let mut c = http1::Builder::new()
-        .max_buf_size(lim.max_header_bytes())
-        .serve_connection(TokioIo::new(Watched::new(s, at.clone())), says);
-    // One timer for a connection, however many requests it has.
-    let late = async {
+    let mut connection = http1::Builder::new()
+        .max_buf_size(limits.max_header_bytes())
+        .serve_connection(TokioIo::new(ObservedSocket::new(stream, state.clone())), service);
+    // One timer serves all requests of a connection.
+    let timed_out = async {
         loop {
             let now = clock::now();
-            let Some(t) = at.due(lim, now) else { return };
-            tokio::time::sleep(Duration::from_micros(t.saturating_sub(now).clamp(1_000, SEC * 60))).await;
+            let Some(next_check) = state.next_check(limits, now) else { return };
+            tokio::time::sleep(Duration::from_micros(next_check.saturating_sub(now).clamp(1_000, SEC * 60))).await;
         }
     };
-    let ended = tokio::select! {
+    let result = tokio::select! {
         biased;
-        r = poll_fn(|cx| c.poll_without_shutdown(cx)) => Some(r),
-        _ = stop.wait_for(|s| *s) => None,
-        () = late => return,
+        result = poll_fn(|context| connection.poll_without_shutdown(context)) => Some(result),
+        _ = stop.wait_for(|is_stopping| *is_stopping) => None,
+        () = timed_out => return,
     };
-    let ended = match ended {
-        Some(r) => r,
+    let result = match result {
+        Some(result) => result,
         None => {
-            std::pin::Pin::new(&mut c).graceful_shutdown();
-            poll_fn(|cx| c.poll_without_shutdown(cx)).await
+            std::pin::Pin::new(&mut connection).graceful_shutdown();
+            poll_fn(|context| connection.poll_without_shutdown(context)).await
         }
     };
-    if ended.is_ok() && !at.eof.load(Ordering::Relaxed) {
-        linger(c.into_parts().io.into_inner()).await;
+    if result.is_ok() && !state.is_read_closed.load(Ordering::Relaxed) {
+        lingering_close(connection.into_parts().io.into_inner()).await;
     }
 }
 
-/// A close with bytes unread would take back what was answered, so the other side closes first, in a while.
-async fn linger(mut s: impl AsyncRead + AsyncWrite + Unpin) {
-    if s.shutdown().await.is_err() {
+/// Closes a socket after the client has closed its side, or after 200 ms. A close with unread bytes would send a
+/// reset, which can discard the response before the client reads it.
+async fn lingering_close(mut socket: impl AsyncRead + AsyncWrite + Unpin) {
+    if socket.shutdown().await.is_err() {
         return;
     }
-    let mut b = [0; 4096];
-    let rest = async { while s.read(&mut b).await.is_ok_and(|n| n > 0) {} };
-    let _ = tokio::time::timeout(Duration::from_millis(200), rest).await;
+    let mut buffer = [0; 4096];
+    let drain = async { while socket.read(&mut buffer).await.is_ok_and(|count| count > 0) {} };
+    let _ = tokio::time::timeout(Duration::from_millis(200), drain).await;
 }
--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -1,9 +1,10 @@
-//! One connection to a worker; its type tells its state: unconnected, connected, responding.
+//! One connection to a worker, with its state as a type parameter: [`Unconnected`], [`Connected`] or
+//! [`Responding`].
 
 use super::gate::ConnectionPermit;
 use super::keep_alive::KeepAliveHints;
 use super::pool::UpstreamPool;
-use super::socket::{self, Sender, SocketWatch};
+use super::socket::{self, Sender, SocketMonitor};
 use super::target::Target;
 use crate::net;
 use bytes::Bytes;
@@ -35,7 +36,7 @@
 #[derive(Debug)]
 pub struct Connected {
     sender: Sender,
-    watch: Arc<SocketWatch>,
+    monitor: Arc<SocketMonitor>,
     is_reused: bool,
 }
 
@@ -43,57 +44,58 @@
 #[derive(Debug)]
 pub struct Responding {
     sender: Sender,
-    watch: Arc<SocketWatch>,
+    monitor: Arc<SocketMonitor>,
     hints: KeepAliveHints,
 }
 
 /// What a request requires of its connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConnectionRequirements {
-    /// Not an idle one, as one that was reused for this request had ended.
+    /// The connection must not be a reused one, as a reused one had been closed before this request was written.
     pub must_be_new: bool,
-    /// The request can't be repeated, so an idle connection must have been used a moment ago
+    /// The request can't be repeated, so an idle connection must have been used recently
     /// ([`super::Timeouts::non_idempotent_idle`]).
     pub is_non_idempotent: bool,
-    /// How many connections this node may have to the worker; nought for any number.
+    /// The maximum number of connections from this node to the worker; 0 for no limit.
     pub max_connections: usize,
 }
 
-/// Why there is no connection; nothing was sent.
+/// Why no connection was opened. Nothing was sent.
 #[derive(Debug, Display, thiserror::Error)]
 pub enum ConnectError {
-    /// this node's share of the worker's connections is in use; raise the worker's limit or add workers
+    /// connection limit of this node to the worker reached; raise the worker's limit or add workers
     LimitReached,
-    /// the worker can't be connected: {0}; look at the worker and the network
+    /// connection to the worker failed: {0}; check the worker and the network
     Io(std::io::Error),
 }
 
-/// How a send failed.
+/// Why a request got no response, and whether the worker may have read it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, thiserror::Error)]
 pub enum SendError {
-    /// the idle connection had ended and nothing was written; send again on a new one
+    /// idle connection was closed before the request was written; retry on a new connection
     StaleConnection,
-    /// nothing was written, though the connection is new; try another worker
+    /// new connection failed before the request was written; retry at another worker
     NotSent,
-    /// the connection broke and the worker may have read the request; repeat it only if it is idempotent
+    /// connection was lost after the request may have been read; retry only if the request is idempotent
     MaybeSent,
 }
 
-/// How long an idle connection may take to accept a request, in microseconds.
+/// How long an idle connection may take to become ready for a request, in microseconds.
 const READY_TIMEOUT: Micros = 2_000;
 
+/// Converts microseconds to a [`Duration`].
 fn micros(duration: Micros) -> Duration {
     Duration::from_micros(duration)
 }
 
 impl UpstreamConnection<Unconnected> {
-    /// A connection to this incarnation of a worker, not yet made.
+    /// Creates a connection to an incarnation of a worker, not yet connected.
     pub fn to(target: Target) -> Self {
         UpstreamConnection { target, state: Unconnected }
     }
 
-    /// Reuses an idle connection, or makes one; waits for [`super::Timeouts::permit_wait`] while there
-    /// are as many as may be.
+    /// Reuses an idle connection or establishes a new one. Waits up to [`super::Timeouts::permit_wait`] while the
+    /// connection limit is reached.
     ///
     /// # Errors
     /// [`ConnectError`]; nothing was sent.
@@ -112,65 +114,65 @@
         let permit = loop {
             let released = gate.released.notified();
             tokio::pin!(released);
-            // Registered before looking, so that no release in between is missed.
+            // Registered before the checks, so that no release between them and the wait is missed.
             released.as_mut().enable();
             if !requirements.must_be_new
-                && let Some((sender, watch)) = reuse(pool, &target, requirements.is_non_idempotent).await
+                && let Some((sender, monitor)) = reuse(pool, &target, requirements.is_non_idempotent).await
             {
-                let state = Connected { sender, watch, is_reused: true };
+                let state = Connected { sender, monitor, is_reused: true };
                 return Ok(UpstreamConnection { target, state });
             }
             if let Some(permit) = gate.try_acquire(max_connections) {
                 break permit;
             }
-            // Idle ones that are left are too old for this request: one makes room for a new one.
+            // The remaining idle connections are too old for this request: closing one frees its permit.
             pool.close_oldest_idle(&target);
             let deadline = *deadline.get_or_insert_with(|| Instant::now() + micros(pool.timeouts.permit_wait));
             if timeout_at(deadline, released).await.is_err() {
                 return Err(ConnectError::LimitReached);
             }
         };
-        let (sender, watch) = connect(pool, &target, permit).await?;
-        Ok(UpstreamConnection { target, state: Connected { sender, watch, is_reused: false } })
+        let (sender, monitor) = connect(pool, &target, permit).await?;
+        Ok(UpstreamConnection { target, state: Connected { sender, monitor, is_reused: false } })
     }
 }
 
-/// The first idle connection that takes a request.
-async fn reuse(pool: &UpstreamPool, target: &Target, is_non_idempotent: bool) -> Option<(Sender, Arc<SocketWatch>)> {
-    while let Some((mut sender, watch)) = pool.reuse_idle(target, is_non_idempotent) {
+/// Returns the first idle connection that is ready for a request.
+async fn reuse(pool: &UpstreamPool, target: &Target, is_non_idempotent: bool) -> Option<(Sender, Arc<SocketMonitor>)> {
+    while let Some((mut sender, monitor)) = pool.reuse_idle(target, is_non_idempotent) {
         let is_ready = match sender.ready().now_or_never() {
             Some(result) => result.is_ok(),
             None => matches!(timeout(micros(READY_TIMEOUT), sender.ready()).await, Ok(Ok(()))),
         };
         if is_ready {
-            return Some((sender, watch));
+            return Some((sender, monitor));
         }
     }
     None
 }
 
-/// Makes a connection, whose permit is released when its socket closes.
+/// Establishes a connection, whose permit is released when its socket is closed.
 async fn connect(
     pool: &UpstreamPool,
     target: &Target,
     permit: ConnectionPermit,
-) -> Result<(Sender, Arc<SocketWatch>), ConnectError> {
+) -> Result<(Sender, Arc<SocketMonitor>), ConnectError> {
     let stream = match timeout(micros(pool.timeouts.connect), TcpStream::connect(target.addr)).await {
         Ok(connected) => connected.map_err(ConnectError::Io)?,
         Err(_timed_out) => return Err(ConnectError::Io(std::io::ErrorKind::TimedOut.into())),
     };
-    net::tune(&stream, net::WORKER);
-    let (stream, watch) = socket::watch(stream, permit);
+    net::tune(&stream, net::WORKER_USER_TIMEOUT);
+    let (stream, monitor) = socket::observe(stream, permit);
     let handshake = Builder::new().handshake(TokioIo::new(stream)).await;
     let (sender, connection) = handshake.map_err(|error| ConnectError::Io(std::io::Error::other(error)))?;
     tokio::spawn(async move {
         let _ = connection.await;
     });
-    Ok((sender, watch))
+    Ok((sender, monitor))
 }
 
 impl UpstreamConnection<Connected> {
-    /// Whether this connection had been used before.
+    /// Returns true if this connection served an earlier request.
     pub fn is_reused(&self) -> bool {
         self.state.is_reused
     }
@@ -178,23 +180,23 @@
     /// Sends a request and waits for the head of its response.
     ///
     /// # Errors
-    /// [`SendError`], which tells whether the worker may have read the request.
+    /// [`SendError`], which states whether the worker may have read the request.
     pub async fn send(
         self,
         request: Request<Full<Bytes>>,
     ) -> Result<(Response<Incoming>, UpstreamConnection<Responding>), SendError> {
         let not_written = if self.state.is_reused { SendError::StaleConnection } else { SendError::NotSent };
         if self.state.is_reused {
-            self.state.watch.request_begins();
+            self.state.monitor.expect_request();
         }
-        let Connected { mut sender, watch, .. } = self.state;
+        let Connected { mut sender, monitor, .. } = self.state;
         match sender.try_send_request(request).await {
             Ok(response) => {
                 let hints = KeepAliveHints::from_headers(response.version(), response.headers());
-                Ok((response, UpstreamConnection { target: self.target, state: Responding { sender, watch, hints } }))
+                Ok((response, UpstreamConnection { target: self.target, state: Responding { sender, monitor, hints } }))
             }
             Err(mut error) => {
-                let was_not_written = error.take_message().is_some() || watch.withheld();
+                let was_not_written = error.take_message().is_some() || monitor.is_withheld();
                 Err(if was_not_written { not_written } else { SendError::MaybeSent })
             }
         }
@@ -202,8 +204,8 @@
 }
 
 impl UpstreamConnection<Responding> {
-    /// Returns the connection to the pool: its response ended properly.
+    /// Returns the connection to the pool. Call this only after the response has ended properly.
     pub fn return_idle(self, pool: &UpstreamPool) {
-        pool.return_idle(&self.target, self.state.hints, self.state.sender, self.state.watch);
+        pool.return_idle(&self.target, self.state.hints, self.state.sender, self.state.monitor);
     }
 }
--- a/crates/node/src/upstream/keep_alive.rs
+++ b/crates/node/src/upstream/keep_alive.rs
@@ -1,30 +1,36 @@
-//! What an answer tells of the connection that it came on.
+//! What the headers of a response announce about the reuse of its connection.
 
 use hyper::HeaderMap;
 use sumacvale_core::base::{Micros, SEC};
 
-/// What an answer says about its connection.
+/// What a response announces about its connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct KeepAliveHints {
-    /// It ends with this answer.
+    /// The connection takes no request after this response.
     pub closes: bool,
-    /// How long the worker keeps it when idle.
+    /// How long the worker keeps the connection open while it is idle.
     pub idle_timeout: Option<Micros>,
 }
 
-fn words<'a>(h: &'a HeaderMap, k: &str) -> impl Iterator<Item = &'a str> {
-    h.get_all(k).into_iter().filter_map(|v| v.to_str().ok()).flat_map(|s| s.split(',')).map(str::trim)
+/// Returns the comma-separated options of all values of a header.
+fn header_options<'a>(headers: &'a HeaderMap, name: &str) -> impl Iterator<Item = &'a str> {
+    headers
+        .get_all(name)
+        .into_iter()
+        .filter_map(|value| value.to_str().ok())
+        .flat_map(|value| value.split(','))
+        .map(str::trim)
 }
 
 impl KeepAliveHints {
-    /// Reads the version, `Connection` and `Keep-Alive`.
+    /// Reads the HTTP version, `Connection` and `Keep-Alive` of a response.
     pub fn from_headers(version: hyper::Version, headers: &HeaderMap) -> KeepAliveHints {
         let mut hints = KeepAliveHints {
             closes: version < hyper::Version::HTTP_11
-                || words(headers, "connection").any(|option| option.eq_ignore_ascii_case("close")),
+                || header_options(headers, "connection").any(|option| option.eq_ignore_ascii_case("close")),
             idle_timeout: None,
         };
-        for option in words(headers, "keep-alive") {
+        for option in header_options(headers, "keep-alive") {
             let Some((name, value)) = option.split_once('=') else { continue };
             let Ok(number) = value.trim().trim_matches('"').parse::<u64>() else { continue };
             match name.trim().to_ascii_lowercase().as_str() {
@@ -37,7 +43,8 @@
     }
 }
 
-/// How long a connection is used that the worker keeps for `t`: what is sent must still reach it open.
-pub fn safe_idle_time(t: Micros) -> Micros {
-    if t >= 2 * SEC { t - SEC } else { t / 2 }
+/// Returns how long an idle connection may be reused that the worker keeps open for `idle_timeout`: the request
+/// must arrive before the worker closes the connection.
+pub fn safe_idle_time(idle_timeout: Micros) -> Micros {
+    if idle_timeout >= 2 * SEC { idle_timeout - SEC } else { idle_timeout / 2 }
 }
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -1,5 +1,5 @@
-//! Connections to workers: named, then open, then busy with one call. Between open
-//! and busy nothing was sent, so that is where a call is judged for the last time.
+//! Connections to workers. A connection is unconnected, connected, then responding to one call. While it is
+//! connected nothing was sent, so the call can still be rejected without having run.
 
 mod connection;
 mod gate;
--- a/crates/node/src/upstream/socket.rs
+++ b/crates/node/src/upstream/socket.rs
@@ -1,8 +1,8 @@
-//! The socket of a connection to a worker, and a look at it from outside its task.
+//! The socket of a connection to a worker, and the check whether it can be reused.
 
 use super::gate::ConnectionPermit;
 use crate::net;
-use crate::watched::{Watch, Watched};
+use crate::watched::{ObservedSocket, SocketObserver};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::client::conn::http1::SendRequest;
@@ -12,75 +12,81 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::net::TcpStream;
 
-/// Hands requests to the task of a connection.
+/// Sends requests to the task of a connection.
 pub type Sender = SendRequest<Full<Bytes>>;
 
-/// Looks at a connection that another task owns; sees nothing once that has closed it.
+/// Checks a socket that the task of a connection owns.
 #[derive(Debug)]
-pub struct SocketWatch {
+pub struct SocketMonitor {
+    /// `None` once the socket is closed, so that a reused descriptor number is never read.
     descriptor: Mutex<Option<RawFd>>,
-    /// The next bytes to be written begin a request, and go out only if nobody said anything.
-    begins: AtomicBool,
-    /// They did not go out.
-    withheld: AtomicBool,
+    /// Set until the first write of a request on a reused connection. That write is withheld if the worker has sent
+    /// bytes or closed the connection.
+    is_request_pending: AtomicBool,
+    /// Set once the first write of a request was withheld; never cleared.
+    is_withheld: AtomicBool,
 }
 
-impl SocketWatch {
+impl SocketMonitor {
     fn new(descriptor: RawFd) -> Self {
-        let (begins, withheld) = (AtomicBool::new(false), AtomicBool::new(false));
-        SocketWatch { descriptor: Mutex::new(Some(descriptor)), begins, withheld }
+        let (is_request_pending, is_withheld) = (AtomicBool::new(false), AtomicBool::new(false));
+        SocketMonitor { descriptor: Mutex::new(Some(descriptor)), is_request_pending, is_withheld }
     }
 
     fn descriptor(&self) -> MutexGuard<'_, Option<RawFd>> {
         match self.descriptor.lock() {
-            Ok(g) => g,
-            Err(e) => e.into_inner(),
+            Ok(guard) => guard,
+            Err(poisoned) => poisoned.into_inner(),
         }
     }
 
-    /// Whether it is open and holds nothing that nobody asked for.
-    pub fn quiet(&self) -> bool {
-        self.descriptor().is_some_and(net::quiet)
+    /// Returns true if the socket is open and has received no unsolicited bytes.
+    pub fn is_reusable(&self) -> bool {
+        self.descriptor().is_some_and(net::is_reusable)
     }
 
-    /// A request follows on a connection that was used before.
-    pub fn request_begins(&self) {
-        self.begins.store(true, Ordering::Release);
+    /// Marks that a request follows on a reused connection.
+    pub fn expect_request(&self) {
+        self.is_request_pending.store(true, Ordering::Release);
     }
 
-    /// Nothing of that request was written, since bytes or the end had come before it.
-    pub fn withheld(&self) -> bool {
-        self.withheld.load(Ordering::Acquire)
+    /// Returns true if no byte of the request was written, as the worker had sent bytes or closed the connection
+    /// before.
+    pub fn is_withheld(&self) -> bool {
+        self.is_withheld.load(Ordering::Acquire)
     }
 
-    /// Looks once more at the very moment of a request's first write.
-    fn may_write(&self) -> Result<()> {
-        if !self.begins.swap(false, Ordering::AcqRel) || self.quiet() {
+    /// Checks the socket again immediately before the first write of a request.
+    fn check_first_write(&self) -> Result<()> {
+        if !self.is_request_pending.swap(false, Ordering::AcqRel) || self.is_reusable() {
             return Ok(());
         }
-        self.withheld.store(true, Ordering::Release);
+        self.is_withheld.store(true, Ordering::Release);
         Err(std::io::ErrorKind::ConnectionAborted.into())
     }
 }
 
-/// What looks on at a connection to a worker, which counts among that worker's until it closes.
-pub struct WorkerWatch {
-    shared: Arc<SocketWatch>,
-    _slot: ConnectionPermit,
+/// Observes a connection to a worker and holds its permit until the socket is closed.
+pub struct WorkerSocketObserver {
+    monitor: Arc<SocketMonitor>,
+    _permit: ConnectionPermit,
 }
 
-/// Wraps a connection, which takes up `slot` until it closes.
-pub fn watch(stream: TcpStream, slot: ConnectionPermit) -> (Watched<WorkerWatch>, Arc<SocketWatch>) {
-    let shared = Arc::new(SocketWatch::new(stream.as_raw_fd()));
-    (Watched::new(stream, WorkerWatch { shared: shared.clone(), _slot: slot }), shared)
+/// Wraps the socket of a connection, which holds `permit` until it is closed.
+pub fn observe(
+    stream: TcpStream,
+    permit: ConnectionPermit,
+) -> (ObservedSocket<WorkerSocketObserver>, Arc<SocketMonitor>) {
+    let monitor = Arc::new(SocketMonitor::new(stream.as_raw_fd()));
+    (ObservedSocket::new(stream, WorkerSocketObserver { monitor: monitor.clone(), _permit: permit }), monitor)
 }
 
-impl Watch for WorkerWatch {
+impl SocketObserver for WorkerSocketObserver {
     fn before_write(&self) -> Result<()> {
-        self.shared.may_write()
+        self.monitor.check_first_write()
     }
 
     fn before_close(&self) {
-        *self.shared.descriptor() = None;
+        *self.monitor.descriptor() = None;
     }
 }
--- a/crates/node/src/upstream/target.rs
+++ b/crates/node/src/upstream/target.rs
@@ -9,6 +9,6 @@
     pub addr: SocketAddr,
     /// Id of the worker.
     pub worker_id: String,
-    /// Its incarnation: a connection to an earlier one is never reused.
+    /// Incarnation of the worker; a connection to an earlier incarnation is never reused.
     pub incarnation: u64,
 }
