--- a/crates/node/src/admin/nodes.rs
+++ b/crates/node/src/admin/nodes.rs
@@ -73,7 +73,7 @@
 }
 
 /// Shows the whole view of this node, for comparison with the view of another node.
-pub async fn beliefs(shared: Arc<Shared>, _: Request) -> Response {
+pub async fn node_view(shared: Arc<Shared>, _: Request) -> Response {
     let view = shared.view.load();
     let view_age_ms = view
         .confirmed_at
--- a/crates/node/src/admin/routes.rs
+++ b/crates/node/src/admin/routes.rs
@@ -87,7 +87,7 @@
         .delete("/v1/drain", operator_only(shared, nodes::undrain))
         .get("/v1/nodes", operator_only(shared, nodes::nodes))
         .get("/v1/workers", operator_only(shared, nodes::workers))
-        .get("/v1/beliefs", operator_only(shared, nodes::beliefs))
+        .get("/v1/beliefs", operator_only(shared, nodes::node_view))
         .post("/v1/report", move |request: Request| {
             let shared = shared_for_reports.clone();
             async move {
--- a/crates/node/src/front/headers.rs
+++ b/crates/node/src/front/headers.rs
@@ -171,7 +171,7 @@
 }
 
 /// Returns whether a response names this request and no other; `None` if it names none.
-fn names_only(names: &HeaderNames, headers: &HeaderMap, call_id: &str) -> Option<bool> {
+fn names_only_this_call(names: &HeaderNames, headers: &HeaderMap, call_id: &str) -> Option<bool> {
     let mut values = headers.get_all(names.request_id).iter().peekable();
     values.peek()?;
     Some(values.all(|value| value.to_str().ok() == Some(call_id)))
@@ -200,7 +200,7 @@
 ) -> ResponseHead {
     let headers = response.headers();
     let status = response.status().as_u16();
-    let names_this_call = names_only(names, headers, &client_request.call_id);
+    let names_this_call = names_only_this_call(names, headers, &client_request.call_id);
     let is_success = (200..300).contains(&status);
     let is_anonymous = names.worker_seal.is_some() && names_this_call.is_none();
     let is_unsealed = is_success && names.worker_seal.is_some_and(|name| !headers.contains_key(name));
--- a/crates/node/tests/answers/front.rs
+++ b/crates/node/tests/answers/front.rs
@@ -1,4 +1,4 @@
-//! The front of a node alone, between a raw client and stand-in workers.
+//! The front of a node without its control plane, between a raw client and stub workers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,9 +16,9 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-/// Names of heads; where answers bear seals, each names its request too.
-const fn dialect(seal: Option<&'static str>) -> ProtocolAdapter {
-    let heads = HeaderNames {
+/// Returns an adapter. Where `seal_header` is set, each response of a worker must also name its request.
+const fn adapter(seal_header: Option<&'static str>) -> ProtocolAdapter {
+    let header_names = HeaderNames {
         request_id: "x-call-id",
         tenant: "x-tenant",
         quota_window: None,
@@ -29,30 +29,32 @@
         token_counts: None,
         execution: None,
         not_run: ("x-not-run", None),
-        worker_seal: seal,
+        worker_seal: seal_header,
         worker_load: None,
     };
     ProtocolAdapter {
-        headers: heads,
+        headers: header_names,
         preserves_host: false,
-        format_retry_after: seconds,
+        format_retry_after: one_second,
         config_reader: sumacvale_core::config::validate,
     }
 }
 
-fn seconds(_: u64, _: &str) -> String {
+/// Formats every `Retry-After` as one second.
+fn one_second(_: u64, _: &str) -> String {
     "1".into()
 }
 
-/// Each answer names its request, and what ran bears a seal.
-pub static SEALED: ProtocolAdapter = dialect(Some("x-seal"));
+/// Each response names its request, and the response of a worker that ran the request carries a seal.
+pub static SEALED_ADAPTER: ProtocolAdapter = adapter(Some("x-seal"));
 
-/// Workers need not name the request that they answer.
-pub static LOOSE: ProtocolAdapter = dialect(None);
+/// Workers need not name the request in their responses.
+pub static LENIENT_ADAPTER: ProtocolAdapter = adapter(None);
 
-/// Four kinds of routes. `PATIENCE` is how long an answer may be silent.
-const TREE: &str = r#"{
-    "defaults": { "aim_ms": 4000, "first_ms": PATIENCE, "idle_ms": PATIENCE },
+/// A configuration with four kinds of routes. `RESPONSE_TIMEOUT_MS` is replaced by the time-outs for the head and
+/// between chunks of a response.
+const CONFIG: &str = r#"{
+    "defaults": { "aim_ms": 4000, "first_ms": RESPONSE_TIMEOUT_MS, "idle_ms": RESPONSE_TIMEOUT_MS },
     "pools": { "p": {} },
     "matches": {
         "safe": { "under": "/safe/", "pool": "p", "kind": "lookup", "repeat": true, "tries": 2, "max_body": 9000000 },
@@ -63,23 +65,24 @@
     }
 }"#;
 
-/// Milliseconds that no call of a test waits for.
-pub const LONG: u64 = 20_000;
+/// A time-out that no call of a test reaches, in milliseconds.
+pub const LONG_TIMEOUT_MS: u64 = 20_000;
 
-/// Milliseconds after which a silent worker is given up, where a test waits for that.
-pub const SHORT: u64 = 600;
+/// The time-out of a silent worker in cases that reach it, in milliseconds.
+pub const SHORT_TIMEOUT_MS: u64 = 600;
 
 /// A front whose view the test sets.
 pub struct Front {
     shared: Arc<Shared>,
     workers: Vec<SocketAddr>,
-    at: SocketAddr,
-    _keep: (watch::Sender<bool>, watch::Sender<Option<u64>>, mpsc::Receiver<sumacvale_node::shared::Command>),
+    addr: SocketAddr,
+    /// The other ends of the channels of `shared`, which must stay open.
+    _channels: (watch::Sender<bool>, watch::Sender<Option<u64>>, mpsc::Receiver<sumacvale_node::shared::Command>),
 }
 
-fn row(n: usize, addr: SocketAddr, seq: u64) -> WorkerReport {
+fn worker_report(index: usize, addr: SocketAddr, seq: u64) -> WorkerReport {
     WorkerReport {
-        worker_id: format!("w{n}"),
+        worker_id: format!("w{index}"),
         incarnation: 1,
         seq,
         addr: addr.to_string(),
@@ -95,15 +98,16 @@
 }
 
 impl Front {
-    pub async fn start(dialect: &'static ProtocolAdapter, workers: &[SocketAddr]) -> std::io::Result<Self> {
-        let (inbox, commands) = mpsc::channel(1_000);
-        let (version, seen) = watch::channel(Some(1));
+    /// Starts the listener, with a view in which all workers are available.
+    pub async fn start(protocol_adapter: &'static ProtocolAdapter, workers: &[SocketAddr]) -> std::io::Result<Self> {
+        let (command_sender, commands) = mpsc::channel(1_000);
+        let (version, version_receiver) = watch::channel(Some(1));
         let shared = Arc::new(Shared {
             settings: Settings { zone: "z".into(), ..Settings::default() },
-            adapter: dialect,
+            adapter: protocol_adapter,
             node_id: "n".into(),
             view: arc_swap::ArcSwap::default(),
-            commands: inbox,
+            commands: command_sender,
             call_state: SharedCallState::new("z", 8, 64 << 20, Arc::default()),
             call_events: CallEvents::default(),
             upstreams: sumacvale_node::upstream::UpstreamPool::default(),
@@ -112,159 +116,179 @@
             disk_error_count: None,
             stopping: AtomicBool::new(false),
             operator_draining: AtomicBool::new(false),
-            published_version: seen,
+            published_version: version_receiver,
             next_call_id: AtomicU64::new(0),
         });
-        let l = TcpListener::bind("127.0.0.1:0").await?;
-        let at = l.local_addr()?;
+        let listener = TcpListener::bind("127.0.0.1:0").await?;
+        let addr = listener.local_addr()?;
         let (stop, stopped) = watch::channel(false);
-        tokio::spawn(serve::run(l, admin::downstream(&shared), 100, Arc::default(), stopped));
-        let f = Front { shared, workers: workers.to_vec(), at, _keep: (stop, version, commands) };
-        f.report(1, LONG);
-        Ok(f)
+        tokio::spawn(serve::run(listener, admin::downstream(&shared), 100, Arc::default(), stopped));
+        let front = Front { shared, workers: workers.to_vec(), addr, _channels: (stop, version, commands) };
+        front.publish_view(1, LONG_TIMEOUT_MS);
+        Ok(front)
     }
 
-    /// All workers report: those that failed a call may take calls again. A worker may be silent
-    /// for `patience` milliseconds.
-    pub fn report(&self, seq: u64, patience: u64) {
-        let rows = self.workers.iter().enumerate().map(|(n, a)| row(n, *a, seq)).collect();
-        let tree = TREE.replace("PATIENCE", &patience.to_string());
-        let plan = Arc::new(CompiledConfig::compile(1, &tree));
-        assert_eq!(plan.matches.len(), 4, "{:?}", sumacvale_core::config::validate(&tree));
-        let fresh = Some(clock::now() + 3_600 * SEC);
+    /// Publishes a view with a new report of every worker, after which workers that failed a call may take calls
+    /// again. A response may be silent for `response_timeout_ms`.
+    pub fn publish_view(&self, seq: u64, response_timeout_ms: u64) {
+        let reports = self.workers.iter().enumerate().map(|(index, addr)| worker_report(index, *addr, seq)).collect();
+        let document = CONFIG.replace("RESPONSE_TIMEOUT_MS", &response_timeout_ms.to_string());
+        let compiled = Arc::new(CompiledConfig::compile(1, &document));
+        assert_eq!(compiled.matches.len(), 4, "{:?}", sumacvale_core::config::validate(&document));
+        let confirmed_in_future = Some(clock::now() + 3_600 * SEC);
         self.shared.view.store(Arc::new(View {
             version: Some(1),
-            confirmed_at: fresh,
-            config: plan,
-            workers: Arc::new(rows),
+            confirmed_at: confirmed_in_future,
+            config: compiled,
+            workers: Arc::new(reports),
             ..View::default()
         }));
         self.shared.call_state.caches.routes.delete("p");
     }
 
-    /// Second tries are paid for.
-    pub fn pay(&self) {
+    /// Fills the retry budget, so that every retry is allowed.
+    pub fn fill_retry_budget(&self) {
         for _ in 0..50 {
             self.shared.call_state.retry_budget.deposit();
         }
     }
 
+    /// Connects a client.
     pub async fn client(&self) -> std::io::Result<Client> {
-        Ok(Client { at: self.at, s: TcpStream::connect(self.at).await?, rest: Vec::new() })
+        Ok(Client { addr: self.addr, stream: TcpStream::connect(self.addr).await?, buffer: Vec::new() })
     }
 }
 
-/// What a client made of an answer.
+/// A response as a client received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Got {
+pub struct ClientResponse {
     pub status: u16,
-    /// It ended properly.
-    pub whole: bool,
-    /// A worker's own answer.
-    pub sealed: bool,
-    pub id: String,
+    /// True if the response ended properly.
+    pub is_complete: bool,
+    /// True if the response is a worker's own, with its seal.
+    pub is_sealed: bool,
+    /// The id of the call that the response names.
+    pub call_id: String,
     pub body: String,
 }
 
-/// A client that reads the bytes of answers itself.
+/// A client that parses the bytes of responses itself.
 pub struct Client {
-    at: SocketAddr,
-    s: TcpStream,
-    rest: Vec<u8>,
+    addr: SocketAddr,
+    stream: TcpStream,
+    /// Bytes that were received and not parsed yet.
+    buffer: Vec<u8>,
 }
 
 impl Client {
-    /// One request; the connection is used again where the answer left it open.
-    pub async fn call(&mut self, path: &str, id: &str, size: usize) -> std::io::Result<Option<Got>> {
-        let body = format!("{{\"prompt\":\"{}\"}}", "x".repeat(size));
-        let head =
-            format!("POST {path} HTTP/1.1\r\nhost: x\r\nx-call-id: {id}\r\ncontent-length: {}\r\n\r\n", body.len());
-        self.s.write_all((head + &body).as_bytes()).await?;
-        let got = self.answer().await?;
-        if got.as_ref().is_none_or(|g| !g.whole) {
-            self.s = TcpStream::connect(self.at).await?;
-            self.rest.clear();
+    /// Sends one request and reads its response; `None` if the connection was closed without one. Reconnects if the
+    /// response was not complete.
+    pub async fn call(
+        &mut self,
+        path: &str,
+        call_id: &str,
+        prompt_bytes: usize,
+    ) -> std::io::Result<Option<ClientResponse>> {
+        let body = format!("{{\"prompt\":\"{}\"}}", "x".repeat(prompt_bytes));
+        let head = format!(
+            "POST {path} HTTP/1.1\r\nhost: x\r\nx-call-id: {call_id}\r\ncontent-length: {}\r\n\r\n",
+            body.len()
+        );
+        self.stream.write_all((head + &body).as_bytes()).await?;
+        let response = self.read_response().await?;
+        if response.as_ref().is_none_or(|response| !response.is_complete) {
+            self.stream = TcpStream::connect(self.addr).await?;
+            self.buffer.clear();
         }
-        Ok(got)
+        Ok(response)
     }
 
-    /// More bytes; false at the end.
-    async fn more(&mut self) -> std::io::Result<bool> {
-        let mut b = [0; 4096];
-        match self.s.read(&mut b).await {
-            Ok(n) => {
-                self.rest.extend_from_slice(&b[..n]);
-                Ok(n > 0)
+    /// Reads more bytes into the buffer. Returns false at the end of the connection.
+    async fn fill_buffer(&mut self) -> std::io::Result<bool> {
+        let mut chunk = [0; 4096];
+        match self.stream.read(&mut chunk).await {
+            Ok(count) => {
+                self.buffer.extend_from_slice(&chunk[..count]);
+                Ok(count > 0)
             }
             Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => Ok(false),
             Err(e) => Err(e),
         }
     }
 
-    async fn line(&mut self) -> std::io::Result<Option<String>> {
+    /// Reads one line without its end; `None` at the end of the connection.
+    async fn read_line(&mut self) -> std::io::Result<Option<String>> {
         loop {
-            if let Some(i) = self.rest.windows(2).position(|w| w == b"\r\n") {
-                let l: Vec<u8> = self.rest.drain(..i + 2).collect();
-                return Ok(Some(String::from_utf8_lossy(&l[..i]).into_owned()));
+            if let Some(length) = self.buffer.windows(2).position(|window| window == b"\r\n") {
+                let line: Vec<u8> = self.buffer.drain(..length + 2).collect();
+                return Ok(Some(String::from_utf8_lossy(&line[..length]).into_owned()));
             }
-            if !self.more().await? {
+            if !self.fill_buffer().await? {
                 return Ok(None);
             }
         }
     }
 
-    /// So many bytes, or those that came before the end.
-    async fn bytes(&mut self, n: usize) -> std::io::Result<(String, bool)> {
-        while self.rest.len() < n {
-            if !self.more().await? {
-                let b = std::mem::take(&mut self.rest);
-                return Ok((String::from_utf8_lossy(&b).into_owned(), false));
+    /// Reads `count` bytes and true, or the bytes before the end of the connection and false.
+    async fn read_bytes(&mut self, count: usize) -> std::io::Result<(String, bool)> {
+        while self.buffer.len() < count {
+            if !self.fill_buffer().await? {
+                let bytes = std::mem::take(&mut self.buffer);
+                return Ok((String::from_utf8_lossy(&bytes).into_owned(), false));
             }
         }
-        let b: Vec<u8> = self.rest.drain(..n).collect();
-        Ok((String::from_utf8_lossy(&b).into_owned(), true))
+        let bytes: Vec<u8> = self.buffer.drain(..count).collect();
+        Ok((String::from_utf8_lossy(&bytes).into_owned(), true))
     }
 
-    async fn answer(&mut self) -> std::io::Result<Option<Got>> {
-        let Some(first) = self.line().await? else { return Ok(None) };
-        let bad = || std::io::Error::other(format!("no answer in the protocol: {first:?}"));
-        let status = first.strip_prefix("HTTP/1.1 ").and_then(|s| s.get(..3)?.parse().ok()).ok_or_else(bad)?;
-        let mut got = Got { status, whole: false, sealed: false, id: String::new(), body: String::new() };
-        let (mut length, mut chunked) = (None, false);
+    /// Reads one response; `None` if the connection ended before its first line.
+    async fn read_response(&mut self) -> std::io::Result<Option<ClientResponse>> {
+        let Some(status_line) = self.read_line().await? else { return Ok(None) };
+        let invalid = || std::io::Error::other(format!("invalid HTTP response: {status_line:?}"));
+        let status =
+            status_line.strip_prefix("HTTP/1.1 ").and_then(|rest| rest.get(..3)?.parse().ok()).ok_or_else(invalid)?;
+        let mut response = ClientResponse {
+            status,
+            is_complete: false,
+            is_sealed: false,
+            call_id: String::new(),
+            body: String::new(),
+        };
+        let (mut content_length, mut is_chunked) = (None, false);
         loop {
-            let Some(l) = self.line().await? else { return Ok(Some(got)) };
-            if l.is_empty() {
+            let Some(line) = self.read_line().await? else { return Ok(Some(response)) };
+            if line.is_empty() {
                 break;
             }
-            let (k, v) = l.split_once(':').ok_or_else(bad)?;
-            match (k.to_ascii_lowercase().as_str(), v.trim()) {
-                ("x-call-id", v) => v.clone_into(&mut got.id),
-                ("x-seal", _) => got.sealed = true,
-                ("content-length", v) => length = v.parse::<usize>().ok(),
-                ("transfer-encoding", v) => chunked = v == "chunked",
+            let (name, value) = line.split_once(':').ok_or_else(invalid)?;
+            match (name.to_ascii_lowercase().as_str(), value.trim()) {
+                ("x-call-id", value) => value.clone_into(&mut response.call_id),
+                ("x-seal", _) => response.is_sealed = true,
+                ("content-length", value) => content_length = value.parse::<usize>().ok(),
+                ("transfer-encoding", value) => is_chunked = value == "chunked",
                 _ => {}
             }
         }
-        if let Some(n) = length {
-            (got.body, got.whole) = self.bytes(n).await?;
-            return Ok(Some(got));
+        if let Some(length) = content_length {
+            (response.body, response.is_complete) = self.read_bytes(length).await?;
+            return Ok(Some(response));
         }
-        if !chunked {
-            return Ok(Some(got));
+        if !is_chunked {
+            return Ok(Some(response));
         }
         loop {
-            let Some(l) = self.line().await? else { break };
-            let n = usize::from_str_radix(&l, 16).map_err(std::io::Error::other)?;
-            let (b, whole) = self.bytes(n + 2).await?;
-            if !whole {
+            let Some(line) = self.read_line().await? else { break };
+            let length = usize::from_str_radix(&line, 16).map_err(std::io::Error::other)?;
+            let (chunk, is_whole) = self.read_bytes(length + 2).await?;
+            if !is_whole {
                 break;
             }
-            got.body.push_str(&b[..n]);
-            if n == 0 {
-                got.whole = true;
+            response.body.push_str(&chunk[..length]);
+            if length == 0 {
+                response.is_complete = true;
                 break;
             }
         }
-        Ok(Some(got))
+        Ok(Some(response))
     }
 }
--- a/crates/node/tests/answers/main.rs
+++ b/crates/node/tests/answers/main.rs
@@ -1,199 +1,221 @@
-//! Each way in which a worker's answer may come, for each kind of route and each point of a
-//! call's life: nobody gets another's answer, no success is made up, nothing runs twice that may
-//! not, and what is refused has not run. A raw worker, the front of a node, a raw client.
+//! Every case of a worker's response, for each kind of route and each stage of a call. No client receives the
+//! response to another call or a made-up success, no call that must not be retried runs twice, and no rejected
+//! call has run. A client and workers on plain sockets, with the front of a node between them.
 
 mod front;
 mod ways;
 mod worker;
 
-use front::{Client, Front, Got, LONG, LOOSE, SEALED, SHORT};
+use front::{Client, ClientResponse, Front, LENIENT_ADAPTER, LONG_TIMEOUT_MS, SEALED_ADAPTER, SHORT_TIMEOUT_MS};
 use std::fmt::Write;
 use std::sync::Arc;
 use std::time::Duration;
 use sumacvale_node::protocol_adapter::ProtocolAdapter;
-use ways::{Request, Way, body};
-use worker::{Arrival, Cue, Script};
+use ways::{Case, Request, body};
+use worker::{Arrival, Script, Trigger};
 
 type Res<T = ()> = Result<T, Box<dyn std::error::Error>>;
 
-/// Where in a call's life the answer comes.
+/// The stage of a call in which the response is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Point {
-    /// On a new connection.
-    New,
-    /// On a connection that served a call before.
-    Kept,
-    /// At the second worker, after the first one turned the call away.
-    Second,
-    /// At the second worker, which takes up a stream that broke.
-    Resumed,
+enum CallStage {
+    /// The first attempt, on a new connection.
+    NewConnection,
+    /// The first attempt, on a connection that served an earlier call.
+    ReusedConnection,
+    /// The second attempt, after the first worker refused the call.
+    Retry,
+    /// The second attempt, which resumes a stream that was cut.
+    Resumption,
 }
 
-impl Point {
-    const ALL: [Point; 4] = [Point::New, Point::Kept, Point::Second, Point::Resumed];
+impl CallStage {
+    const ALL: [CallStage; 4] =
+        [CallStage::NewConnection, CallStage::ReusedConnection, CallStage::Retry, CallStage::Resumption];
 
-    /// What happens before.
-    fn before(self) -> &'static [Way] {
+    /// Returns the cases of the responses that lead to this stage.
+    fn preceding_cases(self) -> &'static [Case] {
         match self {
-            Point::New => &[],
-            Point::Kept => &[Way::Whole],
-            Point::Second => &[Way::Refused503],
-            Point::Resumed => &[Way::CutBetweenChunks],
+            CallStage::NewConnection => &[],
+            CallStage::ReusedConnection => &[Case::Whole],
+            CallStage::Retry => &[Case::Refused503],
+            CallStage::Resumption => &[Case::CutBetweenChunks],
         }
     }
 }
 
-const KINDS: [&str; 4] = ["safe", "unsafe", "stream", "resume"];
+/// The kinds of routes in the configuration of the front.
+const ROUTE_KINDS: [&str; 4] = ["safe", "unsafe", "stream", "resume"];
 
-/// More than fits into the buffers on the way to a worker.
-const LARGE: usize = 8_000_000;
+/// A prompt size that exceeds the socket buffers between the front and a worker, in bytes.
+const LARGE_PROMPT_BYTES: usize = 8_000_000;
 
 /// Statuses that promise that a request has not run and never will.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
-
-/// What must hold of each call, whatever happened to it.
-fn judge(kind: &str, id: &str, got: Option<&Got>, seen: &[Arrival]) -> Result<(), String> {
-    let runs = seen.iter().filter(|a| a.ran).count();
-    let repeatable = matches!(kind, "safe" | "resume");
-    let most = if kind == "resume" { 3 } else { 2 };
-    let check = |ok: bool, what: &str| if ok { Ok(()) } else { Err(format!("{what}: {got:?} {seen:?}")) };
-    check(repeatable || runs <= 1, "it ran twice")?;
-    check(seen.len() <= most, "it was sent to more workers than its route allows")?;
-    let Some(g) = got else { return Ok(()) };
-    check(g.id == id, "an answer that names another request")?;
-    check(!PROMISES.contains(&g.status) || runs == 0, "it was refused and ran")?;
-    check(g.status >= 200 && g.status != 304, "no answer of a call")?;
-    if (200..300).contains(&g.status) {
-        let q = Request { id: id.into(), path: format!("/{kind}/x"), ..Request::default() };
-        let whole = body(&q).concat();
-        check(g.sealed, "a success without a seal")?;
-        check(whole.starts_with(&g.body), "a success with another body")?;
-        check(!g.whole || g.body == whole, "a body that is cut and looks whole")?;
-        check(!g.whole || seen.iter().any(|a| a.success), "a success that no worker gave")?;
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
+
+/// Checks the invariants of a call, which hold in every case.
+fn check_invariants(
+    kind: &str,
+    call_id: &str,
+    response: Option<&ClientResponse>,
+    arrivals: &[Arrival],
+) -> Result<(), String> {
+    let runs = arrivals.iter().filter(|arrival| arrival.ran).count();
+    let is_repeatable = matches!(kind, "safe" | "resume");
+    let max_attempts = if kind == "resume" { 3 } else { 2 };
+    let check =
+        |holds: bool, fault: &str| if holds { Ok(()) } else { Err(format!("{fault}: {response:?} {arrivals:?}")) };
+    check(is_repeatable || runs <= 1, "a call that must not be repeated ran twice")?;
+    check(arrivals.len() <= max_attempts, "more attempts than the route allows")?;
+    let Some(received) = response else { return Ok(()) };
+    check(received.call_id == call_id, "the response names another call")?;
+    check(!NOT_RUN_STATUSES.contains(&received.status) || runs == 0, "a rejected call ran")?;
+    check(received.status >= 200 && received.status != 304, "the status is not one of a call")?;
+    if (200..300).contains(&received.status) {
+        let request = Request { id: call_id.into(), path: format!("/{kind}/x"), ..Request::default() };
+        let expected_body = body(&request).concat();
+        check(received.is_sealed, "a success without a seal")?;
+        check(expected_body.starts_with(&received.body), "a success with another body")?;
+        check(!received.is_complete || received.body == expected_body, "a truncated body that looks complete")?;
+        check(
+            !received.is_complete || arrivals.iter().any(|arrival| arrival.is_success),
+            "a success that no worker sent",
+        )?;
     }
     Ok(())
 }
 
-/// Shortly: the status, or where it broke off, and how often it ran of how often it came.
-fn short(got: Option<&Got>, seen: &[Arrival]) -> String {
-    let what = match got {
+/// Summarizes a call as in the matrix: the status or where the response broke off, then the number of runs and the
+/// number of attempts.
+fn summarize(response: Option<&ClientResponse>, arrivals: &[Arrival]) -> String {
+    let outcome = match response {
         None => "closed".to_owned(),
-        Some(g) if g.whole => format!("{}{}", g.status, if g.sealed { "" } else { " ours" }),
-        Some(g) => format!("{} cut", g.status),
+        Some(received) if received.is_complete => {
+            format!("{}{}", received.status, if received.is_sealed { "" } else { " ours" })
+        }
+        Some(received) => format!("{} cut", received.status),
     };
-    format!("{what} {}/{}", seen.iter().filter(|a| a.ran).count(), seen.len())
+    format!("{outcome} {}/{}", arrivals.iter().filter(|arrival| arrival.ran).count(), arrivals.len())
 }
 
-struct Stage {
+/// Two stub workers, a front and a client.
+struct Fixture {
     script: Arc<Script>,
-    cue: Cue,
+    trigger: Trigger,
     front: Front,
     client: Client,
 }
 
-impl Stage {
-    async fn new(dialect: &'static ProtocolAdapter) -> Res<Stage> {
-        let (script, cue) = Script::new();
-        let front = Front::start(dialect, &[worker::start(&script)?, worker::start(&script)?]).await?;
+impl Fixture {
+    async fn new(adapter: &'static ProtocolAdapter) -> Res<Fixture> {
+        let (script, trigger) = Script::new();
+        let front = Front::start(adapter, &[worker::start(&script)?, worker::start(&script)?]).await?;
         let client = front.client().await?;
-        front.pay();
-        Ok(Stage { script, cue, front, client })
+        front.fill_retry_budget();
+        Ok(Fixture { script, trigger, front, client })
     }
 
-    /// One call, judged; and its short form.
-    async fn call(&mut self, kind: &str, id: &str, size: usize) -> Res<String> {
+    /// Makes one call, checks its invariants and returns its summary.
+    async fn call(&mut self, kind: &str, call_id: &str, prompt_bytes: usize) -> Res<String> {
         let limit = Duration::from_secs(10);
-        let got = tokio::time::timeout(limit, self.client.call(&format!("/{kind}/x"), id, size)).await??;
-        let seen = self.script.of(id);
-        judge(kind, id, got.as_ref(), &seen)?;
-        Ok(short(got.as_ref(), &seen))
+        let response =
+            tokio::time::timeout(limit, self.client.call(&format!("/{kind}/x"), call_id, prompt_bytes)).await??;
+        let arrivals = self.script.arrivals_of(call_id);
+        check_invariants(kind, call_id, response.as_ref(), &arrivals)?;
+        Ok(summarize(response.as_ref(), &arrivals))
     }
 }
 
-/// One cell of the matrix: what came before, the call itself, and the calls after it.
-async fn cell(way: Way, kind: &str, point: Point) -> Res<String> {
-    let mut s = Stage::new(&SEALED).await?;
-    s.script.then(point.before());
-    if point == Point::Kept {
-        let first = s.call(kind, "first", 1).await?;
+/// Returns the summary for one cell of the matrix, after it has checked the calls before and after.
+async fn run_cell(case: Case, kind: &str, stage: CallStage) -> Res<String> {
+    let mut fixture = Fixture::new(&SEALED_ADAPTER).await?;
+    fixture.script.enqueue(stage.preceding_cases());
+    if stage == CallStage::ReusedConnection {
+        let first = fixture.call(kind, "first", 1).await?;
         assert_eq!(first, "200 1/1");
     }
-    s.script.then(&[way]);
-    s.front.report(2, if way.silent() { SHORT } else { LONG });
-    let got = s.call(kind, "second", if way.large() { LARGE } else { 1 }).await?;
-    if way.later() {
-        s.cue.give()?;
+    fixture.script.enqueue(&[case]);
+    fixture.front.publish_view(2, if case.is_silent() { SHORT_TIMEOUT_MS } else { LONG_TIMEOUT_MS });
+    let summary = fixture.call(kind, "second", if case.needs_large_request() { LARGE_PROMPT_BYTES } else { 1 }).await?;
+    if case.has_delayed_action() {
+        fixture.trigger.fire()?;
     }
-    // Whatever is left on a connection reaches nobody: those who come next get their own.
-    s.front.report(3, LONG);
-    for id in ["third", "fourth"] {
-        let next = s.call(kind, id, 1).await?;
+    // Bytes that are left on a connection reach no later call: the next calls get their own responses.
+    fixture.front.publish_view(3, LONG_TIMEOUT_MS);
+    for call_id in ["third", "fourth"] {
+        let next = fixture.call(kind, call_id, 1).await?;
         if next != "200 1/1" {
-            return Err(format!("after it, {id}: {next}").into());
+            return Err(format!("the later call {call_id}: {next}").into());
         }
     }
-    let strangers = s.script.strangers(&["first", "second", "third", "fourth"]);
-    assert!(strangers.is_empty(), "{strangers:?}");
-    Ok(got)
+    let unknown_ids = fixture.script.unknown_ids(&["first", "second", "third", "fourth"]);
+    assert!(unknown_ids.is_empty(), "{unknown_ids:?}");
+    Ok(summary)
 }
 
-/// Runs a cell in a thread of its own, since a thread's caches outlive a front.
-fn run(way: Way, kind: &str, point: Point) -> Result<String, String> {
-    let go = || -> Res<String> {
-        let rt = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        let got = rt.block_on(cell(way, kind, point));
-        rt.shutdown_background();
-        got
+/// Runs a cell in a thread of its own, as a thread's caches outlive a front.
+fn run_cell_in_thread(case: Case, kind: &str, stage: CallStage) -> Result<String, String> {
+    let run = || -> Res<String> {
+        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+        let summary = runtime.block_on(run_cell(case, kind, stage));
+        runtime.shutdown_background();
+        summary
     };
-    let alone = std::thread::scope(|s| s.spawn(|| go().map_err(|e| e.to_string())).join());
-    alone.unwrap_or_else(|_| Err("a check of the test itself failed".into()))
+    let result = std::thread::scope(|scope| scope.spawn(|| run().map_err(|e| e.to_string())).join());
+    result.unwrap_or_else(|_| Err("an assertion of the test itself failed".into()))
 }
 
-/// One line of the matrix, and what broke an invariant.
-fn row(way: Way, kind: &str) -> (String, Vec<String>) {
+/// Returns one line of the matrix and the invariants that were violated.
+fn matrix_line(case: Case, kind: &str) -> (String, Vec<String>) {
     let (mut cells, mut faults) = (Vec::new(), Vec::new());
-    for point in Point::ALL.into_iter().filter(|p| *p != Point::Resumed || kind == "resume") {
-        match run(way, kind, point) {
-            Ok(_) if way.racy() => cells.push("as the kernel likes".into()),
-            Ok(got) => cells.push(got),
+    for stage in CallStage::ALL.into_iter().filter(|stage| *stage != CallStage::Resumption || kind == "resume") {
+        match run_cell_in_thread(case, kind, stage) {
+            Ok(_) if case.is_racy() => cells.push("as the kernel likes".into()),
+            Ok(summary) => cells.push(summary),
             Err(e) => {
-                faults.push(format!("{way:?} {kind} {point:?}: {e}"));
+                faults.push(format!("{case:?} {kind} {stage:?}: {e}"));
                 cells.push("FAULT".into());
             }
         }
     }
-    (format!("{way:?} {kind}: {}", cells.join("; ")), faults)
+    (format!("{case:?} {kind}: {}", cells.join("; ")), faults)
 }
 
-/// The matrix as it was judged right, one line for each way and kind of route.
+/// The expected summaries, one line for each case and kind of route.
 const EXPECTED: &str = include_str!("matrix.txt");
 
+/// Each cell of the matrix scripts one response case at one stage of a call, then makes two more calls. The
+/// summaries must equal `matrix.txt`.
 #[test]
-fn every_way_of_an_answer_at_every_point_of_a_call() -> Res {
+fn every_response_case_keeps_the_invariants_of_a_call() -> Res {
     let (mut matrix, mut faults) = (String::new(), Vec::new());
-    let columns: Vec<_> = std::thread::scope(|s| {
-        let all = KINDS.map(|kind| s.spawn(move || Way::ALL.iter().map(|way| row(*way, kind)).collect::<Vec<_>>()));
-        all.into_iter().map(|t| t.join().expect("a kind of route")).collect()
+    let columns: Vec<_> = std::thread::scope(|scope| {
+        let threads = ROUTE_KINDS
+            .map(|kind| scope.spawn(move || Case::ALL.iter().map(|case| matrix_line(*case, kind)).collect::<Vec<_>>()));
+        threads.into_iter().map(|thread| thread.join().expect("a kind of route")).collect()
     });
-    for i in 0..Way::ALL.len() {
-        for (line, wrong) in columns.iter().map(|c| &c[i]) {
+    for index in 0..Case::ALL.len() {
+        for (line, line_faults) in columns.iter().map(|column| &column[index]) {
             writeln!(matrix, "{line}")?;
-            faults.extend(wrong.clone());
+            faults.extend(line_faults.clone());
         }
     }
     assert!(faults.is_empty(), "{} faults:\n{}", faults.len(), faults.join("\n"));
-    let differ: Vec<_> = matrix.lines().zip(EXPECTED.lines()).filter(|(a, b)| a != b).collect();
-    assert!(matrix == EXPECTED, "{differ:#?}\n{matrix}");
+    let differences: Vec<_> =
+        matrix.lines().zip(EXPECTED.lines()).filter(|(actual, expected)| actual != expected).collect();
+    assert!(matrix == EXPECTED, "{differences:#?}\n{matrix}");
     Ok(())
 }
 
+/// Where workers need not name the request, a refusal without a name may belong to an earlier request. The call must
+/// then not be reported as not run.
 #[test]
-fn a_refusal_that_names_no_call_is_not_believed_where_names_are_free() -> Res {
-    let rt = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    rt.block_on(async {
-        let mut s = Stage::new(&LOOSE).await?;
-        s.script.then(&[Way::NamelessRefusalFirst]);
-        assert_eq!(s.call("unsafe", "first", 1).await?, "502 ours 1/1");
+fn an_anonymous_refusal_does_not_count_as_not_run() -> Res {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    runtime.block_on(async {
+        let mut fixture = Fixture::new(&LENIENT_ADAPTER).await?;
+        fixture.script.enqueue(&[Case::NamelessRefusalFirst]);
+        assert_eq!(fixture.call("unsafe", "first", 1).await?, "502 ours 1/1");
         Ok(())
     })
 }
--- a/crates/node/tests/answers/ways.rs
+++ b/crates/node/tests/answers/ways.rs
@@ -1,136 +1,138 @@
-//! The ways in which an answer may come, as bytes.
+//! The cases of a worker's response, as bytes on the connection.
 
-use super::worker::After;
+use super::worker::Next;
 
-/// What a worker read of a request.
+/// The parts of a request that a worker reads.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
     pub id: String,
     pub path: String,
-    pub after: Option<u64>,
-    pub length: usize,
+    pub last_event_id: Option<u64>,
+    pub content_length: usize,
 }
 
 impl Request {
-    fn stream(&self) -> bool {
+    fn wants_stream(&self) -> bool {
         self.path.contains("stream") || self.path.contains("resume")
     }
 }
 
-/// What a worker says to one request.
-pub struct Said {
+/// The response of a worker to one request.
+pub struct Reply {
+    /// The bytes of each write.
     pub parts: Vec<Vec<u8>>,
-    pub after: After,
-    /// It ran the request, or nobody can say that it did not.
+    /// What the worker does next.
+    pub next: Next,
+    /// The worker ran the request, or it is unknown whether it did.
     pub ran: bool,
-    /// Its answer is a success of its own.
-    pub success: bool,
+    /// The response contains a valid success for the request.
+    pub is_success: bool,
 }
 
-macro_rules! ways {
-    ($($(#[doc = $d:literal])* $n:ident,)*) => {
-        /// One way in which an answer comes.
+macro_rules! response_cases {
+    ($($(#[doc = $doc:literal])* $name:ident,)*) => {
+        /// One case of a worker's response. The names of the variants are written in `matrix.txt`.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-        pub enum Way { $($(#[doc = $d])* $n,)* }
+        pub enum Case { $($(#[doc = $doc])* $name,)* }
 
-        impl Way {
-            pub const ALL: &[Way] = &[$(Way::$n,)*];
+        impl Case {
+            pub const ALL: &[Case] = &[$(Case::$name,)*];
         }
     };
 }
 
-ways! {
-    /// As it should, with a length.
+response_cases! {
+    /// A complete response with a length.
     Whole,
-    /// As it should, in chunks.
+    /// A complete response in chunks.
     Chunked,
-    /// Whole, in many small writes.
+    /// A complete response in many small writes.
     Slowly,
-    /// Never.
+    /// No response on an open connection.
     Silence,
-    /// Its beginning, and then never the rest, of a body with a length.
+    /// The beginning of a body with a length, and never the rest.
     SilenceInBody,
-    /// Twice at once.
+    /// Two copies of the response at once.
     Doubled,
-    /// Whole, with the answer to nobody right behind it.
+    /// A complete response, directly followed by a response to no request.
     SurplusAtOnce,
-    /// Whole, with bytes behind it that are no answer.
+    /// A complete response, directly followed by bytes that are not HTTP.
     GarbageBehind,
-    /// Whole, and once more while the connection is idle.
+    /// A complete response, and a copy of it while the connection is idle.
     DoubledLater,
-    /// Whole, and bytes that are no answer while the connection is idle.
+    /// A complete response, and bytes that are not HTTP while the connection is idle.
     GarbageLater,
-    /// Whole, and a refusal of nobody's request while the connection is idle.
+    /// A complete response, and a refusal of no request while the connection is idle.
     RefusalLater,
-    /// Whole, and the end while the connection is idle.
+    /// A complete response, and a close while the connection is idle.
     ClosedLater,
-    /// The answer to the request before comes first, then its own.
+    /// A copy of the response to the previous request, then the response.
     BeforeFirst,
-    /// A refusal of the request before comes first ("not run"), then its own answer.
+    /// A refusal of the previous request ("not run"), then the response.
     RefusalBeforeFirst,
-    /// A failure of the request before comes first, then its own answer.
+    /// A failure of the previous request, then the response.
     FailureBeforeFirst,
-    /// A success that names no request, then its own answer.
+    /// A success that names no request, then the response.
     NamelessFirst,
-    /// A refusal that names no request ("not run"), then its own answer.
+    /// A refusal that names no request ("not run"), then the response.
     NamelessRefusalFirst,
-    /// A failure that names no request, then its own answer.
+    /// A failure that names no request, then the response.
     NamelessFailureFirst,
-    /// It names another request and its own.
+    /// A response that names another request and its own.
     TwoNames,
     /// A success without a seal.
     Unsealed,
-    /// A success that says that it did not run.
+    /// A success that states that the request did not run.
     SuccessNotRun,
-    /// Bytes that are no answer.
+    /// Bytes that are not HTTP.
     Garbage,
-    /// The end, within the head.
+    /// A close within the head.
     CutInHead,
-    /// The end, within a body with a length.
+    /// A close within a body with a length.
     CutInBody,
-    /// The end, within a chunk.
+    /// A close within a chunk.
     CutInChunk,
-    /// The end, after a whole chunk and before the last one.
+    /// A close after a complete chunk and before the last chunk.
     CutBetweenChunks,
     /// A reset within a body.
     ResetInBody,
-    /// A chunk whose length is none.
+    /// A chunk with an invalid length.
     ChunkGarbage,
-    /// The end, of a body whose end only the close tells.
+    /// A complete body whose end only the close marks.
     Unbounded,
-    /// The end within a body of another coding than chunks, which only the close ends.
+    /// A body whose last transfer coding is not `chunked`, so that only the close marks its end.
     OtherCoding,
-    /// The same beside a length, which does not count then.
+    /// A truncated body with a transfer coding other than `chunked` and a length, which does not count then.
     OtherCodingAndLength,
-    /// A body longer than told.
+    /// A body longer than its length.
     Longer,
     /// Two lengths that differ.
     TwoLengths,
-    /// The same length twice in one line.
+    /// The same length twice in one header value.
     LengthTwice,
-    /// A length that is none.
+    /// An invalid length.
     LengthGarbage,
-    /// A reset, without an answer.
+    /// A reset without a response.
     Reset,
-    /// The end, without an answer.
+    /// A close without a response.
     Closed,
-    /// `100 Continue` before it.
+    /// `100 Continue` before the response.
     Continue,
-    /// Other heads of status 1xx before it.
+    /// Other responses of status 1xx before the response.
     Informational,
-    /// `101 Switching Protocols`, in its place.
+    /// `101 Switching Protocols` in place of the response.
     Switching,
-    /// Whole, before the request was read.
+    /// A complete response before the request body is read.
     Early,
-    /// Whole before the request was read, and a reset.
+    /// A complete response before the request body is read, and a reset.
     EarlyReset,
-    /// A refusal before the request was read ("not run"), and the end.
+    /// A refusal ("not run") before the request body is read, on a connection that stays open.
     EarlyRefusal,
-    /// Whole, with `Connection: close`, and the end.
+    /// A complete response with `Connection: close`, and a close.
     SaysClose,
-    /// Whole, with `Connection: close`, and no end.
+    /// A complete response with `Connection: close`, and no close.
     SaysCloseStays,
-    /// Whole, of HTTP/1.0.
+    /// A complete response of HTTP/1.0.
     Old,
     /// A refusal: 503, "not run".
     Refused503,
@@ -138,199 +140,204 @@
     Refused429,
     /// A refusal: 421.
     Refused421,
-    /// 503, without the word that it did not run.
+    /// 503 without the statement that the request did not run.
     Says503,
-    /// 429, without the word that it did not run.
+    /// 429 without the statement that the request did not run.
     Says429,
-    /// 408, without the word that it did not run.
+    /// 408 without the statement that the request did not run.
     Says408,
-    /// A failure of its own.
+    /// A failure of the worker: 500.
     Failed500,
-    /// It gave up at the deadline.
+    /// A failure at the deadline: 504.
     Failed504,
-    /// The request is not to its liking.
+    /// A failure by the request: 404.
     Failed404,
-    /// A failure that is cut within its body.
+    /// A failure that is truncated within its body.
     FailedCut,
 }
 
-/// How many events a stream has.
-const EVENTS: u64 = 3;
+/// The number of events of a stream.
+const EVENT_COUNT: u64 = 3;
 
-/// The bytes of the body of a request's answer, one part for each event of a stream.
-pub fn body(q: &Request) -> Vec<String> {
-    if !q.stream() {
-        return vec![format!("<answer to {}>", q.id)];
+/// Returns the body of the response to a request, one part for each event of a stream.
+pub fn body(request: &Request) -> Vec<String> {
+    if !request.wants_stream() {
+        return vec![format!("<answer to {}>", request.id)];
     }
-    let from = q.after.map_or(0, |n| n + 1);
-    (from..EVENTS).map(|n| format!("id: {n}\ndata: <answer to {}>\n\n", q.id)).collect()
+    let first_event = request.last_event_id.map_or(0, |event| event + 1);
+    (first_event..EVENT_COUNT).map(|event| format!("id: {event}\ndata: <answer to {}>\n\n", request.id)).collect()
 }
 
-/// Bytes that are no answer in the protocol.
+/// Bytes that are not HTTP.
 const GARBAGE: &[u8] = b"\x00\x01\x02 no answer at all\r\n\r\n";
 
-/// An answer of nobody's.
-const NOBODY: &[u8] = b"HTTP/1.1 200 OK\r\nx-call-id: nobody\r\nx-seal: nobody\r\ncontent-length: 10\r\n\r\n<a nobody>";
+/// A success that names no request of the test.
+const STRAY: &[u8] = b"HTTP/1.1 200 OK\r\nx-call-id: nobody\r\nx-seal: nobody\r\ncontent-length: 10\r\n\r\n<a nobody>";
 
-/// A refusal of nobody's request.
-const NOBODY_REFUSED: &[u8] =
+/// A refusal ("not run") that names no request of the test.
+const STRAY_REFUSAL: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nx-call-id: nobody\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n";
 
-fn head(q: &Request, more: &str) -> String {
-    let kind = if q.stream() { "text/event-stream" } else { "text/plain" };
-    format!("HTTP/1.1 200 OK\r\nx-call-id: {0}\r\nx-seal: {0}\r\ncontent-type: {kind}\r\n{more}", q.id)
+/// Returns the head of a success up to the headers that give its length.
+fn head(request: &Request, extra_headers: &str) -> String {
+    let kind = if request.wants_stream() { "text/event-stream" } else { "text/plain" };
+    format!("HTTP/1.1 200 OK\r\nx-call-id: {0}\r\nx-seal: {0}\r\ncontent-type: {kind}\r\n{extra_headers}", request.id)
 }
 
-fn chunk(b: &str) -> String {
-    format!("{:x}\r\n{b}\r\n", b.len())
+/// Returns the bytes of one chunk.
+fn chunk(data: &str) -> String {
+    format!("{:x}\r\n{data}\r\n", data.len())
 }
 
 const CHUNKED: &str = "transfer-encoding: chunked\r\n";
 
-fn with_length(q: &Request, more: &str) -> String {
-    let b = body(q).concat();
-    format!("{}content-length: {}\r\n\r\n{b}", head(q, more), b.len())
+/// Returns a success with a length.
+fn with_length(request: &Request, extra_headers: &str) -> String {
+    let content = body(request).concat();
+    format!("{}content-length: {}\r\n\r\n{content}", head(request, extra_headers), content.len())
 }
 
-fn in_chunks(q: &Request, more: &str) -> String {
-    let chunks: String = body(q).iter().map(|b| chunk(b)).collect();
-    format!("{}{CHUNKED}\r\n{chunks}0\r\n\r\n", head(q, more))
+/// Returns a success in chunks.
+fn in_chunks(request: &Request, extra_headers: &str) -> String {
+    let chunks: String = body(request).iter().map(|part| chunk(part)).collect();
+    format!("{}{CHUNKED}\r\n{chunks}0\r\n\r\n", head(request, extra_headers))
 }
 
-fn status(n: u16, id: &str, more: &str) -> String {
-    let id = if id.is_empty() { String::new() } else { format!("x-call-id: {id}\r\n") };
-    format!("HTTP/1.1 {n} Status\r\n{id}{more}content-length: 0\r\n\r\n")
+/// Returns a response without a body; it names no request if `call_id` is empty.
+fn status(code: u16, call_id: &str, extra_headers: &str) -> String {
+    let names = if call_id.is_empty() { String::new() } else { format!("x-call-id: {call_id}\r\n") };
+    format!("HTTP/1.1 {code} Status\r\n{names}{extra_headers}content-length: 0\r\n\r\n")
 }
 
 const NOT_RUN: &str = "x-not-run: 1\r\n";
 
-impl Way {
-    /// It answers when it has read the head alone.
-    pub fn early(self) -> bool {
-        matches!(self, Way::Early | Way::EarlyReset | Way::EarlyRefusal)
+impl Case {
+    /// Returns true if the worker responds after it has read the head alone.
+    pub fn is_early(self) -> bool {
+        matches!(self, Case::Early | Case::EarlyReset | Case::EarlyRefusal)
     }
 
-    /// The request has a body that does not fit into the buffers on its way.
-    pub fn large(self) -> bool {
-        self.early()
+    /// Returns true if the request has a body that exceeds the socket buffers.
+    pub fn needs_large_request(self) -> bool {
+        self.is_early()
     }
 
-    /// Whether the front sees the answer or the reset first is up to the kernel: only what must
-    /// hold of each call is checked.
-    pub fn racy(self) -> bool {
-        self == Way::EarlyReset
+    /// Returns true if the kernel decides whether the front sees the response or the reset first. Only the
+    /// invariants of each call are checked then.
+    pub fn is_racy(self) -> bool {
+        self == Case::EarlyReset
     }
 
-    /// Only time ends it.
-    pub fn silent(self) -> bool {
-        matches!(self, Way::Silence | Way::SilenceInBody)
+    /// Returns true if only a time-out ends the call.
+    pub fn is_silent(self) -> bool {
+        matches!(self, Case::Silence | Case::SilenceInBody)
     }
 
-    /// Something more happens while the connection is idle.
-    pub fn later(self) -> bool {
-        matches!(self, Way::DoubledLater | Way::GarbageLater | Way::RefusalLater | Way::ClosedLater)
+    /// Returns true if the worker acts once more while the connection is idle.
+    pub fn has_delayed_action(self) -> bool {
+        matches!(self, Case::DoubledLater | Case::GarbageLater | Case::RefusalLater | Case::ClosedLater)
     }
 
-    /// What a worker says to a request; `before` is the one that it answered on this connection last.
-    pub fn answer(self, q: &Request, before: Option<&Request>) -> Said {
-        let stranger = Request { id: "stranger".into(), path: q.path.clone(), ..Request::default() };
-        let other = before.unwrap_or(&stranger);
-        let whole = with_length(q, "");
-        let own = whole.clone();
-        let half = |s: &str| s[..s.len() - 4].to_owned();
-        let said = |text: String, after| Said { parts: vec![text.into_bytes()], after, ran: true, success: false };
-        let good = |text: String, after| Said { success: true, ..said(text, after) };
-        let not = |text: String, after| Said { ran: false, ..said(text, after) };
+    /// Returns the response to `call`; `previous` is the request before on the same connection.
+    pub fn response(self, call: &Request, previous: Option<&Request>) -> Reply {
+        let unknown = Request { id: "stranger".into(), path: call.path.clone(), ..Request::default() };
+        let other = previous.unwrap_or(&unknown);
+        let full = with_length(call, "");
+        let own = full.clone();
+        let cut = |text: &str| text[..text.len() - 4].to_owned();
+        let reply = |text: String, next| Reply { parts: vec![text.into_bytes()], next, ran: true, is_success: false };
+        let ok = |text: String, next| Reply { is_success: true, ..reply(text, next) };
+        let refuse = |text: String, next| Reply { ran: false, ..reply(text, next) };
         match self {
-            Way::Whole => good(whole, After::Serve),
-            Way::Chunked => good(in_chunks(q, ""), After::Serve),
-            Way::Slowly => {
-                let parts = in_chunks(q, "").bytes().map(|b| vec![b]).collect();
-                Said { parts, ..good(String::new(), After::Serve) }
+            Case::Whole => ok(full, Next::Serve),
+            Case::Chunked => ok(in_chunks(call, ""), Next::Serve),
+            Case::Slowly => {
+                let parts = in_chunks(call, "").bytes().map(|byte| vec![byte]).collect();
+                Reply { parts, ..ok(String::new(), Next::Serve) }
             }
-            Way::Silence => said(String::new(), After::Hold),
-            Way::SilenceInBody => said(half(&whole), After::Hold),
-            Way::Doubled => good(whole + &own, After::Serve),
-            Way::SurplusAtOnce => Said { parts: vec![[whole.as_bytes(), NOBODY].concat()], ..good(own, After::Serve) },
-            Way::GarbageBehind => Said { parts: vec![[whole.as_bytes(), GARBAGE].concat()], ..good(own, After::Serve) },
-            Way::DoubledLater => good(whole, After::AgainLater),
-            Way::GarbageLater => good(whole, After::Later(GARBAGE)),
-            Way::RefusalLater => good(whole, After::Later(NOBODY_REFUSED)),
-            Way::ClosedLater => good(whole, After::CloseLater),
-            Way::BeforeFirst => good(with_length(other, "") + &own, After::Serve),
-            Way::RefusalBeforeFirst => good(status(503, &other.id, NOT_RUN) + &own, After::Serve),
-            Way::FailureBeforeFirst => good(status(500, &other.id, "") + &own, After::Serve),
-            Way::NamelessFirst => good(status(200, "", "x-seal: x\r\n") + &own, After::Serve),
-            Way::NamelessRefusalFirst => good(status(503, "", NOT_RUN) + &own, After::Serve),
-            Way::NamelessFailureFirst => good(status(404, "", "") + &own, After::Serve),
-            Way::TwoNames => good(with_length(q, "x-call-id: another\r\n"), After::Serve),
-            Way::Unsealed => said(whole.replace(&format!("x-seal: {}\r\n", q.id), ""), After::Serve),
-            Way::SuccessNotRun => said(with_length(q, NOT_RUN), After::Serve),
-            Way::Garbage => Said { parts: vec![GARBAGE.to_vec()], ..said(own, After::Serve) },
-            Way::CutInHead => said(whole[..30].to_owned(), After::Close),
-            Way::CutInBody => said(half(&whole), After::Close),
-            Way::CutInChunk => {
-                let b = body(q);
-                let first: String = b[..b.len().saturating_sub(1)].iter().map(|b| chunk(b)).collect();
-                let last = b.last().map(|b| half(&chunk(b))).unwrap_or_default();
-                said(format!("{}{CHUNKED}\r\n{first}{last}", head(q, "")), After::Close)
+            Case::Silence => reply(String::new(), Next::StayOpen),
+            Case::SilenceInBody => reply(cut(&full), Next::StayOpen),
+            Case::Doubled => ok(full + &own, Next::Serve),
+            Case::SurplusAtOnce => Reply { parts: vec![[full.as_bytes(), STRAY].concat()], ..ok(own, Next::Serve) },
+            Case::GarbageBehind => Reply { parts: vec![[full.as_bytes(), GARBAGE].concat()], ..ok(own, Next::Serve) },
+            Case::DoubledLater => ok(full, Next::RepeatLater),
+            Case::GarbageLater => ok(full, Next::SendLater(GARBAGE)),
+            Case::RefusalLater => ok(full, Next::SendLater(STRAY_REFUSAL)),
+            Case::ClosedLater => ok(full, Next::CloseLater),
+            Case::BeforeFirst => ok(with_length(other, "") + &own, Next::Serve),
+            Case::RefusalBeforeFirst => ok(status(503, &other.id, NOT_RUN) + &own, Next::Serve),
+            Case::FailureBeforeFirst => ok(status(500, &other.id, "") + &own, Next::Serve),
+            Case::NamelessFirst => ok(status(200, "", "x-seal: x\r\n") + &own, Next::Serve),
+            Case::NamelessRefusalFirst => ok(status(503, "", NOT_RUN) + &own, Next::Serve),
+            Case::NamelessFailureFirst => ok(status(404, "", "") + &own, Next::Serve),
+            Case::TwoNames => ok(with_length(call, "x-call-id: another\r\n"), Next::Serve),
+            Case::Unsealed => reply(full.replace(&format!("x-seal: {}\r\n", call.id), ""), Next::Serve),
+            Case::SuccessNotRun => reply(with_length(call, NOT_RUN), Next::Serve),
+            Case::Garbage => Reply { parts: vec![GARBAGE.to_vec()], ..reply(own, Next::Serve) },
+            Case::CutInHead => reply(full[..30].to_owned(), Next::Close),
+            Case::CutInBody => reply(cut(&full), Next::Close),
+            Case::CutInChunk => {
+                let parts = body(call);
+                let first: String = parts[..parts.len().saturating_sub(1)].iter().map(|part| chunk(part)).collect();
+                let last = parts.last().map(|part| cut(&chunk(part))).unwrap_or_default();
+                reply(format!("{}{CHUNKED}\r\n{first}{last}", head(call, "")), Next::Close)
             }
-            Way::CutBetweenChunks => {
-                let first = body(q).first().map(|b| chunk(b)).unwrap_or_default();
-                said(format!("{}{CHUNKED}\r\n{first}", head(q, "")), After::Close)
+            Case::CutBetweenChunks => {
+                let first = body(call).first().map(|part| chunk(part)).unwrap_or_default();
+                reply(format!("{}{CHUNKED}\r\n{first}", head(call, "")), Next::Close)
             }
-            Way::ResetInBody => said(half(&whole), After::Reset),
-            Way::ChunkGarbage => {
-                let first = body(q).first().map(|b| chunk(b)).unwrap_or_default();
-                said(format!("{}{CHUNKED}\r\n{first}zz\r\nwhat\r\n0\r\n\r\n", head(q, "")), After::Serve)
+            Case::ResetInBody => reply(cut(&full), Next::Reset),
+            Case::ChunkGarbage => {
+                let first = body(call).first().map(|part| chunk(part)).unwrap_or_default();
+                reply(format!("{}{CHUNKED}\r\n{first}zz\r\nwhat\r\n0\r\n\r\n", head(call, "")), Next::Serve)
             }
-            Way::Unbounded => said(format!("{}\r\n{}", head(q, ""), body(q).concat()), After::Close),
-            Way::OtherCoding => {
-                let more = "transfer-encoding: chunked, gzip\r\n";
-                said(format!("{}{more}\r\n{}", head(q, ""), body(q).concat()), After::Close)
+            Case::Unbounded => reply(format!("{}\r\n{}", head(call, ""), body(call).concat()), Next::Close),
+            Case::OtherCoding => {
+                let coding = "transfer-encoding: chunked, gzip\r\n";
+                reply(format!("{}{coding}\r\n{}", head(call, ""), body(call).concat()), Next::Close)
             }
-            Way::OtherCodingAndLength => {
-                let (b, more) = (body(q).concat(), "transfer-encoding: gzip\r\n");
-                let t = format!("{}{more}content-length: {}\r\n\r\n{}", head(q, ""), b.len(), half(&b));
-                said(t, After::Close)
+            Case::OtherCodingAndLength => {
+                let (text, coding) = (body(call).concat(), "transfer-encoding: gzip\r\n");
+                let raw = format!("{}{coding}content-length: {}\r\n\r\n{}", head(call, ""), text.len(), cut(&text));
+                reply(raw, Next::Close)
             }
-            Way::Longer => good(whole + " and more", After::Serve),
-            Way::TwoLengths => said(with_length(q, "content-length: 3\r\n"), After::Serve),
-            Way::LengthTwice => {
-                let b = body(q).concat();
-                good(format!("{}content-length: {1}, {1}\r\n\r\n{b}", head(q, ""), b.len()), After::Serve)
+            Case::Longer => ok(full + " and more", Next::Serve),
+            Case::TwoLengths => reply(with_length(call, "content-length: 3\r\n"), Next::Serve),
+            Case::LengthTwice => {
+                let text = body(call).concat();
+                ok(format!("{}content-length: {1}, {1}\r\n\r\n{text}", head(call, ""), text.len()), Next::Serve)
             }
-            Way::LengthGarbage => {
-                said(format!("{}content-length: many\r\n\r\n{}", head(q, ""), body(q).concat()), After::Serve)
+            Case::LengthGarbage => {
+                reply(format!("{}content-length: many\r\n\r\n{}", head(call, ""), body(call).concat()), Next::Serve)
             }
-            Way::Reset => said(String::new(), After::Reset),
-            Way::Closed => said(String::new(), After::Close),
-            Way::Continue => good("HTTP/1.1 100 Continue\r\n\r\n".to_owned() + &own, After::Serve),
-            Way::Informational => {
-                let t = "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nx-call-id: another\r\n\r\n";
-                good(t.to_owned() + &own, After::Serve)
+            Case::Reset => reply(String::new(), Next::Reset),
+            Case::Closed => reply(String::new(), Next::Close),
+            Case::Continue => ok("HTTP/1.1 100 Continue\r\n\r\n".to_owned() + &own, Next::Serve),
+            Case::Informational => {
+                let text = "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nx-call-id: another\r\n\r\n";
+                ok(text.to_owned() + &own, Next::Serve)
             }
-            Way::Switching => {
-                let t = format!("HTTP/1.1 101 Switching\r\nx-call-id: {0}\r\nx-seal: {0}\r\nupgrade: x\r\n", q.id);
-                said(t + "connection: upgrade\r\n\r\nwhatever", After::Serve)
+            Case::Switching => {
+                let raw = format!("HTTP/1.1 101 Switching\r\nx-call-id: {0}\r\nx-seal: {0}\r\nupgrade: x\r\n", call.id);
+                reply(raw + "connection: upgrade\r\n\r\nwhatever", Next::Serve)
             }
-            Way::Early => good(whole, After::Hold),
-            Way::EarlyReset => good(whole, After::Reset),
-            Way::EarlyRefusal => not(status(503, &q.id, NOT_RUN), After::Hold),
-            Way::SaysClose => good(with_length(q, "connection: close\r\n"), After::Close),
-            Way::SaysCloseStays => good(with_length(q, "connection: close\r\n"), After::Serve),
-            Way::Old => good(whole.replace("HTTP/1.1", "HTTP/1.0"), After::Close),
-            Way::Refused503 => not(status(503, &q.id, NOT_RUN), After::Serve),
-            Way::Refused429 => not(status(429, &q.id, NOT_RUN), After::Serve),
-            Way::Refused421 => not(status(421, &q.id, ""), After::Serve),
-            Way::Says503 => said(status(503, &q.id, ""), After::Serve),
-            Way::Says429 => said(status(429, &q.id, ""), After::Serve),
-            Way::Says408 => said(status(408, &q.id, ""), After::Serve),
-            Way::Failed500 => said(status(500, &q.id, "x-seal: x\r\n"), After::Serve),
-            Way::Failed504 => said(status(504, &q.id, "x-seal: x\r\n"), After::Serve),
-            Way::Failed404 => said(status(404, &q.id, "x-seal: x\r\n"), After::Serve),
-            Way::FailedCut => {
-                said(status(500, &q.id, "x-seal: x\r\n").replace("length: 0", "length: 9") + "half", After::Close)
+            Case::Early => ok(full, Next::StayOpen),
+            Case::EarlyReset => ok(full, Next::Reset),
+            Case::EarlyRefusal => refuse(status(503, &call.id, NOT_RUN), Next::StayOpen),
+            Case::SaysClose => ok(with_length(call, "connection: close\r\n"), Next::Close),
+            Case::SaysCloseStays => ok(with_length(call, "connection: close\r\n"), Next::Serve),
+            Case::Old => ok(full.replace("HTTP/1.1", "HTTP/1.0"), Next::Close),
+            Case::Refused503 => refuse(status(503, &call.id, NOT_RUN), Next::Serve),
+            Case::Refused429 => refuse(status(429, &call.id, NOT_RUN), Next::Serve),
+            Case::Refused421 => refuse(status(421, &call.id, ""), Next::Serve),
+            Case::Says503 => reply(status(503, &call.id, ""), Next::Serve),
+            Case::Says429 => reply(status(429, &call.id, ""), Next::Serve),
+            Case::Says408 => reply(status(408, &call.id, ""), Next::Serve),
+            Case::Failed500 => reply(status(500, &call.id, "x-seal: x\r\n"), Next::Serve),
+            Case::Failed504 => reply(status(504, &call.id, "x-seal: x\r\n"), Next::Serve),
+            Case::Failed404 => reply(status(404, &call.id, "x-seal: x\r\n"), Next::Serve),
+            Case::FailedCut => {
+                reply(status(500, &call.id, "x-seal: x\r\n").replace("length: 0", "length: 9") + "half", Next::Close)
             }
         }
     }
--- a/crates/node/tests/upstream.rs
+++ b/crates/node/tests/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to workers, between nodes and from clients, against raw stand-ins.
+//! Connections to workers, between nodes and from clients, against stubs on plain sockets.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -16,438 +16,488 @@
 
 type Res = Result<(), Box<dyn std::error::Error>>;
 
-/// What a stand-in does with one request.
+/// What a stub worker does with one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Act {
-    Whole,
-    /// An answer, and another one at once behind it.
-    Twice,
-    /// An answer, and another one when the test says so.
-    Late,
-    /// An answer that says that the connection ends, which stays open.
-    SaysClose,
-    /// An answer that says that this connection takes no more requests, without `Connection: close`.
-    Last,
-    /// An answer, and the end when the test says so.
-    Ends,
-    /// An answer that tells how long the connection is kept.
-    Keeps(u64),
-    /// The first half of an answer.
-    Half,
-    /// An end without an answer.
-    Nothing,
+enum WorkerAction {
+    /// Sends a complete response.
+    Respond,
+    /// Sends a response directly followed by a second one.
+    RespondTwice,
+    /// Sends a response, and a second one when triggered.
+    RespondAgainLater,
+    /// Sends a response with `Connection: close` and keeps the connection open.
+    AnnounceClose,
+    /// Sends a response that announces with `Keep-Alive: max=0` that the connection takes no more requests.
+    AnnounceLastRequest,
+    /// Sends a response, and closes the connection when triggered.
+    CloseLater,
+    /// Sends a response that announces the idle time-out in seconds.
+    AnnounceIdleTimeout(u64),
+    /// Sends a truncated response.
+    Truncate,
+    /// Closes the connection without a response.
+    CloseWithoutResponse,
 }
 
-struct Standin {
+/// A stub worker that responds to each request with its path.
+struct StubWorker {
     addr: SocketAddr,
-    conns: Arc<AtomicUsize>,
-    go: Sender<()>,
-    did: Receiver<()>,
+    connection_count: Arc<AtomicUsize>,
+    trigger: Sender<()>,
+    done: Receiver<()>,
 }
 
-fn read(s: &mut TcpStream) -> Option<String> {
-    let (mut b, mut o) = ([0; 1024], Vec::new());
-    while !o.ends_with(b"\r\n\r\n") {
-        let n = s.read(&mut b).ok().filter(|n| *n > 0)?;
-        o.extend_from_slice(&b[..n]);
+/// Reads the head of a request and returns its path; `None` at the end of the connection.
+fn read_path(stream: &mut TcpStream) -> Option<String> {
+    let (mut buffer, mut head) = ([0; 1024], Vec::new());
+    while !head.ends_with(b"\r\n\r\n") {
+        let count = stream.read(&mut buffer).ok().filter(|count| *count > 0)?;
+        head.extend_from_slice(&buffer[..count]);
     }
-    String::from_utf8_lossy(&o).split(' ').nth(1).map(str::to_owned)
+    String::from_utf8_lossy(&head).split(' ').nth(1).map(str::to_owned)
 }
 
-fn say(s: &mut TcpStream, head: &str, path: &str) -> std::io::Result<()> {
-    s.write_all(format!("HTTP/1.1 200 OK\r\n{head}content-length: {}\r\n\r\n{path}", path.len()).as_bytes())
+/// Writes a response with these headers, whose body is `path`.
+fn respond(stream: &mut TcpStream, headers: &str, path: &str) -> std::io::Result<()> {
+    stream.write_all(format!("HTTP/1.1 200 OK\r\n{headers}content-length: {}\r\n\r\n{path}", path.len()).as_bytes())
 }
 
-impl Standin {
-    /// Answers each request with its own path, in the ways given, one after another.
-    fn new(acts: &[Act]) -> std::io::Result<Self> {
-        let l = TcpListener::bind("127.0.0.1:0")?;
-        let addr = l.local_addr()?;
-        let conns = Arc::new(AtomicUsize::new(0));
-        let (go, wait) = channel();
-        let (tell, did) = channel();
-        let wait = Arc::new(std::sync::Mutex::new(wait));
-        let acts = Arc::new(std::sync::Mutex::new(acts.to_vec()));
-        let n = conns.clone();
+impl StubWorker {
+    /// Starts a worker that carries out one action for each request; requests after these get a complete response.
+    fn new(actions: &[WorkerAction]) -> std::io::Result<Self> {
+        let listener = TcpListener::bind("127.0.0.1:0")?;
+        let addr = listener.local_addr()?;
+        let connection_count = Arc::new(AtomicUsize::new(0));
+        let (trigger, trigger_receiver) = channel();
+        let (done_sender, done) = channel();
+        let trigger_receiver = Arc::new(std::sync::Mutex::new(trigger_receiver));
+        let actions = Arc::new(std::sync::Mutex::new(actions.to_vec()));
+        let accepted_count = connection_count.clone();
         std::thread::spawn(move || {
-            for s in l.incoming().map_while(Result::ok) {
-                n.fetch_add(1, Ordering::SeqCst);
-                let (acts, wait, tell) = (acts.clone(), wait.clone(), tell.clone());
+            for stream in listener.incoming().map_while(Result::ok) {
+                accepted_count.fetch_add(1, Ordering::SeqCst);
+                let (actions, trigger_receiver, done_sender) =
+                    (actions.clone(), trigger_receiver.clone(), done_sender.clone());
                 std::thread::spawn(move || {
-                    let mut s = s;
-                    while let Some(p) = read(&mut s) {
-                        let a = acts.lock().ok().filter(|a| !a.is_empty()).map_or(Act::Whole, |mut a| a.remove(0));
-                        let word = || wait.lock().is_ok_and(|w| w.recv().is_ok());
-                        let _ = match a {
-                            Act::Whole => say(&mut s, "", &p),
-                            Act::SaysClose => say(&mut s, "Connection: close\r\n", &p),
-                            Act::Last => say(&mut s, "Keep-Alive: timeout=9, max=0\r\n", &p),
-                            Act::Keeps(n) => say(&mut s, &format!("Keep-Alive: timeout={n}, max=9\r\n"), &p),
-                            Act::Twice => {
-                                let one = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{p}", p.len());
-                                s.write_all(format!("{one}{}", one.replace(&p, "/wrong")).as_bytes())
+                    let mut stream = stream;
+                    while let Some(path) = read_path(&mut stream) {
+                        let action = actions
+                            .lock()
+                            .ok()
+                            .filter(|actions| !actions.is_empty())
+                            .map_or(WorkerAction::Respond, |mut actions| actions.remove(0));
+                        let is_triggered = || trigger_receiver.lock().is_ok_and(|receiver| receiver.recv().is_ok());
+                        let _ = match action {
+                            WorkerAction::Respond => respond(&mut stream, "", &path),
+                            WorkerAction::AnnounceClose => respond(&mut stream, "Connection: close\r\n", &path),
+                            WorkerAction::AnnounceLastRequest => {
+                                respond(&mut stream, "Keep-Alive: timeout=9, max=0\r\n", &path)
                             }
-                            Act::Late => {
-                                let _ = say(&mut s, "", &p);
-                                let _ = word() && say(&mut s, "", "/wrong").is_ok();
-                                let _ = tell.send(());
+                            WorkerAction::AnnounceIdleTimeout(seconds) => {
+                                respond(&mut stream, &format!("Keep-Alive: timeout={seconds}, max=9\r\n"), &path)
+                            }
+                            WorkerAction::RespondTwice => {
+                                let response =
+                                    format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{path}", path.len());
+                                stream.write_all(format!("{response}{}", response.replace(&path, "/wrong")).as_bytes())
+                            }
+                            WorkerAction::RespondAgainLater => {
+                                let _ = respond(&mut stream, "", &path);
+                                let _ = is_triggered() && respond(&mut stream, "", "/wrong").is_ok();
+                                let _ = done_sender.send(());
                                 Ok(())
                             }
-                            Act::Ends => {
-                                let _ = say(&mut s, "", &p);
-                                let _ = word() && s.shutdown(std::net::Shutdown::Both).is_ok();
-                                let _ = tell.send(());
+                            WorkerAction::CloseLater => {
+                                let _ = respond(&mut stream, "", &path);
+                                let _ = is_triggered() && stream.shutdown(std::net::Shutdown::Both).is_ok();
+                                let _ = done_sender.send(());
                                 return;
                             }
-                            Act::Half => {
-                                let _ = s.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 99\r\n\r\n/ha");
+                            WorkerAction::Truncate => {
+                                let _ = stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 99\r\n\r\n/ha");
                                 return;
                             }
-                            Act::Nothing => return,
+                            WorkerAction::CloseWithoutResponse => return,
                         };
                     }
                 });
             }
         });
-        Ok(Standin { addr, conns, go, did })
+        Ok(StubWorker { addr, connection_count, trigger, done })
     }
 
-    fn conns(&self) -> usize {
-        self.conns.load(Ordering::SeqCst)
+    /// Returns the number of connections accepted so far.
+    fn connection_count(&self) -> usize {
+        self.connection_count.load(Ordering::SeqCst)
     }
 
     fn target(&self, worker_id: &str, incarnation: u64) -> Target {
         Target { addr: self.addr, worker_id: worker_id.into(), incarnation }
     }
 
-    /// Lets the stand-in do what it holds back, and blocks until that is done.
-    fn word(&self) -> Res {
-        self.go.send(())?;
-        Ok(self.did.recv_timeout(Duration::from_secs(5))?)
+    /// Triggers the delayed action and blocks until it is done.
+    fn trigger(&self) -> Res {
+        self.trigger.send(())?;
+        Ok(self.done.recv_timeout(Duration::from_secs(5))?)
     }
 }
 
-/// One request, and whether its connection had been used before.
+/// Makes one request. Returns whether its connection was reused, and the body of the response.
 async fn call(
     pool: &UpstreamPool,
-    to: &Target,
-    want: ConnectionRequirements,
+    target: &Target,
+    requirements: ConnectionRequirements,
     path: &str,
 ) -> Result<(bool, String), String> {
-    let connection = UpstreamConnection::to(to.clone()).open(pool, want).await.map_err(|e| match e {
+    let connection = UpstreamConnection::to(target.clone()).open(pool, requirements).await.map_err(|e| match e {
         ConnectError::LimitReached => "full".to_owned(),
         ConnectError::Io(e) => e.to_string(),
     })?;
-    let old = connection.is_reused();
+    let is_reused = connection.is_reused();
     let request =
         hyper::Request::get(path).header("host", "x").body(Full::new(Bytes::new())).map_err(|e| e.to_string())?;
     let (response, connection) = connection.send(request).await.map_err(|e: SendError| format!("{e:?}"))?;
     let body = response.into_body().collect().await.map_err(|_| "broke".to_owned())?.to_bytes();
     connection.return_idle(pool);
-    Ok((old, String::from_utf8_lossy(&body).into_owned()))
+    Ok((is_reused, String::from_utf8_lossy(&body).into_owned()))
 }
 
-fn rt<F: Future<Output = Res>>(f: F) -> Res {
-    let rt = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    rt.block_on(async { tokio::time::timeout(Duration::from_secs(20), f).await? })
+/// Runs a test on a runtime of one thread, with a time-out of 20 s.
+fn run<F: Future<Output = Res>>(test: F) -> Res {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    runtime.block_on(async { tokio::time::timeout(Duration::from_secs(20), test).await? })
 }
 
-const ONCE: ConnectionRequirements =
+const NON_IDEMPOTENT: ConnectionRequirements =
     ConnectionRequirements { must_be_new: false, is_non_idempotent: true, max_connections: 0 };
-const MANY: ConnectionRequirements =
+const IDEMPOTENT: ConnectionRequirements =
     ConnectionRequirements { must_be_new: false, is_non_idempotent: false, max_connections: 0 };
 
+/// A reused connection that the worker has closed, or on which it has sent surplus bytes, would lose the request or
+/// return the response to another one.
 #[test]
-fn a_kept_connection_is_used_only_when_it_is_sure() -> Res {
-    // What the stand-in does with the first request, whether it is told to go on before the
-    // second one, and whether that may use the same connection.
+fn an_idle_connection_is_reused_only_if_it_is_open_and_silent() -> Res {
+    // The action for the first request, whether it has a delayed part that is triggered before the second request,
+    // the requirements of the second request, and whether the second request reuses the connection.
     let table = [
-        (Act::Whole, false, MANY, true),
-        (Act::Whole, false, ONCE, true),
-        (Act::Whole, false, ConnectionRequirements { must_be_new: true, ..MANY }, false),
-        (Act::Keeps(5), false, ONCE, true),
-        (Act::Keeps(0), false, MANY, false),
-        (Act::SaysClose, false, MANY, false),
-        (Act::Last, false, MANY, false),
-        (Act::Twice, false, MANY, false),
-        (Act::Late, true, MANY, false),
-        (Act::Ends, true, MANY, false),
-        (Act::Ends, true, ONCE, false),
+        (WorkerAction::Respond, false, IDEMPOTENT, true),
+        (WorkerAction::Respond, false, NON_IDEMPOTENT, true),
+        (WorkerAction::Respond, false, ConnectionRequirements { must_be_new: true, ..IDEMPOTENT }, false),
+        (WorkerAction::AnnounceIdleTimeout(5), false, NON_IDEMPOTENT, true),
+        (WorkerAction::AnnounceIdleTimeout(0), false, IDEMPOTENT, false),
+        (WorkerAction::AnnounceClose, false, IDEMPOTENT, false),
+        (WorkerAction::AnnounceLastRequest, false, IDEMPOTENT, false),
+        (WorkerAction::RespondTwice, false, IDEMPOTENT, false),
+        (WorkerAction::RespondAgainLater, true, IDEMPOTENT, false),
+        (WorkerAction::CloseLater, true, IDEMPOTENT, false),
+        (WorkerAction::CloseLater, true, NON_IDEMPOTENT, false),
     ];
-    for (act, word, want, same) in table {
-        rt(async {
-            let s = Standin::new(&[act])?;
-            let (w, to) = (UpstreamPool::default(), s.target("a", 1));
-            let one = call(&w, &to, MANY, "/1").await?;
-            assert_eq!(one, (false, "/1".into()), "{act:?}");
-            if word {
-                // This thread blocks, so nobody but the kernel has seen what came.
-                s.word()?;
+    for (action, has_delayed_part, requirements, is_reused) in table {
+        run(async {
+            let worker = StubWorker::new(&[action])?;
+            let (pool, target) = (UpstreamPool::default(), worker.target("a", 1));
+            let first = call(&pool, &target, IDEMPOTENT, "/1").await?;
+            assert_eq!(first, (false, "/1".into()), "{action:?}");
+            if has_delayed_part {
+                // This thread blocks meanwhile, so only the kernel has seen what the worker sent.
+                worker.trigger()?;
             }
-            let two = call(&w, &to, want, "/2").await?;
-            assert_eq!(two, (same, "/2".into()), "{act:?} {want:?}");
-            assert_eq!(s.conns(), if same { 1 } else { 2 }, "{act:?} {want:?}");
+            let second = call(&pool, &target, requirements, "/2").await?;
+            assert_eq!(second, (is_reused, "/2".into()), "{action:?} {requirements:?}");
+            assert_eq!(worker.connection_count(), if is_reused { 1 } else { 2 }, "{action:?} {requirements:?}");
             Ok(())
         })?;
     }
     Ok(())
 }
 
+/// Bytes or a close can arrive after the connection was checked and before the request is written. The request must
+/// then not be sent, so that it can be retried.
 #[test]
-fn what_comes_between_the_look_and_the_write_keeps_a_request_back() -> Res {
-    // The connection was looked at when it was taken; then bytes come, or the end.
-    for act in [Act::Late, Act::Ends] {
-        rt(async {
-            let s = Standin::new(&[act])?;
-            let (w, to) = (UpstreamPool::default(), s.target("a", 1));
-            assert_eq!(call(&w, &to, MANY, "/1").await?, (false, "/1".into()));
-            let l = UpstreamConnection::to(to.clone()).open(&w, ONCE).await.map_err(|e| format!("{e:?}"))?;
-            assert!(l.is_reused(), "{act:?}");
-            s.word()?;
-            let q = hyper::Request::get("/2").header("host", "x").body(Full::new(Bytes::new()))?;
-            assert_eq!(l.send(q).await.err(), Some(SendError::StaleConnection), "{act:?}");
-            assert_eq!(call(&w, &to, MANY, "/3").await?, (false, "/3".into()), "{act:?}");
+fn a_request_is_withheld_if_the_worker_acts_between_check_and_write() -> Res {
+    // The pool checks the connection when it is opened; the worker acts after that.
+    for action in [WorkerAction::RespondAgainLater, WorkerAction::CloseLater] {
+        run(async {
+            let worker = StubWorker::new(&[action])?;
+            let (pool, target) = (UpstreamPool::default(), worker.target("a", 1));
+            assert_eq!(call(&pool, &target, IDEMPOTENT, "/1").await?, (false, "/1".into()));
+            let connection = UpstreamConnection::to(target.clone())
+                .open(&pool, NON_IDEMPOTENT)
+                .await
+                .map_err(|e| format!("{e:?}"))?;
+            assert!(connection.is_reused(), "{action:?}");
+            worker.trigger()?;
+            let request = hyper::Request::get("/2").header("host", "x").body(Full::new(Bytes::new()))?;
+            assert_eq!(connection.send(request).await.err(), Some(SendError::StaleConnection), "{action:?}");
+            assert_eq!(call(&pool, &target, IDEMPOTENT, "/3").await?, (false, "/3".into()), "{action:?}");
             Ok(())
         })?;
     }
     Ok(())
 }
 
+/// Every third response is followed by a surplus one, which must not be taken for the response to the next request.
 #[test]
-fn many_answers_behind_answers_reach_nobody() -> Res {
-    rt(async {
-        let acts: Vec<Act> = (0..200).map(|i| if i % 3 == 1 { Act::Twice } else { Act::Whole }).collect();
-        let s = Standin::new(&acts)?;
-        let (w, to) = (UpstreamPool::default(), s.target("a", 1));
-        for i in 0..200 {
-            let p = format!("/{i}");
-            assert_eq!(call(&w, &to, MANY, &p).await?.1, p);
+fn surplus_responses_reach_no_later_request() -> Res {
+    run(async {
+        let actions: Vec<WorkerAction> = (0..200)
+            .map(|index| if index % 3 == 1 { WorkerAction::RespondTwice } else { WorkerAction::Respond })
+            .collect();
+        let worker = StubWorker::new(&actions)?;
+        let (pool, target) = (UpstreamPool::default(), worker.target("a", 1));
+        for index in 0..200 {
+            let path = format!("/{index}");
+            assert_eq!(call(&pool, &target, IDEMPOTENT, &path).await?.1, path);
         }
         Ok(())
     })
 }
 
+/// Another worker or incarnation can take over an address. It must not receive requests on the connections of the one
+/// before.
 #[test]
-fn an_address_passes_on_without_its_connections() -> Res {
+fn connections_are_reused_only_for_the_same_incarnation() -> Res {
     let table = [(("a", 1), ("a", 1), true), (("a", 1), ("a", 2), false), (("a", 1), ("b", 1), false)];
-    for (one, two, same) in table {
-        rt(async {
-            let s = Standin::new(&[])?;
-            let w = UpstreamPool::default();
-            call(&w, &s.target(one.0, one.1), MANY, "/1").await?;
-            let (old, _) = call(&w, &s.target(two.0, two.1), MANY, "/2").await?;
-            assert_eq!(old, same, "{one:?} {two:?}");
-            assert_eq!(w.connection_counts(&s.target(two.0, two.1)).0, 1);
-            w.evict_expired(|_, _| false);
-            assert_eq!(w.connection_counts(&s.target(two.0, two.1)).0, 0);
+    for (first, second, is_reused) in table {
+        run(async {
+            let worker = StubWorker::new(&[])?;
+            let pool = UpstreamPool::default();
+            call(&pool, &worker.target(first.0, first.1), IDEMPOTENT, "/1").await?;
+            let (was_reused, _) = call(&pool, &worker.target(second.0, second.1), IDEMPOTENT, "/2").await?;
+            assert_eq!(was_reused, is_reused, "{first:?} {second:?}");
+            assert_eq!(pool.connection_counts(&worker.target(second.0, second.1)).0, 1);
+            pool.evict_expired(|_, _| false);
+            assert_eq!(pool.connection_counts(&worker.target(second.0, second.1)).0, 0);
             Ok(())
         })?;
     }
     Ok(())
 }
 
+/// A truncated or missing response must be reported, and the next request must use a new connection.
 #[test]
-fn a_broken_answer_is_told_and_its_connection_is_gone() -> Res {
-    for (act, want) in [(Act::Half, "broke"), (Act::Nothing, "MaybeSent")] {
-        rt(async {
-            let s = Standin::new(&[act])?;
-            let (w, to) = (UpstreamPool::default(), s.target("a", 1));
-            assert_eq!(call(&w, &to, MANY, "/1").await, Err(want.to_owned()));
-            assert_eq!(call(&w, &to, MANY, "/2").await?, (false, "/2".into()));
+fn an_aborted_response_is_an_error_and_its_connection_is_not_reused() -> Res {
+    for (action, error) in [(WorkerAction::Truncate, "broke"), (WorkerAction::CloseWithoutResponse, "MaybeSent")] {
+        run(async {
+            let worker = StubWorker::new(&[action])?;
+            let (pool, target) = (UpstreamPool::default(), worker.target("a", 1));
+            assert_eq!(call(&pool, &target, IDEMPOTENT, "/1").await, Err(error.to_owned()));
+            assert_eq!(call(&pool, &target, IDEMPOTENT, "/2").await?, (false, "/2".into()));
             Ok(())
         })?;
     }
     Ok(())
 }
 
+/// Requests beyond the limit wait for a permit and fail without one; closed and idle connections make room.
 #[test]
-fn there_are_no_more_connections_than_may_be() -> Res {
-    rt(async {
-        let s = Standin::new(&[])?;
-        let (w, to) = (UpstreamPool::new(Timeouts { permit_wait: 5_000, ..Timeouts::default() }), s.target("a", 1));
-        let want = ConnectionRequirements { max_connections: 2, ..MANY };
-        let one = UpstreamConnection::to(to.clone()).open(&w, want).await.map_err(|e| format!("{e:?}"))?;
-        let two = UpstreamConnection::to(to.clone()).open(&w, want).await.map_err(|e| format!("{e:?}"))?;
-        assert_eq!(w.connection_counts(&to), (0, 2));
-        assert_eq!(call(&w, &to, want, "/3").await, Err("full".into()));
-        // One that comes free is taken by who waits; one that is kept gives its place to a new one.
-        drop(one);
-        assert_eq!(call(&w, &to, want, "/4").await?, (false, "/4".into()));
-        assert_eq!(call(&w, &to, want, "/5").await?, (true, "/5".into()));
+fn the_connection_limit_of_a_worker_is_kept() -> Res {
+    run(async {
+        let worker = StubWorker::new(&[])?;
+        let (pool, target) =
+            (UpstreamPool::new(Timeouts { permit_wait: 5_000, ..Timeouts::default() }), worker.target("a", 1));
+        let requirements = ConnectionRequirements { max_connections: 2, ..IDEMPOTENT };
+        let first =
+            UpstreamConnection::to(target.clone()).open(&pool, requirements).await.map_err(|e| format!("{e:?}"))?;
+        let second =
+            UpstreamConnection::to(target.clone()).open(&pool, requirements).await.map_err(|e| format!("{e:?}"))?;
+        assert_eq!(pool.connection_counts(&target), (0, 2));
+        assert_eq!(call(&pool, &target, requirements, "/3").await, Err("full".into()));
+        // A closed connection frees its permit for a waiting request, and an idle one is closed for a new one.
+        drop(first);
+        assert_eq!(call(&pool, &target, requirements, "/4").await?, (false, "/4".into()));
+        assert_eq!(call(&pool, &target, requirements, "/5").await?, (true, "/5".into()));
         assert_eq!(
-            call(&w, &to, ConnectionRequirements { must_be_new: true, ..want }, "/6").await?,
+            call(&pool, &target, ConnectionRequirements { must_be_new: true, ..requirements }, "/6").await?,
             (false, "/6".into())
         );
-        drop(two);
-        let (a, b) = tokio::join!(call(&w, &to, want, "/7"), call(&w, &to, want, "/8"));
-        assert_eq!((a?.1, b?.1), ("/7".into(), "/8".into()));
-        assert!(w.connection_counts(&to).1 <= 2);
+        drop(second);
+        let (seventh, eighth) =
+            tokio::join!(call(&pool, &target, requirements, "/7"), call(&pool, &target, requirements, "/8"));
+        assert_eq!((seventh?.1, eighth?.1), ("/7".into(), "/8".into()));
+        assert!(pool.connection_counts(&target).1 <= 2);
         Ok(())
     })
 }
 
 #[test]
-fn what_a_worker_tells_of_its_connections() -> Res {
-    let s = 1_000_000;
+fn keep_alive_headers_determine_close_and_idle_time() -> Res {
+    let second = 1_000_000;
     let table: [(&[(&str, &str)], KeepAliveHints); 7] = [
         (&[], KeepAliveHints { closes: false, idle_timeout: None }),
         (&[("connection", "keep-alive")], KeepAliveHints { closes: false, idle_timeout: None }),
         (&[("connection", "x, Close")], KeepAliveHints { closes: true, idle_timeout: None }),
-        (&[("keep-alive", "timeout=4, max=100")], KeepAliveHints { closes: false, idle_timeout: Some(4 * s) }),
+        (&[("keep-alive", "timeout=4, max=100")], KeepAliveHints { closes: false, idle_timeout: Some(4 * second) }),
         (&[("keep-alive", "max=0")], KeepAliveHints { closes: true, idle_timeout: None }),
         (&[("keep-alive", "timeout=soon")], KeepAliveHints { closes: false, idle_timeout: None }),
         (
             &[("connection", "close"), ("keep-alive", "timeout=1")],
-            KeepAliveHints { closes: true, idle_timeout: Some(s) },
+            KeepAliveHints { closes: true, idle_timeout: Some(second) },
         ),
     ];
-    for (hs, want) in table {
-        let mut m = hyper::HeaderMap::new();
-        for (k, v) in hs {
-            m.append(*k, v.parse()?);
+    for (headers, expected) in table {
+        let mut header_map = hyper::HeaderMap::new();
+        for (name, value) in headers {
+            header_map.append(*name, value.parse()?);
         }
-        assert_eq!(KeepAliveHints::from_headers(hyper::Version::HTTP_11, &m), want, "{hs:?}");
+        assert_eq!(KeepAliveHints::from_headers(hyper::Version::HTTP_11, &header_map), expected, "{headers:?}");
     }
-    for (t, want) in [(0, 0), (s, s / 2), (2 * s, s), (15 * s, 14 * s)] {
-        assert_eq!(safe_idle_time(t), want);
+    for (idle_timeout, expected) in [(0, 0), (second, second / 2), (2 * second, second), (15 * second, 14 * second)] {
+        assert_eq!(safe_idle_time(idle_timeout), expected);
     }
-    for ((all, fronts), want) in [((370, 10), 37), ((110, 60), 2), ((8, 0), 8)] {
-        assert_eq!(connection_share(all, fronts), want);
+    for ((worker_limit, fronts), expected) in [((370, 10), 37), ((110, 60), 2), ((8, 0), 8)] {
+        assert_eq!(connection_share(worker_limit, fronts), expected);
     }
     Ok(())
 }
 
-fn option(fd: i32, level: i32, name: i32) -> i32 {
-    let (mut v, mut n) = (0i32, 4u32);
-    // SAFETY: both places outlive the call.
-    unsafe { libc::getsockopt(fd, level, name, (&raw mut v).cast(), &raw mut n) };
-    v
+/// Returns the value of an integer option of a socket.
+fn socket_option(fd: i32, level: i32, name: i32) -> i32 {
+    let (mut value, mut length) = (0i32, 4u32);
+    // SAFETY: `value` and `length` outlive the call.
+    unsafe { libc::getsockopt(fd, level, name, (&raw mut value).cast(), &raw mut length) };
+    value
 }
 
 #[test]
-fn connections_ask_after_silent_peers() -> Res {
-    let l = TcpListener::bind("127.0.0.1:0")?;
-    let s = TcpStream::connect(l.local_addr()?)?;
-    sumacvale_node::net::tune(&s, Duration::from_secs(2));
-    let t = |n| option(s.as_raw_fd(), libc::IPPROTO_TCP, n);
-    assert_eq!((t(libc::TCP_USER_TIMEOUT), t(libc::TCP_KEEPIDLE), t(libc::TCP_KEEPINTVL)), (2000, 1, 1));
-    assert!(t(libc::TCP_NODELAY) != 0 && option(s.as_raw_fd(), libc::SOL_SOCKET, libc::SO_KEEPALIVE) != 0);
+fn sockets_are_set_to_detect_unreachable_peers() -> Res {
+    let listener = TcpListener::bind("127.0.0.1:0")?;
+    let stream = TcpStream::connect(listener.local_addr()?)?;
+    sumacvale_node::net::tune(&stream, Duration::from_secs(2));
+    let tcp_option = |name| socket_option(stream.as_raw_fd(), libc::IPPROTO_TCP, name);
+    assert_eq!(
+        (tcp_option(libc::TCP_USER_TIMEOUT), tcp_option(libc::TCP_KEEPIDLE), tcp_option(libc::TCP_KEEPINTVL)),
+        (2000, 1, 1)
+    );
+    assert!(
+        tcp_option(libc::TCP_NODELAY) != 0
+            && socket_option(stream.as_raw_fd(), libc::SOL_SOCKET, libc::SO_KEEPALIVE) != 0
+    );
     Ok(())
 }
 
-async fn frame(s: &mut tokio::net::TcpStream) -> std::io::Result<Vec<u8>> {
+/// Reads one frame without its length prefix.
+async fn read_frame(stream: &mut tokio::net::TcpStream) -> std::io::Result<Vec<u8>> {
     use tokio::io::AsyncReadExt;
-    let n = s.read_u32_le().await?;
-    let mut b = vec![0; n as usize];
-    s.read_exact(&mut b).await?;
-    Ok(b)
+    let length = stream.read_u32_le().await?;
+    let mut payload = vec![0; length as usize];
+    stream.read_exact(&mut payload).await?;
+    Ok(payload)
 }
 
+/// Frames sent while a node refuses connections, or after it closed one, must arrive in order on the next connection.
 #[test]
-fn frames_wait_for_a_node_that_comes_back() -> Res {
-    rt(tokio::task::LocalSet::new().run_until(async {
-        let tally = Arc::new(sumacvale_node::link::LinkCounters::default());
-        let mut links = sumacvale_node::link::OutboundLinks::new(tally.clone());
-        let l = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
-        let at = l.local_addr()?;
-        drop(l);
-        links.send(&at.to_string(), vec![1], false);
-        links.send(&at.to_string(), vec![2; 70_000], false);
-        // Refused a few times before anyone listens.
+fn frames_are_delivered_after_a_node_reconnects() -> Res {
+    run(tokio::task::LocalSet::new().run_until(async {
+        let counters = Arc::new(sumacvale_node::link::LinkCounters::default());
+        let mut links = sumacvale_node::link::OutboundLinks::new(counters.clone());
+        let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
+        let addr = listener.local_addr()?;
+        drop(listener);
+        links.send(&addr.to_string(), vec![1], false);
+        links.send(&addr.to_string(), vec![2; 70_000], false);
+        // Connects are refused a few times before the node listens.
         for _ in 0..200 {
             tokio::task::yield_now().await;
         }
-        let l = tokio::net::TcpListener::bind(at).await?;
-        let begin = Instant::now();
-        let (mut s, _) = l.accept().await?;
-        assert_eq!((frame(&mut s).await?, frame(&mut s).await?.len()), (vec![1], 70_000));
-        assert!(begin.elapsed() < Duration::from_millis(500), "{:?}", begin.elapsed());
-        for i in 3..50 {
-            links.send(&at.to_string(), vec![i], false);
+        let listener = tokio::net::TcpListener::bind(addr).await?;
+        let started_at = Instant::now();
+        let (mut stream, _) = listener.accept().await?;
+        assert_eq!((read_frame(&mut stream).await?, read_frame(&mut stream).await?.len()), (vec![1], 70_000));
+        assert!(started_at.elapsed() < Duration::from_millis(500), "{:?}", started_at.elapsed());
+        for number in 3..50 {
+            links.send(&addr.to_string(), vec![number], false);
         }
-        for i in 3..50 {
-            assert_eq!(frame(&mut s).await?, vec![i]);
+        for number in 3..50 {
+            assert_eq!(read_frame(&mut stream).await?, vec![number]);
         }
-        // The other side ends: what is sent later goes over a new connection, and nothing of it is lost.
-        drop(s);
-        let (a, ()) = tokio::join!(l.accept(), async {
+        // The node closes the connection: later frames are sent on a new connection and none is lost.
+        drop(stream);
+        let (accepted, ()) = tokio::join!(listener.accept(), async {
             for _ in 0..50 {
                 tokio::task::yield_now().await;
             }
-            links.send(&at.to_string(), vec![99], false);
+            links.send(&addr.to_string(), vec![99], false);
         });
-        assert_eq!(frame(&mut a?.0).await?, vec![99]);
-        assert_eq!(tally.dropped_frames.load(Ordering::Relaxed), 0);
+        assert_eq!(read_frame(&mut accepted?.0).await?, vec![99]);
+        assert_eq!(counters.dropped_frames.load(Ordering::Relaxed), 0);
         Ok(())
     }))
 }
 
-async fn end(s: &mut tokio::net::TcpStream) -> std::io::Result<String> {
+/// Reads a connection to its end.
+async fn read_to_end(stream: &mut tokio::net::TcpStream) -> std::io::Result<String> {
     use tokio::io::AsyncReadExt;
-    let mut o = Vec::new();
-    s.read_to_end(&mut o).await?;
-    Ok(String::from_utf8_lossy(&o).into_owned())
+    let mut bytes = Vec::new();
+    stream.read_to_end(&mut bytes).await?;
+    Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
 
+/// A slow head, an idle connection and an invalid request end a connection. A shutdown closes idle connections at once
+/// and completes the requests that were read.
 #[test]
-fn connections_of_clients_end_in_time() -> Res {
+fn client_connections_time_out_and_drain_on_shutdown() -> Res {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    const ASK: &str = "GET /a HTTP/1.1\r\nhost: x\r\n\r\n";
-    // What a client sends, and how long a head and an idle time may be: all but the first end by themselves.
+    const REQUEST: &str = "GET /a HTTP/1.1\r\nhost: x\r\n\r\n";
+    // What a client sends, the header time-out and the idle time-out in milliseconds, and what the response contains.
+    // The server ends every connection.
     let table = [
         ("", 60_000, 50, ""),
         ("GET /a HT", 50, 60_000, ""),
-        (ASK, 60_000, 50, "hello"),
+        (REQUEST, 60_000, 50, "hello"),
         ("GET /a HTTP/1.1\r\nhost: x\r\n\r\nGET", 60_000, 50, "hello"),
         ("GET /a HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n", 60_000, 60_000, "hello"),
         ("NONSENSE\r\n\r\n", 60_000, 60_000, " 400 "),
     ];
-    rt(async {
+    run(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
-        let at = listener.local_addr()?;
-        let lim = Arc::new(sumacvale_node::serve::ConnectionLimits::default());
-        let (stop, hear) = tokio::sync::watch::channel(false);
-        let (go, wait) = tokio::sync::watch::channel(false);
+        let addr = listener.local_addr()?;
+        let limits = Arc::new(sumacvale_node::serve::ConnectionLimits::default());
+        let (stop, stopped) = tokio::sync::watch::channel(false);
+        let (release_slow, slow_released) = tokio::sync::watch::channel(false);
         let routes = viz::Router::new().get("/a", |_: viz::Request| async { Ok::<_, viz::Error>("hello") }).get(
             "/slow",
             move |_: viz::Request| {
-                let mut wait = wait.clone();
+                let mut slow_released = slow_released.clone();
                 async move {
-                    let _ = wait.wait_for(|x| *x).await;
+                    let _ = slow_released.wait_for(|is_released| *is_released).await;
                     Ok::<_, viz::Error>("slow")
                 }
             },
         );
-        let all = tokio::spawn(sumacvale_node::serve::run(listener, routes, 100, lim.clone(), hear));
-        for (q, head, idle, want) in table {
-            lim.set_header_timeout(head * 1_000);
-            lim.set_idle_timeout(idle * 1_000);
-            let mut s = tokio::net::TcpStream::connect(at).await?;
-            s.write_all(q.as_bytes()).await?;
-            let t = end(&mut s).await?;
-            assert!(if want.is_empty() { t.is_empty() } else { t.contains(want) }, "{q:?}: {t:?}");
+        let server = tokio::spawn(sumacvale_node::serve::run(listener, routes, 100, limits.clone(), stopped));
+        for (request, header_timeout, idle_timeout, expected) in table {
+            limits.set_header_timeout(header_timeout * 1_000);
+            limits.set_idle_timeout(idle_timeout * 1_000);
+            let mut stream = tokio::net::TcpStream::connect(addr).await?;
+            stream.write_all(request.as_bytes()).await?;
+            let response = read_to_end(&mut stream).await?;
+            assert!(
+                if expected.is_empty() { response.is_empty() } else { response.contains(expected) },
+                "{request:?}: {response:?}"
+            );
         }
-        // An answer under way outlives the idle time, and the stop; an idle connection ends with the stop.
-        lim.set_header_timeout(60_000_000);
-        lim.set_idle_timeout(60_000_000);
-        let mut idle = tokio::net::TcpStream::connect(at).await?;
-        idle.write_all(ASK.as_bytes()).await?;
-        let mut b = [0; 512];
-        let n = idle.read(&mut b).await?;
-        assert!(String::from_utf8_lossy(&b[..n]).contains("hello"));
-        let mut busy = tokio::net::TcpStream::connect(at).await?;
-        busy.write_all(ASK.replace("/a", "/slow").as_bytes()).await?;
-        // The loop has taken both when a third one is answered.
-        let mut third = tokio::net::TcpStream::connect(at).await?;
-        third.write_all(ASK.replace("host", "connection: close\r\nhost").as_bytes()).await?;
-        assert!(end(&mut third).await?.contains("hello"));
+        // A response in flight outlives the idle time-out and the shutdown; an idle connection is closed at the shutdown.
+        limits.set_header_timeout(60_000_000);
+        limits.set_idle_timeout(60_000_000);
+        let mut idle = tokio::net::TcpStream::connect(addr).await?;
+        idle.write_all(REQUEST.as_bytes()).await?;
+        let mut buffer = [0; 512];
+        let count = idle.read(&mut buffer).await?;
+        assert!(String::from_utf8_lossy(&buffer[..count]).contains("hello"));
+        let mut busy = tokio::net::TcpStream::connect(addr).await?;
+        busy.write_all(REQUEST.replace("/a", "/slow").as_bytes()).await?;
+        // The accept loop has accepted both connections once a third one gets a response.
+        let mut third = tokio::net::TcpStream::connect(addr).await?;
+        third.write_all(REQUEST.replace("host", "connection: close\r\nhost").as_bytes()).await?;
+        assert!(read_to_end(&mut third).await?.contains("hello"));
         stop.send(true)?;
-        assert_eq!(end(&mut idle).await?, "");
-        go.send(true)?;
-        let t = end(&mut busy).await?;
-        assert!(t.contains("slow") && t.to_lowercase().contains("connection: close"), "{t}");
+        assert_eq!(read_to_end(&mut idle).await?, "");
+        release_slow.send(true)?;
+        let response = read_to_end(&mut busy).await?;
+        assert!(response.contains("slow") && response.to_lowercase().contains("connection: close"), "{response}");
         drop((idle, busy, third));
-        all.await?;
+        server.await?;
         Ok(())
     })
 }
