--- a/crates/core/src/queue/fair_queue.rs
+++ b/crates/core/src/queue/fair_queue.rs
@@ -2,67 +2,71 @@
 //! of a Fair Queueing Algorithm", 1989; Parekh, Gallager, "A Generalized Processor Sharing
 //! Approach", 1993), with admission by the expected wait.
 //!
-//! Each flow (a tenant and a kind of traffic) has a weight. An entry's tag is its virtual finish
-//! time: the flow's last tag, or the virtual time of the queue if that is later, plus the cost of
-//! one entry divided by the weight. Entries leave in the order of their tags, and the virtual time
-//! is the largest tag that left. A flow that was idle thus gains no credit.
+//! Each flow (a tenant and a kind of traffic) has a weight. An entry's finish finish_tag is its virtual
+//! finish time: the flow's last finish finish_tag, or the virtual time of the queue if that is later, plus
+//! the cost of one entry divided by the weight. Entries are dequeued in the order of their finish
+//! tags, and the virtual time is the largest finish finish_tag dequeued so far. An idle flow therefore
+//! gains no credit.
 //!
-//! The queue rejects an entry whose expected wait exceeds its deadline, and when it is full, unless
-//! the entry displaces one of the longest flow relative to its weight.
+//! The queue rejects an entry that is expected to wait beyond its deadline. A full queue rejects an
+//! entry unless that displaces an entry of the longest flow relative to its weight.
 
 use crate::base::{Micros, SEC};
 use crate::config::Kind;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The tenant and the kind of traffic that share a place in the fair order.
+/// The tenant and the kind of traffic that identify a flow.
 type FlowKey = (String, Kind);
 
-/// How long a freed slot counts for the pace, in microseconds.
-const PACE_WINDOW: Micros = 5 * SEC;
+/// The time for which a freed slot counts in the measured rate, in microseconds.
+const FREED_WINDOW: Micros = 5 * SEC;
 
-/// The most freed slots that are kept for the pace.
-const MAX_FREED: usize = 64;
+/// The most freed slots that are kept to measure their rate.
+const MAX_FREED_SLOTS: usize = 64;
 
-/// The virtual time that one entry costs a flow of weight one.
+/// The cost of one entry for a flow of weight one, in virtual time.
 const ENTRY_COST: u64 = 1 << 20;
 
-/// The interval between freed slots if none was seen yet, in microseconds.
+/// The assumed interval between freed slots until one was freed, in microseconds.
 const DEFAULT_INTERVAL: Micros = SEC / 10;
 
-/// The shortest and the longest time to retry after, in microseconds.
+/// The shortest retry-after time, in microseconds.
 const MIN_RETRY_AFTER: Micros = SEC / 2;
+/// The longest retry-after time, in microseconds.
 const MAX_RETRY_AFTER: Micros = 30 * SEC;
 
+/// A queued value with its deadline and its place in the fair order.
 #[derive(Clone, Debug)]
 struct Entry<T> {
     value: T,
     deadline: Micros,
-    /// The virtual finish time.
-    tag: u64,
+    /// The virtual finish time, by which entries are ordered.
+    finish_tag: u64,
 }
 
+/// The entries of one tenant and kind of traffic, in the order of their finish tags.
 #[derive(Clone, Debug)]
 struct Flow<T> {
     entries: VecDeque<Entry<T>>,
     weight: u64,
     /// The virtual finish time of the last entry that was added.
-    last_tag: u64,
+    last_finish_tag: u64,
 }
 
-/// How fast slots came free lately.
+/// The recent rate of freed slots.
 #[derive(Clone, Copy)]
-struct Pace {
-    /// Between two freed slots, in microseconds.
+struct ServiceRate {
+    /// The average interval between two freed slots, in microseconds.
     interval: Micros,
-    /// Since the last freed slot, or since calls began to wait, in microseconds. The next one is
-    /// expected to take at least as long again.
-    gap: Micros,
+    /// The time since the last freed slot, or since calls began to wait, in microseconds. The next
+    /// freed slot is expected to take at least as long again.
+    since_last_freed: Micros,
 }
 
 /// Why an entry was not queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueRejection {
-    /// When to retry, in microseconds from now.
+    /// The time after which to retry, in microseconds.
     pub retry_after: Micros,
 }
 
@@ -74,72 +78,80 @@
     /// The number of entries in all flows; never more than `capacity`.
     len: usize,
     capacity: usize,
-    /// When slots came free lately, in microseconds, oldest first.
-    freed: VecDeque<Micros>,
-    /// Since when the queue has not been empty, in microseconds.
+    /// When slots were freed within [`FREED_WINDOW`], in microseconds, oldest first.
+    freed_at: VecDeque<Micros>,
+    /// When the queue last became non-empty, in microseconds.
     busy_since: Micros,
 }
 
 impl<T> FairQueue<T> {
-    /// An empty queue for at most `capacity` entries.
+    /// Creates an empty queue for at most `capacity` entries.
     #[must_use]
     pub fn new(capacity: usize) -> Self {
-        FairQueue { flows: BTreeMap::new(), virtual_time: 0, len: 0, capacity, freed: VecDeque::new(), busy_since: 0 }
+        FairQueue {
+            flows: BTreeMap::new(),
+            virtual_time: 0,
+            len: 0,
+            capacity,
+            freed_at: VecDeque::new(),
+            busy_since: 0,
+        }
     }
 
-    /// How many entries wait.
+    /// Returns the number of queued entries.
     #[must_use]
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether no entry waits.
+    /// Returns whether no entry is queued.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// All entries, flow by flow and not in the fair order.
+    /// Returns all entries, grouped by flow and not in the fair order.
     pub fn iter(&self) -> impl Iterator<Item = &T> {
         self.flows.values().flat_map(|flow| flow.entries.iter().map(|entry| &entry.value))
     }
 
-    /// Records that a slot came free, from which later waits are estimated.
+    /// Records that a slot was freed; later waits are estimated from these records.
     pub fn record_freed(&mut self, now: Micros) {
-        self.freed.push_back(now);
-        let is_old = |freed_at: &Micros| now.saturating_sub(*freed_at) > PACE_WINDOW;
-        while self.freed.len() > MAX_FREED || self.freed.front().is_some_and(is_old) {
-            self.freed.pop_front();
+        self.freed_at.push_back(now);
+        let is_old = |time: &Micros| now.saturating_sub(*time) > FREED_WINDOW;
+        while self.freed_at.len() > MAX_FREED_SLOTS || self.freed_at.front().is_some_and(is_old) {
+            self.freed_at.pop_front();
         }
     }
 
-    fn pace(&self, now: Micros) -> Pace {
-        let old = self.freed.partition_point(|freed_at| now.saturating_sub(*freed_at) > PACE_WINDOW);
-        let recent = (self.freed.len() - old) as u64;
-        let interval = self.freed.get(old).map_or(0, |first| now.saturating_sub(*first) / recent);
-        let last_progress = self.freed.back().copied().unwrap_or(0).max(self.busy_since);
-        let gap = if self.len > 0 { now.saturating_sub(last_progress) } else { 0 };
-        Pace { interval, gap }
+    fn service_rate(&self, now: Micros) -> ServiceRate {
+        let old = self.freed_at.partition_point(|time| now.saturating_sub(*time) > FREED_WINDOW);
+        let recent = (self.freed_at.len() - old) as u64;
+        let interval = self.freed_at.get(old).map_or(0, |first| now.saturating_sub(*first) / recent);
+        let progressed_at = self.freed_at.back().copied().unwrap_or(0).max(self.busy_since);
+        let since_last_freed = if self.len > 0 { now.saturating_sub(progressed_at) } else { 0 };
+        ServiceRate { interval, since_last_freed }
     }
 
-    /// The expected wait of the entry at `position` in a flow of `weight`, in microseconds.
-    fn expected_wait(&self, pace: Pace, position: usize, weight: u64, total_weight: u64) -> Micros {
+    /// Returns the expected wait of the entry at `position` in a flow of `weight`, in microseconds.
+    fn expected_wait(&self, service_rate: ServiceRate, position: usize, weight: u64, total_weight: u64) -> Micros {
         let rank = ((position as u64 + 1) * total_weight / weight.max(1)).min(self.len as u64 + 1);
-        pace.interval.saturating_mul(rank).max(pace.gap)
+        service_rate.interval.saturating_mul(rank).max(service_rate.since_last_freed)
     }
 
-    /// The weights of all flows with entries.
+    /// Returns the sum of the weights of all flows with entries.
     fn total_weight(&self) -> u64 {
         self.flows.values().filter(|flow| !flow.entries.is_empty()).map(|flow| flow.weight).sum()
     }
 
-    /// Removes the entries that can't be served before their deadline at the current pace.
+    /// Removes and returns the entries that can't be served before their deadline at the current rate of
+    /// freed slots.
     pub fn drain_hopeless(&mut self, now: Micros) -> Vec<T> {
         if self.len == 0 {
             return Vec::new();
         }
         let mut removed = Vec::new();
-        for (key, position) in self.hopeless(now).into_iter().rev() {
+        for (key, position) in self.unservable_entries(now).into_iter().rev() {
             if let Some(entry) = self.flows.get_mut(&key).and_then(|flow| flow.entries.remove(position)) {
                 removed.push(entry.value);
             }
@@ -148,34 +160,36 @@
         removed
     }
 
-    fn hopeless(&self, now: Micros) -> BTreeSet<(FlowKey, usize)> {
+    /// Returns the flow and the position of each entry that is expected to miss its deadline.
+    fn unservable_entries(&self, now: Micros) -> BTreeSet<(FlowKey, usize)> {
         let total_weight = self.total_weight();
-        let Pace { interval, gap } = self.pace(now);
-        // A faster pace than the measured one: it varies, and a removal is final.
-        let pace = Pace { interval: interval * 3 / 4, gap };
-        let mut hopeless = BTreeSet::new();
+        let ServiceRate { interval, since_last_freed } = self.service_rate(now);
+        // A higher rate than the measured one: the rate varies, and a removal is final.
+        let service_rate = ServiceRate { interval: interval * 3 / 4, since_last_freed };
+        let mut unservable = BTreeSet::new();
         for (key, flow) in &self.flows {
             for (position, entry) in flow.entries.iter().enumerate() {
-                let wait = self.expected_wait(pace, position, flow.weight, total_weight);
+                let wait = self.expected_wait(service_rate, position, flow.weight, total_weight);
                 if now.saturating_add(wait) > entry.deadline {
-                    hopeless.insert((key.clone(), position));
+                    unservable.insert((key.clone(), position));
                 }
             }
         }
-        hopeless
+        unservable
     }
 
-    /// Removes the entry that `matches`, if there is one.
+    /// Removes and returns the entry for which `matches` holds, if there is one. `matches` must hold for one
+    /// entry at most: further matching entries would be removed as well.
     pub fn remove_first(&mut self, mut matches: impl FnMut(&T) -> bool) -> Option<T> {
         self.drain_where(|value, _| matches(value)).pop()
     }
 
-    /// Adds an entry. A full queue makes room by displacing, and returning, the last entry of the
-    /// flow that is longest relative to its weight.
+    /// Adds an entry. A full queue displaces, and returns, the last entry of the flow that is longest
+    /// relative to its weight.
     ///
     /// # Errors
-    /// Returns the entry if it would not be served before `deadline`, or if the queue is full and
-    /// no other flow is longer.
+    /// Returns the entry if its expected wait exceeds `deadline`, or if the queue is full and no other
+    /// flow is longer.
     pub fn push(
         &mut self,
         key: FlowKey,
@@ -187,7 +201,7 @@
         let weight = weight.max(1) * key.1.weight();
         let position = self.flows.get(&key).map_or(0, |flow| flow.entries.len());
         let total_weight = self.total_weight() + if position == 0 { weight } else { 0 };
-        let wait = self.expected_wait(self.pace(now), position, weight, total_weight);
+        let wait = self.expected_wait(self.service_rate(now), position, weight, total_weight);
         if now.saturating_add(wait) > deadline {
             return Err((value, QueueRejection { retry_after: wait }));
         }
@@ -206,12 +220,12 @@
         Ok(displaced)
     }
 
-    /// The longest flow relative to its weight, if it stays longer than the flow `key` would be
+    /// Returns the longest flow relative to its weight, if it is longer than the flow `key` would be
     /// with one more entry.
     fn longest_flow_beyond(&self, key: &FlowKey, weight: u64, position: usize) -> Option<FlowKey> {
-        let waiting = self.flows.iter().filter(|(_, flow)| !flow.entries.is_empty());
+        let non_empty = self.flows.iter().filter(|(_, flow)| !flow.entries.is_empty());
         let (longest_key, longest) =
-            waiting.max_by_key(|(_, flow)| flow.entries.len() as u64 * ENTRY_COST / flow.weight)?;
+            non_empty.max_by_key(|(_, flow)| flow.entries.len() as u64 * ENTRY_COST / flow.weight)?;
         let is_longer = longest.entries.len() as u64 * weight > (position as u64 + 1) * longest.weight;
         (longest_key != key && is_longer).then(|| longest_key.clone())
     }
@@ -223,26 +237,27 @@
     }
 
     fn append(&mut self, key: FlowKey, weight: u64, value: T, deadline: Micros) {
-        let flow = self.flows.entry(key).or_insert(Flow { entries: VecDeque::new(), weight, last_tag: 0 });
+        let flow = self.flows.entry(key).or_insert(Flow { entries: VecDeque::new(), weight, last_finish_tag: 0 });
         flow.weight = weight;
-        flow.last_tag = flow.last_tag.max(self.virtual_time) + ENTRY_COST / weight;
-        flow.entries.push_back(Entry { value, deadline, tag: flow.last_tag });
+        flow.last_finish_tag = flow.last_finish_tag.max(self.virtual_time) + ENTRY_COST / weight;
+        flow.entries.push_back(Entry { value, deadline, finish_tag: flow.last_finish_tag });
         self.len += 1;
     }
 
-    /// Removes the next entry in the fair order for which `reserve` succeeds. Only the first entry of
-    /// each flow is offered.
+    /// Removes the next entry in the fair order for which `reserve` succeeds. Tries only the first entry of
+    /// each flow.
     pub fn pop<R>(&mut self, mut reserve: impl FnMut(&T) -> Option<R>) -> Option<(T, R)> {
-        let first_tag = |(key, flow): (&FlowKey, &Flow<T>)| Some((flow.entries.front()?.tag, key.clone()));
-        let mut candidates: Vec<_> = self.flows.iter().filter_map(first_tag).collect();
+        let first_finish_tag =
+            |(key, flow): (&FlowKey, &Flow<T>)| Some((flow.entries.front()?.finish_tag, key.clone()));
+        let mut candidates: Vec<_> = self.flows.iter().filter_map(first_finish_tag).collect();
         candidates.sort();
-        for (tag, key) in candidates {
+        for (finish_tag, key) in candidates {
             let Some(flow) = self.flows.get_mut(&key) else { continue };
             let Some(reserved) = flow.entries.front().and_then(|entry| reserve(&entry.value)) else { continue };
             let Some(entry) = flow.entries.pop_front() else { continue };
             self.len -= 1;
-            self.virtual_time = self.virtual_time.max(tag);
-            if flow.entries.is_empty() && flow.last_tag <= self.virtual_time {
+            self.virtual_time = self.virtual_time.max(finish_tag);
+            if flow.entries.is_empty() && flow.last_finish_tag <= self.virtual_time {
                 self.flows.remove(&key);
             }
             return Some((entry.value, reserved));
@@ -250,7 +265,7 @@
         None
     }
 
-    /// Removes the first entry of any flow, in no fair order, for which `reserve` succeeds.
+    /// Removes the first entry for which `reserve` succeeds, ignoring the fair order.
     pub fn pop_any<R>(&mut self, mut reserve: impl FnMut(&T) -> Option<R>) -> Option<(T, R)> {
         for flow in self.flows.values_mut() {
             let mut entries = flow.entries.iter().enumerate();
@@ -266,7 +281,7 @@
         None
     }
 
-    /// Removes all entries for which `matches` holds, given their value and deadline.
+    /// Removes and returns all entries for which `matches` holds, given their value and deadline.
     pub fn drain_where(&mut self, mut matches: impl FnMut(&T, Micros) -> bool) -> Vec<T> {
         let mut removed = Vec::new();
         for flow in self.flows.values_mut() {
@@ -279,16 +294,16 @@
             }
         }
         self.len -= removed.len();
-        self.flows.retain(|_, flow| !flow.entries.is_empty() || flow.last_tag > self.virtual_time);
+        self.flows.retain(|_, flow| !flow.entries.is_empty() || flow.last_finish_tag > self.virtual_time);
         removed
     }
 
-    /// When a rejected call is to retry, in microseconds from now: when the entries that wait will
-    /// have been served at the current pace.
+    /// Returns the time after which a rejected call should retry, in microseconds: until all queued
+    /// entries will have been served at the current rate of freed slots.
     #[must_use]
     pub fn retry_after(&self, now: Micros) -> Micros {
-        let Pace { interval, gap } = self.pace(now);
-        let interval = if self.freed.is_empty() { DEFAULT_INTERVAL } else { interval };
-        interval.saturating_mul(self.len as u64 + 1).max(gap).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
+        let ServiceRate { interval, since_last_freed } = self.service_rate(now);
+        let interval = if self.freed_at.is_empty() { DEFAULT_INTERVAL } else { interval };
+        interval.saturating_mul(self.len as u64 + 1).max(since_last_freed).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 }
--- a/crates/core/src/queue/mod.rs
+++ b/crates/core/src/queue/mod.rs
@@ -1,4 +1,4 @@
-//! Queues of calls that wait for a slot or a quota unit.
+//! Queues of calls that wait for a slot or for quota units.
 
 mod fair_queue;
 
--- a/crates/core/src/quota/mod.rs
+++ b/crates/core/src/quota/mod.rs
@@ -1,9 +1,9 @@
 //! Limits of tenants over all nodes: slices of counting windows, and shares of rates.
 //!
-//! A node takes units for its calls from what it holds already, without a message to anyone. A window's units
-//! are granted by the lease holder ([`WindowLedger`]) to the nodes' slices ([`WindowSlices`]); a rate is lent by
-//! the lease holder ([`SharePools`]) as shares to the nodes' token buckets ([`RateShares`]). In both, the sum
-//! over all nodes never exceeds the limit, also across a change of the lease holder.
+//! A node serves its calls from units that it already holds, without sending a message. A window's units are
+//! granted by the lease holder ([`WindowLedger`]) to the nodes' slices ([`WindowSlices`]); a rate is lent by the
+//! lease holder ([`SharePools`]) as shares to the nodes' token buckets ([`RateShares`]). For windows and for
+//! rates, the sum over all nodes never exceeds the limit, also across a change of the lease holder.
 
 mod rates;
 mod share_bucket;
--- a/crates/core/src/quota/rates.rs
+++ b/crates/core/src/quota/rates.rs
@@ -1,7 +1,7 @@
-//! A node's shares of rates by tenant.
+//! A node's shares of rates, by tenant.
 //!
-//! Holds a [`ShareBucket`] for each tenant with a rate, and knows the tenants without a limit. Tenants with
-//! counting windows are not here: methods answer `None` or `false` for them, and the caller goes on to
+//! Holds a [`ShareBucket`] for each tenant with a rate, and an entry for each tenant without a limit. Tenants with
+//! counting windows have no entry: methods return `None` or `false` for them, and the caller continues with
 //! [`WindowSlices`](super::WindowSlices).
 
 use super::{AcquireOutcome, ShareBucket};
@@ -10,29 +10,30 @@
 use crate::protocol::{LoanRequest, ShareGrant, ShareRequest};
 use std::sync::OnceLock;
 
+/// The limit of a tenant that has no counting window.
 #[derive(Clone, Debug)]
 enum TenantRate {
     Unlimited,
     Limited(Box<ShareBucket>),
 }
 
-/// This node's share of every tenant's rate, and the tenants without a limit.
+/// This node's shares of all tenants' rates, and the tenants without a limit.
 #[derive(Clone, Debug, Default)]
 pub struct RateShares {
     tenants: Shards<TenantRate>,
-    /// When this incarnation of the node started: the time of the first configuration, even of an empty one.
+    /// When this incarnation of the node started: the time of its first configuration, even if that names no tenant.
     started_at: OnceLock<Micros>,
-    /// Set once a configuration named any tenant.
+    /// Set by the first configuration that names a tenant, and never cleared.
     has_seen_tenants: OnceLock<()>,
 }
 
-/// The hash of a tenant's name, by which nodes name it to each other.
+/// Returns the hash of a tenant's name, which identifies the tenant in messages between nodes.
 pub fn tenant_key(name: &str) -> u64 {
     hash64(name.as_bytes())
 }
 
 impl RateShares {
-    /// Puts a configuration into force: shares stay, and their refill follows the new rates.
+    /// Applies a configuration: shares are kept, and their refill follows the new rates.
     pub fn apply_plan(&self, config: &CompiledConfig, now: Micros) {
         let started_at = *self.started_at.get_or_init(|| now);
         let is_first = self.has_seen_tenants.get().is_none();
@@ -44,7 +45,7 @@
                 config.tenants.get(name).is_some_and(|tenant| !matches!(tenant.quota, Limit::Window(_)))
             });
         }
-        // A later configuration may bring back a tenant that this node held a share of before.
+        // A later configuration may add a removed tenant again, of whose rate this node held a share before.
         let new_bucket = |rate: Rate| match is_first {
             true => ShareBucket::first_of_incarnation(rate, started_at, now),
             false => ShareBucket::new(rate, now),
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Runs `action` on the tenant's bucket; none where the tenant has no rate.
+    /// Runs `action` on the tenant's bucket; returns `None` if the tenant has no rate.
     fn with_bucket<R>(&self, tenant: &str, action: impl FnOnce(&mut ShareBucket) -> R) -> Option<R> {
         match self.tenants.lock_shard(tenant).get_mut(tenant)? {
             TenantRate::Unlimited => None,
@@ -72,12 +73,12 @@
         }
     }
 
-    /// Takes the units of a call that comes now; none where the tenant has neither a rate nor no limit.
+    /// Takes the units of a call that arrives now; returns `None` if the tenant has a counting window or is unknown.
     pub fn acquire_units(&self, tenant: &str, units: u32, now: Micros) -> Option<AcquireOutcome> {
         self.acquire_with(tenant, |bucket| bucket.acquire_units(units, now))
     }
 
-    /// As [`acquire_units`](Self::acquire_units), for a call that waited and was counted when it came.
+    /// As [`acquire_units`](Self::acquire_units), for a waiting call, whose demand was counted when it arrived.
     pub fn acquire_for_waiter(&self, tenant: &str, units: u32, now: Micros) -> Option<AcquireOutcome> {
         self.acquire_with(tenant, |bucket| bucket.acquire_for_waiter(units, now))
     }
@@ -103,8 +104,8 @@
         self.with_bucket(tenant, |bucket| bucket.set_smallest_call(units));
     }
 
-    /// Refunds unused units, see [`ShareBucket::refund`]; false where the tenant has neither a rate nor no
-    /// limit.
+    /// Refunds unused units, see [`ShareBucket::refund`]; returns false if the tenant has a counting window or is
+    /// unknown.
     pub fn refund(&self, tenant: &str, taken_at: Micros) -> bool {
         match self.tenants.lock_shard(tenant).get_mut(tenant) {
             None => false,
@@ -116,12 +117,12 @@
         }
     }
 
-    /// Whether the tenant has a rate, or no limit.
+    /// Returns whether the tenant has a rate, or no limit.
     pub fn contains(&self, tenant: &str) -> bool {
         self.tenants.lock_shard(tenant).contains_key(tenant)
     }
 
-    /// Whether the tenant's limit is a rate.
+    /// Returns whether the tenant's limit is a rate.
     pub fn is_rate(&self, tenant: &str) -> bool {
         self.with_bucket(tenant, |_| ()).is_some()
     }
@@ -141,13 +142,13 @@
         self.with_bucket(tenant, |bucket| bucket.request_rejected(request_id));
     }
 
-    /// The tenants, sorted by name, for which a request to the lease holder should go now. A node holds shares of
-    /// the tenants that `is_eager` accepts before any call comes.
+    /// Returns the tenants, sorted by name, for which a request to the lease holder is due. For tenants that
+    /// `is_eager` accepts, the node requests a share before any call arrives.
     pub fn due_requests(&self, is_eager: impl Fn(&str) -> bool, now: Micros) -> Vec<String> {
         self.tenants_where(|name, bucket| bucket.is_request_due(is_eager(name), now))
     }
 
-    /// The tenants, sorted by name, for which the standby should be asked for a loan now.
+    /// Returns the tenants, sorted by name, for which a loan request to the standby is due.
     pub fn due_loans(&self, now: Micros) -> Vec<String> {
         self.tenants_where(|_, bucket| bucket.is_loan_due(now))
     }
@@ -187,14 +188,14 @@
         self.with_bucket(tenant, |bucket| bucket.apply_loan(units, sent_at, now));
     }
 
-    /// See [`ShareBucket::lend`]; nothing where the tenant has no rate here.
+    /// See [`ShareBucket::lend`]; zero if the tenant has no rate on this node.
     pub fn lend(&self, tenant: &str, request: &LoanRequest, now: Micros) -> u32 {
         self.with_bucket(tenant, |bucket| bucket.lend(request, now)).unwrap_or(0)
     }
 
     /// See [`ShareBucket::make_request`].
-    pub fn make_request(&self, tenant: &str, request_id: u64, waits: u64, now: Micros) -> Option<ShareRequest> {
-        self.with_bucket(tenant, |bucket| bucket.make_request(tenant_key(tenant), request_id, waits, now))
+    pub fn make_request(&self, tenant: &str, request_id: u64, waiting_units: u64, now: Micros) -> Option<ShareRequest> {
+        self.with_bucket(tenant, |bucket| bucket.make_request(tenant_key(tenant), request_id, waiting_units, now))
     }
 
     /// See [`ShareBucket::into_reserve_request`].
@@ -202,17 +203,18 @@
         self.with_bucket(tenant, |bucket| bucket.into_reserve_request(request)).unwrap_or(request)
     }
 
-    /// See [`ShareBucket::idle_for`]; zero where the tenant has no rate.
+    /// See [`ShareBucket::idle_for`]; zero if the tenant has no rate.
     pub fn idle_for(&self, tenant: &str, now: Micros) -> Micros {
         self.with_bucket(tenant, |bucket| bucket.idle_for(now)).unwrap_or(0)
     }
 
-    /// See [`ShareBucket::apply_grant`]; false where the grant was ignored.
+    /// See [`ShareBucket::apply_grant`]; returns false if the grant was ignored.
     pub fn apply_grant(&self, tenant: &str, request_id: u64, grant: ShareGrant, sent_at: Micros, now: Micros) -> bool {
         self.with_bucket(tenant, |bucket| bucket.apply_grant(request_id, grant, sent_at, now)).unwrap_or(false)
     }
 
-    /// For comparison and metrics, sorted: tenant, share in millionths, whole units that are free.
+    /// Returns, for comparison and metrics, each tenant with its share in millionths and its whole free units,
+    /// sorted.
     pub fn list(&self) -> Vec<(String, u32, u64)> {
         let mut rows = Vec::new();
         for tenants in self.tenants.lock_each() {
--- a/crates/core/src/quota/share_bucket.rs
+++ b/crates/core/src/quota/share_bucket.rs
@@ -1,10 +1,10 @@
 //! One node's share of one tenant's rate, as a token bucket.
 //!
-//! Calls take units from the bucket without a message to anyone. The node's share is a lease of
-//! [`SHARE_LEASE`] from the lease holder; the bucket is refilled by that share of the rate, and its burst is
-//! that share of the rate's burst. A bucket that runs dry requests more: at once, then every [`LOAN_INTERVAL`]
-//! as long as the lease holder lends units, every [`REQUEST_BACKOFF`] where it has none, and after time-outs
-//! with a backoff that doubles from [`RESPONSE_TIMEOUT`].
+//! Calls take units from the bucket without a message to another node. The node's share is a lease of
+//! [`SHARE_LEASE`] from the lease holder; the bucket is refilled by that share of the rate, and its capacity is
+//! that share of the rate's burst. An empty bucket requests more units: at once, then every [`LOAN_INTERVAL`]
+//! while the lease holder lends units, every [`REQUEST_BACKOFF`] while the lease holder has none, and after
+//! time-outs with a backoff that doubles from [`RESPONSE_TIMEOUT`].
 
 use super::AcquireOutcome;
 use crate::base::{MS, Micros, SEC};
@@ -12,64 +12,62 @@
 use crate::protocol::{LoanRequest, ShareGrant, ShareRequest};
 use std::collections::VecDeque;
 
-/// What a request for a reserve has in the place of its smallest call, which is never that small.
+/// The value of `smallest_call` that marks a request for a reserve; a real call takes at least one unit.
 pub const RESERVE_MARK: u32 = 0;
-/// The whole of a tenant's rate, in the unit that shares are counted in (millionths).
+/// A tenant's whole rate, in millionths, the unit of shares.
 pub const FULL_SHARE: u32 = 1_000_000;
-/// How long a share is valid from the moment that the node sent its request, in microseconds.
+/// The validity of a share, from the sending of its request, in microseconds.
 pub const SHARE_LEASE: Micros = 4 * SEC;
 /// One unit in a bucket's scale: thousandths of units, times millionths of a share, times microseconds.
 pub(super) const UNIT: u128 = 1_000 * MILLI;
 /// A thousandth of a unit in a bucket's scale.
 pub(super) const MILLI: u128 = 1_000_000 * 1_000_000;
-/// How long units are of use after they were lent, from the moment of the request, in microseconds.
+/// The validity of lent units, from the sending of their request, in microseconds.
 pub const LOAN_DURATION: Micros = 200 * MS;
-/// After this long, in microseconds, a request counts as timed out and is sent to another voter.
+/// The time after which a request times out and is sent to another voter, in microseconds.
 pub const RESPONSE_TIMEOUT: Micros = 250 * MS;
 
-/// Where no lease holder has granted a request for this long, in microseconds, it is hedged: the standby is asked
-/// for a loan as well. Lease holders answer within a few milliseconds.
+/// The time after which a request without a grant is hedged by a loan request to the standby, in microseconds. Lease
+/// holders usually respond within a few milliseconds.
 pub const HEDGE_AFTER: Micros = 20 * MS;
-/// After this long, in microseconds, a request to the standby counts as timed out.
+/// The time after which a loan request to the standby times out, in microseconds.
 const LOAN_TIMEOUT: Micros = 100 * MS;
-/// A standby that had nothing, or did not answer, is not asked again for this long, in microseconds.
+/// The backoff after a loan request that brought no units or timed out, in microseconds.
 const LOAN_BACKOFF: Micros = 200 * MS;
-/// Calls that waited this long ago, in microseconds, count as waiting: the queues repeat themselves more often.
+/// The validity of a report that calls wait, in microseconds: the queues repeat their reports more often than this.
 const WAITING_VALIDITY: Micros = 50 * MS;
 
-/// A call must have started this long after it took its units, in microseconds; a later one needs new units.
+/// The validity of units that a call has taken, in microseconds; a call that starts later needs new units.
 const UNIT_VALIDITY: Micros = 500 * MS;
-/// Units that are refunded later than this, in microseconds, are worth nothing.
+/// The longest time after which units can be refunded, in microseconds.
 const REFUND_WINDOW: Micros = 2 * SEC;
-/// A reserve is refilled by its share of the rate over this, so that little of the rate is lost with a standby.
+/// The divisor of a reserve's refill: only this fraction of its share of the rate is lost if a standby is lost.
 const RESERVE_REFILL_DIVISOR: u32 = 8;
-/// The shortest interval over which the demand is measured, and between requests that nothing urges, in
-/// microseconds.
+/// The shortest interval of a demand measurement, and between requests that are not urgent, in microseconds.
 const DEMAND_INTERVAL: Micros = 500 * MS;
-/// The shortest interval between requests where no call misses units that the lease holder may have, in
+/// The shortest interval between requests while no call lacks units that the lease holder may have, in
 /// microseconds.
 const REQUEST_BACKOFF: Micros = 100 * MS;
-/// The shortest interval between requests while calls miss units that the lease holder may have, in
-/// microseconds.
+/// The shortest interval between requests while calls lack units that the lease holder may have, in microseconds.
 const LOAN_INTERVAL: Micros = 4 * MS;
-/// A request is for at most this many usual calls.
+/// The most units that one request is for, in usual calls.
 const MAX_REQUESTED_CALLS: u32 = 64;
-/// The usual call is a moving average over about this many calls.
+/// The number of calls over which the units of the usual call are averaged.
 const USUAL_CALL_WEIGHT: u64 = 8;
-/// An idle share is renewed when it is valid for less than this, in microseconds.
+/// The remaining validity below which an idle share is renewed, in microseconds.
 const RENEW_BEFORE: Micros = 2_500 * MS;
-/// For this long after a node's first response, in microseconds, the lease holder's pool may be filling up from
-/// empty, as after a power loss of all nodes: calls that find nothing there wait and are not rejected.
+/// The time after a node's first response in which the lease holder's pool may still be filling up from empty, as
+/// after a power loss of all nodes, in microseconds: calls that find no units there wait and are not rejected.
 const POOL_WARM_UP: Micros = SEC;
-/// A demand below this, in thousandths of units a second, counts as none.
+/// The demand below which a tenant counts as idle, in thousandths of units per second.
 const NEGLIGIBLE_DEMAND_MILLI: u64 = 50;
-/// The weight of the previous demand against one new measurement each [`DEMAND_INTERVAL`].
+/// The weight of the previous demand relative to a new measurement, each [`DEMAND_INTERVAL`].
 const DEMAND_WEIGHT: u64 = 3;
-/// The longest wait that is reported, in microseconds.
-const LONGEST_WAIT: Micros = Micros::MAX / 4;
+/// The wait that is reported for units that are never refilled, in microseconds.
+const MAX_REPORTED_WAIT: Micros = Micros::MAX / 4;
 
-/// The demand after a measurement; `is_complete` where that covers a full [`DEMAND_INTERVAL`]. A demand that
-/// more than doubles counts at once, any other change is smoothed.
+/// Returns the demand after a measurement; `is_complete` says that the measurement covers a full
+/// [`DEMAND_INTERVAL`]. A demand that more than doubles counts at once, any other change is smoothed.
 fn smoothed_demand(previous: u64, measured: u64, is_complete: bool) -> u64 {
     match measured > 2 * previous {
         true => measured,
@@ -78,27 +76,27 @@
     }
 }
 
-/// The burst of a share: what its bucket holds at most, in the scale of [`UNIT`].
+/// Returns the capacity of the bucket of a share, in the scale of [`UNIT`].
 pub(super) fn share_capacity(rate: Rate, share: u32) -> u128 {
     u128::from(rate.burst_milli) * u128::from(share) * 1_000_000
 }
 
-/// The refill of a share in `elapsed` microseconds, in the scale of [`UNIT`].
+/// Returns the refill of a share in `elapsed` microseconds, in the scale of [`UNIT`].
 pub(super) fn share_refill(rate: Rate, share: u32, elapsed: Micros) -> u128 {
     u128::from(rate.milli_per_second) * u128::from(share) * u128::from(elapsed)
 }
 
-/// The part of a reserve's share by which it is refilled, in millionths.
+/// Returns the part of a reserve's share by which the reserve is refilled, in millionths.
 pub(super) fn reserve_refill(share: u32) -> u32 {
     share.div_ceil(RESERVE_REFILL_DIVISOR)
 }
 
-/// Units that a call took and may still refund.
+/// Units that a call took and that can still be refunded.
 #[derive(Clone, Copy, Debug)]
 struct Refundable {
-    /// When they were taken, or a moment later: unique, it identifies them.
+    /// When the units were taken, or slightly later: unique in a bucket, as it identifies the units.
     taken_at: Micros,
-    /// What a refund is worth, in the scale of [`UNIT`].
+    /// The units that a refund returns to the bucket, in the scale of [`UNIT`].
     units: u128,
 }
 
@@ -114,7 +112,7 @@
         if now < self.expires_at { self.units } else { 0 }
     }
 
-    /// Takes up to so many valid units; returns how many are still missing.
+    /// Takes up to `units` valid units; returns the number of units that are still missing.
     fn take(&mut self, units: u32, now: Micros) -> u32 {
         let taken = units.min(self.valid_units(now));
         self.units -= taken;
@@ -122,27 +120,28 @@
     }
 }
 
-/// What a node asks of the standby of the tenant's role, for the calls that the lease holder does not serve.
+/// The state of a node's loan requests to the standby of the tenant's role, for calls that the lease holder does not
+/// serve.
 #[derive(Clone, Copy, Debug, Default)]
 struct StandbyLoans {
-    /// Whether another node stands by.
+    /// Whether another node is the standby.
     is_available: bool,
-    /// The units that calls waited for, and when.
+    /// The number of units that calls waited for at `waited_at`.
     waiting_units: u32,
     waited_at: Micros,
     requested_at: Micros,
     is_awaiting_response: bool,
-    /// No request is sent before this.
+    /// The earliest time of the next request.
     backoff_until: Micros,
 }
 
 impl StandbyLoans {
-    /// Whether a request may bring units, or one is under way that may.
+    /// Returns whether a pending request, or one that is sent now, may bring units.
     fn may_bring_units(&self, now: Micros) -> bool {
         self.is_available && (self.is_pending(now) || now >= self.next_request_at())
     }
 
-    /// A standby that does not answer is left alone like one that had nothing.
+    /// Returns the earliest time of the next request: a time-out causes the same backoff as a response without units.
     fn next_request_at(&self) -> Micros {
         let timed_out_at = self.requested_at + LOAN_TIMEOUT;
         let backoff = if self.is_awaiting_response { timed_out_at + LOAN_BACKOFF } else { 0 };
@@ -153,104 +152,105 @@
         self.is_awaiting_response && now < self.requested_at + LOAN_TIMEOUT
     }
 
-    /// Whether calls wait and a request may go.
+    /// Returns whether calls wait and a request may be sent.
     fn is_due(&self, now: Micros) -> bool {
         let is_waiting = self.waiting_units > 0 && now < self.waited_at + WAITING_VALIDITY;
         self.is_available && is_waiting && !self.is_pending(now) && now >= self.next_request_at()
     }
 }
 
-/// One node's share of one tenant's rate, from which calls take units without a message to anyone.
+/// One node's share of one tenant's rate, from which calls take units without a message to another node.
 ///
-/// Invariants: of the shares that nodes hold at any time the sum is at most one, no bucket holds more than its
-/// share of the burst, and units move between nodes only as part of a share. So what all buckets hold at any
-/// moment is at most the burst, and what they are refilled with afterwards at most the rate: no interval sees
-/// more than both.
+/// Invariants: at any time, the sum of the shares that nodes hold is at most one; no bucket holds more than its
+/// share of the burst; and units move between nodes only as part of a share. All buckets together therefore hold
+/// at most the burst at any moment, and are refilled by at most the rate afterwards: the units used in any interval
+/// never exceed the burst plus the rate over that interval.
 #[derive(Clone, Debug, Default)]
 pub struct ShareBucket {
     rate: Option<Rate>,
     /// In millionths of the rate; valid until `share_expires_at`.
     share: u32,
     share_expires_at: Micros,
-    /// Whether the share is a standby's reserve: the pool of the lease holder has the rest of its refill.
+    /// Whether the share is a standby's reserve: most of its refill goes to the lease holder's pool.
     is_reserve: bool,
     /// Whether the newest request was for a reserve.
     is_reserve_requested: bool,
-    /// What calls may take, in the scale of [`UNIT`]; refilled up to `refilled_at`.
+    /// The units that calls may take, in the scale of [`UNIT`], refilled up to `refilled_at`.
     free: u128,
     refilled_at: Micros,
-    /// Units taken lately, oldest first. A refund is worth no more than the bucket would hold had the units
-    /// stayed: all of them and `free` together fit into the burst.
+    /// Units taken recently, oldest first. Invariant: these units and `free` together never exceed the capacity of
+    /// the share, so that a refund yields no more than an untouched bucket would hold.
     refundable: VecDeque<Refundable>,
     /// The sum over `refundable`.
     refundable_total: u128,
-    /// What a smaller share could not hold, to be returned to the lease holder, in the scale of [`UNIT`].
+    /// Units beyond the capacity of a smaller share, to be returned to the lease holder, in the scale of [`UNIT`].
     returned: u128,
-    /// The units and the calls that wanted them, since `demand_since`.
+    /// The units requested by calls, and the number of these calls, since `demand_since`.
     demanded_units: u64,
     demanded_calls: u64,
     demand_since: Micros,
-    /// The measured demand, in thousandths of units and of calls a second.
+    /// The measured demand, in thousandths of units and of calls per second.
     demand_milli: u64,
     call_rate_milli: u64,
     /// The units of a usual call; zero before the first call.
     usual_call: u32,
-    /// Units that calls found missing since they were last requested, and the smallest of these calls.
+    /// The units that calls lacked since the last request for units, and the smallest of these calls.
     missing_units: u32,
     smallest_missing_call: u32,
-    /// The newest request; responses to others are ignored.
+    /// The newest request; responses to other requests are ignored.
     request_id: u64,
     requested_at: Micros,
     is_awaiting_response: bool,
-    /// How many units the newest request was for, and the smallest call among these.
+    /// The number of units that the newest request was for, and the smallest call that needs some of them.
     requested_units: u32,
     requested_smallest_call: u32,
-    /// When the first request was sent since the lease holder granted one.
+    /// When the first request after the last grant was sent.
     ungranted_since: Option<Micros>,
-    /// Requests in a row without a response.
+    /// The number of consecutive requests without a response.
     unanswered_requests: u32,
-    /// When the newest request with a response was sent.
+    /// The sending time of the newest request that was answered.
     last_answered_request_at: Option<Micros>,
-    /// A request should go as soon as the backoff allows.
+    /// Whether a request should be sent as soon as the backoff allows.
     is_urgent: bool,
     loan: Loan,
     standby_loan: Loan,
-    /// The last response had too little for calls of this size or larger; zero where it had some.
+    /// The size in units from which the last response had too few units for a call; zero if it had enough.
     exhausted_for_call: u32,
-    /// Until then a response without units does not mean that the rate is exhausted.
+    /// The time until which a response without units does not mean that the rate is exhausted.
     pool_warm_up_until: Micros,
     standby_loans: StandbyLoans,
-    /// Since when this incarnation of the node was granted nothing of the tenant and held the same share.
+    /// The start of the time in which this incarnation of the node was granted no units of the tenant and held the
+    /// same share.
     idle_since: Micros,
 }
 
 impl ShareBucket {
-    /// A bucket without a share.
+    /// Creates a bucket without a share.
     pub fn new(rate: Rate, now: Micros) -> Self {
-        // An earlier bucket of the tenant may have handed out units that are still in use.
+        // Calls may still use units of an earlier bucket of the tenant.
         let idle_since = now + UNIT_VALIDITY;
         ShareBucket { rate: Some(rate), refilled_at: now, demand_since: now, idle_since, ..ShareBucket::default() }
     }
 
-    /// The first bucket that this incarnation of the node has for the tenant: it was granted nothing since
-    /// `idle_since`.
+    /// Creates the first bucket of this incarnation of the node for the tenant: the incarnation was granted no units
+    /// since `idle_since`.
     pub fn first_of_incarnation(rate: Rate, idle_since: Micros, now: Micros) -> Self {
         ShareBucket { idle_since, ..ShareBucket::new(rate, now) }
     }
 
-    /// For how long this incarnation was granted nothing, neither units nor a loan, and held the same share, in
+    /// Returns how long this incarnation was granted neither units nor a loan and held the same share, in
     /// microseconds.
     pub fn idle_for(&mut self, now: Micros) -> Micros {
         self.refill(now);
         now.saturating_sub(self.idle_since)
     }
 
-    /// The rate that is in force here.
+    /// Returns the current rate.
     fn rate(&self) -> Rate {
         self.rate.unwrap_or(Rate { milli_per_second: 0, burst_milli: 0 })
     }
 
-    /// Puts a rate into force: what the new burst can't hold is lost.
+    /// Sets the rate; units beyond the new capacity are lost.
     pub fn set_rate(&mut self, rate: Rate, now: Micros) {
         if self.rate != Some(rate) {
             self.refill(now);
@@ -265,12 +265,12 @@
         self.refundable_total = 0;
     }
 
-    /// Reduces refunds, the oldest first, until they fit into the burst; drops those past the refund window.
-    fn limit_refundable(&mut self, capacity: u128, now: Micros) {
+    /// Reduces refundable units, oldest first, until they fit into the capacity; drops those past the refund window.
+    fn cap_refundable(&mut self, capacity: u128, now: Micros) {
         let mut excess = (self.free + self.refundable_total).saturating_sub(capacity);
         while let Some(oldest) = self.refundable.front_mut() {
-            let is_over = oldest.taken_at + REFUND_WINDOW < now || oldest.units == 0;
-            let reduction = if is_over { oldest.units } else { excess.min(oldest.units) };
+            let is_expired = oldest.taken_at + REFUND_WINDOW < now || oldest.units == 0;
+            let reduction = if is_expired { oldest.units } else { excess.min(oldest.units) };
             oldest.units -= reduction;
             self.refundable_total -= reduction;
             excess -= excess.min(reduction);
@@ -281,7 +281,7 @@
         }
     }
 
-    /// Refills the bucket up to now, and drops a share that has expired.
+    /// Refills the bucket up to now, and drops an expired share.
     fn refill(&mut self, now: Micros) {
         let rate = self.rate();
         let refill_until = now.min(self.share_expires_at);
@@ -290,7 +290,7 @@
             let refilled_share = if self.is_reserve { reserve_refill(self.share) } else { self.share };
             let refill = share_refill(rate, refilled_share, refill_until - self.refilled_at);
             self.free = (self.free + refill).min(capacity);
-            self.limit_refundable(capacity, now);
+            self.cap_refundable(capacity, now);
         }
         self.refilled_at = self.refilled_at.max(now);
         if now >= self.share_expires_at && self.share > 0 {
@@ -300,12 +300,12 @@
         }
     }
 
-    /// Takes one unit for a call that comes now.
+    /// Takes one unit for a call that arrives now.
     pub fn acquire_unit(&mut self, now: Micros) -> AcquireOutcome {
         self.acquire_units(1, now)
     }
 
-    /// Takes the units of a call that comes now, all or none.
+    /// Takes all units of a call that arrives now, or none.
     pub fn acquire_units(&mut self, units: u32, now: Micros) -> AcquireOutcome {
         self.count_demand(units);
         let outcome = self.acquire_for_waiter(units, now);
@@ -330,12 +330,12 @@
         self.missing_units = self.missing_units.saturating_add(units);
     }
 
-    /// Sets the fewest units that are of use to the calls that wait.
+    /// Sets the fewest units that are useful to a waiting call.
     pub fn set_smallest_call(&mut self, units: u32) {
         self.smallest_missing_call = units;
     }
 
-    /// As [`acquire_units`](Self::acquire_units), for a call that waited and was counted when it came.
+    /// As [`acquire_units`](Self::acquire_units), for a waiting call, whose demand was counted when it arrived.
     pub fn acquire_for_waiter(&mut self, units: u32, now: Micros) -> AcquireOutcome {
         self.refill(now);
         let price = u128::from(units) * UNIT;
@@ -346,7 +346,7 @@
         }
         let lent = self.loan.valid_units(now).saturating_add(self.standby_loan.valid_units(now));
         if lent >= units {
-            // A refund of lent units is worth nothing: they were spent where they were lent.
+            // Lent units can't be refunded: they count as spent at the node that lent them.
             return AcquireOutcome::Acquired { window: 0, until: self.take_loans(units, now), low: false };
         }
         let rest = price - u128::from(lent) * UNIT;
@@ -357,19 +357,19 @@
         self.exhausted(units, now)
     }
 
-    /// Takes lent units; returns until when they may be used.
+    /// Takes lent units; returns when they expire.
     fn take_loans(&mut self, units: u32, now: Micros) -> Micros {
-        let of_holder = units.min(self.loan.valid_units(now));
-        let of_standby = self.loan.take(units, now);
-        self.standby_loan.take(of_standby, now);
-        match (of_holder, of_standby) {
+        let from_holder = units.min(self.loan.valid_units(now));
+        let from_standby = self.loan.take(units, now);
+        self.standby_loan.take(from_standby, now);
+        match (from_holder, from_standby) {
             (_, 0) => self.loan.expires_at,
             (0, _) => self.standby_loan.expires_at,
             _ => self.loan.expires_at.min(self.standby_loan.expires_at),
         }
     }
 
-    /// Spends free units, and returns the number by which they can be refunded.
+    /// Spends free units; returns the number by which they can be refunded.
     fn spend(&mut self, price: u128, now: Micros) -> Micros {
         let taken_at = self.refundable.back().map_or(now, |last| now.max(last.taken_at + 1));
         self.free -= price;
@@ -378,7 +378,8 @@
         taken_at
     }
 
-    /// The outcome for a call that comes while others wait, and so takes nothing.
+    /// Returns the outcome for a call that arrives while others wait: the call takes no units, and its demand is
+    /// counted.
     pub fn peek(&mut self, units: u32, now: Micros) -> AcquireOutcome {
         self.count_demand(units);
         self.count_missing(units);
@@ -386,9 +387,9 @@
         self.exhausted(units, now)
     }
 
-    /// The outcome for a call that found too little.
+    /// Returns the outcome for a call that found too few units.
     fn exhausted(&self, units: u32, now: Micros) -> AcquireOutcome {
-        if self.knows_nothing(now) {
+        if self.has_no_recent_response(now) {
             return AcquireOutcome::Empty;
         }
         let may_get_more = self.may_get_more(units, now);
@@ -396,21 +397,25 @@
         let refill = share_refill(rate, share, 1);
         let price = u128::from(units) * UNIT;
         if refill == 0 || share_capacity(rate, share) < price {
-            return AcquireOutcome::RateExhausted { wait: LONGEST_WAIT, interval: LONGEST_WAIT, may_get_more };
+            return AcquireOutcome::RateExhausted {
+                wait: MAX_REPORTED_WAIT,
+                interval: MAX_REPORTED_WAIT,
+                may_get_more,
+            };
         }
-        let refill_time = |units: u128| Micros::try_from(units.div_ceil(refill)).unwrap_or(LONGEST_WAIT);
+        let refill_time = |units: u128| Micros::try_from(units.div_ceil(refill)).unwrap_or(MAX_REPORTED_WAIT);
         let wait = refill_time(price.saturating_sub(self.free));
         AcquireOutcome::RateExhausted { wait, interval: refill_time(price), may_get_more }
     }
 
-    /// Whether no response is known that is younger than a share's lease.
-    fn knows_nothing(&self, now: Micros) -> bool {
+    /// Returns whether the newest response is older than a share's lease, or there is none.
+    fn has_no_recent_response(&self, now: Micros) -> bool {
         self.last_answered_request_at.is_none_or(|sent_at| now >= sent_at + SHARE_LEASE)
     }
 
-    /// Whether the lease holder may have units for a call of this size.
+    /// Returns whether the lease holder or the standby may have units for a call of this size.
     fn may_get_more(&self, units: u32, now: Micros) -> bool {
-        // A response without units counts for calls that are no smaller than those it was for.
+        // A response without units applies to calls that are at least as large as the smallest one it was for.
         let is_exhausted = self.exhausted_for_call > 0 && units >= self.exhausted_for_call;
         let is_unrequested = !is_exhausted && self.missing_units > 0;
         let is_warming_up = is_exhausted && now < self.pool_warm_up_until;
@@ -418,7 +423,7 @@
         self.is_awaiting_response || is_unrequested || is_warming_up || may_borrow || self.may_request(now)
     }
 
-    /// Refunds unused units by their number: when they were taken.
+    /// Refunds unused units, which are identified by the time when they were taken.
     pub fn refund(&mut self, taken_at: Micros, now: Micros) {
         self.refill(now);
         let index = self.refundable.partition_point(|entry| entry.taken_at < taken_at);
@@ -431,8 +436,8 @@
         }
     }
 
-    /// Whether the backoff allows a request now. A new request makes responses to the previous one worthless, so
-    /// it gives that one time.
+    /// Returns whether the backoff allows a request now. The backoff gives the previous request time for its response,
+    /// which would be ignored after a new request.
     fn may_request(&self, now: Micros) -> bool {
         let is_exhausted = self.exhausted_for_call > 0 && self.smallest_missing_call >= self.exhausted_for_call;
         let backoff = match self.is_awaiting_response {
@@ -443,27 +448,27 @@
         self.requested_at == 0 || now >= self.requested_at + backoff
     }
 
-    /// A call waits: the next request goes as soon as the backoff allows.
+    /// Requests units for a waiting call as soon as the backoff allows.
     pub fn request_soon(&mut self) {
         self.is_urgent = true;
     }
 
-    /// The request got no response in time.
+    /// Records that a request timed out.
     pub fn request_timed_out(&mut self, request_id: u64) {
         if self.request_id == request_id && self.is_awaiting_response {
             self.is_urgent = true;
         }
     }
 
-    /// The request reached a node that can't answer it.
+    /// Records that a request was rejected by a node that can't answer it.
     pub fn request_rejected(&mut self, request_id: u64) {
         if self.request_id == request_id && self.is_awaiting_response {
             (self.is_awaiting_response, self.is_urgent) = (false, true);
         }
     }
 
-    /// Whether a request should go now; `eager` nodes hold shares before any call comes.
-    pub fn is_request_due(&mut self, eager: bool, now: Micros) -> bool {
+    /// Returns whether a request is due; a node that `is_eager` requests a share before any call arrives.
+    pub fn is_request_due(&mut self, is_eager: bool, now: Micros) -> bool {
         self.refill(now);
         if !self.may_request(now) {
             return false;
@@ -477,26 +482,26 @@
         let is_in_use =
             self.demanded_units > 0 || self.demand_milli > 0 || self.returned >= MILLI || self.is_awaiting_response;
         let expires_soon = self.share > 0 && self.share_expires_at < now + RENEW_BEFORE;
-        is_in_use || expires_soon || (eager && self.is_eager_request_due(now))
+        is_in_use || expires_soon || (is_eager && self.is_eager_request_due(now))
     }
 
-    /// Whether a node without a share should request one although no call came.
+    /// Returns whether a node without a share should request one although no call arrived.
     fn is_eager_request_due(&self, now: Micros) -> bool {
         let interval = if self.last_answered_request_at.is_some() { SHARE_LEASE } else { SEC };
         self.requested_at == 0 || (self.share == 0 && now >= self.requested_at + interval)
     }
 
-    /// Makes the request that goes now. `waits` is how many units calls wait for.
-    pub fn make_request(&mut self, key: u64, request_id: u64, waits: u64, now: Micros) -> ShareRequest {
+    /// Makes the request to the lease holder that is sent now, for `waiting_units` units that calls wait for.
+    pub fn make_request(&mut self, tenant_key: u64, request_id: u64, waiting_units: u64, now: Micros) -> ShareRequest {
         self.refill(now);
         self.measure_demand(now);
         self.unanswered_requests = if self.is_awaiting_response { self.unanswered_requests + 1 } else { 0 };
         let returned_milli = u64::try_from(self.returned / MILLI).unwrap_or(0);
-        // Until a response comes, calls that found nothing are requested for again.
+        // Units that calls lacked are requested again until a response arrives.
         let usual_call = self.usual_call.max(1);
-        let waiting_units = u32::try_from(waits).unwrap_or(u32::MAX);
-        let most = MAX_REQUESTED_CALLS.saturating_mul(usual_call);
-        self.requested_units = self.missing_units.max(waiting_units).min(most);
+        let waiting_units = u32::try_from(waiting_units).unwrap_or(u32::MAX);
+        let max_units = MAX_REQUESTED_CALLS.saturating_mul(usual_call);
+        self.requested_units = self.missing_units.max(waiting_units).min(max_units);
         self.requested_smallest_call = self.smallest_missing_call.clamp(1, self.requested_units.max(1));
         self.missing_units = self.missing_units.min(self.requested_units);
         (self.request_id, self.requested_at) = (request_id, now);
@@ -505,7 +510,7 @@
         self.is_reserve_requested = false;
         self.returned = 0;
         ShareRequest {
-            tenant_key: key,
+            tenant_key,
             held_share: self.share,
             returned_milli,
             demand_milli: self.demand_milli,
@@ -516,8 +521,8 @@
         }
     }
 
-    /// Makes a request that no call needs one for a reserve, as standbys hold. What this node holds is refilled as a
-    /// reserve from now on, before the lease holder learns of it.
+    /// Turns a request into one for a standby's reserve if no call needs units. The share is refilled as a reserve from
+    /// now on, before the lease holder receives the request.
     pub fn into_reserve_request(&mut self, request: ShareRequest) -> ShareRequest {
         if request.demand_milli > 0 || request.missing_units > 0 {
             return request;
@@ -541,8 +546,8 @@
         }
     }
 
-    /// Applies the response to the request that was sent at `sent_at`. False where it is ignored: it is not the
-    /// response to the newest request, or its share has expired.
+    /// Applies the response to the request that was sent at `sent_at`. Returns false if the response is ignored: it
+    /// does not answer the newest request, or its share has expired.
     pub fn apply_grant(&mut self, request_id: u64, grant: ShareGrant, sent_at: Micros, now: Micros) -> bool {
         if request_id != self.request_id || !self.is_awaiting_response || sent_at + SHARE_LEASE <= now {
             return false;
@@ -559,7 +564,7 @@
 
     fn record_response(&mut self, sent_at: Micros, now: Micros) {
         (self.is_awaiting_response, self.unanswered_requests, self.ungranted_since) = (false, 0, None);
-        if self.knows_nothing(now) {
+        if self.has_no_recent_response(now) {
             self.pool_warm_up_until = now + POOL_WARM_UP;
         }
         self.last_answered_request_at = self.last_answered_request_at.max(Some(sent_at));
@@ -585,7 +590,7 @@
         self.share_expires_at = self.share_expires_at.max(sent_at + SHARE_LEASE);
     }
 
-    /// Calls wait for so many units now.
+    /// Records that calls wait for `units` units now.
     pub fn record_waiting(&mut self, units: u64, now: Micros) {
         let units = u32::try_from(units).unwrap_or(u32::MAX);
         let is_outdated = now >= self.standby_loans.waited_at + WAITING_VALIDITY;
@@ -594,24 +599,25 @@
         loans.waited_at = now;
     }
 
-    /// Sets whether another node stands by for the lease holder.
+    /// Sets whether another node is the lease holder's standby.
     pub fn set_standby_available(&mut self, is_available: bool) {
         self.standby_loans.is_available = is_available;
     }
 
-    /// Whether the standby should be asked now: calls wait, and the lease holder does not answer or has nothing.
+    /// Returns whether a loan request to the standby is due: calls wait, and the lease holder does not respond or has
+    /// no units.
     pub fn is_loan_due(&self, now: Micros) -> bool {
         let is_ungranted = self.ungranted_since.is_some_and(|since| now >= since + HEDGE_AFTER);
         self.standby_loans.is_due(now) && (is_ungranted || self.exhausted_for_call > 0)
     }
 
-    /// Makes the request to the standby that goes now.
-    pub fn make_loan_request(&mut self, key: u64, now: Micros) -> LoanRequest {
-        let most = MAX_REQUESTED_CALLS.saturating_mul(self.usual_call.max(1));
-        let missing_units = std::mem::take(&mut self.standby_loans.waiting_units).min(most);
+    /// Makes the loan request to the standby that is sent now.
+    pub fn make_loan_request(&mut self, tenant_key: u64, now: Micros) -> LoanRequest {
+        let max_units = MAX_REQUESTED_CALLS.saturating_mul(self.usual_call.max(1));
+        let missing_units = std::mem::take(&mut self.standby_loans.waiting_units).min(max_units);
         let smallest_call = self.smallest_missing_call.clamp(1, missing_units.max(1));
         (self.standby_loans.requested_at, self.standby_loans.is_awaiting_response) = (now, true);
-        LoanRequest { tenant_key: key, missing_units, smallest_call }
+        LoanRequest { tenant_key, missing_units, smallest_call }
     }
 
     /// Applies the standby's response to the request that was sent at `sent_at`.
@@ -625,7 +631,8 @@
         self.standby_loan = Loan { units, expires_at: sent_at + LOAN_DURATION };
     }
 
-    /// Lends units to another node's calls: they are spent here. Only whole calls are lent.
+    /// Lends units to another node's calls; they count as spent here. Lends only multiples of the smallest call, and
+    /// returns the number of units.
     pub fn lend(&mut self, request: &LoanRequest, now: Micros) -> u32 {
         self.refill(now);
         let smallest_call = u64::from(request.smallest_call.max(1));
@@ -635,7 +642,7 @@
         lent
     }
 
-    /// For metrics: the share in millionths, and the whole units that are free.
+    /// Returns, for metrics, the share in millionths and the number of whole free units.
     pub fn list(&self) -> (u32, u64) {
         (self.share, u64::try_from(self.free / UNIT).unwrap_or(u64::MAX))
     }
--- a/crates/core/src/quota/share_pool.rs
+++ b/crates/core/src/quota/share_pool.rs
@@ -1,13 +1,13 @@
-//! The lease holder's pool of a rate: which share each node holds, and what is not lent.
+//! The lease holder's pool of a rate: the share of each node, and the units that are not lent.
 //!
-//! Guarantees that the shares of a rate that nodes may hold never sum up to more than the whole rate. Nothing
-//! of it is on disk: a new lease holder counts every share as held (*unaccounted*) that it can't prove to be
-//! free, until the shares granted by earlier holders have expired, or until every incarnation that may hold
-//! one (every *suspect*) has reported its share or is proven dead.
+//! Guarantees that the shares of a rate that nodes may hold never sum up to more than the whole rate. The pool is
+//! volatile: a new lease holder counts every share as held (*unaccounted*) that it can't prove to be free, until
+//! the shares granted by earlier lease holders have expired, or until every incarnation that may hold a share
+//! (every *suspect*) has reported its share or is proven dead.
 //!
-//! Half of the rate follows the nodes' demand as shares; the rest stays in the pool and is lent call by call.
-//! A pool that can't grant a share in full marks a shortage, during which nodes with a surplus return it at
-//! once.
+//! Half of the rate is granted as shares in proportion to the nodes' demand; the rest stays in the pool and is lent
+//! call by call. A pool that can't grant a share in full records a shortage, during which nodes return any surplus
+//! at once.
 
 use super::share_bucket::{
     FULL_SHARE, MILLI, RESERVE_MARK, SHARE_LEASE, UNIT, reserve_refill, share_capacity, share_refill,
@@ -17,35 +17,34 @@
 use crate::protocol::{RegisteredIncarnation, ShareGrant, ShareRequest};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The lease holder counts a share as held for this much longer than the node itself does, in microseconds, as
-/// the node's clock may be slower.
+/// The time for which the lease holder counts a share as held after its lease ended, in microseconds: the node's
+/// clock may be slower.
 const EXPIRY_GRACE: Micros = 100 * MS;
-/// An incarnation that no voter has registered any more when a lease starts has held nothing for longer than
-/// this, in microseconds: voters forget a registration 20 s after a lease holder last relied on it for 8 s, and
-/// a share expires one share lease after that.
+/// The least time for which an incarnation that no voter has registered any more when a lease starts has held
+/// nothing, in microseconds: voters forget a registration 20 s after a lease holder last relied on it for 8 s, and a
+/// share expires one share lease after that.
 const UNREGISTERED_IDLE: Micros = SHARE_LEASE;
-/// Of 50 microseconds on a node's clock at least this many have passed.
+/// The least true duration of 50 microseconds on a node's clock, in microseconds: clocks run fast by 2 % at most.
 const SLOWEST_CLOCK: u64 = 49;
-/// From this demand on, in thousandths of calls a second, a node holds a share in proportion to it.
+/// The call rate from which a node holds a share in proportion to its demand, in thousandths of calls per second.
 const STEADY_CALL_RATE_MILLI: u64 = 4_000;
-/// For this long after a node could not be granted all of its share, in microseconds, others return even the
-/// smallest surplus.
+/// The time after an incomplete grant in which other nodes return even the smallest surplus, in microseconds.
 const SHORTAGE_DURATION: Micros = 1_000 * MS;
 
-/// The share that the standby of the lease holder holds at least, in millionths: a quarter of the burst and what
-/// comes in of the rate last a tenant for the time in which a lost lease holder is replaced.
+/// The least share of the lease holder's standby, in millionths: a quarter of the burst and its refill last a tenant
+/// until a lost lease holder is replaced.
 pub const STANDBY_SHARE: u32 = FULL_SHARE / 4;
-/// A standby holds a share only of rates whose burst has at least so many usual calls, as it takes its part of the
-/// burst out of the pool.
+/// The least burst, in usual calls, of a rate of which the standby holds a share: the standby's part of the burst is
+/// taken out of the pool.
 const MIN_CALLS_FOR_STANDBY: u64 = 8;
 
 /// One incarnation of a node.
 type NodeIncarnation = (NodeId, Incarnation);
 
-/// What one incarnation may hold, as far as the lease holder knows.
+/// The share that one incarnation may hold, as known to the lease holder.
 #[derive(Clone, Debug, Default)]
 struct HeldShare {
-    /// The newest request; older ones that arrive later are ignored.
+    /// The newest request; older requests that arrive later are ignored.
     request_id: u64,
     /// In millionths of the rate.
     share: u32,
@@ -53,38 +52,39 @@
     demand_milli: u64,
     /// The units of the node's usual call.
     usual_call: u32,
-    /// Whether no call of its own came to the node, so that it holds the share as a standby alone.
+    /// Whether the node holds the share only as a standby, because no calls of its own arrive.
     is_reserve: bool,
-    /// Whether the refill of the reserve comes to this pool. Where the node may still apply a grant of an earlier
-    /// lease, it may be refilled itself.
+    /// Whether the refill of the reserve goes to this pool. A node that may still apply a grant of an earlier lease may
+    /// refill its share itself.
     is_refilled_here: bool,
 }
 
-/// Who requests a share.
+/// The sender of a share request, and the purpose of its share.
 #[derive(Clone, Copy, Debug)]
 pub struct Requester {
     /// The requesting node and its incarnation.
     pub incarnation: (NodeId, Incarnation),
     /// The number of the request.
     pub request_id: u64,
-    /// What it requests the share for.
+    /// The purpose of the share.
     pub purpose: SharePurpose,
-    /// Whether it knew of this lease as it sent the request, so that no grant of an earlier one can follow.
+    /// Whether the node knew of this lease when it sent the request, so that it applies no grant of an earlier lease
+    /// afterwards.
     pub knows_lease: bool,
 }
 
-/// What a node requests a share for.
+/// The purpose for which a node requests a share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SharePurpose {
-    /// For the calls that come to it.
+    /// For the calls that arrive at the node.
     OwnCalls,
-    /// For the calls that come to it, and as the standby of the lease holder.
+    /// For the calls that arrive at the node, and as a reserve of the lease holder's standby.
     Standby,
-    /// For no calls, as it was the standby or takes itself for it: it returns what it holds.
+    /// For no calls: the node was the standby, or wrongly considers itself the standby, and returns its share.
     FormerStandby,
 }
 
-/// A share that nobody held for some time, and whose refill is credited to the pool.
+/// A share that no node held for some time, and whose refill is credited to the pool.
 #[derive(Clone, Copy, Debug)]
 struct IdleShare {
     /// In millionths of the rate.
@@ -92,56 +92,57 @@
     duration: Micros,
 }
 
-/// One tenant's rate as its lease holder lends it.
+/// The lease holder's accounts of one tenant's rate: the shares that nodes hold, and the units in the pool.
 ///
 /// Invariants: `held_total`, `reserve_total` and `demand_total_milli` are the sums over `held`; `held_total` and
-/// `unaccounted_share` together never exceed [`FULL_SHARE`] by what this pool grants; `free` never exceeds
-/// the burst of the rest.
+/// `unaccounted_share` together never exceed [`FULL_SHARE`] through a grant of this pool; `free` never exceeds
+/// the burst of the unheld share.
 #[derive(Clone, Debug, Default)]
 pub struct SharePool {
     held: BTreeMap<NodeIncarnation, HeldShare>,
     held_total: u64,
-    /// What of it standbys hold as reserves, whose refill comes to the pool but for a small part.
+    /// The part of `held_total` that standbys hold as reserves, most of whose refill goes to the pool.
     reserve_total: u64,
     demand_total_milli: u64,
-    /// What incarnations that have not reported yet may hold, in millionths, until `unaccounted_until`.
+    /// The share that incarnations that have not reported yet may hold, in millionths, until `unaccounted_until`.
     unaccounted_share: u64,
     unaccounted_until: Micros,
-    /// What a standby may hold that a former lease holder granted it, in millionths, until `reserve_until` or until
+    /// The share that a standby may hold from an earlier lease holder, in millionths, until `reserve_until` or until
     /// each node that may be that standby has reported. Standbys without calls of their own are not registered.
     unaccounted_reserve: u64,
     reserve_until: Micros,
     reserve_suspects: BTreeSet<NodeId>,
-    /// Incarnations that may hold some of the unaccounted share; once none is left it ends at once.
+    /// Incarnations that may hold some of the unaccounted share, which ends once no suspect is left.
     suspects: BTreeSet<NodeIncarnation>,
-    /// Since when nothing was granted to anybody, by the reports on the suspects; meaningful only once none is
-    /// left.
+    /// The start of the time without any grant to any node, by the reports on the suspects; meaningful only once no
+    /// suspect is left.
     idle_since: Micros,
-    /// The part of the unaccounted share that proved to be nobody's, until it is credited.
+    /// The part of the unaccounted share that proved to be held by no node, until it is credited.
     idle_share: Option<IdleShare>,
-    /// A node was recently granted less than its part; until then others return any surplus.
+    /// The end of a shortage: a node was granted less than its target share, and until then others return any surplus.
     shortage_until: Micros,
-    /// Units of the part that nobody holds, in the scale of [`UNIT`].
+    /// The units of the unheld share, in the scale of [`UNIT`].
     free: u128,
     refilled_at: Micros,
 }
 
 impl SharePool {
-    /// A pool after another lease holder's. All shares that the other one granted have expired by `from`.
-    pub fn new(rate: Rate, from: Micros, now: Micros) -> Self {
-        let unaccounted_share = if now < from { u64::from(FULL_SHARE) } else { 0 };
-        let refill = share_refill(rate, FULL_SHARE, now.saturating_sub(from));
+    /// Creates the pool of a new lease holder. All shares granted by earlier lease holders have expired by
+    /// `unaccounted_until`.
+    pub fn new(rate: Rate, unaccounted_until: Micros, now: Micros) -> Self {
+        let unaccounted_share = if now < unaccounted_until { u64::from(FULL_SHARE) } else { 0 };
+        let refill = share_refill(rate, FULL_SHARE, now.saturating_sub(unaccounted_until));
         let free = refill.min(share_capacity(rate, FULL_SHARE));
-        SharePool { unaccounted_share, unaccounted_until: from, free, refilled_at: now, ..SharePool::default() }
+        SharePool { unaccounted_share, unaccounted_until, free, refilled_at: now, ..SharePool::default() }
     }
 
-    /// A full pool of a rate that nobody ever held a share of.
+    /// Creates a full pool of a rate of which no node ever held a share.
     pub fn full(rate: Rate, now: Micros) -> Self {
         let free = share_capacity(rate, FULL_SHARE);
         SharePool { free, refilled_at: now, unaccounted_until: now, ..SharePool::default() }
     }
 
-    /// A standby among these nodes may hold a share that a former lease holder granted it, until then.
+    /// Adds a share from an earlier lease holder that a standby among `suspects` may hold until `until`.
     fn with_unaccounted_reserve(self, suspects: BTreeSet<NodeId>, until: Micros, now: Micros) -> Self {
         if suspects.is_empty() || now >= until {
             return self;
@@ -151,9 +152,9 @@
         SharePool { free, unaccounted_reserve, reserve_until: until, reserve_suspects: suspects, ..self }
     }
 
-    /// A node has reported what it holds of the tenant: as a former standby it holds nothing else.
-    fn clear_reserve_suspect(&mut self, node: NodeId) {
-        if self.reserve_suspects.remove(&node) && self.reserve_suspects.is_empty() {
+    /// Clears a possible former standby, whose request reported its whole share of the tenant's rate.
+    fn clear_reserve_suspect(&mut self, node_id: NodeId) {
+        if self.reserve_suspects.remove(&node_id) && self.reserve_suspects.is_empty() {
             self.unaccounted_reserve = 0;
         }
     }
@@ -162,13 +163,13 @@
         now < self.reserve_until && self.unaccounted_reserve > 0
     }
 
-    /// The part that nobody can hold, in millionths.
+    /// Returns the share that no node can hold, in millionths.
     fn unheld_share(&self) -> u32 {
         let taken = self.held_total + self.unaccounted_share.max(self.unaccounted_reserve);
         u32::try_from(u64::from(FULL_SHARE).saturating_sub(taken)).unwrap_or(0)
     }
 
-    /// The part of the rate that nobody else is refilled by, in millionths.
+    /// Returns the part of the rate that refills no node's bucket, in millionths.
     fn refilled_share(&self) -> u32 {
         let reserve = |share: u64| u64::from(reserve_refill(u32::try_from(share).unwrap_or(FULL_SHARE)));
         let held = self.held_total - self.reserve_total + reserve(self.reserve_total);
@@ -180,8 +181,7 @@
         self.free = self.free.min(share_capacity(rate, self.unheld_share()));
     }
 
-    /// Refills the pool up to now. A share that became free since the last refill brings nothing for the time
-    /// before.
+    /// Refills the pool up to now. A share that became free since the last refill is not refilled for the time before.
     fn refill(&mut self, rate: Rate, now: Micros) {
         let unheld = self.unheld_share();
         let refill = share_refill(rate, self.refilled_share(), now.saturating_sub(self.refilled_at));
@@ -193,14 +193,14 @@
         if now >= self.reserve_until {
             self.unaccounted_reserve = 0;
         }
-        // What nobody held, and nobody was granted anything of, is as full as the rate filled it.
+        // A share that no node held, and from which nothing was granted, was refilled for the whole time.
         if let Some(IdleShare { share, duration }) = self.idle_share.take() {
             self.free += share_refill(rate, share, duration).min(share_capacity(rate, share));
             self.cap_free(rate);
         }
     }
 
-    /// Drops the shares that have expired.
+    /// Drops expired shares.
     pub fn expire(&mut self, rate: Rate, now: Micros) {
         self.refill(rate, now);
         self.held.retain(|_, held| now < held.expires_at);
@@ -210,13 +210,13 @@
         self.demand_total_milli = self.held.values().map(|held| held.demand_milli).sum();
     }
 
-    /// The share that a node should hold, by its demand against that of the others.
+    /// Returns the share that a node should hold, by its demand relative to that of all nodes.
     fn target_share(&self, rate: Rate, request: &ShareRequest, nodes: u64) -> u32 {
         let whole = u64::from(FULL_SHARE);
         let demand_total = self.demand_total_milli;
         let one_call = share_of_call(rate, request.usual_call);
-        // Half of the rate follows the demand, where that is steady enough to be measured; the rest stays in
-        // the pool for nodes whose buckets are empty.
+        // Half of the rate follows the demand, if that is steady enough to be measured; the rest stays in the pool
+        // for nodes with empty buckets.
         let steady = if request.call_rate_milli >= STEADY_CALL_RATE_MILLI { request.demand_milli } else { 0 };
         let proportional = proportion(steady, whole / 2, demand_total.max(1).max(rate.milli_per_second / 2));
         let low_load = request.demand_milli > 0 && demand_total <= rate.milli_per_second
@@ -226,7 +226,7 @@
         u32::try_from(target.min(whole)).unwrap_or(FULL_SHARE)
     }
 
-    /// The share that a node should hold for a purpose.
+    /// Returns the share that a node should hold for the purpose of its request.
     fn target_for(&self, requester: &Requester, rate: Rate, request: &ShareRequest, nodes: u64) -> u32 {
         let for_own_calls = self.target_share(rate, request, nodes);
         let standby_share = || self.standby_share(requester, request.held_share, rate);
@@ -238,15 +238,15 @@
         }
     }
 
-    /// What standbys without calls of their own hold, or may hold, but for this one.
+    /// Returns the total share that other standbys without calls of their own hold or may hold.
     fn reserves_of_others(&self, standby: NodeIncarnation) -> u64 {
         let others = self.held.iter().filter(|(holder, held)| **holder != standby && held.is_reserve);
         others.map(|(_, held)| u64::from(held.share)).sum::<u64>() + self.unaccounted_reserve
     }
 
-    /// The share that the standby holds whatever its own demand is. It grows only out of a pool that is at least
-    /// half full, as what is scarce is better lent where it is asked for first, and once no other reserve is left: a
-    /// later lease holder counts one that it does not know of.
+    /// Returns the share that the standby holds regardless of its own demand. This share grows only from a pool that is
+    /// at least half full, because scarce units are better lent to the nodes that request them first, and only once no
+    /// other reserve is left, because a later lease holder counts a single reserve that it does not know of.
     fn standby_share(&self, standby: &Requester, held_share: u32, rate: Rate) -> u32 {
         let usual_call = self.held.values().map(|held| held.usual_call).max().unwrap_or(1);
         let is_large = share_of_call(rate, usual_call) * MIN_CALLS_FOR_STANDBY <= u64::from(FULL_SHARE);
@@ -259,22 +259,22 @@
         }
     }
 
-    /// Grants a share, and lends units to calls that wait. None where a later request of the same sender has
-    /// overtaken this one.
+    /// Grants a share, and lends units to waiting calls. Returns `None` if a later request of the same sender has
+    /// already arrived.
     pub fn request(
         &mut self,
-        by: (NodeId, Incarnation),
+        incarnation: (NodeId, Incarnation),
         request_id: u64,
         request: &ShareRequest,
         rate: Rate,
         nodes: u64,
         now: Micros,
     ) -> Option<ShareGrant> {
-        let requester = Requester { incarnation: by, request_id, purpose: SharePurpose::OwnCalls, knows_lease: false };
+        let requester = Requester { incarnation, request_id, purpose: SharePurpose::OwnCalls, knows_lease: false };
         self.grant(requester, request, rate, nodes, now)
     }
 
-    /// As [`request`](Self::request), of a node that may be the standby.
+    /// As [`request`](Self::request), for a node that may be the standby.
     pub fn grant(
         &mut self,
         requester: Requester,
@@ -311,7 +311,7 @@
         } else if target < request.held_share && is_far {
             grant.share = target;
         }
-        // A share that shrinks counts in full until its holder confirms that it is smaller.
+        // A share that shrinks counts in full until its holder reports the smaller share.
         let share = grant.share.max(request.held_share);
         self.held_total += u64::from(share - request.held_share);
         self.cap_free(rate);
@@ -325,7 +325,7 @@
         Some(grant)
     }
 
-    /// Replaces what was known of a node by its report: what it holds now is what it says, as it accepts no
+    /// Replaces the account of a node by the report in its request. The report is exact, because the node accepts no
     /// response to an earlier request.
     fn account_for(&mut self, previous: &HeldShare, request: &ShareRequest, rate: Rate) {
         if request.held_share > previous.share {
@@ -340,7 +340,8 @@
         self.cap_free(rate);
     }
 
-    /// Whether a share differs enough from its target to be changed: by an eighth, or by half a usual call.
+    /// Returns whether a share differs enough from its target to be changed: by an eighth, and by half a usual call;
+    /// during a shortage, whether the share exceeds its target at all.
     fn is_far_from_target(&self, target: u32, request: &ShareRequest, rate: Rate, now: Micros) -> bool {
         let difference = u64::from(target.abs_diff(request.held_share));
         if now < self.shortage_until && target < request.held_share {
@@ -351,9 +352,8 @@
         difference >= (u64::from(request.held_share) / 8).max(half_a_call)
     }
 
-    /// Lends units at once to calls that wait: they count as spent here, and are worth nothing to the node a
-    /// moment later, so they need no share to be held in. Only whole calls are lent, as a part of a call's
-    /// units is of no use.
+    /// Lends units to waiting calls. Lent units count as spent here and expire soon at the node, and so need no share.
+    /// Lends only multiples of the smallest call, because a part of a call's units is useless.
     fn lend(&mut self, request: &ShareRequest) -> u32 {
         let smallest_call = u64::from(request.smallest_call.max(1));
         let whole_calls = u64::try_from(self.free / UNIT).unwrap_or(0) / smallest_call * smallest_call;
@@ -362,7 +362,7 @@
         u32::try_from(lent).unwrap_or(0)
     }
 
-    /// Grows a share towards its target as far as the unheld part allows, with half of the free units on top.
+    /// Grows a share towards its target as far as the unheld share allows, and adds half of the free units.
     fn grow(&mut self, grant: &mut ShareGrant, target: u32, rate: Rate) {
         let added = (target - grant.share).min(self.unheld_share());
         let burst_milli = (self.free / 2).min(share_capacity(rate, added)) / MILLI;
@@ -371,10 +371,10 @@
         grant.burst_milli = u64::try_from(burst_milli).unwrap_or(0);
     }
 
-    /// A suspect is cleared: from now on its requests say what it holds. It holds `held_share` now, and since
-    /// `idle_since` it held the same and was granted nothing.
-    fn clear_suspect(&mut self, by: NodeIncarnation, held_share: u32, idle_since: Micros, now: Micros) {
-        if !self.suspects.remove(&by) {
+    /// Clears a suspect, whose requests report its share from now on. The suspect holds `held_share` now, and since
+    /// `idle_since` it held the same share and was granted nothing.
+    fn clear_suspect(&mut self, suspect: NodeIncarnation, held_share: u32, idle_since: Micros, now: Micros) {
+        if !self.suspects.remove(&suspect) {
             return;
         }
         self.idle_since = self.idle_since.max(idle_since);
@@ -382,7 +382,7 @@
             return;
         }
         if self.unaccounted_share > 0 {
-            let known = self.held.get(&by).map_or(0, |held| held.share);
+            let known = self.held.get(&suspect).map_or(0, |held| held.share);
             let reported = u64::from(held_share.saturating_sub(known));
             let unheld = self.unaccounted_share.saturating_sub(reported + self.unaccounted_reserve);
             let share = u32::try_from(unheld).unwrap_or(0);
@@ -391,50 +391,50 @@
         self.unaccounted_until = self.unaccounted_until.min(now);
     }
 
-    /// For comparison, in millionths: the shares held, and the share that is unaccounted for.
+    /// Returns, for comparison and in millionths, the sum of the held shares and the unaccounted share.
     pub fn list(&self) -> (u64, u64) {
         (self.held_total, self.unaccounted_share)
     }
 }
 
-/// The smallest share that ever holds the units of a usual call, in millionths.
+/// Returns the smallest share whose capacity is a usual call, in millionths.
 fn share_of_call(rate: Rate, usual_call: u32) -> u64 {
     let whole = u64::from(FULL_SHARE);
     (whole * 1_000 * u64::from(usual_call.max(1))).div_ceil(rate.burst_milli.max(1)).min(whole)
 }
 
-/// When a duration that another node measured started at the latest, by this node's clock.
+/// Returns the latest possible start, by this node's clock, of a duration that another node measured.
 fn latest_start(measured: Micros, now: Micros) -> Micros {
     now.saturating_sub(measured / (SLOWEST_CLOCK + 1) * SLOWEST_CLOCK)
 }
 
-/// `whole` times `part` over `total`.
+/// Returns `whole` times `part` divided by `total`.
 fn proportion(part: u64, whole: u64, total: u64) -> u64 {
     u64::try_from(u128::from(part) * u128::from(whole) / u128::from(total.max(1))).unwrap_or(u64::MAX)
 }
 
-/// What is known of earlier lease holders' shares under a lease that this node holds.
+/// A lease that this node holds, and what it knows about the shares granted by earlier lease holders.
 #[derive(Clone, Debug)]
 struct RoleLease {
-    /// There was no lease holder before, so nobody holds anything.
+    /// Whether there was no lease holder before, so that no node holds a share.
     is_first: bool,
-    /// All shares that earlier lease holders granted have expired by then, unless those that may hold any are proven
-    /// dead or reported before.
+    /// When all shares granted by earlier lease holders have expired, or when all suspects were proven dead, if that
+    /// is earlier.
     unaccounted_until: Micros,
-    /// The nodes, with their addresses, that may have been standbys of earlier lease holders. All shares that they
-    /// were granted have expired by `reserve_until`.
+    /// The nodes, with their addresses, that may have been standbys of earlier lease holders. All shares granted to
+    /// them as standbys have expired by `reserve_until`.
     reserve_suspects: BTreeMap<NodeId, String>,
     reserve_until: Micros,
     /// The incarnations, with their addresses, that earlier lease holders may have granted shares to and that
     /// are not proven dead.
     suspects: BTreeMap<NodeIncarnation, String>,
-    /// Since when none of those that are proven dead, or no longer registered, can have held anything.
+    /// The time since which no incarnation that is proven dead or no longer registered can have held a share.
     idle_since: Micros,
-    /// All suspects were proven dead.
+    /// Whether all suspects were proven dead.
     suspects_proven_dead: bool,
 }
 
-/// A pool and the role that its tenant belongs to.
+/// The pool of a tenant's rate, with the role of the tenant.
 #[derive(Clone, Debug)]
 struct RolePool {
     role: u32,
@@ -445,18 +445,18 @@
 #[derive(Clone, Debug, Default)]
 pub struct SharePools {
     leases: BTreeMap<u32, RoleLease>,
-    /// By the hash of the tenant's name.
+    /// The pools, by the hash of the tenant's name.
     pools: BTreeMap<u64, RolePool>,
 }
 
 impl SharePools {
-    /// A lease starts. Requests that an earlier lease holder may have answered were sent before now, or at most
-    /// `late` microseconds after it.
-    pub fn begin_lease(&mut self, role: u32, first: bool, now: Micros, late: Micros) {
+    /// Starts a lease. Requests that an earlier lease holder may have answered were sent at most
+    /// `max_overlap` microseconds after now.
+    pub fn begin_lease(&mut self, role: u32, is_first: bool, now: Micros, max_overlap: Micros) {
         self.end_lease(role);
-        let unaccounted_until = now + late + SHARE_LEASE + EXPIRY_GRACE;
+        let unaccounted_until = now + max_overlap + SHARE_LEASE + EXPIRY_GRACE;
         let lease = RoleLease {
-            is_first: first,
+            is_first,
             unaccounted_until,
             reserve_suspects: BTreeMap::new(),
             reserve_until: unaccounted_until,
@@ -467,23 +467,26 @@
         self.leases.insert(role, lease);
     }
 
-    /// Sets the only incarnations that earlier lease holders can have granted shares to. With an empty list
-    /// nothing is known, and unaccounted shares end by time alone.
+    /// Sets the suspects: the only incarnations to which earlier lease holders can have granted shares. With an empty
+    /// list the suspects are unknown, and unaccounted shares end only when they expire.
     pub fn set_suspects(&mut self, role: u32, incarnations: &[RegisteredIncarnation]) {
         if let Some(lease) = self.leases.get_mut(&role) {
-            lease.suspects = incarnations.iter().map(|i| ((i.node_id, i.incarnation), i.addr.clone())).collect();
+            lease.suspects = incarnations
+                .iter()
+                .map(|suspect| ((suspect.node_id, suspect.incarnation), suspect.addr.clone()))
+                .collect();
         }
     }
 
-    /// Sets the only nodes, with their addresses, that may have been standbys of earlier lease holders. Without any
-    /// nobody was.
+    /// Sets the only nodes, with their addresses, that may have been standbys of earlier lease holders. With an empty
+    /// map, there was no standby.
     pub fn set_reserve_suspects(&mut self, role: u32, nodes: BTreeMap<NodeId, String>) {
         if let Some(lease) = self.leases.get_mut(&role) {
             lease.reserve_suspects = nodes;
         }
     }
 
-    /// The addresses of the nodes that must report before what a standby may hold ends early.
+    /// Returns the addresses of the nodes that must report before the unaccounted reserve ends early.
     fn reserve_suspect_addresses(&self, role: u32, now: Micros) -> BTreeSet<String> {
         let Some(lease) = self.leases.get(&role).filter(|lease| now < lease.reserve_until && !lease.is_first) else {
             return BTreeSet::new();
@@ -493,13 +496,13 @@
         if is_open { lease.reserve_suspects.values().cloned().collect() } else { BTreeSet::new() }
     }
 
-    /// The addresses to probe: of all nodes that must report before the unaccounted shares end early.
+    /// Returns the addresses to probe: of all nodes that must report before the unaccounted shares end early.
     pub fn suspect_addresses(&self, role: u32, now: Micros) -> BTreeSet<String> {
         let registered = self.suspects(role, now).into_iter().map(|suspect| suspect.addr);
         registered.chain(self.reserve_suspect_addresses(role, now)).collect()
     }
 
-    /// The incarnations that must report before the unaccounted shares end early.
+    /// Returns the incarnations that must report before the unaccounted shares end early.
     pub fn suspects(&self, role: u32, now: Micros) -> Vec<RegisteredIncarnation> {
         let Some(lease) = self.leases.get(&role).filter(|lease| now < lease.unaccounted_until) else {
             return Vec::new();
@@ -518,13 +521,20 @@
         lease.suspects.iter().map(suspect).collect()
     }
 
-    /// An incarnation that replied under this lease has its address to itself: earlier ones at that address or
-    /// of that node, which were granted shares before the lease, had ended when it started, `age` microseconds
-    /// ago. True if no suspect is left by this.
-    pub fn record_alive(&mut self, role: u32, by: (NodeId, Incarnation), addr: &str, age: Micros, now: Micros) -> bool {
+    /// Records that an incarnation replied under this lease. Suspects at its address, and earlier incarnations of its
+    /// node, had ended when the incarnation started, `age` microseconds ago. Returns true if this clears the last
+    /// suspect.
+    pub fn record_alive(
+        &mut self,
+        role: u32,
+        sender: (NodeId, Incarnation),
+        addr: &str,
+        age: Micros,
+        now: Micros,
+    ) -> bool {
         let Some(lease) = self.leases.get_mut(&role) else { return false };
         let is_dead = |suspect: &NodeIncarnation, suspect_addr: &str| {
-            *suspect != by && (suspect_addr == addr || (suspect.0 == by.0 && suspect.1 < by.1))
+            *suspect != sender && (suspect_addr == addr || (suspect.0 == sender.0 && suspect.1 < sender.1))
         };
         let dead: Vec<_> = lease
             .suspects
@@ -540,64 +550,69 @@
                 entry.pool.clear_suspect(*suspect, 0, ended_at, now);
             }
         }
-        let none_left = !dead.is_empty() && lease.suspects.is_empty();
-        if none_left {
+        let is_none_left = !dead.is_empty() && lease.suspects.is_empty();
+        if is_none_left {
             lease.unaccounted_until = lease.unaccounted_until.min(now);
             lease.suspects_proven_dead = true;
         }
-        none_left
+        is_none_left
     }
 
-    /// A request that was sent under this lease says what its sender holds of one tenant's rate, and that for
-    /// `idle` microseconds it held the same and was granted nothing.
+    /// Records the report in a request that was sent under this lease: the sender's share of one tenant's rate, and
+    /// that for `idle` microseconds the sender held the same share and was granted nothing.
     pub fn record_request(
         &mut self,
         role: u32,
         request: &ShareRequest,
-        by: (NodeId, Incarnation),
+        sender: (NodeId, Incarnation),
         rate: Rate,
         idle: Micros,
         now: Micros,
     ) {
         if let Some(pool) = self.pool(role, request.tenant_key, rate, now) {
             pool.refill(rate, now);
-            pool.clear_reserve_suspect(by.0);
-            pool.clear_suspect(by, request.held_share, latest_start(idle, now), now);
+            pool.clear_reserve_suspect(sender.0);
+            pool.clear_suspect(sender, request.held_share, latest_start(idle, now), now);
             pool.refill(rate, now);
         }
     }
 
-    /// The pool of a tenant's rate, by the hash of its name; none where this node holds no lease of the role.
-    pub fn pool(&mut self, role: u32, key: u64, rate: Rate, now: Micros) -> Option<&mut SharePool> {
+    /// Returns the pool of a tenant's rate, by the hash of the tenant's name, or `None` if this node does not hold the
+    /// role's lease.
+    pub fn pool(&mut self, role: u32, tenant_key: u64, rate: Rate, now: Micros) -> Option<&mut SharePool> {
         let lease = self.leases.get(&role)?;
         let new_pool = || {
-            let from = if lease.suspects_proven_dead { lease.idle_since } else { lease.unaccounted_until };
+            let unaccounted_until = if lease.suspects_proven_dead { lease.idle_since } else { lease.unaccounted_until };
             let mut pool = if lease.is_first {
                 SharePool::full(rate, now)
             } else {
                 let suspects = lease.reserve_suspects.keys().copied().collect();
-                SharePool::new(rate, from, now).with_unaccounted_reserve(suspects, lease.reserve_until, now)
+                SharePool::new(rate, unaccounted_until, now).with_unaccounted_reserve(
+                    suspects,
+                    lease.reserve_until,
+                    now,
+                )
             };
             pool.suspects = lease.suspects.keys().copied().collect();
             pool.idle_since = lease.idle_since;
             RolePool { role, pool }
         };
-        Some(&mut self.pools.entry(key).or_insert_with(new_pool).pool)
+        Some(&mut self.pools.entry(tenant_key).or_insert_with(new_pool).pool)
     }
 
-    /// The lease has ended: its pools are dropped.
+    /// Ends a lease and drops its pools.
     pub fn end_lease(&mut self, role: u32) {
         self.leases.remove(&role);
         self.pools.retain(|_, entry| entry.role != role);
     }
 
-    /// The roles whose lease this node holds.
+    /// Returns the roles whose lease this node holds.
     pub fn roles(&self) -> Vec<u32> {
         self.leases.keys().copied().collect()
     }
 
-    /// Drops expired shares from all pools. `rate` tells the rate in force of a tenant by the hash of its name;
-    /// a tenant without one is refilled with nothing.
+    /// Drops expired shares from all pools. `rate` returns the current rate of a tenant by the hash of its name; the
+    /// pool of a tenant without a rate is not refilled.
     pub fn expire(&mut self, rate: impl Fn(u64) -> Option<Rate>, now: Micros) {
         for (key, entry) in &mut self.pools {
             let rate = rate(*key).unwrap_or(Rate { milli_per_second: 0, burst_milli: 0 });
@@ -605,8 +620,8 @@
         }
     }
 
-    /// For comparison: the hash of a tenant's name, and in millionths the shares held and the share that is
-    /// unaccounted for.
+    /// Returns, for comparison, the hash of each tenant's name with the sum of its held shares and its unaccounted
+    /// share in millionths.
     pub fn list(&self) -> Vec<(u64, u64, u64)> {
         let row = |(key, entry): (&u64, &RolePool)| {
             let (held, unaccounted) = entry.pool.list();
--- a/crates/core/src/quota/window_ledger.rs
+++ b/crates/core/src/quota/window_ledger.rs
@@ -1,35 +1,35 @@
-//! The lease holder's record of counting windows: what each node was granted and what it returned.
+//! The lease holder's record of counting windows: the units granted to and returned by each node.
 //!
-//! Guarantees that within one window the granted units less the returned ones never exceed the window's
-//! quota. The ledger itself is volatile: a grant leaves the lease holder only once a majority of voters has
-//! it on disk, and a successor rebuilds the ledger from these grants with [`WindowLedger::inherit`].
+//! Guarantees that within one window the granted units minus the returned ones never exceed the window's quota.
+//! The ledger itself is volatile: the lease holder sends a grant only once a majority of voters has stored it
+//! durably, and the next lease holder rebuilds the ledger from these grants with [`WindowLedger::inherit`].
 //!
-//! Where nothing is left, the lease holder recalls idle units from every node that may have some, and reports
-//! the window as spent only after that recall; it starts no further recall for [`RECALL_BACKOFF`].
+//! When no unit is left, the lease holder recalls idle units from every node that may have some, and reports the
+//! window as spent only after that recall. It starts no further recall for [`RECALL_BACKOFF`].
 
 use crate::base::{MS, Micros, NodeId};
 use crate::config::WindowQuota;
 use crate::protocol::WindowGrant;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a recall waits for the nodes that have not replied, in microseconds.
+/// The longest time that a recall waits for replies, in microseconds.
 const RECALL_TIMEOUT: Micros = 150 * MS;
-/// Nodes that have not replied by then are sent the recall once more, in microseconds: a single late or lost
-/// frame must not make a window count as spent.
+/// The time after which a recall is is_retried once at the nodes that have not replied, in microseconds: a single
+/// late or lost frame must not make a window count as spent.
 const RECALL_RETRY_AFTER: Micros = 75 * MS;
-/// After a finished recall the next one starts no sooner than this, in microseconds.
+/// The shortest time between the end of a recall and the start of the next one, in microseconds.
 const RECALL_BACKOFF: Micros = 100 * MS;
 
-/// One node's request for units that can't be met at once.
+/// One node's request for units, which waits until units are left or the window is spent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SliceRequest {
     /// The requesting node.
     pub node_id: NodeId,
-    /// The requester's number for the request, which the response repeats.
+    /// The requesting node's number of the request, which the response repeats.
     pub request_id: u64,
-    /// How many units the node would use.
+    /// The number of units that the node would use.
     pub wanted_units: u64,
-    /// When the lease holder received it, in microseconds of its clock.
+    /// When the lease holder received the request, in microseconds of the lease holder's clock.
     pub received_at: Micros,
 }
 
@@ -39,37 +39,40 @@
     started_at: Micros,
     /// The nodes that have not replied.
     unanswered: BTreeSet<NodeId>,
-    /// Whether the unanswered nodes were sent the recall a second time.
-    retried: bool,
+    /// Whether the recall was sent to the unanswered nodes a second time.
+    is_retried: bool,
 }
 
 /// The current window of one tenant.
 ///
-/// Invariant: `returned` of a node never exceeds its `granted_total`; both only grow within a window.
+/// Invariant: a node's `returned` never exceeds its `granted_total`; both only grow within a window.
 #[derive(Clone, Debug, Default)]
 struct TenantWindow {
-    /// The number of the window; zero before the first one.
+    /// The number of the window; zero before the first window.
     window: u64,
     started_at: Micros,
+    /// The total number of units granted to each node in this window.
     granted_total: BTreeMap<NodeId, u64>,
+    /// The total number of units returned by each node in this window.
     returned: BTreeMap<NodeId, u64>,
-    /// Requests that could not be met yet, at most one of each node, oldest first.
-    waiting: Vec<SliceRequest>,
+    /// Pending requests, at most one of each node, oldest first.
+    pending_requests: Vec<SliceRequest>,
+    /// The recall in progress.
     recall: Option<Recall>,
-    /// No recall starts before this.
+    /// The earliest start of the next recall.
     next_recall_at: Micros,
 }
 
-/// What the lease holder does next.
+/// An action that the lease holder must carry out for the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LedgerAction {
-    /// Replicate this grant to a majority of voters, then send it to the node.
+    /// Replicate this grant to a majority of voters, then send the grant to the node.
     Grant {
-        /// The request that is answered.
+        /// The number of the request that this action answers.
         request_id: u64,
-        /// The grant, with the sum of all units granted to the node in this window.
+        /// The grant, with the total number of units granted to the node in this window.
         grant: WindowGrant,
-        /// How long the window still lasts, in microseconds.
+        /// The time until the window ends, in microseconds.
         remaining: Micros,
     },
     /// Ask these nodes to return their idle units of a window.
@@ -79,15 +82,15 @@
         /// The number of the window.
         window: u64,
     },
-    /// Tell a node that nothing is left of the window.
+    /// Report to a node that the window is spent.
     Spent {
         /// The node that requested units.
         node_id: NodeId,
-        /// The request that is answered.
+        /// The number of the request that this action answers.
         request_id: u64,
         /// The number of the window.
         window: u64,
-        /// How long the window still lasts, in microseconds.
+        /// The time until the window ends, in microseconds.
         remaining: Micros,
     },
 }
@@ -99,7 +102,8 @@
 }
 
 impl WindowLedger {
-    /// Takes over a grant that a voter knows of. A window whose start nobody knows starts now.
+    /// Adds a grant of an earlier lease holder that a voter has stored. A window whose start no voter knows starts
+    /// now.
     pub fn inherit(&mut self, grant: &WindowGrant, now: Micros) {
         let started_at = now.saturating_sub(grant.age);
         let state = self.tenants.entry(grant.tenant.clone()).or_default();
@@ -113,12 +117,13 @@
         }
     }
 
-    /// Drops a tenant, as the lease has ended or the tenant was removed.
+    /// Removes a tenant whose lease has ended or that is no longer configured.
     pub fn forget(&mut self, tenant: &str) {
         self.tenants.remove(tenant);
     }
 
-    /// A node requests units and reports what it returned: a window and the sum returned in it.
+    /// Handles a node's request for units. `returned` is the window that the node knows and the total number of units
+    /// that the node returned in this window.
     pub fn request(
         &mut self,
         tenant: &str,
@@ -129,17 +134,17 @@
         now: Micros,
     ) -> Vec<LedgerAction> {
         let state = self.tenants.entry(tenant.to_owned()).or_default();
-        state.start_next_if_over(quota, now);
+        state.start_next_if_ended(quota, now);
         if returned.0 == state.window {
             state.record_returned(request.node_id, returned.1);
         }
         request.received_at = now;
-        state.waiting.retain(|waiting| waiting.node_id != request.node_id);
-        state.waiting.push(request);
-        state.serve_waiting(tenant, quota, nodes, now)
+        state.pending_requests.retain(|pending| pending.node_id != request.node_id);
+        state.pending_requests.push(request);
+        state.serve_pending(tenant, quota, nodes, now)
     }
 
-    /// A node has returned `returned` units of a window in all.
+    /// Handles a node's reply to a recall: the node has returned `returned` units of the window in total.
     #[allow(clippy::too_many_arguments)]
     pub fn return_units(
         &mut self,
@@ -158,20 +163,20 @@
                 recall.unanswered.remove(&node_id);
             }
         }
-        state.serve_waiting(tenant, quota, nodes, now)
+        state.serve_pending(tenant, quota, nodes, now)
     }
 
-    /// Advances the time for the requests of a tenant that wait.
+    /// Serves a tenant's pending requests at the current time: starts the next window, retries or ends a recall.
     pub fn tick(&mut self, tenant: &str, quota: WindowQuota, nodes: u64, now: Micros) -> Vec<LedgerAction> {
         let Some(state) = self.tenants.get_mut(tenant) else { return Vec::new() };
-        if state.waiting.is_empty() {
+        if state.pending_requests.is_empty() {
             return Vec::new();
         }
-        state.start_next_if_over(quota, now);
-        state.serve_waiting(tenant, quota, nodes, now)
+        state.start_next_if_ended(quota, now);
+        state.serve_pending(tenant, quota, nodes, now)
     }
 
-    /// For comparison: tenant, window, granted and returned units over all nodes.
+    /// Returns, for comparison, each tenant's window with the granted and the returned units of all nodes.
     pub fn list(&self) -> Vec<(String, u64, u64, u64)> {
         let row = |(tenant, state): (&String, &TenantWindow)| {
             (tenant.clone(), state.window, state.granted_total.values().sum(), state.returned.values().sum())
@@ -181,38 +186,39 @@
 }
 
 impl TenantWindow {
-    /// Starts the next window where this one is over; requests that wait go on waiting in it.
-    fn start_next_if_over(&mut self, quota: WindowQuota, now: Micros) {
+    /// Starts the next window if this one has ended; pending requests stay pending in the next window.
+    fn start_next_if_ended(&mut self, quota: WindowQuota, now: Micros) {
         if self.window == 0 || now >= self.started_at + quota.window {
             *self = TenantWindow {
                 window: self.window + 1,
                 started_at: now,
-                waiting: std::mem::take(&mut self.waiting),
+                pending_requests: std::mem::take(&mut self.pending_requests),
                 ..TenantWindow::default()
             };
         }
     }
 
-    /// Records the sum that a node returned. Idempotent; never more than the node was granted.
+    /// Records the total number of units that a node returned, at most what the node was granted. Idempotent.
     fn record_returned(&mut self, node_id: NodeId, returned: u64) {
         let cap = self.granted_total.get(&node_id).copied().unwrap_or(0);
         let recorded = self.returned.entry(node_id).or_insert(0);
         *recorded = (*recorded).max(returned.min(cap));
     }
 
+    /// Returns the number of units that no node holds or has used.
     fn unused_units(&self, quota: WindowQuota) -> u64 {
         let outstanding: u64 = self.granted_total.values().sum::<u64>() - self.returned.values().sum::<u64>();
         quota.calls.saturating_sub(outstanding)
     }
 
-    /// Grants what is left, then recalls idle units for those who got nothing, then reports the window as spent.
-    fn serve_waiting(&mut self, tenant: &str, quota: WindowQuota, nodes: u64, now: Micros) -> Vec<LedgerAction> {
+    /// Grants the unused units, then recalls idle units for the remaining requests, then reports the window as spent.
+    fn serve_pending(&mut self, tenant: &str, quota: WindowQuota, nodes: u64, now: Micros) -> Vec<LedgerAction> {
         let mut actions = Vec::new();
         let remaining = (self.started_at + quota.window).saturating_sub(now);
         while let Some(action) = self.grant_next(tenant, quota, nodes, remaining, now) {
             actions.push(action);
         }
-        if self.waiting.is_empty() {
+        if self.pending_requests.is_empty() {
             self.recall = None;
             return actions;
         }
@@ -222,7 +228,7 @@
         actions
     }
 
-    /// Grants units to the oldest request; none where none waits or no unit is left.
+    /// Grants units to the oldest request; returns `None` if no request is pending or no unit is left.
     fn grant_next(
         &mut self,
         tenant: &str,
@@ -231,15 +237,16 @@
         remaining: Micros,
         now: Micros,
     ) -> Option<LedgerAction> {
-        let request = self.waiting.first().cloned()?;
+        let request = self.pending_requests.first().cloned()?;
         let unused = self.unused_units(quota);
         if unused == 0 {
             return None;
         }
-        self.waiting.remove(0);
-        // Half of an equal part, so that the others find something too; where few nodes ask, a quarter of all.
-        let fair = (unused / (2 * nodes.max(1))).max(1);
-        let units = request.wanted_units.min(fair.max(unused / 4)).max(1).min(unused);
+        self.pending_requests.remove(0);
+        // At least half of an equal part per node, which leaves units for other nodes; a quarter of all unused units
+        // if that is more.
+        let half_equal_part = (unused / (2 * nodes.max(1))).max(1);
+        let units = request.wanted_units.min(half_equal_part.max(unused / 4)).max(1).min(unused);
         let granted_total = self.granted_total.entry(request.node_id).or_insert(0);
         *granted_total += units;
         let grant = WindowGrant {
@@ -252,23 +259,23 @@
         Some(LedgerAction::Grant { request_id: request.request_id, grant, remaining })
     }
 
-    /// Starts, retries or finishes a recall. Returns when a finished one started: the window is spent for
-    /// requests that were received by then.
+    /// Starts, retries or finishes a recall. Returns the start of a finished recall: the window is spent for requests
+    /// that were received by then.
     fn advance_recall(&mut self, actions: &mut Vec<LedgerAction>, now: Micros) -> Option<Micros> {
         let Some(recall) = &mut self.recall else { return self.start_recall(actions, now) };
         if recall.unanswered.is_empty() || now >= recall.started_at + RECALL_TIMEOUT {
             return Some(recall.started_at);
         }
-        if !recall.retried && now >= recall.started_at + RECALL_RETRY_AFTER {
-            recall.retried = true;
+        if !recall.is_retried && now >= recall.started_at + RECALL_RETRY_AFTER {
+            recall.is_retried = true;
             let to = recall.unanswered.iter().copied().collect();
             actions.push(LedgerAction::Recall { to, window: self.window });
         }
         None
     }
 
-    /// Starts a recall, unless the last one finished a moment ago. Where no node has any unit it is finished at
-    /// once.
+    /// Starts a recall, unless the last one finished less than [`RECALL_BACKOFF`] ago. If no node has any units, the
+    /// recall finishes at once: returns its start.
     fn start_recall(&mut self, actions: &mut Vec<LedgerAction>, now: Micros) -> Option<Micros> {
         if now < self.next_recall_at {
             return None;
@@ -279,19 +286,19 @@
         if to.is_empty() {
             return Some(now);
         }
-        self.recall = Some(Recall { started_at: now, unanswered: to.iter().copied().collect(), retried: false });
+        self.recall = Some(Recall { started_at: now, unanswered: to.iter().copied().collect(), is_retried: false });
         actions.push(LedgerAction::Recall { to, window: self.window });
         None
     }
 
-    /// Reports the window as spent to the requests that were received before the recall started; later ones
-    /// wait for another recall, as units may have been idle for them.
+    /// Reports the window as spent to requests that were received before the recall started. Later requests wait for
+    /// another recall: units may have become idle after this recall asked for them.
     fn report_spent(&mut self, recalled_at: Micros, remaining: Micros, actions: &mut Vec<LedgerAction>, now: Micros) {
         self.recall = None;
         self.next_recall_at = now + RECALL_BACKOFF;
         let (before, after): (Vec<_>, _) =
-            self.waiting.drain(..).partition(|request| request.received_at <= recalled_at);
-        self.waiting = after;
+            self.pending_requests.drain(..).partition(|request| request.received_at <= recalled_at);
+        self.pending_requests = after;
         let window = self.window;
         actions.extend(before.into_iter().map(|request| LedgerAction::Spent {
             node_id: request.node_id,
--- a/crates/core/src/retry/decision.rs
+++ b/crates/core/src/retry/decision.rs
@@ -1,18 +1,18 @@
-//! Whether a failed attempt may be retried.
+//! The decision whether a failed attempt is retried.
 
 /// Whether a worker ran a call, as far as is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Execution {
-    /// No worker ran it.
+    /// No worker ran the call.
     NotRun,
-    /// A worker ran it.
+    /// A worker ran the call.
     Ran,
-    /// It was sent to a worker that did not state whether it ran.
+    /// The call was sent to a worker that did not state whether the call ran.
     Unknown,
 }
 
 impl Execution {
-    /// The name in metrics and responses.
+    /// Returns the name in metrics and responses.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -26,18 +26,18 @@
 /// The point that an attempt had reached when it failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailurePoint {
-    /// There was no connection: nothing was sent.
+    /// No connection was established, and nothing was sent.
     Connect,
-    /// The request was sent and no head of a response came.
+    /// The request was sent, but no response head was received.
     Sent,
     /// The worker stated that it did not run the call.
     Declined,
-    /// The head came and the body broke off.
+    /// The response head was received, but the body is incomplete.
     Body,
 }
 
 impl FailurePoint {
-    /// What the failure tells about the execution of the call.
+    /// Returns what the failure proves about the execution of the call.
     #[must_use]
     pub fn execution(self) -> Execution {
         match self {
@@ -48,26 +48,26 @@
     }
 }
 
-/// What follows a failed attempt.
+/// The decision after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
     /// Another attempt is made.
     Retry,
-    /// The call ends, with what is known of its execution.
+    /// The call ends with this knowledge of its execution.
     Stop(Execution),
 }
 
-/// Decides about a retry: it is made if the client has received nothing (`has_responded` is false),
-/// a second run is harmless (the call did not run, or is `idempotent`), and `withdraw` pays for it.
-/// `withdraw` is called only if the rest allows the retry.
+/// Decides whether a failed attempt is retried: if the client has received nothing (`has_responded` is
+/// false), a second run is safe (the call did not run, or `is_idempotent` holds), and `withdraw` pays for
+/// the retry. Calls `withdraw` only if the other conditions allow the retry.
 #[must_use]
 pub fn decide(
     point: FailurePoint,
-    idempotent: bool,
+    is_idempotent: bool,
     has_responded: bool,
     withdraw: impl FnOnce() -> bool,
 ) -> RetryDecision {
     let execution = point.execution();
-    let is_safe = execution == Execution::NotRun || idempotent;
+    let is_safe = execution == Execution::NotRun || is_idempotent;
     if !has_responded && is_safe && withdraw() { RetryDecision::Retry } else { RetryDecision::Stop(execution) }
 }
--- a/crates/core/src/retry/mod.rs
+++ b/crates/core/src/retry/mod.rs
@@ -1,4 +1,4 @@
-//! Retries of a call at other workers: when they are allowed and what pays for them.
+//! Retries of a call at other workers: the conditions for a retry and the retry budget.
 
 mod budget;
 mod decision;
--- a/crates/core/src/workers/mod.rs
+++ b/crates/core/src/workers/mod.rs
@@ -1,8 +1,8 @@
-//! Worker membership: what is known of all workers, and their removals on the way to every node.
+//! Worker membership: the reports of all workers, and the dissemination of their removals to every node.
 //!
-//! [`WorkerTable`] merges the reports of workers, in whatever order they arrive, so that all nodes come to
-//! know the same. [`Removals`] tracks which nodes know that a worker drains or left, so that the worker may
-//! stop once no node sends it requests. Nothing here does I/O.
+//! [`WorkerTable`] merges the reports of workers in any order of arrival, so that all nodes converge to the same
+//! state. [`Removals`] tracks which nodes know that a worker drains or has left, so that the worker may stop once no
+//! node sends it requests. This module does no I/O.
 
 pub mod removals;
 mod table;
