--- a/crates/core/src/cache/changes.rs
+++ b/crates/core/src/cache/changes.rs
@@ -1,23 +1,23 @@
-//! The log of changes to the shared layer, by which each thread invalidates its own layer.
+//! The log of changes to the shared layer, from which each thread invalidates its local layer.
 
 use crate::base::hash64;
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, MutexGuard};
 
-/// A change of the shared layer.
+/// A change to the shared layer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// This key was set or deleted, and each thread removes its entry.
+    /// This key was set or deleted; each thread removes its local entry.
     Key(String),
-    /// All keys were deleted.
+    /// All keys were deleted; each thread clears its local layer.
     Purge,
 }
 
-/// How many changes are kept for threads that are behind.
-const MAX_KEPT: usize = 4096;
+/// The most changes that are kept for threads that have not applied them yet.
+const MAX_LOGGED_CHANGES: usize = 4096;
 
-/// Changes in their order, numbered from one.
+/// The newest changes in order, numbered from one.
 ///
 /// Invariant: `last` is the number of the last entry, and the numbers in `changes` have no gaps.
 #[derive(Debug, Default)]
@@ -27,7 +27,7 @@
 }
 
 impl ChangeLog {
-    /// A poisoned lock is used on: each change is appended in one step.
+    /// Locks the changes, also after a panic: each change is appended in one step, so the log stays consistent.
     fn lock(&self) -> MutexGuard<'_, VecDeque<(u64, Change)>> {
         match self.changes.lock() {
             Ok(changes) => changes,
@@ -35,24 +35,24 @@
         }
     }
 
-    /// Appends a change. Only the newest 4096 are kept.
+    /// Appends a change, and drops changes beyond the newest [`MAX_LOGGED_CHANGES`].
     pub fn publish(&self, change: Change) {
         let mut changes = self.lock();
         let number = self.last.load(Ordering::Relaxed) + 1;
         changes.push_back((number, change));
-        while changes.len() > MAX_KEPT {
+        while changes.len() > MAX_LOGGED_CHANGES {
             changes.pop_front();
         }
         self.last.store(number, Ordering::Release);
     }
 
-    /// The number of the last change: one atomic read if nothing changed.
+    /// Returns the number of the last change with one atomic read, without the lock.
     #[must_use]
     pub fn last(&self) -> u64 {
         self.last.load(Ordering::Acquire)
     }
 
-    /// Up to `limit` changes after number `from`; `None` if some of them are no longer kept.
+    /// Returns up to `limit` changes after number `from`, or `None` if some of them are no longer kept.
     #[must_use]
     pub fn after(&self, from: u64, limit: usize) -> Option<Vec<(u64, Change)>> {
         let changes = self.lock();
@@ -64,7 +64,7 @@
     }
 }
 
-/// Which of `shards` shards holds a key.
-pub(super) fn shard_of(key: &str, shards: usize) -> usize {
-    usize::try_from(hash64(key.as_bytes()) % shards as u64).unwrap_or(0)
+/// Returns the index of the shard that holds a key.
+pub(super) fn shard_of(key: &str, shard_count: usize) -> usize {
+    usize::try_from(hash64(key.as_bytes()) % shard_count as u64).unwrap_or(0)
 }
--- a/crates/core/src/cache/entries.rs
+++ b/crates/core/src/cache/entries.rs
@@ -1,13 +1,13 @@
-//! What lookups return: plain data of both layers.
+//! The result types of lookups in both layers.
 
 use crate::base::Micros;
 
-/// Where a value came from.
+/// The level of the cache that a value came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CacheLevel {
-    /// The layer of this thread (L1).
+    /// The local layer of this thread (L1).
     Local,
-    /// The layer of the process (L2).
+    /// The shared layer of the process (L2).
     Shared,
     /// A fetch (L3).
     Fetched,
@@ -15,26 +15,26 @@
     Stale,
 }
 
-/// A value, or the knowledge that there is none, and where it came from.
+/// A value, or the knowledge that there is none, and the level that it came from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Found<V> {
     /// The value; `None` if it is known that there is none.
     pub value: Option<V>,
-    /// Where it came from.
+    /// The level that the entry came from.
     pub level: CacheLevel,
 }
 
-/// The right to fetch one key, until it is used or its time to live ends.
+/// The lock to fetch one key, valid until the fetch is complete or the lock expires.
 #[derive(Debug, PartialEq, Eq)]
 pub struct FetchLock {
-    /// Distinguishes the locks of a shard.
+    /// The number of the lock, unique within its shard.
     pub(super) number: u64,
 }
 
-/// What the shared layer knows of a key.
+/// The result of a lookup in the shared layer.
 #[derive(Debug)]
 pub enum SharedLookup<V> {
-    /// There is an entry.
+    /// There is a valid entry.
     Hit {
         /// The value; `None` if it is known that there is none.
         value: Option<V>,
@@ -43,18 +43,18 @@
         /// Whether the entry is fresh or stale.
         level: CacheLevel,
     },
-    /// There is no entry, and the caller is to fetch it.
+    /// There is no valid entry, and the caller must fetch the key.
     Fetch(FetchLock),
-    /// There is no entry, and another caller fetches it.
+    /// There is no valid entry, and another caller is fetching the key.
     Wait,
-    /// There is no entry, and the caller did not want to fetch one.
+    /// There is no valid entry, and the caller did not request a fetch.
     Miss,
 }
 
-/// An entry that was read without counting as a use.
+/// An entry that was read without being marked as used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeekedEntry<V> {
-    /// The time until it expires in microseconds; negative for a stale entry.
+    /// The time until the entry expires, in microseconds; negative for a stale entry.
     pub remaining: i128,
     /// The value; `None` if it is known that there is none.
     pub value: Option<V>,
--- a/crates/core/src/cache/local.rs
+++ b/crates/core/src/cache/local.rs
@@ -6,9 +6,10 @@
 use lru::LruCache;
 use std::num::NonZeroUsize;
 
-/// How many changes are read from the log at once.
+/// The most changes that are read from the log at once.
 const CHANGES_PER_READ: usize = 64;
 
+/// A value, or the knowledge that there is none (`None`), for one version.
 #[derive(Clone, Debug)]
 struct Entry<V> {
     value: Option<V>,
@@ -16,27 +17,27 @@
     version: Version,
 }
 
-/// The layer of one thread.
+/// The local layer of one thread.
 #[derive(Debug)]
 pub struct LocalCache<V> {
     entries: LruCache<String, Entry<V>>,
     /// The number of the last change that was applied.
     applied: u64,
-    /// How long applying changes may take, in microseconds.
+    /// The longest time for applying changes before a lookup, in microseconds.
     max_update_time: Micros,
 }
 
 impl<V: Clone> LocalCache<V> {
-    /// An empty layer.
+    /// Creates an empty layer.
     #[must_use]
     pub fn new(options: &CacheOptions) -> Self {
         let capacity = NonZeroUsize::new(options.local_entries).unwrap_or(NonZeroUsize::MIN);
         LocalCache { entries: LruCache::new(capacity), applied: 0, max_update_time: options.max_update_time }
     }
 
-    /// Applies the changes of the shared layer since the last lookup. Returns false if time ran out;
-    /// the rest is then applied before the next lookup. A thread that is too far behind removes all
-    /// its entries.
+    /// Applies the changes to the shared layer since the last lookup. Returns false if that exceeded the
+    /// time limit; the remaining changes are then applied before the next lookup. If the log no longer
+    /// holds all of these changes, removes all entries.
     pub fn apply_changes(&mut self, log: &ChangeLog, clock: impl Fn() -> Micros) -> bool {
         if log.last() == self.applied {
             return true;
@@ -71,8 +72,8 @@
         }
     }
 
-    /// The value, or the knowledge that there is none (`Some(None)`), if the entry is fresh and of
-    /// the version of `context`.
+    /// Returns the value, or the knowledge that there is none (`Some(None)`), if the entry is fresh and of
+    /// the version in `context`.
     pub fn get(&mut self, key: &str, context: LookupContext) -> Option<Option<V>> {
         let entry = self.entries.get(key)?;
         if entry.expires_at <= context.now || entry.version != context.version {
@@ -87,13 +88,13 @@
         self.entries.put(key.to_owned(), Entry { value, expires_at, version });
     }
 
-    /// How many entries are held.
+    /// Returns the number of entries.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no entry is held.
+    /// Returns whether there are no entries.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
--- a/crates/core/src/cache/lookup.rs
+++ b/crates/core/src/cache/lookup.rs
@@ -1,24 +1,24 @@
-//! One lookup through both layers.
+//! The lookup of a key through both layers.
 
 use super::entries::{CacheLevel, FetchLock, Found, SharedLookup};
 use super::local::LocalCache;
 use super::options::LookupContext;
 use super::shared::SharedCache;
 
-/// What a lookup came to.
+/// The result of a lookup through both layers.
 #[derive(Debug)]
 pub enum Lookup<V> {
-    /// There is an entry.
+    /// There is a valid entry.
     Found(Found<V>),
-    /// The caller is to fetch the key, and then to call [`SharedCache::complete_fetch`].
+    /// The caller must fetch the key and then call [`SharedCache::complete_fetch`].
     Fetch(FetchLock),
-    /// Another caller fetches the key. Look up again, for at most
-    /// [`lock_wait`](super::CacheOptions::lock_wait); then use [`SharedCache::stale`].
+    /// Another caller is fetching the key. Repeat the lookup for at most
+    /// [`lock_wait`](super::CacheOptions::lock_wait), then use [`SharedCache::stale`].
     Wait,
 }
 
-/// Looks a key up in the local layer, then in the shared one, whose fresh entries are copied to the
-/// local layer. [`LocalCache::apply_changes`] must be called first.
+/// Looks a key up in the local layer, then in the shared layer, whose fresh entries are copied to the
+/// local layer. The caller must call [`LocalCache::apply_changes`] first.
 #[must_use]
 pub fn look_up<V: Clone>(
     local: &mut LocalCache<V>,
--- a/crates/core/src/cache/options.rs
+++ b/crates/core/src/cache/options.rs
@@ -1,35 +1,35 @@
-//! The options of the cache, the moment of a lookup, and the result of a fetch.
+//! The options of the cache, the context of a lookup, and the result of a fetch.
 
 use crate::base::{MS, Micros, SEC, Version};
 use displaydoc::Display;
 
-/// How long entries are kept, and how many.
+/// The capacities and the time limits of the cache.
 #[derive(Clone, Debug)]
 pub struct CacheOptions {
-    /// How many entries a local layer holds. Default: 100.
+    /// The capacity of a local layer, in entries. Default: 100.
     pub local_entries: usize,
-    /// How long a value is fresh, in microseconds; zero means for ever. Default: 30 s.
+    /// The time for which a value is fresh, in microseconds; zero means forever. Default: 30 s.
     pub ttl: Micros,
-    /// How long a negative entry is fresh, in microseconds. Default: 5 s.
+    /// The time for which a negative entry is fresh, in microseconds. Default: 5 s.
     pub negative_ttl: Micros,
-    /// How long an expired value stays in use after a failed fetch, in microseconds; `None` disables
-    /// stale values. Default: 5 s.
+    /// The time for which an expired value is returned after a failed fetch, in microseconds; `None`
+    /// disables stale values. Default: 5 s.
     pub stale_ttl: Option<Micros>,
-    /// How often room is made for one entry before it is given up. Default: 3.
+    /// The most attempts to evict entries for a new one before the new one is dropped. Default: 3.
     pub max_set_attempts: u32,
-    /// How many of the least recently used entries are evicted at each attempt. Default: 30.
+    /// The number of least recently used entries that are evicted at each attempt. Default: 30.
     pub evict_batch: usize,
-    /// How many shards, with a lock each, the shared layer has. Default: 16.
+    /// The number of shards of the shared layer, each with its own lock. Default: 16.
     pub shards: usize,
     /// The capacity of one shard for values, in units of weight (bytes). Default: 1 MiB.
     pub shard_capacity: usize,
     /// The capacity of one shard for negative entries, in units of weight. Default: 256 KiB.
     pub negative_capacity: usize,
-    /// How long a caller waits for the fetch of another one, in microseconds. Default: 500 ms.
+    /// The longest time that a caller waits for another caller's fetch, in microseconds. Default: 500 ms.
     pub lock_wait: Micros,
-    /// How long the lock of a fetch is valid, in microseconds. Default: 5 s.
+    /// The validity of the lock of a fetch, in microseconds. Default: 5 s.
     pub lock_ttl: Micros,
-    /// How long a thread may take to apply changes before a lookup, in microseconds. Default: 300 ms.
+    /// The longest time for applying changes before a lookup, in microseconds. Default: 300 ms.
     pub max_update_time: Micros,
 }
 
@@ -53,8 +53,8 @@
 }
 
 impl CacheOptions {
-    /// How long a value (or a negative entry, if `is_present` is false) is kept, in microseconds;
-    /// `None` if it is not kept at all.
+    /// Returns the time to live of a value (or of a negative entry, if `is_present` is false), in
+    /// microseconds, or `None` if the value must not be stored.
     pub(super) fn time_to_live(&self, ttl: Ttl, is_present: bool) -> Option<Micros> {
         match ttl {
             Ttl::Never => None,
@@ -65,30 +65,30 @@
     }
 }
 
-/// The moment of a lookup.
+/// The time and the configuration version of a lookup.
 #[derive(Clone, Copy, Debug)]
 pub struct LookupContext {
-    /// The time in microseconds.
+    /// The current time, in microseconds.
     pub now: Micros,
     /// The version of the configuration; entries of other versions are ignored.
     pub version: Version,
 }
 
-/// How long a fetched value may be kept.
+/// The time to live of a fetched value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ttl {
-    /// As the options of the cache say.
+    /// The time to live in the options of the cache.
     Default,
-    /// For so many microseconds; zero means for ever.
+    /// A time to live in microseconds; zero means forever.
     For(Micros),
-    /// Not at all.
+    /// The value is not stored.
     Never,
 }
 
-/// A value, or `None` if there is none, and how long that may be kept; or why nothing was fetched.
+/// The result of a fetch: a value, or `None` if there is none, with its time to live; or the error.
 pub type FetchResult<V> = Result<(Option<V>, Ttl), FetchError>;
 
-/// Why a lookup has no answer. A stale value may be returned in place of `Failed`.
+/// The reason why a lookup has no result. A stale value may be returned in place of `Failed`.
 #[derive(Clone, Debug, PartialEq, Eq, Display, thiserror::Error)]
 pub enum FetchError {
     /// the fetch did not succeed: {0}; it is tried again at the next lookup
@@ -99,7 +99,7 @@
     LockTimeout,
 }
 
-/// When an entry that is stored now expires, in microseconds.
+/// Returns the expiry time of an entry that is stored now, in microseconds.
 pub(super) fn expiry(now: Micros, ttl: Micros) -> Micros {
     if ttl == 0 { Micros::MAX } else { now.saturating_add(ttl) }
 }
--- a/crates/core/src/cache/shared.rs
+++ b/crates/core/src/cache/shared.rs
@@ -1,4 +1,4 @@
-//! The shared layer (L2) of all threads of the process, in shards with a lock each.
+//! The shared layer (L2) of all threads of the process, in shards with one lock each.
 
 use super::changes::{Change, ChangeLog, shard_of};
 use super::entries::{CacheLevel, FetchLock, Found, PeekedEntry, SharedLookup};
@@ -9,27 +9,28 @@
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard};
 
+/// A value, or the knowledge that there is none (`None`), for one version.
 #[derive(Clone, Debug)]
 struct Entry<V> {
     value: Option<V>,
     expires_at: Micros,
     version: Version,
     weight: usize,
-    /// The value had expired and is kept as stale after a failed fetch.
+    /// Whether the value had expired and is kept as stale after a failed fetch.
     is_stale: bool,
 }
 
-/// Entries by recency of use. Invariant: `used` is the sum of their weights, at most `capacity`.
+/// A bounded LRU list of entries. Invariant: `used` is the sum of the entries' weights, at most `capacity`.
 #[derive(Debug)]
-struct Zone<V> {
+struct BoundedLru<V> {
     entries: LruCache<String, Entry<V>>,
     used: usize,
     capacity: usize,
 }
 
-impl<V> Zone<V> {
+impl<V> BoundedLru<V> {
     fn new(capacity: usize) -> Self {
-        Zone { entries: LruCache::unbounded(), used: 0, capacity }
+        BoundedLru { entries: LruCache::unbounded(), used: 0, capacity }
     }
 
     fn remove(&mut self, key: &str) {
@@ -38,8 +39,8 @@
         }
     }
 
-    /// Stores an entry, evicting the least recently used ones in batches. Returns false if there is
-    /// no room after all attempts; the old entry of the key is gone nevertheless.
+    /// Stores an entry, and evicts the least recently used entries in batches if necessary. Returns false
+    /// if the entry does not fit after all attempts; the old entry of the key is removed in any case.
     fn set(&mut self, key: &str, entry: Entry<V>, options: &CacheOptions) -> bool {
         self.remove(key);
         for _ in 0..options.max_set_attempts.max(1) {
@@ -56,10 +57,12 @@
         fits
     }
 
+    /// Returns whether an entry fits into the free capacity.
     fn fits(&self, entry: &Entry<V>) -> bool {
         self.used + entry.weight <= self.capacity
     }
 
+    /// Evicts up to `batch` least recently used entries.
     fn evict(&mut self, batch: usize) {
         for _ in 0..batch {
             let Some((_, evicted)) = self.entries.pop_lru() else { break };
@@ -68,19 +71,20 @@
     }
 }
 
-/// A lock that is held for a key.
+/// The lock of a key that a caller is fetching.
 #[derive(Debug)]
 struct KeyLock {
     number: u64,
     expires_at: Micros,
 }
 
+/// One shard of the shared layer: its entries, and the locks of its keys.
 #[derive(Debug)]
 struct Shard<V> {
-    values: Zone<V>,
-    /// Negative entries have a capacity of their own, so that unknown keys evict no known ones.
-    negatives: Zone<V>,
-    /// The locks of fetches in progress, by key. They use none of the capacity.
+    values: BoundedLru<V>,
+    /// Negative entries have a separate capacity, so that unknown keys can't evict known ones.
+    negatives: BoundedLru<V>,
+    /// The locks of fetches in progress, by key. Locks don't count towards the capacity.
     locks: HashMap<String, KeyLock>,
     /// The number of the last lock.
     last_lock: u64,
@@ -89,21 +93,21 @@
 impl<V: Clone> Shard<V> {
     fn new(options: &CacheOptions) -> Self {
         Shard {
-            values: Zone::new(options.shard_capacity),
-            negatives: Zone::new(options.negative_capacity),
+            values: BoundedLru::new(options.shard_capacity),
+            negatives: BoundedLru::new(options.negative_capacity),
             locks: HashMap::new(),
             last_lock: 0,
         }
     }
 
-    /// The fresh entry of a key, which counts as used.
+    /// Returns the fresh entry of a key, and marks it as used.
     fn fresh(&mut self, key: &str, context: LookupContext) -> Option<&Entry<V>> {
         let is_fresh = |entry: &&Entry<V>| entry.version == context.version && entry.expires_at > context.now;
         self.values.entries.get(key).filter(is_fresh).or_else(|| self.negatives.entries.get(key).filter(is_fresh))
     }
 
-    /// The value of a key and this version, fresh or stale; it does not count as used.
-    fn any_value(&self, key: &str, context: LookupContext) -> Option<&Entry<V>> {
+    /// Returns the value of a key and this version, fresh or expired, without marking it as used.
+    fn fresh_or_expired_value(&self, key: &str, context: LookupContext) -> Option<&Entry<V>> {
         self.values.entries.peek(key).filter(|entry| entry.version == context.version)
     }
 
@@ -118,7 +122,7 @@
         self.locks.get(key).is_some_and(|lock| lock.expires_at > now)
     }
 
-    /// Releases a lock; false if it is no longer the lock of the key.
+    /// Releases a lock; returns false if the key is no longer locked by it.
     fn unlock(&mut self, key: &str, lock: &FetchLock) -> bool {
         let is_held = self.locks.get(key).is_some_and(|held| held.number == lock.number);
         if is_held {
@@ -127,15 +131,15 @@
         is_held
     }
 
-    /// Stores an entry in its zone and removes it from the other one.
+    /// Stores an entry in the list for its kind, and removes the key from the other list.
     fn store(&mut self, key: &str, entry: Entry<V>, options: &CacheOptions) -> bool {
-        let (zone, other) = if entry.value.is_some() {
+        let (list, other) = if entry.value.is_some() {
             (&mut self.values, &mut self.negatives)
         } else {
             (&mut self.negatives, &mut self.values)
         };
         other.remove(key);
-        zone.set(key, entry, options)
+        list.set(key, entry, options)
     }
 
     fn remove(&mut self, key: &str) {
@@ -145,17 +149,17 @@
     }
 }
 
-/// The layer that all threads share.
+/// The shared layer of all threads of the process.
 #[derive(Debug)]
 pub struct SharedCache<V> {
     shards: Vec<Mutex<Shard<V>>>,
-    /// The options that the cache was made with.
+    /// The options of the cache.
     pub options: CacheOptions,
     /// The changes that threads apply to their local layers.
     pub changes: ChangeLog,
 }
 
-/// A poisoned shard is used on: at worst it holds an entry less than its weights say.
+/// Locks a shard, also after a panic: at worst, the shard holds one entry less than its `used` weight includes.
 fn lock<V>(shard: &Mutex<Shard<V>>) -> MutexGuard<'_, Shard<V>> {
     match shard.lock() {
         Ok(shard) => shard,
@@ -164,7 +168,7 @@
 }
 
 impl<V: Clone> SharedCache<V> {
-    /// An empty layer.
+    /// Creates an empty layer.
     #[must_use]
     pub fn new(options: CacheOptions) -> Self {
         let shards = (0..options.shards.max(1)).map(|_| Mutex::new(Shard::new(&options))).collect();
@@ -175,8 +179,8 @@
         lock(&self.shards[shard_of(key, self.shards.len())])
     }
 
-    /// The entry of a key. If there is none and `may_fetch` holds, the caller gets the lock to fetch
-    /// it, unless another caller has it.
+    /// Looks up a key. If there is no valid entry and `may_fetch` holds, the caller gets the lock to fetch
+    /// the key, unless another caller holds that lock.
     #[must_use]
     pub fn look_up(&self, key: &str, context: LookupContext, may_fetch: bool) -> SharedLookup<V> {
         let mut shard = self.shard(key);
@@ -193,9 +197,9 @@
         SharedLookup::Fetch(shard.lock_key(key, context.now.saturating_add(self.options.lock_ttl)))
     }
 
-    /// Ends a fetch: its result is stored in the shared and the local layer, if the lock is still
-    /// held. After a failed fetch an expired value is returned and kept as stale; after one that was
-    /// aborted it is not.
+    /// Completes a fetch: stores its result in the shared and the local layer, if the lock is still held.
+    /// After a failed fetch, an expired value is returned and kept as stale; after an aborted fetch, the
+    /// error is returned.
     ///
     /// # Errors
     /// Returns the error of the fetch if there is no stale value.
@@ -230,7 +234,7 @@
         Ok(Found { value, level })
     }
 
-    /// The expired entry that replaces a failed fetch, or the error of the fetch.
+    /// Returns the expired entry that replaces the result of a failed fetch, or the error of the fetch.
     fn stale_entry(
         &self,
         shard: &Shard<V>,
@@ -242,13 +246,13 @@
             return Err(error);
         }
         let Some(stale_ttl) = self.options.stale_ttl else { return Err(error) };
-        let Some(entry) = shard.any_value(key, context).cloned() else { return Err(error) };
+        let Some(entry) = shard.fresh_or_expired_value(key, context).cloned() else { return Err(error) };
         let expires_at = context.now.saturating_add(stale_ttl);
         Ok(Entry { expires_at, is_stale: true, ..entry })
     }
 
-    /// The stale value for a caller that waited too long for the fetch of another one. It is not
-    /// kept for others.
+    /// Returns the stale value for a caller that waited too long for another caller's fetch. The value is
+    /// not stored again for other callers.
     ///
     /// # Errors
     /// Returns [`FetchError::LockTimeout`] if there is no stale value, or if they are disabled.
@@ -257,18 +261,18 @@
             return Err(FetchError::LockTimeout);
         }
         let shard = self.shard(key);
-        let entry = shard.any_value(key, context).ok_or(FetchError::LockTimeout)?;
+        let entry = shard.fresh_or_expired_value(key, context).ok_or(FetchError::LockTimeout)?;
         Ok(Found { value: entry.value.clone(), level: CacheLevel::Stale })
     }
 
-    /// Whether a caller fetches this key.
+    /// Returns whether a caller is fetching this key.
     #[must_use]
     pub fn is_fetching(&self, key: &str, now: Micros) -> bool {
         self.shard(key).is_locked(key, now)
     }
 
-    /// Reads an entry without counting as a use and without copying it to a local layer; an expired
-    /// one only if `allow_stale` holds.
+    /// Reads an entry without marking it as used and without copying it to a local layer; reads an expired
+    /// entry only if `allow_stale` holds.
     #[must_use]
     pub fn peek(&self, key: &str, allow_stale: bool, context: LookupContext) -> Option<PeekedEntry<V>> {
         let shard = self.shard(key);
@@ -280,40 +284,40 @@
         Some(PeekedEntry { remaining, value: entry.value.clone() })
     }
 
-    /// Stores a value; false if there was no room for it. A fetch in progress loses its lock.
+    /// Stores a value; returns false if it does not fit. A fetch in progress loses its lock.
     #[must_use]
     pub fn set(&self, key: &str, value: Option<V>, ttl: Ttl, weight: usize, context: LookupContext) -> bool {
         let Some(ttl) = self.options.time_to_live(ttl, value.is_some()) else { return true };
         let expires_at = expiry(context.now, ttl);
         let entry = Entry { value, expires_at, version: context.version, weight, is_stale: false };
-        let stored = {
+        let is_stored = {
             let mut shard = self.shard(key);
             shard.locks.remove(key);
             shard.store(key, entry, &self.options)
         };
         self.changes.publish(Change::Key(key.to_owned()));
-        stored
+        is_stored
     }
 
-    /// Removes a key from this layer and from those of all threads. A fetch in progress loses its
-    /// lock.
+    /// Removes a key from this layer and from the local layers of all threads. A fetch in progress loses
+    /// its lock.
     pub fn delete(&self, key: &str) {
         self.shard(key).remove(key);
         self.changes.publish(Change::Key(key.to_owned()));
     }
 
-    /// Removes all keys from this layer and from those of all threads.
+    /// Removes all keys from this layer and from the local layers of all threads.
     pub fn purge(&self) {
         for shard in &self.shards {
             let mut shard = lock(shard);
-            shard.values = Zone::new(self.options.shard_capacity);
-            shard.negatives = Zone::new(self.options.negative_capacity);
+            shard.values = BoundedLru::new(self.options.shard_capacity);
+            shard.negatives = BoundedLru::new(self.options.negative_capacity);
             shard.locks.clear();
         }
         self.changes.publish(Change::Purge);
     }
 
-    /// How many values and how many negative entries are held.
+    /// Returns the number of values and the number of negative entries.
     #[must_use]
     pub fn size(&self) -> (usize, usize) {
         self.shards.iter().map(lock).fold((0, 0), |(values, negatives), shard| {
--- a/crates/core/src/placement/demand.rs
+++ b/crates/core/src/placement/demand.rs
@@ -1,39 +1,40 @@
-//! How often prefixes of prompts were requested lately.
+//! The recent request rates of prompt prefixes.
 
 use crate::base::Micros;
 
-/// How many prefixes are remembered at most; the one requested longest ago is forgotten first.
+/// The most prefixes that are kept; the one requested longest ago is evicted first.
 const MAX_PREFIXES: usize = 1024;
-/// After this time a request counts half, in milliseconds.
-const HALF_LIFE_MS: f32 = 20_000.0;
+/// The half-life of a request's weight, in milliseconds.
+const REQUEST_HALF_LIFE_MS: f32 = 20_000.0;
 
-/// How often one prefix was requested; 16 bytes.
+/// The decayed number of requests for one prefix; 16 bytes.
 #[derive(Clone, Copy, Debug)]
 struct PrefixDemand {
     key: u64,
-    /// Requests, each decayed since it was made, as of `updated_ms`.
+    /// The sum of the requests' weights as of `updated_ms`, each decayed since the request was made.
     requests: f32,
-    /// The lower 32 bits of the time in milliseconds; differences wrap.
+    /// The lower 32 bits of the time of the last request, in milliseconds; differences wrap.
     updated_ms: u32,
 }
 
 impl PrefixDemand {
     fn decayed(&self, now_ms: u32) -> f32 {
-        self.requests * (-(now_ms.wrapping_sub(self.updated_ms) as f32) / HALF_LIFE_MS).exp2()
+        self.requests * (-(now_ms.wrapping_sub(self.updated_ms) as f32) / REQUEST_HALF_LIFE_MS).exp2()
     }
 }
 
-/// How often prefixes of prompts were lately requested at this node, in the order of their keys.
+/// The decayed numbers of requests for prompt prefixes at this node. Invariant: sorted by key, at most
+/// [`MAX_PREFIXES`] entries.
 #[derive(Clone, Debug, Default)]
 pub struct PromptDemand(Vec<PrefixDemand>);
 
 impl PromptDemand {
-    /// The decayed number of requests for the prefix with this key.
-    pub fn of(&self, key: u64, now: Micros) -> f32 {
+    /// Returns the decayed number of requests for the prefix with this key.
+    pub fn requests(&self, key: u64, now: Micros) -> f32 {
         self.position(key).map_or(0.0, |index| self.0[index].decayed(wrapped_ms(now)))
     }
 
-    /// Counts one more request.
+    /// Counts one more request for the prefix with this key.
     pub fn record(&mut self, key: u64, now: Micros) {
         let updated_ms = wrapped_ms(now);
         match self.position(key) {
@@ -43,7 +44,7 @@
             }
             Err(index) => {
                 self.0.insert(index, PrefixDemand { key, requests: 1.0, updated_ms });
-                self.limit_size();
+                self.evict_excess();
             }
         }
     }
@@ -52,7 +53,7 @@
         self.0.binary_search_by_key(&key, |prefix| prefix.key)
     }
 
-    fn limit_size(&mut self) {
+    fn evict_excess(&mut self) {
         if self.0.len() > MAX_PREFIXES
             && let Some(oldest) = (0..self.0.len()).min_by_key(|index| self.0[*index].updated_ms)
         {
@@ -61,7 +62,7 @@
     }
 }
 
-/// The lower 32 bits of a time in milliseconds.
+/// Returns the lower 32 bits of a time in milliseconds.
 pub(super) fn wrapped_ms(now: Micros) -> u32 {
     u32::try_from((now / 1000) & 0xFFFF_FFFF).unwrap_or(0)
 }
--- a/crates/core/src/placement/engines.rs
+++ b/crates/core/src/placement/engines.rs
@@ -1,36 +1,37 @@
-//! The models of all engines, and the choice among them.
+//! The models of all engines, and the choice of a worker by them.
 
 use super::cost::{CostModel, time_to_first_token};
 use super::engine::{ActiveCall, EngineModel};
 use super::lengths::{LengthClass, OTHER_PARTITION_PENALTY};
 use super::pool_model::PoolModel;
-use super::prompt::{PromptRequest, SegmentChain, mix, shared_prefix_key};
+use super::prompt::{PromptRequest, SegmentChain, shared_prefix_key, splitmix64};
 use super::{Endpoint, PlacementTable, WorkerLoads};
 use crate::base::{Micros, Rng, SEC, Shards};
 use crate::config::PlacementWeights;
 use smallvec::SmallVec;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Up to this number of workers each is a candidate; of more, the likely keepers and a random sample.
+/// The most workers of a pool that are all candidates; in a larger pool, the candidates are the preferred
+/// workers and a random sample.
 const MAX_ALL_CANDIDATES: usize = 24;
-/// Workers with fewer slots are not partitioned by the lengths of prompts: all of them are needed to
-/// find a free slot.
+/// The least slots of each worker for partitions by prompt length: with fewer slots, all workers are
+/// needed to find a free slot.
 const MIN_PARTITION_SLOTS: u32 = 32;
-/// The likely keepers of a prefix: the first of all zones ...
-const KEEPERS: u32 = 3;
-/// ... and the first of the caller's zone.
-const ZONE_KEEPERS: u32 = 6;
-/// Random candidates of the caller's zone; half as many come from other zones and a quarter from the
-/// other partition.
-const SAMPLE: u64 = 8;
-/// Workers that this node has not used for this long are forgotten, in microseconds.
-const FORGET_AFTER: Micros = 60 * SEC;
-/// How much a new call counts for a pool's usual prefill and KV cache ...
-const LENGTH_LEARNING_RATE: f64 = 0.02;
-/// ... and for the usual stay at a worker.
-const STAY_LEARNING_RATE: f64 = 0.03;
+/// The number of preferred workers of a prefix, the first ones by rendezvous hashing, of all zones.
+const PREFERRED_WORKERS: u32 = 3;
+/// The number of preferred workers of a prefix in the caller's zone.
+const PREFERRED_WORKERS_IN_ZONE: u32 = 6;
+/// The number of random candidates from the caller's zone; half as many come from other zones and a
+/// quarter from the other partition.
+const RANDOM_CANDIDATES: u64 = 8;
+/// The time since its last use after which a worker's model is dropped, in microseconds.
+const MODEL_RETENTION: Micros = 60 * SEC;
+/// The weight of a new call in a pool's average prefill and KV cache use.
+const CALL_SIZE_LEARNING_RATE: f64 = 0.02;
+/// The weight of a new call in a pool's average service time.
+const SERVICE_TIME_LEARNING_RATE: f64 = 0.03;
 
-/// Where and when a choice is made.
+/// The node, the pool and the time for which a worker is chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementContext<'a> {
     /// The name of the pool.
@@ -56,24 +57,25 @@
     Failed,
 }
 
-/// What this node has learned of the engines, with one lock for each shard. Where both locks are
-/// needed, that of the pool is acquired first.
+/// This node's models of all engines and pools, with one lock for each shard. Invariant: a pool's lock is
+/// acquired before an engine's lock.
 #[derive(Debug, Default)]
 pub struct EngineModels {
-    /// By worker id.
+    /// The models of engines, by worker id.
     engines: Shards<EngineModel>,
-    /// By name of the pool.
+    /// The models of pools, by pool name.
     pools: Shards<PoolModel>,
     next_ticket: AtomicU64,
 }
 
 impl EngineModels {
-    /// No engines yet. Nodes with different seeds draw different random numbers.
+    /// Creates an empty collection. Nodes with different seeds draw different random numbers.
     pub fn new(seed: u64) -> Self {
-        EngineModels { next_ticket: AtomicU64::new(mix(seed) >> 1), ..EngineModels::default() }
+        EngineModels { next_ticket: AtomicU64::new(splitmix64(seed) >> 1), ..EngineModels::default() }
     }
 
-    /// The index of the worker that costs this call least; none if no worker could serve it in time.
+    /// Returns the index of the worker with the lowest cost for this call, or `None` if no worker could serve
+    /// the call in time.
     pub fn choose(
         &self,
         table: &PlacementTable,
@@ -82,7 +84,7 @@
         loads: &WorkerLoads,
     ) -> Option<usize> {
         let has_failed = |endpoint: &Endpoint| loads.has_failed(endpoint);
-        // If all of them failed a call lately, one of these is better than none.
+        // If every worker failed a call since its last report, a failed one is better than none.
         self.cheapest(table, request, context, has_failed).or_else(|| self.cheapest(table, request, context, |_| false))
     }
 
@@ -91,16 +93,16 @@
         table: &PlacementTable,
         request: &PromptRequest,
         context: &PlacementContext,
-        avoid: impl Fn(&Endpoint) -> bool,
+        is_avoided: impl Fn(&Endpoint) -> bool,
     ) -> Option<usize> {
-        let mut rng = Rng::new(mix(self.next_ticket.fetch_add(1, Ordering::Relaxed)) ^ context.now);
+        let mut rng = Rng::new(splitmix64(self.next_ticket.fetch_add(1, Ordering::Relaxed)) ^ context.now);
         let mut pools = self.pools.lock_shard(context.pool);
         let pool = pools.entry(context.pool.to_owned()).or_default();
         let choice = Choice::new(table, request, context, pool);
         let mut cheapest: Option<(f64, usize)> = None;
         for candidate in choice.candidates(&mut rng) {
             let endpoint = &table.endpoints[candidate.index];
-            if context.excluded.contains(&endpoint.worker_id) || avoid(endpoint) {
+            if context.excluded.contains(&endpoint.worker_id) || is_avoided(endpoint) {
                 continue;
             }
             let mut engines = self.engines.lock_shard(&endpoint.worker_id);
@@ -120,7 +122,8 @@
         cheapest.map(|(_, index)| index)
     }
 
-    /// A call goes to a worker. Returns the ticket by which its first token and its end are recorded.
+    /// Records that a call is sent to a worker. Returns the ticket that identifies the call when its first token
+    /// and its end are recorded.
     pub fn record_start(
         &self,
         pool_name: &str,
@@ -140,17 +143,17 @@
         let likelihood =
             |index: usize| if index + 1 == chain.len() { 0.0 } else { demand[index] / (demand[index] + 40.0) };
         let load = engine.expected_load(request, &chain, likelihood, pool, now);
-        let held = request.tokens() + u64::from(request.max_output_tokens);
-        learn_request(pool, request, &chain, load.unread, held, now);
+        let kv_tokens = request.tokens() + u64::from(request.max_output_tokens);
+        record_request(pool, request, &chain, load.uncached_tokens, kv_tokens, now);
         let slots = f64::from(endpoint.slots.max(1));
         let expected_first_token = time_to_first_token(&load, pool, engine.slowness, slots);
         engine.prefix_cache.record(&chain, max_cached_tokens(weights), now);
         engine.begin(ActiveCall {
             ticket,
             started_at: now,
-            unread: load.unread as u32,
-            tokens_until_first: load.tokens_ahead + load.unread,
-            held,
+            uncached_tokens: load.uncached_tokens as u32,
+            tokens_until_first: load.tokens_ahead + load.uncached_tokens,
+            kv_tokens,
             urgency: request.urgency,
             expected_first_token,
             first_token_at: None,
@@ -159,7 +162,7 @@
         ticket
     }
 
-    /// The first token of a call came.
+    /// Records the first token of a call.
     pub fn record_first_token(&self, pool_name: &str, worker_id: &str, ticket: u64, now: Micros) {
         let mut pools = self.pools.lock_shard(pool_name);
         let pool = pools.entry(pool_name.to_owned()).or_default();
@@ -167,11 +170,11 @@
         let Some(engine) = engines.get_mut(worker_id) else { return };
         let Some(call) = engine.record_first_token(ticket, now) else { return };
         let duration = now.saturating_sub(call.started_at);
-        let ratio = pool.fit.learn(call.tokens_until_first, duration, engine.slowness);
+        let ratio = pool.fit.add_sample(call.tokens_until_first, duration, engine.slowness);
         engine.slowness = (engine.slowness * (1.0 + 0.1 * (ratio - 1.0)) * 0.99 + 0.01).clamp(0.6, 8.0);
     }
 
-    /// A call ended with this outcome.
+    /// Records that a call ended with this outcome.
     pub fn record_end(&self, pool_name: &str, worker_id: &str, ticket: u64, outcome: CallOutcome, now: Micros) {
         let mut pools = self.pools.lock_shard(pool_name);
         let pool = pools.entry(pool_name.to_owned()).or_default();
@@ -180,14 +183,15 @@
         let Some(call) = engine.end(ticket, now) else { return };
         match outcome {
             CallOutcome::Done => {
-                pool.stay += STAY_LEARNING_RATE * (now.saturating_sub(call.started_at) as f64 - pool.stay);
+                pool.service_time +=
+                    SERVICE_TIME_LEARNING_RATE * (now.saturating_sub(call.started_at) as f64 - pool.service_time);
             }
             CallOutcome::Declined => engine.record_decline(&call, now),
             CallOutcome::Failed => {}
         }
     }
 
-    /// A worker reported its load in the headers of a response.
+    /// Records the load that a worker reported in the headers of a response.
     pub fn record_load(&self, pool_name: &str, worker_id: &str, running: u32, waiting: u32, now: Micros) {
         let mut pools = self.pools.lock_shard(pool_name);
         let pool = pools.entry(pool_name.to_owned()).or_default();
@@ -196,14 +200,14 @@
         }
     }
 
-    /// Forgets the workers that this node has not used for a minute.
+    /// Drops the models of workers that this node has not used for a minute.
     pub fn expire(&self, now: Micros) {
         for mut engines in self.engines.lock_each() {
-            engines.retain(|_, engine| !engine.is_idle_for(FORGET_AFTER, now));
+            engines.retain(|_, engine| !engine.is_idle_for(MODEL_RETENTION, now));
         }
     }
 
-    /// How many workers are known, and how many cached prefixes of theirs.
+    /// Returns the number of known workers and the number of their cached prefixes.
     pub fn size(&self) -> (usize, usize) {
         self.engines.lock_each().fold((0, 0), |(workers, prefixes), engines| {
             let in_shard = engines.values().map(|engine| engine.prefix_cache.len()).sum::<usize>();
@@ -212,24 +216,24 @@
     }
 }
 
-/// Adds a request to what is learned of its pool.
-fn learn_request(
+/// Updates the model of a pool with a request.
+fn record_request(
     pool: &mut PoolModel,
     request: &PromptRequest,
     chain: &SegmentChain,
-    unread: f64,
-    held: u64,
+    uncached_tokens: f64,
+    kv_tokens: u64,
     now: Micros,
 ) {
     for segment in chain {
         pool.demand.record(segment.key, now);
     }
-    pool.lengths.record(request.route, request.tokens() as f64, unread, now);
-    pool.unread += LENGTH_LEARNING_RATE * (unread - pool.unread);
-    pool.held += LENGTH_LEARNING_RATE * (held as f64 - pool.held);
+    pool.lengths.record(request.route, request.tokens() as f64, uncached_tokens, now);
+    pool.uncached_tokens += CALL_SIZE_LEARNING_RATE * (uncached_tokens - pool.uncached_tokens);
+    pool.kv_tokens += CALL_SIZE_LEARNING_RATE * (kv_tokens as f64 - pool.kv_tokens);
 }
 
-/// How many tokens of prefixes a worker likely keeps: 70 % of its KV cache.
+/// Returns the number of tokens of prefixes that a worker likely has cached: 70 % of its KV cache.
 fn max_cached_tokens(weights: &PlacementWeights) -> u64 {
     match weights.kv_cache_tokens {
         0 => u64::MAX,
@@ -237,39 +241,40 @@
     }
 }
 
-/// How often each prefix of a prompt was requested lately.
+/// Returns the decayed number of requests for each prefix of a prompt.
 fn demand(pool: &PoolModel, chain: &SegmentChain, now: Micros) -> SmallVec<[f64; 8]> {
-    chain.iter().map(|segment| f64::from(pool.demand.of(segment.key, now))).collect()
+    chain.iter().map(|segment| f64::from(pool.demand.requests(segment.key, now))).collect()
 }
 
 /// A worker whose cost is compared with that of others.
 #[derive(Clone, Copy)]
 struct Candidate {
-    /// Its index in the table.
+    /// The worker's index in the table.
     index: usize,
-    /// Its rank as a keeper of the prompt's prefix, 0 first.
+    /// The worker's rank by rendezvous hashing of the prompt's prefix; 0 is the most preferred.
     rank: u32,
 }
 
-/// The key by which workers are ranked as keepers, compared field by field; the greatest comes first.
+/// The score by which workers are ranked for a prefix, compared field by field; the greatest is the most
+/// preferred.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct KeeperScore {
+struct RendezvousScore {
     in_partition: bool,
     /// Rendezvous hashing (Thaler and Ravishankar, 1998): a hash of the worker and the prefix.
     hash: u64,
     index: usize,
 }
 
-/// One choice of a worker.
+/// The state of one choice of a worker.
 struct Choice<'a> {
     table: &'a PlacementTable,
     request: &'a PromptRequest,
     context: &'a PlacementContext<'a>,
     pool: &'a PoolModel,
     chain: SegmentChain,
-    /// How often each prefix of the prompt was requested lately.
+    /// The decayed number of requests for each prefix of the prompt.
     demand: SmallVec<[f64; 8]>,
-    /// The partition of the workers that the call should go to.
+    /// The partition of the workers that is preferred for the call, or `None` if there are no partitions.
     partition: Option<LengthClass>,
 }
 
@@ -288,10 +293,11 @@
         Choice { table, request, context, pool, chain, demand, partition }
     }
 
-    /// The cost of the call at a candidate; none if it could not serve the call in time.
+    /// Returns the cost of the call at a candidate, or `None` if the candidate is backing off or could not serve
+    /// the call in time.
     fn cost(&self, candidate: Candidate, engine: &EngineModel, rng: &mut Rng) -> Option<f64> {
         let now = self.context.now;
-        if engine.is_closed(now) {
+        if engine.is_backing_off(now) {
             return None;
         }
         let endpoint = &self.table.endpoints[candidate.index];
@@ -299,7 +305,7 @@
         let likelihood = |index: usize| self.cache_likelihood(index, candidate.rank);
         let load = engine.expected_load(self.request, &self.chain, likelihood, self.pool, now);
         let first_token_time = time_to_first_token(&load, self.pool, engine.slowness, slots);
-        if first_token_time > self.request.time_left as f64 && !engine.may_be_tried(now) {
+        if first_token_time > self.request.time_left as f64 && !engine.is_trial_due(now) {
             return None;
         }
         let model = CostModel {
@@ -311,11 +317,12 @@
             slots,
             first_token_time,
             crosses_zones: endpoint.zone != self.context.zone,
-            luck: rng.below(1000) as f64 / 1000.0,
+            random: rng.below(1000) as f64 / 1000.0,
         };
         Some(model.total() + self.partition_penalty(candidate.index))
     }
 
+    /// Returns the cost of a worker outside the call's partition.
     fn partition_penalty(&self, index: usize) -> f64 {
         if self.is_in_partition(index) {
             return 0.0;
@@ -323,11 +330,11 @@
         OTHER_PARTITION_PENALTY * f64::from(self.context.weights.load_spread) / 100.0
     }
 
-    /// How likely a worker of this rank has the prefix with this index cached because other nodes
-    /// sent it there: the more often it is requested, the more workers have it.
+    /// Returns the probability that a worker of this rank has the prefix with this index cached because other
+    /// nodes sent it there: the more often a prefix is requested, the more workers have it cached.
     fn cache_likelihood(&self, index: usize, rank: u32) -> f64 {
         let parts = self.chain.len();
-        // The last part is the call's own.
+        // The last part belongs to this call alone.
         if index + 1 == parts && parts > 1 {
             return 0.0;
         }
@@ -348,8 +355,8 @@
         self.table.endpoints[index].zone == self.context.zone
     }
 
-    /// The workers to compare: ranked over all zones, so that all nodes know the same keepers. Bytes
-    /// between zones cost less than prefilling again.
+    /// Returns the workers to compare. The ranking covers all zones, so that all nodes prefer the same workers:
+    /// bytes between zones cost less than prefilling again.
     fn candidates(&self, rng: &mut Rng) -> SmallVec<[Candidate; 32]> {
         let key = shared_prefix_key(&self.chain);
         let workers = self.table.endpoints.len();
@@ -359,8 +366,9 @@
         for (rank, score) in (0..).zip(self.ranked(key)) {
             let candidate = Candidate { index: score.index, rank };
             let in_zone = self.is_in_zone(score.index);
-            let is_keeper = key.is_some() && (rank < KEEPERS || in_zone && zone_rank < ZONE_KEEPERS);
-            if workers <= MAX_ALL_CANDIDATES || is_keeper {
+            let is_preferred =
+                key.is_some() && (rank < PREFERRED_WORKERS || in_zone && zone_rank < PREFERRED_WORKERS_IN_ZONE);
+            if workers <= MAX_ALL_CANDIDATES || is_preferred {
                 chosen.push(candidate);
             } else {
                 others.push(candidate);
@@ -373,26 +381,28 @@
         chosen
     }
 
-    /// All workers, the likeliest keeper of the prefix first; without a prefix in the table's order.
-    fn ranked(&self, key: Option<u64>) -> SmallVec<[KeeperScore; 128]> {
-        let score = |index: usize| KeeperScore {
+    /// Returns all workers, the most preferred one for the prefix first; without a prefix in the table's order.
+    fn ranked(&self, key: Option<u64>) -> SmallVec<[RendezvousScore; 128]> {
+        let score = |index: usize| RendezvousScore {
             in_partition: self.is_in_partition(index),
-            hash: key.map_or(0, |key| mix(key ^ self.table.id_hashes[index])),
+            hash: key.map_or(0, |key| splitmix64(key ^ self.table.id_hashes[index])),
             index,
         };
-        let mut ranked: SmallVec<[KeeperScore; 128]> = (0..self.table.endpoints.len()).map(score).collect();
+        let mut ranked: SmallVec<[RendezvousScore; 128]> = (0..self.table.endpoints.len()).map(score).collect();
         if key.is_some() {
             ranked.sort_unstable_by(|left, right| right.cmp(left));
         }
         ranked
     }
 
-    /// Adds a random sample of `others` to the chosen candidates.
+    /// Adds a random sample of `others` to the chosen candidates, without replacement.
     fn sample(&self, others: SmallVec<[Candidate; 128]>, chosen: &mut SmallVec<[Candidate; 32]>, rng: &mut Rng) {
         let (own_partition, other_partition): (Vec<_>, Vec<_>) =
             others.into_iter().partition(|other| self.is_in_partition(other.index));
         let (near, far): (Vec<_>, Vec<_>) = own_partition.into_iter().partition(|other| self.is_in_zone(other.index));
-        for (mut group, count) in [(near, SAMPLE), (far, SAMPLE / 2), (other_partition, SAMPLE / 4)] {
+        for (mut group, count) in
+            [(near, RANDOM_CANDIDATES), (far, RANDOM_CANDIDATES / 2), (other_partition, RANDOM_CANDIDATES / 4)]
+        {
             for _ in 0..count.min(group.len() as u64) {
                 let index = usize::try_from(rng.below(group.len() as u64)).unwrap_or(0);
                 chosen.push(group.swap_remove(index));
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -1,10 +1,10 @@
-//! Placement: which worker a call goes to.
+//! Placement: the choice of the worker that serves a call.
 //!
-//! A call without parts of a prompt goes along a ring by consistent hashing with bounded loads
-//! ([`PlacementTable::nominate`]). A call with parts goes to the worker that is expected to cost it
-//! least ([`EngineModels::choose`]): a model of each engine, learned from its responses, gives the
-//! expected time to first token, and rendezvous hashing gives the workers that likely keep the
-//! prompt's prefix in their KV cache. Nodes decide alone; nothing here waits for other nodes.
+//! A call without prompt parts is placed on a ring by consistent hashing with bounded loads
+//! ([`PlacementTable::nominate`]). A call with prompt parts goes to the worker with the lowest
+//! expected cost ([`EngineModels::choose`]): a model of each engine, learned from its responses,
+//! gives the expected time to first token, and rendezvous hashing gives the workers that likely have
+//! the prompt's prefix in their KV cache. Each node decides on its own, without waiting for others.
 
 mod cost;
 mod demand;
--- a/crates/core/src/placement/pool_model.rs
+++ b/crates/core/src/placement/pool_model.rs
@@ -1,34 +1,34 @@
-//! What a node has learned of all engines of a pool together.
+//! The model that a node has learned of all engines of a pool together.
 
 use super::demand::PromptDemand;
 use super::fit::PrefillFit;
 use super::lengths::PromptLengths;
 
-/// What this node has learned of a pool. The demand takes at most 16 KB.
+/// This node's model of a pool. The prefix demand takes at most 16 KB.
 #[derive(Clone, Debug)]
 pub struct PoolModel {
-    /// The time to first token by prefilled tokens.
+    /// The time to first token as a function of the prefilled tokens.
     pub fit: PrefillFit,
-    /// How often prefixes are requested.
+    /// The recent request rates of prefixes.
     pub demand: PromptDemand,
     /// The lengths of prompts, by route.
     pub lengths: PromptLengths,
-    /// How many calls of other nodes usually run and wait at one worker.
+    /// The average numbers of calls of other nodes at one worker.
     pub others: OtherCalls,
-    /// The tokens that a call usually has to prefill.
-    pub unread: f64,
-    /// The tokens of KV cache that a call usually occupies.
-    pub held: f64,
-    /// How long a call usually stays at a worker, in microseconds.
-    pub stay: f64,
+    /// The average number of tokens that a call must prefill.
+    pub uncached_tokens: f64,
+    /// The average number of tokens that a call occupies in the KV cache.
+    pub kv_tokens: f64,
+    /// The average time from the start to the end of a call at a worker, in microseconds.
+    pub service_time: f64,
 }
 
-/// Calls of other nodes at one worker.
+/// The numbers of calls of other nodes at one worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OtherCalls {
-    /// Calls that are past their prefill.
+    /// The number of calls past their prefill.
     pub running: f64,
-    /// Calls that wait for their prefill or are in it.
+    /// The number of calls before or in their prefill.
     pub waiting: f64,
 }
 
@@ -39,9 +39,9 @@
             demand: PromptDemand::default(),
             lengths: PromptLengths::default(),
             others: OtherCalls::default(),
-            unread: 500.0,
-            held: 2_000.0,
-            stay: 100_000.0,
+            uncached_tokens: 500.0,
+            kv_tokens: 2_000.0,
+            service_time: 100_000.0,
         }
     }
 }
--- a/crates/core/src/placement/prefix_cache.rs
+++ b/crates/core/src/placement/prefix_cache.rs
@@ -1,38 +1,38 @@
-//! The prefixes that an engine likely has in its KV cache.
+//! A model of the prefixes in an engine's KV cache.
 
 use super::demand::wrapped_ms;
 use super::prompt::PromptSegment;
 use crate::base::Micros;
 
-/// How many prefixes of one engine are remembered at most.
-const MAX_SEGMENTS: usize = 256;
+/// The most prefixes that are kept for one engine.
+const MAX_CACHED_PREFIXES: usize = 256;
 
 /// One prefix that was sent to the engine; 16 bytes.
 #[derive(Clone, Copy, Debug)]
 struct CachedSegment {
     key: u64,
-    /// The lower 32 bits of the time of its last use, in milliseconds.
+    /// The lower 32 bits of the time of the prefix's last use, in milliseconds.
     used_ms: u32,
     tokens: u32,
 }
 
-/// The prefixes that an engine likely has in its KV cache, as far as this node sent them there.
-/// Bounded by number and by tokens; the least recently used ones are forgotten first.
+/// The prefixes that this node sent to an engine and that the engine likely has in its KV cache. Bounded by
+/// number and by tokens; the least recently used prefixes are evicted first.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixCache {
-    /// In the order of their keys.
+    /// Invariant: sorted by key.
     segments: Vec<CachedSegment>,
-    /// The sum of the segments' tokens.
+    /// Invariant: the sum of the segments' tokens.
     tokens: u64,
 }
 
 impl PrefixCache {
-    /// Whether the prefix with this key is likely cached.
+    /// Returns whether the prefix with this key is likely cached.
     pub fn contains(&self, key: u64) -> bool {
         self.position(key).is_ok()
     }
 
-    /// Notes that a prompt was sent to the engine, whose cache has room for `max_tokens` tokens.
+    /// Records that a prompt was sent to the engine, whose KV cache holds `max_tokens` tokens of prefixes.
     pub fn record(&mut self, chain: &[PromptSegment], max_tokens: u64, now: Micros) {
         let used_ms = wrapped_ms(now);
         for segment in chain {
@@ -45,14 +45,14 @@
                 }
             }
         }
-        while self.segments.len() > MAX_SEGMENTS || self.tokens > max_tokens {
+        while self.segments.len() > MAX_CACHED_PREFIXES || self.tokens > max_tokens {
             let oldest = (0..self.segments.len()).min_by_key(|index| self.segments[*index].used_ms);
             let Some(oldest) = oldest else { break };
             self.remove_at(oldest);
         }
     }
 
-    /// Forgets prefixes that were not prefilled after all.
+    /// Removes prefixes that were not prefilled after all.
     pub fn remove(&mut self, keys: &[u64]) {
         for key in keys {
             if let Ok(index) = self.position(*key) {
@@ -61,12 +61,12 @@
         }
     }
 
-    /// How many prefixes are remembered.
+    /// Returns the number of prefixes.
     pub fn len(&self) -> usize {
         self.segments.len()
     }
 
-    /// Whether no prefix is remembered.
+    /// Returns whether there are no prefixes.
     pub fn is_empty(&self) -> bool {
         self.segments.is_empty()
     }
--- a/crates/core/src/placement/prompt.rs
+++ b/crates/core/src/placement/prompt.rs
@@ -1,41 +1,41 @@
-//! What a call requests from an engine: the parts of its prompt, their lengths and its deadlines.
+//! The prompt of a call: its parts, their lengths, and the call's latency target and priority.
 
 use crate::base::{MS, Micros, SEC};
 use smallvec::SmallVec;
 
-/// The hashes of all prefixes of a prompt, the shortest first.
+/// The prefixes of a prompt, the shortest first.
 pub type SegmentChain = SmallVec<[PromptSegment; 8]>;
 
-/// The hash of the empty prefix; all nodes must use the same one.
+/// The hash of the empty prefix. All nodes must use the same value.
 const CHAIN_SEED: u64 = 0x5EA7;
 
-/// What a call requests from the worker that will serve it.
+/// The properties of a call that determine its cost at a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PromptRequest {
     /// The hash of the route, whose prompts are of similar lengths.
     pub route: u64,
-    /// The parts of its prompt in order: the id of each and its number of tokens.
+    /// The parts of the prompt in order: the id and the number of tokens of each part.
     pub parts: SmallVec<[(u64, u32); 8]>,
-    /// The most tokens that it may generate.
+    /// The most tokens that the call may generate.
     pub max_output_tokens: u32,
-    /// Within this time to first token the response has its full value, in microseconds; 500 ms by default.
+    /// The time to first token up to which the response has its full value, in microseconds; 500 ms by default.
     pub latency_target: Micros,
-    /// The longest pause that streams beside it bear, in microseconds; 300 ms by default.
+    /// The longest acceptable pause of concurrent streams, in microseconds; 300 ms by default.
     pub max_stream_gap: Micros,
-    /// How much longer the caller waits, in microseconds; 2 seconds by default.
+    /// The time until the caller's deadline, in microseconds; 2 seconds by default.
     pub time_left: Micros,
-    /// Its rank, 0 first; 5 by default.
+    /// The call's priority; 0 is served first, 5 is the default.
     pub urgency: u8,
-    /// The bytes of request and response, which cross zones if its worker is in another one.
+    /// The number of bytes of request and response, which cross zones if the worker is in another zone.
     pub bytes: u32,
 }
 
 /// The prefix of a prompt up to the end of one part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptSegment {
-    /// The hash of the part and of all parts before it.
+    /// The hash of this part and all parts before it.
     pub key: u64,
-    /// The tokens of the part alone.
+    /// The number of tokens of this part alone.
     pub tokens: u32,
 }
 
@@ -55,27 +55,27 @@
 }
 
 impl PromptRequest {
-    /// The prefixes of the prompt. A KV cache keeps a part only as the continuation of all parts
-    /// before it, so its key depends on all of them.
+    /// Returns the prefixes of the prompt. A KV cache holds a part only as the continuation of all parts before
+    /// it, so the key of a prefix depends on all of its parts.
     pub fn chain(&self) -> SegmentChain {
         let mut key = CHAIN_SEED;
         self.parts
             .iter()
             .map(|(id, tokens)| {
-                key = mix(key ^ mix(*id).wrapping_add(u64::from(*tokens)));
+                key = splitmix64(key ^ splitmix64(*id).wrapping_add(u64::from(*tokens)));
                 PromptSegment { key, tokens: *tokens }
             })
             .collect()
     }
 
-    /// The length of the whole prompt, in tokens.
+    /// Returns the length of the whole prompt, in tokens.
     pub fn tokens(&self) -> u64 {
         self.parts.iter().map(|(_, tokens)| u64::from(*tokens)).sum()
     }
 }
 
-/// The key of the prefix by which the likely keepers of a prompt are found: all but its last part,
-/// which is the call's own.
+/// Returns the key of the prefix by which workers are ranked for a prompt: all parts but the last one, which
+/// belongs to the call alone. A prompt of one part is ranked by that part.
 pub fn shared_prefix_key(chain: &[PromptSegment]) -> Option<u64> {
     match chain {
         [] => None,
@@ -84,8 +84,8 @@
     }
 }
 
-/// Spreads the bits of a number (one step of SplitMix64; Steele, Lea and Flood, 2014).
-pub fn mix(number: u64) -> u64 {
+/// Hashes a number by one step of SplitMix64 (Steele, Lea and Flood, 2014).
+pub fn splitmix64(number: u64) -> u64 {
     let mixed = number.wrapping_add(0x9E37_79B9_7F4A_7C15);
     let mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
--- a/crates/core/src/placement/table.rs
+++ b/crates/core/src/placement/table.rs
@@ -5,33 +5,33 @@
 use smallvec::SmallVec;
 use std::net::SocketAddr;
 
-/// Virtual nodes of one worker on the ring.
+/// The number of virtual nodes of each worker on the ring.
 const VIRTUAL_NODES: u32 = 64;
-/// How far above its even share a worker may be loaded, in hundredths (the factor c of Mirrokni,
+/// The greatest load of a worker relative to its even share, in percent (the factor c of Mirrokni,
 /// Thorup and Zadimoghaddam, Consistent Hashing with Bounded Loads).
 const LOAD_BOUND_PERCENT: u64 = 125;
 
-/// One worker of a table, as its last report describes it.
+/// One worker of a table, as described by its last report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Endpoint {
     /// The worker's id.
     pub worker_id: String,
-    /// The incarnation that the report came from.
+    /// The incarnation that sent the report.
     pub incarnation: u64,
-    /// The number of the report within its incarnation.
+    /// The sequence number of the report within its incarnation.
     pub seq: u64,
-    /// Where the worker serves calls.
+    /// The address at which the worker serves calls.
     pub addr: SocketAddr,
-    /// The zone that it runs in.
+    /// The zone of the worker.
     pub zone: String,
-    /// How many calls it runs at once.
+    /// The number of calls that the worker can run at once.
     pub slots: u32,
-    /// How many calls of all nodes it was running.
+    /// The number of calls of all nodes that the worker was running.
     pub busy: u32,
 }
 
 impl Endpoint {
-    /// None if the report's address is not an IP address and port.
+    /// Converts a report; returns `None` if its address is not an IP address and port.
     fn from_report(report: &WorkerReport) -> Option<Endpoint> {
         Some(Endpoint {
             worker_id: report.worker_id.clone(),
@@ -45,21 +45,21 @@
     }
 }
 
-/// The workers of one pool and their ring. Never changed: a new table replaces it as a whole.
+/// The workers of one pool and their hash ring. Immutable: a new table replaces the old one as a whole.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlacementTable {
-    /// The workers, in the order of their ids. All other lists refer to them by index.
+    /// The workers, sorted by id. All other lists refer to the workers by index.
     pub endpoints: Vec<Endpoint>,
-    /// The virtual nodes: the hash of each and the index of its worker, in the order of the hashes.
+    /// The virtual nodes: the hash of each and the index of its worker, sorted by hash.
     ring: Vec<(u64, u32)>,
     /// The hash of each worker's id.
     pub(super) id_hashes: Vec<u64>,
-    /// The position of each worker among those of its zone by its hash, from 0 to 1.
+    /// The position of each worker by its hash among the workers of its zone, from 0 to 1.
     pub(super) zone_positions: Vec<f64>,
 }
 
 impl PlacementTable {
-    /// The table of the workers with these reports; those without a valid address are left out.
+    /// Creates the table of the workers with these reports, without those that have no valid address.
     pub fn new<'a>(reports: impl Iterator<Item = &'a WorkerReport>) -> PlacementTable {
         let mut endpoints: Vec<_> = reports.filter_map(Endpoint::from_report).collect();
         endpoints.sort_by(|left, right| left.worker_id.cmp(&right.worker_id));
@@ -69,9 +69,9 @@
         PlacementTable { endpoints, ring, id_hashes, zone_positions }
     }
 
-    /// The index of the worker for a prefix with this hash: the first one along the ring that is below
-    /// its load bound, else the first one with a free slot; workers of the caller's zone come before
-    /// all others. None if all are full or excluded.
+    /// Returns the index of the worker for a prefix with this hash: the first one along the ring that is below
+    /// its load bound, otherwise the first one with a free slot. Workers of the caller's zone take precedence
+    /// over all others. Returns `None` if all workers are full or excluded.
     pub fn nominate(&self, hash: u64, zone: &str, loads: &[u32], excluded: &[String]) -> Option<usize> {
         let load = |index: usize| loads.get(index).copied().unwrap_or(0);
         let is_free = |index: usize| {
@@ -88,8 +88,9 @@
         })
     }
 
+    /// Returns the load bound of the candidates.
     fn load_bound(&self, loads: &[u32], is_candidate: impl Fn(&usize) -> bool) -> LoadBound {
-        // The call to be placed counts as well.
+        // The call to be placed is included.
         let mut bound = LoadBound { total_load: 1, total_slots: 0 };
         for (index, endpoint) in self.endpoints.iter().enumerate().filter(|(index, _)| is_candidate(index)) {
             bound.total_load += u64::from(loads.get(index).copied().unwrap_or(0));
@@ -98,7 +99,7 @@
         bound
     }
 
-    /// Every worker once, in the order of the ring from this hash on.
+    /// Returns every worker once, in the order of the ring from this hash on.
     fn ring_order(&self, hash: u64) -> SmallVec<[usize; 32]> {
         let start = self.ring.partition_point(|(virtual_node, _)| *virtual_node < hash);
         let mut seen = vec![false; self.endpoints.len()];
@@ -117,19 +118,20 @@
     }
 }
 
-/// The bound on the load of each of some workers, in proportion to its slots.
+/// The bound on the load of each worker of a group, in proportion to its slots.
 struct LoadBound {
     total_load: u64,
     total_slots: u64,
 }
 
 impl LoadBound {
+    /// Returns whether a worker with this load is below the bound.
     fn allows(&self, load: u32, slots: u32) -> bool {
         u64::from(load) * self.total_slots * 100 < self.total_load * u64::from(slots) * LOAD_BOUND_PERCENT
     }
 }
 
-/// The virtual nodes of all workers, in the order of their hashes.
+/// Returns the virtual nodes of all workers, sorted by hash.
 fn ring(endpoints: &[Endpoint]) -> Vec<(u64, u32)> {
     let mut ring = Vec::with_capacity(endpoints.len() * VIRTUAL_NODES as usize);
     for (index, endpoint) in endpoints.iter().enumerate() {
@@ -143,7 +145,7 @@
     ring
 }
 
-/// The position of each worker among those of its zone, in the middle of its fraction of 0 to 1.
+/// Returns the position of each worker among the workers of its zone: the middle of its part of the range from 0 to 1.
 fn zone_positions(endpoints: &[Endpoint], id_hashes: &[u64]) -> Vec<f64> {
     let zone = |index: usize| endpoints[index].zone.as_str();
     let mut order: Vec<usize> = (0..endpoints.len()).collect();
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -310,10 +310,14 @@
         for sample in 0..400u64 {
             let tokens = (sample * 7919 % 12_000) as f64;
             let time = if sample % 25 == 0 { 5e6 } else { base + per_token * tokens };
-            fit.learn(tokens, time as u64, 1.0);
+            fit.add_sample(tokens, time as u64, 1.0);
         }
         let expected = base + per_token * 6_000.0;
-        assert!((fit.of(6_000.0) / expected - 1.0).abs() < 0.25, "{base} {per_token}: {:?}", fit.line());
+        assert!(
+            (fit.expected_time(6_000.0) / expected - 1.0).abs() < 0.25,
+            "{base} {per_token}: {:?}",
+            fit.coefficients()
+        );
     }
 }
 
@@ -352,9 +356,9 @@
     for _ in 0..8 {
         demand.record(7, SEC);
     }
-    assert!((demand.of(7, SEC) - 8.0).abs() < 0.01);
-    assert!((demand.of(7, 21 * SEC) - 4.0).abs() < 0.1);
-    assert!(demand.of(8, SEC) < 0.01);
+    assert!((demand.requests(7, SEC) - 8.0).abs() < 0.01);
+    assert!((demand.requests(7, 21 * SEC) - 4.0).abs() < 0.1);
+    assert!(demand.requests(8, SEC) < 0.01);
 }
 
 #[test]
