--- a/crates/core/src/quota/share_pool.rs
+++ b/crates/core/src/quota/share_pool.rs
@@ -17,8 +17,8 @@
 use crate::protocol::{RegisteredIncarnation, ShareGrant, ShareRequest};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The time for which the lease holder counts a share as held after its lease ended, in microseconds: the node's
-/// clock may be slower.
+/// The time for which the lease holder counts a share as held after the share has expired, in microseconds: the
+/// node's clock may be slower.
 const EXPIRY_GRACE: Micros = 100 * MS;
 /// The least time for which an incarnation that no voter has registered any more when a lease starts has held
 /// nothing, in microseconds: voters forget a registration 20 s after a lease holder last relied on it for 8 s, and a
--- a/crates/core/tests/cache.rs
+++ b/crates/core/tests/cache.rs
@@ -1,4 +1,4 @@
-//! One case for each rule of the layered cache.
+//! Tests of the two-level cache: expiry, stale values, fetch locks, eviction and invalidation.
 
 use std::cell::Cell;
 use sumacvale_core::base::{MS, Micros, SEC};
@@ -7,7 +7,7 @@
     SharedLookup, Ttl, look_up,
 };
 
-/// A lookup at this time, of version 1.
+/// Returns the context of a lookup of version 1 at this time.
 fn at(now: Micros) -> LookupContext {
     LookupContext { now, version: 1 }
 }
@@ -18,7 +18,7 @@
 
 type Outcome = Result<Found<u32>, FetchError>;
 
-/// Both layers, as one thread sees them.
+/// Both layers, as seen by one thread.
 struct ThreadView {
     local: LocalCache<u32>,
     shared: SharedCache<u32>,
@@ -30,7 +30,7 @@
         ThreadView { local: LocalCache::new(&options), shared: SharedCache::new(options), fetches: Cell::new(0) }
     }
 
-    /// A lookup that fetches this if there is no entry.
+    /// Looks a key up, and fetches `fetched` if there is no valid entry.
     fn get(&mut self, key: &str, context: LookupContext, fetched: Result<Option<u32>, FetchError>) -> Outcome {
         self.get_with_ttl(key, context, fetched, Ttl::Default)
     }
@@ -55,7 +55,7 @@
     }
 }
 
-// It has the form of what a lookup returns.
+// Returns the type of a lookup, for comparison.
 #[allow(clippy::unnecessary_wraps)]
 fn found(value: Option<u32>, level: CacheLevel) -> Outcome {
     Ok(Found { value, level })
@@ -72,7 +72,8 @@
 
 #[test]
 fn entries_are_found_by_level_until_they_expire() {
-    // What the first lookup fetches at zero, when the second one is, what it fetches, what it finds.
+    // The result of the first fetch at time zero, the time of the second lookup, the result of its fetch, and what the
+    // second lookup returns.
     let absent: Result<Option<u32>, FetchError> = Ok(None);
     let aborted = || FetchError::Aborted("x".into());
     let cases = [
@@ -145,12 +146,12 @@
     let local = look_up(&mut second, &shared, "k", at(5));
     assert!(matches!(local, Lookup::Found(Found { level: CacheLevel::Local, .. })), "promoted");
 
-    // A waiter gets a stale value, which is not kept for others.
+    // A waiting caller gets a stale value, which is not stored again for other callers.
     let expired = 31 * SEC;
     let lock = expect_lock(look_up(&mut first, &shared, "k", at(expired)), "expired: fetch");
     assert_eq!(shared.stale("k", at(expired)), found(Some(1), CacheLevel::Stale));
     assert!(matches!(look_up(&mut second, &shared, "k", at(expired)), Lookup::Wait));
-    // A fetch that outlives its lock writes nothing.
+    // A fetch whose lock expired writes nothing.
     let after = expired + 6 * SEC;
     let newer_lock = expect_lock(look_up(&mut second, &shared, "k", at(after)), "the lock expired");
     let _ = shared.complete_fetch(&mut second, "k", &newer_lock, Ok((Some(3), Ttl::Default)), 1, at(after));
@@ -160,7 +161,7 @@
 }
 
 #[test]
-fn full_zones_evict_their_thirty_least_recently_used_at_an_attempt() {
+fn a_full_shard_evicts_its_thirty_least_recently_used_entries_at_an_attempt() {
     let mut cache = ThreadView::new(CacheOptions { shard_capacity: 1_000, negative_capacity: 100, ..one_shard() });
     for i in 0..100 {
         let _ = cache.get(&format!("k{i}"), at(0), Ok(Some(i)));
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement of calls with prompts, as one node or several nodes decide it.
+//! Tests of the placement of calls with prompts by one node and by several nodes.
 
 use sumacvale_core::base::{MS, Micros, SEC};
 use sumacvale_core::config::PlacementWeights;
@@ -8,7 +8,7 @@
 };
 use sumacvale_core::protocol::WorkerReport;
 
-/// The most that one choice may take on a busy machine, in microseconds.
+/// The longest average time of one choice and call on a busy machine, in microseconds.
 const MAX_CHOICE_TIME: Micros = 2 * MS;
 
 fn report(worker_id: &str, zone: &str, slots: u32) -> WorkerReport {
@@ -27,7 +27,7 @@
     }
 }
 
-/// This many workers, in three zones by turns.
+/// Returns a table of this many workers, assigned to three zones in turn.
 fn pool_table(workers: usize, slots: u32) -> PlacementTable {
     let reports: Vec<_> =
         (0..workers).map(|index| report(&format!("w{index:03}"), &format!("z{}", index % 3), slots)).collect();
@@ -134,13 +134,13 @@
     for nth in 0..20 {
         assert_eq!(router.choose(&table, &again, 2 * SEC + nth), Some(cached_at), "the same subject again");
     }
-    // Long prompts wait there now: beyond the latency target the others are better.
+    // Long prompts wait there now: beyond the latency target, another worker costs less.
     for nth in 0..12 {
         router.start(&table, cached_at, &prompt_request(&[(50 + nth, 8_000)]), 3 * SEC);
     }
     let other = router.choose(&table, &again, 3 * SEC).expect("room");
     assert!(other != cached_at, "{cached_at} {other}");
-    // Without a weight for prefilling again, the zone decides then.
+    // Without a weight for prefilling again, the zone decides.
     let router = Router { weights: PlacementWeights { prefix_affinity: 0, ..PlacementWeights::default() }, ..router };
     let other = router.choose(&table, &again, 3 * SEC).expect("room");
     assert!(other != cached_at && table.endpoints[other].zone == "z0", "{cached_at} {other}");
@@ -148,7 +148,7 @@
 
 #[test]
 fn own_calls_spread_before_any_load_is_reported() {
-    // A burst of prompts without anything in common, all at one moment.
+    // A burst of prompts without common prefixes at the same time.
     for (workers, calls) in [(3, 12), (9, 36), (18, 72)] {
         let table = pool_table(workers, 48);
         let router = Router::new(4, "z2");
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn the_reported_load_of_others_counts_and_fades() {
+fn the_reported_load_of_other_nodes_counts_and_decays() {
     let table = pool_table(3, 8);
     let router = Router::new(5, "z0");
     let request = PromptRequest {
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn the_fit_finds_the_line_and_bears_outliers() {
+fn the_fit_finds_the_line_despite_outliers() {
     for (base, per_token) in [(8_000.0, 10.0), (30_000.0, 4.0), (2_000.0, 40.0)] {
         let mut fit = PrefillFit::default();
         for sample in 0..400u64 {
@@ -340,7 +340,7 @@
 }
 
 #[test]
-fn the_prefix_cache_is_bounded_and_demand_fades() {
+fn the_prefix_cache_is_bounded_and_demand_decays() {
     let segment = |key, tokens| PromptSegment { key, tokens };
     let mut cache = PrefixCache::default();
     cache.record(&[segment(1, 400), segment(2, 400)], 1_000, SEC);
--- a/crates/core/tests/prompt_lengths.rs
+++ b/crates/core/tests/prompt_lengths.rs
@@ -1,4 +1,5 @@
-//! Partitions of the workers by the lengths of prompts: when, how, and the same at all nodes.
+//! Tests of the partitions of the workers by prompt length: when they start, change and end, and that all nodes
+//! compute the same ones.
 
 use std::collections::BTreeSet;
 use sumacvale_core::base::{MS, Micros, Rng, SEC};
@@ -11,8 +12,8 @@
 const LONG_ROUTE: u64 = 1;
 const SHORT_ROUTE: u64 = 2;
 
-/// Records calls of the two routes as one node sees them, this many of a hundred long ones; returns the
-/// time of the last one.
+/// Records calls of the two routes as seen by one node, `long_of_100` of a hundred for the long route. Returns the
+/// time of the last call.
 fn record_calls(lengths: &mut PromptLengths, rng: &mut Rng, calls: u64, long_of_100: u64, start: Micros) -> Micros {
     let mut now = start;
     for _ in 0..calls {
@@ -29,7 +30,7 @@
 }
 
 #[test]
-fn long_and_short_prompts_go_to_partitions_of_their_own() {
+fn long_and_short_prompts_go_to_separate_partitions() {
     let mut lengths = PromptLengths::default();
     assert_eq!(lengths.class_of(LONG_ROUTE), None, "nothing was seen");
     record_calls(&mut lengths, &mut Rng::new(1), 40, 27, SEC);
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn prompts_of_similar_lengths_partition_nothing() {
+fn prompts_of_similar_lengths_cause_no_partition() {
     let mut lengths = PromptLengths::default();
     let mut rng = Rng::new(3);
     for nth in 0..2_000 {
@@ -68,7 +69,8 @@
     assert_eq!(lengths.class_of(LONG_ROUTE), None, "one route alone");
 }
 
-/// Each of 90 nodes sees a little of the traffic, and other calls than the others.
+/// Each of 90 nodes sees a small and different part of the traffic. Nodes with different partitions would place the
+/// same prompt differently.
 #[test]
 fn all_nodes_find_the_same_partition() {
     for long_of_100 in [20, 27, 40] {
@@ -91,14 +93,14 @@
     let mut rng = Rng::new(5);
     let now = record_calls(&mut lengths, &mut rng, 400, 27, SEC);
     let first = short_fraction(&lengths).expect("partitioned");
-    // Nearly all of the work is of long prompts, for long enough.
+    // Long prompts make up nearly all of the work, for long enough.
     let now = record_calls(&mut lengths, &mut rng, 1_200, 90, now);
     let fewer = short_fraction(&lengths).expect("partitioned");
     assert!(fewer < first, "{fewer} after {first}");
-    // And back again, with nearly none.
+    // Then long prompts make up little of the work.
     record_calls(&mut lengths, &mut rng, 1_200, 3, now);
     assert!(short_fraction(&lengths).expect("partitioned") > fewer);
-    // Under steady traffic it moves a few times at most.
+    // Under steady traffic the fraction changes a few times at most.
     let mut lengths = PromptLengths::default();
     let (mut now, mut moves, mut previous) = (SEC, 0, None);
     for _ in 0..100 {
@@ -120,7 +122,7 @@
     assert!(lengths.class_of(9_000).is_none() && lengths.class_of(LONG_ROUTE).is_some());
 }
 
-/// The number of workers that short prompts went to, once long ones were seen as well.
+/// Returns the number of workers that short prompts were sent to after long prompts were seen as well.
 fn workers_of_short_prompts(workers: u64, slots: u32) -> usize {
     let reports: Vec<WorkerReport> = (0..workers)
         .map(|index| WorkerReport {
@@ -162,7 +164,7 @@
         [("many with many slots", 60, 64, true), ("few slots", 60, 16, false), ("few workers", 24, 64, false)]
     {
         let used = workers_of_short_prompts(workers, slots);
-        // A third, and few beside it: where a worker of that third is busy another one may do.
+        // A third of the workers, and a few others: another worker may be chosen while those of the third are busy.
         let most = usize::try_from(workers).expect("small") * 2 / 5;
         println!("{name}: {used} of {workers}");
         assert_eq!(used <= most, is_partitioned, "{name}: {used} of {workers}");
--- a/crates/core/tests/rates.rs
+++ b/crates/core/tests/rates.rs
@@ -1,4 +1,4 @@
-//! Shares of a rate: the bucket of a node, the pool of a lease holder, and both together in a simulation.
+//! Tests of shares of a rate: the bucket of a node, the pool of a lease holder, and both together in a simulation.
 
 use std::collections::{BTreeMap, VecDeque};
 use sumacvale_core::base::{MS, Micros, NodeId, Rng, SEC};
@@ -19,7 +19,7 @@
     (0..1_000).take_while(|_| matches!(bucket.acquire_unit(now), AcquireOutcome::Acquired { .. })).count() as u64
 }
 
-/// A bucket that was granted a share at the time of its request.
+/// Returns a bucket that was granted a share at the time of its request.
 fn granted_bucket(share: u32, burst_milli: u64, now: Micros) -> ShareBucket {
     let mut bucket = ShareBucket::new(RATE, now);
     bucket.make_request(0, 1, 0, now);
@@ -114,7 +114,7 @@
         AcquireOutcome::RateExhausted { wait: 200 * MS, interval: 200 * MS, may_get_more: true },
         "it was not requested yet"
     );
-    // The lease holder has none, and its pool is no longer filling up.
+    // The lease holder has no units, and its pool is no longer filling up.
     assert_eq!(units_taken(&mut bucket, 3 * SEC), 5);
     assert_eq!(bucket.make_request(0, 2, 0, 3 * SEC).missing_units, 2);
     assert!(bucket.apply_grant(2, grant_of(500_000, 0), 3 * SEC, 3 * SEC));
@@ -138,8 +138,8 @@
     );
 }
 
-/// After a power loss of all nodes a lease holder's pool starts empty and is refilled by the rate: units that it
-/// does not have yet do not mean that the rate is exhausted.
+/// After a power loss of all nodes a lease holder's pool starts empty and is refilled by the rate. A pool without units
+/// then doesn't mean that the rate is exhausted.
 #[test]
 fn calls_wait_for_the_pool_to_fill_right_after_a_start() {
     let waits = |bucket: &mut ShareBucket, now: Micros| {
@@ -160,7 +160,7 @@
         respond_with_nothing(&mut bucket, request_id, first + after);
         assert!(!waits(&mut bucket, first + after), "{after} us after the first response it counts");
     }
-    // A node without any response for longer than a share lease knows as little as after a start.
+    // A node without a response for longer than a share lease is in the same state as after a start.
     let again = first + 3 * SEC + SHARE_LEASE;
     respond_with_nothing(&mut bucket, 7, again);
     assert!(waits(&mut bucket, again + MS), "the first response after that");
@@ -179,7 +179,7 @@
     }
 }
 
-/// The pool of the tenant that `request_of` names.
+/// Returns the pool of the tenant in `request_of`.
 fn pool_of(pools: &mut SharePools, role: u32, now: Micros) -> Option<&mut SharePool> {
     pools.pool(role, 7, RATE, now)
 }
@@ -188,9 +188,9 @@
 const SECOND_NODE: (NodeId, u64) = (NodeId(2), 1);
 
 #[test]
-fn a_pool_grants_what_nobody_can_hold() {
-    let grant_to = |pool: &mut SharePool, node, n, request, now| {
-        pool.request(node, n, &request, RATE, 2, now).map_or((9, 9), |grant| (grant.share, grant.burst_milli))
+fn a_pool_grants_only_shares_that_no_node_can_hold() {
+    let grant_to = |pool: &mut SharePool, node, request_id, request, now| {
+        pool.request(node, request_id, &request, RATE, 2, now).map_or((9, 9), |grant| (grant.share, grant.burst_milli))
     };
     // The first lease holder: half of the rate follows the demand, with half of the free units.
     let mut pool = SharePool::full(RATE, SEC);
@@ -202,12 +202,12 @@
     );
     let (second_share, _) = grant_to(&mut pool, SECOND_NODE, 1, request_of(0, 8_000, 0), SEC);
     assert_eq!(second_share, 250_000, "as much as another node with the same demand will have");
-    // A share that shrinks counts in full until its holder confirms that it is smaller.
+    // A share that shrinks counts in full until its holder reports the smaller share.
     let (first_share, _) = grant_to(&mut pool, FIRST_NODE, 2, request_of(500_000, 8_000, 0), SEC + MS);
     assert_eq!((first_share, pool.list().0), (250_000, 750_000));
     grant_to(&mut pool, FIRST_NODE, 3, request_of(first_share, 8_000, 0), SEC + 2 * MS);
     assert_eq!(pool.list().0, 500_000);
-    // A silent node holds its share until that expires.
+    // A node that sends no requests holds its share until the share expires.
     let expires_at = SEC + 3 * MS + SHARE_LEASE;
     pool.expire(RATE, expires_at - 10 * MS);
     assert_eq!(pool.list().0, 500_000);
@@ -227,10 +227,11 @@
     assert_eq!(pool.list(), (600_000, 400_000));
     let grant = pool.request(SECOND_NODE, 1, &request_of(0, 8_000, 3), RATE, 2, SEC).unwrap();
     assert_eq!((grant.share, grant.burst_milli, grant.loaned_units), (0, 0, 0));
-    // A third node reports: its share was part of what was unaccounted for.
+    // A third node reports its share, which was part of the unaccounted share.
     pool.request((NodeId(3), 1), 1, &request_of(300_000, 0, 0), RATE, 2, SEC);
     assert_eq!(pool.list(), (900_000, 100_000));
-    // A share that shrank may be granted to others at once, the unaccounted one after a share lease.
+    // The difference of a share that shrank may be granted to others at once, the unaccounted share after a share
+    // lease.
     let grant = pool.request(FIRST_NODE, 2, &request_of(600_000, 1_000, 0), RATE, 2, SEC + MS).unwrap();
     assert!(grant.share < 300_000);
     pool.request(FIRST_NODE, 3, &request_of(grant.share, 1_000, 0), RATE, 2, SEC + MS);
@@ -241,7 +242,7 @@
 }
 
 #[test]
-fn a_pool_made_late_is_as_full_as_if_nobody_used_it() {
+fn a_pool_created_late_is_as_full_as_if_no_node_had_used_it() {
     for (name, first, elapsed, expected) in [
         ("the first lease holder", true, 0, 10_000),
         ("a later lease holder", false, 0, 0),
@@ -313,7 +314,7 @@
     assert!(slices.rates.due_requests(|_| true, SEC).is_empty());
 }
 
-/// The most by which any interval exceeds the rate, in thousandths of calls.
+/// Returns the largest excess of the calls in any interval over the rate, in thousandths of calls.
 fn largest_excess(rate: Rate, times: &mut [Micros]) -> i128 {
     times.sort_unstable();
     let (mut lowest, mut largest) = (i128::MAX, 0);
@@ -326,46 +327,50 @@
     largest / 1_000_000
 }
 
-/// What an interval may see beyond its rate, in thousandths of calls: the burst, and what was lent just before.
+/// Returns the allowed excess of an interval over the rate, in thousandths of calls: the burst, and the units lent just
+/// before the interval.
 fn allowed_excess(rate: Rate) -> i128 {
     i128::from(rate.burst_milli) + i128::from(rate.milli_per_second) * i128::from(LOAN_DURATION) / i128::from(SEC)
 }
 
-/// How long a call waits for a unit.
-const PATIENCE: Micros = 500 * MS;
+/// The longest time that a call waits for a unit, in microseconds.
+const MAX_WAIT: Micros = 500 * MS;
 
-/// A fault of the lease holder that the simulation must detect.
+/// A planted fault of the lease holder, which the simulation must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Planted {
     Nothing,
-    /// It ignores the suspects that are cut off.
+    /// The lease holder ignores partitioned suspects.
     IgnoresCutOff,
-    /// It believes that a node that reports used nothing for a while.
+    /// The lease holder assumes that a node that reports used no units for 5 s.
     OverstatesIdleTime,
-    /// It believes that an incarnation that was replaced ended long before.
+    /// The lease holder assumes that a replaced incarnation ended 5 s earlier than it did.
     OverstatesAge,
 }
 
+/// A message between a front and a lease holder.
 enum Packet {
-    /// With the age of its sender, and for how long that can have used no unit.
+    /// A share request, with the age of its sender and the time for which the sender was idle.
     Request((NodeId, u64), u64, ShareRequest, (Micros, Micros)),
     Grant(usize, u64, ShareGrant),
 }
 
+/// A node that serves calls from its share.
 struct Front {
     id: (NodeId, u64),
     bucket: ShareBucket,
     last_request_id: u64,
     sent: BTreeMap<u64, Micros>,
+    /// The chance of a call in each millisecond, in millionths.
     load: u64,
     frozen_until: Micros,
     /// The deadlines of calls that wait for a unit.
     waiting: VecDeque<Micros>,
-    /// Its clock is that much ahead.
+    /// The time by which the front's clock is ahead, in microseconds.
     clock_offset: Micros,
-    /// When its incarnation started, by that clock.
+    /// When the front's incarnation started, by its own clock.
     started_at: Micros,
-    /// Until then nothing reaches it or leaves it, while it goes on.
+    /// The end of a partition, in which the front keeps running but all its messages are lost.
     cut_off_until: Micros,
 }
 
@@ -376,22 +381,24 @@
     fronts: Vec<Front>,
     /// The pools of the current lease holder.
     pools: SharePools,
-    /// The pools of an earlier lease holder that still answers until then.
+    /// The pools of an earlier lease holder, and the time until which it still responds.
     previous_pools: Option<(SharePools, Micros)>,
     holder_down_until: Micros,
     in_flight: Vec<(Micros, bool, Packet)>,
     ran: Vec<Micros>,
     rejected: Vec<Micros>,
+    /// The chance that a message is lost, in percent.
     loss: u64,
+    /// The longest usual delay of a message, in microseconds.
     delay: Micros,
     /// When the lease began.
     lease_began_at: Micros,
     planted: Planted,
-    /// In how many of a hundred power losses only the lease holder loses power.
-    holder_alone: u64,
-    /// In how many of a hundred power losses a front is cut off instead.
-    cut_chance: u64,
-    /// The front, and the last use, of each registered incarnation; none where no registrations are kept.
+    /// The chance that only the lease holder loses power, in percent.
+    holder_alone_chance: u64,
+    /// The chance that a front is partitioned instead of losing power, in percent.
+    partition_chance: u64,
+    /// The front and the time of the last use of each registered incarnation; `None` if there are no registrations.
     registered: Option<BTreeMap<(NodeId, u64), (usize, Micros)>>,
 }
 
@@ -401,16 +408,16 @@
         let now = 100 * SEC;
         let mut pools = SharePools::default();
         pools.begin_lease(0, first, now, 0);
-        let front = |(i, l): (usize, &u64)| Front {
-            id: (NodeId(i as u64 + 1), 1),
-            bucket: ShareBucket::first_of_incarnation(rate, now + i as u64 * SEC, now + i as u64 * SEC),
-            started_at: now + i as u64 * SEC,
+        let front = |(index, load): (usize, &u64)| Front {
+            id: (NodeId(index as u64 + 1), 1),
+            bucket: ShareBucket::first_of_incarnation(rate, now + index as u64 * SEC, now + index as u64 * SEC),
+            started_at: now + index as u64 * SEC,
             last_request_id: 0,
             sent: BTreeMap::new(),
-            load: *l,
+            load: *load,
             frozen_until: 0,
             waiting: VecDeque::new(),
-            clock_offset: i as u64 * SEC,
+            clock_offset: index as u64 * SEC,
             cut_off_until: 0,
         };
         Simulation {
@@ -428,13 +435,13 @@
             delay: 5 * MS,
             lease_began_at: now,
             planted: Planted::Nothing,
-            holder_alone: 0,
-            cut_chance: 30,
+            holder_alone_chance: 0,
+            partition_chance: 30,
             registered: None,
         }
     }
 
-    /// Sends a message that may be lost, late, out of order or duplicated.
+    /// Sends a message that may be lost, delayed, reordered or duplicated.
     fn send(&mut self, to_previous: bool, make: impl Fn() -> Packet) {
         for _ in 0..if self.rng.chance(self.loss / 2) { 2 } else { 1 } {
             if !self.rng.chance(self.loss) {
@@ -477,7 +484,7 @@
         self.fronts.iter().position(|front| front.id == id)
     }
 
-    /// A lease holder receives a request.
+    /// Handles a request at a lease holder.
     fn on_request(
         &mut self,
         to_previous: bool,
@@ -506,7 +513,7 @@
         }
     }
 
-    /// The current lease holder registers a front, and records what it reports under this lease.
+    /// Registers a front with the current lease holder, and records the front's report under this lease.
     fn record_report(&mut self, index: usize, request_id: u64, request: &ShareRequest, (age, idle): (Micros, Micros)) {
         let now = self.now;
         let front = &self.fronts[index];
@@ -514,7 +521,7 @@
         if let Some(registered) = &mut self.registered {
             registered.insert(by, (index, now));
         }
-        // As for a request that carries the claim of this lease.
+        // The request was sent under this lease, and carries its claim.
         let sent_at = front.sent.get(&request_id);
         if sent_at.is_some_and(|sent_at| sent_at - front.clock_offset >= self.lease_began_at) {
             let age = if self.planted == Planted::OverstatesAge { age + 5 * SEC } else { age };
@@ -524,7 +531,7 @@
         }
     }
 
-    /// A front receives a grant.
+    /// Applies a grant at a front, unless the front is frozen or partitioned.
     fn on_grant(&mut self, index: usize, request_id: u64, grant: ShareGrant) {
         let now = self.now;
         let front = &mut self.fronts[index];
@@ -536,7 +543,7 @@
         }
     }
 
-    /// A call comes to a front by chance; those that wait get units or give up.
+    /// Starts a call at a front by chance; waiting calls take units or time out.
     fn serve_calls(&mut self, index: usize, draw: u64) {
         let now = self.now;
         let front = &mut self.fronts[index];
@@ -550,9 +557,9 @@
                         self.ran.push(now);
                     }
                 }
-                AcquireOutcome::RateExhausted { wait, may_get_more, .. } if may_get_more || wait < PATIENCE => {
+                AcquireOutcome::RateExhausted { wait, may_get_more, .. } if may_get_more || wait < MAX_WAIT => {
                     front.bucket.request_soon();
-                    front.waiting.push_back(now + PATIENCE);
+                    front.waiting.push_back(now + MAX_WAIT);
                 }
                 _ => {
                     front.bucket.request_soon();
@@ -594,10 +601,10 @@
     /// Injects a random fault.
     fn inject_fault(&mut self) {
         let now = self.now;
-        let i = usize::try_from(self.rng.below(self.fronts.len() as u64)).unwrap();
+        let index = usize::try_from(self.rng.below(self.fronts.len() as u64)).unwrap();
         match self.rng.below(7) {
             0 => {
-                // A lease holder is lost or frozen; the next one starts after its lease.
+                // The lease holder is lost or frozen; the next lease holder starts after the end of the lease.
                 self.holder_down_until = now + self.rng.below(2 * SEC);
                 let mut pools = SharePools::default();
                 pools.begin_lease(0, false, self.holder_down_until.max(now), 0);
@@ -605,9 +612,9 @@
                 self.previous_pools =
                     Some((previous, now + self.rng.below(self.holder_down_until.saturating_sub(now) + 1)));
             }
-            1 => self.fronts[i].frozen_until = now + self.rng.below(6 * SEC),
+            1 => self.fronts[index].frozen_until = now + self.rng.below(6 * SEC),
             2 => {
-                let front = &mut self.fronts[i];
+                let front = &mut self.fronts[index];
                 front.id.1 += 1;
                 front.started_at = now + front.clock_offset;
                 front.bucket = ShareBucket::first_of_incarnation(self.rate, front.started_at, front.started_at);
@@ -618,25 +625,26 @@
             5 => self.delay = 1 + self.rng.below(400 * MS),
             _ => {
                 let load = self.rng.below(200_000);
-                self.fronts[i].load = load;
+                self.fronts[index].load = load;
             }
         }
     }
 }
 
 impl Simulation {
-    /// The lease holder and most fronts lose power; some fronts are cut off instead and go on spending.
+    /// Simulates a power loss of the lease holder and most fronts; other fronts are partitioned and keep spending
+    /// units.
     fn lose_power(&mut self) {
         let now = self.now;
         let ignores_cut_off = self.planted == Planted::IgnoresCutOff;
         self.previous_pools = None;
         self.in_flight.clear();
-        let fronts = if self.rng.chance(self.holder_alone) { 0 } else { self.fronts.len() };
-        for i in 0..fronts {
-            let cut = now + self.rng.below(8 * SEC);
-            let front = &mut self.fronts[i];
-            if self.rng.chance(self.cut_chance) {
-                front.cut_off_until = cut;
+        let front_count = if self.rng.chance(self.holder_alone_chance) { 0 } else { self.fronts.len() };
+        for index in 0..front_count {
+            let cut_off_until = now + self.rng.below(8 * SEC);
+            let front = &mut self.fronts[index];
+            if self.rng.chance(self.partition_chance) {
+                front.cut_off_until = cut_off_until;
             } else {
                 front.id.0.0 += 100;
                 front.started_at = now + front.clock_offset;
@@ -645,16 +653,16 @@
                 front.waiting.clear();
             }
         }
-        // The fence of restarted voters, the first request for the lease and its renewal.
+        // The time in which restarted voters grant no lease, the first lease request and its renewal.
         self.holder_down_until = now + SEC;
         self.lease_began_at = self.holder_down_until;
         let registered = self.registered.get_or_insert_default();
         registered.retain(|_, incarnation| now < incarnation.1 + 20 * SEC);
-        let is_known = |incarnation: &(NodeId, u64), i: usize| {
-            !ignores_cut_off || self.fronts[i].id != *incarnation || self.fronts[i].cut_off_until <= now
+        let is_known = |incarnation: &(NodeId, u64), index: usize| {
+            !ignores_cut_off || self.fronts[index].id != *incarnation || self.fronts[index].cut_off_until <= now
         };
         let all = registered.iter().filter(|incarnation| is_known(incarnation.0, incarnation.1.0));
-        let lives: Vec<_> = all
+        let suspects: Vec<_> = all
             .map(|(incarnation, front_and_use)| RegisteredIncarnation {
                 node_id: incarnation.0,
                 incarnation: incarnation.1,
@@ -663,10 +671,11 @@
             .collect();
         self.pools = SharePools::default();
         self.pools.begin_lease(0, false, self.holder_down_until, 0);
-        self.pools.set_suspects(0, &lives);
+        self.pools.set_suspects(0, &suspects);
     }
 }
 
+/// Simulates repeated power losses. Returns whether no interval exceeded the limit, and the number of calls that ran.
 fn survives_power_losses(seed: u64, planted: Planted) -> (bool, usize) {
     let mut rng = Rng::new(seed);
     let kind = seed % 3;
@@ -675,13 +684,13 @@
             let rate = Rate { milli_per_second: 5_000 + rng.below(80_000), burst_milli: 5_000 + rng.below(80_000) };
             (rate, (0..2 + rng.below(6)).map(|_| 20_000 + rng.below(100_000)).collect())
         }
-        // Nodes use loans and hold no share: their demand is small, and the burst is too small for a unit each.
-        // Often the lease holder alone loses power.
+        // Nodes use loans and hold no share: their demand is low, and the burst is too small for a unit at each node.
+        // Often only the lease holder loses power.
         1 => {
             let rate = Rate { milli_per_second: 2_000 + rng.below(3_000), burst_milli: 8_000 + rng.below(6_000) };
             (rate, (0..5 + rng.below(3)).map(|_| 1_000 + rng.below(2_000)).collect())
         }
-        // The burst is that of many seconds, and nobody is cut off.
+        // The burst takes many seconds to refill, and no front is partitioned.
         _ => {
             let rate = Rate { milli_per_second: 2_000 + rng.below(5_000), burst_milli: 30_000 + rng.below(30_000) };
             (rate, (0..2 + rng.below(6)).map(|_| 20_000 + rng.below(100_000)).collect())
@@ -690,8 +699,8 @@
     let mut simulation = Simulation::new(seed, rate, &loads, true);
     simulation.registered = Some(BTreeMap::new());
     simulation.planted = planted;
-    simulation.holder_alone = if kind == 1 { 50 } else { 0 };
-    simulation.cut_chance = if kind == 2 { 0 } else { 30 };
+    simulation.holder_alone_chance = if kind == 1 { 50 } else { 0 };
+    simulation.partition_chance = if kind == 2 { 0 } else { 30 };
     let mut next = simulation.now + 3 * SEC;
     while simulation.now < 140 * SEC {
         simulation.step();
@@ -705,7 +714,7 @@
 }
 
 #[test]
-fn no_interval_exceeds_the_limit_when_all_lose_power_and_some_are_cut_off() {
+fn no_interval_exceeds_the_limit_after_power_losses_and_partitions() {
     let mut ran = 0;
     for seed in 0..100 {
         let (within, calls) = survives_power_losses(seed, Planted::Nothing);
@@ -726,7 +735,7 @@
         |node, incarnation, addr: &str| RegisteredIncarnation { node_id: NodeId(node), incarnation, addr: addr.into() };
     let (replied_at, later) = (SEC + 100 * MS, SEC + 600 * MS);
     type Reply<'addr> = (u64, u64, &'addr str, bool);
-    // Who replied: node, incarnation, address, and whether its request names the tenant.
+    // The replies: node, incarnation, address, and whether the node's request names the tenant.
     let cases: &[(&str, &[RegisteredIncarnation], &[Reply], bool)] = &[
         ("nobody is registered: they end by time", &[], &[(9, 1, "a", true)], false),
         ("the only suspect reports its share", &[registered(1, 1, "a")], &[(1, 1, "a", true)], true),
@@ -767,15 +776,16 @@
     }
 }
 
-/// What a lease holder's pool has, in whole units, right after no suspect is left.
+/// A new lease holder's pool that started empty would reject calls although no node used the rate. Checks the whole
+/// units in the pool right after the last suspect was cleared.
 #[test]
 fn the_pool_is_refilled_for_the_time_in_which_provably_nobody_used_the_rate() {
     let registered =
         |node, addr: &str| RegisteredIncarnation { node_id: NodeId(node), incarnation: 1, addr: addr.into() };
-    /// Who replied: node, address, its age, and for how long it was idle if its request names the tenant.
+    /// A reply: node, address, the age of its incarnation, and how long it was idle if its request names the tenant.
     type Reply<'addr> = (u64, &'addr str, Micros, Option<Micros>);
     let (half, second) = (500 * MS, SEC);
-    // Ten units a second, and clocks may run fast by a fiftieth.
+    // Ten units per second, and clocks may run fast by a fiftieth.
     let cases: &[(&str, &[RegisteredIncarnation], &[Reply], u32)] = &[
         ("replaced half a second ago", &[registered(1, "a")], &[(9, "a", half, None)], 4),
         ("replaced just now", &[registered(1, "a")], &[(9, "a", 0, None)], 0),
@@ -800,7 +810,8 @@
             0,
         ),
         ("one did not reply", &[registered(1, "a"), registered(2, "b")], &[(9, "a", second, None)], 0),
-        // The burst is 10; the lease began 0.1 s ago, and up to a share lease before that others may have used it.
+        // The burst is 10. The lease began 0.1 s ago, and unregistered nodes may have used the rate up to a share lease
+        // before that.
         ("longer than voters know of", &[registered(1, "a")], &[(9, "a", 60 * SEC, None)], 10),
         ("nobody is registered", &[], &[(9, "a", second, None)], 0),
     ];
@@ -844,8 +855,8 @@
     assert_eq!(grant.loaned_units, 4, "an incarnation that voters have forgotten may have used it before that");
 }
 
-/// A node that holds a share reports it, and for how long: only what nobody held is credited, and only once the
-/// reported share is known not to be part of that.
+/// Only a share that no node held is credited to the pool, and only once the reported shares are known not to be part
+/// of it; otherwise the units of a held share would be granted twice.
 #[test]
 fn a_held_share_is_not_credited() {
     let suspects = [(1, "a"), (2, "b")].map(|(node, addr)| RegisteredIncarnation {
@@ -854,7 +865,8 @@
         addr: addr.into(),
     });
     let (lease_began_at, now) = (100 * SEC, 100 * SEC + 100 * MS);
-    // What both hold, what the first one reported before without a claim, and whole units of ten a second.
+    // The shares of both nodes, the share that the first node reported earlier without a claim, and the whole units in
+    // the pool at ten units per second.
     for (name, held, before, expected) in [
         ("nothing", (0, 0), None, 9),
         ("half", (250_000, 250_000), None, 4),
@@ -887,7 +899,7 @@
 }
 
 #[test]
-fn a_bucket_is_idle_since_it_was_given_something_or_its_share_changed() {
+fn a_bucket_is_idle_since_its_last_grant_or_change_of_share() {
     let second = 2 * SEC;
     for (name, held, grant, idle) in [
         ("nothing", 0, grant_of(0, 0), 2 * SEC),
@@ -916,7 +928,7 @@
     );
 }
 
-/// A tenant that one configuration removes and a later one brings back may have been used in between.
+/// A tenant that one configuration removes and a later one adds again may still be served by units from before.
 #[test]
 fn only_the_first_configuration_with_tenants_proves_them_unused() {
     let compile = |document: &str| CompiledConfig::compile(1, document);
@@ -957,7 +969,8 @@
 
 #[test]
 fn below_the_limit_nothing_is_rejected_once_shares_follow_the_demand() {
-    // Calls a second of each front, against 40 a second with a burst of 40; allowed rejections of a thousand.
+    // The load of each front in thousandths of calls per second, for a rate of 40 per second with a burst of 40, and
+    // the allowed rejections per thousand calls.
     let rate = Rate { milli_per_second: 40_000, burst_milli: 40_000 };
     for (name, loads, allowed_per_thousand) in [
         ("evenly", [3_300; 6], 1),
--- a/crates/core/tests/slices.rs
+++ b/crates/core/tests/slices.rs
@@ -1,5 +1,5 @@
-//! How the lease holder of a window answers requests while it recalls idle units, and how a node applies the
-//! responses.
+//! Tests of the lease holder's responses to requests while it recalls idle units of a window, and of the node that
+//! applies these responses.
 
 mod fleet;
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// A recall proves nothing for requests that came after it started.
+/// A recall doesn't prove that no unit is idle for requests that arrived after the recall started.
 #[test]
 fn a_request_during_a_recall_is_reported_spent_only_after_a_recall_of_its_own() {
     let mut ledger = WindowLedger::default();
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_node_that_does_not_answer_a_recall_is_sent_it_once_more() {
+fn an_unanswered_recall_is_retried_once() {
     let mut ledger = WindowLedger::default();
     let start = 10 * SEC;
     grant_all_to_one(&mut ledger, start);
@@ -82,11 +82,11 @@
     assert_eq!(nodes_reported_spent(&over), [2], "{over:?}");
 }
 
-/// A call that waits for a slot keeps its unit until others need it more.
+/// A call that waits for a slot would block a unit that other calls could use: a recall takes its unit back.
 #[test]
 fn the_unit_of_a_call_that_waits_for_a_slot_is_returned_on_a_recall() {
     let start = 10 * SEC;
-    // What happens while it waits; whether it has its unit afterwards, and what is returned and free.
+    // The event while the call waits; whether the call has its unit afterwards; the returned and the free units.
     type Meanwhile = fn(&WindowSlices, u64);
     let cases: [(&str, Meanwhile, bool, (u64, u64)); 4] = [
         ("nothing", |_, _| {}, true, (0, 1)),
@@ -119,7 +119,7 @@
     assert!(!slices.park(TENANT, 0), "a unit of a rate stays with its call");
 }
 
-/// A report has the window end later than it does, by the time that the report was under way.
+/// The end of a window in a report is late by the delay of the report, and must not prolong the validity of units.
 #[test]
 fn a_report_that_a_window_is_spent_prolongs_no_unit() {
     let slices = WindowSlices::default();
@@ -135,10 +135,11 @@
     assert_eq!(after, AcquireOutcome::WindowSpent { remaining: 150 * MS }, "the slice ended 50 ms ago");
 }
 
-/// A core that does not rank first for the tenant's role.
+/// A core that is not the first candidate for the lease of the tenant's role.
 const REQUESTER: u64 = 2;
 
-/// One core of three, to which another one can respond as the lease holder of the tenant's role.
+/// Starts one core of three, to which another core can respond as the lease holder of the tenant's role. Returns the
+/// fleet, the lease holder, and the number of the core's request.
 fn requester() -> (Fleet, u64, u64) {
     let mut initial = decree(0, 0, &[], &[1, 2, 3]);
     initial.body = r#"{"defaults":{"quota":{"calls":60,"window_ms":1000}},"pools":{"llm":{}},
@@ -166,8 +167,8 @@
 }
 
 #[test]
-fn a_report_of_a_window_that_ended_meanwhile_rejects_nobody() {
-    // The remaining time as reported, the additional delay, and whether the window still runs on arrival.
+fn a_report_of_a_window_that_has_ended_rejects_no_call() {
+    // The reported remaining time, the additional delay, and whether the window still runs on arrival.
     for (remaining, delay, runs) in [
         (58 * MS, 0, true),
         (58 * MS, 57 * MS, true),
@@ -197,7 +198,8 @@
     }
 }
 
-/// The lease holder counts whatever it granted as this node's, also for a request that was delivered twice.
+/// A request that was delivered twice is granted twice. The lease holder counts both grants as held by this node, so
+/// units that the node ignored would be lost.
 #[test]
 fn units_for_a_request_that_was_delivered_twice_are_applied() {
     for has_response_between in [false, true] {
--- a/crates/core/tests/token_rates.rs
+++ b/crates/core/tests/token_rates.rs
@@ -1,4 +1,4 @@
-//! Rates that count tokens: calls of very different sizes, shared by many nodes.
+//! Tests of rates that count tokens: calls of very different sizes at many nodes that share a rate.
 
 use std::collections::{BTreeMap, VecDeque};
 use sumacvale_core::base::{MS, Micros, NodeId, Rng, SEC};
@@ -12,7 +12,7 @@
     ShareGrant { granted: true, share, burst_milli, loaned_units }
 }
 
-/// A bucket that was granted this at the time of its request.
+/// Returns a bucket that received this grant at the time of its request.
 fn granted_bucket(grant: ShareGrant, now: Micros) -> ShareBucket {
     let mut bucket = ShareBucket::new(RATE, now);
     bucket.make_request(0, 1, 0, now);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_measure_tells_how_many_units_a_call_takes() {
+fn a_measure_determines_the_units_of_a_call() {
     let tokens = Measure::Tokens { default_units: 200 };
     for (name, measure, known, expected) in [
         ("calls", Measure::Calls, (1_460, 80), 1),
@@ -48,7 +48,7 @@
     for (quota, expected) in [
         (r#"{"rate":38,"burst":38}"#, (rate(38_000, 38_000), Measure::Calls)),
         (r#"{"rate":38,"burst":38,"measure":"calls"}"#, (rate(38_000, 38_000), Measure::Calls)),
-        // Units that are used late reduce the burst where the slack doesn't cover them.
+        // Units that are used late reduce the burst if the slack doesn't cover them.
         (
             r#"{"rate":926801,"burst":926801,"over":0.1,"slack":140000,"measure":"tokens","untold":200}"#,
             (rate(1_019_481_100, 696_080_600), Measure::Tokens { default_units: 200 }),
@@ -98,7 +98,7 @@
         AcquireOutcome::Acquired { window, .. } => window,
         other => panic!("{other:?}"),
     };
-    // Acquired at the same moment, and still distinguished.
+    // Acquired at the same time, and still distinguished.
     let (small, large) = (take(&mut bucket, 2_000), take(&mut bucket, 60_000));
     assert_ne!(small, large);
     bucket.refund(large, SEC);
@@ -143,6 +143,7 @@
     }
 }
 
+/// A node that serves calls from its share.
 struct Front {
     bucket: ShareBucket,
     last_request_id: u64,
@@ -150,7 +151,7 @@
     waiting: VecDeque<(Micros, u32)>,
 }
 
-/// What became of the calls.
+/// The outcome of all calls of a simulation.
 #[derive(Debug, Default)]
 struct Outcome {
     ran: Vec<(Micros, u32)>,
@@ -158,10 +159,11 @@
     calls: u64,
 }
 
-/// Simulates nodes and the lease holder of their tenant's rate, a millisecond apart. `load` is the demand of all
-/// nodes together, in units a second.
+/// Simulates nodes and the lease holder of their tenant's rate; messages arrive after a millisecond. `load` is the
+/// total demand of all nodes, in units per second.
 fn simulate(seed: u64, fronts: usize, load: u64, seconds: u64) -> Outcome {
-    const PATIENCE: Micros = 125 * MS;
+    /// The longest time that a call waits for units, in microseconds.
+    const MAX_WAIT: Micros = 125 * MS;
     let mut rng = Rng::new(seed);
     let mut now = 100 * SEC;
     let mut pool = SharePool::full(RATE, now);
@@ -176,7 +178,7 @@
     let mut responses: VecDeque<(Micros, usize, u64, ShareGrant)> = VecDeque::new();
     let mut outcome = Outcome::default();
     let nodes = fronts.len() as u64;
-    // Three of four are short, the others long: 5,000 units in the mean.
+    // Three of four calls are short, the others long: 5,000 units on average.
     let size = |rng: &mut Rng| {
         let units = if rng.chance(75) { 600 + rng.below(4_000) } else { 3_000 + rng.below(19_000) };
         u32::try_from(units).expect("small")
@@ -194,7 +196,7 @@
                 front.bucket.apply_grant(request_id, grant, at, now);
             }
         }
-        // The whole calls of a millisecond, and one more by chance for the rest.
+        // The whole calls of a millisecond, and one more by chance for the fraction.
         let arriving = load / 1_000 / mean_units + u64::from(load / 1_000 % mean_units > rng.below(mean_units));
         for _ in 0..arriving {
             let index = usize::try_from(rng.below(nodes)).expect("small");
@@ -205,7 +207,7 @@
                 AcquireOutcome::Acquired { .. } => outcome.ran.push((now, units)),
                 _ => {
                     front.bucket.request_soon();
-                    front.waiting.push_back((now + PATIENCE, units));
+                    front.waiting.push_back((now + MAX_WAIT, units));
                 }
             }
         }
@@ -239,8 +241,8 @@
     outcome
 }
 
-/// The most units that ran in any interval of this length.
-fn most_in(ran: &[(Micros, u32)], length: Micros) -> u64 {
+/// Returns the most units that ran in any interval of this length.
+fn max_units_in(ran: &[(Micros, u32)], length: Micros) -> u64 {
     let (mut from, mut sum, mut most) = (0, 0, 0);
     for (at, units) in ran {
         sum += u64::from(*units);
@@ -273,9 +275,9 @@
         for seed in 0..3 {
             let outcome = simulate(seed, fronts, load, 20);
             for length in [SEC, 3 * SEC, 8 * SEC] {
-                // What was lent before the interval may be used in it.
+                // Units that were lent before the interval may be used within it.
                 let allowed = RATE.milli_per_second / 1_000 * (length + LOAN_DURATION) / SEC + RATE.burst_milli / 1_000;
-                let most = most_in(&outcome.ran, length);
+                let most = max_units_in(&outcome.ran, length);
                 assert!(most <= allowed, "{fronts} nodes, seed {seed}: {most} in {length} us, {allowed} allowed");
             }
             let ran: u64 = outcome.ran.iter().map(|call| u64::from(call.1)).sum();
@@ -288,7 +290,7 @@
     }
 }
 
-/// One large call is no lasting demand: its node gets no share for it, which would be missing for all others.
+/// One large call is no lasting demand: a share granted for it would be missing at all other nodes.
 #[test]
 fn a_single_large_call_changes_no_share() {
     let mut bucket = ShareBucket::new(RATE, SEC);
@@ -301,7 +303,7 @@
     let mut pool = SharePool::full(RATE, SEC);
     let grant = pool.request((NodeId(1), 1), 1, &request, RATE, 90, 9 * SEC).expect("a response");
     assert!(grant.share * 90 <= FULL_SHARE, "{grant:?} for {request:?}");
-    // Many calls in each second are.
+    // Many calls per second are a lasting demand.
     let mut bucket = ShareBucket::new(RATE, SEC);
     (0..40).for_each(|_| {
         bucket.acquire_units(10_000, SEC);
@@ -312,9 +314,10 @@
     assert!(grant.share > FULL_SHARE / 4, "{grant:?} for {request:?}");
 }
 
-/// A call that came while a request was pending is not part of it: the response means nothing for this call.
+/// A call that arrives while a request is pending is not part of that request: a response without units must not reject
+/// the call.
 #[test]
-fn a_call_during_a_pending_request_is_requested_for_before_it_is_rejected() {
+fn units_for_a_call_during_a_pending_request_are_requested_before_it_is_rejected() {
     let may_get_more =
         |outcome: AcquireOutcome| matches!(outcome, AcquireOutcome::RateExhausted { may_get_more: true, .. });
     let mut bucket = granted_bucket(grant_of(0, 0, 0), SEC);
@@ -328,12 +331,12 @@
     bucket.request_soon();
     assert!(bucket.is_request_due(true, now + 5 * MS));
     assert_eq!(bucket.make_request(7, 3, 0, now + 5 * MS).missing_units, 3_000);
-    // Now the lease holder has responded that it has none.
+    // Now the lease holder has responded that it has no units.
     assert!(bucket.apply_grant(3, grant_of(0, 0, 0), now + 5 * MS, now + 6 * MS));
     assert!(!may_get_more(bucket.acquire_for_waiter(3_000, now + 6 * MS)));
 }
 
-/// Too few units for a large call may be enough for smaller ones.
+/// Too few units for a large call may be enough for smaller calls, which must not be rejected.
 #[test]
 fn a_large_call_that_finds_too_few_units_causes_no_rejection_of_a_small_one() {
     let may_get_more =
--- a/crates/core/tests/workers.rs
+++ b/crates/core/tests/workers.rs
@@ -1,5 +1,5 @@
-//! Reports of workers: their order, addresses that pass to another worker, and removals that every node
-//! knows in time.
+//! Tests of worker reports: their order, addresses that another worker takes over, and removals that every node
+//! learns in time.
 
 use std::collections::BTreeMap;
 use sumacvale_core::base::{ChangeId, MS, Micros, NodeId, SEC};
@@ -29,7 +29,7 @@
     WorkerReport { removed: true, ..report(worker_id, seq) }
 }
 
-/// A worker of another pool at the same address.
+/// Returns the first report of a worker of another pool at the same address.
 fn successor(worker_id: &str) -> WorkerReport {
     WorkerReport { pool: "q".into(), ..report(worker_id, 1) }
 }
@@ -42,7 +42,7 @@
 type Periods = &'static [(Micros, Micros)];
 
 #[test]
-fn reports_count_by_their_sequence_and_a_removal_is_final() {
+fn the_newest_report_takes_precedence_and_a_removal_is_final() {
     let bare_leave = |worker_id: &str| WorkerReport::removal(worker_id, 1);
     let other = WorkerReport { addr: "10.0.0.2:80".into(), ..report("b", 1) };
     let cases: [(&str, TimedReports, Micros, &str); 15] = [
@@ -105,21 +105,21 @@
     }
 }
 
-/// A few nodes; a frame is under way for a millisecond.
+/// A simulated network of a few nodes; each frame arrives after a millisecond.
 struct Net {
     now: Micros,
     nodes: Vec<Option<Node>>,
-    /// Frames that are under way, by when they arrive and their number.
-    frames: BTreeMap<(Micros, u64), FrameOnWire>,
-    /// Machines whose frames are all lost.
+    /// Frames in flight, by arrival time and number.
+    frames: BTreeMap<(Micros, u64), InFlightFrame>,
+    /// Partitioned machines, all of whose frames are lost.
     cut_off: Vec<usize>,
     frame_number: u64,
     acknowledgements: Vec<Acknowledgement>,
-    /// The workers that each machine may send requests to.
+    /// The ids of the workers that each machine may send requests to.
     workers: Vec<Vec<String>>,
 }
 
-struct FrameOnWire {
+struct InFlightFrame {
     from: usize,
     to: usize,
     frame: Frame,
@@ -206,8 +206,8 @@
                 Effect::Send { to, frame } => {
                     let Some(to) = (0..MACHINES).find(|other| addr(*other) == to) else { continue };
                     self.frame_number += 1;
-                    let on_wire = FrameOnWire { from: machine, to, frame: *frame };
-                    self.frames.insert((now + MS, self.frame_number), on_wire);
+                    let in_flight = InFlightFrame { from: machine, to, frame: *frame };
+                    self.frames.insert((now + MS, self.frame_number), in_flight);
                 }
                 Effect::Write { token, .. } => self.step(machine, Event::Synced(token)),
                 Effect::AcknowledgeReport { request_id, is_accepted } => {
@@ -226,7 +226,7 @@
         while self.now < end {
             self.now += MS;
             while let Some(entry) = self.frames.first_entry().filter(|entry| entry.key().0 <= self.now) {
-                let FrameOnWire { from, to, frame } = entry.remove();
+                let InFlightFrame { from, to, frame } = entry.remove();
                 if !self.cut_off.contains(&from) && !self.cut_off.contains(&to) {
                     self.step(to, Event::Frame(Box::new(frame)));
                 }
@@ -243,23 +243,23 @@
         self.step(machine, Event::ReportWithAck { request_id, report });
     }
 
-    /// Whether a report was accepted, and when it was answered.
+    /// Returns whether a report was accepted, and when it was answered.
     fn answer(&self, request_id: u64) -> Option<(bool, Micros)> {
         let answers = |acknowledgement: &&Acknowledgement| acknowledgement.request_id == request_id;
         self.acknowledgements.iter().find(answers).map(|answer| (answer.is_accepted, answer.at))
     }
 
-    /// The fronts that may send requests to a worker.
+    /// Returns the fronts that may send requests to a worker.
     fn fronts_using(&self, worker_id: &str) -> Vec<usize> {
         (CORES..MACHINES).filter(|front| self.workers[*front].iter().any(|known| known == worker_id)).collect()
     }
 
-    /// The fronts that run and may send requests to a worker.
+    /// Returns the running fronts that may send requests to a worker.
     fn running_fronts_using(&self, worker_id: &str) -> Vec<usize> {
         self.fronts_using(worker_id).into_iter().filter(|front| self.nodes[*front].is_some()).collect()
     }
 
-    /// The machine of the first home node of the pool in zone z1, as a core knows it.
+    /// Returns the machine of the pool's first home node in zone z1, by a core's knowledge.
     fn home_node(&self, core: usize) -> usize {
         let node = self.nodes[core].as_ref().expect("it runs");
         let home = node.dissemination.peers.home_nodes("p", "z1", self.now)[0];
@@ -316,7 +316,7 @@
         ),
         ("another core was dead", |net| kill(net, 1), |net| kill(net, 0), 700 * MS),
         ("a front was dead", |net| kill(net, 5), |net| net.cut_off.push(0), 700 * MS),
-        // It could not be reached while the first core lived.
+        // The front was unreachable until the first core was lost.
         (
             "a front comes back in contact",
             |net| net.cut_off.push(7),
@@ -439,15 +439,15 @@
     WorkerReport { addr: "10.0.0.7:80".into(), ..unnumbered(worker_id, seq) }
 }
 
-/// An id that reappears with a lower sequence number is another incarnation once the known one is silent;
-/// an incarnation that drained or left by its own report stays out of service until it is forgotten.
+/// An id that reappears with a lower sequence number is a new incarnation once the known one has timed out. An
+/// incarnation that drained or left by its own report stays out of service until it is removed from the table.
 #[test]
 fn an_id_whose_sequence_starts_over_is_another_incarnation() {
     type MakeReport = fn(&str, u64) -> WorkerReport;
     let bare_leave: MakeReport = |worker_id, _| WorkerReport::removal(worker_id, UNNUMBERED_INCARNATION);
     let drains: MakeReport = |worker_id, seq| WorkerReport { draining: true, ..unnumbered(worker_id, seq) };
-    // The last report, with number 50; how long after it the id starts over, where and with which number;
-    // whether that is accepted, and the worker is sent requests.
+    // The last report, with number 50; the pause before the id starts over; the first report after that and its number;
+    // whether that report is accepted and the worker is sent requests.
     let cases: [(&str, MakeReport, Micros, MakeReport, u64, bool); 11] = [
         ("at once, at the same address", unnumbered, 200 * MS, unnumbered, 1, false),
         ("at once, elsewhere", unnumbered, 200 * MS, unnumbered_elsewhere, 1, false),
@@ -467,7 +467,7 @@
         net.run(300 * MS);
         net.report(1, 2, last_report("a", 50));
         net.run(pause);
-        // At the core that received the last report, and at another one.
+        // At the core that received the last report, and at another core.
         for (core, request_id) in [(1, 10), (2, 11)] {
             net.report(core, request_id, first_report("a", seq + request_id - 10));
             net.run(900 * MS);
@@ -481,7 +481,7 @@
         if !is_accepted {
             continue;
         }
-        // It goes on as any other does: it drains, and its removal is final.
+        // The accepted incarnation behaves as any other: it drains, and its removal is final.
         net.report(0, 20, drains("a", seq + 5));
         net.run(700 * MS);
         assert_eq!(net.answer(20).map(|answer| answer.0), Some(true), "{name}");
@@ -499,9 +499,9 @@
     }
 }
 
-/// A quick restart under the same id is known once the former incarnation has timed out.
+/// A worker that restarts quickly under the same id returns to service once the former incarnation has timed out.
 #[test]
-fn a_worker_that_restarts_under_its_id_is_back_soon() {
+fn a_worker_that_restarts_under_its_id_returns_to_service_soon() {
     for first_report in [unnumbered, unnumbered_elsewhere] {
         let mut net = Net::new();
         net.report(0, 1, unnumbered("a", 500));
