--- a/crates/node/tests/upstream.rs
+++ b/crates/node/tests/upstream.rs
@@ -477,7 +477,7 @@
                 "{request:?}: {response:?}"
             );
         }
-        // A response in flight outlives the idle time-out and the shutdown; an idle connection is closed at the shutdown.
+        // A response in flight outlives the idle time-out and the shutdown. The shutdown closes an idle connection.
         limits.set_header_timeout(60_000_000);
         limits.set_idle_timeout(60_000_000);
         let mut idle = tokio::net::TcpStream::connect(addr).await?;
