--- a/crates/node/src/control/channels.rs
+++ b/crates/node/src/control/channels.rs
@@ -1,22 +1,22 @@
-//! The channels into and out of the control thread; see the table in the module above.
+//! The channels of the control thread; the documentation of [`crate::control`] lists them all.
 
 use crate::shared::{Command, PublishedVersion};
 use tokio::sync::{mpsc, watch};
 
-/// How many commands may wait for the node.
+/// Maximum number of queued commands.
 pub const COMMAND_CAPACITY: usize = 4_096;
 
-/// The ends that other threads hold.
+/// The channel ends that other threads hold.
 pub struct ControlSenders {
-    /// Commands of calls, operators and workers.
+    /// Sends commands of calls, operators and workers.
     pub commands: mpsc::Sender<Command>,
-    /// Tokens of write jobs that are synced, from the thread `disk`.
+    /// Sends the token of the last synced write job; held by the thread `disk`.
     pub synced: mpsc::UnboundedSender<u64>,
-    /// Sees each version of the configuration that comes into force.
+    /// Receives each version of the configuration that comes into force.
     pub published_version: watch::Receiver<PublishedVersion>,
 }
 
-/// The ends that the control thread holds.
+/// The channel ends that the control thread holds.
 pub struct ControlReceivers {
     pub(super) commands: mpsc::Receiver<Command>,
     pub(super) synced: mpsc::UnboundedReceiver<u64>,
--- a/crates/node/src/control/effects.rs
+++ b/crates/node/src/control/effects.rs
@@ -1,4 +1,4 @@
-//! Carries out the effects of the node, in the order in which it returned them.
+//! Applies the effects of the node, in the order in which the node returned them.
 
 use super::ControlThread;
 use crate::clock;
@@ -9,6 +9,7 @@
 use sumacvale_core::protocol::{Frame, encode_frame};
 
 impl ControlThread {
+    /// Applies one effect.
     pub(super) fn apply(&mut self, effect: Effect) {
         match effect {
             Effect::Send { to, frame } => self.send_frame(&to, &frame),
@@ -43,24 +44,25 @@
                 let is_cross_zone = self.is_in_other_zone(addr);
                 self.links.send(addr, bytes, is_cross_zone);
             }
-            Err(error) => tracing::error!(trouble = %error, "a frame was not sent"),
+            Err(error) => tracing::error!(error = %error, "a frame could not be encoded and was not sent"),
         }
     }
 
+    /// Whether the peer at `addr` is known to be in another zone than this node.
     fn is_in_other_zone(&self, addr: &str) -> bool {
         let own_zone = &self.node.settings.zone;
         let mut peers = self.node.dissemination.peers.entries.values();
         peers.any(|peer| peer.record.addr == addr && peer.record.zone != *own_zone)
     }
 
-    /// Makes a view the one by which calls are served.
+    /// Publishes a view: calls are served by it from now on.
     fn publish(&mut self, view: Arc<View>) {
         let previous_version = *self.receivers.published_version.borrow();
         let version = view.version;
         let workers_changed = self.view_log.record(&view);
         self.shared.view.store(view);
         if previous_version != version {
-            tracing::info!(version = version, "a version is in force");
+            tracing::info!(version = version, "a configuration version is in force");
             let _ = self.receivers.published_version.send(version);
         }
         if workers_changed {
@@ -71,13 +73,13 @@
         }
     }
 
-    /// Once a second while calls are rejected: how many, by reason, and the state of this node's view.
+    /// Logs once a second, while calls are rejected, their number by reason and the state of the view.
     pub(super) fn log_rejections(&mut self) {
         let now = clock::now();
         let Some(counts) = self.rejection_log.line(&self.shared.call_state.rejections, now) else { return };
         let view = self.shared.view.load();
         let stamp_age_ms = view.confirmed_at.map(|confirmed_at| now.saturating_sub(confirmed_at) / MS);
         let (workers, version) = (view.workers.len(), view.version);
-        tracing::warn!(%counts, ?version, ?stamp_age_ms, workers, "calls are refused");
+        tracing::warn!(%counts, ?version, ?stamp_age_ms, workers, "calls were rejected");
     }
 }
--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -1,4 +1,5 @@
-//! The control thread: it alone steps the [`Node`] and carries out the effects that the node returns.
+//! The control thread, the only thread that steps the [`Node`] and applies the effects that the node
+//! returns.
 //!
 //! # Threads
 //!
@@ -6,13 +7,13 @@
 //! |-----------|------------------------------------------------------------------|------|
 //! | `control` | [`ControlThread::run`], the listener for peers and all outbound links, on one thread | with the process; the process exits with 70 if it panics |
 //! | `disk`    | [`crate::disk::DiskWriter`], on cores only                       | when `WriteJob`s can no longer be sent; the process exits with 70 if it panics |
-//! | `calls`   | tokio's workers: listeners for callers and operators, one task for each connection, one [`crate::front`] task for each call | with the process, after the graceful shutdown of [`crate::run`] |
+//! | `calls`   | tokio's worker threads: listeners for callers and operators, one task for each connection, one [`crate::front`] task for each call | with the process, after the graceful shutdown of [`crate::run`] |
 //!
 //! # Channels
 //!
 //! | channel             | capacity        | from                      | to              | when full or closed |
 //! |---------------------|-----------------|---------------------------|-----------------|---------------------|
-//! | commands            | [`COMMAND_CAPACITY`] | all tasks, by [`Shared`] | `control`   | reports without acknowledgement and requests for quota are rejected when full; others wait; `run` returns when all senders are gone |
+//! | commands            | [`COMMAND_CAPACITY`] | all tasks, by [`Shared`] | `control`   | reports without acknowledgement and requests for quota are rejected when full; others wait; `run` returns when all senders are dropped |
 //! | peer frames         | [`FRAME_CAPACITY`] | connections of peers   | `control`       | the connection's reader waits, so TCP slows the peer |
 //! | outbound frames     | 1024 for each peer | `control`              | one task for each peer | the frame is dropped and counted |
 //! | write jobs          | unbounded       | `control`                 | `disk`          | never closed while the node runs |
@@ -20,8 +21,8 @@
 //! | published version   | 1 (the newest)  | `control`                 | calls that wait for a new view | receivers see the last value |
 //! | call events         | unbounded for each call | any task          | the call's task | the event is handed to the next waiter |
 //!
-//! Shutdown: [`crate::run`] sends [`Command::Shutdown`]; the node then leaves its leases and announces
-//! that it drains. The thread steps the node on until the process exits.
+//! Shutdown: [`crate::run`] sends [`Command::Shutdown`]; the node then releases its leases and announces
+//! that it drains. The thread continues to step the node until the process exits.
 
 mod channels;
 mod effects;
@@ -43,17 +44,17 @@
 use tokio::sync::{mpsc, oneshot};
 use view_log::ViewLog;
 
-/// How many frames of peers may wait for the node.
+/// Maximum number of frames of peers that wait for the node.
 pub const FRAME_CAPACITY: usize = 4_096;
-/// How often the node is stepped where nothing else happens.
+/// How often the node gets [`Event::Tick`].
 const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// The node and all that its effects act on; owned by the thread `control`.
+/// The node and the state that its effects act on; owned by the thread `control`.
 pub struct ControlThread {
     node: Node,
     shared: Arc<Shared>,
     receivers: ControlReceivers,
-    /// Jobs for the disk; `None` on a node that is no core.
+    /// Queue of the thread `disk`; `None` on a node that is no core.
     disk_jobs: Option<std::sync::mpsc::Sender<WriteJob>>,
     links: OutboundLinks,
     pending: PendingReplies,
@@ -61,22 +62,23 @@
     rejection_log: RejectionLog,
 }
 
-/// Callers that wait for the node's answer, by the id of their request.
+/// Senders of the replies that the node still owes, by request id.
 #[derive(Default)]
 struct PendingReplies {
-    /// Invariant: each id in the maps is at most this.
+    /// Invariant: at least as high as each id in `changes` and `reports`.
     last_request_id: u64,
     changes: HashMap<u64, oneshot::Sender<ChangeOutcome>>,
     reports: HashMap<u64, oneshot::Sender<bool>>,
 }
 
 impl PendingReplies {
+    /// Returns an id that was not used before.
     fn next_request_id(&mut self) -> u64 {
         self.last_request_id += 1;
         self.last_request_id
     }
 
-    /// Turns a command into the node's event, and keeps the sender of its reply.
+    /// Translates a command into an event of the node, and keeps the sender of its reply.
     fn register_command(&mut self, command: Command) -> Event {
         match command {
             Command::Report(report) => Event::Report(report),
@@ -98,7 +100,7 @@
 }
 
 impl ControlThread {
-    /// The state of the thread; nothing runs before [`ControlThread::spawn`].
+    /// Creates the state of the thread, which starts with [`ControlThread::spawn`].
     pub fn new(
         node: Node,
         shared: Arc<Shared>,
@@ -117,10 +119,10 @@
         }
     }
 
-    /// Starts the thread `control`, which accepts peers on `listener`.
+    /// Starts the thread `control`, which accepts connections of peers on `listener`.
     ///
     /// # Errors
-    /// Where the operating system gives no thread.
+    /// The error of the operating system where the thread can't be started.
     pub fn spawn(self, listener: std::net::TcpListener) -> std::io::Result<()> {
         let run = move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -131,16 +133,16 @@
             })
         };
         std::thread::Builder::new().name("control".into()).spawn(move || {
-            // A node whose view is no longer updated must not go on serving by it.
+            // A node must not serve calls by a view that is no longer updated.
             let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(run));
             if !matches!(result, Ok(Ok(()))) {
-                crate::exit_after_lost_thread("the control thread ended");
+                crate::exit_after_thread_failure("the control thread failed");
             }
         })?;
         Ok(())
     }
 
-    /// Steps the node until all senders of commands are gone.
+    /// Steps the node until all senders of commands are dropped.
     async fn run(mut self, listener: TcpListener) {
         let mut frames = accept_peers(listener, self.shared.link_counters.clone());
         let mut ticks = tokio::time::interval(TICK_INTERVAL);
@@ -164,12 +166,14 @@
         }
     }
 
+    /// Steps the node with an event and applies the effects.
     fn step(&mut self, event: Event) {
         for effect in self.node.step(event, clock::now()) {
             self.apply(effect);
         }
     }
 
+    /// Runs the periodic work that follows each tick.
     fn after_tick(&mut self) {
         self.log_rejections();
         for (tenant, waiting) in self.shared.expire_waiters() {
@@ -178,7 +182,7 @@
     }
 }
 
-/// Starts the listener for peers as a task of this thread; returns the frames that it receives.
+/// Starts the listener for peers as a task of this thread; returns the channel of received frames.
 fn accept_peers(listener: TcpListener, counters: Arc<LinkCounters>) -> mpsc::Receiver<Frame> {
     let (sender, frames) = mpsc::channel::<Frame>(FRAME_CAPACITY);
     let on_frame = async move |frame: Frame| {
--- a/crates/node/src/control/view_log.rs
+++ b/crates/node/src/control/view_log.rs
@@ -1,4 +1,4 @@
-//! Logs which nodes and workers came and went between two views.
+//! Logs which nodes and workers were added or removed between two views.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,16 +6,17 @@
 use sumacvale_core::node::View;
 use sumacvale_core::protocol::WorkerReport;
 
-/// The nodes and workers of the last view that was logged.
+/// Logs the differences between consecutive views.
 #[derive(Default)]
 pub(super) struct ViewLog {
-    /// Whether each node is alive.
+    /// Whether each node was alive in the last logged view.
     nodes: HashMap<NodeId, bool>,
+    /// The workers of the last logged view.
     workers: Arc<Vec<WorkerReport>>,
 }
 
 impl ViewLog {
-    /// Logs how the view differs from the last one; returns whether its list of workers is another.
+    /// Logs how the view differs from the last logged one; returns whether the list of workers changed.
     pub(super) fn record(&mut self, view: &View) -> bool {
         self.log_nodes(view);
         let workers_changed = !Arc::ptr_eq(&self.workers, &view.workers);
@@ -27,12 +28,12 @@
     }
 
     fn log_nodes(&mut self, view: &View) {
-        for (peer, alive) in &view.nodes {
-            if self.nodes.insert(peer.node_id, *alive) != Some(*alive) {
-                if *alive {
-                    tracing::info!(node = %peer.node_id, addr = %peer.addr, zone = %peer.zone, "a node is here");
+        for (peer, is_alive) in &view.nodes {
+            if self.nodes.insert(peer.node_id, *is_alive) != Some(*is_alive) {
+                if *is_alive {
+                    tracing::info!(node = %peer.node_id, addr = %peer.addr, zone = %peer.zone, "a node is alive");
                 } else {
-                    tracing::warn!(node = %peer.node_id, addr = %peer.addr, "a node is gone");
+                    tracing::warn!(node = %peer.node_id, addr = %peer.addr, "a node is no longer alive");
                 }
             }
         }
@@ -46,9 +47,9 @@
     let ids = |workers: &[WorkerReport]| workers.iter().map(|worker| worker.worker_id.clone()).collect::<Vec<_>>();
     let (previous, current) = (ids(previous), ids(current));
     for worker in current.iter().filter(|worker| !previous.contains(worker)) {
-        tracing::info!(%worker, "a worker takes calls");
+        tracing::info!(%worker, "a worker receives calls");
     }
     for worker in previous.iter().filter(|worker| !current.contains(worker)) {
-        tracing::warn!(%worker, "a worker takes no calls");
+        tracing::warn!(%worker, "a worker no longer receives calls");
     }
 }
--- a/crates/node/src/disk/database.rs
+++ b/crates/node/src/disk/database.rs
@@ -1,4 +1,4 @@
-//! The database of a core: a commit is durable as a whole or has no effect.
+//! The database of a core, whose commits are durable as a whole or have no effect.
 
 use super::error::is_transient_sqlite_error;
 use super::record::{self, StoredAccept, StoredBootstrapVote, StoredPromise};
@@ -12,21 +12,21 @@
 use sumacvale_core::consensus::{DurableState, DurableWrite, MAX_DIGESTS, lowest_kept_version};
 use sumacvale_core::protocol::{EntryDigest, LogEntry, RegisteredIncarnation, WindowGrant};
 
-/// How often opening is retried while the disk takes no writes.
+/// Pause between attempts to open the database while the disk takes no writes.
 const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The open database of a core, locked for this process until it is dropped.
 pub struct Database {
     connection: Connection,
-    /// Path of the data folder, for errors.
+    /// Path of the data folder, for error messages.
     folder: String,
-    /// Size in bytes of the body of each log entry that is kept; equal to the rows of `decree`.
+    /// Size in bytes of the body of each stored log entry. Invariant: one element for each row of `decree`.
     entry_sizes: BTreeMap<Version, usize>,
 }
 
 impl Database {
-    /// As [`Database::open`], but retries while the disk is full or in trouble: a core that has not
-    /// counted its new incarnation can't vote yet, and one that exited would only be restarted.
+    /// Opens the database as [`Database::open`] does, but retries while the disk is full or fails: a
+    /// core can't vote before its new incarnation is stored, and if it exited, it would only be restarted.
     ///
     /// # Errors
     /// Those of [`Database::open`] that are not transient.
@@ -34,18 +34,18 @@
         dir: &Path,
         new_node_id: NodeId,
     ) -> Result<(Database, DurableState, Incarnation), DiskError> {
-        let mut logged = false;
+        let mut was_logged = false;
         loop {
             match Database::open(dir, new_node_id) {
                 Err(error) if error.is_transient() => {
-                    if !logged {
-                        tracing::error!(trouble = %error, "the disk takes no writes; this core waits for it and does not vote");
+                    if !was_logged {
+                        tracing::error!(error = %error, "the disk takes no writes; this core waits for it and does not vote");
                     }
-                    logged = true;
+                    was_logged = true;
                     std::thread::sleep(OPEN_RETRY_INTERVAL);
                 }
                 result => {
-                    if logged && result.is_ok() {
+                    if was_logged && result.is_ok() {
                         tracing::info!("the disk takes writes; this core starts");
                     }
                     return result;
@@ -76,8 +76,8 @@
         Ok((database, state, incarnation))
     }
 
-    /// The number of this start. Read within an explicit transaction: where a statement that
-    /// returns a row commits by itself, a failed commit is not reported.
+    /// Stores and returns the number of this incarnation. The transaction is explicit, because a failed
+    /// commit is not reported for a statement that returns a row and commits by itself.
     fn count_incarnation(&mut self) -> Result<Incarnation, DiskError> {
         let transaction = self.connection.transaction()?;
         let incarnation: i64 =
@@ -86,7 +86,7 @@
         Ok(Incarnation::try_from(incarnation).unwrap_or(1))
     }
 
-    /// Folders of earlier releases hold log entries without digests.
+    /// Stores the digests of the log entries where there are none, as in folders of earlier releases.
     fn store_missing_digests(&mut self, state: &DurableState) -> Result<(), DiskError> {
         let stored: i64 = self.connection.query_row("SELECT COUNT(*) FROM digest", [], |row| row.get(0))?;
         if stored > 0 || state.digests.is_empty() {
@@ -95,11 +95,12 @@
         self.commit([DurableWrite::Digests(state.digests.as_slice().to_vec())].iter())
     }
 
+    /// Locks the database for this process.
     fn lock(&mut self) -> Result<(), DiskError> {
         use rusqlite::ErrorCode::{DatabaseBusy, DatabaseCorrupt, DatabaseLocked, NotADatabase};
         schema::lock(&self.connection).map_err(|error| match error.sqlite_error_code() {
             Some(DatabaseBusy | DatabaseLocked) => DiskError::InUse { folder: self.folder.clone() },
-            Some(NotADatabase) => self.unsupported("no SQLite file"),
+            Some(NotADatabase) => self.unsupported("not an SQLite file"),
             Some(DatabaseCorrupt) => self.corrupt(error.to_string()),
             _ => DiskError::Sqlite(error),
         })
@@ -117,7 +118,7 @@
     fn verify(&self) -> Result<(), DiskError> {
         let application_id: i32 = self.query_value("PRAGMA application_id")?;
         if application_id != APPLICATION_ID {
-            return Err(self.unsupported("not marked as sumacvale's"));
+            return Err(self.unsupported("its application id is not that of sumacvale"));
         }
         let integrity: String = self.query_value("PRAGMA integrity_check")?;
         if integrity != "ok" {
@@ -125,12 +126,14 @@
         }
         let format: i64 = self.query_value("SELECT form FROM meta")?;
         if format != FORMAT_VERSION {
-            return Err(self.unsupported(format!("format {format}, this release reads {FORMAT_VERSION}")));
+            return Err(
+                self.unsupported(format!("format version {format}, this release reads version {FORMAT_VERSION}"))
+            );
         }
         Ok(())
     }
 
-    /// The one value of a query; an error that is not transient means a corrupt file.
+    /// Returns the single value of a query; an error that is not transient means a corrupt file.
     fn query_value<T: rusqlite::types::FromSql>(&self, sql: &str) -> Result<T, DiskError> {
         self.connection.query_row(sql, [], |row| row.get(0)).map_err(|error| {
             if is_transient_sqlite_error(&error) { DiskError::Sqlite(error) } else { self.corrupt(error.to_string()) }
@@ -140,7 +143,7 @@
     /// Commits all writes in one transaction and returns once they are synced to disk.
     ///
     /// # Errors
-    /// [`DiskError::Sqlite`]; then none of the writes has an effect and the call may be repeated.
+    /// [`DiskError::Sqlite`]; none of the writes has an effect then, and the call may be retried.
     pub fn commit<'a>(&mut self, writes: impl Iterator<Item = &'a DurableWrite>) -> Result<(), DiskError> {
         let mut entry_sizes = self.entry_sizes.clone();
         let transaction = self.connection.transaction()?;
@@ -153,11 +156,12 @@
     }
 }
 
-/// `SQLite`'s integers are signed.
+/// Converts to the signed integers of `SQLite`; larger values become `i64::MAX`.
 fn to_sql_integer(value: u64) -> i64 {
     i64::try_from(value).unwrap_or(i64::MAX)
 }
 
+/// Applies one write within the transaction.
 fn apply(
     transaction: &Transaction,
     write: &DurableWrite,
@@ -193,6 +197,7 @@
     }
 }
 
+/// Stores part of the state of this voter: a bootstrap vote, a promise or an accepted proposal.
 fn put_vote(transaction: &Transaction, key: &str, body: Vec<u8>) -> Result<(), DiskError> {
     transaction.prepare_cached("INSERT OR REPLACE INTO vote VALUES (?1, ?2)")?.execute(params![key, body])?;
     Ok(())
@@ -205,7 +210,8 @@
     Ok(())
 }
 
-/// Stores a committed log entry and its digest, and deletes what is too old to keep.
+/// Stores a committed log entry and its digest, and deletes the oldest entries and digests beyond the
+/// limits of the history.
 fn append_entry(
     transaction: &Transaction,
     entry: &LogEntry,
@@ -225,6 +231,7 @@
     Ok(())
 }
 
+/// Stores incarnations that are registered.
 fn register(transaction: &Transaction, incarnations: &[RegisteredIncarnation]) -> Result<(), DiskError> {
     let mut insert = transaction.prepare_cached("INSERT OR REPLACE INTO life VALUES (?1, ?2, ?3)")?;
     for registered in incarnations {
@@ -234,6 +241,7 @@
     Ok(())
 }
 
+/// Deletes incarnations that are no longer registered.
 fn deregister(transaction: &Transaction, incarnations: &[(NodeId, Incarnation)]) -> Result<(), DiskError> {
     let mut delete = transaction.prepare_cached("DELETE FROM life WHERE nid = ?1 AND inc = ?2")?;
     for (node_id, incarnation) in incarnations {
@@ -242,7 +250,7 @@
     Ok(())
 }
 
-/// Stores a grant of the newest window; grants of the tenant's earlier windows are deleted.
+/// Stores a grant of the newest window and deletes grants of the tenant's earlier windows.
 fn put_grant(transaction: &Transaction, grant: &WindowGrant) -> Result<(), DiskError> {
     let window = to_sql_integer(grant.window);
     transaction
--- a/crates/node/src/disk/error.rs
+++ b/crates/node/src/disk/error.rs
@@ -5,40 +5,40 @@
 /// Why the data folder of a core can't be used.
 #[derive(Debug, Display, thiserror::Error)]
 pub enum DiskError {
-    /// {folder}: can't be used: {reason}; mend the folder's rights or its disk
+    /// {folder}: can't be used: {reason}; correct the folder's permissions or repair its disk
     UnusableFolder {
         /// Path of the data folder.
         folder: String,
         /// The error of the operating system.
         reason: String,
     },
-    /// {folder}: holds other files and no state.db; name an empty folder or the right one
+    /// {folder}: contains other files but no state.db; name an empty folder or the data folder of this core
     ForeignFolder {
         /// Path of the data folder.
         folder: String,
     },
-    /// {folder}: is not a data folder of sumacvale, or of another form ({reason}); name the right folder, or use the release that wrote it
+    /// {folder}: is not a data folder of sumacvale or has an unsupported format ({reason}); name the right folder, or use the release that wrote it
     UnsupportedFormat {
         /// Path of the data folder.
         folder: String,
         /// How the file differs from the format that this release reads.
         reason: String,
     },
-    /// {folder}: is damaged ({reason}); move the folder away, start with an empty one, and admit this machine as a new core
+    /// {folder}: is corrupt ({reason}); move the folder away, start with an empty one, and add this machine as a new core
     Corrupt {
         /// Path of the data folder.
         folder: String,
-        /// What failed its check.
+        /// The check that failed.
         reason: String,
     },
-    /// {folder}: is in use by another process; stop that one, or name another folder
+    /// {folder}: is locked by another process; stop that process, or name another folder
     InUse {
         /// Path of the data folder.
         folder: String,
     },
-    /// the disk failed: {0}; free some room or replace the disk
+    /// the disk failed: {0}; free disk space or replace the disk
     Sqlite(#[from] rusqlite::Error),
-    /// {path}: takes no writes now ({reason}); free some room or replace the disk
+    /// {path}: takes no writes now ({reason}); free disk space or replace the disk
     Unwritable {
         /// Path of the folder or file.
         path: String,
@@ -48,8 +48,7 @@
 }
 
 impl DiskError {
-    /// Whether the error may pass without an operator, as when the disk is full: the caller may
-    /// retry.
+    /// Whether the error may pass without an operator, as when the disk is full; the caller may retry.
     #[must_use]
     pub fn is_transient(&self) -> bool {
         match self {
@@ -60,7 +59,7 @@
     }
 }
 
-/// Whether `SQLite` reports a disk in trouble rather than a file with wrong content.
+/// Whether `SQLite` reports a failure of the disk rather than invalid content of the file.
 pub(super) fn is_transient_sqlite_error(error: &rusqlite::Error) -> bool {
     use rusqlite::ErrorCode::{CannotOpen, DiskFull, OutOfMemory, ReadOnly, SystemIoFailure};
     let code = error.sqlite_error_code();
--- a/crates/node/src/disk/load.rs
+++ b/crates/node/src/disk/load.rs
@@ -8,7 +8,7 @@
 use sumacvale_core::consensus::DurableState;
 use sumacvale_core::protocol::{EntryDigest, LogEntry, WindowGrant};
 
-/// Reads the whole durable state. `folder` names the data folder in errors.
+/// Reads the whole durable state; error messages name the data folder as `folder`.
 pub(super) fn load(connection: &Connection, folder: &str) -> Result<DurableState, DiskError> {
     let loader = Loader { connection, folder };
     let mut state = loader.read_meta()?;
@@ -21,6 +21,7 @@
     Ok(state)
 }
 
+/// Reads the tables of one database.
 struct Loader<'a> {
     connection: &'a Connection,
     folder: &'a str,
@@ -31,6 +32,7 @@
         DiskError::Corrupt { folder: self.folder.to_owned(), reason: reason.into() }
     }
 
+    /// Decodes a record; `name` says in error messages which one.
     fn decode<T>(&self, bytes: &[u8], name: &str) -> Result<T, DiskError>
     where
         T: for<'a> Decode<'a, musli::mode::Binary, musli::alloc::Global>,
@@ -74,11 +76,12 @@
             digests.push(self.decode::<EntryDigest>(&body?, "a digest")?);
         }
         state.digests.insert_all(digests);
-        // Folders of releases before the table of digests hold entries without them.
+        // Folders of releases that had no table of digests hold entries without digests.
         state.digests.insert_all(state.entries.values().map(EntryDigest::of).collect::<Vec<_>>());
         Ok(())
     }
 
+    /// Returns the encoded row of the table `vote` with this key.
     fn vote_body(&self, key: &str) -> Result<Option<Vec<u8>>, rusqlite::Error> {
         self.connection.query_row("SELECT body FROM vote WHERE what = ?1", [key], |row| row.get(0)).optional()
     }
--- a/crates/node/src/disk/record.rs
+++ b/crates/node/src/disk/record.rs
@@ -1,6 +1,6 @@
-//! Encoded values of the database: each is followed by its checksum.
+//! Records of the database: encoded values, each followed by its checksum.
 //!
-//! The order of the fields is the format on disk; their names are not part of it.
+//! The order of the fields is part of the format on disk; their names are not.
 
 use musli::{Decode, Encode};
 use sumacvale_core::base::hash64;
@@ -9,22 +9,22 @@
 /// Length of the checksum in bytes: `hash64` of the encoded value, little-endian.
 const CHECKSUM_BYTES: usize = 8;
 
-/// `vote.promise`: the highest ballot that this voter promised.
+/// Record `promise` of the table `vote`: the highest ballot that this voter promised.
 #[derive(Encode, Decode)]
 pub(super) struct StoredPromise {
-    /// Log index for which it was promised.
+    /// The log index for which the ballot was promised.
     pub(super) instance: u64,
     pub(super) ballot: Ballot,
 }
 
-/// `vote.accept`: the last proposal that this voter accepted.
+/// Record `accept` of the table `vote`: the last proposal that this voter accepted.
 #[derive(Encode, Decode)]
 pub(super) struct StoredAccept {
     pub(super) ballot: Ballot,
     pub(super) entry: LogEntry,
 }
 
-/// `vote.pledge`: the set of cores that this core voted for at bootstrap.
+/// Record `pledge` of the table `vote`: the set of voters that this core voted for at bootstrap.
 #[derive(Encode, Decode)]
 pub(super) struct StoredBootstrapVote {
     pub(super) voters: Vec<Voter>,
@@ -39,7 +39,7 @@
     Ok(bytes)
 }
 
-/// Decodes a value written by [`encode`]; `None` where it doesn't match its checksum.
+/// Decodes a value written by [`encode`]; returns `None` where it doesn't match its checksum.
 pub(super) fn decode<T>(bytes: &[u8]) -> Option<T>
 where
     T: for<'a> Decode<'a, musli::mode::Binary, musli::alloc::Global>,
--- a/crates/node/src/disk/schema.rs
+++ b/crates/node/src/disk/schema.rs
@@ -1,7 +1,7 @@
-//! The tables of a core's database and the marks by which the file is recognised.
+//! The tables of a core's database, its application id and its format version.
 //!
-//! The names of tables and columns stay for ever, since folders of earlier releases have them. The
-//! comments are beside the SQL and not in it, because `SQLite` keeps the text of each `CREATE TABLE`.
+//! The names of tables and columns never change, since folders of earlier releases have them. They are
+//! documented beside the SQL and not in it, because `SQLite` stores the text of each `CREATE TABLE`.
 
 use super::DiskError;
 use rusqlite::{Connection, params};
@@ -13,13 +13,13 @@
 /// Version of the file format, in `meta.form`.
 pub(super) const FORMAT_VERSION: i64 = 1;
 /// Size in bytes to which `SQLite` truncates the write-ahead log after a checkpoint.
-const MAX_LOG_BYTES: usize = 4 << 20;
+const MAX_WAL_BYTES: usize = 4 << 20;
 
-/// Creates a new database in `file`, in the journal mode in which it stays.
+/// Creates a new database in `file`, with a write-ahead log as its permanent journal mode.
 ///
-/// The tables in standard terms:
+/// Tables and columns:
 ///
-/// - `meta`: one row about this core. `one`: always 1, so that there is no second row. `form`: the
+/// - `meta`: one row about this core. `one`: always 1, which prevents a second row. `form`: the
 ///   version of the file format. `nid`: the node id, as 8 bytes big-endian. `life`: the incarnation
 ///   number, which counts the starts of this core. `ready`: the configuration of voters whose
 ///   predecessor's quota grants this core has taken over, named by the log index that began it; null
@@ -36,7 +36,7 @@
 ///   tenant. `nid`: the node id, as above. `win`: the number of the window. `cum`: the cumulative units
 ///   granted to that node in it.
 ///
-/// Two more tables are made by [`create_later_tables`].
+/// [`create_later_tables`] creates two more tables.
 pub(super) fn create(file: &Path, node_id: NodeId) -> Result<(), DiskError> {
     let mut connection = Connection::open(file)?;
     connection.execute_batch("PRAGMA journal_mode=WAL; PRAGMA synchronous=FULL;")?;
@@ -52,18 +52,21 @@
     transaction
         .execute("INSERT INTO meta VALUES (1, ?1, ?2, 0, NULL)", params![FORMAT_VERSION, node_id.0.to_be_bytes()])?;
     transaction.commit()?;
-    // The file is renamed alone, so all of the write-ahead log must be in it.
+    // Only this file is renamed, so it must contain the whole write-ahead log.
     let busy: i64 = connection.query_row("PRAGMA wal_checkpoint(TRUNCATE)", [], |row| row.get(0))?;
     connection.close().map_err(|(_, error)| error)?;
     if busy == 0 {
         return Ok(());
     }
-    Err(DiskError::Unwritable { path: file.display().to_string(), reason: "the log stays".into() })
+    Err(DiskError::Unwritable {
+        path: file.display().to_string(),
+        reason: "the write-ahead log could not be merged into the file".into(),
+    })
 }
 
 /// Creates the tables that folders of the first releases don't have.
 ///
-/// In standard terms, as for [`create`]:
+/// Tables and columns, as for [`create`]:
 /// - `life`: the registered incarnations of nodes that may hold shares of rate limits. `nid`: the
 ///   node id. `inc`: the incarnation number, as a signed integer of the same bits. `addr`: the
 ///   address at which it is reached.
@@ -81,6 +84,6 @@
 pub(super) fn lock(connection: &Connection) -> rusqlite::Result<()> {
     connection.execute_batch(&format!(
         "PRAGMA locking_mode=EXCLUSIVE; PRAGMA journal_mode=WAL; PRAGMA synchronous=FULL; PRAGMA busy_timeout=0;
-             PRAGMA journal_size_limit={MAX_LOG_BYTES}; BEGIN IMMEDIATE; COMMIT;"
+             PRAGMA journal_size_limit={MAX_WAL_BYTES}; BEGIN IMMEDIATE; COMMIT;"
     ))
 }
--- a/crates/node/src/disk/writer.rs
+++ b/crates/node/src/disk/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes to the disk.
+//! The thread `disk`, which writes to the database.
 
 use super::Database;
 use std::sync::Arc;
@@ -7,26 +7,26 @@
 use std::time::Duration;
 use sumacvale_core::consensus::DurableWrite;
 
-/// At most this many jobs are synced by one commit.
+/// Maximum number of jobs in one commit.
 const MAX_JOBS_PER_COMMIT: usize = 256;
-/// How often a failed commit is retried.
+/// Pause before a failed commit is retried.
 const COMMIT_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Writes of one step of the node; they are durable together or not at all.
+/// The writes of one step of the node, which become durable together or not at all.
 #[derive(Debug)]
 pub struct WriteJob {
-    /// Reported once this job and all before it are synced.
+    /// Reported once this job and all earlier ones are synced.
     pub token: u64,
     /// The writes, in order.
     pub writes: Vec<DurableWrite>,
 }
 
-/// Handle of the thread `disk`, which alone touches the database. The thread ends when the last
-/// clone of `jobs` is dropped.
+/// Handle of the thread `disk`, the only user of the database. The thread ends when the last clone of
+/// `jobs` is dropped.
 pub struct DiskWriter {
-    /// Queue of jobs, unbounded; they are written in order.
+    /// Unbounded queue of jobs, which are written in order.
     pub jobs: Sender<WriteJob>,
-    /// Commits that failed since the start.
+    /// The number of failed commits since the start.
     pub error_count: Arc<AtomicU64>,
 }
 
@@ -35,7 +35,7 @@
     /// before that commit is synced. A commit that fails is retried until it succeeds.
     ///
     /// # Errors
-    /// Where the operating system gives no thread.
+    /// The error of the operating system where the thread can't be started.
     pub fn open(database: Database, on_synced: impl Fn(u64) + Send + 'static) -> std::io::Result<DiskWriter> {
         let (sender, receiver) = channel();
         let error_count = Arc::new(AtomicU64::new(0));
@@ -43,13 +43,14 @@
         std::thread::Builder::new().name("disk".into()).spawn(move || {
             let run = std::panic::AssertUnwindSafe(|| writer.run(on_synced));
             if std::panic::catch_unwind(run).is_err() {
-                crate::exit_after_lost_thread("the disk thread ended");
+                crate::exit_after_thread_failure("the disk thread failed");
             }
         })?;
         Ok(DiskWriter { jobs: sender, error_count })
     }
 }
 
+/// The state of the thread `disk`.
 struct WriterThread {
     database: Database,
     jobs: Receiver<WriteJob>,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// The first job and those that already wait behind it.
+    /// Returns the first job and those already queued behind it.
     fn collect_batch(&self, first: WriteJob) -> Vec<WriteJob> {
         let mut batch = vec![first];
         while batch.len() < MAX_JOBS_PER_COMMIT
@@ -77,17 +78,18 @@
         batch
     }
 
+    /// Commits the jobs, with retries until the commit succeeds.
     fn commit_with_retry(&mut self, batch: &[WriteJob]) {
-        let mut failed = false;
+        let mut has_failed = false;
         while let Err(error) = self.database.commit(batch.iter().flat_map(|job| job.writes.iter())) {
             self.error_count.fetch_add(1, Ordering::Relaxed);
-            if !failed {
-                tracing::error!(trouble = %error, "the disk takes no writes; this core does not vote until it does");
+            if !has_failed {
+                tracing::error!(error = %error, "the disk takes no writes; this core does not vote until it does");
             }
-            failed = true;
+            has_failed = true;
             std::thread::sleep(COMMIT_RETRY_INTERVAL);
         }
-        if failed {
+        if has_failed {
             tracing::info!("the disk takes writes again");
         }
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,4 +1,5 @@
-//! `sumacvale`: sockets, files, timers and threads round the core, which is a pure state machine.
+//! The I/O of a node: sockets, files, timers and threads around `sumacvale_core`, which is a pure state
+//! machine.
 //!
 //! Threads, tasks, channels and the order of a shutdown are documented in [`control`] and [`run`].
 
@@ -21,11 +22,11 @@
 
 use std::io::Write;
 
-/// Exit code of a process that lost one of its threads (`EX_SOFTWARE` of `sysexits.h`).
-const EXIT_LOST_THREAD: i32 = 70;
+/// Exit code of a process in which a thread failed (`EX_SOFTWARE` of `sysexits.h`).
+const EXIT_THREAD_FAILED: i32 = 70;
 
-/// Ends the process: a node that lost a thread it needs must not go on as if it had it.
-pub fn exit_after_lost_thread(reason: &str) -> ! {
-    let _ = writeln!(std::io::stderr(), "sumacvale: {reason}; this process ends with it, start it again");
-    std::process::exit(EXIT_LOST_THREAD)
+/// Exits the process, because a node must not serve without one of its threads.
+pub fn exit_after_thread_failure(reason: &str) -> ! {
+    let _ = writeln!(std::io::stderr(), "sumacvale: {reason}; the process exits, restart it");
+    std::process::exit(EXIT_THREAD_FAILED)
 }
--- a/crates/node/src/link/inbound.rs
+++ b/crates/node/src/link/inbound.rs
@@ -1,4 +1,4 @@
-//! Frames that other nodes send to this one.
+//! Receives the frames that other nodes send to this one.
 
 use super::LinkCounters;
 use crate::net;
@@ -11,19 +11,19 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
 
-/// At most this many peers are connected at once; further ones wait to be accepted.
+/// Maximum number of open connections of peers; further ones wait to be accepted.
 const MAX_CONNECTIONS: usize = 1_024;
 /// Pause after a failed accept, as when file descriptors have run out.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Most bytes of a frame that are read, and allocated, at once.
+/// Maximum number of bytes of a frame that are read, and allocated, at once.
 const MAX_PART_BYTES: usize = 64 << 10;
-/// How long each part of a frame may take.
+/// Time-out for each part of a frame.
 const PART_TIMEOUT: Duration = Duration::from_secs(10);
-/// A larger buffer is given back after its frame.
-const MAX_KEPT_BUFFER_BYTES: usize = 1 << 20;
+/// Maximum size of the buffer that is reused for the next frame; a larger one is freed.
+const MAX_REUSED_BUFFER_BYTES: usize = 1 << 20;
 
-/// Accepts peers and passes their frames to `on_frame`, one at a time for each connection. Bytes that
-/// are no frame close their connection and no other.
+/// Accepts connections of peers and passes their frames to `on_frame`, one at a time for each
+/// connection. Invalid bytes close their own connection and no other.
 pub async fn listen(
     listener: TcpListener,
     counters: Arc<LinkCounters>,
@@ -43,13 +43,13 @@
                 && error.kind() == ErrorKind::InvalidData
             {
                 counters.invalid_frames.fetch_add(1, Ordering::Relaxed);
-                tracing::warn!(%from, trouble = %error, "closed a peer connection");
+                tracing::warn!(%from, error = %error, "closed a peer connection after an invalid frame");
             }
         });
     }
 }
 
-/// Reads frames until the connection ends; an error of kind `InvalidData` is the peer's fault.
+/// Reads frames until the connection ends. An error of kind `InvalidData` means an invalid frame.
 async fn read_frames(
     mut stream: TcpStream,
     counters: &LinkCounters,
@@ -58,18 +58,18 @@
     net::tune(&stream, net::PEER);
     counters.accepted_connections.fetch_add(1, Ordering::Relaxed);
     let mut buffer = Vec::new();
-    let mut peer_is_known = false;
+    let mut is_known_peer = false;
     loop {
         read_frame_bytes(&mut stream, &mut buffer).await?;
         match decode_frame(&buffer) {
             Ok(frame) => {
-                peer_is_known = true;
+                is_known_peer = true;
                 on_frame(frame).await;
             }
-            Err(error @ FrameError::Undecodable(_)) if peer_is_known => count_skipped_frame(counters, &error),
+            Err(error @ FrameError::Undecodable(_)) if is_known_peer => count_skipped_frame(counters, &error),
             Err(error) => return Err(invalid_data(error.to_string())),
         }
-        if buffer.capacity() > MAX_KEPT_BUFFER_BYTES {
+        if buffer.capacity() > MAX_REUSED_BUFFER_BYTES {
             buffer = Vec::new();
         }
     }
@@ -79,16 +79,16 @@
 async fn read_frame_bytes(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> std::io::Result<()> {
     let length = stream.read_u32_le().await? as usize;
     if length > MAX_FRAME_BYTES {
-        return Err(invalid_data(format!("a frame of {length} bytes")));
+        return Err(invalid_data(format!("the frame has {length} bytes; the maximum is {MAX_FRAME_BYTES}")));
     }
     buffer.clear();
-    // Memory is allocated as bytes arrive, not by the announced length.
+    // Memory is allocated as bytes arrive, so that an announced length alone allocates none.
     while buffer.len() < length {
         let start = buffer.len();
         buffer.resize(start + (length - start).min(MAX_PART_BYTES), 0);
         tokio::time::timeout(PART_TIMEOUT, stream.read_exact(&mut buffer[start..]))
             .await
-            .map_err(|_| invalid_data("a frame that does not end".into()))??;
+            .map_err(|_| invalid_data("the frame did not arrive in time".into()))??;
     }
     Ok(())
 }
@@ -97,10 +97,10 @@
     Error::new(ErrorKind::InvalidData, reason)
 }
 
-/// A peer of another release may send messages that this one doesn't know: the frame is complete, so
-/// the ones behind it are read.
+/// Counts a frame that this release can't decode, such as a new message of a peer of another release.
+/// The frame is complete, so the connection stays open.
 fn count_skipped_frame(counters: &LinkCounters, error: &FrameError) {
     if counters.skipped_frames.fetch_add(1, Ordering::Relaxed) == 0 {
-        tracing::warn!(trouble = %error, "skipped a peer's frame; later ones are only counted");
+        tracing::warn!(error = %error, "skipped a frame of a peer; further skipped frames are counted but not logged");
     }
 }
--- a/crates/node/src/link/mod.rs
+++ b/crates/node/src/link/mod.rs
@@ -12,18 +12,18 @@
 
 use std::sync::atomic::AtomicU64;
 
-/// Counters of the links between nodes, since the start.
+/// Counters of the links between nodes since the start.
 #[derive(Debug, Default)]
 pub struct LinkCounters {
-    /// Bytes handed to links, with the length of each frame.
+    /// Bytes queued for other nodes, including the length prefix of each frame.
     pub bytes_sent: AtomicU64,
-    /// Those of them for nodes of other zones.
+    /// The part of `bytes_sent` for nodes in other zones.
     pub cross_zone_bytes_sent: AtomicU64,
-    /// Connections closed because of bytes that were no frame.
+    /// Connections closed after an invalid frame.
     pub invalid_frames: AtomicU64,
-    /// Frames of known peers that were skipped, as this release can't decode them.
+    /// Frames of known peers that were skipped because this release can't decode them.
     pub skipped_frames: AtomicU64,
-    /// Frames dropped before they were written, for want of room or for age.
+    /// Frames dropped before they were written, because a queue was full or the frame too old.
     pub dropped_frames: AtomicU64,
     /// Connections accepted from peers.
     pub accepted_connections: AtomicU64,
--- a/crates/node/src/link/outbound.rs
+++ b/crates/node/src/link/outbound.rs
@@ -1,4 +1,4 @@
-//! Frames to other nodes.
+//! Sends frames to other nodes.
 
 use super::LinkCounters;
 use crate::net;
@@ -12,32 +12,35 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::{Instant, sleep, timeout};
 
-/// How many frames may wait for one peer.
+/// Maximum number of queued frames for one peer.
 const QUEUE_CAPACITY: usize = 1_024;
-/// An older frame is dropped: its content is repeated by then.
+/// Maximum age of a queued frame; an older one is dropped, since its content was sent again by then.
 const MAX_FRAME_AGE: Duration = Duration::from_secs(1);
-/// A link with nothing to send is closed after this time.
+/// Time without a frame to send after which a link is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time-out of an attempt to connect to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Backoff after the first refused connection; it doubles up to [`MAX_BACKOFF`].
+/// Backoff after the first refused connection; doubles with each further one up to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_millis(10);
+/// Maximum backoff between attempts to connect.
 const MAX_BACKOFF: Duration = Duration::from_millis(160);
-/// Most bytes of frames in one write, unless one frame is larger.
+/// Maximum size of a write in bytes, unless a single frame is larger.
 const MAX_BATCH_BYTES: usize = 64 << 10;
-/// A larger write buffer is given back after its write.
-const MAX_KEPT_BUFFER_BYTES: usize = 4 * MAX_BATCH_BYTES;
-/// The length before each frame, in bytes.
-const LENGTH_BYTES: u64 = 4;
+/// Maximum size of the buffer that is reused for the next write; a larger one is freed.
+const MAX_REUSED_BUFFER_BYTES: usize = 4 * MAX_BATCH_BYTES;
+/// Size of the length prefix of each frame in bytes.
+const LENGTH_PREFIX_BYTES: u64 = 4;
 
-/// How many bytes may wait for all peers together before large frames are dropped.
+/// Number of queued bytes for all peers together above which large frames are dropped.
 pub const MAX_QUEUED_BYTES: usize = 48 << 20;
-/// Frames up to this size, such as heartbeats, are never dropped for [`MAX_QUEUED_BYTES`].
+/// Maximum size in bytes of frames, such as heartbeats, to which [`MAX_QUEUED_BYTES`] doesn't apply.
 const MAX_SMALL_FRAME_BYTES: usize = 64 << 10;
 
-/// A frame that waits; its bytes are counted in `queued_bytes` until it is dropped.
+/// A queued frame.
 struct QueuedFrame {
     queued_at: Instant,
     bytes: Vec<u8>,
+    /// Counter of [`OutboundLinks`]. Invariant: includes `bytes` until this frame is dropped.
     queued_bytes: Arc<AtomicUsize>,
 }
 
@@ -54,34 +57,35 @@
     }
 }
 
-/// The handle of the task that writes to one peer.
+/// Handle of the task that writes to one peer.
 struct Link {
     queue: mpsc::Sender<QueuedFrame>,
-    /// Notified when the connection is to be opened anew.
+    /// Notified when the connection must be replaced by a new one.
     reconnect: Arc<Notify>,
 }
 
-/// Links to other nodes by their address; each is opened when needed.
+/// The links to other nodes; each is opened with the first frame for its peer.
 pub struct OutboundLinks {
+    /// The links by the peer's address.
     links: HashMap<String, Link>,
     counters: Arc<LinkCounters>,
-    /// Bytes of all frames that wait, whichever their peer.
+    /// The size of all queued frames for all peers, in bytes.
     queued_bytes: Arc<AtomicUsize>,
 }
 
 impl OutboundLinks {
-    /// No links yet.
+    /// Creates an empty set of links.
     pub fn new(counters: Arc<LinkCounters>) -> Self {
         OutboundLinks { links: HashMap::new(), counters, queued_bytes: Arc::default() }
     }
 
-    /// The bytes of all frames that wait.
+    /// Returns the size of all queued frames for all peers, in bytes.
     pub fn queued_bytes(&self) -> usize {
         self.queued_bytes.load(Ordering::Relaxed)
     }
 
-    /// Queues a frame for the peer at `addr`. Never waits: a frame that finds no room is dropped, as
-    /// on a network that loses packets. Must be called within a `LocalSet`.
+    /// Queues a frame for the peer at `addr`. Never waits: a frame is dropped and counted when the queue
+    /// is full. Must be called within a `LocalSet`.
     pub fn send(&mut self, addr: &str, bytes: Vec<u8>, is_cross_zone: bool) {
         self.count_sent(bytes.len(), is_cross_zone);
         if bytes.len() > MAX_SMALL_FRAME_BYTES && self.queued_bytes() + bytes.len() > MAX_QUEUED_BYTES {
@@ -103,14 +107,14 @@
     }
 
     fn count_sent(&self, length: usize, is_cross_zone: bool) {
-        let sent = length as u64 + LENGTH_BYTES;
+        let sent = length as u64 + LENGTH_PREFIX_BYTES;
         self.counters.bytes_sent.fetch_add(sent, Ordering::Relaxed);
         if is_cross_zone {
             self.counters.cross_zone_bytes_sent.fetch_add(sent, Ordering::Relaxed);
         }
     }
 
-    /// Starts the task of a new link with its first frame, and forgets links that ended.
+    /// Starts the task of a new link with its first frame, and removes links whose task has ended.
     fn open_link(&mut self, addr: &str, first: QueuedFrame) {
         self.links.retain(|_, link| !link.queue.is_closed());
         let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
@@ -121,7 +125,7 @@
         tokio::task::spawn_local(run_link(addr.to_owned(), queue, reconnect));
     }
 
-    /// Opens the connection to this address anew, if there is one; frames that wait are kept.
+    /// Replaces the connection to this address, if there is a link, by a new one; queued frames are kept.
     pub fn reconnect(&self, addr: &str) {
         if let Some(link) = self.links.get(addr) {
             link.reconnect.notify_one();
@@ -129,10 +133,10 @@
     }
 }
 
-/// Frames on their way to one peer.
+/// The queued frames for one peer, as the link's task reads them.
 struct FrameQueue {
     receiver: mpsc::Receiver<QueuedFrame>,
-    /// The oldest frame, received and not yet put into a write.
+    /// The oldest queued frame, taken from `receiver` and not yet in `buffer`.
     next: Option<QueuedFrame>,
     /// The bytes of the next write.
     buffer: BytesMut,
@@ -140,7 +144,7 @@
 }
 
 impl FrameQueue {
-    /// Drops frames that are too old, up to the first that is not.
+    /// Drops frames older than [`MAX_FRAME_AGE`] from the front of the queue.
     fn drop_expired(&mut self) {
         loop {
             if self.next.is_none() {
@@ -154,7 +158,7 @@
         }
     }
 
-    /// Waits for a frame; false when none came for [`IDLE_TIMEOUT`].
+    /// Waits for a frame; returns false when none was queued for [`IDLE_TIMEOUT`].
     async fn wait_for_frame(&mut self) -> bool {
         loop {
             self.drop_expired();
@@ -168,7 +172,7 @@
         }
     }
 
-    /// Puts the frames that wait, up to a batch, into the buffer.
+    /// Fills the buffer with queued frames, up to [`MAX_BATCH_BYTES`].
     fn fill_buffer(&mut self) {
         self.buffer.clear();
         loop {
@@ -185,14 +189,14 @@
 }
 
 /// Why a connection was closed.
-enum Closed {
-    /// Nothing was to be sent for [`IDLE_TIMEOUT`]: the link ends.
+enum CloseReason {
+    /// No frame was queued for [`IDLE_TIMEOUT`], so the link ends.
     Idle,
-    /// It broke, or is to be opened anew.
+    /// The connection failed or must be replaced.
     Broken,
 }
 
-/// The task of a link: connects, writes, and connects again while frames wait.
+/// Runs a link: connects, writes, and reconnects while frames are queued.
 async fn run_link(addr: String, mut queue: FrameQueue, reconnect: Arc<Notify>) {
     let mut backoff = MIN_BACKOFF;
     while queue.wait_for_frame().await {
@@ -203,7 +207,7 @@
         };
         let stream = match connected {
             Ok(Ok(stream)) => stream,
-            // The time-out itself was the pause.
+            // No backoff, since the time-out was the pause.
             Err(_timed_out) => continue,
             Ok(Err(_refused)) => {
                 sleep(backoff).await;
@@ -213,35 +217,36 @@
         };
         backoff = MIN_BACKOFF;
         net::tune(&stream, net::PEER);
-        if let Closed::Idle = write_frames(stream, &mut queue, &reconnect).await {
+        if let CloseReason::Idle = write_frames(stream, &mut queue, &reconnect).await {
             return;
         }
     }
 }
 
-async fn write_frames(mut stream: TcpStream, queue: &mut FrameQueue, reconnect: &Notify) -> Closed {
+/// Writes queued frames until the connection is closed.
+async fn write_frames(mut stream: TcpStream, queue: &mut FrameQueue, reconnect: &Notify) -> CloseReason {
     let mut unexpected = [0; 1];
     loop {
-        // The other side never writes: any byte from it, or its end, means that the connection is gone.
+        // The peer never writes, so a byte or the end of the stream means that the connection is lost.
         let has_frame = tokio::select! {
             biased;
-            () = reconnect.notified() => return Closed::Broken,
-            _ = stream.read(&mut unexpected) => return Closed::Broken,
+            () = reconnect.notified() => return CloseReason::Broken,
+            _ = stream.read(&mut unexpected) => return CloseReason::Broken,
             has_frame = queue.wait_for_frame() => has_frame,
         };
         if !has_frame {
-            return Closed::Idle;
+            return CloseReason::Idle;
         }
         queue.fill_buffer();
         let written = tokio::select! {
             biased;
-            () = reconnect.notified() => return Closed::Broken,
+            () = reconnect.notified() => return CloseReason::Broken,
             written = timeout(net::PEER, stream.write_all(&queue.buffer)) => written,
         };
         if !matches!(written, Ok(Ok(()))) {
-            return Closed::Broken;
+            return CloseReason::Broken;
         }
-        if queue.buffer.capacity() > MAX_KEPT_BUFFER_BYTES {
+        if queue.buffer.capacity() > MAX_REUSED_BUFFER_BYTES {
             queue.buffer = BytesMut::new();
         }
     }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,11 +1,11 @@
-//! The program `sumacvale`.
+//! The program `sumacvale`, which runs one node.
 
 use sumacvale_node::admin;
 use sumacvale_node::protocol_adapter::STANDARD_ADAPTER;
 use sumacvale_node::run::{NodeSetup, init_logging, run};
 use sumacvale_node::settings::{CommandLineAction, Settings, SettingsError, parse_command_line};
 
-/// Exit code for a wrong command line or wrong settings.
+/// Exit code for an invalid command line or invalid settings.
 const EXIT_INVALID_SETTINGS: i32 = 2;
 
 fn main() {
@@ -13,11 +13,11 @@
     std::process::exit(execute(parse_command_line(&args)));
 }
 
-/// Does what the command line asks for; returns the exit code.
+/// Executes the action of the command line; returns the exit code.
 fn execute(action: CommandLineAction) -> i32 {
     match action {
         CommandLineAction::Print(text) => println!("{text}"),
-        CommandLineAction::Import(tree, skipped) => print_import(&tree, &skipped),
+        CommandLineAction::Import(document, left_out) => print_import(&document, &left_out),
         CommandLineAction::Checked(_) => println!("the settings are good"),
         CommandLineAction::Invalid(errors) => return report_errors(&errors),
         CommandLineAction::Run(settings) => return run_node(*settings),
@@ -25,9 +25,9 @@
     0
 }
 
-fn print_import(tree: &str, skipped: &[String]) {
-    println!("{tree}");
-    for operation in skipped {
+fn print_import(document: &str, left_out: &[String]) {
+    println!("{document}");
+    for operation in left_out {
         eprintln!("left out: {operation}");
     }
 }
--- a/crates/node/src/run/bootstrap.rs
+++ b/crates/node/src/run/bootstrap.rs
@@ -1,4 +1,4 @@
-//! Opens the disk and the listeners, and starts the control thread.
+//! The start of a node: opens the disk and the listeners, and starts the control thread.
 
 use super::{RouterFactory, StartError};
 use crate::clock;
@@ -19,7 +19,7 @@
 use tokio::runtime::Runtime;
 use tokio::sync::mpsc;
 
-/// A node whose threads run and whose listeners are bound, but don't serve yet.
+/// A started node: its threads run, its listeners are bound and don't serve yet.
 pub(super) struct Started {
     /// The runtime of the threads `calls`.
     pub(super) runtime: Runtime,
@@ -27,23 +27,24 @@
     pub(super) listeners: Listeners,
 }
 
-/// The bound listeners of HTTP.
+/// The bound HTTP listeners.
 pub(super) struct Listeners {
     pub(super) admin: TcpListener,
-    /// For callers; `None` on a node that serves control alone.
+    /// The listener for callers; `None` on a node that serves no callers.
     pub(super) callers: Option<TcpListener>,
     pub(super) extra: Vec<(TcpListener, RouterFactory)>,
 }
 
-/// Who this node is in this start, and what its disk holds.
+/// The identity of this node in this incarnation, and the state that its disk holds.
 struct Identity {
     node_id: NodeId,
     incarnation: Incarnation,
     state: DurableState,
-    /// The thread that writes; `None` on a node that is no core.
+    /// The thread that writes to the disk; `None` on a node that is no core.
     writer: Option<DiskWriter>,
 }
 
+/// Starts a node in the order that [`crate::run`] documents.
 pub(super) fn start(
     settings: Settings,
     adapter: &'static ProtocolAdapter,
@@ -53,7 +54,7 @@
     let (senders, receivers) = control::channels();
     let Identity { node_id, incarnation, state, writer } = open_identity(&settings, seed, &senders.synced)?;
     let node_settings = node_settings(&settings, adapter, node_id, incarnation);
-    // The node reports for how long it has held its address, so its start follows the bind.
+    // The node reports how long it has held its address, so it is created after the bind.
     let peer_listener = bind_peer(settings.peer_addr)?;
     let node = Node::new(node_settings, &state, random_nonzero()?, clock::now());
     let runtime = call_runtime(settings.worker_threads)?;
@@ -67,13 +68,14 @@
     Ok(Started { runtime, shared, listeners })
 }
 
+/// Returns a random number other than 0.
 fn random_nonzero() -> Result<u64, StartError> {
     let mut bytes = [0; 8];
     getrandom::fill(&mut bytes).map_err(StartError::NoRandomNumbers)?;
     Ok(u64::from_be_bytes(bytes).max(1))
 }
 
-/// On a core the id and the state of its disk, which counts this start; else a random id.
+/// Opens the disk of a core, which counts this start as an incarnation; any other node gets a random id.
 fn open_identity(settings: &Settings, seed: u64, synced: &mpsc::UnboundedSender<u64>) -> Result<Identity, StartError> {
     let new_node_id = NodeId(seed);
     let Some(folder) = &settings.data_folder else {
@@ -84,10 +86,11 @@
     let writer = DiskWriter::open(database, move |token| {
         let _ = synced.send(token);
     })
-    .map_err(|reason| StartError::NoThread { name: "the disk", reason })?;
+    .map_err(|reason| StartError::NoThread { name: "disk", reason })?;
     Ok(Identity { node_id: state.node_id, incarnation, state, writer: Some(writer) })
 }
 
+/// Translates the settings of the process into those of the node.
 fn node_settings(
     settings: &Settings,
     adapter: &ProtocolAdapter,
@@ -111,12 +114,14 @@
     }
 }
 
+/// Binds the listener for other nodes.
 fn bind_peer(addr: SocketAddr) -> Result<std::net::TcpListener, StartError> {
     std::net::TcpListener::bind(addr)
         .and_then(|listener| listener.set_nonblocking(true).map(|()| listener))
         .map_err(|reason| StartError::Listen { setting: "peer", addr, reason })
 }
 
+/// Builds the runtime of the threads `calls`.
 fn call_runtime(worker_threads: usize) -> Result<Runtime, StartError> {
     tokio::runtime::Builder::new_multi_thread()
         .worker_threads(worker_threads)
@@ -126,6 +131,7 @@
         .map_err(|reason| StartError::NoThread { name: "calls", reason })
 }
 
+/// Binds the listeners for HTTP.
 fn bind_listeners(
     runtime: &Runtime,
     settings: &Settings,
@@ -140,6 +146,7 @@
     Ok(Listeners { admin, callers, extra })
 }
 
+/// Builds the state that all tasks of the process share.
 fn shared_state(
     settings: Settings,
     adapter: &'static ProtocolAdapter,
--- a/crates/node/src/run/error.rs
+++ b/crates/node/src/run/error.rs
@@ -1,17 +1,17 @@
-//! Why a node can't start.
+//! Errors of the start of a node.
 
 use crate::disk::DiskError;
 use displaydoc::Display;
 use std::net::SocketAddr;
 
-/// An error of the start; its text names the remedy.
+/// Why a node can't start; the message names the remedy where there is one.
 #[derive(Debug, Display, thiserror::Error)]
 pub enum StartError {
-    /// this machine gives no random numbers: {0}
+    /// the operating system provides no random numbers: {0}
     NoRandomNumbers(getrandom::Error),
     /// {0}
     Disk(DiskError),
-    /// /{setting}: {addr} can't be opened: {reason}; choose an address of this machine that is free
+    /// /{setting}: can't listen on {addr}: {reason}; choose a free address of this machine
     Listen {
         /// Name of the setting that holds the address.
         setting: &'static str,
@@ -20,19 +20,19 @@
         /// The error of the operating system.
         reason: std::io::Error,
     },
-    /// no thread for {name}: {reason}
+    /// can't start the thread {name}: {reason}
     NoThread {
-        /// What the thread is for.
+        /// Name of the thread.
         name: &'static str,
         /// The error of the operating system.
         reason: std::io::Error,
     },
-    /// signals can't be received: {0}
+    /// can't install the signal handlers: {0}
     Signals(std::io::Error),
 }
 
 impl StartError {
-    /// The exit code of the process: 2 where its data folder can't be used, else 1.
+    /// Returns the exit code of the process: 2 where its data folder can't be used, else 1.
     #[must_use]
     pub fn exit_code(&self) -> i32 {
         match self {
--- a/crates/node/src/run/mod.rs
+++ b/crates/node/src/run/mod.rs
@@ -1,9 +1,9 @@
 //! A node from its settings to its exit: start, reload of the settings, graceful shutdown.
 //!
 //! [`run`] opens, in this order, the disk, the listener for peers, the runtime of calls and the other
-//! listeners; then it starts the control thread and serves until SIGTERM or SIGINT. What is shared
-//! between the threads, and their channels, is documented in [`crate::control`]; the order of the
-//! shutdown in the module `shutdown`.
+//! listeners; then it starts the control thread and serves until SIGTERM or SIGINT. The threads and
+//! their channels are documented in [`crate::control`], the order of the shutdown in the module
+//! `shutdown`.
 
 mod bootstrap;
 mod error;
@@ -20,18 +20,18 @@
 use std::sync::Arc;
 use viz::Router;
 
-/// Makes the routes of one listener.
+/// Builds the routes of one listener.
 pub type RouterFactory = fn(&Arc<Shared>) -> Router;
 
-/// Settings that are read anew while the node runs.
+/// Source from which the settings are reloaded while the node runs.
 pub struct SettingsReload {
-    /// The file, which is watched for changes.
+    /// The settings file, which is polled for changes.
     pub file: PathBuf,
-    /// Reads the settings; `None` where they can't be used.
+    /// Reads the settings; returns `None` where they are invalid.
     pub read: fn() -> Option<Settings>,
 }
 
-/// All that a node needs to run.
+/// Everything that [`run`] needs to start a node.
 pub struct NodeSetup {
     /// The settings, already checked.
     pub settings: Settings,
@@ -41,7 +41,7 @@
     pub caller_routes: RouterFactory,
     /// Further listeners, open until the process exits.
     pub extra_listeners: Vec<(SocketAddr, RouterFactory)>,
-    /// Where the settings are read anew; `None` for settings that stay.
+    /// Source of reloaded settings; `None` on a node that keeps the settings of its start.
     pub reload: Option<SettingsReload>,
 }
 
@@ -55,10 +55,10 @@
         .init();
 }
 
-/// Runs a node until SIGTERM or SIGINT, and then through its graceful shutdown.
+/// Runs a node until SIGTERM or SIGINT, and then shuts it down gracefully.
 ///
 /// # Errors
-/// A [`StartError`] where the node can't start; none once it serves.
+/// A [`StartError`] where the node can't start. A node that serves returns no error.
 pub fn run(setup: NodeSetup) -> Result<(), StartError> {
     let NodeSetup { settings, adapter, caller_routes, extra_listeners, reload } = setup;
     ignore_file_size_signal();
@@ -66,9 +66,10 @@
     started.runtime.block_on(shutdown::serve_until_signal(started.shared, started.listeners, caller_routes, reload))
 }
 
-/// A file that may not grow is an error of the disk, which is logged and retried.
+/// Ignores SIGXFSZ: a write beyond the file size limit then fails as a disk error, which is logged and
+/// retried.
 fn ignore_file_size_signal() {
-    // SAFETY: ignoring a signal touches no memory of ours.
+    // SAFETY: ignoring a signal accesses no memory of this process.
     unsafe {
         libc::signal(libc::SIGXFSZ, libc::SIG_IGN);
     }
--- a/crates/node/src/run/reload.rs
+++ b/crates/node/src/run/reload.rs
@@ -1,5 +1,5 @@
-//! Reads the settings anew on SIGHUP and when their file has changed. Of new settings only the seeds
-//! come into force.
+//! Reloads the settings on SIGHUP and when the settings file has changed. Only changed seeds take
+//! effect; all other settings need a restart.
 
 use super::SettingsReload;
 use crate::shared::{Command, Shared};
@@ -8,10 +8,10 @@
 use std::time::{Duration, SystemTime};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// How often the file is looked at.
+/// How often the settings file is polled for a change.
 const FILE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// By what a change of the file is recognised; `None` while it can't be read.
+/// The metadata by which a change of the settings file is recognised.
 #[derive(PartialEq, Eq)]
 struct FileState {
     modified: SystemTime,
@@ -19,13 +19,15 @@
 }
 
 impl FileState {
+    /// Returns `None` while the file can't be read.
     fn of(file: &Path) -> Option<FileState> {
         let metadata = std::fs::metadata(file).ok()?;
         Some(FileState { modified: metadata.modified().ok()?, length: metadata.len() })
     }
 }
 
-/// Runs until the process exits. Settings that can't be used are logged, and the old ones stay.
+/// Reloads the settings until the process exits. Invalid settings are logged, and the previous ones
+/// stay in force.
 pub(super) async fn watch_settings(shared: Arc<Shared>, reload: SettingsReload) -> std::io::Result<()> {
     let mut hangup = signal(SignalKind::hangup())?;
     let mut file_state = FileState::of(&reload.file);
@@ -41,11 +43,13 @@
         }
         file_state = FileState::of(&reload.file);
         let Some(settings) = (reload.read)() else {
-            tracing::warn!("the settings were changed and can't be used; the old ones stay in force");
+            tracing::warn!(
+                "the changed settings are invalid and the previous ones stay in force; run with --check to see the errors"
+            );
             continue;
         };
         if settings.seeds != seeds {
-            tracing::info!(seeds = ?settings.seeds, "the settings name other seeds");
+            tracing::info!(seeds = ?settings.seeds, "the seeds changed");
             seeds = settings.seeds;
             let addrs = seeds.iter().map(ToString::to_string).collect();
             let _ = shared.commands.send(Command::SeedsChanged(addrs)).await;
--- a/crates/node/src/run/shutdown.rs
+++ b/crates/node/src/run/shutdown.rs
@@ -1,11 +1,12 @@
 //! Serves until a signal, and then shuts down in this order:
 //!
-//! 1. The node is no longer ready, and the control thread gets [`Command::Shutdown`]: it drains.
-//! 2. For `drain_notice` (a quarter of a second at most on a node without callers) all listeners serve
-//!    on, so that callers and peers can notice.
-//! 3. The listener for callers closes; calls that were read get `shutdown_grace` to finish.
-//! 4. A core waits until what its disk holds is on the disks of a majority without it, up to the sum
-//!    of both times since the signal.
+//! 1. The node reports that it is not ready, and the control thread gets [`Command::Shutdown`], on
+//!    which the node drains.
+//! 2. For `drain_notice` (at most a quarter of a second on a node without callers) all listeners
+//!    continue to serve, so that callers and peers can notice the drain.
+//! 3. The listener for callers closes; calls in flight get `shutdown_grace` to finish.
+//! 4. A core waits until its data is replicated to a majority that doesn't count this core, at most
+//!    `drain_notice` plus `shutdown_grace` after the signal.
 //! 5. The other listeners close, with one second to finish; the process exits.
 
 use super::bootstrap::Listeners;
@@ -22,16 +23,16 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// How often a draining core checks whether it may stop.
+/// How often a draining core checks whether its data is replicated.
 const MAY_STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Longest notice, in microseconds, of a node that serves no callers.
+/// Maximum `drain_notice` of a node that serves no callers, in microseconds.
 const MAX_NOTICE_WITHOUT_CALLERS: Micros = SEC / 4;
-/// Least time, in microseconds, for calls to finish.
+/// Minimum `shutdown_grace`, in microseconds.
 const MIN_GRACE: Micros = SEC / 10;
-/// How long requests of operators and workers may take to finish at the end.
+/// How long requests of operators and workers may take to finish after their listener has closed.
 const ADMIN_GRACE: Duration = Duration::from_secs(1);
 
-/// The tasks of the listeners, and the senders that tell them to close.
+/// The tasks of the HTTP listeners, and the senders that close them.
 struct Servers {
     /// `None` on a node that serves no callers.
     callers: Option<JoinHandle<()>>,
@@ -40,6 +41,7 @@
     stop_others: watch::Sender<bool>,
 }
 
+/// Serves on all listeners until SIGTERM or SIGINT, and then shuts the node down.
 pub(super) async fn serve_until_signal(
     shared: Arc<Shared>,
     listeners: Listeners,
@@ -79,35 +81,37 @@
 }
 
 async fn shut_down(shared: &Shared, servers: Servers) {
-    let begin = Instant::now();
+    let started_at = Instant::now();
     let settings = &shared.settings;
-    tracing::info!("stopping: not ready from now on");
+    tracing::info!("shutting down: this node is no longer ready");
     shared.stopping.store(true, Ordering::Release);
     let _ = shared.commands.send(Command::Shutdown).await;
     let serves_callers = servers.callers.is_some();
     let notice =
         if serves_callers { settings.drain_notice } else { settings.drain_notice.min(MAX_NOTICE_WITHOUT_CALLERS) };
     tokio::time::sleep(Duration::from_micros(notice)).await;
-    tracing::info!("stopping: the listener closes, calls that were read go on");
+    tracing::info!("shutting down: the listener for callers closes, calls in flight may finish");
     let _ = servers.stop_callers.send(true);
     let grace = Duration::from_micros(settings.shutdown_grace.max(MIN_GRACE));
     let calls_finished = match servers.callers {
         Some(callers) => timeout(grace, callers).await.is_ok(),
         None => true,
     };
-    let deadline = begin + Duration::from_micros(settings.drain_notice) + grace;
+    let deadline = started_at + Duration::from_micros(settings.drain_notice) + grace;
     if timeout_at(deadline, wait_until_replicated(shared)).await.is_err() {
-        tracing::warn!("stopped before a majority without this core held what it holds; start another core first");
+        tracing::warn!(
+            "stopped before a majority without this core held the data of this core; start another core before this one is removed"
+        );
     }
     let _ = servers.stop_others.send(true);
     let _ = timeout(ADMIN_GRACE, futures::future::join_all(servers.others)).await;
     if !calls_finished {
-        tracing::warn!("stopped with calls still open; raise grace_ms");
+        tracing::warn!("stopped with calls in flight; raise grace_ms");
     }
     tracing::info!("stopped");
 }
 
-/// A core that drains waits until what its disk holds is on the disks of a majority without it.
+/// Waits until the data of this core is on the disks of a majority that doesn't count this core.
 async fn wait_until_replicated(shared: &Shared) {
     while !shared.view.load().may_stop {
         tokio::time::sleep(MAY_STOP_CHECK_INTERVAL).await;
--- a/crates/node/src/settings/mod.rs
+++ b/crates/node/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The settings of one machine.
+//! The settings of one node: its command line and its settings file.
 
 mod args;
 mod read;
--- a/crates/node/src/settings/read.rs
+++ b/crates/node/src/settings/read.rs
@@ -1,4 +1,4 @@
-//! Settings from a file and the command line, checked.
+//! Reads and checks the settings of the settings file and the command line.
 
 use crate::disk::{PROBE_FILE, folder_error};
 use displaydoc::Display;
@@ -8,7 +8,7 @@
 use sumacvale_core::base::{MS, Micros};
 use sumacvale_core::config::check::check_syntax_with_limit;
 
-/// The settings of this node, checked as a whole before anything opens.
+/// The settings of this node, all checked before any file or listener is opened.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Address of the listener for other nodes (`peer`); has no default.
@@ -21,7 +21,7 @@
     pub zone: String,
     /// One to three peer addresses at which this node joins the fleet (`seeds`); has no default.
     pub seeds: Vec<SocketAddr>,
-    /// Folder of the durable state (`data`). A node that has one is a core; by default there is none.
+    /// Folder of the durable state (`data`). A node with a data folder is a core; `None` by default.
     pub data_folder: Option<PathBuf>,
     /// How cores become members and voters (`members`).
     pub membership: MembershipSettings,
@@ -31,22 +31,23 @@
     pub worker_token_hashes: Vec<String>,
     /// Interval between the reports of one worker in microseconds (`beat_ms`); 500 ms by default.
     pub report_interval: Micros,
-    /// Whether workers report to cores only (`beat_to`: `cores`) instead of to any node; false by default.
+    /// True if workers report to cores only (`beat_to`: `cores`), false if to any node; false by default.
     pub reports_to_cores_only: bool,
-    /// Time in microseconds for which readiness is refused before the listener closes
-    /// (`notice_ms`); 2 s by default.
+    /// How long the node reports that it is not ready before the listener for callers closes, in
+    /// microseconds (`notice_ms`); 2 s by default.
     pub drain_notice: Micros,
-    /// Time in microseconds that calls already read may take after that (`grace_ms`); 25 s by default.
+    /// How long calls in flight may take after the listener has closed, in microseconds (`grace_ms`);
+    /// 25 s by default.
     pub shutdown_grace: Micros,
-    /// Threads of the runtime (`threads`). A file that leaves it out gets one thread a processor core,
-    /// two at most; [`Settings::default`] has one.
+    /// Number of worker threads of the runtime (`threads`). Without the setting, the number of
+    /// processor cores, at most 2; [`Settings::default`] has 1.
     pub worker_threads: usize,
-    /// Calls that may wait in the queue at once (`waitlist`); 256 by default.
+    /// Maximum number of queued calls (`waitlist`); 256 by default.
     pub max_queued_calls: usize,
-    /// Connections that may be open at once (`connections`). A file that leaves it out gets 4096;
+    /// Maximum number of open connections (`connections`). Without the setting, 4096;
     /// [`Settings::default`] has 2048.
     pub max_connections: usize,
-    /// Bytes of bodies that are buffered at once (`bodies_mib`, in MiB); 256 MiB by default.
+    /// Maximum size of all buffered bodies together in bytes (`bodies_mib`, in MiB); 256 MiB by default.
     pub max_body_bytes: usize,
 }
 
@@ -76,27 +77,28 @@
 }
 
 impl Settings {
-    /// Splits the time in microseconds that a shutdown may take: first callers move to other nodes
-    /// (`drain_notice`), then calls finish (`shutdown_grace`).
+    /// Divides the microseconds that a shutdown may take into `drain_notice`, in which callers move to
+    /// other nodes, and `shutdown_grace`, in which calls in flight finish.
     pub fn set_shutdown_budget(&mut self, t: Micros) {
         self.drain_notice = (t * 3 / 10).min(2_400 * MS);
         self.shutdown_grace = (t - self.drain_notice).saturating_sub((t / 16).max(300 * MS));
     }
 
-    /// Lets a quarter of the memory of this process, given in bytes, hold bodies.
-    pub fn set_memory_limit(&mut self, memory: usize) {
-        self.max_body_bytes = memory / 4;
+    /// Limits buffered bodies to a quarter of the memory of this process, given in bytes.
+    pub fn set_memory_limit(&mut self, memory_bytes: usize) {
+        self.max_body_bytes = memory_bytes / 4;
     }
 }
 
-/// How cores become members, and how many of them vote.
+/// Settings of the membership of cores and of their voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MembershipSettings {
-    /// Whether cores replace lost voters themselves (`auto`); false by default.
+    /// True if cores replace lost voters without an operator (`auto`); false by default.
     pub manages_voters: bool,
-    /// How many machines with disks may be lost at once (`lose`): 1 to 4, 1 by default.
+    /// Number of cores that the fleet must be able to lose at once with their disks (`lose`): 1 to 4,
+    /// 1 by default.
     pub tolerated_losses: u32,
-    /// Whether this node may take part in founding a fleet (`first`); true by default.
+    /// True if this node may take part in the bootstrap of a new fleet (`first`); true by default.
     pub may_bootstrap: bool,
 }
 
@@ -106,7 +108,7 @@
     }
 }
 
-/// Settings of the command line, each of which replaces the one of the file.
+/// Settings given on the command line; each overrides the same setting of the file.
 #[derive(Debug, Default)]
 pub struct SettingsOverrides {
     /// `--peer`: address of the listener for other nodes, IP:PORT.
@@ -117,83 +119,84 @@
     pub downstream: Option<String>,
     /// `--zone`: zone of this node.
     pub zone: Option<String>,
-    /// `--seed`, once for each seed: IP:PORT. If any is given, the seeds of the file are not used.
+    /// `--seed`, once for each seed: IP:PORT. If any is given, the seeds of the file are ignored.
     pub seeds: Vec<String>,
     /// `--data`: folder of the durable state.
     pub data: Option<String>,
 }
 
-/// What is wrong with the settings, and the remedy.
+/// An error of the settings or the command line, with its remedy.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
 pub enum SettingsError {
     /// command line: {0}; see sumacvale --help
     Flag(String),
-    /// --env {file}: {why}; name a file that can be read
+    /// --env {file}: {reason}; name a file that can be read
     File {
-        /// Path as it was given on the command line.
+        /// Path given on the command line.
         file: String,
-        /// What went wrong.
-        why: String,
+        /// Why the file or folder can't be used.
+        reason: String,
     },
-    /// --import {file}: {why}
+    /// --import {file}: {reason}
     Import {
-        /// Path as it was given on the command line.
+        /// Path given on the command line.
         file: String,
-        /// What went wrong.
-        why: String,
+        /// Why the file or folder can't be used.
+        reason: String,
     },
     /// settings file: {0}
-    Shape(String),
-    /// {at}: unknown setting; known are {known}
-    Unknown {
+    InvalidFile(String),
+    /// {setting}: unknown setting; known are {known}
+    UnknownSetting {
         /// The setting or flag, such as `/zone` or `--zone`.
-        at: String,
+        setting: String,
         /// The names of all known settings.
         known: String,
     },
-    /// {at}: is missing; set it in the file or with its flag
-    Missing {
+    /// {setting}: is missing; set it in the file or with its flag
+    MissingSetting {
         /// The setting or flag, such as `/zone` or `--zone`.
-        at: String,
+        setting: String,
     },
-    /// {at}: {is} is no {want}
-    Wrong {
+    /// {setting}: {value} is no {expected}
+    InvalidValue {
         /// The setting or flag, such as `/zone` or `--zone`.
-        at: String,
+        setting: String,
         /// The value that was given.
-        is: String,
+        value: String,
         /// What the value must be.
-        want: String,
+        expected: String,
     },
-    /// {at}: stands there twice; name different seeds
-    Twice {
+    /// {setting}: stands there twice; name different seeds
+    DuplicateSeed {
         /// The setting or flag, such as `/zone` or `--zone`.
-        at: String,
+        setting: String,
     },
-    /// {at}: {is} seeds are named; name one to three
-    Seeds {
+    /// {setting}: {count} seeds are named; name one to three
+    SeedCount {
         /// The setting or flag, such as `/zone` or `--zone`.
-        at: String,
+        setting: String,
         /// Number of seeds that were given.
-        is: usize,
+        count: usize,
     },
-    /// {at}: the same address as {other}; give each listener its own
-    Same {
+    /// {setting}: the same address as {other}; give each listener its own
+    SharedAddress {
         /// The setting or flag, such as `/zone` or `--zone`.
-        at: String,
+        setting: String,
         /// The other setting with the same address.
         other: String,
     },
-    /// {at}: {why}
-    Data {
+    /// {setting}: {reason}
+    DataFolder {
         /// The setting or flag, such as `/zone` or `--zone`.
-        at: String,
-        /// What went wrong.
-        why: String,
+        setting: String,
+        /// Why the file or folder can't be used.
+        reason: String,
     },
 }
 
-const KNOWN: [&str; 17] = [
+/// Names of all settings of the file.
+const KNOWN_SETTINGS: [&str; 17] = [
     "peer",
     "admin",
     "downstream",
@@ -213,98 +216,115 @@
     "bodies_mib",
 ];
 
-struct Src<'a> {
-    v: Option<Value>,
-    out: &'a mut Vec<SettingsError>,
+/// Reads single settings and collects the errors.
+struct SettingsReader<'a> {
+    /// The settings file; `None` where there is none or it isn't a JSON object.
+    file: Option<Value>,
+    /// The errors found so far.
+    errors: &'a mut Vec<SettingsError>,
 }
 
-impl Src<'_> {
-    fn raw(&self, k: &str) -> Option<&Value> {
-        self.v.as_ref()?.pointer([k])
+impl SettingsReader<'_> {
+    /// Returns the value of a setting of the file.
+    fn value(&self, name: &str) -> Option<&Value> {
+        self.file.as_ref()?.pointer([name])
     }
 
-    fn wrong(&mut self, at: &str, is: &str, want: &str) {
-        self.out.push(SettingsError::Wrong { at: at.into(), is: is.into(), want: want.into() });
+    /// Records that a value is not what the setting needs.
+    fn reject(&mut self, setting: &str, value: &str, expected: &str) {
+        self.errors.push(SettingsError::InvalidValue {
+            setting: setting.into(),
+            value: value.into(),
+            expected: expected.into(),
+        });
     }
 
-    fn text(&mut self, k: &str, flag: Option<&String>) -> Option<(String, String)> {
-        if let Some(f) = flag {
-            return Some((format!("--{k}"), f.clone()));
+    /// Returns the setting or flag that gives the text, and the text.
+    fn text(&mut self, name: &str, flag_value: Option<&String>) -> Option<(String, String)> {
+        if let Some(flag_value) = flag_value {
+            return Some((format!("--{name}"), flag_value.clone()));
         }
-        let v = self.raw(k)?.clone();
-        match v.as_str() {
-            Some(s) => Some((format!("/{k}"), s.to_owned())),
+        let value = self.value(name)?.clone();
+        match value.as_str() {
+            Some(text) => Some((format!("/{name}"), text.to_owned())),
             None => {
-                self.wrong(&format!("/{k}"), &v.to_string(), "text");
+                self.reject(&format!("/{name}"), &value.to_string(), "text");
                 None
             }
         }
     }
 
-    fn addr(&mut self, k: &str, flag: Option<&String>) -> Option<SocketAddr> {
-        let Some((at, s)) = self.text(k, flag) else {
-            if self.raw(k).is_none() {
-                self.out.push(SettingsError::Missing { at: format!("/{k}") });
+    /// Returns a required address; records an error where it is missing or invalid.
+    fn addr(&mut self, name: &str, flag_value: Option<&String>) -> Option<SocketAddr> {
+        let Some((setting, text)) = self.text(name, flag_value) else {
+            if self.value(name).is_none() {
+                self.errors.push(SettingsError::MissingSetting { setting: format!("/{name}") });
             }
             return None;
         };
-        self.addr_of(&at, &s)
+        self.parse_addr(&setting, &text)
     }
 
-    fn addr_of(&mut self, at: &str, s: &str) -> Option<SocketAddr> {
-        match s.parse::<SocketAddr>() {
-            Ok(a) if a.port() != 0 && !a.ip().is_unspecified() => Some(a),
+    fn parse_addr(&mut self, setting: &str, text: &str) -> Option<SocketAddr> {
+        match text.parse::<SocketAddr>() {
+            Ok(addr) if addr.port() != 0 && !addr.ip().is_unspecified() => Some(addr),
             _ => {
-                self.wrong(at, s, "IP address and port that others can reach, such as 10.0.0.4:7000");
+                self.reject(setting, text, "IP address and port that others can reach, such as 10.0.0.4:7000");
                 None
             }
         }
     }
 
-    fn num(&mut self, k: &str, lo: u64, hi: u64, def: u64) -> u64 {
-        let Some(v) = self.raw(k).cloned() else { return def };
-        match v.as_u64() {
-            Some(n) if (lo..=hi).contains(&n) => n,
+    /// Returns a number of the file within these bounds, or the default.
+    fn number(&mut self, name: &str, min: u64, max: u64, default: u64) -> u64 {
+        let Some(value) = self.value(name).cloned() else { return default };
+        match value.as_u64() {
+            Some(number) if (min..=max).contains(&number) => number,
             _ => {
-                self.wrong(&format!("/{k}"), &v.to_string(), &format!("whole number from {lo} to {hi}"));
-                def
+                self.reject(&format!("/{name}"), &value.to_string(), &format!("whole number from {min} to {max}"));
+                default
             }
         }
     }
 
-    fn flag(&mut self, at: &str, v: &Value, def: bool) -> bool {
-        v.as_bool().unwrap_or_else(|| {
-            self.wrong(at, &v.to_string(), "true or false");
-            def
+    fn flag(&mut self, setting: &str, value: &Value, default: bool) -> bool {
+        value.as_bool().unwrap_or_else(|| {
+            self.reject(setting, &value.to_string(), "true or false");
+            default
         })
     }
 
-    fn members(&mut self) -> MembershipSettings {
-        let mut m = MembershipSettings::default();
-        let Some(v) = self.raw("members").cloned() else { return m };
-        let Some(o) = v.as_object() else {
-            self.wrong("/members", &v.to_string(), "object such as {\"auto\": true, \"lose\": 1, \"first\": false}");
-            return m;
+    fn membership(&mut self) -> MembershipSettings {
+        let mut membership = MembershipSettings::default();
+        let Some(value) = self.value("members").cloned() else { return membership };
+        let Some(object) = value.as_object() else {
+            self.reject(
+                "/members",
+                &value.to_string(),
+                "object such as {\"auto\": true, \"lose\": 1, \"first\": false}",
+            );
+            return membership;
         };
-        for (k, x) in o {
-            let at = format!("/members/{k}");
-            match k {
-                "auto" => m.manages_voters = self.flag(&at, x, m.manages_voters),
-                "first" => m.may_bootstrap = self.flag(&at, x, m.may_bootstrap),
-                "lose" => match x.as_u64().and_then(|n| u32::try_from(n).ok()).filter(|n| (1..=4).contains(n)) {
-                    Some(n) => m.tolerated_losses = n,
-                    None => self.wrong(&at, &x.to_string(), "whole number from 1 to 4"),
+        for (name, item) in object {
+            let setting = format!("/members/{name}");
+            match name {
+                "auto" => membership.manages_voters = self.flag(&setting, item, membership.manages_voters),
+                "first" => membership.may_bootstrap = self.flag(&setting, item, membership.may_bootstrap),
+                "lose" => match item.as_u64().and_then(|n| u32::try_from(n).ok()).filter(|n| (1..=4).contains(n)) {
+                    Some(n) => membership.tolerated_losses = n,
+                    None => self.reject(&setting, &item.to_string(), "whole number from 1 to 4"),
                 },
-                _ => self.out.push(SettingsError::Unknown { at, known: "auto, lose, first".into() }),
+                _ => self.errors.push(SettingsError::UnknownSetting { setting, known: "auto, lose, first".into() }),
             }
         }
-        m
+        membership
     }
 
+    /// Returns a list of token hashes; error messages never contain a rejected value.
     fn hashes(&mut self, name: &str) -> Vec<String> {
-        let Some(value) = self.raw(name).cloned() else { return Vec::new() };
+        let Some(value) = self.value(name).cloned() else { return Vec::new() };
         let Some(list) = value.as_array() else {
-            self.wrong(&format!("/{name}"), "it", "list of sha256: hashes");
+            self.reject(&format!("/{name}"), "it", "list of sha256: hashes");
             return Vec::new();
         };
         let mut hashes = Vec::new();
@@ -312,7 +332,7 @@
             let hash = item.as_str().and_then(|s| s.strip_prefix("sha256:"));
             match hash.filter(|h| h.len() == 64 && h.bytes().all(|b| b.is_ascii_hexdigit())) {
                 Some(hash) => hashes.push(hash.to_ascii_lowercase()),
-                None => self.wrong(
+                None => self.reject(
                     &format!("/{name}/{index}"),
                     "this (not shown, it may be a token)",
                     "sha256: with 64 hex digits; keep only hashes of tokens here",
@@ -323,151 +343,163 @@
     }
 }
 
-/// Reads the settings file and the command line. Fails with every error that was found.
-pub fn read(text: Option<&str>, f: &SettingsOverrides) -> Result<Settings, Vec<SettingsError>> {
-    let mut out = Vec::new();
-    let mut v = None;
-    if let Some(s) = text {
-        let bad = check_syntax_with_limit(s, 1 << 20);
-        if bad.is_empty() {
-            v = sonic_rs::from_str::<Value>(s).ok();
+/// Reads the settings from the text of the settings file and the overrides of the command line.
+///
+/// # Errors
+/// All errors that were found, so that an operator can correct them at once.
+pub fn read(text: Option<&str>, overrides: &SettingsOverrides) -> Result<Settings, Vec<SettingsError>> {
+    let mut errors = Vec::new();
+    let mut file = None;
+    if let Some(text) = text {
+        let syntax_errors = check_syntax_with_limit(text, 1 << 20);
+        if syntax_errors.is_empty() {
+            file = sonic_rs::from_str::<Value>(text).ok();
         }
-        out.extend(bad.iter().map(|t| SettingsError::Shape(t.to_string())));
-        if let Some(o) = v.as_ref() {
-            match o.as_object() {
+        errors.extend(syntax_errors.iter().map(|error| SettingsError::InvalidFile(error.to_string())));
+        if let Some(object) = file.as_ref() {
+            match object.as_object() {
                 None => {
-                    out.push(SettingsError::Shape("it is no object; write one JSON object".into()));
-                    v = None;
+                    errors.push(SettingsError::InvalidFile("it is no object; write one JSON object".into()));
+                    file = None;
                 }
-                Some(o) => {
-                    for (k, _) in o {
-                        if !KNOWN.contains(&k) {
-                            out.push(SettingsError::Unknown { at: format!("/{k}"), known: KNOWN.join(", ") });
+                Some(object) => {
+                    for (name, _) in object {
+                        if !KNOWN_SETTINGS.contains(&name) {
+                            errors.push(SettingsError::UnknownSetting {
+                                setting: format!("/{name}"),
+                                known: KNOWN_SETTINGS.join(", "),
+                            });
                         }
                     }
                 }
             }
         }
     }
-    let mut s = Src { v, out: &mut out };
-    let peer = s.addr("peer", f.peer.as_ref());
-    let admin = s.addr("admin", f.admin.as_ref());
-    let downstream = s.addr("downstream", f.downstream.as_ref());
-    let zone = match s.text("zone", f.zone.as_ref()) {
-        Some((at, z)) if z.is_empty() || z.len() > 64 || z.chars().any(char::is_whitespace) => {
-            s.wrong(&at, &z, "zone name of 1 to 64 bytes without blanks");
+    let mut reader = SettingsReader { file, errors: &mut errors };
+    let peer = reader.addr("peer", overrides.peer.as_ref());
+    let admin = reader.addr("admin", overrides.admin.as_ref());
+    let downstream = reader.addr("downstream", overrides.downstream.as_ref());
+    let zone = match reader.text("zone", overrides.zone.as_ref()) {
+        Some((setting, zone)) if zone.is_empty() || zone.len() > 64 || zone.chars().any(char::is_whitespace) => {
+            reader.reject(&setting, &zone, "zone name of 1 to 64 bytes without blanks");
             None
         }
-        Some((_, z)) => Some(z),
+        Some((_, zone)) => Some(zone),
         None => {
-            if s.raw("zone").is_none() {
-                s.out.push(SettingsError::Missing { at: "/zone".into() });
+            if reader.value("zone").is_none() {
+                reader.errors.push(SettingsError::MissingSetting { setting: "/zone".into() });
             }
             None
         }
     };
-    let seeds = seeds(&mut s, f);
-    let data = s.text("data", f.data.as_ref());
-    let members = s.members();
-    let operators = s.hashes("operators");
-    let workers = s.hashes("workers");
-    let beat = s.num("beat_ms", 500, 10_000, 500) * MS;
-    let to_cores = match s.text("beat_to", None) {
-        Some((_, t)) if t == "cores" => true,
-        Some((at, t)) if t != "any" => {
-            s.wrong(&at, &t, "word of any, cores");
+    let seeds = read_seeds(&mut reader, overrides);
+    let data_folder = reader.text("data", overrides.data.as_ref());
+    let membership = reader.membership();
+    let operator_hashes = reader.hashes("operators");
+    let worker_hashes = reader.hashes("workers");
+    let report_interval = reader.number("beat_ms", 500, 10_000, 500) * MS;
+    let reports_to_cores_only = match reader.text("beat_to", None) {
+        Some((_, target)) if target == "cores" => true,
+        Some((setting, target)) if target != "any" => {
+            reader.reject(&setting, &target, "word of any, cores");
             false
         }
         _ => false,
     };
-    let notice = s.num("notice_ms", 0, 60_000, 2_000) * MS;
-    let grace = s.num("grace_ms", 0, 600_000, 25_000) * MS;
-    // A second one on a machine with one core only costs wake-ups.
-    let cores = std::thread::available_parallelism().map_or(1, |n| n.get().min(2));
-    let threads = usize::try_from(s.num("threads", 1, 256, cores as u64)).unwrap_or(cores);
-    let waitlist = usize::try_from(s.num("waitlist", 1, 100_000, 256)).unwrap_or(256);
-    let bodies = usize::try_from(s.num("bodies_mib", 1, 65_536, 256)).unwrap_or(256) << 20;
-    let conns = usize::try_from(s.num("connections", 1, 1_000_000, 4_096)).unwrap_or(4_096);
+    let drain_notice = reader.number("notice_ms", 0, 60_000, 2_000) * MS;
+    let shutdown_grace = reader.number("grace_ms", 0, 600_000, 25_000) * MS;
+    // On a machine with one processor core a second thread only costs wake-ups.
+    let default_threads = std::thread::available_parallelism().map_or(1, |n| n.get().min(2));
+    let worker_threads =
+        usize::try_from(reader.number("threads", 1, 256, default_threads as u64)).unwrap_or(default_threads);
+    let max_queued_calls = usize::try_from(reader.number("waitlist", 1, 100_000, 256)).unwrap_or(256);
+    let max_body_bytes = usize::try_from(reader.number("bodies_mib", 1, 65_536, 256)).unwrap_or(256) << 20;
+    let max_connections = usize::try_from(reader.number("connections", 1, 1_000_000, 4_096)).unwrap_or(4_096);
     if let (Some(peer), Some(admin), Some(downstream)) = (peer, admin, downstream) {
-        out.extend(shared_addresses(peer, admin, downstream));
+        errors.extend(shared_addresses(peer, admin, downstream));
     }
-    if operators.is_empty()
-        && !out.iter().any(|t| matches!(t, SettingsError::Wrong { at, .. } if at.starts_with("/operators")))
+    if operator_hashes.is_empty()
+        && !errors.iter().any(
+            |error| matches!(error, SettingsError::InvalidValue { setting, .. } if setting.starts_with("/operators")),
+        )
     {
-        out.push(SettingsError::Missing { at: "/operators".into() });
+        errors.push(SettingsError::MissingSetting { setting: "/operators".into() });
     }
-    let data = data.and_then(|(at, d)| match folder(Path::new(&d)) {
-        Ok(p) => Some(p),
-        Err(why) => {
-            out.push(SettingsError::Data { at, why });
+    let data_folder = data_folder.and_then(|(setting, path)| match check_data_folder(Path::new(&path)) {
+        Ok(folder) => Some(folder),
+        Err(reason) => {
+            errors.push(SettingsError::DataFolder { setting, reason });
             None
         }
     });
     match (peer, admin, downstream, zone) {
-        (Some(peer), Some(admin), Some(downstream), Some(zone)) if out.is_empty() => Ok(Settings {
+        (Some(peer), Some(admin), Some(downstream), Some(zone)) if errors.is_empty() => Ok(Settings {
             peer_addr: peer,
             admin_addr: admin,
             downstream_addr: Some(downstream),
             zone,
             seeds,
-            data_folder: data,
-            membership: members,
-            operator_token_hashes: operators,
-            worker_token_hashes: workers,
-            report_interval: beat,
-            reports_to_cores_only: to_cores,
-            drain_notice: notice,
-            shutdown_grace: grace,
-            worker_threads: threads,
-            max_queued_calls: waitlist,
-            max_connections: conns,
-            max_body_bytes: bodies,
+            data_folder,
+            membership,
+            operator_token_hashes: operator_hashes,
+            worker_token_hashes: worker_hashes,
+            report_interval,
+            reports_to_cores_only,
+            drain_notice,
+            shutdown_grace,
+            worker_threads,
+            max_queued_calls,
+            max_connections,
+            max_body_bytes,
         }),
-        _ => Err(out),
+        _ => Err(errors),
     }
 }
 
-/// An error for each two listeners that have the same address.
+/// Returns an error for each two listeners that have the same address.
 fn shared_addresses(peer: SocketAddr, admin: SocketAddr, downstream: SocketAddr) -> Vec<SettingsError> {
     let pairs = [
         (peer, admin, "/admin", "/peer"),
         (peer, downstream, "/downstream", "/peer"),
         (admin, downstream, "/downstream", "/admin"),
     ];
-    let same = pairs.into_iter().filter(|(first, second, ..)| first == second);
-    same.map(|(.., at, other)| SettingsError::Same { at: at.into(), other: other.into() }).collect()
+    let shared = pairs.into_iter().filter(|(first, second, ..)| first == second);
+    shared
+        .map(|(.., setting, other)| SettingsError::SharedAddress { setting: setting.into(), other: other.into() })
+        .collect()
 }
 
-fn seeds(source: &mut Src, overrides: &SettingsOverrides) -> Vec<SocketAddr> {
-    let mut named: Vec<(String, String)> =
+/// Reads the seeds of the command line, or else of the file, and checks their number.
+fn read_seeds(reader: &mut SettingsReader, overrides: &SettingsOverrides) -> Vec<SocketAddr> {
+    let mut seeds: Vec<(String, String)> =
         overrides.seeds.iter().map(|item| ("--seed".to_owned(), item.clone())).collect();
-    if named.is_empty() {
-        match source.raw("seeds").cloned() {
+    if seeds.is_empty() {
+        match reader.value("seeds").cloned() {
             None => {
-                source.out.push(SettingsError::Missing { at: "/seeds".into() });
+                reader.errors.push(SettingsError::MissingSetting { setting: "/seeds".into() });
                 return Vec::new();
             }
             Some(value) => match value.as_array() {
-                None => source.wrong("/seeds", &value.to_string(), "list of one to three addresses"),
+                None => reader.reject("/seeds", &value.to_string(), "list of one to three addresses"),
                 Some(list) => {
                     for (index, item) in list.iter().enumerate() {
                         match item.as_str() {
-                            Some(text) => named.push((format!("/seeds/{index}"), text.to_owned())),
-                            None => source.wrong(&format!("/seeds/{index}"), &item.to_string(), "text"),
+                            Some(text) => seeds.push((format!("/seeds/{index}"), text.to_owned())),
+                            None => reader.reject(&format!("/seeds/{index}"), &item.to_string(), "text"),
                         }
                     }
                 }
             },
         }
     }
-    if named.is_empty() || named.len() > 3 {
-        source.out.push(SettingsError::Seeds { at: "/seeds".into(), is: named.len() });
+    if seeds.is_empty() || seeds.len() > 3 {
+        reader.errors.push(SettingsError::SeedCount { setting: "/seeds".into(), count: seeds.len() });
     }
     let mut addrs: Vec<SocketAddr> = Vec::new();
-    for (at, text) in named {
-        if let Some(addr) = source.addr_of(&at, &text) {
+    for (setting, text) in seeds {
+        if let Some(addr) = reader.parse_addr(&setting, &text) {
             if addrs.contains(&addr) {
-                source.out.push(SettingsError::Twice { at });
+                reader.errors.push(SettingsError::DuplicateSeed { setting });
             } else {
                 addrs.push(addr);
             }
@@ -476,25 +508,25 @@
     addrs
 }
 
-/// A folder that can be written, or one that can be made.
-fn folder(p: &Path) -> Result<PathBuf, String> {
-    let shown = p.display();
-    if !p.exists() {
-        let up = p.parent().filter(|x| !x.as_os_str().is_empty()).unwrap_or(Path::new("."));
-        return if up.is_dir() {
-            Ok(p.to_owned())
+/// Checks that the data folder can be written or created.
+fn check_data_folder(folder: &Path) -> Result<PathBuf, String> {
+    let shown = folder.display();
+    if !folder.exists() {
+        let parent = folder.parent().filter(|parent| !parent.as_os_str().is_empty()).unwrap_or(Path::new("."));
+        return if parent.is_dir() {
+            Ok(folder.to_owned())
         } else {
-            Err(format!("{shown} does not exist and neither does the folder above it; create one"))
+            Err(format!("{shown} does not exist and neither does its parent folder; create one"))
         };
     }
-    if !p.is_dir() {
+    if !folder.is_dir() {
         return Err(format!("{shown} is no folder; name one"));
     }
-    let t = p.join(PROBE_FILE);
-    match std::fs::File::create(&t).and_then(|_| std::fs::remove_file(&t)) {
-        Ok(()) => Ok(p.to_owned()),
-        // A disk that is full or in trouble is waited for at the start; the settings are good.
-        Err(e) if folder_error(p, &e).is_transient() => Ok(p.to_owned()),
-        Err(e) => Err(format!("{shown} can't be written: {e}; mend its rights or its disk")),
+    let probe = folder.join(PROBE_FILE);
+    match std::fs::File::create(&probe).and_then(|_| std::fs::remove_file(&probe)) {
+        Ok(()) => Ok(folder.to_owned()),
+        // The start waits for a disk that is full or fails, so the settings are valid.
+        Err(error) if folder_error(folder, &error).is_transient() => Ok(folder.to_owned()),
+        Err(error) => Err(format!("{shown} can't be written: {error}; correct its permissions or repair its disk")),
     }
 }
--- a/crates/node/src/shared/call_events.rs
+++ b/crates/node/src/shared/call_events.rs
@@ -1,32 +1,33 @@
-//! Events for calls, from whichever task they come.
+//! Delivery of events from any task to the task of a call.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use sumacvale_core::call::Event;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-const SHARDS: usize = 16;
+/// Number of shards, each with its own lock.
+const SHARD_COUNT: usize = 16;
 
-/// Senders of events by the id of the call.
+/// Senders of events by call id.
 type Subscribers = HashMap<u64, UnboundedSender<Event>>;
 
-/// The channel of each open call, in shards with a lock each.
+/// The event channel of each call in flight, sharded by call id.
 #[derive(Debug)]
 pub struct CallEvents(Vec<Mutex<Subscribers>>);
 
 impl Default for CallEvents {
     fn default() -> Self {
-        CallEvents((0..SHARDS).map(|_| Mutex::default()).collect())
+        CallEvents((0..SHARD_COUNT).map(|_| Mutex::default()).collect())
     }
 }
 
 impl CallEvents {
     fn shard(&self, call_id: u64) -> MutexGuard<'_, Subscribers> {
-        let index = usize::try_from(call_id % SHARDS as u64).unwrap_or(0);
+        let index = usize::try_from(call_id % SHARD_COUNT as u64).unwrap_or(0);
         self.0[index].lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The events for this call, from now on.
+    /// Subscribes to the events for this call.
     #[must_use]
     pub fn subscribe(&self, call_id: u64) -> UnboundedReceiver<Event> {
         let (sender, receiver) = unbounded_channel();
@@ -34,7 +35,7 @@
         receiver
     }
 
-    /// The call has ended.
+    /// Removes the channel of a call that has ended.
     pub fn unsubscribe(&self, call_id: u64) {
         self.shard(call_id).remove(&call_id);
     }
@@ -42,7 +43,7 @@
     /// Delivers an event to the call.
     ///
     /// # Errors
-    /// The event itself, where the call has ended.
+    /// Returns the event if the call has ended.
     pub fn deliver(&self, call_id: u64, event: Event) -> Result<(), Event> {
         match self.shard(call_id).get(&call_id) {
             Some(sender) => sender.send(event).map_err(|error| error.0),
--- a/crates/node/src/shared/mod.rs
+++ b/crates/node/src/shared/mod.rs
@@ -1,4 +1,4 @@
-//! What all tasks of this process share.
+//! State, commands and call events that all tasks of this process share.
 
 mod call_events;
 mod command;
--- a/crates/node/src/shared/state.rs
+++ b/crates/node/src/shared/state.rs
@@ -1,4 +1,4 @@
-//! The state that all tasks share.
+//! The state that all tasks of this process share.
 
 use super::Command;
 use super::call_events::CallEvents;
@@ -20,7 +20,7 @@
 /// The version of the configuration in force; `None` before the first.
 pub type PublishedVersion = Option<Version>;
 
-/// All that the tasks of one process share, passed down by reference.
+/// The state that all tasks of one process share; passed down by reference.
 pub struct Shared {
     /// The settings with which the process started.
     pub settings: Settings,
@@ -34,23 +34,23 @@
     pub commands: mpsc::Sender<Command>,
     /// Queues, counters and caches of the data plane.
     pub call_state: SharedCallState,
-    /// Where the task of each call receives its events.
+    /// The channels on which the tasks of calls receive their events.
     pub call_events: CallEvents,
     /// Idle connections to workers.
     pub upstreams: UpstreamPool,
-    /// Limits of connections from callers and to workers.
+    /// Limits of the connections from callers and to workers.
     pub connection_limits: Arc<ConnectionLimits>,
     /// Counters of the links between nodes.
     pub link_counters: Arc<LinkCounters>,
-    /// Commits that the disk failed; `None` on a node that is no core.
+    /// The number of failed commits of the database; `None` on a node that is no core.
     pub disk_error_count: Option<Arc<AtomicU64>>,
-    /// Set once the process shuts down; never cleared.
+    /// True once the process shuts down; never cleared.
     pub stopping: AtomicBool,
-    /// Set while an operator drains this node: it serves calls and is not ready.
+    /// True while an operator drains this node: the node serves calls but is not ready.
     pub operator_draining: AtomicBool,
-    /// Changes whenever a version of the configuration comes into force.
+    /// The version of the configuration in force; notified on every change.
     pub published_version: watch::Receiver<PublishedVersion>,
-    /// The number of the next call.
+    /// The id of the next call.
     pub next_call_id: AtomicU64,
 }
 
@@ -59,7 +59,7 @@
 }
 
 impl Shared {
-    /// Whether calls may be admitted by this view.
+    /// Whether calls may be admitted by this view now.
     pub fn may_admit(&self, view: &View) -> bool {
         view.may_admit(clock::now())
     }
@@ -69,7 +69,7 @@
         self.stopping.load(Ordering::Acquire)
     }
 
-    /// Runs `step` with the shared state, this thread's caches, the newest view and the time.
+    /// Runs `step` with the shared state, the caches of this thread, the newest view and the time.
     pub fn with_step_context<R>(&self, step: impl FnOnce(&mut StepContext) -> R) -> R {
         let view = self.view.load();
         THREAD_CACHES.with(|caches| {
@@ -84,8 +84,8 @@
         })
     }
 
-    /// Delivers an event to its call. Where the call has ended, what it was given is reclaimed and goes
-    /// to the next waiter of the queue.
+    /// Delivers an event to its call. If the call has ended, the slot or quota that the event grants is
+    /// reclaimed and goes to the next waiter of the queue.
     pub fn deliver_wakeup(&self, wakeup: Wakeup) {
         let mut pending = vec![wakeup];
         while let Some(Wakeup { call_id, queue, event }) = pending.pop() {
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Evicts idle connections and expires calls that waited too long in a queue. Returns the tenants
-    /// for which units of quota should be fetched, each with the units that its calls wait for.
+    /// Evicts idle connections and expires calls whose queue time-out has passed. Returns the tenants
+    /// for which quota must be requested, each with the number of units that its queued calls need.
     pub fn expire_waiters(&self) -> Vec<(String, u64)> {
         let view = self.view.load();
         self.upstreams.evict_expired(|worker_id, incarnation| {
