--- a/crates/compare/src/compare.rs
+++ b/crates/compare/src/compare.rs
@@ -1,114 +1,139 @@
+//! Compares two state reports.
+
 use crate::state_report::StateReport;
 use std::collections::BTreeMap;
 
-/// One thing that two nodes see differently.
+/// A difference between the state reports of two nodes.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Differs {
-    pub what: String,
-    pub a: String,
-    pub b: String,
-    pub why: &'static str,
+pub struct Difference {
+    /// The item that differs, such as `version` or `core` with a node id.
+    pub subject: String,
+    /// The value that the first node reports.
+    pub first: String,
+    /// The value that the second node reports.
+    pub second: String,
+    /// The likely cause, and what an operator can do.
+    pub hint: &'static str,
 }
 
-pub fn compare(a: &StateReport, b: &StateReport) -> Vec<Differs> {
-    let mut out = Vec::new();
-    let stale = |x: &StateReport| x.one("fresh") != "true";
-    let late = stale(a) || stale(b);
-    let mut one = |k: &str, why| {
-        let (x, y) = (a.one(k), b.one(k));
-        if x != y {
-            out.push(Differs { what: k.into(), a: x, b: y, why });
+/// Returns the differences between two state reports.
+pub fn compare(first: &StateReport, second: &StateReport) -> Vec<Difference> {
+    let mut differences = Vec::new();
+    let is_stale = |report: &StateReport| report.member("fresh") != "true";
+    let is_any_stale = is_stale(first) || is_stale(second);
+    let mut compare_member = |name: &str, hint| {
+        let (first_value, second_value) = (first.member(name), second.member(name));
+        if first_value != second_value {
+            differences.push(Difference { subject: name.into(), first: first_value, second: second_value, hint });
         }
     };
-    one("fleet", "they belong to different fleets: look at the seeds of both");
-    let why = if late {
-        "the older one is not fresh and admits nothing: look at its links to the cores"
+    compare_member("fleet", "the nodes belong to different fleets: check the seeds of both");
+    let hint = if is_any_stale {
+        "the node with the older version is not fresh and admits no calls: check its links to the cores"
     } else {
-        "a version is on its way: ask again in two seconds"
+        "a version is being propagated: compare again in two seconds"
     };
-    one("version", why);
-    one("change", "the same number with another change must never be: stop changing and keep both data folders");
-    one("fresh", "one can't confirm its version and admits nothing: look at its links to the cores");
-    if a.one("change") == b.one("change") || a.version() != b.version() {
-        out.retain(|d| d.what != "change" || a.version() == b.version());
+    compare_member("version", hint);
+    compare_member(
+        "change",
+        "one version holds two different changes, which must never happen: stop all changes and keep both data folders",
+    );
+    compare_member("fresh", "one node can't confirm its version and admits no calls: check its links to the cores");
+    if first.member("change") == second.member("change") || first.version() != second.version() {
+        differences.retain(|difference| difference.subject != "change" || first.version() == second.version());
     }
-    lists(
-        &mut out,
+    compare_rows(
+        &mut differences,
         "core",
-        a.rows("cores", "id", "peer"),
-        b.rows("cores", "id", "peer"),
-        "the set changed: the older version has the older set",
+        first.rows("cores", "id", "peer"),
+        second.rows("cores", "id", "peer"),
+        "the set of cores changed: the node with the older version has the older set",
     );
-    lists(
-        &mut out,
+    compare_rows(
+        &mut differences,
         "node alive",
-        a.rows("nodes", "id", "alive"),
-        b.rows("nodes", "id", "alive"),
-        "just started, ended or cut off: ask again in three seconds, then look at the links of that node",
+        first.rows("nodes", "id", "alive"),
+        second.rows("nodes", "id", "alive"),
+        "the node just started, stopped or became unreachable: compare again in three seconds, then check its links",
     );
-    lists(
-        &mut out,
+    compare_rows(
+        &mut differences,
         "worker life",
-        a.rows("workers", "id", "incarnation"),
-        b.rows("workers", "id", "incarnation"),
-        "just came, went or drains: ask again in two seconds, then see whom it reports to",
+        first.rows("workers", "id", "incarnation"),
+        second.rows("workers", "id", "incarnation"),
+        "the worker just started, stopped or drains: compare again in two seconds, then check which nodes it reports to",
     );
-    terms(&mut out, a, b);
-    lists_both(
-        &mut out,
+    compare_leases(&mut differences, first, second);
+    report_common_keys(
+        &mut differences,
         "granted window",
-        a.rows("grants", "tenant", "window"),
-        b.rows("grants", "tenant", "window"),
-        "both hold the tenant's quota: one of the terms must be about to end",
+        first.rows("grants", "tenant", "window"),
+        second.rows("grants", "tenant", "window"),
+        "both nodes hold the quota of the tenant: one of the leases must be about to expire",
     );
-    out
+    differences
 }
 
-fn lists(
-    out: &mut Vec<Differs>,
-    what: &str,
-    a: BTreeMap<String, String>,
-    b: BTreeMap<String, String>,
-    why: &'static str,
+/// Reports each key whose values differ or that only one node knows.
+fn compare_rows(
+    differences: &mut Vec<Difference>,
+    subject: &str,
+    first: BTreeMap<String, String>,
+    second: BTreeMap<String, String>,
+    hint: &'static str,
 ) {
-    let mut ks: Vec<_> = a.keys().chain(b.keys()).collect();
-    ks.sort();
-    ks.dedup();
-    for k in ks {
-        let get = |m: &BTreeMap<String, String>| m.get(k).cloned().unwrap_or_else(|| "not known".into());
-        let (x, y) = (get(&a), get(&b));
-        // A node that ended long ago is forgotten sooner here than there.
-        if x != y
-            && !(what == "node alive" && [x.as_str(), y.as_str()].iter().all(|s| ["false", "not known"].contains(s)))
+    let mut keys: Vec<_> = first.keys().chain(second.keys()).collect();
+    keys.sort();
+    keys.dedup();
+    for key in keys {
+        let value = |rows: &BTreeMap<String, String>| rows.get(key).cloned().unwrap_or_else(|| "not known".into());
+        let (first_value, second_value) = (value(&first), value(&second));
+        // Two nodes don't forget a stopped node at the same time.
+        if first_value != second_value
+            && !(subject == "node alive"
+                && [first_value.as_str(), second_value.as_str()]
+                    .iter()
+                    .all(|value| ["false", "not known"].contains(value)))
         {
-            out.push(Differs { what: format!("{what} {k}"), a: x, b: y, why });
+            differences.push(Difference {
+                subject: format!("{subject} {key}"),
+                first: first_value,
+                second: second_value,
+                hint,
+            });
         }
     }
 }
 
-fn lists_both(
-    out: &mut Vec<Differs>,
-    what: &str,
-    a: BTreeMap<String, String>,
-    b: BTreeMap<String, String>,
-    why: &'static str,
+/// Reports each key that both nodes have.
+fn report_common_keys(
+    differences: &mut Vec<Difference>,
+    subject: &str,
+    first: BTreeMap<String, String>,
+    second: BTreeMap<String, String>,
+    hint: &'static str,
 ) {
-    for (k, x) in a {
-        if let Some(y) = b.get(&k) {
-            out.push(Differs { what: format!("{what} {k}"), a: x, b: y.clone(), why });
+    for (key, first_value) in first {
+        if let Some(second_value) = second.get(&key) {
+            differences.push(Difference {
+                subject: format!("{subject} {key}"),
+                first: first_value,
+                second: second_value.clone(),
+                hint,
+            });
         }
     }
 }
 
-/// A duty has one holder: two that both claim it are told.
-fn terms(out: &mut Vec<Differs>, a: &StateReport, b: &StateReport) {
-    let (x, y) = (a.rows("terms", "duty", "epoch"), b.rows("terms", "duty", "epoch"));
-    lists_both(
-        out,
+/// Reports each lease that both nodes claim to hold.
+fn compare_leases(differences: &mut Vec<Difference>, first: &StateReport, second: &StateReport) {
+    let (first_rows, second_rows) = (first.rows("terms", "duty", "epoch"), second.rows("terms", "duty", "epoch"));
+    report_common_keys(
+        differences,
         "term of duty",
-        x,
-        y,
-        "both claim it: one must be about to end, its messages are fenced; ask again in two seconds",
+        first_rows,
+        second_rows,
+        "both nodes hold the lease: one lease must be about to expire, and its messages are fenced; compare again in two seconds",
     );
 }
 
@@ -117,19 +142,20 @@
     use super::compare;
     use crate::state_report::StateReport;
 
-    fn of(more: &str) -> StateReport {
+    /// A state report in which the text before each `=>` is replaced by the text after it.
+    fn report_with(replacements: &str) -> StateReport {
         let base = r#""id":"a","fleet":"f","version":3,"change":"c","fresh":true,"cores":[],"nodes":[{"id":"n","alive":true}],"workers":[],"terms":[],"grants":[]"#;
-        let mut s = format!("{{{base}}}");
-        for kv in more.split(';').filter(|x| !x.is_empty()) {
-            let (from, to) = kv.split_once("=>").expect("from=>to");
-            assert!(s.contains(from), "{from}");
-            s = s.replace(from, to);
+        let mut text = format!("{{{base}}}");
+        for replacement in replacements.split(';').filter(|part| !part.is_empty()) {
+            let (from, to) = replacement.split_once("=>").expect("from=>to");
+            assert!(text.contains(from), "{from}");
+            text = text.replace(from, to);
         }
-        StateReport::read(s.as_bytes()).expect("reads")
+        StateReport::read(text.as_bytes()).expect("reads")
     }
 
     #[test]
-    fn what_differs_is_told_with_its_reason() {
+    fn differing_members_are_reported() {
         let cases = [
             ("", "", vec![]),
             (r#""version":3=>"version":4"#, "", vec!["version"]),
@@ -146,9 +172,12 @@
                 vec!["term of duty 1"],
             ),
         ];
-        for (a, b, want) in cases {
-            let got: Vec<_> = compare(&of(a), &of(b)).into_iter().map(|d| d.what).collect();
-            assert_eq!(got, want, "{a} against {b}");
+        for (first, second, expected) in cases {
+            let subjects: Vec<_> = compare(&report_with(first), &report_with(second))
+                .into_iter()
+                .map(|difference| difference.subject)
+                .collect();
+            assert_eq!(subjects, expected, "{first} against {second}");
         }
     }
 }
--- a/crates/compare/src/main.rs
+++ b/crates/compare/src/main.rs
@@ -1,4 +1,4 @@
-//! Compares what two nodes believe and says why they differ.
+//! The program `sumacvale-compare`: compares the state reports of nodes and explains their differences.
 
 mod compare;
 mod fetch;
@@ -6,31 +6,34 @@
 
 use getopts::Options;
 
-const HELP: &str = "sumacvale-compare: compares what two nodes of a fleet believe
+const HELP: &str = "sumacvale-compare: compares the state reports of the nodes of a fleet
 
 Usage: sumacvale-compare --token-file FILE ADMIN ADMIN
        sumacvale-compare --token-file FILE --all ADMIN
 
-ADMIN is the admin address of a node, IP:PORT. With --all the first node is
-compared with every node that it knows. The token file holds an operator's token.
+ADMIN is the admin address of a node, IP:PORT. With --all the node is compared
+with every other node that it reports as alive. The token file holds an
+operator's token.
 
-Exit code: 0 they agree, 1 they differ, 2 wrong use, 3 a node gave no answer.";
+Exit code: 0 the nodes agree, 1 they differ, 2 invalid command line or token
+file, 3 a node sent no valid report.";
 
 fn main() {
-    let a: Vec<String> = std::env::args().skip(1).collect();
-    std::process::exit(run(&a));
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    std::process::exit(run(&arguments));
 }
 
+/// Runs the command line; returns the exit code.
 fn run(arguments: &[String]) -> i32 {
     let mut options = Options::new();
     options
         .optopt("", "token-file", "file that holds an operator's token", "FILE")
-        .optflag("", "all", "compare the node with all that it knows")
-        .optflag("h", "help", "show this help")
-        .optflag("V", "version", "show the version");
+        .optflag("", "all", "compare the node with all live nodes that it reports")
+        .optflag("h", "help", "print this help")
+        .optflag("V", "version", "print the version");
     let matches = match options.parse(arguments) {
         Ok(matches) => matches,
-        Err(e) => return wrong(&e.to_string()),
+        Err(e) => return usage_error(&e.to_string()),
     };
     if matches.opt_present("help") {
         println!("{}", options.usage(HELP));
@@ -40,63 +43,69 @@
         println!("sumacvale-compare {}", env!("CARGO_PKG_VERSION"));
         return 0;
     }
-    let Some(file) = matches.opt_str("token-file") else { return wrong("--token-file is missing") };
+    let Some(file) = matches.opt_str("token-file") else { return usage_error("--token-file is missing") };
     let token = match std::fs::read_to_string(&file) {
-        Ok(s) => s.trim().to_owned(),
-        Err(e) => return wrong(&format!("--token-file {file}: {e}; name a file that can be read")),
+        Ok(text) => text.trim().to_owned(),
+        Err(e) => return usage_error(&format!("--token-file {file}: {e}; name a file that can be read")),
     };
-    let all = matches.opt_present("all");
-    if matches.free.len() != if all { 1 } else { 2 } {
-        return wrong("name two admin addresses, or one with --all");
+    let compares_all = matches.opt_present("all");
+    if matches.free.len() != if compares_all { 1 } else { 2 } {
+        return usage_error("name two admin addresses, or one with --all");
     }
     for addr in &matches.free {
         if addr.parse::<std::net::SocketAddr>().is_err() {
-            return wrong(&format!("{addr} is no IP address and port"));
+            return usage_error(&format!("{addr} is not an IP address and port"));
         }
     }
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
-        Ok(r) => r,
-        Err(e) => return wrong(&e.to_string()),
+        Ok(runtime) => runtime,
+        Err(e) => return usage_error(&e.to_string()),
     };
-    runtime.block_on(go(&matches.free, &token, all))
+    runtime.block_on(compare_nodes(&matches.free, &token, compares_all))
 }
 
-fn wrong(s: &str) -> i32 {
-    eprintln!("sumacvale-compare: {s}; see sumacvale-compare --help");
+/// Prints an error of the command line or the token file; returns the exit code.
+fn usage_error(reason: &str) -> i32 {
+    eprintln!("sumacvale-compare: {reason}; see sumacvale-compare --help");
     2
 }
 
-async fn go(at: &[String], token: &str, all: bool) -> i32 {
-    let first = match fetch::take(&at[0], token).await {
-        Ok(b) => b,
-        Err(e) => {
-            eprintln!("sumacvale-compare: {}: {e}", at[0]);
+/// Compares the first node with the others, prints the differences and returns the exit code.
+async fn compare_nodes(admin_addrs: &[String], token: &str, compares_all: bool) -> i32 {
+    let first = match fetch::fetch_report(&admin_addrs[0], token).await {
+        Ok(report) => report,
+        Err(error) => {
+            eprintln!("sumacvale-compare: {}: {error}", admin_addrs[0]);
             return 3;
         }
     };
-    let others: Vec<String> = if all { first.others() } else { vec![at[1].clone()] };
-    let mut code = 0;
-    for o in others {
-        let c = match fetch::take(&o, token).await {
-            Ok(b) => {
-                let d = compare::compare(&first, &b);
-                if d.is_empty() {
-                    println!("{} and {o} agree on version {}", at[0], first.version());
+    let other_addrs: Vec<String> =
+        if compares_all { first.live_peer_admin_addrs() } else { vec![admin_addrs[1].clone()] };
+    let mut exit_code = 0;
+    for other_addr in other_addrs {
+        let node_code = match fetch::fetch_report(&other_addr, token).await {
+            Ok(report) => {
+                let differences = compare::compare(&first, &report);
+                if differences.is_empty() {
+                    println!("{} and {other_addr} agree on version {}", admin_addrs[0], first.version());
                     0
                 } else {
-                    println!("{} and {o} differ:", at[0]);
-                    for x in d {
-                        println!("  {}: {} | {}  ({})", x.what, x.a, x.b, x.why);
+                    println!("{} and {other_addr} differ:", admin_addrs[0]);
+                    for difference in differences {
+                        println!(
+                            "  {}: {} | {}  ({})",
+                            difference.subject, difference.first, difference.second, difference.hint
+                        );
                     }
                     1
                 }
             }
-            Err(e) => {
-                eprintln!("sumacvale-compare: {o}: {e}");
+            Err(error) => {
+                eprintln!("sumacvale-compare: {other_addr}: {error}");
                 3
             }
         };
-        code = code.max(c);
+        exit_code = exit_code.max(node_code);
     }
-    code
+    exit_code
 }
--- a/crates/compare/src/state_report.rs
+++ b/crates/compare/src/state_report.rs
@@ -1,47 +1,59 @@
+//! The state report of a node, the response of `/v1/beliefs`.
+
 use sonic_rs::{JsonContainerTrait, JsonValueTrait, Value};
 use std::collections::BTreeMap;
 
-/// What one node believes, as it told it.
+/// The state report of one node: what the node knows of the fleet.
 pub struct StateReport {
-    v: Value,
+    json: Value,
 }
 
 impl StateReport {
-    pub fn read(b: &[u8]) -> Result<StateReport, String> {
-        let v: Value = sonic_rs::from_slice(b)
-            .map_err(|_| "its answer can't be read; use the sumacvale-compare of its release".to_owned())?;
-        if v.pointer(["nodes"]).is_none() {
-            return Err("its answer holds no nodes; use the sumacvale-compare of its release".into());
+    /// Parses the body of the response.
+    ///
+    /// # Errors
+    /// The remedy, where the body is no state report.
+    pub fn read(body: &[u8]) -> Result<StateReport, String> {
+        let json: Value = sonic_rs::from_slice(body)
+            .map_err(|_| "the response is not JSON; use the sumacvale-compare of the node's release".to_owned())?;
+        if json.pointer(["nodes"]).is_none() {
+            return Err("the response contains no nodes; use the sumacvale-compare of the node's release".into());
         }
-        Ok(StateReport { v })
+        Ok(StateReport { json })
     }
 
-    pub fn one(&self, k: &str) -> String {
-        self.v.pointer([k]).map_or_else(|| "none".into(), |x| x.as_str().map_or_else(|| x.to_string(), str::to_owned))
+    /// Returns a top-level member as text, or `none` where it is missing.
+    pub fn member(&self, name: &str) -> String {
+        self.json
+            .pointer([name])
+            .map_or_else(|| "none".into(), |value| value.as_str().map_or_else(|| value.to_string(), str::to_owned))
     }
 
+    /// Returns the version of the configuration in force.
     pub fn version(&self) -> String {
-        self.one("version")
+        self.member("version")
     }
 
-    /// The rows of a list by their key, each with one of its fields.
+    /// Returns one field of each row of a list, by the key of the row.
     pub fn rows(&self, list: &str, key: &str, field: &str) -> BTreeMap<String, String> {
-        let text = |x: &Value, k: &str| x.pointer([k]).map(|y| y.as_str().map_or_else(|| y.to_string(), str::to_owned));
-        self.v
+        let text = |row: &Value, name: &str| {
+            row.pointer([name]).map(|value| value.as_str().map_or_else(|| value.to_string(), str::to_owned))
+        };
+        self.json
             .pointer([list])
-            .and_then(|l| l.as_array())
-            .map(|a| a.iter().filter_map(|x| Some((text(x, key)?, text(x, field)?))).collect())
+            .and_then(|value| value.as_array())
+            .map(|rows| rows.iter().filter_map(|row| Some((text(row, key)?, text(row, field)?))).collect())
             .unwrap_or_default()
     }
 
-    /// The admin addresses of the other nodes that it takes for living.
-    pub fn others(&self) -> Vec<String> {
-        let me = self.one("id");
+    /// Returns the admin addresses of the other nodes that this node reports as alive.
+    pub fn live_peer_admin_addrs(&self) -> Vec<String> {
+        let own_id = self.member("id");
         let alive = self.rows("nodes", "id", "alive");
         self.rows("nodes", "id", "admin")
             .into_iter()
-            .filter(|(n, _)| *n != me && alive.get(n).is_some_and(|a| a == "true"))
-            .map(|x| x.1)
+            .filter(|(node_id, _)| *node_id != own_id && alive.get(node_id).is_some_and(|is_alive| is_alive == "true"))
+            .map(|row| row.1)
             .collect()
     }
 }
--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -21,8 +21,8 @@
 //! | published version   | 1 (the newest)  | `control`                 | calls that wait for a new view | receivers see the last value |
 //! | call events         | unbounded for each call | any task          | the call's task | the event is handed to the next waiter |
 //!
-//! Shutdown: [`crate::run`] sends [`Command::Shutdown`]; the node then releases its leases and announces
-//! that it drains. The thread continues to step the node until the process exits.
+//! Shutdown: [`crate::run`] sends [`Command::Shutdown`]; the node then stops renewing its leases and
+//! announces that it drains. The thread continues to step the node until the process exits.
 
 mod channels;
 mod effects;
--- a/crates/node/src/settings/args.rs
+++ b/crates/node/src/settings/args.rs
@@ -38,7 +38,7 @@
         .optopt("", "data", "data folder; makes this node a core", "FOLDER")
         .optopt("", "import", "print a configuration with the matches of an OpenAPI file, and exit", "FILE")
         .optopt("", "pool", "with --import: pool of the matches", "NAME")
-        .optflag("", "check", "check the settings without opening anything, and exit")
+        .optflag("", "check", "check the settings, open nothing, and exit")
         .optflag("h", "help", "print this help")
         .optflag("V", "version", "print the version");
     options
