--- a/crates/testbed/src/bounds.rs
+++ b/crates/testbed/src/bounds.rs
@@ -1,30 +1,28 @@
-//! What ways to bound a quota admit and refuse, given the same calls.
+//! Compares quota bounds: the calls that each one admits and rejects, given the same arrivals.
 //!
-//! Each bound meets the same drawn arrivals for ten minutes of virtual time. What is
-//! measured is the share of refusals and the most calls that ran in any interval of a
-//! window's length: a bound that admits more than the quota there lets a client exceed
-//! it around the border of two windows.
+//! Each bound gets the same drawn arrivals for ten minutes of virtual time. Measured are the
+//! share of rejections and the most calls admitted in any interval of a window's length: where
+//! these exceed the quota, a client can exceed its quota around the border of two windows.
 
 use std::collections::VecDeque;
 use sumacvale_core::base::{Micros, Rng, SEC};
 
-/// Calls that a window admits.
+/// The number of calls that a window admits.
 const QUOTA: usize = 60;
 /// The length of a window, in microseconds.
 const WINDOW: Micros = SEC;
-/// How long calls arrive, in microseconds.
+/// The virtual time during which calls arrive, in microseconds.
 const DURATION: Micros = 600 * SEC;
 
-/// How a quota may be bounded.
+/// A rule that bounds admitted calls to the quota.
 #[derive(Clone, Copy, Debug)]
 pub enum QuotaBound {
-    /// Windows follow one another, each with the quota.
+    /// Consecutive fixed windows, each with the whole quota.
     Fixed,
-    /// Every interval of a window's length: the window is divided into so many parts, any
-    /// `n + 1` of which have the quota together, so that lease holders need not know the
-    /// exact time when a unit was used.
+    /// A sliding window in steps: the window is divided into `n` parts, and any `n + 1` consecutive
+    /// parts share the quota, so that lease holders need not know the exact time when a unit was used.
     Parts(u64),
-    /// Every interval, by the exact time of each call: what one machine alone could do.
+    /// A sliding window by the exact time of each call, as only a single machine can keep it.
     Exact,
 }
 
@@ -38,7 +36,7 @@
         }
     }
 
-    /// The length of the interval which has the quota, in microseconds.
+    /// The length of the interval that shares one quota, in microseconds.
     fn interval(self) -> Micros {
         match self {
             QuotaBound::Fixed | QuotaBound::Exact => WINDOW,
@@ -46,32 +44,32 @@
         }
     }
 
-    /// The earliest time whose calls still count at `now`.
+    /// The earliest time at which an admitted call still counts at `now`.
     fn interval_start(self, now: Micros) -> Micros {
         let resolution = self.resolution();
         (now / resolution * resolution + resolution).saturating_sub(self.interval())
     }
 }
 
-/// How calls arrive.
+/// The arrival pattern of calls.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrivals {
     /// The mean rate, in percent of the quota.
     pub quota_percent: u64,
-    /// All calls of a window arrive at once; else each at a random time.
+    /// Whether all calls of a window arrive at once; else each arrives at a random time.
     pub bursts: bool,
 }
 
 impl Arrivals {
-    /// Calls that arrive at the same time.
+    /// The number of calls that arrive at the same time.
     fn burst_size(self) -> u64 {
         if self.bursts { QUOTA as u64 * self.quota_percent / 100 } else { 1 }
     }
 
-    /// The time until the next arrival, in microseconds.
+    /// Draws the time until the next arrival, in microseconds.
     fn next_gap(self, rng: &mut Rng) -> Micros {
         if self.bursts {
-            // A burst comes a little off each window.
+            // The gap between two bursts is 90 to 110 % of a window.
             return WINDOW * 9 / 10 + rng.below(WINDOW / 5);
         }
         let mean = WINDOW * 100 / (QUOTA as u64 * self.quota_percent);
@@ -79,28 +77,28 @@
     }
 }
 
-/// What a bound admitted and refused.
+/// The calls that a bound admitted and rejected.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Admissions {
     /// Calls that arrived.
     pub calls: u64,
-    /// Calls that were refused.
+    /// Calls that were rejected.
     pub refused: u64,
     /// The most calls admitted in any interval of a window's length.
     pub most_per_window: usize,
 }
 
-/// Times of admitted calls, oldest first.
+/// The times of admitted calls, oldest first.
 #[derive(Default)]
 struct History {
-    /// Calls that count against the bound.
+    /// Calls that count against the bound now; never more than `QUOTA`.
     counted: VecDeque<Micros>,
     /// Calls of the last window by exact time, for the measurement.
     last_window: VecDeque<Micros>,
 }
 
 impl History {
-    /// Whether the bound admits a call now; an admitted call is recorded.
+    /// Returns whether the bound admits a call now, and records an admitted call.
     fn admit(&mut self, bound: QuotaBound, now: Micros) -> bool {
         let start = bound.interval_start(now);
         while self.counted.front().is_some_and(|time| *time < start) {
@@ -118,7 +116,7 @@
     }
 }
 
-/// Measures a bound with calls drawn from the seed.
+/// Measures a bound with arrivals drawn from the seed.
 #[must_use]
 pub fn measure(bound: QuotaBound, arrivals: Arrivals, seed: u64) -> Admissions {
     let mut rng = Rng::new(seed);
--- a/crates/testbed/src/lookups.rs
+++ b/crates/testbed/src/lookups.rs
@@ -1,36 +1,36 @@
-//! What a lookup in the layered cache costs and which layer answers it, under the mix of
-//! keys that the brief names: eight tenants, two of them with over half of the calls.
+//! Measures the cost of lookups in the layered cache and which layer answers them, for the keys
+//! of eight tenants, two of which make over half of the calls.
 
 use std::sync::Arc;
 use std::time::Instant;
 use sumacvale_core::base::{MS, Micros, Rng, Version};
 use sumacvale_core::cache::{CacheLevel, CacheOptions, LocalCache, Lookup, LookupContext, SharedCache, Ttl, look_up};
 
-/// Tenants whose keys exist.
+/// The number of tenants whose keys exist.
 const TENANTS: u64 = 8;
-/// Tenants that make more than half of the calls.
+/// The number of tenants that make more than half of the calls.
 const BUSY_TENANTS: u64 = 2;
-/// Percent of the calls that are drawn from the busy tenants alone.
+/// The share of calls that are drawn from the busy tenants alone, in percent.
 const BUSY_PERCENT: u64 = 55;
 /// The time between two lookups of a thread, in microseconds.
 const LOOKUP_INTERVAL: Micros = MS;
 /// The size of a value, in bytes.
 const VALUE_BYTES: usize = 320;
 
-/// The lookups that are measured.
+/// The lookups to measure.
 #[derive(Clone, Copy, Debug)]
 pub struct Workload {
-    /// Threads, each with a local cache (L1) and all with one shared cache (L2).
+    /// The number of threads; each has a local cache (L1), and all use one shared cache (L2).
     pub threads: u64,
-    /// Lookups of each thread.
+    /// The number of lookups of each thread.
     pub lookups: u64,
-    /// Percent of the lookups that are for keys which do not exist.
+    /// The share of lookups for keys that do not exist, in percent.
     pub unknown_percent: u64,
-    /// Lookups of a thread after which the configuration has a new version.
+    /// The number of lookups of a thread after which the configuration changes its version.
     pub lookups_per_version: u64,
 }
 
-/// Lookups by what answered them.
+/// The numbers of lookups by the source that answered them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LookupSources {
     /// Answered by the thread's own cache (L1).
@@ -42,7 +42,7 @@
 }
 
 impl LookupSources {
-    /// All lookups.
+    /// The number of all lookups.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.local + self.shared + self.fetched
@@ -55,20 +55,20 @@
     }
 }
 
-/// What the lookups cost.
+/// The measured cost of a workload.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LookupCost {
-    /// Lookups of all threads by what answered them.
+    /// Lookups of all threads by the source that answered them.
     pub sources: LookupSources,
     /// The mean time of a lookup on a thread, in nanoseconds.
     pub lookup_ns: u64,
-    /// Values in the shared cache at the end.
+    /// The number of values in the shared cache at the end.
     pub shared_values: usize,
-    /// Misses (keys known not to exist) in the shared cache at the end.
+    /// The number of misses (keys known not to exist) in the shared cache at the end.
     pub shared_misses: usize,
 }
 
-/// Runs the workload on its threads at the same time.
+/// Runs the workload on all its threads at the same time and returns its cost.
 #[must_use]
 pub fn measure(workload: Workload) -> LookupCost {
     let options = CacheOptions::default();
@@ -89,7 +89,7 @@
     cost
 }
 
-/// The lookups of one thread.
+/// The state of one thread that runs its lookups.
 struct ThreadRun<'a> {
     workload: Workload,
     local: LocalCache<Arc<u64>>,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Gives the lookups by source and the mean time of one, in nanoseconds.
+    /// Runs all lookups; returns their numbers by source and the mean time of one, in nanoseconds.
     fn run(mut self) -> (LookupSources, u64) {
         let begin = Instant::now();
         for number in 0..self.workload.lookups {
@@ -121,6 +121,7 @@
         (self.sources, elapsed_ns / self.workload.lookups.max(1))
     }
 
+    /// Looks one key up, and fetches its value if this thread gets the fetch lease.
     fn look_up(&mut self, number: u64) {
         let unknown = self.rng.chance(self.workload.unknown_percent).then(|| key(self.rng.next_u64()));
         let known = if unknown.is_none() { self.draw_tenant() } else { 0 };
@@ -152,13 +153,14 @@
         }
     }
 
-    /// The index of a tenant's key.
+    /// Draws a tenant and returns the index of its key.
     fn draw_tenant(&mut self) -> usize {
         let tenants = if self.rng.chance(BUSY_PERCENT) { BUSY_TENANTS } else { TENANTS };
         usize::try_from(self.rng.below(tenants)).unwrap_or(0)
     }
 }
 
+/// Makes the key of a number, of the length of a hash in hex.
 fn key(number: u64) -> String {
     format!("{number:064x}")
 }
--- a/crates/testbed/src/sim/calls/call_driver.rs
+++ b/crates/testbed/src/sim/calls/call_driver.rs
@@ -1,4 +1,4 @@
-//! Drives the calls of simulated processes: steps their state machines and carries the effects out.
+//! Drives the calls of simulated processes: steps their state machines and executes the effects.
 
 use crate::sim::calls::call_registry::ActiveCall;
 use crate::sim::calls::outcome::{CallOutcome, CallRequest, ClientObservation};
@@ -13,22 +13,22 @@
 use sumacvale_core::node::{Event as NodeEvent, View};
 use sumacvale_core::retry::FailurePoint;
 
-/// A wakeup reaches its call within this, so that other events come between.
-const WAKEUP_DELAY_MOST: Micros = 200;
-/// A request body arrives within this.
-const BODY_DELAY_MOST: Micros = 2 * MS;
+/// The longest delay of a wakeup, in microseconds; other events may come between it and its call.
+const MAX_WAKEUP_DELAY: Micros = 200;
+/// The longest time until a request body arrives.
+const MAX_BODY_DELAY: Micros = 2 * MS;
 
-/// What the effects of one step leave to be done.
+/// What remains to be done after the effects of one step.
 #[derive(Default)]
 struct StepResult {
-    /// How the call ended for its client, if it did.
+    /// How the call ended for its client; `None` while the call goes on.
     observation: Option<ClientObservation>,
-    /// Tenants whose quota units are requested, and for how many waiting calls.
+    /// Tenants whose quota units are requested, and the number of waiting calls of each.
     quota_requests: Vec<(String, u64)>,
 }
 
 impl World {
-    /// A client calls a front; returns the number of the call.
+    /// Starts a client's call to a front and returns the number of the call.
     pub fn call(&mut self, machine: usize, request: CallRequest) -> u64 {
         self.calls_started += 1;
         let call = self.calls_started;
@@ -59,7 +59,7 @@
         call
     }
 
-    /// The node of a machine published a new view: wakes the calls that wait for it.
+    /// Applies a new view that a machine's node published, and wakes the calls that wait for one.
     pub(in crate::sim) fn publish(&mut self, machine: usize, view: Arc<View>) {
         let registry = &mut self.machines[machine].calls;
         let workers_changed = !Arc::ptr_eq(&registry.view.workers, &view.workers);
@@ -81,6 +81,7 @@
         }
     }
 
+    /// Calls a function with the context that call state machines of a machine step in.
     fn with_context<R>(&mut self, machine: usize, f: impl FnOnce(&mut StepContext) -> R) -> R {
         let now = self.machines[machine].clock(self.now);
         let registry = &mut self.machines[machine].calls;
@@ -94,7 +95,7 @@
         })
     }
 
-    /// Wakes calls whose wait is over, and requests quota units for those that still wait.
+    /// Wakes calls whose waiting time has expired, and requests quota units for those that still wait.
     pub(in crate::sim) fn expire_waiters(&mut self, machine: usize) {
         let (wakeups, quota_requests) = self.with_context(machine, SharedCallState::expire_waiters);
         self.schedule_wakeups(machine, wakeups);
@@ -103,22 +104,23 @@
         }
     }
 
-    /// Quota units of a tenant came: serves the calls that wait for them.
+    /// Wakes the calls that wait for quota units of a tenant, after units were granted.
     pub(in crate::sim) fn serve_quota_queue(&mut self, machine: usize, tenant: &str) {
         let wakeups = self.with_context(machine, |context| context.shared.serve_quota_queue(tenant, context.now));
         self.schedule_wakeups(machine, wakeups);
     }
 
+    /// Schedules wakeups with a drawn delay each.
     fn schedule_wakeups(&mut self, machine: usize, wakeups: Vec<Wakeup>) {
         let incarnation = self.machines[machine].incarnation;
         for wakeup in wakeups {
-            // Other events come between a wakeup and its call, as between threads.
-            let due = self.now + self.rng.below(WAKEUP_DELAY_MOST);
+            // The delay lets other events come between a wakeup and its call, as between threads.
+            let due = self.now + self.rng.below(MAX_WAKEUP_DELAY);
             self.schedule(due, SimEvent::Wakeup(machine, incarnation, wakeup));
         }
     }
 
-    /// A wakeup reaches its call; what it gives to a call that has ended is reclaimed.
+    /// Delivers a wakeup to its call; if the call has ended, reclaims the slot or unit that the wakeup carries.
     pub(in crate::sim) fn wake(&mut self, machine: usize, wakeup: Wakeup) {
         if self.machines[machine].calls.active.contains_key(&wakeup.call_id) {
             self.step_call(machine, wakeup.call_id, wakeup.event);
@@ -128,7 +130,7 @@
         }
     }
 
-    /// The platform's readiness check, made of every node each second.
+    /// Runs the platform's readiness check on every node, as happens each second.
     pub fn check_readiness(&mut self) {
         for machine in &mut self.machines {
             let is_running = machine.node.is_some() && machine.frozen_until <= self.now;
@@ -136,7 +138,7 @@
         }
     }
 
-    /// A worker's side of an attempt reaches the call, unless the attempt was given up.
+    /// Delivers an event of a worker to its call, unless the call has given up that attempt.
     pub(in crate::sim) fn handle_attempt_event(&mut self, origin: AttemptOrigin, event: Event) {
         let machine = &self.machines[origin.machine];
         let is_current = |call: &ActiveCall| call.attempt == origin.attempt && call.worker.is_some();
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Gives one event to a call and carries its effects out.
+    /// Steps a call with one event and executes the effects.
     pub(in crate::sim) fn step_call(&mut self, machine: usize, number: u64, event: Event) {
         let Some(mut call) = self.machines[machine].calls.active.remove(&number) else { return };
         let client_left = matches!(event, Event::ClientDisconnected);
@@ -155,7 +157,7 @@
         let mut result =
             StepResult { observation: client_left.then_some(ClientObservation::ClientLeft), ..StepResult::default() };
         for effect in effects {
-            self.carry_out_call_effect(machine, number, &mut call, effect, &mut result);
+            self.execute_call_effect(machine, number, &mut call, effect, &mut result);
         }
         match result.observation {
             Some(observation) => {
@@ -172,7 +174,7 @@
         }
     }
 
-    fn carry_out_call_effect(
+    fn execute_call_effect(
         &mut self,
         machine: usize,
         number: u64,
@@ -207,14 +209,15 @@
         }
     }
 
+    /// Schedules the arrival of the request body.
     fn send_body(&mut self, machine: usize, number: u64, call: &ActiveCall) {
         let body = format!("{{\"prompt\":\"prefix {}\"}}", call.request.prefix);
-        let due = self.now + self.rng.below(BODY_DELAY_MOST);
+        let due = self.now + self.rng.below(MAX_BODY_DELAY);
         let incarnation = self.machines[machine].incarnation;
         self.schedule(due, SimEvent::RequestBody(machine, incarnation, number, Bytes::from(body)));
     }
 
-    /// Sets the call's timer if its next deadline is another one than that already set.
+    /// Sets the call's timer to its next deadline, unless the timer is already set to it.
     fn set_timer(&mut self, machine: usize, number: u64, call: &mut ActiveCall) {
         let state = &self.machines[machine];
         let Some(deadline) = call.machine.next_wake(&state.calls.view) else { return };
@@ -226,6 +229,7 @@
         }
     }
 
+    /// Records how a call ended for its client.
     fn record_outcome(&mut self, machine: usize, number: u64, call: ActiveCall, observation: ClientObservation) {
         self.call_outcomes.push(CallOutcome {
             call: number,
@@ -240,12 +244,13 @@
         });
     }
 
+    /// The origin of the call's current attempt.
     fn attempt_origin(&self, machine: usize, number: u64, call: &ActiveCall) -> AttemptOrigin {
         let incarnation = self.machines[machine].incarnation;
         AttemptOrigin { machine, incarnation, call: number, attempt: call.attempt }
     }
 
-    /// Connects to the worker whose index is the last octet of the address less one.
+    /// Connects to the worker whose index is one less than the last octet of the address.
     fn connect(&mut self, machine: usize, number: u64, call: &mut ActiveCall, addr: SocketAddr) {
         let worker = match addr.ip() {
             IpAddr::V4(ip) => usize::from(ip.octets()[3]) - 1,
@@ -263,6 +268,7 @@
         self.schedule(due, SimEvent::Attempt(origin, event));
     }
 
+    /// Sends the request of the current attempt to the connected worker.
     fn send_request(
         &mut self,
         machine: usize,
@@ -284,6 +290,7 @@
         self.schedule(due, SimEvent::RequestArrival(worker, request));
     }
 
+    /// Closes the connection of the current attempt, if any; the worker stops its request.
     fn close_connection(&mut self, machine: usize, number: u64, call: &mut ActiveCall) {
         if let Some((worker, _)) = call.worker.take() {
             let origin = self.attempt_origin(machine, number, call);
@@ -291,7 +298,7 @@
         }
     }
 
-    /// The process ended: its clients and its workers see their connections end.
+    /// Ends all calls of a process that ended: clients and workers see their connections close.
     pub(in crate::sim) fn drop_calls(&mut self, machine: usize) {
         let counters = &self.machines[machine].calls.shared.counters;
         self.tries.0 += counters.attempts_first.get();
--- a/crates/testbed/src/sim/calls/call_registry.rs
+++ b/crates/testbed/src/sim/calls/call_registry.rs
@@ -12,21 +12,21 @@
 pub struct ActiveCall {
     pub(in crate::sim) machine: CallMachine,
     pub(in crate::sim) request: CallRequest,
-    /// When it began, in microseconds of true time.
+    /// When the call began, in microseconds of true time.
     pub(in crate::sim) started_at: Micros,
     /// When the response head was forwarded, in microseconds of true time.
     pub(in crate::sim) first_byte_at: Option<Micros>,
     pub(in crate::sim) response_body: Vec<u8>,
     /// The number of the current attempt; 0 before the first.
     pub(in crate::sim) attempt: u64,
-    /// The connected worker and the incarnation that the connection was opened to.
+    /// The connected worker and its incarnation when the connection was opened.
     pub(in crate::sim) worker: Option<(usize, u64)>,
-    /// When its timer expires; 0 while none is set.
+    /// When the call's timer expires; 0 while none is set.
     pub(in crate::sim) timer_at: Micros,
 }
 
 impl ActiveCall {
-    /// Its timer expired, so another one may be set.
+    /// Clears the timer once it has expired, so that another one may be set.
     pub(in crate::sim) fn clear_timer(&mut self) {
         self.timer_at = 0;
     }
--- a/crates/testbed/src/sim/calls/outcome.rs
+++ b/crates/testbed/src/sim/calls/outcome.rs
@@ -1,10 +1,10 @@
-//! What a client requests, and what became of its call as the client saw it.
+//! The request of a simulated client, and the outcome of its call as the client observed it.
 
 use crate::sim::workers::responses::body;
 use sumacvale_core::base::Micros;
 use sumacvale_core::retry::Execution;
 
-/// What a client requests.
+/// The request of a simulated client.
 #[derive(Clone, Debug)]
 pub struct CallRequest {
     /// The tenant whose API key the client sends.
@@ -15,14 +15,14 @@
     pub prefix: u64,
     /// How long the configuration lets the call wait for a slot or a quota unit, in microseconds.
     pub max_wait: Micros,
-    /// The client disconnects so many microseconds after the call began, without waiting for the end.
+    /// The time after the begin of the call at which the client disconnects, in microseconds; `None` if it waits.
     pub disconnects_after: Option<Micros>,
 }
 
 /// How a call ended for its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientObservation {
-    /// A response came and ended as it should.
+    /// A response arrived and ended regularly.
     Complete,
     /// A response began and was aborted.
     Aborted,
@@ -32,7 +32,7 @@
         status: u16,
         /// The rejection's code.
         code: &'static str,
-        /// Whether the node says that the call ran.
+        /// Whether the call ran, according to the node.
         execution: Execution,
         /// Whether the response has a `retry-after` header.
         has_retry_after: bool,
@@ -44,7 +44,7 @@
 }
 
 impl ClientObservation {
-    /// The word under which a summary counts this end: a rejection's own code, or a fixed word.
+    /// The label under which a summary counts this end: the code of a rejection, or a fixed word.
     pub fn label(&self) -> &'static str {
         match self {
             ClientObservation::Complete => "whole",
@@ -56,7 +56,7 @@
     }
 }
 
-/// What became of one call, as its client saw it. Times are microseconds of true time.
+/// The outcome of one call, as its client observed it. Times are microseconds of true time.
 #[derive(Clone, Debug)]
 pub struct CallOutcome {
     /// The number of the call.
@@ -73,9 +73,9 @@
     pub ended_at: Micros,
     /// The bytes of the response body that reached the client.
     pub body: Vec<u8>,
-    /// Whether a worker was chosen for it at least once.
+    /// Whether a worker was chosen for the call at least once.
     pub was_attempted: bool,
-    /// How it ended.
+    /// How the call ended for the client.
     pub observation: ClientObservation,
 }
 
--- a/crates/testbed/src/sim/checks/majority_contact.rs
+++ b/crates/testbed/src/sim/checks/majority_contact.rs
@@ -1,11 +1,11 @@
-//! Which machines are in contact with a majority of the voters, as only the simulator can know. Rejections for want
+//! Which machines are in contact with a majority of the voters, as only the simulator can know. Rejections for lack
 //! of a quorum are checked against it.
 
 use crate::sim::world::World;
 use std::collections::BTreeSet;
 use sumacvale_core::base::{Micros, NodeId, SEC};
 
-/// A node may reject changes for want of a quorum this long after its contact to a majority is back.
+/// A node may reject changes for lack of a quorum this long after its contact to a majority is back.
 const RECONNECT_GRACE: Micros = SEC;
 
 /// The contact of one machine's current process to a majority.
--- a/crates/testbed/src/sim/checks/summary.rs
+++ b/crates/testbed/src/sim/checks/summary.rs
@@ -43,7 +43,7 @@
     pub tries: (u64, u64),
     /// Streams that were resumed at another worker.
     pub resumed: u64,
-    /// Slots that were reassigned before a request was sent, since the worker was gone.
+    /// Slots that were reassigned before a request was sent, since the worker was removed.
     pub reseated: u64,
     /// Quota units that expired before their call was sent.
     pub units_ended: u64,
--- a/crates/testbed/src/sim/operators/traffic.rs
+++ b/crates/testbed/src/sim/operators/traffic.rs
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Calls every front for every tenant until each quota is settled: a call ran, or was rejected for want of a unit.
+    /// Calls every front for every tenant until each quota is settled: a call ran, or was rejected for lack of a unit.
     /// Returns the fronts and tenants whose quota is not settled within `timeout`.
     #[allow(clippy::unused_self)]
     pub fn find_unsettled_quotas(&mut self, world: &mut World, timeout: Micros) -> Vec<(String, String)> {
--- a/crates/testbed/src/sim/workers/execution.rs
+++ b/crates/testbed/src/sim/workers/execution.rs
@@ -1,7 +1,7 @@
-//! What workers do: they run requests, respond piece by piece, and report to nodes.
+//! The actions of workers: they run requests, send responses event by event, and report to nodes.
 
 use crate::sim::event::SimEvent;
-use crate::sim::workers::responses::{body, piece, shape};
+use crate::sim::workers::responses::{ResponseShape, body, event_text, shape};
 use crate::sim::workers::worker::{
     AttemptOrigin, ExecutionRecord, RunningRequest, SLOTS, WorkerBehaviour, WorkerRequest,
 };
@@ -13,28 +13,28 @@
 use sumacvale_core::protocol::WorkerReport;
 use sumacvale_core::retry::FailurePoint;
 
-/// Every worker whose index divides by this reports to the preferred target first.
-const PREFERRED_TARGET_SHARE: usize = 3;
-/// How often workers report, in microseconds.
+/// Workers whose index is a multiple of this report to the preferred target first.
+const PREFERRED_TARGET_DIVISOR: usize = 3;
+/// The time between two reports of a worker.
 const REPORT_INTERVAL: Micros = 500 * MS;
-/// To how many nodes a worker sends each report.
+/// The number of nodes that a worker sends each report to.
 const REPORT_TARGETS: usize = 2;
-/// The least time between two steps of a request.
-const STEP_LEAST: Micros = 3 * MS;
-/// How many times longer a slow worker takes for a piece.
+/// The minimum time between two steps of a request.
+const MIN_STEP_INTERVAL: Micros = 3 * MS;
+/// The factor by which a slow worker takes longer for an event.
 const SLOW_FACTOR: Micros = 10;
-/// So many of a hundred pieces come in two parts.
-const SPLIT_PIECES: u64 = 20;
-/// The length of the first part of a split piece, in bytes.
-const FIRST_PART: usize = 9;
-/// The length of a body that is aborted, in bytes.
-const ABORTED_BODY: usize = 4;
-/// The piece that a worker of behaviour `Skip` leaves out.
-const SKIPPED_PIECE: u64 = 5;
+/// The share of events that are sent in two parts, in percent.
+const SPLIT_PERCENT: u64 = 20;
+/// The length of the first part of a split event, in bytes.
+const FIRST_PART_BYTES: usize = 9;
+/// The length of a single body that is aborted, in bytes.
+const ABORTED_BODY_BYTES: usize = 4;
+/// The event that a worker of behaviour `Skip` omits.
+const SKIPPED_EVENT: u64 = 5;
 
-/// What a worker sends in one step of a request.
+/// The result of one step of a request.
 enum WorkerStep {
-    /// An event, and how long after it the next step comes.
+    /// An event, and the time until the next step.
     Continue(Event, Micros),
     /// The last event.
     Finish(Event),
@@ -47,7 +47,7 @@
         if same_zone { 100 + self.rng.below(400) } else { 500 + self.rng.below(2_000) }
     }
 
-    /// Sends a worker's side of an attempt back to its node, unless the worker is unreachable.
+    /// Sends an event of an attempt back to its node, unless the worker is unreachable.
     fn respond(&mut self, worker: usize, origin: AttemptOrigin, event: Event) {
         if self.workers[worker].behaviour_at(self.now) != WorkerBehaviour::Dark {
             let due = self.now + self.worker_latency(origin.machine, worker);
@@ -55,17 +55,17 @@
         }
     }
 
-    /// The worker's process ends, with all its connections.
+    /// Ends the worker's process with all its connections.
     pub fn crash(&mut self, worker: usize) {
         self.workers[worker].is_running = false;
         for (_, request) in std::mem::take(&mut self.workers[worker].running) {
             let event =
-                if request.head_sent { Event::ResponseAborted } else { Event::AttemptFailed(FailurePoint::Sent) };
+                if request.is_head_sent { Event::ResponseAborted } else { Event::AttemptFailed(FailurePoint::Sent) };
             self.respond(worker, request.origin, event);
         }
     }
 
-    /// A request reaches the worker.
+    /// Handles a request that reaches the worker.
     pub(in crate::sim) fn receive_request(&mut self, worker: usize, request: WorkerRequest) {
         let state = &self.workers[worker];
         let behaviour = state.behaviour_at(self.now);
@@ -85,9 +85,10 @@
         self.run_request(worker, request, behaviour);
     }
 
+    /// Starts and records the execution of a request.
     fn run_request(&mut self, worker: usize, request: WorkerRequest, behaviour: WorkerBehaviour) {
         let origin = request.origin;
-        let first_piece = request.last_event_id.map_or(0, |last| last + 1);
+        let first_event = request.last_event_id.map_or(0, |last| last + 1);
         let state = &mut self.workers[worker];
         state.requests_started += 1;
         let number = state.requests_started;
@@ -95,9 +96,9 @@
             origin,
             path: request.path,
             behaviour,
-            next_piece: first_piece,
-            head_sent: false,
-            half_sent: false,
+            next_event: first_event,
+            is_head_sent: false,
+            is_first_part_sent: false,
         };
         state.running.insert(number, running);
         self.executions.push(ExecutionRecord {
@@ -106,7 +107,7 @@
             path: request.path,
             worker,
             started_at: self.now,
-            first_piece,
+            first_piece: first_event,
             quota_window: request.quota_window,
             draining_since: state.draining_since,
         });
@@ -123,10 +124,10 @@
         }
     }
 
-    /// One more step of a running request: its head, a piece, or its end.
+    /// Takes the next step of a running request: sends the response head, an event, or the end.
     pub(in crate::sim) fn step_request(&mut self, worker: usize, number: u64) {
         let Some(mut request) = self.workers[worker].running.remove(&number) else { return };
-        // What an unreachable worker sent is lost for good, so nothing may come after it.
+        // Events of an unreachable worker are lost for good, so no later event may follow them.
         if self.workers[worker].behaviour_at(self.now) == WorkerBehaviour::Dark {
             return;
         }
@@ -134,54 +135,56 @@
             WorkerStep::Continue(event, pause) => {
                 self.respond(worker, request.origin, event);
                 self.workers[worker].running.insert(number, request);
-                self.schedule(self.now + pause.max(STEP_LEAST), SimEvent::WorkerStep(worker, number));
+                self.schedule(self.now + pause.max(MIN_STEP_INTERVAL), SimEvent::WorkerStep(worker, number));
             }
             WorkerStep::Finish(event) => self.respond(worker, request.origin, event),
         }
     }
 
+    /// Determines the next step of a running request by the worker's behaviour.
     fn next_step(&mut self, request: &mut RunningRequest) -> WorkerStep {
-        let (pieces, gap) = shape(request.path);
-        let pause = gap * if request.behaviour == WorkerBehaviour::Slow { SLOW_FACTOR } else { 1 };
-        if !request.head_sent {
-            request.head_sent = true;
-            return WorkerStep::Continue(response_head(request, pieces), pause);
+        let ResponseShape { events, event_interval } = shape(request.path);
+        let pause = event_interval * if request.behaviour == WorkerBehaviour::Slow { SLOW_FACTOR } else { 1 };
+        if !request.is_head_sent {
+            request.is_head_sent = true;
+            return WorkerStep::Continue(response_head(request, events), pause);
         }
-        if pieces == 0 && request.next_piece == 0 {
-            request.next_piece = 1;
+        if events == 0 && request.next_event == 0 {
+            request.next_event = 1;
             return WorkerStep::Continue(single_body(request), MS);
         }
-        let aborts = pieces == 0 || (request.half_sent && request.next_piece > 2);
+        let aborts = events == 0 || (request.is_first_part_sent && request.next_event > 2);
         match request.behaviour {
             WorkerBehaviour::Cut if aborts => WorkerStep::Finish(Event::ResponseAborted),
-            WorkerBehaviour::Bare if request.next_piece > 1 => WorkerStep::Finish(Event::ResponseEnd),
-            _ if request.next_piece < pieces => self.next_part(request, pieces, pause),
+            WorkerBehaviour::Bare if request.next_event > 1 => WorkerStep::Finish(Event::ResponseEnd),
+            _ if request.next_event < events => self.next_part(request, events, pause),
             _ => WorkerStep::Finish(Event::ResponseEnd),
         }
     }
 
-    /// The next piece or a part of it: some pieces come in two parts, and an abort comes between them.
-    fn next_part(&mut self, request: &mut RunningRequest, pieces: u64, pause: Micros) -> WorkerStep {
+    /// Sends the next event or a part of it: some events are sent in two parts, and an abort comes between the parts.
+    fn next_part(&mut self, request: &mut RunningRequest, events: u64, pause: Micros) -> WorkerStep {
         let skips = request.behaviour == WorkerBehaviour::Skip
             && request.path == "/v1/draft"
-            && request.next_piece == SKIPPED_PIECE;
-        let number = request.next_piece + u64::from(skips);
-        let text = piece(request.origin.call, number, pieces);
-        if !request.half_sent && (request.behaviour == WorkerBehaviour::Cut || self.rng.chance(SPLIT_PIECES)) {
-            request.half_sent = true;
-            return WorkerStep::Continue(chunk(&text[..FIRST_PART]), 5 * MS);
+            && request.next_event == SKIPPED_EVENT;
+        let number = request.next_event + u64::from(skips);
+        let text = event_text(request.origin.call, number, events);
+        if !request.is_first_part_sent && (request.behaviour == WorkerBehaviour::Cut || self.rng.chance(SPLIT_PERCENT))
+        {
+            request.is_first_part_sent = true;
+            return WorkerStep::Continue(chunk(&text[..FIRST_PART_BYTES]), 5 * MS);
         }
-        let begin = if std::mem::take(&mut request.half_sent) { FIRST_PART } else { 0 };
-        request.next_piece = number + 1;
+        let begin = if std::mem::take(&mut request.is_first_part_sent) { FIRST_PART_BYTES } else { 0 };
+        request.next_event = number + 1;
         WorkerStep::Continue(chunk(&text[begin..]), pause)
     }
 
-    /// The node closed its connection: the worker stops the request that came over it.
+    /// Stops the request of a connection that the node closed.
     pub(in crate::sim) fn cancel_request(&mut self, worker: usize, origin: AttemptOrigin) {
         self.workers[worker].running.retain(|_, request| request.origin != origin);
     }
 
-    /// The worker's next report.
+    /// Makes the worker's next report.
     pub(in crate::sim) fn next_report(&mut self, worker: usize) -> WorkerReport {
         let state = &mut self.workers[worker];
         state.seq += 1;
@@ -201,7 +204,7 @@
         }
     }
 
-    /// Workers whose time has come report to two nodes of their zone, as the protocol says.
+    /// Sends the reports that are due, each to [`REPORT_TARGETS`] nodes of the worker's zone, as the protocol demands.
     pub fn report(&mut self) {
         for worker in 0..self.workers.len() {
             let now = self.now;
@@ -220,12 +223,12 @@
         }
     }
 
-    /// Machines of the zone whose process runs, from a drawn one on; the preferred target first.
+    /// Selects machines of the zone whose process runs, starting at a drawn one; the preferred target comes first.
     fn report_targets(&mut self, worker: usize, zone: &str) -> Vec<usize> {
         let mut targets: Vec<usize> = (0..self.machines.len()).filter(|i| self.machines[*i].zone == zone).collect();
         let first = usize::try_from(self.rng.below(targets.len().max(1) as u64)).unwrap_or(0);
         targets.rotate_left(first);
-        let is_preferring = worker.is_multiple_of(PREFERRED_TARGET_SHARE);
+        let is_preferring = worker.is_multiple_of(PREFERRED_TARGET_DIVISOR);
         if let Some((preferred, _)) =
             self.preferred_report_target.filter(|(_, until)| *until > self.now && is_preferring)
         {
@@ -236,10 +239,11 @@
     }
 }
 
-fn response_head(request: &RunningRequest, pieces: u64) -> Event {
+/// The head of a response, which announces a stream if it has events.
+fn response_head(request: &RunningRequest, events: u64) -> Event {
     Event::ResponseHead(ResponseHead {
         status: 200,
-        is_event_stream: pieces > 0,
+        is_event_stream: events > 0,
         has_definite_end: request.behaviour != WorkerBehaviour::Bare,
         ..ResponseHead::default()
     })
@@ -249,11 +253,12 @@
 fn single_body(request: &RunningRequest) -> Event {
     let mut text = body(request.origin.call, request.path, 0);
     if request.behaviour == WorkerBehaviour::Cut {
-        text.truncate(ABORTED_BODY);
+        text.truncate(ABORTED_BODY_BYTES);
     }
     Event::ResponseChunk(Bytes::from(text))
 }
 
+/// A part of a response body.
 fn chunk(text: &str) -> Event {
     Event::ResponseChunk(Bytes::from(text.to_owned()))
 }
--- a/crates/testbed/src/sim/workers/mod.rs
+++ b/crates/testbed/src/sim/workers/mod.rs
@@ -1,4 +1,4 @@
-//! Simulated workers: how they behave, what they execute, and how they report to nodes.
+//! Simulated workers: their behaviour, their executions, and their reports to nodes.
 
 pub(super) mod execution;
 pub(super) mod responses;
--- a/crates/testbed/src/sim/workers/worker.rs
+++ b/crates/testbed/src/sim/workers/worker.rs
@@ -1,40 +1,39 @@
-//! A simulated worker: how it behaves, which requests it runs, and what is sent to it.
+//! A simulated worker: its behaviour, its running requests, and the records of its executions.
 
 use std::collections::BTreeMap;
 use sumacvale_core::base::Micros;
 
-/// How a worker behaves for a while.
+/// The behaviour of a worker for a limited time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerBehaviour {
-    /// Runs each request as it should.
+    /// Healthy: runs each request and sends the complete response.
     Well,
     /// Runs requests and sends no response.
     Hang,
     /// Runs requests and closes the connection without a response.
     Mute,
-    /// Aborts responses in the middle of a piece.
+    /// Aborts responses in the middle of an event.
     Cut,
-    /// Ends its responses early, without framing by which the end could be told from an abort.
+    /// Ends responses early, without framing that would distinguish the end from an abort.
     Bare,
-    /// Rejects each request with 503 and says that it did not run.
+    /// Rejects each request with 503 and marks it as not run.
     Decline,
-    /// Unreachable: nothing reaches it, and nothing comes from it.
+    /// Unreachable: receives and sends nothing.
     Dark,
-    /// Closes pooled connections just when they are used again (every odd attempt).
+    /// Closes pooled connections at the moment of their reuse (every odd attempt).
     Reset,
-    /// Takes ten times as long for each piece.
+    /// Takes ten times as long for each event.
     Slow,
-    /// Skips one piece of streams whose pieces are numbered.
+    /// Skips one event of resumable streams.
     Skip,
 }
 
-/// The other end of one try: which machine, which life of it, which call, which try.
+/// The origin of one attempt: the node's process, the call, and the number of the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-/// The node's side of one attempt.
 pub struct AttemptOrigin {
     /// The machine of the front.
     pub machine: usize,
-    /// The incarnation of its process.
+    /// The incarnation of the front's process.
     pub incarnation: u64,
     /// The number of the call.
     pub call: u64,
@@ -42,54 +41,54 @@
     pub attempt: u64,
 }
 
-#[derive(Clone, Debug)]
 /// A request that a worker runs.
+#[derive(Clone, Debug)]
 pub(in crate::sim) struct RunningRequest {
     pub(in crate::sim) origin: AttemptOrigin,
     pub(in crate::sim) path: &'static str,
     pub(in crate::sim) behaviour: WorkerBehaviour,
-    /// The piece that is sent next.
-    pub(in crate::sim) next_piece: u64,
+    /// The number of the event that is sent next.
+    pub(in crate::sim) next_event: u64,
     /// Whether the response head was sent.
-    pub(in crate::sim) head_sent: bool,
-    /// Whether half of the next piece was sent.
-    pub(in crate::sim) half_sent: bool,
+    pub(in crate::sim) is_head_sent: bool,
+    /// Whether the first part of the next event was sent.
+    pub(in crate::sim) is_first_part_sent: bool,
 }
 
-#[derive(Debug)]
 /// A simulated worker process at a fixed address.
+#[derive(Debug)]
 pub struct Worker {
-    /// The id under which it reports.
+    /// The id in the worker's reports.
     pub id: String,
-    /// The pool that it serves.
+    /// The pool that the worker serves.
     pub pool: &'static str,
-    /// Its zone.
+    /// The worker's zone.
     pub zone: String,
-    /// Its incarnation, counted up by each restart.
+    /// The incarnation of the process; each restart increments it.
     pub incarnation: u64,
-    /// The sequence number of its last report.
+    /// The sequence number of the last report; restarts from 0 with each incarnation.
     pub seq: u64,
     /// Whether the process runs.
     pub is_running: bool,
-    /// Whether it reports that it drains.
+    /// Whether the worker's reports say that it drains.
     pub is_draining: bool,
-    /// Since when it drains or is to be replaced.
+    /// Since when the worker drains or is about to be replaced.
     pub draining_since: Option<Micros>,
-    /// When it reports next, in microseconds of true time.
+    /// When the next report is due, in microseconds of true time.
     pub next_report_at: Micros,
-    /// Its behaviour, and until when; afterwards it behaves well.
+    /// The behaviour of the worker, and until when; afterwards the worker is healthy.
     pub mode: (WorkerBehaviour, Micros),
+    /// Running requests by number; at most [`SLOTS`].
     pub(in crate::sim) running: BTreeMap<u64, RunningRequest>,
-    /// How many requests it started, and so the number of the last one.
+    /// The number of requests that were started, which is also the number of the last one.
     pub(in crate::sim) requests_started: u64,
 }
 
-/// How many requests a worker runs at once.
+/// The number of requests that a worker runs at once.
 pub const SLOTS: u32 = 8;
 
-/// One run of a call, as the worker itself tells it.
+/// One execution of a call, as recorded by the worker.
 #[derive(Clone, Debug)]
-/// One execution of a call, as the worker itself records it.
 pub struct ExecutionRecord {
     /// The number of the call.
     pub call: u64,
@@ -99,31 +98,30 @@
     pub path: &'static str,
     /// The index of the worker.
     pub worker: usize,
-    /// When it started, in microseconds of true time.
+    /// When the execution started, in microseconds of true time.
     pub started_at: Micros,
-    /// The piece that the response began with: above 0 for a resumed stream.
+    /// The event that the response began with: above 0 for a resumed stream.
     pub first_piece: u64,
     /// The quota window of the unit that the call ran with.
     pub quota_window: u64,
-    /// Since when the worker drained, if it did.
+    /// Since when the worker was draining at the start; `None` if it was not.
     pub draining_since: Option<Micros>,
 }
 
-/// What is sent for one try.
+/// The request of one attempt, as sent to a worker.
 #[derive(Clone, Debug)]
-/// The request of one attempt, as it is sent to a worker.
 pub struct WorkerRequest {
-    /// Where responses go.
+    /// The attempt that receives the response.
     pub origin: AttemptOrigin,
     /// The tenant that calls.
     pub tenant: String,
     /// The request path.
     pub path: &'static str,
-    /// The last piece that the client has, for a stream to be resumed after it.
+    /// The last event that the client has, where a stream is to be resumed after it.
     pub last_event_id: Option<u64>,
     /// The quota window of the unit that the call runs with.
     pub quota_window: u64,
-    /// The incarnation of the worker that the connection was opened to.
+    /// The incarnation of the worker when the connection was opened.
     pub incarnation: u64,
 }
 
@@ -146,12 +144,12 @@
         }
     }
 
-    /// How it behaves at this moment of true time.
+    /// The behaviour at this moment of true time.
     pub fn behaviour_at(&self, now: Micros) -> WorkerBehaviour {
         if self.mode.1 > now { self.mode.0 } else { WorkerBehaviour::Well }
     }
 
-    /// A new incarnation starts at the same address.
+    /// Starts a new incarnation at the same address.
     pub fn restart(&mut self) {
         self.is_running = true;
         self.is_draining = false;
--- a/crates/testbed/tests/wires.rs
+++ b/crates/testbed/tests/wires.rs
@@ -1,163 +1,177 @@
-//! What the simulator plays of connections: a loss of power, a process that ends, a cut that both ends know of.
+//! The simulator's model of connections: after a power loss, the end of a process, and a partition that both ends
+//! detect.
 
 use sumacvale_core::base::{MS, Micros, SEC};
 use sumacvale_testbed::sim::{Connections, Profile, Run, World, run};
 
 const CORES: usize = 3;
 
+/// Power loss sends no reset: the sender keeps its connection, and its frames are lost until its kernel times out.
 #[test]
-fn a_connection_to_a_machine_that_lost_power_swallows_frames_until_it_is_given_up() {
-    let mut c = Connections::default();
-    assert!(c.carries(1, 0, true, 0), "a new connection");
-    c.power_lost(0, SEC);
+fn a_connection_to_a_machine_that_lost_power_loses_frames_until_it_times_out() {
+    let mut connections = Connections::default();
+    assert!(connections.carries(1, 0, true, 0), "a new connection");
+    connections.power_lost(0, SEC);
     let first = 1_200 * MS;
-    for t in [first, first + 400 * MS, first + 1_499 * MS] {
-        assert!(!c.carries(1, 0, true, t), "{t}: the sender doesn't know");
+    for time in [first, first + 400 * MS, first + 1_499 * MS] {
+        assert!(!connections.carries(1, 0, true, time), "{time}: the sender has not detected the loss");
     }
-    assert!(c.carries(2, 0, true, first), "who had no connection opens one");
-    assert!(c.carries(1, 0, true, first + 1_500 * MS), "its kernel gave it up");
-    assert_eq!(c.swallowed, 3);
+    assert!(connections.carries(2, 0, true, first), "a sender without a connection opens one");
+    assert!(connections.carries(1, 0, true, first + 1_500 * MS), "the kernel of the sender closed the connection");
+    assert_eq!(connections.swallowed, 3);
 }
 
+/// A sender that reconnects, or whose idle connection is probed, doesn't keep the dead connection until the time-out.
 #[test]
-fn it_is_opened_anew_sooner_where_the_sender_is_told() {
-    let mut c = Connections::default();
-    assert!(c.carries(1, 0, true, 0));
-    c.power_lost(0, SEC);
-    assert!(!c.carries(1, 0, true, SEC + MS));
-    c.reconnect(1, 0);
-    assert!(c.carries(1, 0, true, SEC + 2 * MS));
-    // A connection that nothing is written into is probed.
-    c.power_lost(0, 2 * SEC);
-    assert!(c.carries(1, 0, true, 5 * SEC));
+fn a_dead_connection_is_reopened_before_its_time_out_by_a_reconnect_or_a_probe() {
+    let mut connections = Connections::default();
+    assert!(connections.carries(1, 0, true, 0));
+    connections.power_lost(0, SEC);
+    assert!(!connections.carries(1, 0, true, SEC + MS));
+    connections.reconnect(1, 0);
+    assert!(connections.carries(1, 0, true, SEC + 2 * MS));
+    // A connection without writes is probed.
+    connections.power_lost(0, 2 * SEC);
+    assert!(connections.carries(1, 0, true, 5 * SEC));
 }
 
+/// The end of a process closes its connections at both ends; a power loss leaves those of the peers open.
 #[test]
-fn both_ends_know_that_a_process_ended_and_the_lost_machine_has_no_connections() {
-    let mut c = Connections::default();
-    assert!(c.carries(1, 0, true, 0) && c.carries(0, 1, true, 0));
-    c.process_ended(0);
-    assert!(c.carries(1, 0, true, MS) && c.carries(0, 1, true, MS));
-    c.power_lost(0, 2 * MS);
-    assert!(c.carries(0, 1, true, 3 * MS), "its new life opens its own");
-    assert!(!c.carries(1, 0, true, 3 * MS));
-    // While it is away no connection is opened, and so none swallows anything later.
-    c.reconnect(1, 0);
-    assert!(c.carries(1, 0, false, 4 * MS));
-    c.power_lost(0, 5 * MS);
-    assert!(c.carries(1, 0, true, 6 * MS));
+fn both_ends_detect_the_end_of_a_process_and_a_machine_without_power_has_no_connections() {
+    let mut connections = Connections::default();
+    assert!(connections.carries(1, 0, true, 0) && connections.carries(0, 1, true, 0));
+    connections.process_ended(0);
+    assert!(connections.carries(1, 0, true, MS) && connections.carries(0, 1, true, MS));
+    connections.power_lost(0, 2 * MS);
+    assert!(connections.carries(0, 1, true, 3 * MS), "the new incarnation opens its own connection");
+    assert!(!connections.carries(1, 0, true, 3 * MS));
+    // While the machine is down no connection to it is opened, so none can lose frames later.
+    connections.reconnect(1, 0);
+    assert!(connections.carries(1, 0, false, 4 * MS));
+    connections.power_lost(0, 5 * MS);
+    assert!(connections.carries(1, 0, true, 6 * MS));
 }
 
-fn founded() -> World {
-    let mut w = World::new(1, CORES, 3, 1);
-    w.run(6 * SEC);
-    assert!(!w.safety.committed.is_empty(), "no version yet");
-    w
+/// A world whose cores have committed their first version.
+fn bootstrapped_world() -> World {
+    let mut world = World::new(1, CORES, 3, 1);
+    world.run(6 * SEC);
+    assert!(!world.safety.committed.is_empty(), "no version yet");
+    world
 }
 
-fn away(w: &mut World, t: Micros) {
-    let t = w.now + t;
-    w.run(t);
-    w.start(0);
-    let t = w.now + 2 * SEC;
-    w.run(t);
+/// Restarts core 0 after a downtime, and lets two more seconds pass.
+fn restart_after(world: &mut World, downtime: Micros) {
+    let restart_at = world.now + downtime;
+    world.run(restart_at);
+    world.start(0);
+    let until = world.now + 2 * SEC;
+    world.run(until);
 }
 
+/// Guards the model of a power loss: only there do peers lose frames, and the fleet recovers by reconnecting.
 #[test]
-fn frames_to_a_machine_are_swallowed_after_a_loss_of_power_only() {
-    let mut killed = founded();
+fn frames_to_a_machine_are_lost_after_a_power_loss_only() {
+    let mut killed = bootstrapped_world();
     killed.kill(0);
-    away(&mut killed, 600 * MS);
+    restart_after(&mut killed, 600 * MS);
     assert_eq!(killed.connections.swallowed, 0);
 
-    let mut dark = founded();
-    dark.lose_power(0);
-    away(&mut dark, 600 * MS);
-    assert!(dark.connections.swallowed > 10, "{} frames", dark.connections.swallowed);
-    let fresh = |i: &usize| {
-        let s = &dark.machines[*i];
-        s.node.as_ref().is_some_and(|n| n.is_fresh(s.clock(dark.now)))
+    let mut without_power = bootstrapped_world();
+    without_power.lose_power(0);
+    restart_after(&mut without_power, 600 * MS);
+    assert!(without_power.connections.swallowed > 10, "{} frames", without_power.connections.swallowed);
+    let is_fresh = |i: &usize| {
+        let machine = &without_power.machines[*i];
+        machine.node.as_ref().is_some_and(|node| node.is_fresh(machine.clock(without_power.now)))
     };
-    assert!((0..dark.machines.len()).all(|i| fresh(&i)), "all serve, as connections were opened anew");
+    assert!((0..without_power.machines.len()).all(|i| is_fresh(&i)), "all serve, as connections were reopened");
 }
 
-/// A machine that is five times slower does what comes in the first fifth of each period.
+/// A machine that is five times slower runs only in the first fifth of each period and defers later events.
 #[test]
-fn a_slow_machine_does_in_turn_what_came_in_the_rest_of_its_period() {
-    let mut w = founded();
-    let until = w.now + SEC;
-    w.slow_down(0, until, 100 * MS);
-    let begun = until / (100 * MS) * (100 * MS) - 500 * MS;
-    assert_eq!(w.machines[0].next_run_time(begun), begun);
-    assert_eq!(w.machines[0].next_run_time(begun + 19 * MS), begun + 19 * MS);
-    assert_eq!(w.machines[0].next_run_time(begun + 20 * MS), begun + 100 * MS);
-    assert_eq!(w.machines[0].next_run_time(begun + 99 * MS), begun + 100 * MS);
-    assert_eq!(w.machines[0].next_run_time(until), until, "it is over");
-    assert_eq!(w.machines[1].next_run_time(begun + 50 * MS), begun + 50 * MS, "the others are not slow");
+fn a_slow_machine_defers_events_to_the_running_part_of_its_next_period() {
+    let mut world = bootstrapped_world();
+    let until = world.now + SEC;
+    world.slow_down(0, until, 100 * MS);
+    let period_begin = until / (100 * MS) * (100 * MS) - 500 * MS;
+    assert_eq!(world.machines[0].next_run_time(period_begin), period_begin);
+    assert_eq!(world.machines[0].next_run_time(period_begin + 19 * MS), period_begin + 19 * MS);
+    assert_eq!(world.machines[0].next_run_time(period_begin + 20 * MS), period_begin + 100 * MS);
+    assert_eq!(world.machines[0].next_run_time(period_begin + 99 * MS), period_begin + 100 * MS);
+    assert_eq!(world.machines[0].next_run_time(until), until, "the slow mode is over");
+    assert_eq!(
+        world.machines[1].next_run_time(period_begin + 50 * MS),
+        period_begin + 50 * MS,
+        "the others are not slow"
+    );
 }
 
+/// Guards the order of disks by age: a replaced disk counts as new, a power loss alone doesn't change the age.
 #[test]
-fn the_disk_that_has_lasted_longest_is_that_of_a_core_that_never_lost_it() {
-    let mut w = founded();
-    assert_eq!(w.oldest_disks(), [0, 1, 2]);
-    w.lose_power(0);
-    w.lose_disk(0);
-    assert_eq!(w.oldest_disks(), [1, 2], "it doesn't run");
-    w.start(0);
-    assert_eq!(w.oldest_disks(), [1, 2, 0]);
-    w.lose_power(1);
-    w.start(1);
-    assert_eq!(w.oldest_disks(), [1, 2, 0], "a loss of power alone leaves the disk");
+fn the_oldest_disk_belongs_to_a_running_core_that_never_lost_its_disk() {
+    let mut world = bootstrapped_world();
+    assert_eq!(world.oldest_disks(), [0, 1, 2]);
+    world.lose_power(0);
+    world.lose_disk(0);
+    assert_eq!(world.oldest_disks(), [1, 2], "core 0 doesn't run");
+    world.start(0);
+    assert_eq!(world.oldest_disks(), [1, 2, 0]);
+    world.lose_power(1);
+    world.start(1);
+    assert_eq!(world.oldest_disks(), [1, 2, 0], "a power loss alone leaves the disk");
 }
 
+/// Guards against profiles whose power losses no longer reach the network model.
 #[test]
-fn each_profile_with_losses_of_power_has_frames_swallowed() {
+fn each_profile_with_power_losses_loses_frames() {
     for name in ["power", "blackout_cores", "members", "repairs", "control_numbers", "control_second_loss"] {
-        let r = run(Run::new(1, Profile::named(name).expect("a profile")));
-        assert!(r.breaches.is_empty(), "{name}:\n{}\n{:#?}", r.trace.join("\n"), r.breaches);
-        assert!(r.swallowed > 50, "{name}: {} frames", r.swallowed);
+        let summary = run(Run::new(1, Profile::named(name).expect("a profile")));
+        assert!(summary.breaches.is_empty(), "{name}:\n{}\n{:#?}", summary.trace.join("\n"), summary.breaches);
+        assert!(summary.swallowed > 50, "{name}: {} frames", summary.swallowed);
     }
 }
 
-/// Whether two cores are linked right before the end of a cut, and a second after it.
-fn linked(cut: impl FnOnce(&mut World, Micros)) -> (bool, bool) {
-    let mut w = founded();
-    let until = w.now + 5 * SEC;
-    cut(&mut w, until);
-    w.run(until - MS);
-    let during = w.linked(0, 1);
-    w.run(until + SEC);
-    (during, w.linked(0, 1))
+/// Returns whether two cores are linked right before the end of a partition, and a second after it.
+fn linked_before_and_after(partition: impl FnOnce(&mut World, Micros)) -> (bool, bool) {
+    let mut world = bootstrapped_world();
+    let until = world.now + 5 * SEC;
+    partition(&mut world, until);
+    world.run(until - MS);
+    let is_linked_before = world.linked(0, 1);
+    world.run(until + SEC);
+    (is_linked_before, world.linked(0, 1))
 }
 
+/// Guards against reconnects that end a partition too early, or leave the cores unlinked after it.
 #[test]
-fn a_cut_that_both_ends_know_of_ends_with_its_time() {
-    assert_eq!(linked(|w, until| w.close_between(0, 1, until, 300 * MS)), (false, true));
-    assert_eq!(linked(|w, until| w.close_between(0, 1, until, 160 * MS)), (false, true));
+fn a_partition_that_both_ends_detect_ends_on_time() {
+    assert_eq!(linked_before_and_after(|world, until| world.close_between(0, 1, until, 300 * MS)), (false, true));
+    assert_eq!(linked_before_and_after(|world, until| world.close_between(0, 1, until, 160 * MS)), (false, true));
 }
 
-/// A frame that is younger than a second waits for the connection; what was under way is lost by a reset alone.
+/// A frame that is younger than a second waits for a connection; frames in flight are lost by a reset only.
 #[test]
-fn frames_wait_for_a_connection_that_is_refused_and_those_under_way_are_lost_by_a_reset() {
-    let before = founded();
-    let under_way = before.frames_between(0, 1);
-    let mut w = founded();
-    w.stalled_links.insert((0, 1), w.now + 5 * SEC);
-    let t = w.now + SEC;
-    w.run(t);
-    let stalled = w.frames_between(0, 1);
-    assert!(stalled > under_way, "{stalled} frames wait");
-    w.lose_frames_between(0, 1);
-    assert_eq!(w.frames_between(0, 1), 0);
-
-    let mut w = founded();
-    let until = w.now + 3 * SEC;
-    w.close_between(0, 1, until, 160 * MS);
-    w.run(until - 1_100 * MS);
-    assert_eq!(w.frames_between(0, 1), 0, "what is older is dropped");
-    w.run(until - MS);
-    let waits = w.frames_between(0, 1);
-    assert!(waits > 0, "what is younger waits");
-    w.run(until + 200 * MS);
-    assert!(w.frames_between(0, 1) < waits, "it was sent");
+fn frames_wait_for_a_refused_connection_and_frames_in_flight_are_lost_by_a_reset() {
+    let initial = bootstrapped_world();
+    let in_flight = initial.frames_between(0, 1);
+    let mut world = bootstrapped_world();
+    world.stalled_links.insert((0, 1), world.now + 5 * SEC);
+    let stalled_until = world.now + SEC;
+    world.run(stalled_until);
+    let stalled = world.frames_between(0, 1);
+    assert!(stalled > in_flight, "{stalled} frames wait");
+    world.lose_frames_between(0, 1);
+    assert_eq!(world.frames_between(0, 1), 0);
+
+    let mut world = bootstrapped_world();
+    let until = world.now + 3 * SEC;
+    world.close_between(0, 1, until, 160 * MS);
+    world.run(until - 1_100 * MS);
+    assert_eq!(world.frames_between(0, 1), 0, "older frames are dropped");
+    world.run(until - MS);
+    let waiting = world.frames_between(0, 1);
+    assert!(waiting > 0, "younger frames wait");
+    world.run(until + 200 * MS);
+    assert!(world.frames_between(0, 1) < waiting, "the waiting frames were sent");
 }
