--- a/crates/testbed/src/sim/drive.rs
+++ b/crates/testbed/src/sim/drive.rs
@@ -1,4 +1,4 @@
-//! One run from a seed: faults, then healing, then what must hold again.
+//! Drives one run from a seed: injects faults, heals them, then checks the recovery.
 
 use crate::sim::checks::calls::{CallLimits, Rates, check_calls, check_rates};
 use crate::sim::checks::recovery::{BACK, empty, recover, serving};
@@ -8,47 +8,49 @@
 use crate::sim::faults::day::HOUR;
 use crate::sim::faults::injection::FaultInjector;
 use crate::sim::faults::membership_losses::MembershipFaults;
-use crate::sim::faults::repairs::Repairs;
+use crate::sim::faults::repairs::RepeatedLosses;
 use crate::sim::operators::documents::{has_key, quotas};
 use crate::sim::operators::traffic::Operators;
 use crate::sim::settings::Run;
 use crate::sim::world::World;
 use sumacvale_core::base::{MS, Micros, SEC};
 
-/// How long one step is.
+/// The length of one step, in microseconds of true time.
 const STEP: Micros = 10 * MS;
-/// How far apart the moments are at which all nodes are looked at.
-const LOOK: Micros = 50 * MS;
+/// The interval at which all nodes are sampled, in microseconds.
+const SAMPLE_INTERVAL: Micros = 50 * MS;
 
-/// A run in the making.
+/// A run in progress: the world, its operators and its fault injectors.
 struct Simulation {
-    r: Run,
-    w: World,
-    ops: Operators,
-    troubles: FaultInjector,
-    moves: MembershipFaults,
-    repairs: Option<Repairs>,
+    settings: Run,
+    world: World,
+    operators: Operators,
+    injector: FaultInjector,
+    membership: MembershipFaults,
+    repeated_losses: Option<RepeatedLosses>,
     control: Option<Control>,
     begin: Micros,
+    /// When faults are no longer injected, in microseconds of true time.
     end: Micros,
-    /// When the next fault begins.
-    next: Micros,
-    /// When all nodes were looked at last.
-    looked: Micros,
+    /// When the next fault starts.
+    next_fault_at: Micros,
+    /// When all nodes were sampled last.
+    last_sample_at: Micros,
+    /// The hour of the simulated day whose fault was started last.
     hour: u64,
 }
 
-/// One run from a seed: faults, then healing, then what must hold again.
-pub fn run(r: Run) -> Summary {
-    let mut d = Simulation::new(r);
-    while d.w.now < d.end + BACK {
-        d.step();
+/// Simulates one run: injects faults, heals them, then checks the recovery; returns the summary.
+pub fn run(settings: Run) -> Summary {
+    let mut simulation = Simulation::new(settings);
+    while simulation.world.now < simulation.end + BACK {
+        simulation.step();
     }
-    d.finish()
+    simulation.finish()
 }
 
-/// How many cores such a fleet may lose, if its cores see to their membership themselves.
-fn losses(profile: &str) -> u32 {
+/// Returns the number of cores that the fleet of a profile may lose where cores manage the voters; 0 elsewhere.
+fn tolerated_losses(profile: &str) -> u32 {
     match profile {
         "members" | "blackout" | "blackout_cores" | "repairs" => 1,
         "many" | "repairs_two" => 2,
@@ -58,194 +60,207 @@
 }
 
 impl Simulation {
-    fn new(r: Run) -> Simulation {
-        let mut w = World::new(r.seed, r.cores, r.fronts, r.workers);
-        w.tolerated_losses = losses(r.profile.name);
-        w.renew();
-        if r.day.is_some() {
-            w.tenants = 7;
-        }
-        w.quotas_are_rates = r.rates;
-        let begin = w.now;
+    fn new(settings: Run) -> Simulation {
+        let mut world = World::new(settings.seed, settings.cores, settings.fronts, settings.workers);
+        world.tolerated_losses = tolerated_losses(settings.profile.name);
+        world.renew();
+        if settings.day.is_some() {
+            world.tenants = 7;
+        }
+        world.quotas_are_rates = settings.rates;
+        let begin = world.now;
         Simulation {
-            r,
-            w,
-            ops: Operators::default(),
-            troubles: FaultInjector::default(),
-            moves: MembershipFaults::default(),
-            repairs: r.profile.name.starts_with("repairs").then(Repairs::default),
-            control: Plan::named(r.profile.name).map(|p| Control::new(p, begin + r.profile.secs * SEC)),
+            settings,
+            world,
+            operators: Operators::default(),
+            injector: FaultInjector::default(),
+            membership: MembershipFaults::default(),
+            repeated_losses: settings.profile.name.starts_with("repairs").then(RepeatedLosses::default),
+            control: Plan::named(settings.profile.name)
+                .map(|plan| Control::new(plan, begin + settings.profile.secs * SEC)),
             begin,
-            end: begin + r.profile.secs * SEC,
-            next: begin + 4 * SEC,
-            looked: begin,
+            end: begin + settings.profile.secs * SEC,
+            next_fault_at: begin + 4 * SEC,
+            last_sample_at: begin,
             hour: u64::MAX,
         }
     }
 
+    /// Runs the world for one step, with faults, operators, calls and checks.
     fn step(&mut self) {
-        let t = self.w.now + STEP;
-        self.w.run(t);
-        self.w.report();
-        let calm = self.w.now >= self.end;
+        let until = self.world.now + STEP;
+        self.world.run(until);
+        self.world.report();
+        let calm = self.world.now >= self.end;
         if calm {
             self.heal();
         }
-        let hour = (self.w.now - self.begin) / HOUR;
-        self.faults(calm, hour);
-        self.orders(calm);
-        if self.w.now % SEC < STEP {
-            self.w.check_readiness();
+        let hour = (self.world.now - self.begin) / HOUR;
+        self.update_faults(calm, hour);
+        self.update_operators(calm);
+        if self.world.now % SEC < STEP {
+            self.world.check_readiness();
         }
-        let load = self.r.day.map_or(self.r.load, |d| d.load(if calm { 8 } else { hour }));
-        self.ops.calls(&mut self.w, load);
-        if self.w.now - self.looked >= LOOK {
-            self.looked = self.w.now;
-            sample(&mut self.w);
-            self.ops.spread(&self.w);
+        let load = self.settings.day.map_or(self.settings.load, |day| day.load(if calm { 8 } else { hour }));
+        self.operators.calls(&mut self.world, load);
+        if self.world.now - self.last_sample_at >= SAMPLE_INTERVAL {
+            self.last_sample_at = self.world.now;
+            sample(&mut self.world);
+            self.operators.spread(&self.world);
         }
     }
 
-    /// The last fault is over: nothing is wrong any more.
+    /// Ends all faults: clears those of the network, machines and disks, and restarts workers.
     fn heal(&mut self) {
-        let w = &mut self.w;
-        w.blocked_links.clear();
-        w.reconnect_intervals.clear();
-        w.stalled_links.clear();
-        w.loss = (0, 0);
-        w.reordering_until = 0;
-        w.frames_held_until.clear();
-        w.crowd.1 = 0;
-        w.shared_prefix_until = 0;
-        for i in 0..w.machines.len() {
-            if w.machines[i].frozen_until > w.now || w.machines[i].slow_mode.take().is_some() {
-                w.unfreeze(i);
+        let world = &mut self.world;
+        world.blocked_links.clear();
+        world.reconnect_intervals.clear();
+        world.stalled_links.clear();
+        world.loss = (0, 0);
+        world.reordering_until = 0;
+        world.frames_held_until.clear();
+        world.crowd.1 = 0;
+        world.shared_prefix_until = 0;
+        for machine in 0..world.machines.len() {
+            if world.machines[machine].frozen_until > world.now || world.machines[machine].slow_mode.take().is_some() {
+                world.unfreeze(machine);
             }
-            w.machines[i].disk.clear_faults();
+            world.machines[machine].disk.clear_faults();
         }
-        for x in &mut w.workers {
-            x.mode.1 = 0;
-            if x.is_draining || !x.is_running {
-                x.restart();
+        for worker in &mut world.workers {
+            worker.mode.1 = 0;
+            if worker.is_draining || !worker.is_running {
+                worker.restart();
             }
         }
-        self.troubles.release_ends();
-        if let Some(c) = &mut self.control {
-            c.calm(w);
+        self.injector.cancel_release();
+        if let Some(control) = &mut self.control {
+            control.calm(world);
         }
-        w.safety.removed_workers.clear();
+        world.safety.removed_workers.clear();
     }
 
-    /// Faults end, and others begin.
-    fn faults(&mut self, calm: bool, hour: u64) {
-        let w = &mut self.w;
-        self.troubles.processes_return(w, calm);
-        self.troubles.admit(w, &mut self.ops);
-        if !calm && w.now >= self.next {
-            self.next = w.now + 200 * MS + w.rng.below(4 * SEC);
-            if let Some((f, d)) = self.r.profile.pick(&mut w.rng)
-                && !self.moves.take(w, &mut self.ops, f)
+    /// Ends the faults that are due, and starts the next one.
+    fn update_faults(&mut self, calm: bool, hour: u64) {
+        let world = &mut self.world;
+        self.injector.restart_due_processes(world, calm);
+        self.injector.admit_replacement(world, &mut self.operators);
+        if !calm && world.now >= self.next_fault_at {
+            self.next_fault_at = world.now + 200 * MS + world.rng.below(4 * SEC);
+            if let Some((fault, duration)) = self.settings.profile.draw_fault(&mut world.rng)
+                && !self.membership.inject(world, &mut self.operators, fault)
             {
-                self.troubles.begin(w, f, d);
+                self.injector.inject(world, fault, duration);
             }
         }
-        self.troubles.release_goes_on(w);
-        if let Some(d) = self.r.day.filter(|_| !calm && hour != self.hour) {
+        self.injector.run_due_release_actions(world);
+        if let Some(day) = self.settings.day.filter(|_| !calm && hour != self.hour) {
             self.hour = hour;
-            if let Some((f, t)) = d.hour(w, hour) {
-                self.troubles.begin(w, f, t);
+            if let Some((fault, duration)) = day.hour(world, hour) {
+                self.injector.inject(world, fault, duration);
             }
         }
-        self.troubles.workers_return(w);
+        self.injector.restart_due_workers(world);
     }
 
-    /// Operators ask and are answered; machines with disks come and go.
-    fn orders(&mut self, calm: bool) {
-        let w = &mut self.w;
-        let o = &mut self.ops;
-        if w.now > self.begin + 3 * SEC && w.rng.below(1000) < self.r.profile.changes {
-            o.change(w);
-            if matches!(self.r.profile.name, "races" | "stalls") {
-                o.change(w);
+    /// Lets operators send changes and read responses, and updates the membership faults.
+    fn update_operators(&mut self, calm: bool) {
+        let world = &mut self.world;
+        let operators = &mut self.operators;
+        if world.now > self.begin + 3 * SEC && world.rng.below(1000) < self.settings.profile.changes {
+            operators.change(world);
+            if matches!(self.settings.profile.name, "races" | "stalls") {
+                operators.change(world);
             }
         }
-        if let Some(c) = &mut self.control {
-            c.tick(w, calm);
-            o.done = o.done.max(c.orders.taken().min(1));
+        if let Some(control) = &mut self.control {
+            control.tick(world, calm);
+            operators.done = operators.done.max(control.orders.taken().min(1));
         }
-        o.answers(w);
-        if w.tolerated_losses > 0 {
-            self.moves.tick(w, o);
-            if let Some(p) = self.repairs.as_mut().filter(|_| !calm) {
-                p.tick(w, o, &mut self.moves);
+        operators.answers(world);
+        if world.tolerated_losses > 0 {
+            self.membership.tick(world, operators);
+            if let Some(repeated_losses) = self.repeated_losses.as_mut().filter(|_| !calm) {
+                repeated_losses.tick(world, operators, &mut self.membership);
             }
         }
     }
 
+    /// Checks the recovery and all calls, and summarises the run.
     fn finish(mut self) -> Summary {
-        let w = &mut self.w;
-        if let Some(c) = &mut self.control {
-            c.orders.end(w);
-        }
-        let recovered = recover(w, &mut self.ops, self.end);
-        if self.repairs.is_some() {
-            w.safety.violations.extend(self.ops.refused.iter().cloned().map(Violation));
-        }
-        empty(w);
-        w.safety.check_acknowledged_versions();
-        for i in 0..w.machines.len() {
-            w.drop_calls(i);
-        }
-        let law = law(w, self.r.rates);
-        let rates = match self.r.rates {
-            true => quotas(w.tenants).into_iter().map(|(t, q)| (t, q.0)).collect(),
+        let world = &mut self.world;
+        if let Some(control) = &mut self.control {
+            control.orders.end(world);
+        }
+        let recovered = recover(world, &mut self.operators, self.end);
+        if self.repeated_losses.is_some() {
+            world.safety.violations.extend(self.operators.refused.iter().cloned().map(Violation));
+        }
+        empty(world);
+        world.safety.check_acknowledged_versions();
+        for machine in 0..world.machines.len() {
+            world.drop_calls(machine);
+        }
+        let limits = call_limits(world, self.settings.rates);
+        let rates = match self.settings.rates {
+            true => quotas(world.tenants).into_iter().map(|(tenant, quota)| (tenant, quota.0)).collect(),
             false => Rates::new(),
         };
-        w.safety.violations.extend(check_calls(&w.call_outcomes, &w.executions, &law));
-        w.safety.violations.extend(check_rates(&w.executions, &rates));
-        let serving = serving(w, self.end);
+        world.safety.violations.extend(check_calls(&world.call_outcomes, &world.executions, &limits));
+        world.safety.violations.extend(check_rates(&world.executions, &rates));
+        let serving = serving(world, self.end);
         let control = self.control.map(ControlSummary::of);
-        Summary { recovered, serving, control, ..Summary::of(self.w, self.ops, self.moves, &law, &rates) }
+        Summary {
+            recovered,
+            serving,
+            control,
+            ..Summary::of(self.world, self.operators, self.membership, &limits, &rates)
+        }
     }
 }
 
-/// What the calls of this world are judged by.
-fn law(w: &World, rates: bool) -> CallLimits {
+/// Collects the limits that the calls of this world are checked against.
+fn call_limits(world: &World, rates: bool) -> CallLimits {
     CallLimits {
-        quotas: if rates { std::collections::BTreeMap::default() } else { quotas(w.tenants) },
-        acknowledged: w.safety.acknowledged.iter().map(|a| (a.version, a.acknowledged_at)).collect(),
-        keys: w
+        quotas: if rates { std::collections::BTreeMap::default() } else { quotas(world.tenants) },
+        acknowledged: world.safety.acknowledged.iter().map(|ack| (ack.version, ack.acknowledged_at)).collect(),
+        keys: world
             .safety
             .committed
             .values()
-            .map(|d| (d.version, w.safety.first_committed_at[&d.version], has_key(&d.body)))
+            .map(|entry| (entry.version, world.safety.first_committed_at[&entry.version], has_key(&entry.body)))
             .collect(),
-        tries: w.tries,
-        freezes: w.freezes.clone(),
+        tries: world.tries,
+        freezes: world.freezes.clone(),
     }
 }
 
-/// What each node would do with a call at this moment.
-fn sample(w: &mut World) {
-    let now = w.now;
-    for i in 0..w.machines.len() {
-        if !w.is_running(i) {
+/// Checks what each fresh node would do with a call now: by which configuration it admits calls, and to which workers
+/// it routes them.
+fn sample(world: &mut World) {
+    let now = world.now;
+    for machine in 0..world.machines.len() {
+        if !world.is_running(machine) {
             continue;
         }
-        let s = &w.machines[i];
-        let Some(n) = &s.node else { continue };
-        if !n.is_fresh(s.clock(now)) {
+        let state = &world.machines[machine];
+        let Some(node) = &state.node else { continue };
+        if !node.is_fresh(state.clock(now)) {
             continue;
         }
-        let ws: Vec<_> =
-            n.dissemination.workers.live(s.clock(now)).map(|r| (r.worker_id.clone(), r.incarnation)).collect();
-        let v = n.version().unwrap_or(0);
-        let a = s.addr.clone();
-        w.safety.check_admission(&a, v, now);
-        for (id, incarnation) in ws {
-            let cur = w.workers.iter().find(|x| x.id == id).map_or(0, |x| x.incarnation);
-            if incarnation == cur {
-                w.safety.check_routing(&a, &id, now);
+        let live_workers: Vec<_> = node
+            .dissemination
+            .workers
+            .live(state.clock(now))
+            .map(|report| (report.worker_id.clone(), report.incarnation))
+            .collect();
+        let version = node.version().unwrap_or(0);
+        let addr = state.addr.clone();
+        world.safety.check_admission(&addr, version, now);
+        for (id, incarnation) in live_workers {
+            let current = world.workers.iter().find(|worker| worker.id == id).map_or(0, |worker| worker.incarnation);
+            if incarnation == current {
+                world.safety.check_routing(&addr, &id, now);
             }
         }
     }
--- a/crates/testbed/src/sim/faults/day.rs
+++ b/crates/testbed/src/sim/faults/day.rs
@@ -1,32 +1,32 @@
-//! Whole days of a deployment: traffic and faults by the hour.
+//! Simulated days of a deployment: the traffic and the faults of each hour.
 
 use crate::sim::faults::profiles::Fault;
 use crate::sim::workers::worker::WorkerBehaviour;
 use crate::sim::world::{MIX, World};
 use sumacvale_core::base::{Micros, SEC};
 
-/// A whole day of one deployment, an hour in five seconds.
 #[derive(Clone, Copy, Debug)]
-/// A whole day of one deployment, an hour in five seconds.
+/// The size and peak load of a deployment whose day is simulated; an hour takes five seconds of virtual time.
 pub struct Day {
     /// The name of the deployment.
     pub name: &'static str,
-    /// How many fronts it has.
+    /// The number of fronts.
     pub fronts: usize,
-    /// How many workers of the model it has.
+    /// The number of workers that serve the model.
     pub models: usize,
-    /// Percent of a call of each tenant in ten milliseconds when the day is busiest.
+    /// The probability, in percent, that a tenant starts a call in a step of ten milliseconds at the peak of the day.
     pub load: u64,
 }
 
 /// The length of a simulated hour in microseconds.
 pub const HOUR: Micros = 5 * SEC;
 
-/// Percent of the busiest traffic, hour by hour.
-const BUSY: [u64; 24] = [10, 8, 8, 8, 10, 15, 30, 60, 100, 95, 85, 80, 70, 75, 85, 90, 80, 60, 45, 35, 30, 25, 20, 15];
+/// The traffic of each hour in percent of the peak.
+const HOURLY_LOAD_PERCENT: [u64; 24] =
+    [10, 8, 8, 8, 10, 15, 30, 60, 100, 95, 85, 80, 70, 75, 85, 90, 80, 60, 45, 35, 30, 25, 20, 15];
 
-/// The mix of calls at night, mostly summaries: see `World::call_mix`.
-const NIGHT: [u64; 5] = [10, 12, 20, 30, 100];
+/// The call mix at night, mostly summaries; see `World::call_mix`.
+const NIGHT_CALL_MIX: [u64; 5] = [10, 12, 20, 30, 100];
 
 impl Day {
     /// The deployment of six fronts and twenty workers.
@@ -34,15 +34,15 @@
     /// The deployment of nine fronts and ten workers.
     pub const DERWENT: Day = Day { name: "derwent", fronts: 9, models: 10, load: 11 };
 
-    /// The percent of a call of each tenant in ten milliseconds at this hour.
+    /// Returns the probability, in percent, that a tenant starts a call in a step of ten milliseconds at this hour.
     pub fn load(&self, hour: u64) -> u64 {
-        (self.load * BUSY[usize::try_from(hour % 24).unwrap_or(0)]).div_ceil(100)
+        (self.load * HOURLY_LOAD_PERCENT[usize::try_from(hour % 24).unwrap_or(0)]).div_ceil(100)
     }
 
-    /// Sets the mix of calls of this hour; returns the fault that begins in it and its duration.
-    pub fn hour(&self, w: &mut World, hour: u64) -> Option<(Fault, Micros)> {
-        w.call_mix = if (6..22).contains(&hour) { MIX } else { NIGHT };
-        w.extra_routes = if hour == 15 { 3_000 } else { 0 };
+    /// Sets the call mix and the extra routes of this hour; returns the fault that starts in it and its duration.
+    pub fn hour(&self, world: &mut World, hour: u64) -> Option<(Fault, Micros)> {
+        world.call_mix = if (6..22).contains(&hour) { MIX } else { NIGHT_CALL_MIX };
+        world.extra_routes = if hour == 15 { 3_000 } else { 0 };
         Some(match hour {
             3 => (Fault::SlowDisk, 4 * SEC),
             5 => (Fault::KillCore, 4 * SEC),
@@ -59,9 +59,9 @@
             20 => (Fault::Zone, 3 * SEC),
             22 => (Fault::StallDisk, 3 * SEC),
             23 => {
-                let last =
+                let candidates =
                     [Fault::KillMany, Fault::SplitCores, Fault::SlowDisks, Fault::Zone, Fault::Outage, Fault::CutCore];
-                (last[usize::try_from(w.rng.below(last.len() as u64)).unwrap_or(0)], 6 * SEC)
+                (candidates[usize::try_from(world.rng.below(candidates.len() as u64)).unwrap_or(0)], 6 * SEC)
             }
             _ => return None,
         })
--- a/crates/testbed/src/sim/faults/injection.rs
+++ b/crates/testbed/src/sim/faults/injection.rs
@@ -1,4 +1,4 @@
-//! Faults begin, and end after their time: processes, wires, disks, workers and callers.
+//! Fault injection: starts faults of machines, the network, disks, workers and callers, and ends them in time.
 
 use crate::sim::faults::profiles::Fault;
 use crate::sim::faults::rolling_release::{ReleaseAction, ReleaseStep};
@@ -7,90 +7,102 @@
 use crate::sim::world::World;
 use sumacvale_core::base::{MS, Micros, SEC};
 
-/// A slow machine runs in periods of at least this length; at most of these, on cores and on fronts.
-const PERIOD_LEAST: Micros = 50 * MS;
-const CORE_PERIOD_MOST: Micros = 250 * MS;
-const FRONT_PERIOD_MOST: Micros = 100 * MS;
+/// The shortest period of a slow machine, in microseconds.
+const MIN_PERIOD: Micros = 50 * MS;
+/// The upper bound of the period of a slow core, in microseconds.
+const MAX_CORE_PERIOD: Micros = 250 * MS;
+/// The upper bound of the period of a slow front, in microseconds.
+const MAX_FRONT_PERIOD: Micros = 100 * MS;
 
-/// A process that is down until then; with `swap` its core takes the place of another afterwards.
+/// A process that is down until it is restarted.
 struct StoppedProcess {
-    slot: usize,
-    at: Micros,
-    swap: bool,
+    /// The index of its machine in the world.
+    machine: usize,
+    /// When the process is restarted, in microseconds of true time.
+    restart_at: Micros,
+    /// Whether the core comes back with an empty disk at a new address and an operator must admit it.
+    is_replacement: bool,
 }
 
-/// What is wrong now and ends by itself.
+/// Starts the faults of a profile, and ends those that need an action at their end.
 #[derive(Default)]
 pub(in crate::sim) struct FaultInjector {
-    downs: Vec<StoppedProcess>,
-    /// A core with an empty disk that an operator is to admit.
-    admitted_next: Option<usize>,
-    /// Workers that vanished or drain, and when they begin anew.
-    resting: Vec<(usize, Micros)>,
-    turns: Vec<ReleaseAction>,
+    stopped_processes: Vec<StoppedProcess>,
+    /// The replacement core with an empty disk that waits for an operator to admit it.
+    awaiting_admission: Option<usize>,
+    /// Workers that vanished or drain, and when each is restarted.
+    absent_workers: Vec<(usize, Micros)>,
+    /// The steps of rolling releases and of worker crashes that are still due.
+    release_actions: Vec<ReleaseAction>,
 }
 
-fn some(w: &mut World, f: impl Fn(&World, usize) -> bool) -> Option<usize> {
-    let v: Vec<_> = (0..w.machines.len()).filter(|i| f(w, *i)).collect();
-    if v.is_empty() { None } else { Some(v[usize::try_from(w.rng.below(v.len() as u64)).unwrap_or(0)]) }
+/// Draws one of the machines for which `is_eligible` holds.
+fn draw_machine(world: &mut World, is_eligible: impl Fn(&World, usize) -> bool) -> Option<usize> {
+    let eligible: Vec<_> = (0..world.machines.len()).filter(|target| is_eligible(world, *target)).collect();
+    if eligible.is_empty() {
+        None
+    } else {
+        Some(eligible[usize::try_from(world.rng.below(eligible.len() as u64)).unwrap_or(0)])
+    }
 }
 
 impl FaultInjector {
-    /// Processes whose time has come begin again; all of them once it is calm.
-    pub fn processes_return(&mut self, w: &mut World, calm: bool) {
-        let now = w.now;
-        let next = &mut self.admitted_next;
-        self.downs.retain(|d| {
-            let back = d.at <= now || calm;
-            if back {
-                w.start(d.slot);
-                w.log(format!("back {}", w.machines[d.slot].addr));
-                if d.swap {
-                    *next = Some(d.slot);
+    /// Restarts the stopped processes that are due, or all of them once the faults are over (`calm`).
+    pub fn restart_due_processes(&mut self, world: &mut World, calm: bool) {
+        let now = world.now;
+        let awaiting = &mut self.awaiting_admission;
+        self.stopped_processes.retain(|process| {
+            let is_due = process.restart_at <= now || calm;
+            if is_due {
+                world.start(process.machine);
+                world.log(format!("{} is restarted", world.machines[process.machine].addr));
+                if process.is_replacement {
+                    *awaiting = Some(process.machine);
                 }
             }
-            !back
+            !is_due
         });
     }
 
-    /// An operator admits the core that came with an empty disk.
-    pub fn admit(&mut self, w: &mut World, o: &mut Operators) {
-        if let Some(i) = self.admitted_next
-            && w.now % (500 * MS) < 10 * MS
-            && (w.machines[i].node.is_none() || o.replace(w, i))
-            && w.machines[i].node.is_some()
+    /// Lets an operator admit the replacement core that waits for it.
+    pub fn admit_replacement(&mut self, world: &mut World, operators: &mut Operators) {
+        if let Some(target) = self.awaiting_admission
+            && world.now % (500 * MS) < 10 * MS
+            && (world.machines[target].node.is_none() || operators.replace(world, target))
+            && world.machines[target].node.is_some()
         {
-            w.log(format!("admitted {}", w.machines[i].addr));
-            self.admitted_next = None;
+            world.log(format!("{} is admitted by an operator", world.machines[target].addr));
+            self.awaiting_admission = None;
         }
     }
 
-    /// A release goes on by the steps that are due.
-    pub fn release_goes_on(&mut self, w: &mut World) {
-        self.turns.retain(|t| t.take(w));
+    /// Runs the release steps that are due.
+    pub fn run_due_release_actions(&mut self, world: &mut World) {
+        self.release_actions.retain(|action| action.run_if_due(world));
     }
 
-    pub fn release_ends(&mut self) {
-        self.turns.clear();
+    /// Cancels the release steps that are still due.
+    pub fn cancel_release(&mut self) {
+        self.release_actions.clear();
     }
 
-    /// Workers whose time has come begin anew.
-    pub fn workers_return(&mut self, w: &mut World) {
-        let now = w.now;
-        self.resting.retain(|(k, at)| {
-            if *at <= now {
-                let x = &mut w.workers[*k];
-                x.restart();
-                let id = x.id.clone();
-                w.safety.removed_workers.remove(&id);
+    /// Restarts the workers that are due.
+    pub fn restart_due_workers(&mut self, world: &mut World) {
+        let now = world.now;
+        self.absent_workers.retain(|(index, restart_at)| {
+            if *restart_at <= now {
+                let worker = &mut world.workers[*index];
+                worker.restart();
+                let id = worker.id.clone();
+                world.safety.removed_workers.remove(&id);
             }
-            *at > now
+            *restart_at > now
         });
     }
 
-    /// A fault begins; it lasts for about `d`.
-    pub fn begin(&mut self, w: &mut World, f: Fault, d: Micros) {
-        match f {
+    /// Starts a fault that lasts for about `duration`.
+    pub fn inject(&mut self, world: &mut World, fault: Fault, duration: Micros) {
+        match fault {
             Fault::KillCore
             | Fault::KillFront
             | Fault::KillMany
@@ -100,7 +112,7 @@
             | Fault::FreezeCore
             | Fault::SlowNode
             | Fault::SlowCore
-            | Fault::Sleep => self.strike_machines(w, f, d),
+            | Fault::Sleep => self.inject_machine_fault(world, fault, duration),
             Fault::CutNode
             | Fault::CutCore
             | Fault::SplitCores
@@ -108,120 +120,150 @@
             | Fault::Zone
             | Fault::Jam
             | Fault::Hold
-            | Fault::Lossy => strike_wires(w, f, d),
-            Fault::SlowDisk | Fault::StallDisk | Fault::FullDisk | Fault::SlowDisks => strike_disks(w, f, d),
+            | Fault::Lossy => inject_network_fault(world, fault, duration),
+            Fault::SlowDisk | Fault::StallDisk | Fault::FullDisk | Fault::SlowDisks => {
+                inject_disk_fault(world, fault, duration)
+            }
             Fault::Workers
             | Fault::Odd(_)
             | Fault::Outage
             | Fault::Crash
             | Fault::Release
             | Fault::Crowd
-            | Fault::HotPrefix => self.strike_workers(w, f, d),
-            // These are the moves' own.
+            | Fault::HotPrefix => self.inject_worker_fault(world, fault, duration),
+            // `MembershipFaults` injects these.
             Fault::Swap { .. } | Fault::Empty | Fault::AckLoss | Fault::KillAll | Fault::KillCores => {}
         }
     }
 
-    fn strike_machines(&mut self, w: &mut World, f: Fault, d: Micros) {
-        let now = w.now;
-        let up = |w: &World, i: usize| w.machines[i].node.is_some();
-        match f {
+    /// Starts a fault of a machine or its process.
+    fn inject_machine_fault(&mut self, world: &mut World, fault: Fault, duration: Micros) {
+        let now = world.now;
+        let is_up = |world: &World, target: usize| world.machines[target].node.is_some();
+        match fault {
             Fault::KillCore | Fault::KillFront => {
-                let core = f == Fault::KillCore;
-                if let Some(i) = some(w, |w, i| up(w, i) && w.machines[i].is_core == core) {
-                    w.log(format!("kill {}", w.machines[i].addr));
-                    w.kill(i);
-                    self.downs.push(StoppedProcess { slot: i, at: now + d / 2, swap: false });
+                let is_core = fault == Fault::KillCore;
+                if let Some(target) = draw_machine(world, |world, target| {
+                    is_up(world, target) && world.machines[target].is_core == is_core
+                }) {
+                    world.log(format!("{} is killed", world.machines[target].addr));
+                    world.kill(target);
+                    self.stopped_processes.push(StoppedProcess {
+                        machine: target,
+                        restart_at: now + duration / 2,
+                        is_replacement: false,
+                    });
                 }
             }
             Fault::PowerCore => {
-                if let Some(i) = some(w, |w, i| up(w, i) && w.machines[i].is_core) {
-                    w.log(format!("{} loses power", w.machines[i].addr));
-                    w.lose_power(i);
-                    self.downs.push(StoppedProcess { slot: i, at: now + d / 2, swap: false });
+                if let Some(target) =
+                    draw_machine(world, |world, target| is_up(world, target) && world.machines[target].is_core)
+                {
+                    world.log(format!("{} loses power", world.machines[target].addr));
+                    world.lose_power(target);
+                    self.stopped_processes.push(StoppedProcess {
+                        machine: target,
+                        restart_at: now + duration / 2,
+                        is_replacement: false,
+                    });
                 }
             }
             Fault::KillMany => {
-                w.log("many lose power".into());
-                for i in 0..w.machines.len() {
-                    if up(w, i) && w.rng.chance(60) {
-                        w.lose_power(i);
-                        let t = w.rng.below(SEC);
-                        self.downs.push(StoppedProcess { slot: i, at: now + d / 3 + t, swap: false });
+                world.log("most machines lose power".into());
+                for target in 0..world.machines.len() {
+                    if is_up(world, target) && world.rng.chance(60) {
+                        world.lose_power(target);
+                        let delay = world.rng.below(SEC);
+                        self.stopped_processes.push(StoppedProcess {
+                            machine: target,
+                            restart_at: now + duration / 3 + delay,
+                            is_replacement: false,
+                        });
                     }
                 }
             }
             Fault::WipeCore => {
-                let whole = self.downs.is_empty() && self.admitted_next.is_none();
-                let n = w
+                let is_intact = self.stopped_processes.is_empty() && self.awaiting_admission.is_none();
+                let voters = world
                     .machines
                     .iter()
                     .filter(|s| s.is_core && s.node.as_ref().is_some_and(sumacvale_core::node::Node::voter))
                     .count();
-                if whole
-                    && n >= 3
-                    && let Some(i) = some(w, |w, i| up(w, i) && w.machines[i].is_core)
+                if is_intact
+                    && voters >= 3
+                    && let Some(target) =
+                        draw_machine(world, |world, target| is_up(world, target) && world.machines[target].is_core)
                 {
-                    w.log(format!("lose the disk of {}", w.machines[i].addr));
-                    w.wipe(i);
-                    self.downs.push(StoppedProcess { slot: i, at: now + d / 2, swap: true });
+                    world.log(format!("{} is lost with its disk", world.machines[target].addr));
+                    world.wipe(target);
+                    self.stopped_processes.push(StoppedProcess {
+                        machine: target,
+                        restart_at: now + duration / 2,
+                        is_replacement: true,
+                    });
                 }
             }
             Fault::Freeze | Fault::FreezeCore => {
-                let core = f == Fault::FreezeCore;
-                if let Some(i) = some(w, |w, i| up(w, i) && w.machines[i].is_core == core) {
-                    w.log(format!("freeze {} for {d}", w.machines[i].addr));
-                    w.freeze(i, now + d);
+                let is_core = fault == Fault::FreezeCore;
+                if let Some(target) = draw_machine(world, |world, target| {
+                    is_up(world, target) && world.machines[target].is_core == is_core
+                }) {
+                    world.log(format!("{} is frozen for {duration} us", world.machines[target].addr));
+                    world.freeze(target, now + duration);
                 }
             }
             Fault::SlowNode | Fault::SlowCore => {
-                let core = f == Fault::SlowCore;
-                if let Some(i) = some(w, |w, i| up(w, i) && w.machines[i].is_core == core) {
-                    let most = if core { CORE_PERIOD_MOST } else { FRONT_PERIOD_MOST };
-                    let period = PERIOD_LEAST + w.rng.below(most - PERIOD_LEAST);
-                    w.slow_down(i, now + d, period);
+                let is_core = fault == Fault::SlowCore;
+                if let Some(target) = draw_machine(world, |world, target| {
+                    is_up(world, target) && world.machines[target].is_core == is_core
+                }) {
+                    let max_period = if is_core { MAX_CORE_PERIOD } else { MAX_FRONT_PERIOD };
+                    let period = MIN_PERIOD + world.rng.below(max_period - MIN_PERIOD);
+                    world.slow_down(target, now + duration, period);
                 }
             }
             Fault::Sleep => {
-                if let Some(i) = some(w, |w, i| up(w, i) && w.machines[i].frozen_until <= now) {
-                    w.log(format!("{} sleeps for {}", w.machines[i].addr, 2 * d));
-                    w.freeze(i, now + 2 * d);
+                if let Some(target) = draw_machine(world, |world, target| {
+                    is_up(world, target) && world.machines[target].frozen_until <= now
+                }) {
+                    world.log(format!("{} sleeps for {} us", world.machines[target].addr, 2 * duration));
+                    world.freeze(target, now + 2 * duration);
                 }
             }
             _ => {}
         }
     }
 
-    /// Workers and those who call.
-    fn strike_workers(&mut self, w: &mut World, f: Fault, d: Micros) {
-        let now = w.now;
-        match f {
+    /// Starts a fault of workers or callers.
+    fn inject_worker_fault(&mut self, world: &mut World, fault: Fault, duration: Micros) {
+        let now = world.now;
+        match fault {
             Fault::Workers => {
-                let k = usize::try_from(w.rng.below(w.workers.len() as u64)).unwrap_or(0);
-                if self.resting.iter().any(|x| x.0 == k) {
+                let index = usize::try_from(world.rng.below(world.workers.len() as u64)).unwrap_or(0);
+                if self.absent_workers.iter().any(|absent| absent.0 == index) {
                     return;
                 }
-                let drain = w.rng.chance(50);
-                let x = &mut w.workers[k];
-                let id = x.id.clone();
+                let drain = world.rng.chance(50);
+                let worker = &mut world.workers[index];
+                let id = worker.id.clone();
                 if drain {
-                    x.is_draining = true;
-                    x.draining_since = Some(now);
-                    x.next_report_at = now;
+                    worker.is_draining = true;
+                    worker.draining_since = Some(now);
+                    worker.next_report_at = now;
                 } else {
-                    w.crash(k);
+                    world.crash(index);
                 }
-                w.log(format!("worker {id} {}", if drain { "drains" } else { "vanishes" }));
-                w.safety.removed_workers.insert(id, now);
-                self.resting.push((k, now + 3 * SEC + d));
+                world.log(format!("worker {id} {}", if drain { "drains" } else { "vanishes" }));
+                world.safety.removed_workers.insert(id, now);
+                self.absent_workers.push((index, now + 3 * SEC + duration));
             }
-            Fault::Odd(m) => {
-                let k = usize::try_from(w.rng.below(w.workers.len() as u64)).unwrap_or(0);
-                w.log(format!("worker {} is {m:?} for {d}", w.workers[k].id));
-                w.workers[k].mode = (m, now + d);
+            Fault::Odd(behaviour) => {
+                let index = usize::try_from(world.rng.below(world.workers.len() as u64)).unwrap_or(0);
+                world.log(format!("worker {} behaves as {behaviour:?} for {duration} us", world.workers[index].id));
+                world.workers[index].mode = (behaviour, now + duration);
             }
             Fault::Outage => {
-                let modes = [
+                let behaviours = [
                     WorkerBehaviour::Hang,
                     WorkerBehaviour::Mute,
                     WorkerBehaviour::Cut,
@@ -229,123 +271,138 @@
                     WorkerBehaviour::Dark,
                     WorkerBehaviour::Slow,
                 ];
-                let m = modes[usize::try_from(w.rng.below(modes.len() as u64)).unwrap_or(0)];
-                w.log(format!("all workers are {m:?} for {d}"));
-                for x in &mut w.workers {
-                    x.mode = (m, now + d);
+                let behaviour = behaviours[usize::try_from(world.rng.below(behaviours.len() as u64)).unwrap_or(0)];
+                world.log(format!("all workers behave as {behaviour:?} for {duration} us"));
+                for worker in &mut world.workers {
+                    worker.mode = (behaviour, now + duration);
                 }
             }
             Fault::Crash => {
-                let k = usize::try_from(w.rng.below(w.workers.len() as u64)).unwrap_or(0);
-                if w.workers[k].is_running && !w.workers[k].is_draining {
-                    w.log(format!("worker {} ends and begins anew", w.workers[k].id));
-                    w.crash(k);
-                    self.turns.push(ReleaseAction { at: now + 100 * MS, worker: k, what: ReleaseStep::Begin });
+                let index = usize::try_from(world.rng.below(world.workers.len() as u64)).unwrap_or(0);
+                if world.workers[index].is_running && !world.workers[index].is_draining {
+                    world.log(format!("worker {} crashes and is restarted", world.workers[index].id));
+                    world.crash(index);
+                    self.release_actions.push(ReleaseAction {
+                        at: now + 100 * MS,
+                        worker: index,
+                        step: ReleaseStep::Start,
+                    });
                 }
             }
-            Fault::Release if self.turns.is_empty() => {
-                w.log("all workers of the model are replaced, one by one".into());
-                let ks: Vec<_> = (0..w.workers.len()).filter(|k| w.workers[*k].pool == "llm").collect();
-                for (n, k) in ks.into_iter().enumerate() {
-                    let at = now + n as u64 * 1_200 * MS;
-                    self.turns.push(ReleaseAction { at, worker: k, what: ReleaseStep::Drain });
-                    self.turns.push(ReleaseAction { at: at + 900 * MS, worker: k, what: ReleaseStep::End });
-                    self.turns.push(ReleaseAction { at: at + 1_100 * MS, worker: k, what: ReleaseStep::Begin });
+            Fault::Release if self.release_actions.is_empty() => {
+                world.log("rolling release: all workers of the model are replaced one by one".into());
+                let model_workers: Vec<_> =
+                    (0..world.workers.len()).filter(|index| world.workers[*index].pool == "llm").collect();
+                for (position, index) in model_workers.into_iter().enumerate() {
+                    let at = now + position as u64 * 1_200 * MS;
+                    self.release_actions.push(ReleaseAction { at, worker: index, step: ReleaseStep::Drain });
+                    self.release_actions.push(ReleaseAction {
+                        at: at + 900 * MS,
+                        worker: index,
+                        step: ReleaseStep::Stop,
+                    });
+                    self.release_actions.push(ReleaseAction {
+                        at: at + 1_100 * MS,
+                        worker: index,
+                        step: ReleaseStep::Start,
+                    });
                 }
             }
             Fault::Crowd => {
-                w.log(format!("a crowd of one tenant's for {d}"));
-                w.crowd = (8, now + d);
+                world.log(format!("one tenant sends eight times its usual calls for {duration} us"));
+                world.crowd = (8, now + duration);
             }
             Fault::HotPrefix => {
-                w.log(format!("all calls share one prefix for {d}"));
-                w.shared_prefix_until = now + d;
+                world.log(format!("all calls share one prefix for {duration} us"));
+                world.shared_prefix_until = now + duration;
             }
             _ => {}
         }
     }
 }
 
-fn strike_wires(w: &mut World, f: Fault, d: Micros) {
-    let now = w.now;
-    match f {
+/// Starts a fault of the network.
+fn inject_network_fault(world: &mut World, fault: Fault, duration: Micros) {
+    let now = world.now;
+    match fault {
         Fault::CutNode | Fault::CutCore => {
-            let core = f == Fault::CutCore;
-            if let Some(i) = some(w, |w, i| !core || w.machines[i].is_core) {
-                w.log(format!("cut off {} for {d}", w.machines[i].addr));
-                for j in 0..w.machines.len() {
-                    w.blocked_links.insert((i, j), now + d);
-                    w.blocked_links.insert((j, i), now + d);
+            let is_core = fault == Fault::CutCore;
+            if let Some(target) = draw_machine(world, |world, target| !is_core || world.machines[target].is_core) {
+                world.log(format!("{} is partitioned from all others for {duration} us", world.machines[target].addr));
+                for other in 0..world.machines.len() {
+                    world.blocked_links.insert((target, other), now + duration);
+                    world.blocked_links.insert((other, target), now + duration);
                 }
             }
         }
         Fault::SplitCores => {
-            w.log(format!("split for {d}"));
-            let side: Vec<bool> = (0..w.machines.len()).map(|_| w.rng.chance(50)).collect();
-            for i in 0..side.len() {
-                for j in 0..side.len() {
-                    if side[i] != side[j] {
-                        w.blocked_links.insert((i, j), now + d);
+            world.log(format!("machines are partitioned into two random groups for {duration} us"));
+            let sides: Vec<bool> = (0..world.machines.len()).map(|_| world.rng.chance(50)).collect();
+            for target in 0..sides.len() {
+                for other in 0..sides.len() {
+                    if sides[target] != sides[other] {
+                        world.blocked_links.insert((target, other), now + duration);
                     }
                 }
             }
         }
         Fault::OneWay => {
-            if let Some(i) = some(w, |_, _| true) {
-                w.log(format!("nothing comes from {} for {d}", w.machines[i].addr));
-                for j in 0..w.machines.len() {
-                    w.blocked_links.insert((i, j), now + d);
+            if let Some(target) = draw_machine(world, |_, _| true) {
+                world.log(format!("frames from {} are lost for {duration} us", world.machines[target].addr));
+                for other in 0..world.machines.len() {
+                    world.blocked_links.insert((target, other), now + duration);
                 }
             }
         }
         Fault::Zone => {
-            let z = format!("z{}", w.rng.below(3));
-            w.log(format!("zone {z} apart for {d}"));
-            for i in 0..w.machines.len() {
-                for j in 0..w.machines.len() {
-                    if (w.machines[i].zone == z) != (w.machines[j].zone == z) {
-                        w.blocked_links.insert((i, j), now + d);
+            let zone = format!("z{}", world.rng.below(3));
+            world.log(format!("zone {zone} is partitioned from the others for {duration} us"));
+            for target in 0..world.machines.len() {
+                for other in 0..world.machines.len() {
+                    if (world.machines[target].zone == zone) != (world.machines[other].zone == zone) {
+                        world.blocked_links.insert((target, other), now + duration);
                     }
                 }
             }
         }
         Fault::Jam => {
-            w.log(format!("frames jammed for {d}"));
-            w.reordering_until = now + d;
-            w.loss = (5, now + d);
+            world.log(format!("frames are delayed, reordered and lost for {duration} us"));
+            world.reordering_until = now + duration;
+            world.loss = (5, now + duration);
         }
         Fault::Hold => {
-            if let Some(i) = some(w, |_, _| true) {
-                w.log(format!("frames of {} held for {d}", w.machines[i].addr));
-                w.frames_held_until.insert(i, now + d);
+            if let Some(target) = draw_machine(world, |_, _| true) {
+                world.log(format!("frames from and to {} are held for {duration} us", world.machines[target].addr));
+                world.frames_held_until.insert(target, now + duration);
             }
         }
         Fault::Lossy => {
-            w.log(format!("one frame in ten lost for {d}"));
-            w.loss = (10, now + d);
+            world.log(format!("one frame in ten is lost for {duration} us"));
+            world.loss = (10, now + duration);
         }
         _ => {}
     }
 }
 
-fn strike_disks(w: &mut World, f: Fault, d: Micros) {
-    let now = w.now;
-    match f {
+/// Starts a fault of one disk or of all disks.
+fn inject_disk_fault(world: &mut World, fault: Fault, duration: Micros) {
+    let now = world.now;
+    match fault {
         Fault::SlowDisk | Fault::StallDisk | Fault::FullDisk => {
-            if let Some(i) = some(w, |w, i| w.machines[i].is_core) {
-                w.log(format!("{f:?} {} for {d}", w.machines[i].addr));
-                let disk = &mut w.machines[i].disk;
-                match f {
-                    Fault::SlowDisk => disk.slow_until = now + d,
-                    Fault::StallDisk => disk.stalled_until = now + d,
-                    _ => disk.full_until = now + d,
+            if let Some(target) = draw_machine(world, |world, target| world.machines[target].is_core) {
+                world.log(format!("{fault:?} on {} for {duration} us", world.machines[target].addr));
+                let disk = &mut world.machines[target].disk;
+                match fault {
+                    Fault::SlowDisk => disk.slow_until = now + duration,
+                    Fault::StallDisk => disk.stalled_until = now + duration,
+                    _ => disk.full_until = now + duration,
                 }
             }
         }
         Fault::SlowDisks => {
-            w.log(format!("all disks slow for {d}"));
-            for s in w.machines.iter_mut().filter(|s| s.is_core) {
-                s.disk.slow_until = now + d;
+            world.log(format!("all disks of cores are slow for {duration} us"));
+            for s in world.machines.iter_mut().filter(|s| s.is_core) {
+                s.disk.slow_until = now + duration;
             }
         }
         _ => {}
--- a/crates/testbed/src/sim/faults/membership_losses.rs
+++ b/crates/testbed/src/sim/faults/membership_losses.rs
@@ -1,3 +1,5 @@
+//! Losses and replacements of cores in fleets whose cores manage the voters themselves, and how fast they recover.
+
 use crate::sim::checks::safety::Violation;
 use crate::sim::faults::profiles::Fault;
 use crate::sim::operators::traffic::Operators;
@@ -6,286 +8,317 @@
 use sumacvale_core::base::{MS, Micros, SEC};
 use sumacvale_core::node::Event;
 
-/// A machine counts as lost for so long after its return; by then voters are what they must be.
-const LOST: Micros = 4 * SEC;
-/// A process that was told to stop is killed after this.
-const GRACE: Micros = 8 * SEC;
+/// A machine counts as lost until this long after its return, in microseconds; by then the voter set must be complete
+/// and all nodes fresh.
+const RECOVERY_TIME: Micros = 4 * SEC;
+/// A process that was asked to shut down is killed after this, in microseconds.
+const SHUTDOWN_GRACE: Micros = 8 * SEC;
 
-/// In so many of a hundred cases it is the disks that have lasted longest that go.
-const OLDEST: u64 = 25;
+/// The probability, in percent, that the cores with the oldest disks are lost instead of drawn ones.
+const OLDEST_DISKS_PERCENT: u64 = 25;
 
+/// An action on a machine, given by its index, that is scheduled for a later moment.
 #[derive(Clone, Copy, Debug)]
 enum MembershipAction {
-    Begin(usize),
-    /// A machine that is gone for good.
-    End(usize),
-    /// An empty machine in the zone of this one, at a new address.
+    /// Starts the machine again.
+    Start(usize),
+    /// Removes the machine for good, once its process may stop.
+    Remove(usize),
+    /// Adds a machine with an empty disk in the zone of this one, at a new address.
     Join(usize),
-    /// A machine that was frozen or cut off is back by itself.
-    Back,
+    /// Marks the end of a freeze or a partition.
+    Recovered,
 }
 
-/// Machines with disks come, go and lose their disks, and nobody tells the others.
+/// Injects losses, replacements and wipes of cores of which no node is notified, and measures the recovery.
 #[derive(Default)]
 pub struct MembershipFaults {
-    acts: Vec<(Micros, MembershipAction)>,
-    /// The last loss or return of a machine that still counts as lost.
-    last: Option<Micros>,
-    /// Once so many changes are accepted, disks are lost.
-    armed: Option<(u64, bool)>,
-    /// How long after the last return the voters were all there, and all nodes fresh.
+    /// The scheduled actions and when each is due.
+    scheduled_actions: Vec<(Micros, MembershipAction)>,
+    /// When the last machine was lost or returned, while one still counts as lost.
+    last_change_at: Option<Micros>,
+    /// Disks are lost once more changes than this are accepted; if true, all other machines lose power as well.
+    pending_ack_loss: Option<(u64, bool)>,
+    /// The time from the last return until all voters were live, for each loss.
     pub voted: Vec<Micros>,
+    /// The time from the last return until all nodes were fresh, for each loss.
     pub again: Vec<Micros>,
-    /// How long after the loss, and after the last return, each voter lived, held the newest
-    /// version and had taken over the grants.
+    /// The times from the loss, and from the last return, until each voter was live, held the newest version and had
+    /// taken over the grants.
     pub full: Vec<(Micros, Micros)>,
-    began: Micros,
-    whole: bool,
-    /// Cores that were told to stop, and when.
-    told: BTreeMap<usize, Micros>,
-    /// The machine that came or was back last.
-    came: Option<usize>,
-    /// When all power went, and when the last machine was back.
+    /// When the current loss began.
+    loss_began_at: Micros,
+    /// Whether all voters held the newest version and were ready since the current loss began.
+    are_voters_ready: bool,
+    /// Cores that were asked to shut down, and when.
+    shutdown_requested_at: BTreeMap<usize, Micros>,
+    /// The machine that joined or was restarted last.
+    last_started: Option<usize>,
+    /// When all machines lost power, and when the last one was restarted.
     pub dark: Vec<(Micros, Micros)>,
-    set: bool,
-    fresh: bool,
+    /// Whether the voter set was complete and live since the current loss began.
+    are_voters_live: bool,
+    /// Whether all nodes were fresh since the current loss began.
+    are_nodes_fresh: bool,
 }
 
 impl MembershipFaults {
-    fn at(&mut self, t: Micros, a: MembershipAction) {
-        self.acts.push((t, a));
+    /// Schedules an action for a moment of true time.
+    fn schedule(&mut self, due: Micros, action: MembershipAction) {
+        self.scheduled_actions.push((due, action));
     }
 
-    pub(in crate::sim) fn some(w: &mut World, n: u64) -> Vec<usize> {
-        let mut v: Vec<_> =
-            (0..w.machines.len()).filter(|i| w.machines[*i].is_core && w.machines[*i].node.is_some()).collect();
-        let mut o = Vec::new();
-        for _ in 0..n {
-            if !v.is_empty() {
-                let k = usize::try_from(w.rng.below(v.len() as u64)).unwrap_or(0);
-                o.push(v.swap_remove(k));
+    /// Draws up to `count` cores that run.
+    pub(in crate::sim) fn draw_cores(world: &mut World, count: u64) -> Vec<usize> {
+        let mut running: Vec<_> = (0..world.machines.len())
+            .filter(|machine| world.machines[*machine].is_core && world.machines[*machine].node.is_some())
+            .collect();
+        let mut drawn = Vec::new();
+        for _ in 0..count {
+            if !running.is_empty() {
+                let k = usize::try_from(world.rng.below(running.len() as u64)).unwrap_or(0);
+                drawn.push(running.swap_remove(k));
             }
         }
-        o
+        drawn
     }
 
-    /// Some cores by lot, or those whose disks have lasted longest.
-    fn some_or_oldest(w: &mut World, n: u64) -> Vec<usize> {
-        if !w.rng.chance(OLDEST) {
-            return Self::some(w, n);
+    /// Draws up to `count` cores that run, or returns those with the oldest disks.
+    fn draw_cores_or_oldest(world: &mut World, count: u64) -> Vec<usize> {
+        if !world.rng.chance(OLDEST_DISKS_PERCENT) {
+            return Self::draw_cores(world, count);
         }
-        let mut oldest = w.oldest_disks();
-        oldest.truncate(usize::try_from(n).unwrap_or(0));
-        w.log("those whose disks have lasted longest".into());
+        let mut oldest = world.oldest_disks();
+        oldest.truncate(usize::try_from(count).unwrap_or(0));
+        world.log("the cores with the oldest disks are lost".into());
         oldest
     }
 
-    fn begin(&mut self, now: Micros) {
-        self.last = Some(now);
-        self.began = now;
-        self.set = false;
-        self.fresh = false;
-        self.whole = false;
+    /// Starts to measure the recovery from a loss.
+    fn begin_loss(&mut self, now: Micros) {
+        self.last_change_at = Some(now);
+        self.loss_began_at = now;
+        self.are_voters_live = false;
+        self.are_nodes_fresh = false;
+        self.are_voters_ready = false;
     }
 
-    /// Nothing counts as lost, and nothing is to come.
-    pub(in crate::sim) fn idle(&self) -> bool {
-        self.last.is_none() && self.armed.is_none() && self.acts.is_empty()
+    /// Returns true while no machine counts as lost and no action or loss is pending.
+    pub(in crate::sim) fn is_idle(&self) -> bool {
+        self.last_change_at.is_none() && self.pending_ack_loss.is_none() && self.scheduled_actions.is_empty()
     }
 
-    pub(in crate::sim) fn repairs(&self) -> bool {
-        self.last.is_some()
+    /// Returns true while a machine counts as lost.
+    pub(in crate::sim) fn is_repairing(&self) -> bool {
+        self.last_change_at.is_some()
     }
 
-    /// The core that came last, if it lives.
-    pub(in crate::sim) fn came_last(&self, w: &World) -> Option<usize> {
-        self.came.filter(|i| w.machines[*i].is_core && w.machines[*i].node.is_some())
+    /// Returns the core that joined or was restarted last, if its process runs.
+    pub(in crate::sim) fn last_started_core(&self, world: &World) -> Option<usize> {
+        self.last_started.filter(|machine| world.machines[*machine].is_core && world.machines[*machine].node.is_some())
     }
 
-    /// A loss begins that ends by itself.
-    pub(in crate::sim) fn back_at(&mut self, now: Micros, until: Micros) {
-        self.begin(now);
-        self.at(until, MembershipAction::Back);
+    /// Records the loss of a machine that recovers by itself at `until`.
+    pub(in crate::sim) fn begin_transient_loss(&mut self, now: Micros, until: Micros) {
+        self.begin_loss(now);
+        self.schedule(until, MembershipAction::Recovered);
     }
 
-    /// All processes that run are killed in the midst of a repair.
-    pub(in crate::sim) fn blink(&mut self, w: &mut World) {
-        let began = self.began;
-        self.begin(w.now);
-        self.began = began;
-        self.power(w, &[]);
+    /// Cuts the power of all machines during a repair; its duration still counts from the first loss.
+    pub(in crate::sim) fn cut_power_during_repair(&mut self, world: &mut World) {
+        let began = self.loss_began_at;
+        self.begin_loss(world.now);
+        self.loss_began_at = began;
+        self.cut_power(world, &[]);
     }
 
-    /// Whether a core that was told to stop still waits for what it holds to be held elsewhere.
-    fn stays(&self, w: &World, i: usize) -> bool {
-        let s = &w.machines[i];
-        let waits = s.node.as_ref().is_some_and(|n| !n.may_stop(s.clock(w.now)));
-        waits && self.told.get(&i).is_some_and(|t| w.now < t + GRACE)
+    /// Returns true while a core that was asked to shut down must run on until other nodes hold its state, within the grace period.
+    fn must_keep_running(&self, world: &World, machine: usize) -> bool {
+        let state = &world.machines[machine];
+        let waits = state.node.as_ref().is_some_and(|node| !node.may_stop(state.clock(world.now)));
+        waits && self.shutdown_requested_at.get(&machine).is_some_and(|t| world.now < t + SHUTDOWN_GRACE)
     }
 
-    /// True if the fault is one of these; it is skipped while a machine still counts as lost.
-    pub fn take(&mut self, w: &mut World, o: &mut Operators, f: Fault) -> bool {
-        if !matches!(f, Fault::Swap { .. } | Fault::Empty | Fault::AckLoss | Fault::KillAll | Fault::KillCores) {
+    /// Injects a membership fault; returns false for faults of other kinds.
+    ///
+    /// The fault is skipped while a machine still counts as lost.
+    pub fn inject(&mut self, world: &mut World, operators: &mut Operators, fault: Fault) -> bool {
+        if !matches!(fault, Fault::Swap { .. } | Fault::Empty | Fault::AckLoss | Fault::KillAll | Fault::KillCores) {
             return false;
         }
-        if self.last.is_some() || self.armed.is_some() || !self.acts.is_empty() {
+        if self.last_change_at.is_some() || self.pending_ack_loss.is_some() || !self.scheduled_actions.is_empty() {
             return true;
         }
-        let now = w.now;
-        let n = 1 + w.rng.below(u64::from(w.tolerated_losses));
-        match f {
+        let now = world.now;
+        let count = 1 + world.rng.below(u64::from(world.tolerated_losses));
+        match fault {
             Fault::Swap { term, before } => {
-                self.begin(now);
-                for i in Self::some_or_oldest(w, n) {
-                    w.log(format!("{} goes for good (told: {term}, successor first: {before})", w.machines[i].addr));
-                    let end = now + if term || before { 300 * MS + w.rng.below(SEC) } else { 0 };
-                    let join = if before { now } else { end + w.rng.below(2 * SEC) };
+                self.begin_loss(now);
+                for machine in Self::draw_cores_or_oldest(world, count) {
+                    world.log(format!(
+                        "{} is removed for good (shutdown requested: {term}, successor starts first: {before})",
+                        world.machines[machine].addr
+                    ));
+                    let end = now + if term || before { 300 * MS + world.rng.below(SEC) } else { 0 };
+                    let join = if before { now } else { end + world.rng.below(2 * SEC) };
                     if term {
-                        w.step(i, Event::Shutdown);
-                        self.told.insert(i, now);
+                        world.step(machine, Event::Shutdown);
+                        self.shutdown_requested_at.insert(machine, now);
                     }
-                    w.leaving_machines.insert(i);
-                    self.at(end, MembershipAction::End(i));
-                    self.at(join, MembershipAction::Join(i));
+                    world.leaving_machines.insert(machine);
+                    self.schedule(end, MembershipAction::Remove(machine));
+                    self.schedule(join, MembershipAction::Join(machine));
                 }
             }
             Fault::Empty => {
-                let v = Self::some(w, n);
-                self.empty(w, &v);
+                let drawn = Self::draw_cores(world, count);
+                self.lose_disks(world, &drawn);
             }
             Fault::AckLoss => {
-                let all = w.rng.chance(50);
-                self.armed = Some((o.done, all));
-                o.change(w);
+                let all = world.rng.chance(50);
+                self.pending_ack_loss = Some((operators.done, all));
+                operators.change(world);
             }
             Fault::KillCores => {
-                let fronts: Vec<usize> = (0..w.machines.len()).filter(|i| !w.machines[*i].is_core).collect();
-                self.begin(now);
-                self.power(w, &fronts);
+                let fronts: Vec<usize> =
+                    (0..world.machines.len()).filter(|machine| !world.machines[*machine].is_core).collect();
+                self.begin_loss(now);
+                self.cut_power(world, &fronts);
             }
             _ => {
-                self.begin(now);
-                self.power(w, &[]);
+                self.begin_loss(now);
+                self.cut_power(world, &[]);
             }
         }
         true
     }
 
-    pub(in crate::sim) fn empty(&mut self, w: &mut World, v: &[usize]) {
-        self.begin(w.now);
-        for i in v {
-            w.log(format!("{} loses its disk", w.machines[*i].addr));
-            w.lose_power(*i);
-            w.lose_disk(*i);
-            let t = w.now + 150 * MS + w.rng.below(850 * MS);
-            self.at(t, MembershipAction::Begin(*i));
+    /// Cuts the power of these machines, which restart with empty disks within a second.
+    pub(in crate::sim) fn lose_disks(&mut self, world: &mut World, targets: &[usize]) {
+        self.begin_loss(world.now);
+        for machine in targets {
+            world.log(format!("{} loses its disk", world.machines[*machine].addr));
+            world.lose_power(*machine);
+            world.lose_disk(*machine);
+            let restart_at = world.now + 150 * MS + world.rng.below(850 * MS);
+            self.schedule(restart_at, MembershipAction::Start(*machine));
         }
     }
 
-    /// Power goes for all that are up but these.
-    fn power(&mut self, w: &mut World, but: &[usize]) {
-        w.log(if but.is_empty() { "all power goes" } else { "power goes for others" }.into());
-        let from = w.now;
+    /// Cuts the power of all machines that run, except for these; each restarts within a second.
+    fn cut_power(&mut self, world: &mut World, spared: &[usize]) {
+        world.log(if spared.is_empty() { "all machines lose power" } else { "all other machines lose power" }.into());
+        let from = world.now;
         let mut back = from;
-        for i in 0..w.machines.len() {
-            if w.machines[i].node.is_some() && !but.contains(&i) {
-                w.lose_power(i);
-                let t = w.now + 150 * MS + w.rng.below(850 * MS);
-                back = back.max(t);
-                self.at(t, MembershipAction::Begin(i));
+        for machine in 0..world.machines.len() {
+            if world.machines[machine].node.is_some() && !spared.contains(&machine) {
+                world.lose_power(machine);
+                let restart_at = world.now + 150 * MS + world.rng.below(850 * MS);
+                back = back.max(restart_at);
+                self.schedule(restart_at, MembershipAction::Start(machine));
             }
         }
-        if but.is_empty() {
+        if spared.is_empty() {
             self.dark.push((from, back));
         }
     }
 
-    pub fn tick(&mut self, w: &mut World, o: &Operators) {
-        let now = w.now;
-        w.may_bootstrap = w.safety.committed.is_empty();
-        if let Some((n, all)) = self.armed
-            && o.done > n
+    /// Runs the actions that are due, and checks the recovery from the current loss.
+    pub fn tick(&mut self, world: &mut World, operators: &Operators) {
+        let now = world.now;
+        world.may_bootstrap = world.safety.committed.is_empty();
+        if let Some((accepted, all)) = self.pending_ack_loss
+            && operators.done > accepted
         {
-            self.armed = None;
-            let v = Self::some_or_oldest(w, u64::from(w.tolerated_losses));
-            self.empty(w, &v);
+            self.pending_ack_loss = None;
+            let lost = Self::draw_cores_or_oldest(world, u64::from(world.tolerated_losses));
+            self.lose_disks(world, &lost);
             if all {
-                self.power(w, &v);
+                self.cut_power(world, &lost);
             }
         }
-        let (due, later) =
-            std::mem::take(&mut self.acts).into_iter().partition(|a: &(Micros, MembershipAction)| a.0 <= now);
-        self.acts = later;
-        for (_, a) in due {
-            match a {
-                MembershipAction::Begin(i) if w.machines[i].is_removed => {}
-                MembershipAction::Begin(i) => {
-                    w.start(i);
-                    self.came = Some(i);
+        let (due, later) = std::mem::take(&mut self.scheduled_actions)
+            .into_iter()
+            .partition(|scheduled: &(Micros, MembershipAction)| scheduled.0 <= now);
+        self.scheduled_actions = later;
+        for (_, action) in due {
+            match action {
+                MembershipAction::Start(machine) if world.machines[machine].is_removed => {}
+                MembershipAction::Start(machine) => {
+                    world.start(machine);
+                    self.last_started = Some(machine);
+                }
+                MembershipAction::Remove(machine) if self.must_keep_running(world, machine) => {
+                    self.schedule(now + 50 * MS, action)
                 }
-                MembershipAction::End(i) if self.stays(w, i) => self.at(now + 50 * MS, a),
-                MembershipAction::End(i) => w.retire(i),
-                MembershipAction::Join(i) => {
-                    let z = w.machines[i].zone.clone();
-                    w.join(&z);
-                    self.came = Some(w.machines.len() - 1);
+                MembershipAction::Remove(machine) => world.retire(machine),
+                MembershipAction::Join(machine) => {
+                    let zone = world.machines[machine].zone.clone();
+                    world.join(&zone);
+                    self.last_started = Some(world.machines.len() - 1);
                 }
-                MembershipAction::Back => {}
+                MembershipAction::Recovered => {}
             }
-            self.last = Some(now);
+            self.last_change_at = Some(now);
         }
-        let Some(at) = self.last.filter(|_| self.acts.is_empty()) else { return };
-        let live: BTreeSet<_> = w
+        let Some(last_change_at) = self.last_change_at.filter(|_| self.scheduled_actions.is_empty()) else { return };
+        let live: BTreeSet<_> = world
             .machines
             .iter()
             .filter(|s| s.is_core)
             .filter_map(|s| s.node.as_ref().map(|n| n.settings.node_id))
             .collect();
-        let cores = w.safety.committed.values().next_back().map(|d| d.voters.clone()).unwrap_or_default();
-        if !self.set
-            && cores.len() == 2 * w.tolerated_losses as usize + 1
-            && cores.iter().all(|c| live.contains(&c.node_id))
+        let voters = world.safety.committed.values().next_back().map(|d| d.voters.clone()).unwrap_or_default();
+        if !self.are_voters_live
+            && voters.len() == 2 * world.tolerated_losses as usize + 1
+            && voters.iter().all(|voter| live.contains(&voter.node_id))
         {
-            self.set = true;
-            self.voted.push(now - at);
+            self.are_voters_live = true;
+            self.voted.push(now - last_change_at);
         }
         let fresh = |s: &crate::sim::machines::slot::Machine| s.node.as_ref().is_none_or(|n| n.is_fresh(s.clock(now)));
-        if !self.fresh && w.machines.iter().all(fresh) {
-            self.fresh = true;
-            self.again.push(now - at);
+        if !self.are_nodes_fresh && world.machines.iter().all(fresh) {
+            self.are_nodes_fresh = true;
+            self.again.push(now - last_change_at);
         }
-        let newest = w.safety.committed.keys().next_back().copied();
-        let ready = |c: &sumacvale_core::protocol::Voter| {
+        let newest = world.safety.committed.keys().next_back().copied();
+        let ready = |voter: &sumacvale_core::protocol::Voter| {
             let mut nodes =
-                w.machines.iter().filter_map(|s| s.node.as_ref()).filter(|n| n.settings.node_id == c.node_id);
+                world.machines.iter().filter_map(|s| s.node.as_ref()).filter(|n| n.settings.node_id == voter.node_id);
             nodes.any(|n| n.version() == newest && n.is_ready())
         };
-        if !self.whole && self.set && cores.iter().all(ready) {
-            self.whole = true;
-            self.full.push((now - self.began, now - at));
+        if !self.are_voters_ready && self.are_voters_live && voters.iter().all(ready) {
+            self.are_voters_ready = true;
+            self.full.push((now - self.loss_began_at, now - last_change_at));
         }
-        // A machine whose disk is slow counts as lost too.
-        let slow = w.machines.iter().filter(|s| s.node.is_some()).map(|s| s.disk.slow_until).max().unwrap_or(0);
-        if now < at.max(slow.min(now)) + LOST || slow > now {
+        // A machine with a slow disk counts as lost, too.
+        let slow_until =
+            world.machines.iter().filter(|s| s.node.is_some()).map(|s| s.disk.slow_until).max().unwrap_or(0);
+        if now < last_change_at.max(slow_until.min(now)) + RECOVERY_TIME || slow_until > now {
             return;
         }
-        self.last = None;
-        if !self.set || !self.fresh || !self.whole {
-            let stale: Vec<String> = w.machines.iter().filter(|s| !fresh(s)).map(|s| stands(w, s)).collect();
-            let t = format!(
-                "{now}: not all voters live ({}), are ready ({}) or not all are fresh ({}) 4 s after: {stale:?}",
-                self.set, self.whole, self.fresh
+        self.last_change_at = None;
+        if !self.are_voters_live || !self.are_nodes_fresh || !self.are_voters_ready {
+            let stale: Vec<String> =
+                world.machines.iter().filter(|s| !fresh(s)).map(|s| describe_node(world, s)).collect();
+            let text = format!(
+                "{now}: not recovered 4 s after the last return: voters live {}, voters ready {}, all nodes fresh {}; stale: {stale:?}",
+                self.are_voters_live, self.are_voters_ready, self.are_nodes_fresh
             );
-            w.safety.violations.push(Violation(t));
+            world.safety.violations.push(Violation(text));
         }
     }
 }
 
-/// A machine with its version and the cores that its list names, for a breach.
-fn stands(w: &World, s: &crate::sim::machines::slot::Machine) -> String {
-    let Some(n) = &s.node else { return s.addr.clone() };
-    let gone = |a: &String| w.machines.iter().any(|s| s.addr == *a && s.is_removed);
-    let list: Vec<String> =
-        n.settings.seeds.iter().map(|a| format!("{a}{}", if gone(a) { " (gone)" } else { "" })).collect();
-    format!("{} version {:?} list {list:?}", s.addr, n.version())
+/// Describes a machine for a violation: its address, its version and its seeds, with those that were removed.
+fn describe_node(world: &World, machine: &crate::sim::machines::slot::Machine) -> String {
+    let Some(node) = &machine.node else { return machine.addr.clone() };
+    let is_removed = |addr: &String| world.machines.iter().any(|s| s.addr == *addr && s.is_removed);
+    let seeds: Vec<String> = node
+        .settings
+        .seeds
+        .iter()
+        .map(|addr| format!("{addr}{}", if is_removed(addr) { " (removed)" } else { "" }))
+        .collect();
+    format!("{} version {:?} seeds {seeds:?}", machine.addr, node.version())
 }
--- a/crates/testbed/src/sim/faults/mod.rs
+++ b/crates/testbed/src/sim/faults/mod.rs
@@ -1,4 +1,4 @@
-//! What goes wrong: profiles of faults, their injection and their end.
+//! Faults of a simulated run: the profiles that choose them, and what injects and ends them.
 
 pub(super) mod control;
 pub(super) mod day;
--- a/crates/testbed/src/sim/faults/profiles.rs
+++ b/crates/testbed/src/sim/faults/profiles.rs
@@ -1,9 +1,9 @@
-//! Profiles: which faults a run injects.
+//! Fault profiles: which faults a run injects, and for how long.
 
 use crate::sim::workers::worker::WorkerBehaviour;
 use sumacvale_core::base::{MS, Micros, Rng, SEC};
 
-/// What may go wrong; the places and times are drawn from the seed.
+/// A kind of fault; the machines and times are drawn from the seed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// The process of a core is killed.
@@ -14,17 +14,17 @@
     PowerCore,
     /// Most machines lose power at once.
     KillMany,
-    /// A machine is partitioned from all others.
+    /// A drawn machine is partitioned from all others.
     CutNode,
     /// A core is partitioned from all others.
     CutCore,
-    /// The machines are partitioned into two halves, drawn at random, both ways.
+    /// The machines are partitioned into two groups, drawn at random, in both directions.
     SplitCores,
-    /// Frames of one machine are lost; it still receives.
+    /// All frames that one machine sends are lost; it still receives frames.
     OneWay,
-    /// All processes of a front stand still.
+    /// All processes of a front are frozen.
     Freeze,
-    /// All processes of a core stand still.
+    /// All processes of a core are frozen.
     FreezeCore,
     /// A front runs several times slower.
     SlowNode,
@@ -34,7 +34,7 @@
     SlowDisk,
     /// The disk of a core completes no write.
     StallDisk,
-    /// A disk refuses each write until there is room again.
+    /// A disk rejects each write until it has room again.
     FullDisk,
     /// A core is replaced by one with an empty disk at a new address, which an operator admits.
     WipeCore,
@@ -42,55 +42,55 @@
     Zone,
     /// One frame in ten is lost.
     Lossy,
-    /// Frames overtake one another and come late, some not at all.
+    /// Frames are delayed and reordered, and some are lost.
     Jam,
     /// Frames of one machine, sent and received, are held until the end of the fault.
     Hold,
     /// A machine sleeps for longer than any lease or report is valid.
     Sleep,
-    /// All cores' disks are slow at once.
+    /// The disks of all cores are slow at once.
     SlowDisks,
-    /// A worker drains or vanishes, and starts again later.
+    /// A worker drains or vanishes, and is restarted later.
     Workers,
-    /// A worker behaves in some way for a while.
+    /// A worker shows a faulty behaviour for a while.
     Odd(WorkerBehaviour),
-    /// A worker's process ends and another one begins at its address.
+    /// A worker's process crashes, and another one starts at its address.
     Crash,
-    /// All workers of the model are replaced, one after the other.
+    /// Rolling release: all workers of the model are replaced, one after the other.
     Release,
-    /// One tenant calls many times as often as it does.
+    /// One tenant sends eight times its usual calls.
     Crowd,
     /// All calls share one prefix.
     HotPrefix,
-    /// All workers of the model are in trouble at once.
+    /// All workers show the same faulty behaviour at once.
     Outage,
-    /// A core goes for good, with or without a word; an empty one comes at a new address.
+    /// A core is removed for good, with or without a shutdown; one with an empty disk joins at a new address.
     Swap {
-        /// The old machine is told to stop before it ends.
+        /// The old machine is asked to shut down before it is removed.
         term: bool,
-        /// The new machine starts before the old one ends.
+        /// The new machine starts before the old one is removed.
         before: bool,
     },
-    /// As many cores as may be lost lose their disks and begin again at their addresses.
+    /// Up to as many cores as the fleet tolerates lose their disks and restart at their addresses.
     Empty,
-    /// The same right after an acknowledgement, at times while all others lose power.
+    /// Cores lose their disks right after an acknowledgement, in half of the cases while all others lose power.
     AckLoss,
-    /// All processes are killed and return within a second.
+    /// All machines lose power and restart within a second.
     KillAll,
-    /// All cores lose power and return within a second; the fronts keep theirs, and their connections.
+    /// All cores lose power and restart within a second; the fronts keep running, with their connections.
     KillCores,
 }
 
 #[derive(Clone, Copy, Debug)]
-/// A kind of run: which faults are injected, for how long, beside how many changes.
+/// A kind of run: the faults that are injected, for how long, and the rate of configuration changes.
 pub struct Profile {
     /// The name on the command line.
     pub name: &'static str,
-    /// The faults that are drawn from; each begins within four seconds of the last one.
+    /// The faults to draw from; each starts 0.2 to 4.2 seconds after the one before.
     pub faults: &'static [Fault],
     /// How long faults are injected, in seconds.
     pub secs: u64,
-    /// How many changes operators request in ten seconds.
+    /// The average number of changes that operators request in ten seconds.
     pub changes: u64,
 }
 
@@ -100,7 +100,8 @@
     SlowDisk, SlowDisks, SlowNode, SplitCores, StallDisk, Swap, WipeCore, Workers, Zone,
 };
 
-const MOVES: &[Fault] = &[
+/// Losses and replacements of cores that manage the voters themselves.
+const MEMBERSHIP_FAULTS: &[Fault] = &[
     Swap { term: true, before: true },
     Swap { term: true, before: false },
     Swap { term: false, before: true },
@@ -124,12 +125,12 @@
         Profile { name: "slow", faults: &[SlowNode, SlowCore, KillCore], secs: 60, changes: 20 },
         Profile { name: "disks", faults: &[SlowDisk, StallDisk, FullDisk, KillCore], secs: 60, changes: 30 },
         Profile { name: "wiped", faults: &[WipeCore], secs: 90, changes: 15 },
-        Profile { name: "members", faults: MOVES, secs: 120, changes: 10 },
-        Profile { name: "many", faults: MOVES, secs: 120, changes: 10 },
-        // Their losses come from `repairs.rs`.
+        Profile { name: "members", faults: MEMBERSHIP_FAULTS, secs: 120, changes: 10 },
+        Profile { name: "many", faults: MEMBERSHIP_FAULTS, secs: 120, changes: 10 },
+        // `RepeatedLosses` injects the losses of these.
         Profile { name: "repairs", faults: &[], secs: 120, changes: 10 },
         Profile { name: "repairs_two", faults: &[], secs: 120, changes: 10 },
-        // Their troubles come from `control/`.
+        // `Control` injects the faults of these.
         Profile { name: "control_cut_off", faults: &[], secs: 60, changes: 0 },
         Profile { name: "control_numbers", faults: &[], secs: 60, changes: 0 },
         Profile { name: "control_second_loss", faults: &[], secs: 60, changes: 0 },
@@ -207,18 +208,18 @@
         },
     ];
 
-    /// The profile of this name.
-    pub fn named(n: &str) -> Option<&'static Profile> {
-        Self::ALL.iter().find(|p| p.name == n)
+    /// Returns the profile of this name.
+    pub fn named(name: &str) -> Option<&'static Profile> {
+        Self::ALL.iter().find(|profile| profile.name == name)
     }
 
     /// Draws a fault and its duration in microseconds.
-    pub fn pick(&self, r: &mut Rng) -> Option<(Fault, Micros)> {
-        let n = self.faults.len() as u64;
-        if n == 0 {
+    pub fn draw_fault(&self, rng: &mut Rng) -> Option<(Fault, Micros)> {
+        let count = self.faults.len() as u64;
+        if count == 0 {
             return None;
         }
-        let f = self.faults[usize::try_from(r.below(n)).unwrap_or(0)];
-        Some((f, 300 * MS + r.below(7 * SEC)))
+        let fault = self.faults[usize::try_from(rng.below(count)).unwrap_or(0)];
+        Some((fault, 300 * MS + rng.below(7 * SEC)))
     }
 }
--- a/crates/testbed/src/sim/faults/repairs.rs
+++ b/crates/testbed/src/sim/faults/repairs.rs
@@ -1,6 +1,7 @@
-//! Losses as close to one another as they are allowed: the next one comes the moment that the
-//! last machine has had its time to catch up. Disks may be slow meanwhile, the machine that
-//! came last may go again, and all power may go in the midst of a repair.
+//! Losses that follow one another as closely as a fleet must tolerate.
+//!
+//! The next loss comes as soon as the last machine has had its time to catch up. Meanwhile disks may be slow, the
+//! machine that was started last may be lost again, and all machines may lose power during a repair.
 
 use crate::sim::faults::membership_losses::MembershipFaults;
 use crate::sim::faults::profiles::Fault;
@@ -8,101 +9,113 @@
 use crate::sim::world::World;
 use sumacvale_core::base::{MS, Micros, SEC};
 
-/// How long disks are slow from a loss on: longer than a machine has to catch up.
-const SLOW: Micros = 6 * SEC;
-/// A machine that stands still or is cut off does so for at most this long.
-const AWAY: Micros = 7 * SEC;
+/// How long disks are slow after a loss, in microseconds: longer than the time a machine has to catch up.
+const SLOW_DISK_TIME: Micros = 6 * SEC;
+/// The upper bound of a freeze or a partition of one machine, in microseconds.
+const MAX_ISOLATION: Micros = 7 * SEC;
 
-/// What goes next, in parts of the sum.
+/// The kinds of losses and their relative weights.
 const LOSSES: &[(u64, RepairLoss)] = &[
-    (2, RepairLoss::Move(Fault::Swap { term: true, before: true })),
-    (2, RepairLoss::Move(Fault::Swap { term: true, before: false })),
-    (1, RepairLoss::Move(Fault::Swap { term: false, before: true })),
-    (2, RepairLoss::Move(Fault::Swap { term: false, before: false })),
-    (2, RepairLoss::Move(Fault::Empty)),
-    (2, RepairLoss::Move(Fault::AckLoss)),
-    (1, RepairLoss::Move(Fault::KillAll)),
-    (3, RepairLoss::LastAgain),
+    (2, RepairLoss::Membership(Fault::Swap { term: true, before: true })),
+    (2, RepairLoss::Membership(Fault::Swap { term: true, before: false })),
+    (1, RepairLoss::Membership(Fault::Swap { term: false, before: true })),
+    (2, RepairLoss::Membership(Fault::Swap { term: false, before: false })),
+    (2, RepairLoss::Membership(Fault::Empty)),
+    (2, RepairLoss::Membership(Fault::AckLoss)),
+    (1, RepairLoss::Membership(Fault::KillAll)),
+    (3, RepairLoss::LastStarted),
     (1, RepairLoss::Frozen),
-    (1, RepairLoss::CutOff),
+    (1, RepairLoss::Partitioned),
 ];
 
+/// A loss that starts a repair.
 #[derive(Clone, Copy, Debug)]
 enum RepairLoss {
-    Move(Fault),
-    /// The machine that came last loses its disk, be it for the second time.
-    LastAgain,
+    /// A fault of [`MembershipFaults`].
+    Membership(Fault),
+    /// The machine that was started last loses its disk, possibly again.
+    LastStarted,
+    /// A core is frozen for a while.
     Frozen,
-    CutOff,
+    /// A core is partitioned from all others for a while.
+    Partitioned,
 }
 
-/// What is still to come in the repair of now.
+/// Injects one loss after another, each as soon as the repair of the last one is complete.
 #[derive(Debug, Default)]
-pub struct Repairs {
-    next: Micros,
-    /// When all power goes once more.
-    power: Option<Micros>,
+pub struct RepeatedLosses {
+    /// The next loss comes no earlier than this.
+    next_loss_at: Micros,
+    /// When all machines lose power during the current repair, if they do.
+    power_loss_at: Option<Micros>,
 }
 
-impl Repairs {
-    pub fn tick(&mut self, w: &mut World, o: &mut Operators, m: &mut MembershipFaults) {
-        if self.power.is_some_and(|t| w.now >= t) {
-            self.power = None;
-            if m.repairs() {
-                m.blink(w);
+impl RepeatedLosses {
+    /// Cuts the power if that is due, and starts the next loss once nothing counts as lost.
+    pub fn tick(&mut self, world: &mut World, operators: &mut Operators, membership: &mut MembershipFaults) {
+        if self.power_loss_at.is_some_and(|due| world.now >= due) {
+            self.power_loss_at = None;
+            if membership.is_repairing() {
+                membership.cut_power_during_repair(world);
             }
         }
-        if m.idle() && w.now >= self.next && w.now > 5 * SEC {
-            self.lose(w, o, m);
+        if membership.is_idle() && world.now >= self.next_loss_at && world.now > 5 * SEC {
+            self.start_loss(world, operators, membership);
         }
     }
 
-    fn lose(&mut self, w: &mut World, o: &mut Operators, m: &mut MembershipFaults) {
-        self.next = w.now + w.rng.below(100 * MS);
-        self.power = w.rng.chance(25).then(|| w.now + w.rng.below(4 * SEC));
-        if w.rng.chance(30) {
-            w.log("all disks are slow".into());
-            let until = w.now + SLOW;
-            w.machines.iter_mut().filter(|s| s.is_core).for_each(|s| s.disk.slow_until = until);
+    /// Draws a loss and starts it, in some cases with slow disks or a later power loss.
+    fn start_loss(&mut self, world: &mut World, operators: &mut Operators, membership: &mut MembershipFaults) {
+        self.next_loss_at = world.now + world.rng.below(100 * MS);
+        self.power_loss_at = world.rng.chance(25).then(|| world.now + world.rng.below(4 * SEC));
+        if world.rng.chance(30) {
+            world.log("all disks of cores are slow".into());
+            let until = world.now + SLOW_DISK_TIME;
+            world.machines.iter_mut().filter(|s| s.is_core).for_each(|s| s.disk.slow_until = until);
         }
-        match draw(w) {
-            RepairLoss::Move(f) => {
-                m.take(w, o, f);
+        match draw_loss(world) {
+            RepairLoss::Membership(fault) => {
+                membership.inject(world, operators, fault);
             }
-            RepairLoss::LastAgain => {
-                if let Some(i) = m.came_last(w) {
-                    m.empty(w, &[i]);
+            RepairLoss::LastStarted => {
+                if let Some(machine) = membership.last_started_core(world) {
+                    membership.lose_disks(world, &[machine]);
                 }
             }
-            RepairLoss::Frozen => away(w, m, true),
-            RepairLoss::CutOff => away(w, m, false),
+            RepairLoss::Frozen => isolate_core(world, membership, true),
+            RepairLoss::Partitioned => isolate_core(world, membership, false),
         }
     }
 }
 
-fn draw(w: &mut World) -> RepairLoss {
-    let mut at = w.rng.below(LOSSES.iter().map(|l| l.0).sum());
-    for (part, loss) in LOSSES {
-        if at < *part {
+/// Draws a loss by the weights of [`LOSSES`].
+fn draw_loss(world: &mut World) -> RepairLoss {
+    let mut point = world.rng.below(LOSSES.iter().map(|entry| entry.0).sum());
+    for (weight, loss) in LOSSES {
+        if point < *weight {
             return *loss;
         }
-        at -= part;
+        point -= weight;
     }
     LOSSES[0].1
 }
 
-/// A core stands still, or nothing reaches it, and then it is back as it was.
-fn away(w: &mut World, m: &mut MembershipFaults, frozen: bool) {
-    let Some(i) = MembershipFaults::some(w, 1).first().copied() else { return };
-    let until = w.now + SEC + w.rng.below(AWAY - SEC);
-    w.log(format!("{} is {} until {until}", w.machines[i].addr, if frozen { "frozen" } else { "cut off" }));
-    if frozen {
-        w.freeze(i, until);
+/// Freezes or partitions a drawn core, which recovers by itself with its state.
+fn isolate_core(world: &mut World, membership: &mut MembershipFaults, is_frozen: bool) {
+    let Some(machine) = MembershipFaults::draw_cores(world, 1).first().copied() else { return };
+    let until = world.now + SEC + world.rng.below(MAX_ISOLATION - SEC);
+    world.log(format!(
+        "{} is {} until {until}",
+        world.machines[machine].addr,
+        if is_frozen { "frozen" } else { "partitioned from all others" }
+    ));
+    if is_frozen {
+        world.freeze(machine, until);
     } else {
-        for j in 0..w.machines.len() {
-            w.blocked_links.insert((i, j), until);
-            w.blocked_links.insert((j, i), until);
+        for other in 0..world.machines.len() {
+            world.blocked_links.insert((machine, other), until);
+            world.blocked_links.insert((other, machine), until);
         }
     }
-    m.back_at(w.now, until);
+    membership.begin_transient_loss(world.now, until);
 }
--- a/crates/testbed/src/sim/faults/rolling_release.rs
+++ b/crates/testbed/src/sim/faults/rolling_release.rs
@@ -1,44 +1,48 @@
-//! Workers of a model are replaced, one by one.
+//! Scheduled steps of a rolling release, which replaces the workers of a model one by one.
 
 use crate::sim::world::World;
 use sumacvale_core::base::Micros;
 
-/// One step of a release: a worker drains, ends, and begins anew.
+/// A scheduled step of a release at one worker.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::sim) struct ReleaseAction {
+    /// When the step is due, in microseconds of true time.
     pub(in crate::sim) at: Micros,
+    /// The index of the worker in the world.
     pub(in crate::sim) worker: usize,
-    pub(in crate::sim) what: ReleaseStep,
+    /// What happens to the worker.
+    pub(in crate::sim) step: ReleaseStep,
 }
 
+/// What a step of a release does to a worker, in the order of a replacement.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::sim) enum ReleaseStep {
     Drain,
-    End,
-    Begin,
+    Stop,
+    Start,
 }
 
 impl ReleaseAction {
-    /// False once it was taken.
-    pub(in crate::sim) fn take(&self, w: &mut World) -> bool {
-        if self.at > w.now {
+    /// Runs the step if it is due; returns true while it is still to come.
+    pub(in crate::sim) fn run_if_due(&self, world: &mut World) -> bool {
+        if self.at > world.now {
             return true;
         }
-        let now = w.now;
-        let x = &mut w.workers[self.worker];
-        match self.what {
+        let now = world.now;
+        let worker = &mut world.workers[self.worker];
+        match self.step {
             ReleaseStep::Drain => {
-                x.is_draining = true;
-                x.draining_since = Some(now);
-                x.next_report_at = now;
-                let id = x.id.clone();
-                w.safety.removed_workers.entry(id).or_insert(now);
+                worker.is_draining = true;
+                worker.draining_since = Some(now);
+                worker.next_report_at = now;
+                let id = worker.id.clone();
+                world.safety.removed_workers.entry(id).or_insert(now);
             }
-            ReleaseStep::End => w.crash(self.worker),
-            ReleaseStep::Begin => {
-                x.restart();
-                let id = x.id.clone();
-                w.safety.removed_workers.remove(&id);
+            ReleaseStep::Stop => world.crash(self.worker),
+            ReleaseStep::Start => {
+                worker.restart();
+                let id = worker.id.clone();
+                world.safety.removed_workers.remove(&id);
             }
         }
         false
