--- a/crates/testbed/src/sim/drive.rs
+++ b/crates/testbed/src/sim/drive.rs
@@ -4,7 +4,7 @@
 use crate::sim::checks::recovery::{BACK, empty, recover, serving};
 use crate::sim::checks::safety::Violation;
 use crate::sim::checks::summary::{ControlSummary, Summary};
-use crate::sim::faults::control::{Control, Plan};
+use crate::sim::faults::control::{Control, ControlProfile};
 use crate::sim::faults::day::HOUR;
 use crate::sim::faults::injection::FaultInjector;
 use crate::sim::faults::membership_losses::MembershipFaults;
@@ -54,7 +54,7 @@
     match profile {
         "members" | "blackout" | "blackout_cores" | "repairs" => 1,
         "many" | "repairs_two" => 2,
-        name if Plan::named(name).is_some() => 1,
+        name if ControlProfile::named(name).is_some() => 1,
         _ => 0,
     }
 }
@@ -63,7 +63,7 @@
     fn new(settings: Run) -> Simulation {
         let mut world = World::new(settings.seed, settings.cores, settings.fronts, settings.workers);
         world.tolerated_losses = tolerated_losses(settings.profile.name);
-        world.renew();
+        world.restart_with_empty_disks();
         if settings.day.is_some() {
             world.tenants = 7;
         }
@@ -76,8 +76,8 @@
             injector: FaultInjector::default(),
             membership: MembershipFaults::default(),
             repeated_losses: settings.profile.name.starts_with("repairs").then(RepeatedLosses::default),
-            control: Plan::named(settings.profile.name)
-                .map(|plan| Control::new(plan, begin + settings.profile.secs * SEC)),
+            control: ControlProfile::named(settings.profile.name)
+                .map(|profile| Control::new(profile, begin + settings.profile.secs * SEC)),
             begin,
             end: begin + settings.profile.secs * SEC,
             next_fault_at: begin + 4 * SEC,
@@ -91,17 +91,17 @@
         let until = self.world.now + STEP;
         self.world.run(until);
         self.world.report();
-        let calm = self.world.now >= self.end;
-        if calm {
+        let faults_ended = self.world.now >= self.end;
+        if faults_ended {
             self.heal();
         }
         let hour = (self.world.now - self.begin) / HOUR;
-        self.update_faults(calm, hour);
-        self.update_operators(calm);
+        self.update_faults(faults_ended, hour);
+        self.update_operators(faults_ended);
         if self.world.now % SEC < STEP {
             self.world.check_readiness();
         }
-        let load = self.settings.day.map_or(self.settings.load, |day| day.load(if calm { 8 } else { hour }));
+        let load = self.settings.day.map_or(self.settings.load, |day| day.load(if faults_ended { 8 } else { hour }));
         self.operators.calls(&mut self.world, load);
         if self.world.now - self.last_sample_at >= SAMPLE_INTERVAL {
             self.last_sample_at = self.world.now;
@@ -135,17 +135,17 @@
         }
         self.injector.cancel_release();
         if let Some(control) = &mut self.control {
-            control.calm(world);
+            control.end_faults(world);
         }
         world.safety.removed_workers.clear();
     }
 
     /// Ends the faults that are due, and starts the next one.
-    fn update_faults(&mut self, calm: bool, hour: u64) {
+    fn update_faults(&mut self, faults_ended: bool, hour: u64) {
         let world = &mut self.world;
-        self.injector.restart_due_processes(world, calm);
+        self.injector.restart_due_processes(world, faults_ended);
         self.injector.admit_replacement(world, &mut self.operators);
-        if !calm && world.now >= self.next_fault_at {
+        if !faults_ended && world.now >= self.next_fault_at {
             self.next_fault_at = world.now + 200 * MS + world.rng.below(4 * SEC);
             if let Some((fault, duration)) = self.settings.profile.draw_fault(&mut world.rng)
                 && !self.membership.inject(world, &mut self.operators, fault)
@@ -154,7 +154,7 @@
             }
         }
         self.injector.run_due_release_actions(world);
-        if let Some(day) = self.settings.day.filter(|_| !calm && hour != self.hour) {
+        if let Some(day) = self.settings.day.filter(|_| !faults_ended && hour != self.hour) {
             self.hour = hour;
             if let Some((fault, duration)) = day.hour(world, hour) {
                 self.injector.inject(world, fault, duration);
@@ -164,7 +164,7 @@
     }
 
     /// Lets operators send changes and read responses, and updates the membership faults.
-    fn update_operators(&mut self, calm: bool) {
+    fn update_operators(&mut self, faults_ended: bool) {
         let world = &mut self.world;
         let operators = &mut self.operators;
         if world.now > self.begin + 3 * SEC && world.rng.below(1000) < self.settings.profile.changes {
@@ -174,13 +174,13 @@
             }
         }
         if let Some(control) = &mut self.control {
-            control.tick(world, calm);
+            control.tick(world, faults_ended);
             operators.done = operators.done.max(control.orders.taken().min(1));
         }
         operators.answers(world);
         if world.tolerated_losses > 0 {
             self.membership.tick(world, operators);
-            if let Some(repeated_losses) = self.repeated_losses.as_mut().filter(|_| !calm) {
+            if let Some(repeated_losses) = self.repeated_losses.as_mut().filter(|_| !faults_ended) {
                 repeated_losses.tick(world, operators, &mut self.membership);
             }
         }
--- a/crates/testbed/src/sim/event.rs
+++ b/crates/testbed/src/sim/event.rs
@@ -1,4 +1,4 @@
-//! Events of a simulated world, each scheduled for one moment of virtual time.
+//! The events of a simulated world, each scheduled for one moment of virtual time.
 
 use crate::sim::workers::worker::{AttemptOrigin, WorkerRequest};
 use bytes::Bytes;
@@ -23,11 +23,11 @@
     },
     /// A disk write may have been synced: machine and incarnation.
     DiskWrite(usize, u64),
-    /// A frozen machine goes on.
+    /// The freeze of a machine ends.
     Unfreeze(usize),
     /// A slow machine reaches the running part of its next period.
     SlowPeriodBegin(usize),
-    /// A core that found its disk full tries to start again: machine and incarnation.
+    /// A core that found its disk full retries its start: machine and incarnation.
     RetryStart(usize, u64),
     /// A call begins: machine, incarnation and call.
     CallBegin(usize, u64, u64),
@@ -39,7 +39,7 @@
     RequestBody(usize, u64, u64, Bytes),
     /// A call that waits is woken: machine, incarnation and wakeup.
     Wakeup(usize, u64, Wakeup),
-    /// A worker's side of one attempt reaches the node.
+    /// An event from a worker's side of an attempt reaches the node.
     Attempt(AttemptOrigin, CallEvent),
     /// A request reaches the worker of this index.
     RequestArrival(usize, WorkerRequest),
--- a/crates/testbed/src/sim/faults/control/checks.rs
+++ b/crates/testbed/src/sim/faults/control/checks.rs
@@ -1,34 +1,41 @@
-//! What must hold after a trouble of the control side.
+//! Checks of the control plane that run after a fault: progress of the majority, and catch-up of a machine.
 
-use super::plan::CATCH_UP;
+use super::plan::CATCH_UP_TIME;
 use crate::sim::checks::safety::Violation;
 use crate::sim::world::World;
 use sumacvale_core::base::{Micros, SEC};
 
-/// Within this the majority without a machine acknowledges some order.
-const GOES_ON: Micros = 3 * SEC;
+/// The majority must acknowledge an order within this time after a disk is full, in microseconds.
+const PROGRESS_DEADLINE: Micros = 3 * SEC;
 
-/// While one disk takes nothing, the majority without it goes on to acknowledge orders, also to an
-/// operator who hears few of the answers and so has nothing new to ask for.
-pub(super) fn went_on(world: &mut World, since: Micros, said_done: Option<Micros>) {
-    if world.now < since + GOES_ON || said_done.is_some_and(|t| t > since) {
+/// Reports a violation if no order was acknowledged since a disk became full.
+///
+/// The majority without that disk must make progress, also for an operator who loses most responses and so has no new
+/// order to send.
+pub(super) fn check_progress(world: &mut World, since: Micros, last_acknowledged_at: Option<Micros>) {
+    if world.now < since + PROGRESS_DEADLINE || last_acknowledged_at.is_some_and(|time| time > since) {
         return;
     }
-    let text = format!("{}: no order was acknowledged since {since}, while one disk was full", world.now);
+    let text = format!("{}: no order was acknowledged since {since} us, while one disk was full", world.now);
     world.safety.violations.push(Violation(text));
 }
 
-/// A machine that was away holds what was acknowledged when it had its time to catch up.
-pub(super) fn caught_up(world: &mut World, slot: usize) {
-    let machine = &world.machines[slot];
-    let Some(node) = &machine.node else { return };
-    let acked =
-        world.safety.acknowledged.iter().filter(|a| a.acknowledged_at + SEC < world.now).map(|a| a.version).max();
-    if node.version() < acked || !node.is_fresh(machine.clock(world.now)) {
+/// Reports a violation if a machine is stale, or lacks an acknowledged version, once it had time to catch up.
+pub(super) fn check_caught_up(world: &mut World, machine: usize) {
+    let state = &world.machines[machine];
+    let Some(node) = &state.node else { return };
+    let newest_acknowledged = world
+        .safety
+        .acknowledged
+        .iter()
+        .filter(|ack| ack.acknowledged_at + SEC < world.now)
+        .map(|ack| ack.version)
+        .max();
+    if node.version() < newest_acknowledged || !node.is_fresh(state.clock(world.now)) {
         let text = format!(
-            "{}: {} holds {:?} of {acked:?} {CATCH_UP} us after its return",
+            "{}: {} is not caught up: it holds version {:?}, the newest acknowledged is {newest_acknowledged:?}, {CATCH_UP_TIME} us after its return",
             world.now,
-            machine.addr,
+            state.addr,
             node.version()
         );
         world.safety.violations.push(Violation(text));
--- a/crates/testbed/src/sim/faults/control/losses.rs
+++ b/crates/testbed/src/sim/faults/control/losses.rs
@@ -1,172 +1,186 @@
-//! Machines end, lose power or their disks, stop when told to, run slowly, and come back.
+//! Faults of single machines: crashes, power and disk losses, full disks, shutdowns, freezes and slow runs.
 
-use super::plan::CATCH_UP;
+use super::plan::CATCH_UP_TIME;
 use super::{Control, ControlAction};
 use crate::sim::world::World;
 use sumacvale_core::base::{MS, Micros, SEC};
 use sumacvale_core::node::Event;
 
-/// A machine is away for at least this long, and for `AWAY_DRAWN` more at most.
-const AWAY_LEAST: Micros = 150 * MS;
-const AWAY_DRAWN: Micros = 850 * MS;
-const LONG_AWAY: Micros = 20 * SEC;
-/// How long a core that was told to stop is under an order at most, how long it stays at least after it was
-/// told, how often it looks whether it may end, and when it is stopped all the same.
-const UNDER_ORDER: Micros = 30 * MS;
-const NOTICE: Micros = 250 * MS;
-const MAY_END_EVERY: Micros = 50 * MS;
-const GRACE: Micros = 8 * SEC;
-/// A machine that runs slowly does so in periods that are drawn between these.
-const PERIOD_LEAST: Micros = 50 * MS;
-const PERIOD_MOST: Micros = 250 * MS;
-/// So many fronts may be gone for good.
-const GONE_MOST: usize = 2;
-
-/// What a machine loses.
+/// The shortest outage of a machine, in microseconds.
+const MIN_OUTAGE: Micros = 150 * MS;
+/// The upper bound of the drawn part of an outage, in microseconds.
+const MAX_DRAWN_OUTAGE: Micros = 850 * MS;
+/// The outage of a machine that misses many changes, in microseconds.
+const LONG_OUTAGE: Micros = 20 * SEC;
+/// A core is asked to shut down within this time after an order was sent to it, in microseconds.
+const MAX_SHUTDOWN_DELAY: Micros = 30 * MS;
+/// The shortest time between a shutdown request and the stop of the process, in microseconds.
+const MIN_SHUTDOWN_TIME: Micros = 250 * MS;
+/// The interval at which a core that shuts down checks whether it may stop, in microseconds.
+const STOP_CHECK_INTERVAL: Micros = 50 * MS;
+/// A core is killed this long after its shutdown request at the latest, in microseconds.
+const SHUTDOWN_GRACE: Micros = 8 * SEC;
+/// The shortest period of a slow machine, in microseconds.
+const MIN_PERIOD: Micros = 50 * MS;
+/// The upper bound of the period of a slow machine, in microseconds.
+const MAX_PERIOD: Micros = 250 * MS;
+/// The number of fronts that may be removed for good.
+const MAX_REMOVED_FRONTS: usize = 2;
+
+/// The extent of the loss of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Loss {
-    /// Its process alone.
+    /// The process alone.
     Process,
+    /// Power; the disk keeps what was synced.
     Power,
-    /// Power, and its disk.
+    /// Power and the disk.
     Disk,
-    /// Power, and it never comes back.
+    /// Power, and the machine is removed for good.
     Machine,
 }
 
 impl Loss {
-    pub(super) fn of_power(wipe: bool) -> Loss {
+    /// Returns a loss of power, with the disk if `wipe` is set.
+    pub(super) fn power_or_disk(wipe: bool) -> Loss {
         if wipe { Loss::Disk } else { Loss::Power }
     }
 }
 
-/// When a machine that is lost now is back.
-fn return_moment(world: &mut World) -> Micros {
-    world.now + AWAY_LEAST + world.rng.below(AWAY_DRAWN)
+/// Draws the moment at which a machine that is lost now is restarted.
+fn draw_restart_time(world: &mut World) -> Micros {
+    world.now + MIN_OUTAGE + world.rng.below(MAX_DRAWN_OUTAGE)
 }
 
 impl Control {
-    pub(super) fn lose(&mut self, world: &mut World, slot: usize, loss: Loss) {
-        if world.machines[slot].node.is_none() || world.machines[slot].is_removed {
+    /// Inflicts a loss on a machine that runs, and schedules its restart unless it is removed.
+    pub(super) fn lose(&mut self, world: &mut World, machine: usize, loss: Loss) {
+        if world.machines[machine].node.is_none() || world.machines[machine].is_removed {
             return;
         }
-        world.log(format!("{} loses {loss:?}", world.machines[slot].addr));
+        world.log(format!("{} loses {loss:?}", world.machines[machine].addr));
         match loss {
-            Loss::Process => world.kill(slot),
-            Loss::Power | Loss::Disk | Loss::Machine => world.lose_power(slot),
+            Loss::Process => world.kill(machine),
+            Loss::Power | Loss::Disk | Loss::Machine => world.lose_power(machine),
         }
         if loss == Loss::Disk {
-            world.lose_disk(slot);
+            world.lose_disk(machine);
         }
         if loss == Loss::Machine {
-            world.machines[slot].is_removed = true;
-            self.free = world.now + CATCH_UP;
+            world.machines[machine].is_removed = true;
+            self.next_fault_at = world.now + CATCH_UP_TIME;
             return;
         }
-        self.comes_back(world, slot);
+        self.schedule_restart(world, machine);
     }
 
-    fn comes_back(&mut self, world: &mut World, slot: usize) {
-        let back = return_moment(world);
-        self.at(back, ControlAction::Begin(slot));
-        self.free = back + CATCH_UP;
+    /// Schedules the restart of a machine; no fault starts before it had time to catch up.
+    fn schedule_restart(&mut self, world: &mut World, machine: usize) {
+        let restart_at = draw_restart_time(world);
+        self.schedule(restart_at, ControlAction::Start(machine));
+        self.next_fault_at = restart_at + CATCH_UP_TIME;
     }
 
-    /// A disk takes nothing for a while; the others go on, and it catches up afterwards.
-    pub(super) fn fill(&mut self, world: &mut World, slot: usize, power: bool) {
+    /// Fills a disk for a while and schedules the checks that the majority makes progress and the machine catches up.
+    pub(super) fn fill_disk(&mut self, world: &mut World, machine: usize, power: bool) {
         let now = world.now;
         let until = now + SEC + world.rng.below(5 * SEC);
-        world.log(format!("the disk of {} is full until {until}", world.machines[slot].addr));
-        world.machines[slot].disk.full_until = until;
+        world.log(format!("the disk of {} is full until {until}", world.machines[machine].addr));
+        world.machines[machine].disk.full_until = until;
         if power {
-            world.lose_power(slot);
-            self.at(return_moment(world), ControlAction::Begin(slot));
+            world.lose_power(machine);
+            self.schedule(draw_restart_time(world), ControlAction::Start(machine));
         }
-        self.at(until, ControlAction::WentOn { since: now });
-        self.at(until + CATCH_UP, ControlAction::CaughtUp(slot));
-        self.free = until + CATCH_UP;
+        self.schedule(until, ControlAction::CheckProgress { since: now });
+        self.schedule(until + CATCH_UP_TIME, ControlAction::CheckCaughtUp(machine));
+        self.next_fault_at = until + CATCH_UP_TIME;
     }
 
-    pub(super) fn long_away(&mut self, world: &mut World, slot: usize) {
-        world.lose_power(slot);
-        let back = world.now + LONG_AWAY;
-        self.at(back, ControlAction::Begin(slot));
-        self.at(back + CATCH_UP, ControlAction::CaughtUp(slot));
-        self.free = back + CATCH_UP;
+    /// Cuts the power of a machine for long enough to miss many changes.
+    pub(super) fn start_long_outage(&mut self, world: &mut World, machine: usize) {
+        world.lose_power(machine);
+        let restart_at = world.now + LONG_OUTAGE;
+        self.schedule(restart_at, ControlAction::Start(machine));
+        self.schedule(restart_at + CATCH_UP_TIME, ControlAction::CheckCaughtUp(machine));
+        self.next_fault_at = restart_at + CATCH_UP_TIME;
     }
 
-    pub(super) fn freeze(&mut self, world: &mut World, slot: usize) {
+    /// Freezes a machine for a while.
+    pub(super) fn freeze(&mut self, world: &mut World, machine: usize) {
         let until = world.now + SEC + world.rng.below(6 * SEC);
-        world.freeze(slot, until);
-        self.free = until + CATCH_UP;
+        world.freeze(machine, until);
+        self.next_fault_at = until + CATCH_UP_TIME;
     }
 
-    pub(super) fn slow_down(&mut self, world: &mut World, slot: usize) {
+    /// Slows a machine down for a while.
+    pub(super) fn slow_down(&mut self, world: &mut World, machine: usize) {
         let until = world.now + SEC + world.rng.below(6 * SEC);
-        let period = PERIOD_LEAST + world.rng.below(PERIOD_MOST - PERIOD_LEAST);
-        world.slow_down(slot, until, period);
-        self.free = until + CATCH_UP;
+        let period = MIN_PERIOD + world.rng.below(MAX_PERIOD - MIN_PERIOD);
+        world.slow_down(machine, until, period);
+        self.next_fault_at = until + CATCH_UP_TIME;
     }
 
-    /// The core that was stopped least often is told to stop while an order is under way at it.
-    pub(super) fn roll(&mut self, world: &mut World) {
+    /// Requests the shutdown of the core that was shut down least often, while an order is in flight to it.
+    pub(super) fn shut_down_next_core(&mut self, world: &mut World) {
         let running = (0..world.machines.len()).filter(|i| world.machines[*i].is_core && world.is_running(*i));
-        let Some(slot) = running.min_by_key(|i| self.rolls.get(i).copied().unwrap_or(0)) else { return };
-        *self.rolls.entry(slot).or_default() += 1;
-        self.orders.order_to(world, slot);
-        let told = world.now + world.rng.below(UNDER_ORDER);
-        self.at(told, ControlAction::TellToStop(slot));
+        let Some(machine) = running.min_by_key(|i| self.shutdown_counts.get(i).copied().unwrap_or(0)) else { return };
+        *self.shutdown_counts.entry(machine).or_default() += 1;
+        self.orders.order_to(world, machine);
+        let shutdown_at = world.now + world.rng.below(MAX_SHUTDOWN_DELAY);
+        self.schedule(shutdown_at, ControlAction::RequestShutdown(machine));
     }
 
-    pub(super) fn tell_to_stop(&mut self, world: &mut World, slot: usize) {
-        world.log(format!("{} is told to stop", world.machines[slot].addr));
-        world.step(slot, Event::Shutdown);
-        let kill = world.now + GRACE;
-        self.at(world.now + NOTICE, ControlAction::Stop { slot, kill });
+    /// Asks the node to shut down, and schedules the first check whether it may stop.
+    pub(super) fn request_shutdown(&mut self, world: &mut World, machine: usize) {
+        world.log(format!("{} is asked to shut down", world.machines[machine].addr));
+        world.step(machine, Event::Shutdown);
+        let kill_at = world.now + SHUTDOWN_GRACE;
+        self.schedule(world.now + MIN_SHUTDOWN_TIME, ControlAction::Stop { machine, kill_at });
     }
 
-    /// Ends once what it holds is held elsewhere.
-    pub(super) fn stop(&mut self, world: &mut World, slot: usize, kill: Micros) {
-        let s = &world.machines[slot];
-        let waits = s.node.as_ref().is_some_and(|n| !n.may_stop(s.clock(world.now)));
-        if waits && world.now < kill {
-            return self.at(world.now + MAY_END_EVERY, ControlAction::Stop { slot, kill });
+    /// Stops a core once other nodes hold its state, or at `kill_at`; until then the check is repeated.
+    pub(super) fn stop(&mut self, world: &mut World, machine: usize, kill_at: Micros) {
+        let state = &world.machines[machine];
+        let must_wait = state.node.as_ref().is_some_and(|node| !node.may_stop(state.clock(world.now)));
+        if must_wait && world.now < kill_at {
+            return self.schedule(world.now + STOP_CHECK_INTERVAL, ControlAction::Stop { machine, kill_at });
         }
-        self.note(if waits { "killed" } else { "stopped" });
-        self.lose(world, slot, Loss::Process);
+        self.count_variant(if must_wait { "killed" } else { "stopped" });
+        self.lose(world, machine, Loss::Process);
     }
 
-    /// The machine loses its disk, and its start on the empty one is ended by power.
-    pub(super) fn half_start(&mut self, world: &mut World, slot: usize) {
-        world.log(format!("{} loses its disk, and power once more as it starts", world.machines[slot].addr));
-        world.lose_power(slot);
-        world.lose_disk(slot);
-        let begins = return_moment(world);
-        self.at(begins, ControlAction::PowerEndsStart(slot));
-        self.free = begins + CATCH_UP;
+    /// Cuts the power and loses the disk of a machine; power is cut again during its first start on the empty disk.
+    pub(super) fn interrupt_first_start(&mut self, world: &mut World, machine: usize) {
+        world.log(format!("{} loses its disk, and power again during its first start", world.machines[machine].addr));
+        world.lose_power(machine);
+        world.lose_disk(machine);
+        let restart_at = draw_restart_time(world);
+        self.schedule(restart_at, ControlAction::LosePowerDuringStart(machine));
+        self.next_fault_at = restart_at + CATCH_UP_TIME;
     }
 
-    /// Its process never spoke; the file that bears its id has lasted or not.
-    pub(super) fn power_ends_start(&mut self, world: &mut World, slot: usize) {
-        world.start(slot);
-        world.lose_power(slot);
+    /// Cuts the power of a machine before its process sends a frame; the file with its node id is kept or lost.
+    pub(super) fn lose_power_during_start(&mut self, world: &mut World, machine: usize) {
+        world.start(machine);
+        world.lose_power(machine);
         if world.rng.chance(50) {
-            world.lose_disk(slot);
+            world.lose_disk(machine);
         }
-        self.comes_back(world, slot);
+        self.schedule_restart(world, machine);
     }
 
-    /// A front that has just accepted work loses power, for good only if enough of them are left.
-    pub(super) fn lose_after_work(&mut self, world: &mut World, slot: usize, gone: bool) {
-        let gone_already = world.machines.iter().filter(|s| !s.is_core && s.is_removed).count();
-        let loss = if gone && gone_already < GONE_MOST { Loss::Machine } else { Loss::Power };
-        self.lose(world, slot, loss);
+    /// Cuts the power of a front that has just accepted a call; it is removed for good only if enough fronts are left.
+    pub(super) fn lose_after_work(&mut self, world: &mut World, machine: usize, gone: bool) {
+        let removed_fronts = world.machines.iter().filter(|s| !s.is_core && s.is_removed).count();
+        let loss = if gone && removed_fronts < MAX_REMOVED_FRONTS { Loss::Machine } else { Loss::Power };
+        self.lose(world, machine, loss);
     }
 
-    pub(super) fn lose_all(&mut self, world: &mut World, loss: Loss, which: impl Fn(&World, usize) -> bool) {
-        for slot in 0..world.machines.len() {
-            if which(world, slot) {
-                self.lose(world, slot, loss);
+    /// Inflicts a loss on all machines that `is_affected` selects.
+    pub(super) fn lose_all(&mut self, world: &mut World, loss: Loss, is_affected: impl Fn(&World, usize) -> bool) {
+        for machine in 0..world.machines.len() {
+            if is_affected(world, machine) {
+                self.lose(world, machine, loss);
             }
         }
     }
--- a/crates/testbed/src/sim/faults/control/mod.rs
+++ b/crates/testbed/src/sim/faults/control/mod.rs
@@ -1,191 +1,208 @@
-//! FaultInjector of the control side, one at a time, each as close to the one before as is allowed:
-//! cuts of each kind with what meets the machine on its return, losses right after an
-//! acknowledgement, an accepted call or soon after an order, disks that are full, planned restarts, a
-//! member that is away through hundreds of changes, and workers that leave at such moments.
+//! Fault injector of the control plane: one fault at a time, each as soon after the last one as the fleet must tolerate.
+//!
+//! Faults are partitions of each kind with orders at their end, losses right after an acknowledgement, an accepted call
+//! or an order, full disks, planned restarts, a core that is down through hundreds of changes, and workers that leave at
+//! such moments.
 
 mod checks;
-mod cuts;
-mod leaving;
+mod departures;
 mod losses;
+mod partitions;
 mod plan;
-mod strikes;
+mod triggers;
 
-pub use plan::{ControlFault, Plan};
+pub use plan::{ControlFault, ControlProfile};
 
 use crate::sim::operators::orders::{DocumentOperator, PinnedTarget};
 use crate::sim::world::World;
-use checks::{caught_up, went_on};
-use leaving::{FIRST_LEAVE, Leaving};
+use checks::{check_caught_up, check_progress};
+use departures::{FIRST_REQUEST_ID, WorkerDeparture};
 use losses::Loss;
 use std::collections::BTreeMap;
-use strikes::PendingFault;
 use sumacvale_core::base::{Micros, SEC};
+use triggers::PendingFault;
 
-/// The closing trouble is due so long before the last fault ends, and others begin earlier than this before it.
-const CLOSING: Micros = 3 * SEC;
-const BEFORE_CLOSING: Micros = 2 * SEC;
+/// The closing fault is due this long before the end of fault injection, in microseconds.
+const CLOSING_LEAD_TIME: Micros = 3 * SEC;
+/// No other fault starts this long before the closing fault is due, in microseconds.
+const QUIET_BEFORE_CLOSING: Micros = 2 * SEC;
 
-/// What is to be done at some moment.
+/// An action that is scheduled for a later moment; machines and workers are given by their index in the world.
 #[derive(Clone, Copy, Debug)]
 enum ControlAction {
-    Lose {
-        slot: usize,
-        loss: Loss,
-    },
-    Begin(usize),
-    /// Power ends the first start of a machine with an empty disk.
-    PowerEndsStart(usize),
-    TellToStop(usize),
-    /// It ends if what it holds is held elsewhere; it is killed after a while.
-    Stop {
-        slot: usize,
-        kill: Micros,
-    },
-    /// A cut ends, and with it what an operator sends to that machine.
-    Meets {
-        slot: usize,
-        race: bool,
-        drain: bool,
-        hard: bool,
-    },
-    /// By now it holds the newest version.
-    CaughtUp(usize),
-    /// The others acknowledged an order since then.
-    WentOn {
-        since: Micros,
-    },
-    WorkerEnds(usize),
-    WorkerBegins(usize),
+    /// Inflicts a loss on a machine.
+    Lose { machine: usize, loss: Loss },
+    /// Starts a machine.
+    Start(usize),
+    /// Cuts the power of a machine during its first start on an empty disk.
+    LosePowerDuringStart(usize),
+    /// Asks a core to shut down.
+    RequestShutdown(usize),
+    /// Stops a core if other nodes hold its state, or kills it at `kill_at`.
+    Stop { machine: usize, kill_at: Micros },
+    /// Sends an order, or with `race` two at once, to a core whose partition ends; with `drain` a worker leaves there, and
+    /// with `hard` the order goes to this core alone until its answer is clear.
+    EndPartition { machine: usize, race: bool, drain: bool, hard: bool },
+    /// Checks that a machine has caught up.
+    CheckCaughtUp(usize),
+    /// Checks that an order was acknowledged since then.
+    CheckProgress { since: Micros },
+    /// Stops a worker.
+    StopWorker(usize),
+    /// Restarts a worker.
+    StartWorker(usize),
 }
 
-/// The troubles of one run, the operator's orders and the workers that leave.
+/// The control-plane faults of one run, with the operator's orders and the workers that leave.
 pub struct Control {
-    plan: Plan,
+    profile: ControlProfile,
+    /// The operator and its orders.
     pub orders: DocumentOperator,
-    acts: Vec<(Micros, ControlAction)>,
-    /// No trouble begins before this.
-    free: Micros,
-    /// When the last fault ends.
-    end: Micros,
-    closed: bool,
-    armed: Option<PendingFault>,
-    leaving: Vec<Leaving>,
-    calls: u64,
+    /// The scheduled actions and when each is due.
+    scheduled_actions: Vec<(Micros, ControlAction)>,
+    /// No fault starts before this.
+    next_fault_at: Micros,
+    /// When the injection of faults ends.
+    faults_end: Micros,
+    /// Whether the closing fault was drawn.
+    is_closing_started: bool,
+    /// The fault that waits for its trigger.
+    pending_fault: Option<PendingFault>,
+    /// The workers that wait for an acknowledgement of their departure.
+    departures: Vec<WorkerDeparture>,
+    /// The request id of the report that was sent last for a leaving worker.
+    last_request_id: u64,
+    /// The number of workers whose departure was acknowledged.
     pub left: u64,
-    /// How often each core was cut off, and told to stop.
-    cut_offs: BTreeMap<usize, u64>,
-    rolls: BTreeMap<usize, u64>,
+    /// How often each core was partitioned.
+    partition_counts: BTreeMap<usize, u64>,
+    /// How often each core was asked to shut down.
+    shutdown_counts: BTreeMap<usize, u64>,
+    /// How often each fault was started, by its debug name.
     pub troubles: BTreeMap<String, u64>,
-    /// How often a trouble was of each variant.
+    /// How often each variant of a fault was chosen.
     pub variants: BTreeMap<&'static str, u64>,
 }
 
 impl Control {
-    pub fn new(plan: Plan, end: Micros) -> Self {
-        let orders = DocumentOperator::new(plan.habits);
+    /// Returns an injector for a profile whose faults end at `faults_end`.
+    pub fn new(profile: ControlProfile, faults_end: Micros) -> Self {
+        let orders = DocumentOperator::new(profile.behaviour);
         Control {
-            plan,
+            profile,
             orders,
-            acts: Vec::new(),
-            free: 6 * SEC,
-            end,
-            closed: false,
-            armed: None,
-            leaving: Vec::new(),
-            calls: FIRST_LEAVE,
+            scheduled_actions: Vec::new(),
+            next_fault_at: 6 * SEC,
+            faults_end,
+            is_closing_started: false,
+            pending_fault: None,
+            departures: Vec::new(),
+            last_request_id: FIRST_REQUEST_ID,
             left: 0,
-            cut_offs: BTreeMap::new(),
-            rolls: BTreeMap::new(),
+            partition_counts: BTreeMap::new(),
+            shutdown_counts: BTreeMap::new(),
             troubles: BTreeMap::new(),
             variants: BTreeMap::new(),
         }
     }
 
-    pub fn tick(&mut self, world: &mut World, calm: bool) {
-        self.due(world);
-        self.orders.tick(world, calm);
-        self.strike(world);
-        self.leaves(world);
-        let quiet = !calm && world.now >= self.free && self.armed.is_none() && self.acts.is_empty();
-        if quiet && self.closing_is_due(world.now) {
+    /// Runs due actions, the operator, the armed fault and departures; starts the next fault when none is in progress.
+    pub fn tick(&mut self, world: &mut World, faults_ended: bool) {
+        self.run_due_actions(world);
+        self.orders.tick(world, faults_ended);
+        self.run_pending_fault(world);
+        self.update_departures(world);
+        let may_start = !faults_ended
+            && world.now >= self.next_fault_at
+            && self.pending_fault.is_none()
+            && self.scheduled_actions.is_empty();
+        if may_start && self.is_closing_due(world.now) {
             self.begin_closing(world);
-        } else if quiet && !self.closing_is_near(world.now) {
-            self.begin(world);
+        } else if may_start && !self.is_closing_near(world.now) {
+            self.start_fault(world);
         }
     }
 
-    fn closing_is_due(&self, now: Micros) -> bool {
-        self.plan.closing && !self.closed && now + CLOSING >= self.end
+    /// Returns true if the closing fault must start now.
+    fn is_closing_due(&self, now: Micros) -> bool {
+        self.profile.has_closing_fault && !self.is_closing_started && now + CLOSING_LEAD_TIME >= self.faults_end
     }
 
-    fn closing_is_near(&self, now: Micros) -> bool {
-        self.plan.closing && now + CLOSING + BEFORE_CLOSING >= self.end
+    /// Returns true once no other fault may start before the closing fault.
+    fn is_closing_near(&self, now: Micros) -> bool {
+        self.profile.has_closing_fault && now + CLOSING_LEAD_TIME + QUIET_BEFORE_CLOSING >= self.faults_end
     }
 
-    fn at(&mut self, due: Micros, act: ControlAction) {
-        self.acts.push((due, act));
+    /// Schedules an action for a moment of true time.
+    fn schedule(&mut self, due: Micros, action: ControlAction) {
+        self.scheduled_actions.push((due, action));
     }
 
-    fn note(&mut self, variant: &'static str) {
+    /// Counts a variant of a fault.
+    fn count_variant(&mut self, variant: &'static str) {
         *self.variants.entry(variant).or_default() += 1;
     }
 
-    fn begin(&mut self, world: &mut World) {
-        let k = usize::try_from(world.rng.below(self.plan.troubles.len() as u64)).unwrap_or(0);
-        let trouble = self.plan.troubles[k];
-        *self.troubles.entry(format!("{trouble:?}")).or_default() += 1;
-        world.log(format!("{trouble:?}"));
-        if world.rng.chance(self.plan.leaves) {
-            self.leave(world, None);
+    /// Draws the next fault and starts it.
+    fn start_fault(&mut self, world: &mut World) {
+        let k = usize::try_from(world.rng.below(self.profile.faults.len() as u64)).unwrap_or(0);
+        let fault = self.profile.faults[k];
+        *self.troubles.entry(format!("{fault:?}")).or_default() += 1;
+        world.log(format!("{fault:?}"));
+        if world.rng.chance(self.profile.departure_percent) {
+            self.start_departure(world, None);
         }
-        let Some(slot) = core(world) else { return };
-        match trouble {
+        let Some(machine) = draw_core(world) else { return };
+        match fault {
             ControlFault::AfterAck { wipe } => self.arm(world, PendingFault::AfterAck { wipe }),
             ControlFault::OldestAfterAck => self.arm(world, PendingFault::OldestAfterAck),
             ControlFault::Timed { wipe } => self.arm(world, PendingFault::Timed { wipe }),
             ControlFault::AfterWork { gone } => self.arm(world, PendingFault::AfterWork { gone }),
             ControlFault::PowerAfterWork { all } => self.arm(world, PendingFault::PowerAfterWork { all }),
-            ControlFault::CutOff(cut) => self.cut(world, slot, cut),
-            ControlFault::FullDisk { power } => self.fill(world, slot, power),
-            ControlFault::HalfStart => self.half_start(world, slot),
-            ControlFault::Freeze => self.freeze(world, slot),
-            ControlFault::Slow => self.slow_down(world, slot),
-            ControlFault::Restart => self.lose(world, slot, Loss::Process),
-            ControlFault::Roll => self.roll(world),
-            ControlFault::Wipe => self.lose(world, slot, Loss::Disk),
-            ControlFault::LongAway => self.long_away(world, slot),
+            ControlFault::CutOff(kind) => self.partition(world, machine, kind),
+            ControlFault::FullDisk { power } => self.fill_disk(world, machine, power),
+            ControlFault::HalfStart => self.interrupt_first_start(world, machine),
+            ControlFault::Freeze => self.freeze(world, machine),
+            ControlFault::Slow => self.slow_down(world, machine),
+            ControlFault::Restart => self.lose(world, machine, Loss::Process),
+            ControlFault::Roll => self.shut_down_next_core(world),
+            ControlFault::Wipe => self.lose(world, machine, Loss::Disk),
+            ControlFault::LongAway => self.start_long_outage(world, machine),
         }
     }
 
-    fn due(&mut self, world: &mut World) {
+    /// Runs the actions that are due.
+    fn run_due_actions(&mut self, world: &mut World) {
         let now = world.now;
-        let (due, later) =
-            std::mem::take(&mut self.acts).into_iter().partition(|a: &(Micros, ControlAction)| a.0 <= now);
-        self.acts = later;
-        for (_, act) in due {
-            self.act(world, act);
+        let (due, later) = std::mem::take(&mut self.scheduled_actions)
+            .into_iter()
+            .partition(|scheduled: &(Micros, ControlAction)| scheduled.0 <= now);
+        self.scheduled_actions = later;
+        for (_, action) in due {
+            self.run_action(world, action);
         }
     }
 
-    fn act(&mut self, world: &mut World, act: ControlAction) {
-        match act {
-            ControlAction::Lose { slot, loss } => self.lose(world, slot, loss),
-            ControlAction::Begin(slot) => world.start(slot),
-            ControlAction::PowerEndsStart(slot) => self.power_ends_start(world, slot),
-            ControlAction::TellToStop(slot) => self.tell_to_stop(world, slot),
-            ControlAction::Stop { slot, kill } => self.stop(world, slot, kill),
-            ControlAction::Meets { slot, race, drain, hard } => {
+    /// Runs one scheduled action.
+    fn run_action(&mut self, world: &mut World, action: ControlAction) {
+        match action {
+            ControlAction::Lose { machine, loss } => self.lose(world, machine, loss),
+            ControlAction::Start(machine) => world.start(machine),
+            ControlAction::LosePowerDuringStart(machine) => self.lose_power_during_start(world, machine),
+            ControlAction::RequestShutdown(machine) => self.request_shutdown(world, machine),
+            ControlAction::Stop { machine, kill_at } => self.stop(world, machine, kill_at),
+            ControlAction::EndPartition { machine, race, drain, hard } => {
                 for _ in 0..=u64::from(race) {
-                    self.orders.order(world, Some(PinnedTarget { slot, hard }));
+                    self.orders.order(world, Some(PinnedTarget { slot: machine, hard }));
                 }
                 if drain {
-                    self.leave(world, Some(slot));
+                    self.start_departure(world, Some(machine));
                 }
             }
-            ControlAction::CaughtUp(slot) => caught_up(world, slot),
-            ControlAction::WentOn { since } => went_on(world, since, self.orders.said_done),
-            ControlAction::WorkerEnds(worker) => world.crash(worker),
-            ControlAction::WorkerBegins(worker) => {
+            ControlAction::CheckCaughtUp(machine) => check_caught_up(world, machine),
+            ControlAction::CheckProgress { since } => check_progress(world, since, self.orders.said_done),
+            ControlAction::StopWorker(worker) => world.crash(worker),
+            ControlAction::StartWorker(worker) => {
                 world.workers[worker].restart();
                 let id = world.workers[worker].id.clone();
                 world.safety.removed_workers.remove(&id);
@@ -193,19 +210,19 @@
         }
     }
 
-    /// The last fault is over: what was down begins, and nobody is leaving any more.
-    pub fn calm(&mut self, world: &mut World) {
-        self.armed = None;
-        self.leaving.clear();
+    /// Ends all faults: starts the machines that are down, and drops pending faults and departures.
+    pub fn end_faults(&mut self, world: &mut World) {
+        self.pending_fault = None;
+        self.departures.clear();
         world.stalled_links.clear();
         world.preferred_report_target = None;
-        for (_, act) in std::mem::take(&mut self.acts) {
-            match act {
-                ControlAction::Begin(slot) | ControlAction::PowerEndsStart(slot) => world.start(slot),
-                // Who was told to stop does so, and is started again.
-                ControlAction::Stop { slot, .. } => {
-                    world.kill(slot);
-                    world.start(slot);
+        for (_, action) in std::mem::take(&mut self.scheduled_actions) {
+            match action {
+                ControlAction::Start(machine) | ControlAction::LosePowerDuringStart(machine) => world.start(machine),
+                // A core that was asked to shut down is stopped and restarted.
+                ControlAction::Stop { machine, .. } => {
+                    world.kill(machine);
+                    world.start(machine);
                 }
                 _ => {}
             }
@@ -213,10 +230,10 @@
     }
 }
 
-/// A core that runs, drawn by lot.
-fn core(world: &mut World) -> Option<usize> {
-    let up: Vec<usize> =
+/// Draws one of the cores that run.
+fn draw_core(world: &mut World) -> Option<usize> {
+    let running: Vec<usize> =
         (0..world.machines.len()).filter(|i| world.machines[*i].is_core && world.is_running(*i)).collect();
-    let k = usize::try_from(world.rng.below(up.len().max(1) as u64)).unwrap_or(0);
-    up.get(k).copied()
+    let k = usize::try_from(world.rng.below(running.len().max(1) as u64)).unwrap_or(0);
+    running.get(k).copied()
 }
--- a/crates/testbed/src/sim/faults/control/plan.rs
+++ b/crates/testbed/src/sim/faults/control/plan.rs
@@ -1,77 +1,74 @@
-//! Which troubles a profile of the control side plays, and how its operator behaves meanwhile.
+//! Profiles of the control plane: the faults of each, and how its operator behaves meanwhile.
 
 use crate::sim::operators::orders::OperatorBehaviour;
 use sumacvale_core::base::{MS, SEC};
 
-/// How a machine is cut off from the others that count.
+/// How a core is partitioned from the other cores.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartitionKind {
-    /// What is sent comes when the cut ends.
+    /// Frames are held and delivered when the partition ends.
     Silent,
-    /// Connections end at once, with what was under way; attempts to open new ones run into their time-out.
+    /// Connections are closed at once and frames in flight are lost; attempts to open new ones time out.
     Reset,
-    /// Connections are closed, and each attempt to open a new one fails at once.
+    /// Connections are closed, and attempts to open new ones are refused at once.
     Refuse,
-    /// Nothing comes from it, but it hears.
+    /// Frames from the core are lost; it still receives frames.
     OneWayOut,
-    /// It hears nothing.
+    /// Frames to the core are lost; its own frames arrive.
     OneWayIn,
-    /// New seeds begin with those that are cut off, and others are restarted.
+    /// Frames are lost in both directions; new seeds name the partitioned core, and some fronts are restarted.
     Seeds,
-    /// The one that is cut off is restarted, then the others that count.
+    /// Frames are lost in both directions; the partitioned core is restarted, then the other cores.
     Both,
 }
 
-/// One kind of trouble.
+/// A kind of fault of the control plane.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlFault {
+    /// One core is partitioned from the others.
     CutOff(PartitionKind),
-    /// The machine that acknowledges next loses power, or its disk as well.
-    AfterAck {
-        wipe: bool,
-    },
-    /// Right after an acknowledgement the core whose disk has lasted longest loses it.
+    /// The machine that sends the next acknowledgement loses power; with `wipe` its disk as well.
+    AfterAck { wipe: bool },
+    /// Right after an acknowledgement, the core with the oldest disk loses it.
     OldestAfterAck,
-    /// The machine that an order is sent to loses power soon after, acknowledged or not.
-    Timed {
-        wipe: bool,
-    },
-    /// The front that has just begun to answer a call loses power, and may never come back.
-    AfterWork {
-        gone: bool,
-    },
-    /// All cores, or all machines, lose power right after work or an order was accepted.
-    PowerAfterWork {
-        all: bool,
-    },
-    /// A disk refuses each write; with `power` the machine loses power meanwhile, and comes back
-    /// before there is room.
-    FullDisk {
-        power: bool,
-    },
-    /// A machine loses its disk, and power ends its first start on the empty one: what that made
-    /// lasted or is lost.
+    /// The machine that an order is sent to loses power soon afterwards, acknowledged or not; with `wipe` its disk as
+    /// well.
+    Timed { wipe: bool },
+    /// The front that has just begun to answer a call loses power; with `gone` it is removed for good, if enough fronts
+    /// are left.
+    AfterWork { gone: bool },
+    /// All cores, or with `all` all machines, lose power right after a call or an order was accepted.
+    PowerAfterWork { all: bool },
+    /// A disk rejects each write; with `power` the machine loses power meanwhile, and is restarted before there is room.
+    FullDisk { power: bool },
+    /// A machine loses its disk, and power again during its first start on the empty one: what that start wrote is kept
+    /// or lost.
     HalfStart,
+    /// A core is frozen.
     Freeze,
-    /// A machine runs several times slower.
+    /// A core runs several times slower.
     Slow,
+    /// The process of a core is killed and restarted.
     Restart,
-    /// A core is told to stop while it is under load, and begins again; the cores take turns.
+    /// A core is asked to shut down under load and is restarted; the cores take turns.
     Roll,
+    /// A core loses power and its disk.
     Wipe,
-    /// Away through many changes.
+    /// A core is down while many changes are committed.
     LongAway,
 }
 
-/// A profile of the control side.
+/// A profile of the control plane: which faults it injects, and how its operator behaves.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
-    pub habits: OperatorBehaviour,
-    pub troubles: &'static [ControlFault],
-    /// Workers that leave beside those of a cut, in percent of the troubles.
-    pub leaves: u64,
-    /// The last trouble comes right after an acknowledgement, and traffic goes on.
-    pub closing: bool,
+pub struct ControlProfile {
+    /// How the operator behaves.
+    pub behaviour: OperatorBehaviour,
+    /// The faults to draw from.
+    pub faults: &'static [ControlFault],
+    /// The probability, in percent, that a worker leaves when a fault starts, beside those that leave in a partition.
+    pub departure_percent: u64,
+    /// Whether the last fault comes right after an acknowledgement while traffic goes on.
+    pub has_closing_fault: bool,
 }
 
 use ControlFault::{
@@ -80,10 +77,12 @@
 };
 use PartitionKind::{Both, OneWayIn, OneWayOut, Refuse, Reset, Seeds, Silent};
 
-const STEADY: OperatorBehaviour =
+/// The operator of most profiles: no bad orders and no lost responses.
+const STEADY_OPERATOR: OperatorBehaviour =
     OperatorBehaviour { every: 600 * MS, races: 30, lost: 0, repeats: 5, reads: 30, bad: 0, routes: 0 };
 
-const CUTS: &[ControlFault] = &[
+/// Partitions of each kind, and freezes.
+const PARTITIONS: &[ControlFault] = &[
     CutOff(Silent),
     CutOff(Reset),
     CutOff(Refuse),
@@ -94,12 +93,15 @@
     Freeze,
 ];
 
-const NUMBERS: &[ControlFault] = &[AfterAck { wipe: false }, AfterAck { wipe: true }, Restart, Wipe];
+/// Losses at the moment of an acknowledgement, for the numbers of versions and changes.
+const VERSION_FAULTS: &[ControlFault] = &[AfterAck { wipe: false }, AfterAck { wipe: true }, Restart, Wipe];
 
-const REPAIRS: &[ControlFault] =
+/// Disk losses and full disks, right after the repair of the last one.
+const SECOND_LOSS_FAULTS: &[ControlFault] =
     &[Wipe, AfterAck { wipe: true }, Timed { wipe: true }, FullDisk { power: false }, FullDisk { power: true }];
 
-const ANSWERS: &[ControlFault] = &[
+/// Faults that lose or delay responses to the operator.
+const RESPONSE_FAULTS: &[ControlFault] = &[
     AfterAck { wipe: false },
     Timed { wipe: false },
     CutOff(OneWayOut),
@@ -109,7 +111,8 @@
     FullDisk { power: true },
 ];
 
-const POWER: &[ControlFault] = &[
+/// Power losses right after an acknowledgement or an accepted call.
+const POWER_FAULTS: &[ControlFault] = &[
     AfterWork { gone: false },
     AfterWork { gone: true },
     PowerAfterWork { all: false },
@@ -119,35 +122,45 @@
     HalfStart,
 ];
 
-const TURNS: &[ControlFault] = &[Roll, Roll, Slow, CutOff(Silent), CutOff(Reset), CutOff(Refuse)];
+/// Shutdowns in turn, beside slow and partitioned cores.
+const ROLLING_SHUTDOWN_FAULTS: &[ControlFault] = &[Roll, Roll, Slow, CutOff(Silent), CutOff(Reset), CutOff(Refuse)];
 
-impl Plan {
-    /// The plan of a profile, if the control side is what it tries.
-    pub fn named(name: &str) -> Option<Plan> {
-        let steady = |troubles, leaves| Plan { habits: STEADY, troubles, leaves, closing: false };
+impl ControlProfile {
+    /// Returns the control-plane profile of this name, if there is one.
+    pub fn named(name: &str) -> Option<ControlProfile> {
+        let steady = |faults, departure_percent| ControlProfile {
+            behaviour: STEADY_OPERATOR,
+            faults,
+            departure_percent,
+            has_closing_fault: false,
+        };
         Some(match name {
-            "control_cut_off" => steady(CUTS, 40),
+            "control_cut_off" => steady(PARTITIONS, 40),
             "control_numbers" => {
-                let habits = OperatorBehaviour { every: 300 * MS, races: 60, lost: 40, repeats: 60, bad: 10, ..STEADY };
-                Plan { habits, ..steady(NUMBERS, 0) }
+                let behaviour =
+                    OperatorBehaviour { every: 300 * MS, races: 60, lost: 40, repeats: 60, bad: 10, ..STEADY_OPERATOR };
+                ControlProfile { behaviour, ..steady(VERSION_FAULTS, 0) }
             }
-            "control_second_loss" => steady(REPAIRS, 30),
+            "control_second_loss" => steady(SECOND_LOSS_FAULTS, 30),
             "control_hundreds" => {
-                let habits = OperatorBehaviour { every: 200 * MS, races: 0, repeats: 30, routes: 300, ..STEADY };
-                Plan { habits, ..steady(&[LongAway], 0) }
+                let behaviour =
+                    OperatorBehaviour { every: 200 * MS, races: 0, repeats: 30, routes: 300, ..STEADY_OPERATOR };
+                ControlProfile { behaviour, ..steady(&[LongAway], 0) }
             }
             "control_answers" => {
-                let habits = OperatorBehaviour { lost: 70, repeats: 20, bad: 10, ..STEADY };
-                Plan { habits, ..steady(ANSWERS, 40) }
+                let behaviour = OperatorBehaviour { lost: 70, repeats: 20, bad: 10, ..STEADY_OPERATOR };
+                ControlProfile { behaviour, ..steady(RESPONSE_FAULTS, 40) }
             }
-            "control_power" => {
-                Plan { habits: OperatorBehaviour { lost: 40, ..STEADY }, closing: true, ..steady(POWER, 20) }
-            }
-            "control_turns" => steady(TURNS, 20),
+            "control_power" => ControlProfile {
+                behaviour: OperatorBehaviour { lost: 40, ..STEADY_OPERATOR },
+                has_closing_fault: true,
+                ..steady(POWER_FAULTS, 20)
+            },
+            "control_turns" => steady(ROLLING_SHUTDOWN_FAULTS, 20),
             _ => return None,
         })
     }
 }
 
-/// A machine counts as lost for so long after its return.
-pub(super) const CATCH_UP: u64 = 4 * SEC;
+/// A machine counts as lost until this long after its return, in microseconds.
+pub(super) const CATCH_UP_TIME: u64 = 4 * SEC;
--- a/crates/testbed/src/sim/faults/day.rs
+++ b/crates/testbed/src/sim/faults/day.rs
@@ -2,7 +2,7 @@
 
 use crate::sim::faults::profiles::Fault;
 use crate::sim::workers::worker::WorkerBehaviour;
-use crate::sim::world::{MIX, World};
+use crate::sim::world::{USUAL_CALL_MIX, World};
 use sumacvale_core::base::{Micros, SEC};
 
 #[derive(Clone, Copy, Debug)]
@@ -41,7 +41,7 @@
 
     /// Sets the call mix and the extra routes of this hour; returns the fault that starts in it and its duration.
     pub fn hour(&self, world: &mut World, hour: u64) -> Option<(Fault, Micros)> {
-        world.call_mix = if (6..22).contains(&hour) { MIX } else { NIGHT_CALL_MIX };
+        world.call_mix = if (6..22).contains(&hour) { USUAL_CALL_MIX } else { NIGHT_CALL_MIX };
         world.extra_routes = if hour == 15 { 3_000 } else { 0 };
         Some(match hour {
             3 => (Fault::SlowDisk, 4 * SEC),
--- a/crates/testbed/src/sim/faults/injection.rs
+++ b/crates/testbed/src/sim/faults/injection.rs
@@ -47,12 +47,12 @@
 }
 
 impl FaultInjector {
-    /// Restarts the stopped processes that are due, or all of them once the faults are over (`calm`).
-    pub fn restart_due_processes(&mut self, world: &mut World, calm: bool) {
+    /// Restarts the stopped processes that are due, or all of them once the faults are over (`faults_ended`).
+    pub fn restart_due_processes(&mut self, world: &mut World, faults_ended: bool) {
         let now = world.now;
         let awaiting = &mut self.awaiting_admission;
         self.stopped_processes.retain(|process| {
-            let is_due = process.restart_at <= now || calm;
+            let is_due = process.restart_at <= now || faults_ended;
             if is_due {
                 world.start(process.machine);
                 world.log(format!("{} is restarted", world.machines[process.machine].addr));
--- a/crates/testbed/src/sim/network/connections.rs
+++ b/crates/testbed/src/sim/network/connections.rs
@@ -1,51 +1,52 @@
-//! The connections between simulated machines, each as its sender has it.
+//! The connections between simulated machines, each in the state that its sender sees.
 //!
-//! A process that ends leaves a kernel that closes its connections, and both ends know. A machine
-//! that loses power tells nobody: what others write into the connections that they had to it is
-//! lost, also after it is back, until they open them anew.
+//! When a process ends, the kernel closes its connections and both ends are notified. When a machine loses power, no
+//! peer is notified: frames that peers write into their connections to the machine are lost, also after the machine is
+//! back, until the peers reconnect.
 
 use std::collections::BTreeMap;
 use sumacvale_core::base::{MS, Micros, SEC};
 
-/// A sender's kernel gives a connection up when a frame was not acknowledged for so long.
-const UNACKNOWLEDGED_MOST: Micros = 1_500 * MS;
-/// A connection without frames is probed, and given up so long after the other end lost power.
-const PROBED_MOST: Micros = 3 * SEC;
+/// A sender's kernel closes a connection when a frame is not acknowledged in this time, in microseconds.
+const ACKNOWLEDGEMENT_TIMEOUT: Micros = 1_500 * MS;
+/// An idle connection is probed, and closed this long after the peer lost power, in microseconds.
+const KEEPALIVE_TIMEOUT: Micros = 3 * SEC;
 
-/// A connection as its sender has it.
+/// The state of a connection as its sender sees it.
 #[derive(Clone, Copy, Debug, Default)]
 struct Connection {
-    /// When the machine at the other end lost power.
-    peer_lost: Option<Micros>,
-    /// When the first frame was written that nobody acknowledges.
-    unacknowledged: Option<Micros>,
+    /// When the peer lost power, if it did since the connection was opened.
+    peer_lost_power_at: Option<Micros>,
+    /// When the first frame that stays unacknowledged was written.
+    first_unacknowledged_at: Option<Micros>,
 }
 
 impl Connection {
-    /// Whether the sender still takes it for open though nobody is at the other end.
-    fn swallows(&mut self, now: Micros) -> bool {
-        let Some(lost) = self.peer_lost else { return false };
-        let first = *self.unacknowledged.get_or_insert(now);
-        now < first + UNACKNOWLEDGED_MOST && now < lost + PROBED_MOST
+    /// Returns true while the sender takes the connection for open although the peer lost power: frames are lost.
+    fn loses_frames(&mut self, now: Micros) -> bool {
+        let Some(peer_lost_at) = self.peer_lost_power_at else { return false };
+        let first_written_at = *self.first_unacknowledged_at.get_or_insert(now);
+        now < first_written_at + ACKNOWLEDGEMENT_TIMEOUT && now < peer_lost_at + KEEPALIVE_TIMEOUT
     }
 }
 
-/// All connections of a world, by the slots of sender and receiver.
+/// The open connections of a world, by the indices of the sending and the receiving machine.
 #[derive(Clone, Debug, Default)]
 pub struct Connections {
     open: BTreeMap<(usize, usize), Connection>,
-    /// Frames that were written into connections to a former life.
+    /// The number of frames that were lost in connections to a former incarnation.
     pub swallowed: u64,
 }
 
 impl Connections {
-    /// Whether a frame that is sent now is not lost in a connection to a former life; where there is
-    /// no connection, one is opened if the receiver listens.
+    /// Returns true unless a frame that is sent now is lost in a connection to a former incarnation.
+    ///
+    /// Without a connection, one is opened if the receiver listens.
     pub fn carries(&mut self, from: usize, to: usize, listens: bool, now: Micros) -> bool {
         if let Some(connection) = self.open.get_mut(&(from, to))
-            && connection.peer_lost.is_some()
+            && connection.peer_lost_power_at.is_some()
         {
-            if connection.swallows(now) {
+            if connection.loses_frames(now) {
                 self.swallowed += 1;
                 return false;
             }
@@ -57,20 +58,20 @@
         true
     }
 
-    /// The kernel of this machine closes the connections of its process, to and from it.
+    /// Closes all connections to and from the process of a machine that ended.
     pub fn process_ended(&mut self, machine: usize) {
         self.open.retain(|(from, to), _| *from != machine && *to != machine);
     }
 
-    /// The machine's own connections are gone, and those to it lead nowhere.
+    /// Drops the connections from a machine that lost power, and marks those to it as lost.
     pub fn power_lost(&mut self, machine: usize, now: Micros) {
         self.open.retain(|(from, _), _| *from != machine);
         for connection in self.open.iter_mut().filter(|((_, to), _)| *to == machine).map(|(_, c)| c) {
-            connection.peer_lost.get_or_insert(now);
+            connection.peer_lost_power_at.get_or_insert(now);
         }
     }
 
-    /// The sender opens its connection anew with the next frame.
+    /// Drops a connection; the sender opens a new one with its next frame.
     pub fn reconnect(&mut self, from: usize, to: usize) {
         self.open.remove(&(from, to));
     }
--- a/crates/testbed/src/sim/network/delivery.rs
+++ b/crates/testbed/src/sim/network/delivery.rs
@@ -1,95 +1,114 @@
-//! Frames between simulated machines: how long they take, and which are lost or held.
+//! Delivery of frames between simulated machines: their latency, and which of them are lost or held.
 
 use crate::sim::event::SimEvent;
 use crate::sim::world::World;
 use sumacvale_core::base::{MS, Micros, SEC};
 use sumacvale_core::protocol::{Frame, encode_frame};
 
-/// What waits for a connection is dropped when it is older.
-const QUEUED_MOST: Micros = SEC;
+/// A frame that waits longer for a connection is dropped, in microseconds.
+const MAX_QUEUE_TIME: Micros = SEC;
 
 impl World {
-    fn cut(&self, a: usize, b: usize) -> bool {
-        self.blocked_links.get(&(a, b)).is_some_and(|t| *t > self.now)
+    /// Returns true while frames from one machine to another are lost.
+    fn is_blocked(&self, first: usize, second: usize) -> bool {
+        self.blocked_links.get(&(first, second)).is_some_and(|t| *t > self.now)
     }
 
-    /// Whether messages pass between two machines in both directions.
-    pub fn linked(&self, a: usize, b: usize) -> bool {
-        let stalled = |a: usize, b: usize| self.stalled_links.get(&(a, b)).is_some_and(|t| *t > self.now);
-        let held = |a: usize| self.frames_held_until.get(&a).is_some_and(|t| *t > self.now);
-        a == b || !(self.cut(a, b) || self.cut(b, a) || stalled(a, b) || stalled(b, a) || held(a) || held(b))
+    /// Returns true while frames are delivered between two machines in both directions.
+    pub fn linked(&self, first: usize, second: usize) -> bool {
+        let stalled =
+            |first: usize, second: usize| self.stalled_links.get(&(first, second)).is_some_and(|t| *t > self.now);
+        let held = |first: usize| self.frames_held_until.get(&first).is_some_and(|t| *t > self.now);
+        first == second
+            || !(self.is_blocked(first, second)
+                || self.is_blocked(second, first)
+                || stalled(first, second)
+                || stalled(second, first)
+                || held(first)
+                || held(second))
     }
 
-    /// Both ends know that their connections ended, and try to open new ones so often until then.
-    pub fn close_between(&mut self, a: usize, b: usize, until: Micros, every: Micros) {
-        for (from, to) in [(a, b), (b, a)] {
+    /// Closes the connections between two machines; both ends are notified and try to reconnect at this interval until then.
+    pub fn close_between(&mut self, first: usize, second: usize, until: Micros, interval: Micros) {
+        for (from, to) in [(first, second), (second, first)] {
             self.connections.reconnect(from, to);
             self.blocked_links.insert((from, to), until);
-            self.reconnect_intervals.insert((from, to), every);
+            self.reconnect_intervals.insert((from, to), interval);
         }
     }
 
-    /// What one machine sends to another is lost until then, and neither knows.
+    /// Loses all frames from one machine to another until then; neither end is notified.
     pub fn lose_from(&mut self, from: usize, to: usize, until: Micros) {
         self.reconnect_intervals.remove(&(from, to));
         self.blocked_links.insert((from, to), until);
     }
 
-    /// What is under way between two machines is lost.
-    pub fn lose_frames_between(&mut self, a: usize, b: usize) {
-        let between = |from: usize, to: usize| (from, to) == (a, b) || (from, to) == (b, a);
-        self.pending_events.retain(|_, h| !matches!(h, SimEvent::Frame { from, to, .. } if between(*from, *to)));
+    /// Drops the frames in flight between two machines.
+    pub fn lose_frames_between(&mut self, first: usize, second: usize) {
+        let between = |from: usize, to: usize| (from, to) == (first, second) || (from, to) == (second, first);
+        self.pending_events
+            .retain(|_, event| !matches!(event, SimEvent::Frame { from, to, .. } if between(*from, *to)));
     }
 
-    /// How many frames are under way between two machines.
-    pub fn frames_between(&self, a: usize, b: usize) -> usize {
-        let between = |from: usize, to: usize| (from, to) == (a, b) || (from, to) == (b, a);
+    /// Returns the number of frames in flight between two machines.
+    pub fn frames_between(&self, first: usize, second: usize) -> usize {
+        let between = |from: usize, to: usize| (from, to) == (first, second) || (from, to) == (second, first);
         self.pending_events
             .values()
-            .filter(|h| matches!(h, SimEvent::Frame { from, to, .. } if between(*from, *to)))
+            .filter(|event| matches!(event, SimEvent::Frame { from, to, .. } if between(*from, *to)))
             .count()
     }
 
-    /// A frame that can't be sent waits for the first attempt to connect that succeeds, unless it is too old then.
+    /// Queues a frame on a blocked link until the sender reconnects, unless the frame is too old by then.
     fn wait_for_connection(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
-        let (Some(every), Some(until)) =
+        let (Some(interval), Some(until)) =
             (self.reconnect_intervals.get(&(from, to)), self.blocked_links.get(&(from, to)))
         else {
             return;
         };
-        let opened = until + self.rng.below(*every);
-        if opened <= self.now + QUEUED_MOST {
-            self.schedule(opened, SimEvent::Frame { from, to, bytes });
+        let connected_at = until + self.rng.below(*interval);
+        if connected_at <= self.now + MAX_QUEUE_TIME {
+            self.schedule(connected_at, SimEvent::Frame { from, to, bytes });
         }
     }
 
-    pub(in crate::sim) fn send(&mut self, i: usize, to: &str, f: Frame) {
-        let Some(j) = self.machine_at(to) else { return };
-        let Ok(b) = encode_frame(&f) else { return };
+    /// Sends a frame to an address: counts it, and schedules its arrival unless it is lost.
+    pub(in crate::sim) fn send(&mut self, from: usize, to: &str, frame: Frame) {
+        let Some(receiver) = self.machine_at(to) else { return };
+        let Ok(bytes) = encode_frame(&frame) else { return };
         self.frames += 1;
-        self.bytes += b.len() as u64;
-        if self.machines[i].zone != self.machines[j].zone {
-            let e = self.cross_zone_traffic.entry(f.message.name()).or_default();
-            e.0 += 1;
-            e.1 += b.len() as u64;
+        self.bytes += bytes.len() as u64;
+        if self.machines[from].zone != self.machines[receiver].zone {
+            let traffic = self.cross_zone_traffic.entry(frame.message.name()).or_default();
+            traffic.0 += 1;
+            traffic.1 += bytes.len() as u64;
         }
-        let lossy = self.loss.1 > self.now && self.rng.chance(self.loss.0);
-        if lossy {
+        let is_lost = self.loss.1 > self.now && self.rng.chance(self.loss.0);
+        if is_lost {
             return;
         }
-        if self.cut(i, j) {
-            return self.wait_for_connection(i, j, b);
+        if self.is_blocked(from, receiver) {
+            return self.wait_for_connection(from, receiver, bytes);
         }
-        let listens = self.machines[j].node.is_some();
-        if !self.connections.carries(i, j, listens, self.now) {
+        let is_listening = self.machines[receiver].node.is_some();
+        if !self.connections.carries(from, receiver, is_listening, self.now) {
             return;
         }
-        let near = self.machines[i].zone == self.machines[j].zone;
-        let lat = if near { 100 + self.rng.below(400) } else { 500 + self.rng.below(2_000) };
-        let jammed = self.reordering_until > self.now;
-        let jam = if self.rng.chance(if jammed { 40 } else { 1 }) { self.rng.below(200 * MS) } else { 0 };
-        let held = [i, j].iter().filter_map(|k| self.frames_held_until.get(k)).max().copied().unwrap_or(0);
-        let stalled = self.stalled_links.get(&(i, j)).copied().unwrap_or(0);
-        self.schedule(held.max(stalled).max(self.now) + lat + jam, SimEvent::Frame { from: i, to: j, bytes: b });
+        let is_same_zone = self.machines[from].zone == self.machines[receiver].zone;
+        let latency = if is_same_zone { 100 + self.rng.below(400) } else { 500 + self.rng.below(2_000) };
+        let is_reordering = self.reordering_until > self.now;
+        let extra_delay =
+            if self.rng.chance(if is_reordering { 40 } else { 1 }) { self.rng.below(200 * MS) } else { 0 };
+        let held_until = [from, receiver]
+            .iter()
+            .filter_map(|machine| self.frames_held_until.get(machine))
+            .max()
+            .copied()
+            .unwrap_or(0);
+        let stalled_until = self.stalled_links.get(&(from, receiver)).copied().unwrap_or(0);
+        self.schedule(
+            held_until.max(stalled_until).max(self.now) + latency + extra_delay,
+            SimEvent::Frame { from, to: receiver, bytes },
+        );
     }
 }
--- a/crates/testbed/src/sim/settings.rs
+++ b/crates/testbed/src/sim/settings.rs
@@ -1,47 +1,46 @@
 //! The settings of one run of the simulator.
 
-use crate::sim::faults::control::Plan;
+use crate::sim::faults::control::ControlProfile;
 use crate::sim::faults::day::Day;
 use crate::sim::faults::profiles::Profile;
 
-/// One run: a seed, a profile, and how large the fleet is.
 #[derive(Clone, Copy, Debug)]
-/// One run: a seed, a profile, and the size of the fleet.
+/// The settings of one run: its seed, its fault profile, and the size of the fleet.
 pub struct Run {
     /// The seed of all random draws.
     pub seed: u64,
-    /// The faults that are injected.
+    /// The profile of faults that are injected.
     pub profile: &'static Profile,
-    /// How many machines are cores.
+    /// The number of cores.
     pub cores: usize,
-    /// How many machines are fronts.
+    /// The number of fronts.
     pub fronts: usize,
-    /// How many workers serve the model.
+    /// The number of workers that serve the model.
     pub workers: usize,
-    /// How likely a tenant has a call in each ten milliseconds, in percent.
+    /// The probability, in percent, that a tenant starts a call in a step of ten milliseconds.
     pub load: u64,
-    /// A whole day of a deployment instead of drawn faults.
+    /// The day of a deployment to simulate instead of drawn faults, if any.
     pub day: Option<Day>,
-    /// Whether quotas are rates with a burst instead of windows.
+    /// Whether quotas are rates with a burst rather than windows.
     pub rates: bool,
 }
 
 impl Run {
-    /// The day of a deployment, with its own size of the fleet.
+    /// Returns the settings for a simulated day of a deployment, with its size of the fleet.
     pub fn day(seed: u64, day: Day) -> Self {
         let profile = Profile::named("day").unwrap_or(&Profile::ALL[0]);
         Run { fronts: day.fronts, workers: day.models, day: Some(day), ..Run::new(seed, profile) }
     }
 
-    /// A run of a profile with the usual size of the fleet: three cores, six fronts and six workers.
+    /// Returns the settings for a profile with the usual fleet: six fronts, six workers and, for most profiles, three cores.
     pub fn new(seed: u64, profile: &'static Profile) -> Self {
         let cores = match profile.name {
             "many" | "repairs_two" => 7,
-            // Half of the fleets have a core that could take a voter's place at once.
+            // Half of the fleets have a spare core that can replace a voter at once.
             "repairs" | "control_second_loss" => 3 + usize::from(seed.is_multiple_of(2)),
             _ => 3,
         };
-        let load = if Plan::named(profile.name).is_some() { 10 } else { 45 };
+        let load = if ControlProfile::named(profile.name).is_some() { 10 } else { 45 };
         Run { seed, profile, cores, fronts: 6, workers: 6, load, day: None, rates: false }
     }
 }
--- a/crates/testbed/src/sim/steps.rs
+++ b/crates/testbed/src/sim/steps.rs
@@ -1,11 +1,11 @@
-//! The event loop of a simulated world: gives events to nodes and calls, and carries effects out.
+//! The event loop of a simulated world: dispatches events to nodes and calls, and applies the effects.
 //!
-//! Events come in the order of their time, those of one moment in the order in which they were scheduled.
-//! Events for a machine that is frozen or slow are deferred until it goes on; events for a former
+//! Events are handled in the order of their time, those of one moment in the order in which they were scheduled.
+//! Events for a machine that is frozen or slow are deferred until the machine runs again; events for a former
 //! incarnation are dropped.
 
 use crate::sim::event::SimEvent;
-use crate::sim::world::{TICK, World};
+use crate::sim::world::{TICK_INTERVAL, World};
 use std::cmp::Reverse;
 use sumacvale_core::base::Micros;
 use sumacvale_core::call::Event as CallEvent;
@@ -13,7 +13,7 @@
 use sumacvale_core::protocol::decode_frame;
 
 impl SimEvent {
-    /// The machine that must be able to run for this event to be handled.
+    /// Returns the machine that must be able to run for this event to be handled, if there is one.
     fn machine(&self) -> Option<usize> {
         match self {
             SimEvent::Tick(machine, _)
@@ -35,13 +35,13 @@
 }
 
 impl World {
-    /// Gives one event to a node and carries its effects out.
+    /// Passes one event to a node and applies the effects.
     pub fn step(&mut self, machine: usize, event: Event) {
         let state = &mut self.machines[machine];
         let clock = state.clock(self.now);
         let Some(node) = state.node.as_mut() else { return };
         for effect in node.step(event, clock) {
-            self.carry_out(machine, effect);
+            self.apply_effect(machine, effect);
         }
         self.check_version(machine);
     }
@@ -63,7 +63,8 @@
         }
     }
 
-    fn carry_out(&mut self, machine: usize, effect: Effect) {
+    /// Applies one effect of a node to the world.
+    fn apply_effect(&mut self, machine: usize, effect: Effect) {
         match effect {
             Effect::Send { to, frame } => self.send(machine, &to, *frame),
             Effect::Write { token, writes } => {
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Runs the world on until `until`, in microseconds of true time.
+    /// Runs the world until `until`, in microseconds of true time.
     pub fn run(&mut self, until: Micros) {
         while let Some(Reverse((due, number, _))) = self.event_queue.peek().copied() {
             if due > until {
@@ -102,19 +103,20 @@
         self.now = self.now.max(until);
     }
 
-    /// Whether the machine can't handle an event now: it is frozen, or slow and between two running parts.
+    /// Returns true while the machine can't handle events: it is frozen, or slow and between two running parts.
     fn must_wait(&mut self, machine: usize) -> bool {
         let state = &self.machines[machine];
         let is_frozen = state.node.is_some() && state.frozen_until > self.now;
-        is_frozen || self.waits_for_slow_period(machine)
+        is_frozen || self.must_wait_for_slow_period(machine)
     }
 
-    /// Whether this incarnation of the machine's process still runs.
+    /// Returns true while this incarnation of the machine's process runs.
     fn is_current(&self, machine: usize, incarnation: u64) -> bool {
         let state = &self.machines[machine];
         state.incarnation == incarnation && state.node.is_some()
     }
 
+    /// Handles one event of a node, machine or worker.
     fn handle(&mut self, event: SimEvent) {
         match event {
             SimEvent::Tick(machine, incarnation) if self.is_current(machine, incarnation) => {
@@ -140,6 +142,7 @@
         }
     }
 
+    /// Handles one event of a call; events for a former incarnation are dropped.
     fn handle_call_event(&mut self, event: SimEvent) {
         match event {
             SimEvent::CallBegin(machine, incarnation, call) if self.is_current(machine, incarnation) => {
@@ -167,13 +170,14 @@
         }
     }
 
+    /// Ticks a node and its waiting calls, and schedules the next tick.
     fn tick(&mut self, machine: usize, incarnation: u64) {
         self.step(machine, Event::Tick);
         self.expire_waiters(machine);
-        self.schedule(self.now + TICK, SimEvent::Tick(machine, incarnation));
+        self.schedule(self.now + TICK_INTERVAL, SimEvent::Tick(machine, incarnation));
     }
 
-    /// Writes that reached the disk are reported to the node; a rejected one is counted and tried again.
+    /// Reports completed writes to the node; a rejected write is counted and retried.
     fn complete_writes(&mut self, machine: usize, incarnation: u64) {
         let rejected_before = self.machines[machine].disk.rejected_writes;
         if let Some(token) = self.machines[machine].disk.complete_writes(self.now) {
