--- a/crates/testbed/tests/repairs.rs
+++ b/crates/testbed/tests/repairs.rs
@@ -1,104 +1,131 @@
-//! Losses that follow one another as closely as they are allowed, in virtual time.
+//! Losses that follow one another as closely as a fleet must tolerate, in virtual time.
 
 use sumacvale_core::base::{MS, Micros, SEC};
 use sumacvale_testbed::sim::{MajorityContact, Profile, Run, World, run};
 
-/// Whatever goes, all voters have taken over and all nodes are fresh 4 s after the last return;
-/// the profile itself breaks the run where they are not.
-fn repaired(name: &str, seeds: std::ops::Range<u64>) {
-    let p = Profile::named(name).expect("a profile");
-    for s in seeds {
-        let r = run(Run::new(s, p));
-        assert!(r.breaches.is_empty(), "{name} seed {s}:\n{}\n{:#?}", r.trace.join("\n"), r.breaches);
-        assert!(r.full.len() > 10, "{name} seed {s}: only {} losses", r.full.len());
-        assert!(r.full.iter().all(|f| f.1 < 4 * SEC), "{name} seed {s}: {:?}", r.full);
-        // No change is refused while a majority could answer, and hardly a call without need.
-        assert!(r.refused.is_empty() && r.done > 50, "{name} seed {s}: {} done, {:#?}", r.done, r.refused);
-        assert!(r.needless * 20 < r.calls, "{name} seed {s}: {} of {} calls", r.needless, r.calls);
+/// Asserts that each loss is repaired: all voters are ready and all nodes fresh within 4 s of the last return.
+///
+/// The profile itself reports a violation otherwise.
+fn assert_losses_repaired(name: &str, seeds: std::ops::Range<u64>) {
+    let profile = Profile::named(name).expect("a profile");
+    for seed in seeds {
+        let summary = run(Run::new(seed, profile));
+        assert!(
+            summary.breaches.is_empty(),
+            "{name} seed {seed}:\n{}\n{:#?}",
+            summary.trace.join("\n"),
+            summary.breaches
+        );
+        assert!(summary.full.len() > 10, "{name} seed {seed}: only {} losses", summary.full.len());
+        assert!(summary.full.iter().all(|times| times.1 < 4 * SEC), "{name} seed {seed}: {:?}", summary.full);
+        // No change is rejected while a majority could answer, and fewer than one call in 20 needlessly.
+        assert!(
+            summary.refused.is_empty() && summary.done > 50,
+            "{name} seed {seed}: {} done, {:#?}",
+            summary.done,
+            summary.refused
+        );
+        assert!(
+            summary.needless * 20 < summary.calls,
+            "{name} seed {seed}: {} of {} calls",
+            summary.needless,
+            summary.calls
+        );
     }
 }
 
+/// Guards against a fleet that tolerates a loss only some time after the last repair.
 #[test]
-fn a_loss_right_after_a_repair_is_borne() {
-    repaired("repairs", 1..5);
+fn a_loss_right_after_a_repair_is_tolerated() {
+    assert_losses_repaired("repairs", 1..5);
 }
 
-/// Seeds that broke: a window of a former life went on for a second length after all power was
-/// lost (142), and a front was not fresh in time (13, 142).
+/// Seeds that failed before: a quota window of a former incarnation went on for a second length after all machines lost
+/// power (142), and a front was not fresh in time (13, 142).
 #[test]
-fn seeds_that_broke_once_hold() {
-    repaired("repairs", 13..14);
-    repaired("repairs", 142..143);
+fn seeds_that_failed_before_pass() {
+    assert_losses_repaired("repairs", 13..14);
+    assert_losses_repaired("repairs", 142..143);
 }
 
+/// Guards against two losses at once that come right after the repair of the last two.
 #[test]
 fn two_losses_right_after_two_repairs_are_borne() {
-    repaired("repairs_two", 1..3);
+    assert_losses_repaired("repairs_two", 1..3);
 }
 
-/// What the check above builds on: a refusal is without need unless its node had lost the majority
-/// since a second before it was asked.
+/// Guards the check for needless rejections: a rejection is needless unless its node lost contact with the majority at
+/// some time since a second before the request.
 #[test]
-fn a_refusal_is_needless_while_a_majority_could_answer() {
-    const NEXT: Micros = 10 * MS;
-    let mut w = World::new(1, 3, 1, 1);
-    let mut touch = MajorityContact::default();
-    let run_on = |w: &mut World, touch: &mut MajorityContact, until: Micros| {
-        while w.now < until {
-            w.run(w.now + NEXT);
-            touch.observe(w);
+fn a_rejection_is_needless_while_a_majority_could_answer() {
+    const STEP: Micros = 10 * MS;
+    let mut world = World::new(1, 3, 1, 1);
+    let mut contact = MajorityContact::default();
+    let run_on = |world: &mut World, contact: &mut MajorityContact, until: Micros| {
+        while world.now < until {
+            world.run(world.now + STEP);
+            contact.observe(world);
         }
     };
-    run_on(&mut w, &mut touch, 6 * SEC);
-    assert!(!w.safety.committed.is_empty(), "no version yet");
-    let asked = w.now;
-    run_on(&mut w, &mut touch, asked + SEC);
-    assert!((0..4).all(|i| touch.is_needless_rejection(i, asked)), "all were in touch");
-    assert!(!touch.is_needless_rejection(0, SEC), "its majority came later than that");
+    run_on(&mut world, &mut contact, 6 * SEC);
+    assert!(!world.safety.committed.is_empty(), "no version yet");
+    let requested_at = world.now;
+    run_on(&mut world, &mut contact, requested_at + SEC);
+    assert!(
+        (0..4).all(|machine| contact.is_needless_rejection(machine, requested_at)),
+        "all nodes had contact with the majority"
+    );
+    assert!(!contact.is_needless_rejection(0, SEC), "no node had contact with the majority that early");
 
-    // One core is cut off from all: it alone has a reason.
-    let until = w.now + 2 * SEC;
-    for j in 1..4 {
-        w.blocked_links.insert((0, j), until);
-        w.blocked_links.insert((j, 0), until);
+    // One core is partitioned from all others: only its rejections are justified.
+    let until = world.now + 2 * SEC;
+    for other in 1..4 {
+        world.blocked_links.insert((0, other), until);
+        world.blocked_links.insert((other, 0), until);
     }
-    let asked = w.now;
-    run_on(&mut w, &mut touch, asked + SEC);
-    assert_eq!((0..4).map(|i| touch.is_needless_rejection(i, asked)).collect::<Vec<_>>(), [false, true, true, true]);
+    let requested_at = world.now;
+    run_on(&mut world, &mut contact, requested_at + SEC);
+    assert_eq!(
+        (0..4).map(|machine| contact.is_needless_rejection(machine, requested_at)).collect::<Vec<_>>(),
+        [false, true, true, true]
+    );
 
-    // It is back: it has a reason for a second.
-    run_on(&mut w, &mut touch, until + 2 * SEC);
-    assert!(!touch.is_needless_rejection(0, until + SEC / 2) && touch.is_needless_rejection(0, until + SEC + NEXT));
+    // The core is back: its rejections are justified for one more second.
+    run_on(&mut world, &mut contact, until + 2 * SEC);
+    assert!(!contact.is_needless_rejection(0, until + SEC / 2) && contact.is_needless_rejection(0, until + SEC + STEP));
 
-    // What is sent to and from one core waits: so it is with it.
-    let until = w.now + 2 * SEC;
-    w.frames_held_until.insert(0, until);
-    let asked = w.now;
-    run_on(&mut w, &mut touch, asked + SEC);
-    assert_eq!((0..4).map(|i| touch.is_needless_rejection(i, asked)).collect::<Vec<_>>(), [false, true, true, true]);
-    run_on(&mut w, &mut touch, until + 2 * SEC);
-    assert!(touch.is_needless_rejection(0, until + SEC + NEXT));
+    // All frames from and to one core are held: only its rejections are justified.
+    let until = world.now + 2 * SEC;
+    world.frames_held_until.insert(0, until);
+    let requested_at = world.now;
+    run_on(&mut world, &mut contact, requested_at + SEC);
+    assert_eq!(
+        (0..4).map(|machine| contact.is_needless_rejection(machine, requested_at)).collect::<Vec<_>>(),
+        [false, true, true, true]
+    );
+    run_on(&mut world, &mut contact, until + 2 * SEC);
+    assert!(contact.is_needless_rejection(0, until + SEC + STEP));
 
-    // A front begins anew and its list names that core alone, which is cut off again: nobody can
-    // have told it of the others.
-    let until = w.now + 2 * SEC;
-    for j in 1..4 {
-        w.blocked_links.insert((0, j), until);
-        w.blocked_links.insert((j, 0), until);
+    // A front restarts with that core as its only seed, and the core is partitioned again: the front can't know the
+    // other cores.
+    let until = world.now + 2 * SEC;
+    for other in 1..4 {
+        world.blocked_links.insert((0, other), until);
+        world.blocked_links.insert((other, 0), until);
     }
-    w.kill(3);
-    w.start(3);
-    let list = vec![w.machines[0].addr.clone()];
-    w.machines[3].node.as_mut().expect("it runs").settings.seeds = list;
-    run_on(&mut w, &mut touch, until - 2 * NEXT);
-    assert!(!touch.is_needless_rejection(3, until - 3 * NEXT));
-    run_on(&mut w, &mut touch, until + 2 * SEC);
-    assert!(touch.is_needless_rejection(3, until + SEC + NEXT));
+    world.kill(3);
+    world.start(3);
+    let seeds = vec![world.machines[0].addr.clone()];
+    world.machines[3].node.as_mut().expect("it runs").settings.seeds = seeds;
+    run_on(&mut world, &mut contact, until - 2 * STEP);
+    assert!(!contact.is_needless_rejection(3, until - 3 * STEP));
+    run_on(&mut world, &mut contact, until + 2 * SEC);
+    assert!(contact.is_needless_rejection(3, until + SEC + STEP));
 
-    // Two of three are down: nobody can answer.
-    w.kill(1);
-    w.kill(2);
-    let asked = w.now;
-    run_on(&mut w, &mut touch, asked + NEXT);
-    assert!((0..4).all(|i| !touch.is_needless_rejection(i, asked)));
+    // Two of three cores are down: no majority can answer.
+    world.kill(1);
+    world.kill(2);
+    let requested_at = world.now;
+    run_on(&mut world, &mut contact, requested_at + STEP);
+    assert!((0..4).all(|machine| !contact.is_needless_rejection(machine, requested_at)));
 }
--- a/crates/testbed/tests/sim.rs
+++ b/crates/testbed/tests/sim.rs
@@ -1,4 +1,4 @@
-//! The brief's rules under each failure it names, in virtual time from fixed seeds.
+//! The safety and recovery guarantees under each kind of fault, in virtual time from fixed seeds.
 
 use std::collections::BTreeMap;
 use sumacvale_core::base::{ChangeId, MS, NodeId, Rng, SEC};
@@ -10,173 +10,208 @@
     ExecutionRecord, Profile, Run, SafetyChecker, Summary, check_calls, run,
 };
 
-fn seeds(name: &str, seeds: impl Iterator<Item = u64>) {
-    each(name, seeds, |_| true);
+/// Runs a profile with these seeds and asserts that no guarantee is violated.
+fn run_seeds(name: &str, seeds: impl Iterator<Item = u64>) {
+    run_each(name, seeds, |_| true);
 }
 
-/// Runs the seeds; `f` says of each whether what should be seen beside was.
-fn each(name: &str, seeds: impl Iterator<Item = u64>, f: impl Fn(&Summary) -> bool) {
-    let p = Profile::named(name).expect("a profile");
-    let mut bad = Vec::new();
-    for s in seeds {
-        let r = run(Run::new(s, p));
-        assert!(r.done > 0 && r.taken > 0, "{name} seed {s}: nothing happened");
-        assert!(f(&r), "{name} seed {s}: {:?} tries {:?} resumed {}", r.ends, r.tries, r.resumed);
-        if !r.breaches.is_empty() {
-            bad.push(format!("{name} seed {s}:\n{}\n{:#?}", r.trace.join("\n"), r.breaches));
+/// Runs a profile with these seeds, and asserts that no guarantee is violated and that each summary is as expected.
+fn run_each(name: &str, seeds: impl Iterator<Item = u64>, is_expected: impl Fn(&Summary) -> bool) {
+    let profile = Profile::named(name).expect("a profile");
+    let mut failed = Vec::new();
+    for seed in seeds {
+        let summary = run(Run::new(seed, profile));
+        assert!(summary.done > 0 && summary.taken > 0, "{name} seed {seed}: no change was committed or no call ran");
+        assert!(
+            is_expected(&summary),
+            "{name} seed {seed}: {:?} tries {:?} resumed {}",
+            summary.ends,
+            summary.tries,
+            summary.resumed
+        );
+        if !summary.breaches.is_empty() {
+            failed.push(format!("{name} seed {seed}:\n{}\n{:#?}", summary.trace.join("\n"), summary.breaches));
         }
     }
-    assert!(bad.is_empty(), "{}", bad.join("\n"));
+    assert!(failed.is_empty(), "{}", failed.join("\n"));
 }
 
 #[test]
-fn calm_and_nothing_is_refused_without_need() {
-    each("calm", 1..5, |r| {
-        let no = ["quota_unsettled", "full", "no_worker", "worker_full", "worker_gone", "worker_trouble", "broken"];
-        r.needless == 0 && r.ends["whole"] > 6_000 && no.iter().all(|k| !r.ends.contains_key(*k))
+fn without_faults_nothing_is_rejected_needlessly() {
+    run_each("calm", 1..5, |summary| {
+        let unexpected =
+            ["quota_unsettled", "full", "no_worker", "worker_full", "worker_gone", "worker_trouble", "broken"];
+        summary.needless == 0
+            && summary.ends["whole"] > 6_000
+            && unexpected.iter().all(|code| !summary.ends.contains_key(*code))
     });
 }
 
-/// With rates for quotas; the judge looks at every interval.
-fn rates(name: &str, seeds: impl Iterator<Item = u64>, f: impl Fn(&Summary) -> bool) {
-    let p = Profile::named(name).expect("a profile");
-    for s in seeds {
-        let r = run(Run { rates: true, ..Run::new(s, p) });
-        assert!(r.breaches.is_empty(), "{name} seed {s}:\n{}\n{:#?}", r.trace.join("\n"), r.breaches);
-        assert!(r.done > 0 && r.taken > 0 && f(&r), "{name} seed {s}: {:?} needless {}", r.ends, r.needless);
+/// Like [`run_each`], with rates as quotas; the calls of every interval are checked against them.
+fn run_with_rates(name: &str, seeds: impl Iterator<Item = u64>, is_expected: impl Fn(&Summary) -> bool) {
+    let profile = Profile::named(name).expect("a profile");
+    for seed in seeds {
+        let summary = run(Run { rates: true, ..Run::new(seed, profile) });
+        assert!(
+            summary.breaches.is_empty(),
+            "{name} seed {seed}:\n{}\n{:#?}",
+            summary.trace.join("\n"),
+            summary.breaches
+        );
+        assert!(
+            summary.done > 0 && summary.taken > 0 && is_expected(&summary),
+            "{name} seed {seed}: {:?} needless {}",
+            summary.ends,
+            summary.needless
+        );
     }
 }
 
+/// Guards against a rate that is exceeded in some interval, and against calls that wait for a lease holder.
 #[test]
-fn rates_hold_in_every_interval_and_nobody_waits_for_a_holder() {
-    rates("calm", 1..4, |r| r.needless * 100 < r.calls && !r.ends.contains_key("quota_unsettled"));
-    rates("crowds", 1..3, |r| r.ends["quota"] > 1_000);
-    rates("freezes", 1..3, |_| true);
-    rates("wiped", 1..3, |_| true);
-    // All power goes again and again: a holder knows whom to hear before it gives.
-    rates("blackout", 1..4, |r| r.lit.len() > 5 && r.lit.iter().all(|l| l.0 < 3 * SEC));
-    rates("blackout_cores", 1..4, |r| r.swallowed > 50);
-    let mute = |r: &Summary| r.ends.get("quota_unsettled").copied().unwrap_or(0);
-    rates("storm", 70011..70014, |r| mute(r) * 20 < r.calls);
+fn rates_hold_in_every_interval_and_no_call_waits_for_a_holder() {
+    run_with_rates("calm", 1..4, |summary| {
+        summary.needless * 100 < summary.calls && !summary.ends.contains_key("quota_unsettled")
+    });
+    run_with_rates("crowds", 1..3, |summary| summary.ends["quota"] > 1_000);
+    run_with_rates("freezes", 1..3, |_| true);
+    run_with_rates("wiped", 1..3, |_| true);
+    // All machines lose power again and again: a holder knows which nodes must report before it grants.
+    run_with_rates("blackout", 1..4, |summary| summary.lit.len() > 5 && summary.lit.iter().all(|l| l.0 < 3 * SEC));
+    run_with_rates("blackout_cores", 1..4, |summary| summary.swallowed > 50);
+    let unsettled = |summary: &Summary| summary.ends.get("quota_unsettled").copied().unwrap_or(0);
+    run_with_rates("storm", 70011..70014, |summary| unsettled(summary) * 20 < summary.calls);
 }
 
-/// A worker's report in a frame that was held, from a node that had just started, is of unknown age.
+/// Guards against a stale worker report that counts as fresh: the frame was held and came from a node that had just
+/// started, so the age of the report is unknown.
 #[test]
-fn reports_held_on_their_way_from_a_new_life_are_not_fresh() {
-    rates("storm", 70024..70027, |_| true);
+fn held_reports_from_a_new_incarnation_are_not_fresh() {
+    run_with_rates("storm", 70024..70027, |_| true);
 }
 
 #[test]
-fn workers_behave_in_every_bad_way() {
-    let slow = std::cell::Cell::new(0);
-    each("tries", 1..7, |r| {
-        slow.set(slow.get() + u32::from(r.ends.contains_key("worker_slow")));
-        r.resumed > 10 && r.tries.1 > 100 && r.ends["broken"] > 0
+fn calls_survive_every_faulty_worker_behaviour() {
+    let slow_seeds = std::cell::Cell::new(0);
+    run_each("tries", 1..7, |summary| {
+        slow_seeds.set(slow_seeds.get() + u32::from(summary.ends.contains_key("worker_slow")));
+        summary.resumed > 10 && summary.tries.1 > 100 && summary.ends["broken"] > 0
     });
-    assert!(slow.get() >= 4, "calls that a worker was too slow for on {} of 6 seeds", slow.get());
+    assert!(slow_seeds.get() >= 4, "calls ended as worker_slow on only {} of 6 seeds", slow_seeds.get());
 }
 
 #[test]
-fn all_workers_are_in_trouble_at_once() {
-    each("outage", 1..5, |r| r.ends["broken"] > 0 && r.tries.1 > 100);
+fn calls_end_in_order_while_all_workers_fail_at_once() {
+    run_each("outage", 1..5, |summary| summary.ends["broken"] > 0 && summary.tries.1 > 100);
 }
 
 #[test]
 fn crowds_come_and_share_one_prefix() {
-    each("crowds", 1..7, |r| r.ends["quota"] > 1_000 && r.needless == 0);
+    run_each("crowds", 1..7, |summary| summary.ends["quota"] > 1_000 && summary.needless == 0);
 }
 
 #[test]
-fn workers_are_replaced_one_by_one() {
-    each("release", 1..5, |r| r.ends["whole"] > 10_000);
+fn a_rolling_release_of_workers_keeps_calls_whole() {
+    run_each("release", 1..5, |summary| summary.ends["whole"] > 10_000);
 }
 
 #[test]
-fn keys_are_withdrawn_while_calls_wait_and_break() {
-    each("revoked", 1..5, |r| r.ends["key"] > 0);
+fn withdrawn_keys_end_waiting_and_interrupted_calls() {
+    run_each("revoked", 1..5, |summary| summary.ends["key"] > 0);
 }
 
 #[test]
-fn operators_race() {
-    seeds("races", 1..5);
+fn racing_operators_get_consistent_outcomes() {
+    run_seeds("races", 1..5);
 }
 
 #[test]
-fn nodes_are_killed() {
-    seeds("kills", 1..6);
+fn guarantees_hold_while_nodes_are_killed() {
+    run_seeds("kills", 1..6);
 }
 
 #[test]
-fn power_goes_for_many_at_once() {
-    seeds("power", 1..6);
+fn guarantees_hold_while_most_machines_lose_power() {
+    run_seeds("power", 1..6);
 }
 
 #[test]
-fn nodes_are_cut_off() {
-    seeds("cuts", 1..6);
+fn guarantees_hold_under_partitions() {
+    run_seeds("cuts", 1..6);
 }
 
 #[test]
-fn machines_freeze_and_wake() {
-    seeds("freezes", 1..6);
+fn guarantees_hold_while_machines_freeze() {
+    run_seeds("freezes", 1..6);
 }
 
 #[test]
-fn wires_stall_and_machines_sleep() {
-    seeds("stalls", 1..6);
+fn guarantees_hold_while_frames_stall_and_machines_sleep() {
+    run_seeds("stalls", 1..6);
 }
 
 #[test]
-fn disks_are_slow_stall_and_fill() {
-    each("disks", (1..5).chain([100]), |r| r.refused_writes > 0);
+fn guarantees_hold_on_slow_stalled_and_full_disks() {
+    run_each("disks", (1..5).chain([100]), |summary| summary.refused_writes > 0);
 }
 
 #[test]
-fn disks_are_lost_one_by_one() {
-    seeds("wiped", 1..6);
+fn guarantees_hold_while_disks_are_lost_one_by_one() {
+    run_seeds("wiped", 1..6);
 }
 
 #[test]
-fn zones_part_and_frames_are_lost() {
-    seeds("zones", 1..6);
+fn guarantees_hold_under_zone_partitions_and_frame_loss() {
+    run_seeds("zones", 1..6);
 }
 
 #[test]
-fn workers_vanish_and_drain() {
-    seeds("workers", 1..6);
+fn guarantees_hold_while_workers_vanish_and_drain() {
+    run_seeds("workers", 1..6);
 }
 
 #[test]
-fn all_of_it_at_once() {
-    seeds("storm", 1..7);
+fn guarantees_hold_under_all_faults_combined() {
+    run_seeds("storm", 1..7);
 }
 
-/// Mornings, crowds, overnight summaries, a release, a core replaced, and a last fault.
+/// Guards whole days of a deployment: morning load, crowds, summaries at night, a release, a replaced core and a last
+/// fault, after which all fronts serve again.
 #[test]
-fn whole_days_end_with_a_last_fault_and_all_serve_again() {
-    for (d, s) in [(Day::MTATSMINDA, 1), (Day::MTATSMINDA, 2), (Day::DERWENT, 1), (Day::DERWENT, 2)] {
-        let r = run(Run::day(s, d));
-        assert!(r.breaches.is_empty(), "{} seed {s}:\n{}\n{:#?}", d.name, r.trace.join("\n"), r.breaches);
-        assert!(r.ends["whole"] * 10 > r.calls * 8, "{} seed {s}: {:?}", d.name, r.ends);
+fn whole_days_end_with_a_last_fault_and_all_fronts_serve_again() {
+    for (day, seed) in [(Day::MTATSMINDA, 1), (Day::MTATSMINDA, 2), (Day::DERWENT, 1), (Day::DERWENT, 2)] {
+        let summary = run(Run::day(seed, day));
+        assert!(
+            summary.breaches.is_empty(),
+            "{} seed {seed}:\n{}\n{:#?}",
+            day.name,
+            summary.trace.join("\n"),
+            summary.breaches
+        );
+        assert!(summary.ends["whole"] * 10 > summary.calls * 8, "{} seed {seed}: {:?}", day.name, summary.ends);
     }
 }
 
 #[test]
 fn the_same_seed_gives_the_same_run() {
-    let p = Profile::named("storm").expect("a profile");
-    let (a, b) = (run(Run::new(7, p)), run(Run::new(7, p)));
-    assert_eq!((a.frames, a.bytes, a.taken, a.trace), (b.frames, b.bytes, b.taken, b.trace));
+    let profile = Profile::named("storm").expect("a profile");
+    let (first, second) = (run(Run::new(7, profile)), run(Run::new(7, profile)));
+    assert_eq!(
+        (first.frames, first.bytes, first.taken, first.trace),
+        (second.frames, second.bytes, second.taken, second.trace)
+    );
 }
 
-fn decree(version: u64, change_id: u64) -> LogEntry {
-    let cores = vec![Voter { node_id: NodeId(1), addr: "a".into() }];
+/// A log entry with one voter.
+fn log_entry(version: u64, change_id: u64) -> LogEntry {
+    let voters = vec![Voter { node_id: NodeId(1), addr: "a".into() }];
     LogEntry {
         version,
         change_id: ChangeId(change_id),
         fleet_id: 1,
         voters_since: 0,
         previous_voters: vec![],
-        voters: cores,
+        voters,
         body: "{}".into(),
         revision: 0,
         patch: None,
@@ -184,72 +219,74 @@
     }
 }
 
-fn ack(change_id: u64, base: u64, version: u64, asked: u64, at: u64) -> Acknowledgement {
-    Acknowledgement { change_id: ChangeId(change_id), base, version, requested_at: asked, acknowledged_at: at }
+/// An acknowledgement of a change on a base version.
+fn ack(change_id: u64, base: u64, version: u64, requested_at: u64, acknowledged_at: u64) -> Acknowledgement {
+    Acknowledgement { change_id: ChangeId(change_id), base, version, requested_at, acknowledged_at }
 }
 
+/// Guards against a safety checker that misses a violation: each is planted into it.
 #[test]
-fn the_checker_sees_a_planted_breach() {
-    type Plant = fn(&mut SafetyChecker);
-    let plants: [(&str, Plant, &str); 11] = [
-        ("nothing", |_| {}, ""),
+fn the_safety_checker_reports_each_planted_violation() {
+    type Violate = fn(&mut SafetyChecker);
+    let cases: [(&str, Violate, &str); 11] = [
+        ("no violation", |_| {}, ""),
         (
-            "two decided",
+            "two committed at one version",
             |c| {
-                c.record_committed("a", &decree(1, 5), 0);
-                c.record_committed("b", &decree(1, 6), 0);
+                c.record_committed("a", &log_entry(1, 5), 0);
+                c.record_committed("b", &log_entry(1, 6), 0);
             },
             "holds version 1",
         ),
         (
-            "same base",
+            "two accepted on one base",
             |c| {
-                c.record_committed("a", &decree(1, 5), 0);
+                c.record_committed("a", &log_entry(1, 5), 0);
                 c.record_acknowledgement(ack(5, 0, 1, 0, 1));
                 c.record_acknowledgement(ack(6, 0, 1, 0, 1));
             },
             "both accepted",
         ),
         (
-            "refused, then in force",
+            "rejected, then committed",
             |c| {
                 c.record_rejection(ChangeId(5), 0);
-                c.record_committed("a", &decree(1, 5), 1);
+                c.record_committed("a", &log_entry(1, 5), 1);
             },
             "was refused and is in force",
         ),
         (
-            "in force, then refused",
+            "committed, then rejected",
             |c| {
-                c.record_committed("a", &decree(1, 5), 0);
+                c.record_committed("a", &log_entry(1, 5), 0);
                 c.record_rejection(ChangeId(5), 1);
             },
             "was refused and is decided",
         ),
-        ("lost", |c| c.record_acknowledgement(ack(5, 0, 1, 0, 1)), "no node holds it"),
+        ("acknowledged, then lost", |c| c.record_acknowledgement(ack(5, 0, 1, 0, 1)), "no node holds it"),
         (
-            "overwritten",
+            "acknowledged, then overwritten",
             |c| {
-                c.record_committed("a", &decree(1, 6), 0);
+                c.record_committed("a", &log_entry(1, 6), 0);
                 c.record_acknowledgement(ack(5, 0, 1, 0, 1));
             },
             "was acknowledged for",
         ),
         (
-            "order",
+            "later change, earlier version",
             |c| {
-                c.record_committed("a", &decree(1, 5), 0);
-                c.record_committed("a", &decree(2, 6), 0);
+                c.record_committed("a", &log_entry(1, 5), 0);
+                c.record_committed("a", &log_entry(2, 6), 0);
                 c.record_acknowledgement(ack(6, 1, 2, 0, 1));
                 c.record_acknowledgement(ack(5, 0, 1, 2, 3));
             },
             "became 1",
         ),
-        ("back", |c| c.check_version_change("a", 3, 2, 0), "slipped"),
+        ("version goes back", |c| c.check_version_change("a", 3, 2, 0), "slipped"),
         (
-            "stale",
+            "stale configuration",
             |c| {
-                c.record_committed("a", &decree(1, 5), 0);
+                c.record_committed("a", &log_entry(1, 5), 0);
                 c.record_acknowledgement(ack(5, 0, 1, 0, SEC));
                 c.check_admission("a", 0, SEC + 5 * SEC);
                 assert!(c.violations.is_empty(), "five seconds are allowed");
@@ -258,7 +295,7 @@
             "admits calls by version 0",
         ),
         (
-            "gone worker",
+            "removed worker",
             |c| {
                 c.removed_workers.insert("w".into(), 0);
                 c.check_routing("a", "w", 2 * SEC);
@@ -268,37 +305,39 @@
             "sends calls to w",
         ),
     ];
-    for (name, f, want) in plants {
-        let mut c = SafetyChecker::default();
-        f(&mut c);
-        c.check_acknowledged_versions();
-        let got: Vec<_> = c.violations.iter().map(|b| b.0.clone()).collect();
-        if want.is_empty() {
+    for (name, violate, expected) in cases {
+        let mut checker = SafetyChecker::default();
+        violate(&mut checker);
+        checker.check_acknowledged_versions();
+        let got: Vec<_> = checker.violations.iter().map(|violation| violation.0.clone()).collect();
+        if expected.is_empty() {
             assert!(got.is_empty(), "{name}: {got:?}");
         } else {
-            assert!(got.iter().any(|g| g.contains(want)), "{name}: {got:?}");
+            assert!(got.iter().any(|text| text.contains(expected)), "{name}: {got:?}");
         }
     }
 }
 
-fn saw(seen: ClientObservation, body: &str) -> CallOutcome {
-    let want =
+/// The outcome of a call as its client observed it.
+fn outcome(observation: ClientObservation, body: &str) -> CallOutcome {
+    let request =
         CallRequest { tenant: "r".into(), path: "/v1/chat", prefix: 0, max_wait: 2 * SEC, disconnects_after: None };
     let body = body.as_bytes().to_vec();
     CallOutcome {
         call: 1,
-        request: want,
+        request,
         machine: 0,
         started_at: 0,
         first_byte_at: None,
         ended_at: 0,
         body,
         was_attempted: false,
-        observation: seen,
+        observation,
     }
 }
 
-fn ran(call: u64, path: &'static str) -> ExecutionRecord {
+/// The execution of a call by a worker.
+fn execution(call: u64, path: &'static str) -> ExecutionRecord {
     ExecutionRecord {
         call,
         tenant: "r".into(),
@@ -311,137 +350,195 @@
     }
 }
 
+/// Guards against a check of calls that misses a violation: each is planted into outcomes and executions.
 #[test]
-fn the_judge_of_calls_sees_a_planted_breach() {
-    let no = |code, back| ClientObservation::Rejected {
+fn the_check_of_calls_reports_each_planted_violation() {
+    let rejected = |code, has_retry_after| ClientObservation::Rejected {
         status: 503,
         code,
         execution: retry::Execution::NotRun,
-        has_retry_after: back,
+        has_retry_after,
     };
-    let whole: String = (0..10).map(|k| format!("id: {k}\ndata: call 1 piece {k} of 10\n\n")).collect();
+    let whole: String = (0..10).map(|piece| format!("id: {piece}\ndata: call 1 piece {piece} of 10\n\n")).collect();
     let part = &whole[..60];
     let other = whole.replace("call 1", "call 2");
-    let skips = whole.replace("id: 4\ndata: call 1 piece 4 of 10\n\n", "");
-    let law = CallLimits {
+    let gap = whole.replace("id: 4\ndata: call 1 piece 4 of 10\n\n", "");
+    let limits = CallLimits {
         quotas: BTreeMap::from([("r".into(), (2, SEC))]),
         acknowledged: vec![(3, SEC)],
         keys: vec![(2, 0, true), (3, SEC, false)],
         tries: (100, 20),
         freezes: Vec::new(),
     };
-    let chat = || ExecutionRecord { tenant: "t".into(), ..ran(1, "/v1/chat") };
-    let late = || CallOutcome { ended_at: 2 * SEC, ..saw(no("full", true), "") };
+    let chat = || ExecutionRecord { tenant: "t".into(), ..execution(1, "/v1/chat") };
+    let late = || CallOutcome { ended_at: 2 * SEC, ..outcome(rejected("full", true), "") };
     let cases = [
-        ("whole and run once", vec![saw(ClientObservation::Complete, &whole)], vec![chat()], law.clone(), ""),
-        ("broken off", vec![saw(ClientObservation::Aborted, part)], vec![chat()], law.clone(), ""),
-        ("a part as whole", vec![saw(ClientObservation::Complete, part)], vec![chat()], law.clone(), "not its own"),
-        ("another's", vec![saw(ClientObservation::Complete, &other)], vec![chat()], law.clone(), "not its own"),
-        ("a skip", vec![saw(ClientObservation::Aborted, &skips)], vec![chat()], law.clone(), "not its own"),
-        ("invented", vec![saw(ClientObservation::Complete, &whole)], vec![], law.clone(), "no worker gave"),
-        ("twice", vec![], vec![chat(), chat()], law.clone(), "ran 2 times"),
+        ("complete and run once", vec![outcome(ClientObservation::Complete, &whole)], vec![chat()], limits.clone(), ""),
+        ("aborted", vec![outcome(ClientObservation::Aborted, part)], vec![chat()], limits.clone(), ""),
+        (
+            "a part reported as complete",
+            vec![outcome(ClientObservation::Complete, part)],
+            vec![chat()],
+            limits.clone(),
+            "not its own",
+        ),
+        (
+            "the body of another call",
+            vec![outcome(ClientObservation::Complete, &other)],
+            vec![chat()],
+            limits.clone(),
+            "not its own",
+        ),
+        (
+            "a missing piece",
+            vec![outcome(ClientObservation::Aborted, &gap)],
+            vec![chat()],
+            limits.clone(),
+            "not its own",
+        ),
+        (
+            "a response without an execution",
+            vec![outcome(ClientObservation::Complete, &whole)],
+            vec![],
+            limits.clone(),
+            "no worker gave",
+        ),
+        ("run twice", vec![], vec![chat(), chat()], limits.clone(), "ran 2 times"),
         (
-            "a stream twice",
+            "a stream started twice",
             vec![],
             vec![ExecutionRecord { path: "/v1/draft", ..chat() }; 2],
-            law.clone(),
+            limits.clone(),
             "begun twice",
         ),
-        ("hidden", vec![saw(no("full", true), "")], vec![chat()], law.clone(), "refused as not run"),
-        ("no time to return", vec![saw(no("full", false), "")], vec![], law.clone(), "without a time"),
-        ("held", vec![late()], vec![], law.clone(), "given up on only after"),
-        ("asleep", vec![late()], vec![], CallLimits { freezes: vec![(0, 0, SEC)], ..law.clone() }, ""),
         (
-            "drained",
+            "an execution reported as not run",
+            vec![outcome(rejected("full", true), "")],
+            vec![chat()],
+            limits.clone(),
+            "refused as not run",
+        ),
+        ("no retry-after", vec![outcome(rejected("full", false), "")], vec![], limits.clone(), "without a time"),
+        ("rejected too late", vec![late()], vec![], limits.clone(), "given up on only after"),
+        (
+            "rejected late by a frozen node",
+            vec![late()],
+            vec![],
+            CallLimits { freezes: vec![(0, 0, SEC)], ..limits.clone() },
+            "",
+        ),
+        (
+            "run on a draining worker",
             vec![],
             vec![ExecutionRecord { draining_since: Some(17 * SEC), ..chat() }],
-            law.clone(),
+            limits.clone(),
             "began to drain",
         ),
-        ("revoked", vec![], vec![ran(1, "/v1/chat")], law.clone(), "withdrawn over 5 s"),
-        ("not yet", vec![], vec![ExecutionRecord { started_at: 6 * SEC, ..ran(1, "/v1/chat") }], law.clone(), ""),
+        ("run with a withdrawn key", vec![], vec![execution(1, "/v1/chat")], limits.clone(), "withdrawn over 5 s"),
         (
-            "quota",
+            "run within 5 s of the withdrawal of a key",
             vec![],
-            (1..4).map(|c| ExecutionRecord { started_at: 2 * SEC, ..ran(c, "/v1/chat") }).collect(),
-            law.clone(),
+            vec![ExecutionRecord { started_at: 6 * SEC, ..execution(1, "/v1/chat") }],
+            limits.clone(),
+            "",
+        ),
+        (
+            "quota exceeded",
+            vec![],
+            (1..4).map(|c| ExecutionRecord { started_at: 2 * SEC, ..execution(c, "/v1/chat") }).collect(),
+            limits.clone(),
             "ran 3 of 2 calls in window 1",
         ),
         (
-            "an old unit",
+            "an expired unit",
             vec![],
             vec![
-                ExecutionRecord { started_at: 2 * SEC, ..ran(1, "/v1/chat") },
-                ExecutionRecord { started_at: 4 * SEC, ..ran(2, "/v1/chat") },
+                ExecutionRecord { started_at: 2 * SEC, ..execution(1, "/v1/chat") },
+                ExecutionRecord { started_at: 4 * SEC, ..execution(2, "/v1/chat") },
             ],
-            law.clone(),
+            limits.clone(),
             "units of window 1",
         ),
-        ("second tries", vec![], vec![], CallLimits { tries: (100, 21), ..law.clone() }, "21 second tries"),
+        ("too many retries", vec![], vec![], CallLimits { tries: (100, 21), ..limits.clone() }, "21 second tries"),
     ];
-    for (name, seen, ran, law, want) in cases {
-        let got: Vec<_> = check_calls(&seen, &ran, &law).into_iter().map(|b| b.0).collect();
-        if want.is_empty() {
+    for (name, outcomes, executions, limits, expected) in cases {
+        let got: Vec<_> =
+            check_calls(&outcomes, &executions, &limits).into_iter().map(|violation| violation.0).collect();
+        if expected.is_empty() {
             assert!(got.is_empty(), "{name}: {got:?}");
         } else {
-            assert!(got.iter().any(|g| g.contains(want)), "{name}: {got:?}");
+            assert!(got.iter().any(|text| text.contains(expected)), "{name}: {got:?}");
         }
     }
 }
 
 #[test]
-fn cores_are_replaced_and_emptied_and_nobody_tells() {
-    each("members", 1..7, |r| r.voted.len() > 4 && r.voted.iter().chain(&r.again).all(|t| *t < 4 * SEC));
+fn voters_recover_from_replaced_and_wiped_cores_without_notice() {
+    run_each("members", 1..7, |summary| {
+        summary.voted.len() > 4 && summary.voted.iter().chain(&summary.again).all(|t| *t < 4 * SEC)
+    });
 }
 
-/// The profiles of the control side, with an operator who sends orders again until they are clear.
-fn control(name: &str, seeds: impl Iterator<Item = u64>, f: impl Fn(&ControlSummary) -> bool) {
-    each(name, seeds, |r| {
-        let c = r.control.as_ref().expect("a profile of the control side");
-        assert!(c.taken > 30 && c.reads > 10 && f(c), "{name}: {c:?}");
+/// Runs a profile of the control plane, whose operator sends each order again until its outcome is clear.
+fn run_control(name: &str, seeds: impl Iterator<Item = u64>, is_expected: impl Fn(&ControlSummary) -> bool) {
+    run_each(name, seeds, |summary| {
+        let control = summary.control.as_ref().expect("a profile of the control plane");
+        assert!(control.taken > 30 && control.reads > 10 && is_expected(control), "{name}: {control:?}");
         true
     });
 }
 
+/// Guards against a partitioned core that serves an old version or rejects an order that was committed, and against
+/// choices of the core that no seed makes.
 #[test]
-fn a_core_that_is_cut_off_reads_nothing_old_back_and_refuses_nothing_taken() {
+fn a_partitioned_core_serves_no_old_version_and_rejects_no_committed_order() {
     let mut seen = std::collections::BTreeSet::new();
-    let p = Profile::named("control_cut_off").expect("a profile");
+    let profile = Profile::named("control_cut_off").expect("a profile");
     for seed in 1..7 {
-        let r = run(Run::new(seed, p));
-        assert!(r.breaches.is_empty(), "seed {seed}:\n{}\n{:#?}", r.trace.join("\n"), r.breaches);
-        assert!(r.done > 0 && r.taken > 0, "seed {seed}: nothing happened");
-        let c = r.control.expect("a profile of the control side");
-        assert!(c.taken > 30 && c.reads > 10 && c.troubles.keys().any(|t| t.starts_with("CutOff")), "{c:?}");
-        seen.extend(c.variants.into_keys());
+        let summary = run(Run::new(seed, profile));
+        assert!(summary.breaches.is_empty(), "seed {seed}:\n{}\n{:#?}", summary.trace.join("\n"), summary.breaches);
+        assert!(summary.done > 0 && summary.taken > 0, "seed {seed}: no change was committed or no call ran");
+        let control = summary.control.expect("a profile of the control plane");
+        assert!(
+            control.taken > 30
+                && control.reads > 10
+                && control.troubles.keys().any(|fault| fault.starts_with("CutOff")),
+            "{control:?}"
+        );
+        seen.extend(control.variants.into_keys());
     }
-    let all = ["drawn", "hard", "leader", "lure", "meet", "oldest", "reader", "turn"];
-    assert_eq!(seen.into_iter().collect::<Vec<_>>(), all);
+    let variants = ["drawn", "hard", "leader", "lure", "meet", "oldest", "reader", "turn"];
+    assert_eq!(seen.into_iter().collect::<Vec<_>>(), variants);
 }
 
 #[test]
-fn orders_race_and_are_sent_again_long_after() {
-    control("control_numbers", 1..3, |c| c.repeated > 50 && c.lost > 100 && c.refused > 3);
+fn racing_and_late_repeated_orders_keep_their_outcomes() {
+    run_control("control_numbers", 1..3, |c| c.repeated > 50 && c.lost > 100 && c.refused > 3);
 }
 
-/// Each trouble and each closing of a profile comes in some of the seeds.
-fn all_come(name: &str, seeds: std::ops::Range<u64>, expected: &[&str]) {
+/// Runs a profile of the control plane, and asserts that each expected fault and variant occurs on some seed.
+fn assert_all_occur(name: &str, seeds: std::ops::Range<u64>, expected: &[&str]) {
     let mut seen = std::collections::BTreeSet::new();
-    let p = Profile::named(name).expect("a profile");
+    let profile = Profile::named(name).expect("a profile");
     for seed in seeds {
-        let r = run(Run::new(seed, p));
-        assert!(r.breaches.is_empty(), "{name} seed {seed}:\n{}\n{:#?}", r.trace.join("\n"), r.breaches);
-        let c = r.control.expect("a profile of the control side");
-        assert!(c.taken > 30 && c.reads > 10, "{name} seed {seed}: {c:?}");
-        seen.extend(c.variants.into_keys().map(str::to_owned));
-        seen.extend(c.troubles.into_keys());
+        let summary = run(Run::new(seed, profile));
+        assert!(
+            summary.breaches.is_empty(),
+            "{name} seed {seed}:\n{}\n{:#?}",
+            summary.trace.join("\n"),
+            summary.breaches
+        );
+        let control = summary.control.expect("a profile of the control plane");
+        assert!(control.taken > 30 && control.reads > 10, "{name} seed {seed}: {control:?}");
+        seen.extend(control.variants.into_keys().map(str::to_owned));
+        seen.extend(control.troubles.into_keys());
     }
-    let missing: Vec<_> = expected.iter().filter(|e| !seen.contains(**e)).collect();
+    let missing: Vec<_> = expected.iter().filter(|name| !seen.contains(**name)).collect();
     assert!(missing.is_empty(), "{name}: {missing:?} are missing in {seen:?}");
 }
 
 #[test]
-fn power_goes_right_after_work_or_an_order_and_at_the_end() {
+fn accepted_work_survives_power_losses_right_after_it_and_at_the_end() {
     let expected = [
         "AfterWork { gone: false }",
         "AfterWork { gone: true }",
@@ -456,78 +553,86 @@
         "closing wipe_after_ack",
         "closing wipe_after_ack, others lose power",
     ];
-    all_come("control_power", 1..13, &expected);
+    assert_all_occur("control_power", 1..13, &expected);
 }
 
 #[test]
-fn cores_are_stopped_in_turn_under_load_and_run_slowly() {
+fn orders_succeed_while_cores_shut_down_in_turn_or_run_slowly() {
     let expected = ["Roll", "stopped", "Slow", "CutOff(Silent)", "CutOff(Reset)", "CutOff(Refuse)", "oldest", "turn"];
-    all_come("control_turns", 1..7, &expected);
+    assert_all_occur("control_turns", 1..7, &expected);
 }
 
 #[test]
-fn machines_run_several_times_slower() {
-    each("slow", 1..5, |r| r.trace.iter().any(|l| l.contains("runs slowly")));
+fn guarantees_hold_while_machines_run_several_times_slower() {
+    run_each("slow", 1..5, |summary| summary.trace.iter().any(|line| line.contains("runs slowly")));
 }
 
 #[test]
-fn disks_are_lost_right_after_a_repair_while_orders_go_on() {
-    control("control_second_loss", 1..3, |c| c.troubles.values().sum::<u64>() > 6);
+fn orders_succeed_while_disks_are_lost_right_after_a_repair() {
+    run_control("control_second_loss", 1..3, |c| c.troubles.values().sum::<u64>() > 6);
 }
 
 #[test]
-fn a_core_is_away_through_hundreds_of_changes() {
-    control("control_hundreds", 1..2, |c| c.taken > 250 && c.troubles["LongAway"] > 1);
+fn a_core_catches_up_after_hundreds_of_missed_changes() {
+    run_control("control_hundreds", 1..2, |c| c.taken > 250 && c.troubles["LongAway"] > 1);
 }
 
-/// A full disk refuses each write, and the machine is started on it, too.
+/// Guards against a full disk that blocks the majority: the disk rejects each write, and in some runs the machine is
+/// restarted on it.
 #[test]
-fn a_disk_is_full_while_orders_go_on_and_power_is_lost() {
+fn orders_succeed_while_a_disk_is_full_and_power_is_lost() {
     for name in ["control_second_loss", "control_answers"] {
-        let (mut refused, mut started) = (0, 0);
-        let p = Profile::named(name).expect("a profile");
+        let (mut rejected, mut started) = (0, 0);
+        let profile = Profile::named(name).expect("a profile");
         for seed in 3..9 {
-            let r = run(Run::new(seed, p));
-            assert!(r.breaches.is_empty(), "{name} seed {seed}:\n{}\n{:#?}", r.trace.join("\n"), r.breaches);
-            refused += r.refused_writes;
-            started += r.trace.iter().filter(|l| l.contains("finds its disk full")).count();
+            let summary = run(Run::new(seed, profile));
+            assert!(
+                summary.breaches.is_empty(),
+                "{name} seed {seed}:\n{}\n{:#?}",
+                summary.trace.join("\n"),
+                summary.breaches
+            );
+            rejected += summary.refused_writes;
+            started += summary.trace.iter().filter(|line| line.contains("finds its disk full")).count();
         }
-        assert!(refused > 0 && started > 0, "{name}: refused {refused} writes, {started} starts on a full disk");
+        assert!(rejected > 0 && started > 0, "{name}: {rejected} writes rejected, {started} starts on a full disk");
     }
 }
 
-/// What the core was told of is on the disk, what a full disk refused is not, and nothing passes another.
+/// Guards the simulated disk: synced writes are durable, rejected ones are not, and writes keep their order.
 #[test]
-fn a_full_disk_refuses_each_write_and_takes_them_in_order_once_there_is_room() {
-    let mut r = Rng::new(1);
+fn a_full_disk_rejects_each_write_and_completes_them_in_order_once_it_has_room() {
+    let mut rng = Rng::new(1);
     let epoch = |epoch| vec![DurableWrite::Epoch { role: 1, epoch }];
     let mut disk = Disk::default();
-    disk.write(1, epoch(1), 0, &mut r);
+    disk.write(1, epoch(1), 0, &mut rng);
     assert_eq!(disk.complete_writes(10 * MS), Some(1));
     disk.full_until = 500 * MS;
-    let due = disk.write(2, epoch(2), 20 * MS, &mut r);
-    disk.write(3, epoch(3), 20 * MS, &mut r);
+    let due = disk.write(2, epoch(2), 20 * MS, &mut rng);
+    disk.write(3, epoch(3), 20 * MS, &mut rng);
     assert_eq!((disk.complete_writes(due), disk.rejected_writes), (None, 1));
-    assert_eq!(disk.next_completion(), Some(due + 200 * MS), "it is tried again after 200 ms");
-    assert_eq!((disk.complete_writes(due + 100 * MS), disk.rejected_writes), (None, 1), "not before");
+    assert_eq!(disk.next_completion(), Some(due + 200 * MS), "the write is retried after 200 ms");
+    assert_eq!((disk.complete_writes(due + 100 * MS), disk.rejected_writes), (None, 1), "no retry before");
     assert_eq!((disk.complete_writes(due + 200 * MS), disk.rejected_writes), (None, 2));
-    assert_eq!(disk.durable.epochs[&1], 1, "nothing that was refused is on the disk");
-    let mut dark = disk.clone();
+    assert_eq!(disk.durable.epochs[&1], 1, "no rejected write is durable");
+    let mut powered_off = disk.clone();
     for seed in 0..20 {
-        dark.lose_power(400 * MS, &mut Rng::new(seed));
-        assert_eq!(dark.durable.epochs[&1], 1, "nor by a loss of power");
-        dark.write(2, epoch(2), 400 * MS, &mut r);
+        powered_off.lose_power(400 * MS, &mut Rng::new(seed));
+        assert_eq!(powered_off.durable.epochs[&1], 1, "nor after a loss of power");
+        powered_off.write(2, epoch(2), 400 * MS, &mut rng);
     }
-    assert_eq!((disk.complete_writes(due + 600 * MS), disk.next_completion()), (Some(3), None), "there is room");
+    assert_eq!((disk.complete_writes(due + 600 * MS), disk.next_completion()), (Some(3), None), "the disk has room");
     assert_eq!(disk.durable.epochs[&1], 3);
 }
 
 #[test]
-fn most_answers_to_the_operator_are_lost() {
-    control("control_answers", [1, 3, 4, 5].into_iter(), |c| c.lost > 100 && c.left > 0);
+fn orders_succeed_while_most_responses_to_the_operator_are_lost() {
+    run_control("control_answers", [1, 3, 4, 5].into_iter(), |c| c.lost > 100 && c.left > 0);
 }
 
 #[test]
-fn seven_cores_bear_the_loss_of_two_at_once() {
-    each("many", 1..7, |r| r.voted.len() > 4 && r.voted.iter().chain(&r.again).all(|t| *t < 4 * SEC));
+fn seven_cores_tolerate_the_loss_of_two_at_once() {
+    run_each("many", 1..7, |summary| {
+        summary.voted.len() > 4 && summary.voted.iter().chain(&summary.again).all(|t| *t < 4 * SEC)
+    });
 }
