--- a/crates/testbed/src/sim/faults/day.rs
+++ b/crates/testbed/src/sim/faults/day.rs
@@ -46,21 +46,27 @@
         Some(match hour {
             3 => (Fault::SlowDisk, 4 * SEC),
             5 => (Fault::KillCore, 4 * SEC),
-            8 => (Fault::Crowd, 5 * SEC),
-            9 => (Fault::Odd(WorkerBehaviour::Cut), 4 * SEC),
-            10 => (Fault::Release, SEC),
-            12 => (Fault::HotPrefix, 5 * SEC),
+            8 => (Fault::TenantBurst, 5 * SEC),
+            9 => (Fault::FaultyWorker(WorkerBehaviour::Cut), 4 * SEC),
+            10 => (Fault::RollingRelease, SEC),
+            12 => (Fault::SharedPrefix, 5 * SEC),
             13 => (Fault::KillFront, 4 * SEC),
-            14 => (Fault::WipeCore, 4 * SEC),
-            16 => (Fault::Odd(WorkerBehaviour::Dark), 4 * SEC),
+            14 => (Fault::ReplaceCoreByOperator, 4 * SEC),
+            16 => (Fault::FaultyWorker(WorkerBehaviour::Dark), 4 * SEC),
             17 => (Fault::Freeze, 3 * SEC),
-            18 => (Fault::CutNode, 4 * SEC),
-            19 => (Fault::Crash, SEC),
-            20 => (Fault::Zone, 3 * SEC),
+            18 => (Fault::PartitionNode, 4 * SEC),
+            19 => (Fault::CrashWorker, SEC),
+            20 => (Fault::PartitionZone, 3 * SEC),
             22 => (Fault::StallDisk, 3 * SEC),
             23 => {
-                let candidates =
-                    [Fault::KillMany, Fault::SplitCores, Fault::SlowDisks, Fault::Zone, Fault::Outage, Fault::CutCore];
+                let candidates = [
+                    Fault::PowerLossMany,
+                    Fault::PartitionInTwo,
+                    Fault::SlowDisks,
+                    Fault::PartitionZone,
+                    Fault::AllWorkersFaulty,
+                    Fault::PartitionCore,
+                ];
                 (candidates[usize::try_from(world.rng.below(candidates.len() as u64)).unwrap_or(0)], 6 * SEC)
             }
             _ => return None,
--- a/crates/testbed/src/sim/faults/injection.rs
+++ b/crates/testbed/src/sim/faults/injection.rs
@@ -105,34 +105,38 @@
         match fault {
             Fault::KillCore
             | Fault::KillFront
-            | Fault::KillMany
-            | Fault::PowerCore
-            | Fault::WipeCore
+            | Fault::PowerLossMany
+            | Fault::PowerLossCore
+            | Fault::ReplaceCoreByOperator
             | Fault::Freeze
             | Fault::FreezeCore
             | Fault::SlowNode
             | Fault::SlowCore
             | Fault::Sleep => self.inject_machine_fault(world, fault, duration),
-            Fault::CutNode
-            | Fault::CutCore
-            | Fault::SplitCores
-            | Fault::OneWay
-            | Fault::Zone
-            | Fault::Jam
-            | Fault::Hold
-            | Fault::Lossy => inject_network_fault(world, fault, duration),
+            Fault::PartitionNode
+            | Fault::PartitionCore
+            | Fault::PartitionInTwo
+            | Fault::LoseOutgoingFrames
+            | Fault::PartitionZone
+            | Fault::ReorderFrames
+            | Fault::HoldFrames
+            | Fault::LoseFrames => inject_network_fault(world, fault, duration),
             Fault::SlowDisk | Fault::StallDisk | Fault::FullDisk | Fault::SlowDisks => {
                 inject_disk_fault(world, fault, duration)
             }
-            Fault::Workers
-            | Fault::Odd(_)
-            | Fault::Outage
-            | Fault::Crash
-            | Fault::Release
-            | Fault::Crowd
-            | Fault::HotPrefix => self.inject_worker_fault(world, fault, duration),
+            Fault::StopWorker
+            | Fault::FaultyWorker(_)
+            | Fault::AllWorkersFaulty
+            | Fault::CrashWorker
+            | Fault::RollingRelease
+            | Fault::TenantBurst
+            | Fault::SharedPrefix => self.inject_worker_fault(world, fault, duration),
             // `MembershipFaults` injects these.
-            Fault::Swap { .. } | Fault::Empty | Fault::AckLoss | Fault::KillAll | Fault::KillCores => {}
+            Fault::ReplaceCore { .. }
+            | Fault::WipeCores
+            | Fault::WipeAfterAck
+            | Fault::PowerLossAll
+            | Fault::PowerLossCores => {}
         }
     }
 
@@ -155,7 +159,7 @@
                     });
                 }
             }
-            Fault::PowerCore => {
+            Fault::PowerLossCore => {
                 if let Some(target) =
                     draw_machine(world, |world, target| is_up(world, target) && world.machines[target].is_core)
                 {
@@ -168,7 +172,7 @@
                     });
                 }
             }
-            Fault::KillMany => {
+            Fault::PowerLossMany => {
                 world.log("most machines lose power".into());
                 for target in 0..world.machines.len() {
                     if is_up(world, target) && world.rng.chance(60) {
@@ -182,7 +186,7 @@
                     }
                 }
             }
-            Fault::WipeCore => {
+            Fault::ReplaceCoreByOperator => {
                 let is_intact = self.stopped_processes.is_empty() && self.awaiting_admission.is_none();
                 let voters = world
                     .machines
@@ -238,7 +242,7 @@
     fn inject_worker_fault(&mut self, world: &mut World, fault: Fault, duration: Micros) {
         let now = world.now;
         match fault {
-            Fault::Workers => {
+            Fault::StopWorker => {
                 let index = usize::try_from(world.rng.below(world.workers.len() as u64)).unwrap_or(0);
                 if self.absent_workers.iter().any(|absent| absent.0 == index) {
                     return;
@@ -257,12 +261,12 @@
                 world.safety.removed_workers.insert(id, now);
                 self.absent_workers.push((index, now + 3 * SEC + duration));
             }
-            Fault::Odd(behaviour) => {
+            Fault::FaultyWorker(behaviour) => {
                 let index = usize::try_from(world.rng.below(world.workers.len() as u64)).unwrap_or(0);
                 world.log(format!("worker {} behaves as {behaviour:?} for {duration} us", world.workers[index].id));
                 world.workers[index].mode = (behaviour, now + duration);
             }
-            Fault::Outage => {
+            Fault::AllWorkersFaulty => {
                 let behaviours = [
                     WorkerBehaviour::Hang,
                     WorkerBehaviour::Mute,
@@ -277,7 +281,7 @@
                     worker.mode = (behaviour, now + duration);
                 }
             }
-            Fault::Crash => {
+            Fault::CrashWorker => {
                 let index = usize::try_from(world.rng.below(world.workers.len() as u64)).unwrap_or(0);
                 if world.workers[index].is_running && !world.workers[index].is_draining {
                     world.log(format!("worker {} crashes and is restarted", world.workers[index].id));
@@ -289,7 +293,7 @@
                     });
                 }
             }
-            Fault::Release if self.release_actions.is_empty() => {
+            Fault::RollingRelease if self.release_actions.is_empty() => {
                 world.log("rolling release: all workers of the model are replaced one by one".into());
                 let model_workers: Vec<_> =
                     (0..world.workers.len()).filter(|index| world.workers[*index].pool == "llm").collect();
@@ -308,11 +312,11 @@
                     });
                 }
             }
-            Fault::Crowd => {
+            Fault::TenantBurst => {
                 world.log(format!("one tenant sends eight times its usual calls for {duration} us"));
                 world.crowd = (8, now + duration);
             }
-            Fault::HotPrefix => {
+            Fault::SharedPrefix => {
                 world.log(format!("all calls share one prefix for {duration} us"));
                 world.shared_prefix_until = now + duration;
             }
@@ -325,8 +329,8 @@
 fn inject_network_fault(world: &mut World, fault: Fault, duration: Micros) {
     let now = world.now;
     match fault {
-        Fault::CutNode | Fault::CutCore => {
-            let is_core = fault == Fault::CutCore;
+        Fault::PartitionNode | Fault::PartitionCore => {
+            let is_core = fault == Fault::PartitionCore;
             if let Some(target) = draw_machine(world, |world, target| !is_core || world.machines[target].is_core) {
                 world.log(format!("{} is partitioned from all others for {duration} us", world.machines[target].addr));
                 for other in 0..world.machines.len() {
@@ -335,7 +339,7 @@
                 }
             }
         }
-        Fault::SplitCores => {
+        Fault::PartitionInTwo => {
             world.log(format!("machines are partitioned into two random groups for {duration} us"));
             let sides: Vec<bool> = (0..world.machines.len()).map(|_| world.rng.chance(50)).collect();
             for target in 0..sides.len() {
@@ -346,7 +350,7 @@
                 }
             }
         }
-        Fault::OneWay => {
+        Fault::LoseOutgoingFrames => {
             if let Some(target) = draw_machine(world, |_, _| true) {
                 world.log(format!("frames from {} are lost for {duration} us", world.machines[target].addr));
                 for other in 0..world.machines.len() {
@@ -354,7 +358,7 @@
                 }
             }
         }
-        Fault::Zone => {
+        Fault::PartitionZone => {
             let zone = format!("z{}", world.rng.below(3));
             world.log(format!("zone {zone} is partitioned from the others for {duration} us"));
             for target in 0..world.machines.len() {
@@ -365,18 +369,18 @@
                 }
             }
         }
-        Fault::Jam => {
+        Fault::ReorderFrames => {
             world.log(format!("frames are delayed, reordered and lost for {duration} us"));
             world.reordering_until = now + duration;
             world.loss = (5, now + duration);
         }
-        Fault::Hold => {
+        Fault::HoldFrames => {
             if let Some(target) = draw_machine(world, |_, _| true) {
                 world.log(format!("frames from and to {} are held for {duration} us", world.machines[target].addr));
                 world.frames_held_until.insert(target, now + duration);
             }
         }
-        Fault::Lossy => {
+        Fault::LoseFrames => {
             world.log(format!("one frame in ten is lost for {duration} us"));
             world.loss = (10, now + duration);
         }
--- a/crates/testbed/src/sim/faults/membership_losses.rs
+++ b/crates/testbed/src/sim/faults/membership_losses.rs
@@ -143,7 +143,14 @@
     ///
     /// The fault is skipped while a machine still counts as lost.
     pub fn inject(&mut self, world: &mut World, operators: &mut Operators, fault: Fault) -> bool {
-        if !matches!(fault, Fault::Swap { .. } | Fault::Empty | Fault::AckLoss | Fault::KillAll | Fault::KillCores) {
+        if !matches!(
+            fault,
+            Fault::ReplaceCore { .. }
+                | Fault::WipeCores
+                | Fault::WipeAfterAck
+                | Fault::PowerLossAll
+                | Fault::PowerLossCores
+        ) {
             return false;
         }
         if self.last_change_at.is_some() || self.pending_ack_loss.is_some() || !self.scheduled_actions.is_empty() {
@@ -152,16 +159,17 @@
         let now = world.now;
         let count = 1 + world.rng.below(u64::from(world.tolerated_losses));
         match fault {
-            Fault::Swap { term, before } => {
+            Fault::ReplaceCore { requests_shutdown, starts_successor_first } => {
                 self.begin_loss(now);
                 for machine in Self::draw_cores_or_oldest(world, count) {
                     world.log(format!(
-                        "{} is removed for good (shutdown requested: {term}, successor starts first: {before})",
+                        "{} is removed for good (shutdown requested: {requests_shutdown}, successor starts first: {starts_successor_first})",
                         world.machines[machine].addr
                     ));
-                    let end = now + if term || before { 300 * MS + world.rng.below(SEC) } else { 0 };
-                    let join = if before { now } else { end + world.rng.below(2 * SEC) };
-                    if term {
+                    let end = now
+                        + if requests_shutdown || starts_successor_first { 300 * MS + world.rng.below(SEC) } else { 0 };
+                    let join = if starts_successor_first { now } else { end + world.rng.below(2 * SEC) };
+                    if requests_shutdown {
                         world.step(machine, Event::Shutdown);
                         self.shutdown_requested_at.insert(machine, now);
                     }
@@ -170,16 +178,16 @@
                     self.schedule(join, MembershipAction::Join(machine));
                 }
             }
-            Fault::Empty => {
+            Fault::WipeCores => {
                 let drawn = Self::draw_cores(world, count);
                 self.lose_disks(world, &drawn);
             }
-            Fault::AckLoss => {
+            Fault::WipeAfterAck => {
                 let all = world.rng.chance(50);
                 self.pending_ack_loss = Some((operators.done, all));
                 operators.change(world);
             }
-            Fault::KillCores => {
+            Fault::PowerLossCores => {
                 let fronts: Vec<usize> =
                     (0..world.machines.len()).filter(|machine| !world.machines[*machine].is_core).collect();
                 self.begin_loss(now);
--- a/crates/testbed/src/sim/faults/profiles.rs
+++ b/crates/testbed/src/sim/faults/profiles.rs
@@ -11,17 +11,17 @@
     /// The process of a front is killed.
     KillFront,
     /// A core's machine loses power.
-    PowerCore,
+    PowerLossCore,
     /// Most machines lose power at once.
-    KillMany,
+    PowerLossMany,
     /// A drawn machine is partitioned from all others.
-    CutNode,
+    PartitionNode,
     /// A core is partitioned from all others.
-    CutCore,
+    PartitionCore,
     /// The machines are partitioned into two groups, drawn at random, in both directions.
-    SplitCores,
+    PartitionInTwo,
     /// All frames that one machine sends are lost; it still receives frames.
-    OneWay,
+    LoseOutgoingFrames,
     /// All processes of a front are frozen.
     Freeze,
     /// All processes of a core are frozen.
@@ -37,48 +37,48 @@
     /// A disk rejects each write until it has room again.
     FullDisk,
     /// A core is replaced by one with an empty disk at a new address, which an operator admits.
-    WipeCore,
+    ReplaceCoreByOperator,
     /// One zone is partitioned from the others.
-    Zone,
+    PartitionZone,
     /// One frame in ten is lost.
-    Lossy,
+    LoseFrames,
     /// Frames are delayed and reordered, and some are lost.
-    Jam,
+    ReorderFrames,
     /// Frames of one machine, sent and received, are held until the end of the fault.
-    Hold,
+    HoldFrames,
     /// A machine sleeps for longer than any lease or report is valid.
     Sleep,
     /// The disks of all cores are slow at once.
     SlowDisks,
     /// A worker drains or vanishes, and is restarted later.
-    Workers,
+    StopWorker,
     /// A worker shows a faulty behaviour for a while.
-    Odd(WorkerBehaviour),
+    FaultyWorker(WorkerBehaviour),
     /// A worker's process crashes, and another one starts at its address.
-    Crash,
+    CrashWorker,
     /// Rolling release: all workers of the model are replaced, one after the other.
-    Release,
+    RollingRelease,
     /// One tenant sends eight times its usual calls.
-    Crowd,
+    TenantBurst,
     /// All calls share one prefix.
-    HotPrefix,
+    SharedPrefix,
     /// All workers show the same faulty behaviour at once.
-    Outage,
+    AllWorkersFaulty,
     /// A core is removed for good, with or without a shutdown; one with an empty disk joins at a new address.
-    Swap {
+    ReplaceCore {
         /// The old machine is asked to shut down before it is removed.
-        term: bool,
+        requests_shutdown: bool,
         /// The new machine starts before the old one is removed.
-        before: bool,
+        starts_successor_first: bool,
     },
     /// Up to as many cores as the fleet tolerates lose their disks and restart at their addresses.
-    Empty,
+    WipeCores,
     /// Cores lose their disks right after an acknowledgement, in half of the cases while all others lose power.
-    AckLoss,
+    WipeAfterAck,
     /// All machines lose power and restart within a second.
-    KillAll,
+    PowerLossAll,
     /// All cores lose power and restart within a second; the fronts keep running, with their connections.
-    KillCores,
+    PowerLossCores,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -95,21 +95,23 @@
 }
 
 use Fault::{
-    AckLoss, Crash, Crowd, CutCore, CutNode, Empty, Freeze, FreezeCore, FullDisk, Hold, HotPrefix, Jam, KillAll,
-    KillCore, KillCores, KillFront, KillMany, Lossy, Odd, OneWay, Outage, PowerCore, Release, Sleep, SlowCore,
-    SlowDisk, SlowDisks, SlowNode, SplitCores, StallDisk, Swap, WipeCore, Workers, Zone,
+    AllWorkersFaulty, CrashWorker, FaultyWorker, Freeze, FreezeCore, FullDisk, HoldFrames, KillCore, KillFront,
+    LoseFrames, LoseOutgoingFrames, PartitionCore, PartitionInTwo, PartitionNode, PartitionZone, PowerLossAll,
+    PowerLossCore, PowerLossCores, PowerLossMany, ReorderFrames, ReplaceCore, ReplaceCoreByOperator, RollingRelease,
+    SharedPrefix, Sleep, SlowCore, SlowDisk, SlowDisks, SlowNode, StallDisk, StopWorker, TenantBurst, WipeAfterAck,
+    WipeCores,
 };
 
 /// Losses and replacements of cores that manage the voters themselves.
 const MEMBERSHIP_FAULTS: &[Fault] = &[
-    Swap { term: true, before: true },
-    Swap { term: true, before: false },
-    Swap { term: false, before: true },
-    Swap { term: false, before: false },
-    Empty,
-    Empty,
-    AckLoss,
-    KillAll,
+    ReplaceCore { requests_shutdown: true, starts_successor_first: true },
+    ReplaceCore { requests_shutdown: true, starts_successor_first: false },
+    ReplaceCore { requests_shutdown: false, starts_successor_first: true },
+    ReplaceCore { requests_shutdown: false, starts_successor_first: false },
+    WipeCores,
+    WipeCores,
+    WipeAfterAck,
+    PowerLossAll,
 ];
 
 impl Profile {
@@ -118,13 +120,18 @@
         Profile { name: "calm", faults: &[], secs: 30, changes: 8 },
         Profile { name: "races", faults: &[], secs: 30, changes: 120 },
         Profile { name: "kills", faults: &[KillCore, KillFront], secs: 60, changes: 20 },
-        Profile { name: "power", faults: &[KillMany, PowerCore, SlowDisk, SlowDisks], secs: 60, changes: 30 },
-        Profile { name: "stalls", faults: &[Hold, Jam, Sleep], secs: 60, changes: 60 },
-        Profile { name: "cuts", faults: &[CutNode, CutCore, OneWay, SplitCores], secs: 60, changes: 20 },
+        Profile { name: "power", faults: &[PowerLossMany, PowerLossCore, SlowDisk, SlowDisks], secs: 60, changes: 30 },
+        Profile { name: "stalls", faults: &[HoldFrames, ReorderFrames, Sleep], secs: 60, changes: 60 },
+        Profile {
+            name: "cuts",
+            faults: &[PartitionNode, PartitionCore, LoseOutgoingFrames, PartitionInTwo],
+            secs: 60,
+            changes: 20,
+        },
         Profile { name: "freezes", faults: &[Freeze, FreezeCore], secs: 60, changes: 20 },
         Profile { name: "slow", faults: &[SlowNode, SlowCore, KillCore], secs: 60, changes: 20 },
         Profile { name: "disks", faults: &[SlowDisk, StallDisk, FullDisk, KillCore], secs: 60, changes: 30 },
-        Profile { name: "wiped", faults: &[WipeCore], secs: 90, changes: 15 },
+        Profile { name: "wiped", faults: &[ReplaceCoreByOperator], secs: 90, changes: 15 },
         Profile { name: "members", faults: MEMBERSHIP_FAULTS, secs: 120, changes: 10 },
         Profile { name: "many", faults: MEMBERSHIP_FAULTS, secs: 120, changes: 10 },
         // `RepeatedLosses` injects the losses of these.
@@ -138,39 +145,44 @@
         Profile { name: "control_answers", faults: &[], secs: 60, changes: 0 },
         Profile { name: "control_power", faults: &[], secs: 60, changes: 0 },
         Profile { name: "control_turns", faults: &[], secs: 60, changes: 0 },
-        Profile { name: "blackout", faults: &[KillAll], secs: 60, changes: 10 },
-        Profile { name: "blackout_cores", faults: &[KillCores], secs: 60, changes: 10 },
-        Profile { name: "zones", faults: &[Zone, Lossy], secs: 60, changes: 15 },
-        Profile { name: "workers", faults: &[Workers, KillFront, Freeze], secs: 60, changes: 5 },
+        Profile { name: "blackout", faults: &[PowerLossAll], secs: 60, changes: 10 },
+        Profile { name: "blackout_cores", faults: &[PowerLossCores], secs: 60, changes: 10 },
+        Profile { name: "zones", faults: &[PartitionZone, LoseFrames], secs: 60, changes: 15 },
+        Profile { name: "workers", faults: &[StopWorker, KillFront, Freeze], secs: 60, changes: 5 },
         Profile { name: "day", faults: &[], secs: 120, changes: 6 },
         Profile {
             name: "tries",
             faults: &[
-                Odd(WorkerBehaviour::Hang),
-                Odd(WorkerBehaviour::Mute),
-                Odd(WorkerBehaviour::Cut),
-                Odd(WorkerBehaviour::Bare),
-                Odd(WorkerBehaviour::Decline),
-                Odd(WorkerBehaviour::Dark),
-                Odd(WorkerBehaviour::Reset),
-                Odd(WorkerBehaviour::Slow),
-                Odd(WorkerBehaviour::Skip),
-                Crash,
+                FaultyWorker(WorkerBehaviour::Hang),
+                FaultyWorker(WorkerBehaviour::Mute),
+                FaultyWorker(WorkerBehaviour::Cut),
+                FaultyWorker(WorkerBehaviour::Bare),
+                FaultyWorker(WorkerBehaviour::Decline),
+                FaultyWorker(WorkerBehaviour::Dark),
+                FaultyWorker(WorkerBehaviour::Reset),
+                FaultyWorker(WorkerBehaviour::Slow),
+                FaultyWorker(WorkerBehaviour::Skip),
+                CrashWorker,
             ],
             secs: 60,
             changes: 10,
         },
-        Profile { name: "outage", faults: &[Outage, Odd(WorkerBehaviour::Mute), Crash], secs: 60, changes: 5 },
+        Profile {
+            name: "outage",
+            faults: &[AllWorkersFaulty, FaultyWorker(WorkerBehaviour::Mute), CrashWorker],
+            secs: 60,
+            changes: 5,
+        },
         Profile {
             name: "crowds",
-            faults: &[Crowd, HotPrefix, Odd(WorkerBehaviour::Slow), Crash],
+            faults: &[TenantBurst, SharedPrefix, FaultyWorker(WorkerBehaviour::Slow), CrashWorker],
             secs: 60,
             changes: 10,
         },
-        Profile { name: "release", faults: &[Release, Crash, KillFront, Freeze], secs: 60, changes: 20 },
+        Profile { name: "release", faults: &[RollingRelease, CrashWorker, KillFront, Freeze], secs: 60, changes: 20 },
         Profile {
             name: "revoked",
-            faults: &[CutNode, Freeze, Sleep, Hold, Odd(WorkerBehaviour::Cut)],
+            faults: &[PartitionNode, Freeze, Sleep, HoldFrames, FaultyWorker(WorkerBehaviour::Cut)],
             secs: 60,
             changes: 60,
         },
@@ -179,29 +191,29 @@
             faults: &[
                 KillCore,
                 KillFront,
-                KillMany,
-                CutNode,
-                CutCore,
-                SplitCores,
-                OneWay,
+                PowerLossMany,
+                PartitionNode,
+                PartitionCore,
+                PartitionInTwo,
+                LoseOutgoingFrames,
                 Freeze,
                 FreezeCore,
                 SlowDisk,
                 StallDisk,
-                WipeCore,
-                Zone,
-                Lossy,
-                Workers,
-                Jam,
-                Hold,
+                ReplaceCoreByOperator,
+                PartitionZone,
+                LoseFrames,
+                StopWorker,
+                ReorderFrames,
+                HoldFrames,
                 SlowDisks,
-                Crash,
-                Release,
-                Crowd,
-                Odd(WorkerBehaviour::Cut),
-                Odd(WorkerBehaviour::Mute),
-                Odd(WorkerBehaviour::Decline),
-                Odd(WorkerBehaviour::Dark),
+                CrashWorker,
+                RollingRelease,
+                TenantBurst,
+                FaultyWorker(WorkerBehaviour::Cut),
+                FaultyWorker(WorkerBehaviour::Mute),
+                FaultyWorker(WorkerBehaviour::Decline),
+                FaultyWorker(WorkerBehaviour::Dark),
             ],
             secs: 90,
             changes: 40,
--- a/crates/testbed/src/sim/faults/repairs.rs
+++ b/crates/testbed/src/sim/faults/repairs.rs
@@ -16,13 +16,13 @@
 
 /// The kinds of losses and their relative weights.
 const LOSSES: &[(u64, RepairLoss)] = &[
-    (2, RepairLoss::Membership(Fault::Swap { term: true, before: true })),
-    (2, RepairLoss::Membership(Fault::Swap { term: true, before: false })),
-    (1, RepairLoss::Membership(Fault::Swap { term: false, before: true })),
-    (2, RepairLoss::Membership(Fault::Swap { term: false, before: false })),
-    (2, RepairLoss::Membership(Fault::Empty)),
-    (2, RepairLoss::Membership(Fault::AckLoss)),
-    (1, RepairLoss::Membership(Fault::KillAll)),
+    (2, RepairLoss::Membership(Fault::ReplaceCore { requests_shutdown: true, starts_successor_first: true })),
+    (2, RepairLoss::Membership(Fault::ReplaceCore { requests_shutdown: true, starts_successor_first: false })),
+    (1, RepairLoss::Membership(Fault::ReplaceCore { requests_shutdown: false, starts_successor_first: true })),
+    (2, RepairLoss::Membership(Fault::ReplaceCore { requests_shutdown: false, starts_successor_first: false })),
+    (2, RepairLoss::Membership(Fault::WipeCores)),
+    (2, RepairLoss::Membership(Fault::WipeAfterAck)),
+    (1, RepairLoss::Membership(Fault::PowerLossAll)),
     (3, RepairLoss::LastStarted),
     (1, RepairLoss::Frozen),
     (1, RepairLoss::Partitioned),
