--- a/crates/testbed/src/cli/mod.rs
+++ b/crates/testbed/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: one module for the options and one for each subcommand.
+//! The command line: a module for the options and one for each subcommand.
 
 mod bounds;
 mod fleet;
@@ -10,12 +10,12 @@
 use options::Arguments;
 use std::process::ExitCode;
 
-/// Exit code for findings: a check of the run failed.
-const FINDINGS: u8 = 1;
-/// Exit code for a wrong command line, or a run that could not be started or finished.
-const UNUSABLE: i32 = 2;
+/// The exit code if a check of the run failed.
+const EXIT_FINDINGS: u8 = 1;
+/// The exit code for an invalid command line, or a run that could not be started or completed.
+const EXIT_ERROR: i32 = 2;
 
-/// Runs the subcommand that the process was started with.
+/// Runs the subcommand on the command line and returns the exit code.
 pub fn run() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     if arguments.first().is_some_and(|name| name == "hollow") {
@@ -29,13 +29,13 @@
         "place" => place::run(&arguments),
         "lookups" => lookups::run(),
         "bounds" => bounds::run(),
-        name => fail(&format!("{name}: use fleet, sim, lookups, bounds, place or hollow")),
+        name => fail(&format!("unknown subcommand {name}: use fleet, sim, lookups, bounds, place or hollow")),
     };
-    if passed { ExitCode::SUCCESS } else { ExitCode::from(FINDINGS) }
+    if passed { ExitCode::SUCCESS } else { ExitCode::from(EXIT_FINDINGS) }
 }
 
-/// Ends the process with a message on the standard error stream.
+/// Prints a message to standard error and exits with [`EXIT_ERROR`].
 fn fail(message: &str) -> ! {
     eprintln!("testbed: {message}");
-    std::process::exit(UNUSABLE)
+    std::process::exit(EXIT_ERROR)
 }
--- a/crates/testbed/src/cli/options.rs
+++ b/crates/testbed/src/cli/options.rs
@@ -1,25 +1,25 @@
-//! The options of every subcommand but `hollow`, which reads its own.
+//! The options of all subcommands except `hollow`, which parses its own.
 
 use super::fail;
 use getopts::{Matches, Options};
 
-/// What stands above the list of options in the help text.
-const USAGE: &str = "testbed: tries a sumacvale fleet on this machine
+/// The help text above the list of options.
+const USAGE: &str = "testbed: tests a sumacvale fleet on this machine
 
 Usage:
-  testbed fleet [flags]   processes of sumacvale on loopback, with traffic and troubles
-  testbed sim [flags]     the core in virtual time, from seeds
-  testbed lookups         what a lookup in the layered cache costs
-  testbed bounds          what ways to bound a quota admit and refuse
-  testbed place [flags]   model workers in virtual time, by ways to choose among them
-  testbed hollow ...      what hundreds of nodes cost (see testbed hollow --help)";
+  testbed fleet [flags]   run processes of sumacvale on loopback, with traffic and faults
+  testbed sim [flags]     simulate the core in virtual time, from seeds
+  testbed lookups         measure the cost of a lookup in the layered cache
+  testbed bounds          compare how quota bounds admit and reject calls
+  testbed place [flags]   emulate model workers and compare placement strategies
+  testbed hollow ...      measure the cost of hundreds of nodes (see testbed hollow --help)";
 
-/// Options as parsed, with typed access; an unusable value ends the process with a message.
+/// The parsed options, with typed access. An invalid value ends the process with an error message.
 pub struct Arguments(Matches);
 
 impl Arguments {
-    /// Parses the arguments. Gives none after printing the help text, where help was
-    /// requested or no subcommand was named.
+    /// Parses the arguments. If help was requested or no subcommand was given, prints the help text and
+    /// returns `None`.
     pub fn parse(arguments: &[String]) -> Option<Self> {
         let options = options();
         let matches = options.parse(arguments).unwrap_or_else(|error| fail(&format!("{error}; see testbed --help")));
@@ -30,67 +30,73 @@
         Some(Arguments(matches))
     }
 
-    /// The name of the subcommand: the first free argument.
+    /// Returns the name of the subcommand, the first free argument.
     pub fn subcommand(&self) -> &str {
         &self.0.free[0]
     }
 
-    /// Whether the flag `--name` is set.
-    pub fn flag(&self, name: &str) -> bool {
+    /// Returns true if the flag `--name` is set.
+    pub fn has_flag(&self, name: &str) -> bool {
         self.0.opt_present(name)
     }
 
-    /// The text of `--name`, where it is set.
+    /// Returns the text of `--name`, if it is set.
     pub fn text(&self, name: &str) -> Option<String> {
         self.0.opt_str(name)
     }
 
-    /// The whole number of `--name`, or the default where it is not set.
+    /// Returns the whole number of `--name`, or the default if it is not set.
     pub fn number(&self, name: &str, default: u64) -> u64 {
         match self.0.opt_str(name) {
             None => default,
-            Some(text) => text.parse().unwrap_or_else(|_| fail(&format!("--{name}: {text} is no whole number"))),
+            Some(text) => text.parse().unwrap_or_else(|_| fail(&format!("--{name}: {text} is not a whole number"))),
         }
     }
 
-    /// The count of `--name`, or the default where it is not set or does not fit.
+    /// Returns the count of `--name`, or the default if it is not set or does not fit a `usize`.
     pub fn count(&self, name: &str, default: usize) -> usize {
         usize::try_from(self.number(name, default as u64)).unwrap_or(default)
     }
 
-    /// The deployment of `--deployment` by `named`; mtatsminda where it is not set.
-    pub fn deployment<T>(&self, named: impl Fn(&str) -> Option<T>) -> T {
+    /// Looks up the name of `--deployment` with `find`; the default name is mtatsminda.
+    pub fn deployment<T>(&self, find: impl Fn(&str) -> Option<T>) -> T {
         let name = self.text("deployment").unwrap_or_else(|| "mtatsminda".into());
-        named(&name).unwrap_or_else(|| unknown_deployment())
+        find(&name).unwrap_or_else(|| unknown_deployment())
     }
 }
 
-/// Ends the process: no deployment has this name.
+/// Ends the process with an error, as no deployment has the given name.
 pub fn unknown_deployment() -> ! {
     fail("--deployment: use mtatsminda or derwent")
 }
 
+/// Returns the options of all subcommands.
 fn options() -> Options {
     let mut options = Options::new();
     options
         .optopt("", "deployment", "mtatsminda or derwent (sim: its whole day, with --profile day)", "NAME")
-        .optopt("", "seconds", "how long traffic runs", "N")
+        .optopt("", "seconds", "the time for which calls arrive, in seconds", "N")
         .optopt("", "seed", "the first seed", "N")
-        .optopt("", "seeds", "how many seeds", "N")
-        .optopt("", "profile", "one kind of faults only", "NAME")
-        .optopt("", "scale", "percent of the deployment's traffic", "N")
-        .optopt("", "fronts", "sim: how many fronts", "N")
-        .optopt("", "quota", "sim: window or rate, the form of the tenants' quotas", "FORM")
-        .optopt("", "way", "place: one way only", "NAME")
-        .optopt("", "near", "place: the weight against bytes between zones, in hundredths", "N")
-        .optopt("", "reread", "place: the weight against reading shared parts again", "N")
-        .optopt("", "spread", "place: the weight against late first pieces", "N")
-        .optopt("", "hot", "place: percent of the summaries that are about one subject", "N")
-        .optopt("", "burst", "place: percent of the usual chats in the middle third", "N")
-        .optopt("", "workers", "place: how many workers instead of the deployment's", "N")
-        .optflag("", "lose", "place: a third of the workers is lost for a third of the time")
-        .optflag("", "calm", "fleet: no troubles")
-        .optflag("", "trace", "sim: print what was done to the fleet")
+        .optopt("", "seeds", "the number of seeds", "N")
+        .optopt("", "profile", "sim: one fault profile only", "NAME")
+        .optopt("", "scale", "the traffic in percent of the deployment's", "N")
+        .optopt("", "fronts", "sim, place: the number of fronts", "N")
+        .optopt("", "quota", "sim: the form of quotas, window or rate", "FORM")
+        .optopt("", "way", "place: one strategy only", "NAME")
+        .optopt("", "near", "place: the weight of bytes between zones, in percent of the default", "N")
+        .optopt(
+            "",
+            "reread",
+            "place: the weight of repeated prefill of shared segments, in percent of the default",
+            "N",
+        )
+        .optopt("", "spread", "place: the weight of late first events, in percent of the default", "N")
+        .optopt("", "hot", "place: percent of the summaries about one subject in the middle third", "N")
+        .optopt("", "burst", "place: the rate of chats in the middle third, in percent of the usual", "N")
+        .optopt("", "workers", "place: the number of workers instead of the deployment's", "N")
+        .optflag("", "lose", "place: a third of the workers is down in the middle third")
+        .optflag("", "calm", "fleet: inject no faults")
+        .optflag("", "trace", "sim: print the injected faults and other events")
         .optflag("h", "help", "show this help");
     options
 }
--- a/crates/testbed/src/cli/sim.rs
+++ b/crates/testbed/src/cli/sim.rs
@@ -1,4 +1,4 @@
-//! `testbed sim`: the core in virtual time, from seeds.
+//! `testbed sim`: simulates the core in virtual time, from seeds.
 
 use super::fail;
 use super::options::{Arguments, unknown_deployment};
@@ -6,30 +6,30 @@
 use sumacvale_core::base::Micros;
 use sumacvale_testbed::sim::{ControlSummary, Day, Profile, Run, Summary, run as simulate};
 
-/// What is to be simulated, as the command line says it.
+/// The simulations that the command line requests.
 struct Plan {
     /// The first seed.
-    seed: u64,
-    /// How many seeds follow one another.
-    seeds: u64,
-    /// The only profile, or all of them.
+    first_seed: u64,
+    /// The number of consecutive seeds.
+    seed_count: u64,
+    /// The name of the only profile to simulate; `None` for all profiles.
     profile: Option<String>,
-    /// The deployment whose day the profile `day` simulates.
+    /// The deployment that the profile `day` simulates; `None` for the default run of that profile.
     day: Option<Day>,
-    /// How many fronts, except in a deployment's day.
+    /// The number of fronts; a deployment in `day` has its own number.
     fronts: usize,
-    /// Quotas are rates rather than windows.
+    /// True if quotas are rates, false if they are windows.
     rates: bool,
-    /// Print what was done to the fleet, also where nothing failed.
+    /// True if the trace of a run is printed even if the run broke no invariant.
     trace: bool,
 }
 
-/// Simulates every profile with every seed; passed where no run broke a law.
+/// Simulates each profile with each seed and prints the results. Returns true if no run broke an invariant.
 pub fn run(arguments: &Arguments) -> bool {
     let plan = Plan::parse(arguments);
     let mut passed = true;
-    for profile in Profile::ALL.iter().filter(|profile| plan.profile.as_ref().is_none_or(|only| only == profile.name)) {
-        for seed in plan.seed..plan.seed + plan.seeds {
+    for profile in Profile::ALL.iter().filter(|profile| plan.profile.as_ref().is_none_or(|name| name == profile.name)) {
+        for seed in plan.first_seed..plan.first_seed + plan.seed_count {
             let begin = Instant::now();
             let summary = simulate(plan.run(profile, seed));
             print(profile.name, seed, &summary, begin.elapsed(), plan.trace);
@@ -40,6 +40,7 @@
 }
 
 impl Plan {
+    /// Reads the plan from the command line.
     fn parse(arguments: &Arguments) -> Self {
         let profile = arguments.text("profile");
         if profile.as_ref().is_some_and(|name| Profile::named(name).is_none()) {
@@ -47,8 +48,8 @@
             fail(&format!("--profile: use one of {}", names.join(", ")));
         }
         Plan {
-            seed: arguments.number("seed", 1),
-            seeds: arguments.number("seeds", 5),
+            first_seed: arguments.number("seed", 1),
+            seed_count: arguments.number("seeds", 5),
             profile,
             day: arguments.text("deployment").map(|name| match name.as_str() {
                 "mtatsminda" => Day::MTATSMINDA,
@@ -61,10 +62,11 @@
                 Some("rate") => true,
                 _ => fail("--quota: use window or rate"),
             },
-            trace: arguments.flag("trace"),
+            trace: arguments.has_flag("trace"),
         }
     }
 
+    /// Returns the run of a profile with a seed.
     fn run(&self, profile: &'static Profile, seed: u64) -> Run {
         match self.day.filter(|_| profile.name == "day") {
             Some(day) => Run { rates: self.rates, ..Run::day(seed, day) },
@@ -73,6 +75,7 @@
     }
 }
 
+/// Prints the results of a run.
 fn print(profile: &str, seed: u64, summary: &Summary, elapsed: Duration, trace: bool) {
     print_counts(profile, seed, summary, elapsed);
     print_recovery(summary);
@@ -86,13 +89,14 @@
     if trace || !summary.breaches.is_empty() {
         summary.trace.iter().for_each(|line| println!("    {line}"));
     }
-    summary.refused.iter().for_each(|refusal| println!("    needless refusal: {refusal}"));
-    summary.breaches.iter().for_each(|breach| println!("    breach: {}", breach.0));
+    summary.refused.iter().for_each(|rejection| println!("    change rejected without need: {rejection}"));
+    summary.breaches.iter().for_each(|violation| println!("    violation: {}", violation.0));
 }
 
+/// Prints the counts and latencies of a run in one line.
 fn print_counts(profile: &str, seed: u64, summary: &Summary, elapsed: Duration) {
     println!(
-        "{:8} seed {seed}: version {} done {} stale {} unknown {} none {} | calls {} ran {} to the worker p50 {} p99 {} ms | tries {}+{} resumed {} reseated {} units ended {} worst {} needless {} | spread p99 {} worst {} ms | frames {} bytes {} | {} ms | breaches {} refused {}",
+        "{:8} seed {seed}: version {} committed {} stale {} unknown {} no response {} | calls {} ran {} to the worker p50 {} p99 {} ms | attempts {}+{} resumed {} slots released {} units expired {} most per window {} needless rejections {} | propagation p99 {} worst {} ms | frames {} bytes {} | {} ms | violations {} rejected {}",
         profile,
         summary.versions,
         summary.done,
@@ -120,31 +124,37 @@
     );
 }
 
+/// Prints the recovery times after a power outage and after the loss of machines, if there were any.
 fn print_recovery(summary: &Summary) {
-    for (first, usual) in &summary.lit {
+    for (first_call, admitted) in &summary.lit {
         println!(
-            "after all power was back: a call ran in {} ms, 95 % were let in from {} ms",
-            first / 1_000,
-            usual / 1_000
+            "after power was restored: first call ran after {} ms, 95 % of calls admitted after {} ms",
+            first_call / 1_000,
+            admitted / 1_000
         );
     }
     if summary.voted.is_empty() {
         return;
     }
-    // The number of times, their median and the longest.
+    // The number of times, their median and their maximum, in milliseconds.
     let times = |values: &[Micros]| (values.len(), percentile_ms(values, 50), percentile_ms(values, 100));
     println!(
-        "    after a loss: voters there (n, p50, worst ms) {:?}, all fresh {:?}",
+        "    after a loss (count, p50, worst ms): voters back {:?}, changes committed again {:?}",
         times(&summary.voted),
         times(&summary.again)
     );
-    let (loss, back): (Vec<_>, Vec<_>) = summary.full.iter().copied().unzip();
-    println!("    full strength: from the loss {:?}, from the last return {:?}", times(&loss), times(&back));
+    let (since_loss, since_return): (Vec<_>, Vec<_>) = summary.full.iter().copied().unzip();
+    println!(
+        "    all voters ready: since the loss {:?}, since the last return {:?}",
+        times(&since_loss),
+        times(&since_return)
+    );
 }
 
+/// Prints the outcome of the changes, reads and faults of a control profile.
 fn print_control(control: &ControlSummary) {
     println!(
-        "    orders: taken {} in p50 {} p99 {} ms repeated {} read {} answers lost {} bad refused {} workers acknowledged {} {:?} {:?}",
+        "    control: committed {} in p50 {} p99 {} ms repeated {} reads {} responses lost {} invalid rejected {} cores stopped {} faults {:?} variants {:?}",
         control.taken,
         percentile_ms(&control.took, 50),
         percentile_ms(&control.took, 99),
@@ -158,16 +168,17 @@
     );
 }
 
-/// The most bytes first: the order must not depend on the names of the kinds of messages.
+/// Prints the traffic between zones by kind of message, the most bytes first. The order must not depend on
+/// the names of the kinds.
 fn print_zone_traffic(summary: &Summary) {
     let mut kinds: Vec<_> = summary.far.iter().collect();
     kinds.sort_by_key(|(_, (frames, bytes))| std::cmp::Reverse((*bytes, *frames)));
     for (kind, (frames, bytes)) in kinds {
-        println!("    between zones: {kind:10} {frames:7} frames {bytes:9} bytes");
+        println!("    cross-zone: {kind:10} {frames:7} frames {bytes:9} bytes");
     }
 }
 
-/// The percentile of times in microseconds, in whole milliseconds; 0 without any.
+/// Returns a percentile of times in microseconds, in whole milliseconds; 0 if there are no times.
 fn percentile_ms(times: &[Micros], percent: usize) -> u64 {
     let mut sorted = times.to_vec();
     sorted.sort_unstable();
--- a/crates/testbed/src/engines/case.rs
+++ b/crates/testbed/src/engines/case.rs
@@ -1,66 +1,72 @@
-//! What is emulated: a deployment, its traffic, its faults and the strategy of its fronts.
+//! The configuration of an emulator run: deployment, traffic, faults and placement strategy.
 
 use super::deployment::Deployment;
 use sumacvale_core::base::{MS, Micros};
 use sumacvale_core::config::PlacementWeights;
 
-/// How a front chooses a worker.
+/// The placement strategy of the fronts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Strategy {
     /// The placement of `sumacvale-core`.
-    Place,
-    /// The ring with bounded loads, as calls without prompts' parts are placed.
-    Ring,
-    /// The least own and reported load in the zone.
-    Least,
-    /// Plain rendezvous hashing in the zone.
-    Hash,
-    /// The least cost by the exact present state of every worker.
+    Placement,
+    /// Consistent hashing with bounded loads, which `sumacvale-core` uses for calls without prompt segments.
+    BoundedLoadRing,
+    /// The least load in the front's zone: the front's own calls and the calls that workers reported.
+    LeastLoad,
+    /// Rendezvous hashing within the front's zone.
+    RendezvousHash,
+    /// The least cost, computed from the exact current state of every worker.
     Oracle,
 }
 
 impl Strategy {
-    /// Every strategy, in the order of the report.
-    pub const ALL: [Strategy; 5] = [Strategy::Place, Strategy::Ring, Strategy::Least, Strategy::Hash, Strategy::Oracle];
+    /// All strategies, in the order of the report.
+    pub const ALL: [Strategy; 5] = [
+        Strategy::Placement,
+        Strategy::BoundedLoadRing,
+        Strategy::LeastLoad,
+        Strategy::RendezvousHash,
+        Strategy::Oracle,
+    ];
 
-    /// Its name on the command line and in the report.
+    /// Returns the name of the strategy on the command line and in the report.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
-            Strategy::Place => "place",
-            Strategy::Ring => "ring",
-            Strategy::Least => "least",
-            Strategy::Hash => "hash",
+            Strategy::Placement => "place",
+            Strategy::BoundedLoadRing => "ring",
+            Strategy::LeastLoad => "least",
+            Strategy::RendezvousHash => "hash",
             Strategy::Oracle => "oracle",
         }
     }
 }
 
-/// One run of the emulator.
+/// The configuration of one run of the emulator.
 #[derive(Clone, Debug)]
 pub struct Case {
     /// The workers, fronts and calls.
     pub deployment: Deployment,
-    /// How the fronts choose.
+    /// The placement strategy of all fronts.
     pub strategy: Strategy,
-    /// The weights of placement; the oracle uses those for zones and prefixes too.
+    /// The weights of placement. The oracle uses `zone_locality` and `prefix_affinity`, too.
     pub weights: PlacementWeights,
     /// The seed of all random draws.
     pub seed: u64,
-    /// How long calls arrive, in seconds of virtual time; 34 by default.
+    /// The time during which calls arrive, in seconds of virtual time; 34 by default.
     pub seconds: u64,
-    /// The traffic in parts of the deployment's; 1 by default.
-    pub load: f64,
-    /// A third of the workers is lost in the middle third; false by default.
-    pub lose_workers: bool,
-    /// This share of the summaries is about one subject in the middle third; 0 by default.
-    pub hot_share: f64,
-    /// Chats arrive so many times as often in the middle third; 1 by default.
-    pub chat_burst: f64,
+    /// The factor on the deployment's call rates; 1 by default.
+    pub load_factor: f64,
+    /// True if a third of the workers is down during the middle third of the run; false by default.
+    pub crash_workers: bool,
+    /// The fraction of summaries about one subject in the middle third of the run; 0 by default.
+    pub hot_subject_fraction: f64,
+    /// The factor on the rate of chats in the middle third of the run; 1 by default.
+    pub chat_burst_factor: f64,
 }
 
 impl Case {
-    /// A case with the default settings.
+    /// Creates a case with the default settings.
     #[must_use]
     pub fn new(deployment: Deployment, strategy: Strategy, seed: u64) -> Self {
         let weights = PlacementWeights {
@@ -74,14 +80,14 @@
             weights,
             seed,
             seconds: 34,
-            load: 1.0,
-            lose_workers: false,
-            hot_share: 0.0,
-            chat_burst: 1.0,
+            load_factor: 1.0,
+            crash_workers: false,
+            hot_subject_fraction: 0.0,
+            chat_burst_factor: 1.0,
         }
     }
 
-    /// When the last call has arrived, in microseconds.
+    /// Returns the time at which calls stop arriving, in microseconds.
     pub(super) fn end(&self) -> Micros {
         self.seconds * 1_000 * MS
     }
--- a/crates/testbed/src/engines/deployment.rs
+++ b/crates/testbed/src/engines/deployment.rs
@@ -1,157 +1,160 @@
-//! The deployments that are emulated: engines, fronts and the kinds of calls.
+//! The emulated deployments: engines, fronts and kinds of calls.
 
-/// How fast an engine is and how much it holds.
+/// The speed and the capacity of an inference engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineProfile {
-    /// Calls that it runs at the same time.
+    /// The number of calls that run at the same time.
     pub slots: usize,
-    /// Calls that may wait for a slot.
+    /// The number of calls that may wait for a slot.
     pub queue_capacity: usize,
     /// The fixed time of a step, in milliseconds.
     pub step_ms: f64,
     /// The time that each decoding call adds to a step, in milliseconds.
     pub slot_ms: f64,
-    /// The time that each thousand tokens of decoding calls' context add to a step, in milliseconds.
+    /// The time that each thousand context tokens of decoding calls add to a step, in milliseconds.
     pub context_ms: f64,
-    /// Prompt tokens that prefill computes in a millisecond, apart from attention.
+    /// The number of prompt tokens that prefill computes in a millisecond, without attention.
     pub prefill_tokens_per_ms: f64,
-    /// The time that attention of prefill takes for a million pairs of tokens, in milliseconds.
+    /// The time of prefill attention for a million pairs of tokens, in milliseconds.
     pub attention_ms: f64,
-    /// The time that the first event and the end of a response take besides the network, in milliseconds.
+    /// The delay of the first event and of the end of a response, without the network, in milliseconds.
     pub response_ms: f64,
-    /// Tokens in each event of a stream.
+    /// The number of tokens in each event of a stream.
     pub tokens_per_event: u32,
-    /// Prompt tokens that one step computes at most.
+    /// The maximum number of prompt tokens that one step computes.
     pub prefill_chunk: u32,
-    /// Tokens that the KV cache holds.
+    /// The capacity of the KV cache, in tokens.
     pub kv_cache_tokens: u64,
 }
 
-/// A log-normal distribution of sizes, cut off at both ends.
+/// A log-normal distribution of sizes, clamped to the range from 1 to `max`.
 #[derive(Clone, Copy, Debug)]
 pub struct SizeDistribution {
-    /// The mean before the cut.
+    /// The mean before clamping.
     pub mean: f64,
     /// The standard deviation of the logarithm.
     pub sigma: f64,
-    /// The largest size; the smallest is 1.
+    /// The largest size.
     pub max: f64,
 }
 
-/// A kind of call. Its prompt has a shared head, a shared subject and a part of its own.
+/// A kind of call. Each prompt has three segments: a shared head, a shared subject and a segment unique
+/// to the call.
 #[derive(Clone, Copy, Debug)]
 pub struct CallKind {
-    /// Its name in the report.
+    /// The name of the kind in the report.
     pub name: &'static str,
-    /// Calls a second.
+    /// The number of calls per second.
     pub rate: f64,
-    /// Within this time to the first event a call has its full worth, in milliseconds.
+    /// The time to the first event within which a call has its full utility, in milliseconds.
     pub latency_target_ms: u64,
-    /// When the client gives up, in milliseconds after the call was sent.
+    /// The time after which the client gives up, in milliseconds after the call was sent.
     pub time_limit_ms: u64,
-    /// Its rank, 0 first.
+    /// The rank of the calls in queues; 0 is the most urgent.
     pub urgency: u8,
-    /// What a call is worth that meets its latency target.
-    pub worth: f64,
-    /// The share of the worth that a call earns which is complete but late.
-    pub late_share: f64,
+    /// The utility of a call that meets its latency target.
+    pub utility: f64,
+    /// The fraction of `utility` that a complete but late call has.
+    pub late_utility_fraction: f64,
     /// The size of a shared head, in tokens.
     pub head: SizeDistribution,
-    /// How many shared heads there are.
+    /// The number of shared heads.
     pub heads: u64,
     /// The size of a shared subject, in tokens.
     pub subject: SizeDistribution,
-    /// How many shared subjects there are.
+    /// The number of shared subjects.
     pub subjects: u64,
-    /// The size of the part that is the call's own, in tokens.
-    pub own: SizeDistribution,
+    /// The size of the segment unique to the call, in tokens.
+    pub unique: SizeDistribution,
     /// The number of events in the response.
     pub events: SizeDistribution,
-    /// The size of the request's body, in bytes.
+    /// The size of the request body, in bytes.
     pub request_bytes: u32,
 }
 
-/// The sizes of a deployment and what it is asked to do.
+/// The size of a deployment, its engines and its traffic.
 #[derive(Clone, Copy, Debug)]
 pub struct Deployment {
-    /// Its name on the command line.
+    /// The name of the deployment on the command line.
     pub name: &'static str,
-    /// Zones, over which fronts and workers are spread evenly.
+    /// The number of zones; fronts and workers are spread evenly over them.
     pub zones: usize,
-    /// Nodes that take calls.
+    /// The number of nodes that accept calls.
     pub fronts: usize,
-    /// Model workers.
+    /// The number of model workers.
     pub workers: usize,
-    /// The one-way time between zones, in milliseconds.
+    /// The one-way network delay between zones, in milliseconds.
     pub cross_zone_ms: f64,
-    /// The longest gap within a stream that costs no worth, in milliseconds.
+    /// The longest gap within a stream that costs no utility, in milliseconds.
     pub max_stream_gap_ms: u64,
     /// The engine of each worker.
     pub engine: EngineProfile,
-    /// Drafts, chats and summaries.
+    /// The kinds of calls: drafts, chats and summaries, in this order.
     pub kinds: [CallKind; 3],
 }
 
+/// Returns a distribution of sizes.
 const fn size(mean: f64, sigma: f64, max: f64) -> SizeDistribution {
     SizeDistribution { mean, sigma, max }
 }
 
-const fn kind(name: &'static str, rate: f64, latency_target_ms: u64, urgency: u8, worth: f64) -> CallKind {
+/// Returns a kind of call with the defaults of all kinds; prompt and response sizes are yet to be set.
+const fn kind(name: &'static str, rate: f64, latency_target_ms: u64, urgency: u8, utility: f64) -> CallKind {
     CallKind {
         name,
         rate,
         latency_target_ms,
         time_limit_ms: 10_000,
         urgency,
-        worth,
-        late_share: 0.1,
+        utility,
+        late_utility_fraction: 0.1,
         head: size(0.0, 0.0, 0.0),
         heads: 1,
         subject: size(0.0, 0.0, 0.0),
         subjects: 1,
-        own: size(0.0, 0.0, 0.0),
+        unique: size(0.0, 0.0, 0.0),
         events: size(0.0, 0.0, 0.0),
         request_bytes: 0,
     }
 }
 
-const fn draft(rate: f64, subjects: u64, late_share: f64) -> CallKind {
+const fn draft(rate: f64, subjects: u64, late_utility_fraction: f64) -> CallKind {
     CallKind {
-        late_share,
+        late_utility_fraction,
         time_limit_ms: 12_000,
         head: size(512.0, 0.4, 1_280.0),
         subject: size(4_870.0, 0.7, 14_600.0),
         subjects,
-        own: size(6_610.0, 1.4, 54_600.0),
+        unique: size(6_610.0, 1.4, 54_600.0),
         events: size(54.6, 0.44, 160.0),
         request_bytes: 12_000,
         ..kind("draft", rate, 600, 0, 3.0)
     }
 }
 
-const fn chat(rate: f64, heads: u64, subjects: u64, late_share: f64, latency_target_ms: u64) -> CallKind {
+const fn chat(rate: f64, heads: u64, subjects: u64, late_utility_fraction: f64, latency_target_ms: u64) -> CallKind {
     CallKind {
-        late_share,
+        late_utility_fraction,
         head: size(119.0, 0.4, 298.0),
         heads,
         subject: size(79.4, 0.7, 238.0),
         subjects,
-        own: size(628.0, 1.0, 3_310.0),
+        unique: size(628.0, 1.0, 3_310.0),
         events: size(41.6, 0.69, 136.0),
         request_bytes: 830,
         ..kind("chat", rate, latency_target_ms, 1, 2.0)
     }
 }
 
-const fn summary(rate: f64, subjects: u64, late_share: f64) -> CallKind {
+const fn summary(rate: f64, subjects: u64, late_utility_fraction: f64) -> CallKind {
     CallKind {
-        late_share,
+        late_utility_fraction,
         time_limit_ms: 2_500,
         head: size(341.0, 0.4, 851.0),
         heads: 40,
         subject: size(227.0, 0.7, 681.0),
         subjects,
-        own: size(1_800.0, 1.3, 6_870.0),
+        unique: size(1_800.0, 1.3, 6_870.0),
         events: size(3.22, 1.4, 12.9),
         request_bytes: 2_400,
         ..kind("summary", rate, 1_000, 2, 1.0)
@@ -159,7 +162,7 @@
 }
 
 impl Deployment {
-    /// Mtatsminda: 6 fronts, 18 workers and fast links between zones.
+    /// Mtatsminda: 6 fronts, 18 workers and low latency between zones.
     pub const MTATSMINDA: Deployment = Deployment {
         name: "mtatsminda",
         zones: 3,
@@ -183,7 +186,7 @@
         kinds: [draft(31.7, 218, 0.1), chat(60.0, 20, 414, 0.1, 500), summary(54.8, 378, 0.1)],
     };
 
-    /// Derwent: 9 fronts, 9 workers and slower links between zones.
+    /// Derwent: 9 fronts, 9 workers and higher latency between zones.
     pub const DERWENT: Deployment = Deployment {
         name: "derwent",
         zones: 3,
@@ -207,7 +210,7 @@
         kinds: [draft(15.8, 89, 0.5), chat(43.6, 8, 370, 0.5, 600), summary(28.5, 242, 0.5)],
     };
 
-    /// Many fronts in front of many workers, with long and short prompts of the same urgency.
+    /// Aspenline: 90 fronts and 112 workers, with long and short prompts of the same urgency.
     pub const ASPENLINE: Deployment = Deployment {
         name: "aspenline",
         zones: 3,
@@ -233,7 +236,7 @@
                 latency_target_ms: 1_000,
                 time_limit_ms: 15_000,
                 urgency: 1,
-                worth: 2.0,
+                utility: 2.0,
                 events: size(47.8, 0.44, 140.0),
                 ..draft(214.0, 810, 0.3)
             },
@@ -242,7 +245,7 @@
                 latency_target_ms: 500,
                 time_limit_ms: 3_000,
                 urgency: 1,
-                worth: 3.0,
+                utility: 3.0,
                 heads: 16,
                 events: size(2.82, 1.4, 11.3),
                 ..summary(571.0, 3_238, 0.3)
@@ -250,7 +253,7 @@
         ],
     };
 
-    /// The deployment of this name.
+    /// Returns the deployment with this name.
     #[must_use]
     pub fn named(name: &str) -> Option<Deployment> {
         [Deployment::MTATSMINDA, Deployment::DERWENT, Deployment::ASPENLINE]
--- a/crates/testbed/src/engines/emulation.rs
+++ b/crates/testbed/src/engines/emulation.rs
@@ -1,4 +1,4 @@
-//! The run of a case: fronts, workers and the network between them, event by event.
+//! The discrete-event simulation of a case: fronts, workers and the network between them.
 
 use super::case::Case;
 use super::choice::Choice;
@@ -14,63 +14,64 @@
 use sumacvale_core::placement::{CallOutcome, EngineModels, PlacementTable, WorkerLoads};
 use sumacvale_core::protocol::WorkerReport;
 
-/// The most attempts of a call.
+/// The maximum number of attempts of a call.
 const MAX_ATTEMPTS: u32 = 2;
-/// One of so many workers is slower, and one of so many is lost.
+/// One in this many workers is slower, and one in this many crashes.
 const WORKER_GROUPS: usize = 3;
-/// How much longer the steps of a slower worker take.
+/// The factor on the step time of a slower worker.
 const SLOWDOWN: f64 = 1.3;
-/// The one-way time within a zone, in milliseconds.
+/// The one-way network delay within a zone, in milliseconds.
 const SAME_ZONE_MS: f64 = 0.2;
-/// The most that is added to a one-way time, in microseconds.
-const JITTER: Micros = 200;
-/// How long until a loss is known to every front, in microseconds.
-const LOSS_DETECTION: Micros = 1_500 * MS;
+/// The upper bound of the jitter of a network delay, in microseconds.
+const MAX_JITTER: Micros = 200;
+/// The time until all fronts have detected a crash, in microseconds.
+const CRASH_DETECTION_DELAY: Micros = 1_500 * MS;
 
-/// The worker and the ticket of a call's present attempt.
+/// The front, the worker and the ticket of a call's current attempt.
 struct Attempt {
     front: usize,
     worker: usize,
     ticket: u64,
 }
 
-/// How long choices took, by the clock of the machine.
+/// The wall-clock time that choices took.
 #[derive(Default)]
 struct ChoiceTime {
     total: Duration,
-    choices: u64,
+    count: u64,
 }
 
 impl ChoiceTime {
     fn record(&mut self, elapsed: Duration) {
         self.total += elapsed;
-        self.choices += 1;
+        self.count += 1;
     }
 
     fn mean_ns(&self) -> u64 {
-        u64::try_from(self.total.as_nanos()).unwrap_or(u64::MAX) / self.choices.max(1)
+        u64::try_from(self.total.as_nanos()).unwrap_or(u64::MAX) / self.count.max(1)
     }
 }
 
+/// The state of a run.
 struct Emulation {
     case: Case,
     calls: Vec<Call>,
-    /// What became of each of `calls`.
+    /// The outcome of each call, by its index in `calls`.
     records: Vec<CallRecord>,
     workers: Vec<Worker>,
     fronts: Vec<Front>,
-    /// The membership that every front has.
+    /// The workers that all fronts know; a crashed worker stays in the table until its crash is detected.
     table: PlacementTable,
     rng: Rng,
     events: EventQueue,
     choice_time: ChoiceTime,
 }
 
-/// Runs a case to its end.
+/// Runs a case until no event is pending.
 #[must_use]
 pub fn run(case: &Case) -> Report {
     let mut emulation = Emulation::new(case);
-    emulation.schedule_case();
+    emulation.schedule_initial_events();
     while let Some((now, event)) = emulation.events.next() {
         emulation.handle(event, now);
     }
@@ -106,25 +107,25 @@
             choice_time: ChoiceTime::default(),
             case: case.clone(),
         };
-        emulation.table = emulation.present_table();
+        emulation.table = emulation.current_table();
         emulation
     }
 
-    fn schedule_case(&mut self) {
+    fn schedule_initial_events(&mut self) {
         for (call, sent) in self.calls.iter().enumerate() {
             self.events.schedule(sent.sent_at, Event::Arrived { call });
         }
-        if self.case.lose_workers {
+        if self.case.crash_workers {
             let third = self.case.end() / 3;
-            self.events.schedule(third, Event::WorkersLost);
-            self.events.schedule(2 * third, Event::WorkersReturned);
+            self.events.schedule(third, Event::WorkersCrashed);
+            self.events.schedule(2 * third, Event::WorkersRestarted);
         }
     }
 
-    /// The membership with every worker that is not lost.
-    fn present_table(&self) -> PlacementTable {
-        let present = self.workers.iter().enumerate().filter(|(_, worker)| !worker.is_lost());
-        let reports: Vec<_> = present.map(|(index, worker)| self.worker_report(index, worker)).collect();
+    /// Returns a table of all workers that are up.
+    fn current_table(&self) -> PlacementTable {
+        let up_workers = self.workers.iter().enumerate().filter(|(_, worker)| !worker.is_crashed());
+        let reports: Vec<_> = up_workers.map(|(index, worker)| self.worker_report(index, worker)).collect();
         PlacementTable::new(reports.iter())
     }
 
@@ -135,7 +136,7 @@
             addr: format!("10.0.0.1:{}", 1_000 + index),
             zone: zone_name(worker.zone()),
             incarnation: 1,
-            seq: self.events.scheduled(),
+            seq: self.events.scheduled_count(),
             slots: self.case.deployment.engine.slots as u32,
             busy: 0,
             draining: false,
@@ -153,7 +154,7 @@
             Event::FirstToken { call, load } => self.record_first_token(call, load, now),
             Event::Completed { call } => self.end_attempt(call, CallOutcome::Done, now),
             Event::DeadlinePassed { call } => {
-                if !self.records[call].completed {
+                if !self.records[call].is_completed {
                     self.end_attempt(call, CallOutcome::Failed, now);
                 }
             }
@@ -162,17 +163,17 @@
                 self.retry(call, now);
             }
             Event::ConnectionLost { call } => self.handle_lost_connection(call, now),
-            Event::WorkersLost => self.lose_workers(now),
-            Event::LossKnown => self.table = self.present_table(),
-            Event::WorkersReturned => self.return_workers(),
+            Event::WorkersCrashed => self.crash_workers(now),
+            Event::CrashDetected => self.table = self.current_table(),
+            Event::WorkersRestarted => self.restart_workers(),
         }
     }
 
-    /// Chooses a worker for a call and forwards it, or refuses the call.
+    /// Chooses a worker for a call and forwards the call to it, or rejects the call.
     fn start_attempt(&mut self, call: usize, now: Micros) {
         let begin = Instant::now();
         let Some(endpoint) = self.choose(call, now) else {
-            self.records[call].refused = true;
+            self.records[call].is_rejected = true;
             return;
         };
         let endpoint = &self.table.endpoints[endpoint];
@@ -184,7 +185,7 @@
         self.choice_time.record(begin.elapsed());
         record.worker = worker;
         record.attempts += 1;
-        record.crossed_zones |= front.zone != self.workers[worker].zone();
+        record.has_crossed_zones |= front.zone != self.workers[worker].zone();
         let deadline = sent.deadline();
         let delay = self.draw_delay(call, worker);
         self.events.schedule(now + delay, Event::Forwarded { call, worker });
@@ -205,19 +206,19 @@
         choice.choose()
     }
 
-    /// Draws the one-way time between a call's front and a worker, in microseconds.
+    /// Draws the one-way network delay between a call's front and a worker, in microseconds.
     fn draw_delay(&mut self, call: usize, worker: usize) -> Micros {
         let same_zone = self.fronts[self.calls[call].front].zone == self.workers[worker].zone();
         let delay_ms = if same_zone { SAME_ZONE_MS } else { self.case.deployment.cross_zone_ms };
-        to_micros(delay_ms) + self.rng.below(JITTER)
+        to_micros(delay_ms) + self.rng.below(MAX_JITTER)
     }
 
-    /// A worker receives a call and queues or declines it.
+    /// Queues a call at the worker that received it, or declines it if the worker is full.
     fn receive(&mut self, call: usize, worker: usize, now: Micros) {
-        if self.workers[worker].is_lost() || self.workers[worker].is_full() {
+        if self.workers[worker].is_crashed() || self.workers[worker].is_full() {
             let delay = self.draw_delay(call, worker);
-            let lost = self.workers[worker].is_lost();
-            let event = if lost { Event::ConnectionLost { call } } else { Event::Declined { call } };
+            let is_crashed = self.workers[worker].is_crashed();
+            let event = if is_crashed { Event::ConnectionLost { call } } else { Event::Declined { call } };
             self.events.schedule(now + delay, event);
             return;
         }
@@ -235,23 +236,23 @@
     }
 
     fn complete_step(&mut self, worker: usize, now: Micros) {
-        if self.workers[worker].is_lost() {
+        if self.workers[worker].is_crashed() {
             return;
         }
         for output in self.workers[worker].complete_step() {
             match output {
-                StepOutput::Event { call, first } => self.send_event(call, worker, first, now),
+                StepOutput::Event { call, is_first } => self.send_event(call, worker, is_first, now),
                 StepOutput::End { call } => self.send_end(call, worker, now),
             }
         }
         self.begin_step(worker, now);
     }
 
-    fn send_event(&mut self, call: usize, worker: usize, first: bool, now: Micros) {
+    fn send_event(&mut self, call: usize, worker: usize, is_first: bool, now: Micros) {
         let delay = self.draw_delay(call, worker) + self.response_delay();
         let record = &mut self.records[call];
         record.record_event(now);
-        if first && record.first_event.is_none() {
+        if is_first && record.first_event.is_none() {
             record.first_event = Some(now + delay);
             let load = self.workers[worker].load();
             self.events.schedule(now + delay, Event::FirstToken { call, load });
@@ -260,7 +261,7 @@
 
     fn send_end(&mut self, call: usize, worker: usize, now: Micros) {
         let delay = self.draw_delay(call, worker) + self.response_delay();
-        self.records[call].completed = true;
+        self.records[call].is_completed = true;
         self.events.schedule(now + delay, Event::Completed { call });
     }
 
@@ -282,7 +283,7 @@
         front.models.record_load(POOL, &worker_id(worker), load.running, load.waiting, now);
     }
 
-    /// Records the end of the present attempt, once.
+    /// Records the end of the current attempt, unless it was recorded before.
     fn end_attempt(&mut self, call: usize, outcome: CallOutcome, now: Micros) {
         if !self.records[call].end_attempt() {
             return;
@@ -293,7 +294,7 @@
         front.models.record_end(POOL, &worker_id(worker), ticket, outcome, now);
     }
 
-    /// Starts another attempt at another worker, if one is left.
+    /// Starts another attempt at another worker, unless the call has had all its attempts.
     fn retry(&mut self, call: usize, now: Micros) {
         let record = &mut self.records[call];
         if record.attempts < MAX_ATTEMPTS {
@@ -314,7 +315,7 @@
         }
     }
 
-    fn lose_workers(&mut self, now: Micros) {
+    fn crash_workers(&mut self, now: Micros) {
         for worker in 0..self.workers.len() {
             if !(worker / self.case.deployment.zones).is_multiple_of(WORKER_GROUPS) {
                 continue;
@@ -324,14 +325,14 @@
                 self.events.schedule(now + delay, Event::ConnectionLost { call });
             }
         }
-        self.events.schedule(now + LOSS_DETECTION, Event::LossKnown);
+        self.events.schedule(now + CRASH_DETECTION_DELAY, Event::CrashDetected);
     }
 
-    fn return_workers(&mut self) {
-        for worker in self.workers.iter_mut().filter(|worker| worker.is_lost()) {
+    fn restart_workers(&mut self) {
+        for worker in self.workers.iter_mut().filter(|worker| worker.is_crashed()) {
             *worker = worker.restarted();
         }
-        self.table = self.present_table();
+        self.table = self.current_table();
     }
 
     fn report(&self) -> Report {
@@ -348,7 +349,7 @@
     fn prefill_totals(&self) -> PrefillTotals {
         let counts = || self.workers.iter().map(Worker::counts);
         let shared_tokens = counts().map(|counts| counts.shared_tokens).sum();
-        // Each segment must be computed once somewhere.
+        // Each segment has to be computed at least once by some worker.
         let segments: BTreeMap<u64, u32> =
             counts().flat_map(|counts| counts.shared_segments.iter().map(|(key, tokens)| (*key, *tokens))).collect();
         let needed_tokens = segments.values().map(|tokens| u64::from(*tokens)).sum::<u64>();
--- a/crates/testbed/src/engines/mod.rs
+++ b/crates/testbed/src/engines/mod.rs
@@ -1,8 +1,8 @@
-//! An emulator of model workers in virtual time (engine steps, chunked prefill, prefix cache,
-//! preemption), whose calls several fronts place by `sumacvale-core` or by other strategies.
+//! An emulator of model workers in virtual time, with engine steps, chunked prefill, a prefix cache
+//! and preemption. Fronts place calls by `sumacvale-core` or by another strategy.
 //!
-//! A run depends on its [`Case`] alone: the same seed gives the same events and the same
-//! [`Report`], except for the measured time of a choice.
+//! A run is deterministic: the same [`Case`] gives the same events and the same [`Report`], except
+//! for the measured time of a choice.
 
 mod case;
 mod choice;
--- a/crates/testbed/src/engines/report.rs
+++ b/crates/testbed/src/engines/report.rs
@@ -1,4 +1,4 @@
-//! What a run of the emulator earned and cost.
+//! The report of an emulator run: latency, utility and costs.
 
 use super::case::Case;
 use super::deployment::CallKind;
@@ -6,29 +6,29 @@
 use super::traffic::Call;
 use sumacvale_core::base::{MS, Micros};
 
-/// The intervals of which the worst is reported, in microseconds.
-const INTERVAL: Micros = 2_000 * MS;
+/// The length of the intervals of which the worst is reported, in microseconds.
+const REPORT_INTERVAL: Micros = 2_000 * MS;
 
-/// Prefill of shared segments, in tokens.
+/// The totals of prefill of shared segments, in tokens.
 #[derive(Clone, Copy, Debug)]
 pub struct PrefillTotals {
-    /// Tokens that were computed.
+    /// Tokens that were computed, including repeated ones.
     pub shared_tokens: u64,
-    /// Those of them that had been computed before, at the same worker or at another one.
+    /// The part of `shared_tokens` that had been computed before, at the same worker or another one.
     pub repeated_tokens: u64,
 }
 
-/// Everything that a report is made of.
+/// The inputs of a report.
 pub struct Results<'a> {
-    /// What was run.
+    /// The case that was run.
     pub case: &'a Case,
-    /// The calls.
+    /// All calls that were sent.
     pub calls: &'a [Call],
-    /// What became of each of `calls`.
+    /// The outcome of each call, by its index in `calls`.
     pub records: &'a [CallRecord],
-    /// Prefill of all workers.
+    /// The totals of prefill over all workers.
     pub prefill: PrefillTotals,
-    /// Sequences that lost their slot.
+    /// The number of preempted sequences.
     pub preempted: u64,
     /// The mean time of a choice, in nanoseconds.
     pub choice_ns: u64,
@@ -43,40 +43,40 @@
         self.case.deployment.kinds.iter().enumerate()
     }
 
-    fn is_slow(&self, record: &CallRecord) -> bool {
+    fn has_long_gap(&self, record: &CallRecord) -> bool {
         record.longest_gap > self.case.deployment.max_stream_gap_ms * MS
     }
 
-    /// Whether a call earned its full worth.
+    /// Returns true if a call has its full utility.
     fn is_in_time(&self, call: &Call, record: &CallRecord) -> bool {
         let meets_target = latency(call, record).is_some_and(|latency| latency <= call.request.latency_target);
-        record.completed && !self.is_slow(record) && meets_target
+        record.is_completed && !self.has_long_gap(record) && meets_target
     }
 }
 
-/// The time to the first event at the front, in microseconds.
+/// Returns the time from sending the call to the first event at the front, in microseconds.
 fn latency(call: &Call, record: &CallRecord) -> Option<Micros> {
     record.first_event.map(|first| first - call.sent_at)
 }
 
-/// The calls of one kind.
+/// The results of the calls of one kind.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct KindReport {
     /// The name of the kind.
     pub name: &'static str,
-    /// Calls that were sent.
+    /// The number of calls that were sent.
     pub calls: usize,
-    /// Percent of the calls that earned their full worth.
+    /// The percentage of calls with their full utility.
     pub in_time_percent: f64,
-    /// Times to the first event at the front.
+    /// The time to the first event at the front.
     pub latency: Percentiles,
-    /// Calls whose stream had a longer gap than the deployment allows.
+    /// The number of calls whose stream had a longer gap than the deployment allows.
     pub long_gaps: usize,
-    /// Calls whose response was not completed.
+    /// The number of calls whose response was not completed.
     pub incomplete: usize,
 }
 
-/// Percentiles of times, in milliseconds; 0 without any.
+/// Percentiles of times, in milliseconds; all are 0 if there are no times.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Percentiles {
     /// The median.
@@ -105,107 +105,108 @@
             calls: calls.len(),
             in_time_percent: in_time as f64 * 100.0 / calls.len().max(1) as f64,
             latency: Percentiles::of(calls.iter().filter_map(|(call, record)| latency(call, record)).collect()),
-            long_gaps: calls.iter().filter(|(_, record)| results.is_slow(record)).count(),
-            incomplete: calls.iter().filter(|(_, record)| !record.completed).count(),
+            long_gaps: calls.iter().filter(|(_, record)| results.has_long_gap(record)).count(),
+            incomplete: calls.iter().filter(|(_, record)| !record.is_completed).count(),
         }
     }
 }
 
-/// The worth of the calls that were sent in one interval.
+/// The utility of the calls that were sent in one interval.
 #[derive(Clone, Copy, Debug, Default)]
-struct Worth {
-    /// The worth of all calls.
+struct Utility {
+    /// The utility if all calls met their targets.
     possible: f64,
-    /// What the completed calls earned.
-    earned: f64,
+    /// The utility of the calls that were completed.
+    accrued: f64,
 }
 
-/// The worth of each interval.
-struct Intervals(Vec<Worth>);
+/// The utility of each interval of [`REPORT_INTERVAL`].
+struct Intervals(Vec<Utility>);
 
 impl Intervals {
     fn new(results: &Results) -> Self {
-        let mut intervals = vec![Worth::default(); results.case.seconds as usize / 2 + 1];
+        let mut intervals = vec![Utility::default(); results.case.seconds as usize / 2 + 1];
         for (index, kind) in results.kinds() {
             for (call, record) in results.calls().filter(|(call, _)| call.kind == index) {
-                let worth = &mut intervals[(call.sent_at / INTERVAL) as usize];
-                worth.possible += kind.worth;
-                if record.completed {
+                let utility = &mut intervals[(call.sent_at / REPORT_INTERVAL) as usize];
+                utility.possible += kind.utility;
+                if record.is_completed {
                     let in_time = results.is_in_time(call, record);
-                    worth.earned += kind.worth * if in_time { 1.0 } else { kind.late_share };
+                    utility.accrued += kind.utility * if in_time { 1.0 } else { kind.late_utility_fraction };
                 }
             }
         }
         Intervals(intervals)
     }
 
-    fn earned_percent(&self) -> f64 {
-        let earned = self.0.iter().map(|worth| worth.earned).sum::<f64>();
-        earned * 100.0 / self.0.iter().map(|worth| worth.possible).sum::<f64>().max(1.0)
+    fn accrued_percent(&self) -> f64 {
+        let accrued = self.0.iter().map(|utility| utility.accrued).sum::<f64>();
+        accrued * 100.0 / self.0.iter().map(|utility| utility.possible).sum::<f64>().max(1.0)
     }
 
-    fn worst_percent(&self) -> f64 {
-        let with_calls = self.0.iter().filter(|worth| worth.possible > 0.0);
-        with_calls.map(|worth| worth.earned * 100.0 / worth.possible).fold(100.0, f64::min)
+    fn worst_interval_percent(&self) -> f64 {
+        let with_calls = self.0.iter().filter(|utility| utility.possible > 0.0);
+        with_calls.map(|utility| utility.accrued * 100.0 / utility.possible).fold(100.0, f64::min)
     }
 }
 
-/// What a run earned and cost.
+/// The results of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    /// The calls by kind.
+    /// The results of the calls, by kind.
     pub kinds: Vec<KindReport>,
-    /// Percent of the possible worth that was earned.
-    pub worth_percent: f64,
-    /// The same in the worst two seconds.
-    pub worst_percent: f64,
-    /// Tokens of shared segments that prefill computed.
+    /// The percentage of the possible utility that was accrued.
+    pub utility_percent: f64,
+    /// The lowest `utility_percent` of an interval of two seconds.
+    pub worst_interval_percent: f64,
+    /// The number of tokens of shared segments that prefill computed.
     pub shared_tokens: u64,
-    /// Those of them that had been computed before, at the same worker or at another one.
+    /// The part of `shared_tokens` that had been computed before, at the same worker or another one.
     pub repeated_tokens: u64,
-    /// Bytes that crossed between zones.
+    /// The number of bytes sent between zones.
     pub cross_zone_bytes: u64,
-    /// Calls for which no worker could be chosen.
-    pub refused: usize,
-    /// Sequences that lost their slot to make room.
+    /// The number of calls for which no worker could be chosen.
+    pub rejected: usize,
+    /// The number of sequences that were preempted to free cache capacity.
     pub preempted: u64,
-    /// The measured time of a choice and its record, in nanoseconds; all else depends on the case alone.
+    /// The mean wall-clock time of a choice and its recording, in nanoseconds. All other fields are
+    /// determined by the case.
     pub choice_ns: u64,
 }
 
 impl Report {
     pub(super) fn new(results: &Results) -> Report {
         let intervals = Intervals::new(results);
-        let crossing = results.calls().filter(|(_, record)| record.crossed_zones);
+        let cross_zone = results.calls().filter(|(_, record)| record.has_crossed_zones);
         Report {
             kinds: results.kinds().map(|(index, kind)| KindReport::new(results, index, kind)).collect(),
-            worth_percent: intervals.earned_percent(),
-            worst_percent: intervals.worst_percent(),
+            utility_percent: intervals.accrued_percent(),
+            worst_interval_percent: intervals.worst_interval_percent(),
             shared_tokens: results.prefill.shared_tokens,
             repeated_tokens: results.prefill.repeated_tokens,
-            cross_zone_bytes: crossing.map(|(call, _)| u64::from(call.request.bytes)).sum(),
-            refused: results.records.iter().filter(|record| record.refused).count(),
+            cross_zone_bytes: cross_zone.map(|(call, _)| u64::from(call.request.bytes)).sum(),
+            rejected: results.records.iter().filter(|record| record.is_rejected).count(),
             preempted: results.preempted,
             choice_ns: results.choice_ns,
         }
     }
 
-    /// Prints a line for the run and one for each kind of call.
+    /// Prints one line for the run and one line for each kind of call.
     pub fn print(&self, name: &str) {
         println!(
-            "{name:7} worth {:5.1} % worst 2 s {:5.1} % | shared read {:6}k again {:6}k | between zones {:6} kB | refused {} put back {} | {} ns",
-            self.worth_percent,
-            self.worst_percent,
+            "{name:7} utility {:5.1} % worst 2 s {:5.1} % | shared prefill {:6}k repeated {:6}k | cross-zone {:6} kB | rejected {} preempted {} | {} ns",
+            self.utility_percent,
+            self.worst_interval_percent,
             self.shared_tokens / 1000,
             self.repeated_tokens / 1000,
             self.cross_zone_bytes / 1000,
-            self.refused,
+            self.rejected,
             self.preempted,
             self.choice_ns
         );
         for kind in &self.kinds {
             println!(
-                "        {:8} {:5} within {:5.1} % first p50 {:4} p95 {:4} p99 {:5} ms, long pauses {}, not done {}",
+                "        {:8} {:5} in time {:5.1} % first event p50 {:4} p95 {:4} p99 {:5} ms, long gaps {}, incomplete {}",
                 kind.name,
                 kind.calls,
                 kind.in_time_percent,
--- a/crates/testbed/src/engines/worker.rs
+++ b/crates/testbed/src/engines/worker.rs
@@ -1,5 +1,5 @@
-//! A model worker: an engine that steps while it has calls, with chunked prefill, a cache of
-//! prompt prefixes and preemption when the cache is full.
+//! An emulated model worker: an engine with chunked prefill, a prefix cache, and preemption when the
+//! cache is full. The engine steps while the worker has calls.
 
 use super::deployment::EngineProfile;
 use super::events::Load;
@@ -7,67 +7,80 @@
 use sumacvale_core::base::Micros;
 use sumacvale_core::placement::PromptSegment;
 
-/// Tokens that must be free besides a prompt before a call gets a slot.
-const ADMISSION_RESERVE: u64 = 64;
+/// The number of cache tokens that must be free in addition to the prompt before a call gets a slot.
+const ADMISSION_RESERVE_TOKENS: u64 = 64;
 
 /// A call at a worker.
 #[derive(Clone, Debug)]
 pub struct Sequence {
     /// The index of the call.
     pub call: usize,
-    /// Its rank, 0 first.
+    /// The rank in the queue; 0 is the most urgent.
     pub urgency: u8,
-    /// When its client gives up, in microseconds.
+    /// The time at which the client gives up, in microseconds.
     pub deadline: Micros,
-    /// The prefixes of its prompt.
+    /// The segments of the prompt; each key identifies the prefix up to the end of the segment.
     pub chain: Vec<PromptSegment>,
-    /// Prompt tokens that prefill has yet to compute.
-    pub uncomputed: u32,
-    /// Prompt tokens that are computed, from the cache or by prefill.
-    pub computed: u32,
-    /// Tokens that were generated.
-    pub generated: u32,
-    /// Tokens after which the response is complete.
+    /// The number of prompt tokens that prefill has yet to compute.
+    pub uncomputed_tokens: u32,
+    /// The number of prompt tokens that are in the cache or were computed by prefill.
+    pub computed_tokens: u32,
+    /// The number of tokens generated so far.
+    pub generated_tokens: u32,
+    /// The number of generated tokens at which the response is complete.
     pub output_tokens: u32,
-    /// Its place in the order of arrival at the worker.
+    /// The position in the order of arrival at the worker.
     arrival: u64,
 }
 
 impl Sequence {
-    /// A sequence of which nothing is computed.
+    /// Creates a sequence of whose prompt nothing is computed yet.
     pub fn new(call: usize, urgency: u8, deadline: Micros, chain: Vec<PromptSegment>, output_tokens: u32) -> Self {
-        let uncomputed = chain.iter().map(|segment| segment.tokens).sum();
-        Sequence { call, urgency, deadline, chain, uncomputed, computed: 0, generated: 0, output_tokens, arrival: 0 }
+        let uncomputed_tokens = chain.iter().map(|segment| segment.tokens).sum();
+        Sequence {
+            call,
+            urgency,
+            deadline,
+            chain,
+            uncomputed_tokens,
+            computed_tokens: 0,
+            generated_tokens: 0,
+            output_tokens,
+            arrival: 0,
+        }
     }
 }
 
-/// The segments that other prompts may share: all but the last.
+/// Returns the segments that other prompts may share: all but the last.
 pub fn shared_segments(chain: &[PromptSegment]) -> &[PromptSegment] {
     chain.split_last().map_or(&[], |(_, shared)| shared)
 }
 
-/// A cached segment.
+/// A cached segment of a prompt.
 #[derive(Clone, Debug)]
 struct Block {
     tokens: u32,
-    /// Running sequences that use it; it stays while there are any.
+    /// The number of running sequences that use the block. A referenced block is never evicted.
     references: u32,
-    /// Prefill has computed it, so that other sequences need not.
-    computed: bool,
+    /// True once prefill has computed the block; other sequences can then use it.
+    is_computed: bool,
+    /// The value of [`KvCache::clock`] at the last use.
     last_used: u64,
 }
 
-/// The KV cache. Blocks that nobody uses stay until there is no room, the least recently used
-/// leave first.
+/// The KV cache. Unreferenced blocks stay until their capacity is needed; the least recently used
+/// block is evicted first.
 #[derive(Clone, Debug)]
 struct KvCache {
+    /// The maximum of `block_tokens` and `generated_tokens` together.
     capacity: u64,
+    /// The cached blocks, by the key of their segment.
     blocks: BTreeMap<u64, Block>,
-    /// The tokens of all `blocks`.
+    /// The number of tokens in all `blocks`.
     block_tokens: u64,
-    /// The generated tokens of all running sequences.
+    /// The number of tokens that the running sequences have generated.
     generated_tokens: u64,
-    /// Rises with each use.
+    /// A logical clock, incremented with each use of a block.
     clock: u64,
 }
 
@@ -77,16 +90,16 @@
     }
 
     fn is_computed(&self, key: u64) -> bool {
-        self.blocks.get(&key).is_some_and(|block| block.computed)
+        self.blocks.get(&key).is_some_and(|block| block.is_computed)
     }
 
-    /// How many tokens from the start of a chain are computed.
+    /// Returns the number of computed tokens from the start of a chain.
     fn computed_tokens(&self, chain: &[PromptSegment]) -> u32 {
         chain.iter().take_while(|segment| self.is_computed(segment.key)).map(|segment| segment.tokens).sum()
     }
 
-    /// Evicts unused blocks until so many tokens fit; false if they cannot.
-    fn make_room(&mut self, tokens: u64) -> bool {
+    /// Evicts unreferenced blocks until `tokens` more fit. Returns false if they do not fit.
+    fn evict_until_fits(&mut self, tokens: u64) -> bool {
         while self.block_tokens + self.generated_tokens + tokens > self.capacity {
             let unused = self.blocks.iter().filter(|(_, block)| block.references == 0);
             let Some(key) = unused.min_by_key(|(_, block)| block.last_used).map(|(key, _)| *key) else {
@@ -103,14 +116,14 @@
         }
     }
 
-    /// Adds the chain with a reference to each segment; false, and unchanged references, if there is
-    /// no room for it.
+    /// Adds the chain and references each of its blocks. Returns false and leaves the references
+    /// unchanged if the chain does not fit.
     fn acquire(&mut self, chain: &[PromptSegment]) -> bool {
-        // Referenced first: making room must not evict the chain's own blocks.
+        // References are taken before eviction, which must not remove blocks of this chain.
         self.update_blocks(chain, |block| block.references += 1);
         let missing = chain.iter().filter(|segment| !self.blocks.contains_key(&segment.key));
         let missing_tokens: u64 = missing.map(|segment| u64::from(segment.tokens)).sum();
-        if !self.make_room(missing_tokens + ADMISSION_RESERVE) {
+        if !self.evict_until_fits(missing_tokens + ADMISSION_RESERVE_TOKENS) {
             self.update_blocks(chain, |block| block.references -= 1);
             return false;
         }
@@ -118,29 +131,31 @@
         for segment in chain {
             let block = self.blocks.entry(segment.key).or_insert_with(|| {
                 self.block_tokens += u64::from(segment.tokens);
-                Block { tokens: segment.tokens, references: 1, computed: false, last_used: 0 }
+                Block { tokens: segment.tokens, references: 1, is_computed: false, last_used: 0 }
             });
             block.last_used = self.clock;
         }
         true
     }
 
-    /// Ends a sequence's use of its chain. Blocks that were not computed are worth nothing to others.
+    /// Releases the references of a sequence to its chain. Unreferenced blocks that were not computed
+    /// are removed, as other sequences cannot use them.
     fn release(&mut self, sequence: &Sequence) {
-        self.generated_tokens -= u64::from(sequence.generated);
+        self.generated_tokens -= u64::from(sequence.generated_tokens);
         self.clock += 1;
         for segment in &sequence.chain {
             let Some(block) = self.blocks.get_mut(&segment.key) else { continue };
             block.references -= 1;
             block.last_used = self.clock;
-            if block.references == 0 && !block.computed {
+            if block.references == 0 && !block.is_computed {
                 self.remove(segment.key);
             }
         }
     }
 
+    /// Marks the blocks of a chain as computed.
     fn mark_computed(&mut self, chain: &[PromptSegment]) {
-        self.update_blocks(chain, |block| block.computed = true);
+        self.update_blocks(chain, |block| block.is_computed = true);
     }
 
     fn update_blocks(&mut self, chain: &[PromptSegment], update: impl Fn(&mut Block)) {
@@ -152,15 +167,15 @@
     }
 }
 
-/// What a step sends to fronts.
+/// An output of a step, which the worker sends to a front.
 #[derive(Clone, Copy, Debug)]
 pub enum StepOutput {
     /// An event of a stream.
     Event {
         /// The index of the call.
         call: usize,
-        /// It is the first since the call got its slot.
-        first: bool,
+        /// True for the first event since the call got its slot.
+        is_first: bool,
     },
     /// The end of a response.
     End {
@@ -169,14 +184,14 @@
     },
 }
 
-/// What a worker has done; it survives a restart, so that a run counts everything.
+/// The counters of a worker. A restart keeps them, so that they cover the whole run.
 #[derive(Clone, Debug, Default)]
 pub struct WorkerCounts {
-    /// Sequences that lost their slot to make room.
+    /// The number of sequences that were preempted to free cache capacity.
     pub preempted: u64,
-    /// Tokens of shared segments that prefill had to compute.
+    /// The number of tokens of shared segments that prefill had to compute.
     pub shared_tokens: u64,
-    /// The shared segments that prefill had to compute, by key, with their tokens.
+    /// The number of tokens of each shared segment that prefill had to compute, by the key of the segment.
     pub shared_segments: BTreeMap<u64, u32>,
 }
 
@@ -184,27 +199,33 @@
 #[derive(Clone, Debug)]
 pub struct Worker {
     engine: EngineProfile,
-    /// How much longer its steps take than the profile says.
+    /// The factor on the step time of the engine profile.
     slowdown: f64,
+    /// The index of the zone.
     zone: usize,
-    lost: bool,
-    stepping: bool,
+    /// True from a crash until the restart.
+    is_crashed: bool,
+    /// True while a step is in progress.
+    is_stepping: bool,
+    /// The sequences that have a slot, in the order in which they got it.
     running: Vec<Sequence>,
+    /// The sequences that wait for a slot.
     waiting: Vec<Sequence>,
+    /// The number of calls that were queued so far.
     arrivals: u64,
     cache: KvCache,
     counts: WorkerCounts,
 }
 
 impl Worker {
-    /// A worker without calls and with an empty cache.
+    /// Creates a worker without calls and with an empty cache.
     pub fn new(engine: EngineProfile, slowdown: f64, zone: usize) -> Self {
         Worker {
             engine,
             slowdown,
             zone,
-            lost: false,
-            stepping: false,
+            is_crashed: false,
+            is_stepping: false,
             running: Vec::new(),
             waiting: Vec::new(),
             arrivals: 0,
@@ -213,38 +234,38 @@
         }
     }
 
-    /// The same worker started again: empty, with its counts.
+    /// Returns this worker after a restart: without calls, with an empty cache and with its counters.
     pub fn restarted(&self) -> Worker {
         Worker { counts: self.counts.clone(), ..Worker::new(self.engine, self.slowdown, self.zone) }
     }
 
-    /// The index of its zone.
+    /// Returns the index of the zone.
     pub fn zone(&self) -> usize {
         self.zone
     }
 
-    /// How much longer its steps take than the engine's profile says.
+    /// Returns the factor on the step time of the engine profile.
     pub fn slowdown(&self) -> f64 {
         self.slowdown
     }
 
-    /// Whether it crashed and was not restarted.
-    pub fn is_lost(&self) -> bool {
-        self.lost
+    /// Returns true from a crash until the restart.
+    pub fn is_crashed(&self) -> bool {
+        self.is_crashed
     }
 
-    /// What it has done.
+    /// Returns the counters of the whole run.
     pub fn counts(&self) -> &WorkerCounts {
         &self.counts
     }
 
-    /// Its present calls.
+    /// Returns the number of calls at the worker.
     pub fn load(&self) -> Load {
-        let running = self.running.iter().filter(|sequence| sequence.generated > 0).count();
+        let running = self.running.iter().filter(|sequence| sequence.generated_tokens > 0).count();
         Load { running: running as u32, waiting: (self.call_count() - running) as u32 }
     }
 
-    /// Whether it declines further calls.
+    /// Returns true if the worker declines further calls.
     pub fn is_full(&self) -> bool {
         self.call_count() >= self.engine.slots + self.engine.queue_capacity
     }
@@ -253,20 +274,20 @@
         self.running.len() + self.waiting.len()
     }
 
-    /// How many tokens of a chain need no prefill.
+    /// Returns the number of tokens of a chain that need no prefill.
     pub fn computed_tokens(&self, chain: &[PromptSegment]) -> u32 {
         self.cache.computed_tokens(chain)
     }
 
-    /// Prompt tokens that are computed before those of a new call of this urgency.
+    /// Returns the number of prompt tokens that are computed before those of a new call of this urgency.
     pub fn prefill_ahead(&self, urgency: u8) -> f64 {
-        let running = self.running.iter().map(|sequence| f64::from(sequence.uncomputed)).sum::<f64>();
+        let running = self.running.iter().map(|sequence| f64::from(sequence.uncomputed_tokens)).sum::<f64>();
         let waiting = self.waiting.iter().filter(|sequence| sequence.urgency <= urgency);
         running + waiting.map(|sequence| f64::from(self.uncached_tokens(sequence))).sum::<f64>()
     }
 
     fn uncached_tokens(&self, sequence: &Sequence) -> u32 {
-        sequence.uncomputed - self.computed_tokens(&sequence.chain).min(sequence.uncomputed)
+        sequence.uncomputed_tokens - self.computed_tokens(&sequence.chain).min(sequence.uncomputed_tokens)
     }
 
     /// Adds a call to the queue.
@@ -276,18 +297,19 @@
         self.waiting.push(sequence);
     }
 
-    /// Begins a step, unless one is under way or there is nothing to do; gives its duration in
+    /// Begins a step, unless one is in progress or no call can run. Returns its duration in
     /// microseconds.
     pub fn begin_step(&mut self, now: Micros) -> Option<Micros> {
-        if self.stepping {
+        if self.is_stepping {
             return None;
         }
         self.drop_expired(now);
         self.fill_slots();
-        self.stepping = !self.running.is_empty();
-        self.stepping.then(|| self.compute_step())
+        self.is_stepping = !self.running.is_empty();
+        self.is_stepping.then(|| self.compute_step())
     }
 
+    /// Removes the calls whose clients have given up.
     fn drop_expired(&mut self, now: Micros) {
         self.waiting.retain(|sequence| sequence.deadline > now);
         for expired in self.running.extract_if(.., |sequence| sequence.deadline <= now) {
@@ -301,20 +323,21 @@
             let order = |index: &usize| (self.waiting[*index].urgency, self.waiting[*index].arrival);
             let Some(index) = (0..self.waiting.len()).min_by_key(order) else { return };
             let chain = &self.waiting[index].chain;
-            let computed = self.cache.computed_tokens(chain);
+            let computed_tokens = self.cache.computed_tokens(chain);
             if !self.cache.acquire(chain) {
                 return;
             }
             let mut sequence = self.waiting.remove(index);
             self.count_shared_prefill(&sequence.chain);
             let tokens: u32 = sequence.chain.iter().map(|segment| segment.tokens).sum();
-            // The last token is computed anyway: generation begins with its result.
-            sequence.uncomputed = (tokens - computed).max(1);
-            sequence.computed = computed;
+            // The last token is always computed: generation starts from its result.
+            sequence.uncomputed_tokens = (tokens - computed_tokens).max(1);
+            sequence.computed_tokens = computed_tokens;
             self.running.push(sequence);
         }
     }
 
+    /// Counts the shared segments of a chain that prefill has to compute.
     fn count_shared_prefill(&mut self, chain: &[PromptSegment]) {
         for segment in shared_segments(chain) {
             if !self.cache.is_computed(segment.key) {
@@ -324,87 +347,87 @@
         }
     }
 
-    /// Computes a chunk of the prompts; gives the duration of the step in microseconds.
+    /// Computes a chunk of the prompts. Returns the duration of the step in microseconds.
     fn compute_step(&mut self) -> Micros {
         let engine = &self.engine;
         let mut chunk_left = engine.prefill_chunk;
         let (mut step_ms, mut decoding, mut context_tokens) = (engine.step_ms, 0.0, 0.0);
         for sequence in &mut self.running {
-            if sequence.uncomputed == 0 {
+            if sequence.uncomputed_tokens == 0 {
                 decoding += 1.0;
-                context_tokens += f64::from(sequence.computed + sequence.generated);
+                context_tokens += f64::from(sequence.computed_tokens + sequence.generated_tokens);
                 continue;
             }
-            let chunk = sequence.uncomputed.min(chunk_left);
+            let chunk = sequence.uncomputed_tokens.min(chunk_left);
             chunk_left -= chunk;
-            step_ms += prefill_ms(engine, sequence.computed, chunk);
-            sequence.uncomputed -= chunk;
-            sequence.computed += chunk;
+            step_ms += prefill_ms(engine, sequence.computed_tokens, chunk);
+            sequence.uncomputed_tokens -= chunk;
+            sequence.computed_tokens += chunk;
         }
         step_ms += decoding * engine.slot_ms + context_tokens / 1_000.0 * engine.context_ms;
         (step_ms * self.slowdown * 1_000.0) as Micros
     }
 
-    /// Ends a step: a token for each sequence whose prompt is computed.
+    /// Ends a step and generates a token for each sequence whose prompt is computed.
     pub fn complete_step(&mut self) -> Vec<StepOutput> {
         let mut output = Vec::new();
         let mut index = 0;
         while index < self.running.len() {
-            let can_generate =
-                self.running[index].uncomputed == 0 && (self.cache.make_room(1) || self.preempt_behind(index));
-            // A completed sequence leaves, and the next one has its index.
+            let can_generate = self.running[index].uncomputed_tokens == 0
+                && (self.cache.evict_until_fits(1) || self.preempt_behind(index));
+            // A completed sequence is removed, and the next sequence takes its index.
             if !can_generate || !self.generate_token(index, &mut output) {
                 index += 1;
             }
         }
-        self.stepping = false;
+        self.is_stepping = false;
         output
     }
 
-    /// Generates a token; true if the sequence was completed by it and removed.
+    /// Generates a token. Returns true if the token completed the sequence, which was then removed.
     fn generate_token(&mut self, index: usize, output: &mut Vec<StepOutput>) -> bool {
         let sequence = &mut self.running[index];
-        if sequence.generated == 0 {
+        if sequence.generated_tokens == 0 {
             self.cache.mark_computed(&sequence.chain);
         }
-        sequence.generated += 1;
+        sequence.generated_tokens += 1;
         self.cache.generated_tokens += 1;
-        let (call, first) = (sequence.call, sequence.generated == 1);
-        let complete = sequence.generated >= sequence.output_tokens;
-        if first || complete || sequence.generated.is_multiple_of(self.engine.tokens_per_event) {
-            output.push(StepOutput::Event { call, first });
+        let (call, is_first) = (sequence.call, sequence.generated_tokens == 1);
+        let is_complete = sequence.generated_tokens >= sequence.output_tokens;
+        if is_first || is_complete || sequence.generated_tokens.is_multiple_of(self.engine.tokens_per_event) {
+            output.push(StepOutput::Event { call, is_first });
         }
-        if complete {
+        if is_complete {
             output.push(StepOutput::End { call });
             let sequence = self.running.remove(index);
             self.cache.release(&sequence);
         }
-        complete
+        is_complete
     }
 
-    /// Returns the newest of the least urgent sequences to the queue, if it stands behind `index`;
-    /// its tokens are then computed again.
+    /// Moves the newest of the least urgent sequences back to the queue if its index is above `index`;
+    /// its tokens are computed again later. Returns false if there is no such sequence.
     fn preempt_behind(&mut self, index: usize) -> bool {
         let order = |index: &usize| (self.running[*index].urgency, self.running[*index].arrival);
         let victim = (0..self.running.len()).max_by_key(order).filter(|victim| *victim > index);
         let Some(victim) = victim else { return false };
         let mut sequence = self.running.remove(victim);
         self.cache.release(&sequence);
-        sequence.output_tokens -= sequence.generated.min(sequence.output_tokens - 1);
-        sequence.generated = 0;
+        sequence.output_tokens -= sequence.generated_tokens.min(sequence.output_tokens - 1);
+        sequence.generated_tokens = 0;
         self.counts.preempted += 1;
         self.waiting.push(sequence);
         true
     }
 
-    /// Loses the worker with all its calls, which it gives by index.
+    /// Crashes the worker and returns the indices of the calls that it had.
     pub fn crash(&mut self) -> Vec<usize> {
-        self.lost = true;
+        self.is_crashed = true;
         self.running.drain(..).chain(self.waiting.drain(..)).map(|sequence| sequence.call).collect()
     }
 }
 
-/// The time of prefill for a chunk behind so many computed tokens, in milliseconds.
+/// Returns the prefill time of a chunk that follows `computed` tokens, in milliseconds.
 fn prefill_ms(engine: &EngineProfile, computed: u32, chunk: u32) -> f64 {
     let (computed, chunk) = (f64::from(computed), f64::from(chunk));
     chunk / engine.prefill_tokens_per_ms + chunk * (computed + chunk / 2.0) / 1e6 * engine.attention_ms
--- a/crates/testbed/src/fleet/config.rs
+++ b/crates/testbed/src/fleet/config.rs
@@ -1,28 +1,28 @@
-//! The configuration of the fleets that are tried.
+//! The configuration that test fleets run with.
 
 use super::spec::FleetSpec;
 use sumacvale_core::base::sha256_hex;
 
-/// Calls of a tenant in a window.
-pub const QUOTA: u64 = 120;
-/// The length of a window, in milliseconds.
+/// The quota of each tenant, in calls per window of [`WINDOW_MS`].
+pub const CALLS_PER_WINDOW: u64 = 120;
+/// The length of a quota window, in milliseconds.
 const WINDOW_MS: u64 = 1_000;
-/// The first tenants, which have most of the traffic, also have a higher weight.
+/// The number of tenants with a higher weight: the first ones, which have most of the traffic.
 const BUSY_TENANTS: usize = 2;
 
-/// The key of a tenant.
+/// Returns the API key of a tenant.
 #[must_use]
 pub fn tenant_key(tenant: usize) -> String {
     format!("key-of-tenant-{tenant}")
 }
 
-/// Whether the calls of a path must not run twice.
+/// Returns true if a call to this path must not run more than once.
 pub fn must_not_repeat(path: &str) -> bool {
     matches!(path, "/v1/chat" | "/v1/summary" | "/v1/book")
 }
 
-/// The configuration of a fleet as JSON: `extra_matches` make each version differ, and the
-/// `revoked` tenants have no key.
+/// Returns the configuration of a fleet as JSON. A different number of `extra_matches` gives a different
+/// configuration; the tenants in `revoked` have no key.
 #[must_use]
 pub fn config_tree(spec: FleetSpec, extra_matches: usize, revoked: &[usize]) -> String {
     let tenants: Vec<_> = (0..spec.tenants).map(|tenant| tenant_entry(tenant, revoked.contains(&tenant))).collect();
@@ -30,7 +30,7 @@
         .map(|number| format!(",\"x{number}\":{{\"path\":\"/x/{number}\",\"pool\":\"app\"}}"))
         .collect();
     format!(
-        "{{\"defaults\":{{\"quota\":{{\"calls\":{QUOTA},\"window_ms\":{WINDOW_MS}}},\"prefix_chars\":32}},\
+        "{{\"defaults\":{{\"quota\":{{\"calls\":{CALLS_PER_WINDOW},\"window_ms\":{WINDOW_MS}}},\"prefix_chars\":32}},\
          \"pools\":{{\"llm\":{{}},\"app\":{{}}}},\
          \"matches\":{{\
          \"draft\":{{\"path\":\"/v1/draft\",\"pool\":\"llm\",\"kind\":\"draft\",\"resume\":true}},\
@@ -43,6 +43,7 @@
     )
 }
 
+/// Returns the JSON entry of a tenant.
 fn tenant_entry(tenant: usize, is_revoked: bool) -> String {
     let hash = sha256_hex(tenant_key(tenant).as_bytes());
     let keys = if is_revoked { String::new() } else { format!("\"sha256:{hash}\"") };
--- a/crates/testbed/src/fleet/judge.rs
+++ b/crates/testbed/src/fleet/judge.rs
@@ -1,29 +1,29 @@
-//! The laws that no run may break, judged by what clients saw and what workers ran.
+//! The invariants of every run, checked against the records of clients and the logs of workers.
 
-use super::config::{QUOTA, must_not_repeat};
+use super::config::{CALLS_PER_WINDOW, must_not_repeat};
 use crate::standin::{ClientObservation, ClientRecord, WorkerRun};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// A revoked key may be served for so long.
+/// The time for which a revoked key may still be served.
 const REVOCATION_LIMIT: Duration = Duration::from_secs(5);
-/// A worker may get new calls for so long after it began to drain.
+/// The time for which a draining worker may still get new calls.
 const DRAIN_LIMIT: Duration = Duration::from_secs(2);
 
-/// Something that must never happen, and did.
+/// A violated invariant, described for the report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding(pub String);
 
-/// A tenant's key was withdrawn.
+/// The revocation of a tenant's key.
 #[derive(Clone, Debug)]
 pub struct Revocation {
-    /// The tenant.
+    /// The name of the tenant.
     pub tenant: String,
-    /// When the change was acknowledged.
+    /// The time at which the change was acknowledged.
     pub acknowledged_at: Instant,
 }
 
-/// Judges what clients saw against what workers ran.
+/// Checks all invariants and returns the violations.
 #[must_use]
 pub fn judge(records: &[ClientRecord], runs: &[WorkerRun], revocation: Option<&Revocation>) -> Vec<Finding> {
     let mut runs_by_call: BTreeMap<&str, Vec<&WorkerRun>> = BTreeMap::new();
@@ -33,17 +33,17 @@
     let mut findings = Vec::new();
     for record in records {
         let run_count = runs_by_call.get(record.call.as_str()).map_or(0, Vec::len);
-        findings.extend(judge_observation(record, run_count));
-        findings.extend(revocation.and_then(|revocation| judge_revocation(record, revocation)));
+        findings.extend(check_observation(record, run_count));
+        findings.extend(revocation.and_then(|revocation| check_revocation(record, revocation)));
     }
-    findings.extend(runs_by_call.iter().flat_map(|(call, runs)| judge_repetition(call, runs)));
-    findings.extend(runs.iter().filter_map(judge_draining));
-    findings.extend(judge_quotas(runs));
+    findings.extend(runs_by_call.iter().flat_map(|(call, runs)| check_repetition(call, runs)));
+    findings.extend(runs.iter().filter_map(check_draining));
+    findings.extend(check_quotas(runs));
     findings.into_iter().map(Finding).collect()
 }
 
-/// What a client saw must agree with how often its call ran.
-fn judge_observation(record: &ClientRecord, run_count: usize) -> Option<String> {
+/// Checks that the response which a client got agrees with the number of runs of its call.
+fn check_observation(record: &ClientRecord, run_count: usize) -> Option<String> {
     let call = &record.call;
     match &record.observation {
         ClientObservation::Violation(violation) => Some(violation.clone()),
@@ -58,7 +58,8 @@
     }
 }
 
-fn judge_revocation(record: &ClientRecord, revocation: &Revocation) -> Option<String> {
+/// Checks that a revoked key is not served after [`REVOCATION_LIMIT`].
+fn check_revocation(record: &ClientRecord, revocation: &Revocation) -> Option<String> {
     let Revocation { tenant, acknowledged_at } = revocation;
     let is_served_late = record.tenant == *tenant
         && record.observation == ClientObservation::Complete
@@ -66,8 +67,9 @@
     is_served_late.then(|| format!("{}: served for {tenant} more than 5 s after its key was withdrawn", record.call))
 }
 
-/// Calls that must not be repeated run once, and a stream is begun once at each event.
-fn judge_repetition(call: &str, runs: &[&WorkerRun]) -> Vec<String> {
+/// Checks that a call which must not be repeated ran at most once, and that a stream was started at most
+/// once at each event.
+fn check_repetition(call: &str, runs: &[&WorkerRun]) -> Vec<String> {
     let path = &runs[0].path;
     let starts: BTreeSet<_> = runs.iter().map(|run| run.resumed_after).collect();
     let mut findings = Vec::new();
@@ -80,21 +82,25 @@
     findings
 }
 
-fn judge_draining(run: &WorkerRun) -> Option<String> {
+/// Checks that a draining worker gets no new calls after [`DRAIN_LIMIT`]; it may still get resumed ones.
+fn check_draining(run: &WorkerRun) -> Option<String> {
     let is_late = run.draining_since.is_some_and(|since| run.began > since + DRAIN_LIMIT);
     (is_late && run.resumed_after.is_none())
         .then(|| format!("{}: sent to {} over 2 s after it began to drain", run.call, run.worker))
 }
 
-/// A call counts once, in the window that its unit belongs to, whenever it runs.
-fn judge_quotas(runs: &[WorkerRun]) -> Vec<String> {
-    let mut used: BTreeMap<(&str, u64), u64> = BTreeMap::new();
-    let mut counted = BTreeSet::new();
-    for run in runs.iter().filter(|run| counted.insert(&run.call)) {
-        *used.entry((&run.tenant, run.quota_window)).or_default() += 1;
+/// Checks that no tenant exceeds its quota. A call counts once, in the window that its quota unit belongs
+/// to, regardless of when it runs.
+fn check_quotas(runs: &[WorkerRun]) -> Vec<String> {
+    let mut calls_by_window: BTreeMap<(&str, u64), u64> = BTreeMap::new();
+    let mut counted_calls = BTreeSet::new();
+    for run in runs.iter().filter(|run| counted_calls.insert(&run.call)) {
+        *calls_by_window.entry((&run.tenant, run.quota_window)).or_default() += 1;
     }
-    let exceeded = used.into_iter().filter(|(_, calls)| *calls > QUOTA);
+    let exceeded = calls_by_window.into_iter().filter(|(_, calls)| *calls > CALLS_PER_WINDOW);
     exceeded
-        .map(|((tenant, window), calls)| format!("{tenant}: {calls} of {QUOTA} calls ran in window {window}"))
+        .map(|((tenant, window), calls)| {
+            format!("{tenant}: {calls} of {CALLS_PER_WINDOW} calls ran in window {window}")
+        })
         .collect()
 }
--- a/crates/testbed/src/fleet/platform.rs
+++ b/crates/testbed/src/fleet/load_balancer.rs
@@ -1,19 +1,21 @@
-//! The platform in front of the fleet, which checks readiness and directs clients.
+//! A load balancer in front of the fleet, which checks the readiness of fronts.
 
 use crate::standin::{HttpClient, http_client, request_text};
 use hyper::Method;
 use std::time::Duration;
 use tokio::sync::watch;
 
+/// The time between two rounds of readiness checks.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// The time-out of a readiness check.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The fronts that the platform now directs clients to.
+/// The fronts that are currently ready; clients send calls to these.
 pub type ReadyFronts = watch::Receiver<Vec<String>>;
 
-/// Starts the platform, which checks every front each second until it is stopped. All fronts
-/// count as ready until the first check.
-pub fn start_platform(fronts: Vec<String>, mut stop: watch::Receiver<bool>) -> ReadyFronts {
+/// Starts the load balancer, which checks all fronts each second until `stop` is true. All fronts are
+/// considered ready until the first check.
+pub fn start_load_balancer(fronts: Vec<String>, mut stop: watch::Receiver<bool>) -> ReadyFronts {
     let (ready_sender, ready_fronts) = watch::channel(fronts.clone());
     tokio::spawn(async move {
         let http = http_client();
@@ -31,6 +33,7 @@
     ready_fronts
 }
 
+/// Returns the fronts that are ready.
 async fn check_fronts(http: &HttpClient, fronts: &[String]) -> Vec<String> {
     let mut ready = Vec::new();
     for front in fronts {
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -1,12 +1,12 @@
-//! A whole fleet on loopback, as separate processes, with traffic and faults.
+//! A whole fleet on loopback: one process per node, with traffic and injected faults.
 
 mod config;
 mod judge;
+mod load_balancer;
 mod node;
 mod nodes;
-mod platform;
-mod rehearsal;
 mod report;
+mod scenario;
 mod setup;
 mod spec;
 mod traffic;
@@ -16,7 +16,7 @@
 pub use judge::{Finding, Revocation, judge};
 pub use node::Node;
 pub use nodes::{Fleet, Metrics};
-pub use rehearsal::{Outcomes, PrefixReuse, rehearse};
+pub use scenario::{PrefixReuse, ScenarioOutcome, run_scenario};
 pub use setup::{apply_config, start_fleet, wait_for_workers};
 pub use spec::FleetSpec;
 pub use trial::{client, ensure, run_trial};
--- a/crates/testbed/src/fleet/report.rs
+++ b/crates/testbed/src/fleet/report.rs
@@ -1,21 +1,21 @@
-//! What operators of the deployments would want to know about a rehearsal.
+//! The printed report of a scenario.
 
-use super::rehearsal::Outcomes;
+use super::scenario::ScenarioOutcome;
 use crate::standin::{ClientObservation, ClientRecord};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Findings that are printed.
+/// The maximum number of printed findings.
 const MAX_FINDINGS: usize = 20;
-/// A first byte after this time is printed as slow, in milliseconds.
+/// The time to first byte above which a call is printed as slow, in milliseconds.
 const SLOW_MS: u128 = 80;
 
-/// A percentile of sorted times, in milliseconds; 0 without any.
+/// Returns a percentile of sorted times, in milliseconds; 0 if there are no times.
 fn percentile_ms(sorted: &[Duration], percent: usize) -> u128 {
     if sorted.is_empty() { 0 } else { sorted[(sorted.len() - 1) * percent / 100].as_millis() }
 }
 
-impl Outcomes {
+impl ScenarioOutcome {
     /// Prints latencies, refusals, counters, costs, events and findings.
     pub fn print(&self) {
         println!("deployment {} for {} s, {} calls", self.spec.name, self.seconds, self.records.len());
@@ -28,7 +28,7 @@
         }
         self.print_costs();
         if std::env::var_os("TESTBED_SLOW").is_some() {
-            self.print_refused_calls();
+            self.print_rejected_calls();
             self.print_slow_calls();
         }
         for event in &self.events {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// When a call was sent, after the begin of the traffic.
+    /// Returns the time from the start of traffic to the sending of a call.
     fn sent_after(&self, record: &ClientRecord) -> Duration {
         record.sent_at.duration_since(self.began)
     }
@@ -59,7 +59,7 @@
         let mut all = by_second.into_values().flatten().collect::<Vec<_>>();
         all.sort_unstable();
         println!(
-            "  {kind:8} whole {:6}  first piece p50 {:4} ms  p99 {:4} ms  worst second's p99 {worst:4} ms",
+            "  {kind:8} complete {:6}  first byte p50 {:4} ms  p99 {:4} ms  worst second's p99 {worst:4} ms",
             all.len(),
             percentile_ms(&all, 50),
             percentile_ms(&all, 99)
@@ -78,23 +78,23 @@
 
     fn print_costs(&self) {
         let reuse = self.prefix_reuse;
-        println!("  calls that met a worker which had run their prefix: {} of {}", reuse.reused, reuse.runs);
+        println!("  runs with a reused prefix: {} of {}", reuse.reused, reuse.runs);
         let calls = self.records.len().max(1) as u64;
         let counter = |name: &str| self.counters.get(name).copied().unwrap_or(0);
         println!(
-            "  for each call: processor {} us, bytes between zones {} of calls and {} of control",
+            "  per call: processor time {} us, cross-zone bytes {} for calls and {} for control",
             self.cpu_ms * 1_000 / calls,
             counter("cross_zone_bytes") / calls,
             counter("peer_cross_zone_bytes") / calls
         );
     }
 
-    fn print_refused_calls(&self) {
-        let is_refused =
+    fn print_rejected_calls(&self) {
+        let is_rejected =
             |record: &&ClientRecord| matches!(record.observation, ClientObservation::Refused { status: 503, .. });
-        for record in self.records.iter().filter(is_refused) {
+        for record in self.records.iter().filter(is_rejected) {
             println!(
-                "  refused at {:.3} s after {} ms {} by {}: {:?}",
+                "  rejected at {:.3} s after {} ms {} by {}: {:?}",
                 self.sent_after(record).as_secs_f64(),
                 record.total.as_millis(),
                 record.tenant,
@@ -109,7 +109,7 @@
         for record in self.records.iter().filter(is_slow) {
             let run = self.runs.iter().find(|run| run.call == record.call);
             println!(
-                "  slow {:>9.3} s {} {} at {}: first piece {} ms, at the worker after {:?} ms",
+                "  slow {:>9.3} s {} {} at {}: first byte {} ms, at the worker after {:?} ms",
                 self.sent_after(record).as_secs_f64(),
                 record.kind,
                 record.tenant,
@@ -121,13 +121,13 @@
     }
 }
 
-/// A failure in words; none for a complete response.
+/// Describes a failure for the report; returns `None` for a complete response.
 fn describe_failure(observation: &ClientObservation) -> Option<String> {
     Some(match observation {
         ClientObservation::Complete => return None,
         ClientObservation::Refused { status, code, ran, .. } => format!("{status} {code} (ran {ran})"),
-        ClientObservation::Truncated { .. } => "broken off visibly".into(),
-        ClientObservation::NoResponse => "no answer".into(),
+        ClientObservation::Truncated { .. } => "truncated".into(),
+        ClientObservation::NoResponse => "no response".into(),
         ClientObservation::Violation(_) => "WRONG".into(),
     })
 }
--- a/crates/testbed/src/fleet/rehearsal.rs
+++ b/crates/testbed/src/fleet/scenario.rs
@@ -1,10 +1,10 @@
-//! A deployment for a bounded time, with traffic and the ordinary faults of the brief.
+//! A scenario: a deployment that runs for a bounded time with traffic and, if requested, injected faults.
 
 use super::config::{config_tree, tenant_key};
 use super::judge::{Finding, Revocation, judge};
+use super::load_balancer::start_load_balancer;
 use super::node::Node;
 use super::nodes::Fleet;
-use super::platform::start_platform;
 use super::setup::{CORES, apply_config, start_fleet};
 use super::spec::FleetSpec;
 use super::traffic::{ClientRecords, Traffic};
@@ -13,122 +13,127 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// The core that is killed and returns.
+/// The index of the core that is killed and restarted.
 const KILLED_CORE: usize = 0;
-/// The front that is killed and returns.
+/// The index of the front that is killed and restarted.
 const KILLED_FRONT: usize = 3;
-/// The front that is stopped and started again.
+/// The index of the front that is stopped by SIGTERM and restarted.
 const STOPPED_FRONT: usize = 4;
-/// The front through which the key is revoked.
+/// The index of the front through which the key is revoked.
 const REVOKING_FRONT: usize = 5;
-/// The worker that drains.
+/// The index of the worker that drains.
 const DRAINED_WORKER: usize = 0;
-/// The worker that crashes.
+/// The index of the worker that crashes.
 const CRASHED_WORKER: usize = 1;
 
-/// What a rehearsal saw.
-pub struct Outcomes {
-    /// The deployment.
+/// The records and findings of a scenario.
+pub struct ScenarioOutcome {
+    /// The deployment that was run.
     pub spec: FleetSpec,
-    /// How long traffic ran, in seconds.
+    /// The time for which traffic ran, in seconds.
     pub seconds: u64,
-    /// When traffic began.
+    /// The time at which traffic began.
     pub began: Instant,
-    /// What the clients saw.
+    /// The records of all calls of clients.
     pub records: Vec<ClientRecord>,
-    /// What the workers ran.
+    /// The runs of all calls at workers.
     pub runs: Vec<WorkerRun>,
-    /// What was done to the fleet, in words.
+    /// The injected faults and other steps, described for the report.
     pub events: Vec<String>,
-    /// The sum over all nodes of each counter that is not 0, without prefix and suffix.
+    /// The sum over all nodes of each counter, without the prefix and suffix of its name. Counters of 0 are
+    /// left out.
     pub counters: BTreeMap<String, u64>,
-    /// How well calls found the worker of their prefix.
+    /// The reuse of prompt prefixes at model workers.
     pub prefix_reuse: PrefixReuse,
-    /// Processor time of all processes that still run, in milliseconds.
+    /// The processor time of all processes that are running at the end, in milliseconds.
     pub cpu_ms: u64,
-    /// What must never happen, and did.
+    /// The violated invariants.
     pub findings: Vec<Finding>,
 }
 
-/// Runs at model workers.
+/// The number of runs at model workers whose prompt prefix may have been cached.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PrefixReuse {
-    /// Runs whose worker had run their prefix before.
+    /// Runs at a worker that had run the same prefix before.
     pub reused: u64,
-    /// All runs.
+    /// All runs at model workers.
     pub runs: u64,
 }
 
 impl PrefixReuse {
+    /// Counts the reuse in the order in which the runs began.
     fn of(runs: &[WorkerRun]) -> Self {
         let mut runs: Vec<_> = runs.iter().filter(|run| run.worker.starts_with("llm")).collect();
         runs.sort_by_key(|run| run.began);
-        let mut known = BTreeSet::new();
-        let reused = runs.iter().filter(|run| !known.insert((&run.path, &run.prefix, &run.worker))).count();
+        let mut seen_prefixes = BTreeSet::new();
+        let reused = runs.iter().filter(|run| !seen_prefixes.insert((&run.path, &run.prefix, &run.worker))).count();
         PrefixReuse { reused: reused as u64, runs: runs.len() as u64 }
     }
 }
 
-/// Runs a deployment with traffic from the seed and, if wanted, with faults.
+/// Runs a deployment with traffic drawn from the seed and, if requested, with injected faults.
 ///
 /// # Errors
 ///
-/// The fleet can't be started, or a change is not accepted. What merely must not happen is a
-/// finding of the outcomes.
-pub async fn rehearse(
+/// The fleet can't be started, or a change is not accepted. Violated invariants are no errors but
+/// findings of the outcome.
+pub async fn run_scenario(
     spec: FleetSpec,
     seconds: u64,
     seed: u64,
-    faults: bool,
+    with_faults: bool,
     scale_percent: u64,
-) -> Result<Outcomes, String> {
-    let mut rehearsal = Rehearsal::start(spec, seconds).await?;
+) -> Result<ScenarioOutcome, String> {
+    let mut scenario = Scenario::start(spec, seconds).await?;
     let (stop_sender, stop) = watch::channel(false);
-    let fronts = rehearsal.fleet.nodes[CORES..].iter().map(Node::front).collect();
+    let fronts = scenario.fleet.nodes[CORES..].iter().map(Node::front).collect();
     let records = ClientRecords::default();
     let traffic = Traffic {
         spec,
         http: http_client(),
-        fronts: start_platform(fronts, stop.clone()),
+        fronts: start_load_balancer(fronts, stop.clone()),
         seed,
         scale_percent,
         records: records.clone(),
     };
-    rehearsal.began = Instant::now();
+    scenario.began = Instant::now();
     let traffic = tokio::spawn(traffic.run(stop));
-    if faults {
-        rehearsal.inject_faults().await?;
+    if with_faults {
+        scenario.inject_faults().await?;
     }
-    rehearsal.wait_for_step(10).await;
+    scenario.wait_for_step(10).await;
     let _ = stop_sender.send(true);
     traffic.await.map_err(|error| error.to_string())?;
-    if faults {
-        rehearsal.check_revoked_key().await;
+    if with_faults {
+        scenario.check_revoked_key().await;
     }
-    Ok(rehearsal.finish(records.all(), faults).await)
+    Ok(scenario.finish(records.all(), with_faults).await)
 }
 
-/// A rehearsal that runs.
-struct Rehearsal {
+/// A running scenario.
+struct Scenario {
     spec: FleetSpec,
     seconds: u64,
     fleet: Fleet,
     workers: Vec<StandInWorker>,
     log: crate::standin::WorkerLog,
+    /// The time at which the fleet was started or, once traffic is sent, at which traffic began.
     began: Instant,
     events: Vec<String>,
     findings: Vec<Finding>,
+    /// The revocation of a key, once it was acknowledged.
     revocation: Option<Revocation>,
 }
 
-impl Rehearsal {
+impl Scenario {
+    /// Starts the fleet and its workers.
     async fn start(spec: FleetSpec, seconds: u64) -> Result<Self, String> {
         let began = Instant::now();
         let (fleet, workers, log) = start_fleet(spec, &config_tree(spec, 1, &[])).await?;
         let (node_count, worker_count) = (fleet.nodes.len(), workers.len());
         let event =
             format!("{node_count} nodes and {worker_count} workers ready after {} ms", began.elapsed().as_millis());
-        Ok(Rehearsal {
+        Ok(Scenario {
             spec,
             seconds,
             fleet,
@@ -141,13 +146,13 @@
         })
     }
 
-    /// Waits for a tenth of the rehearsal's time.
+    /// Waits until the start of a step; each step is a tenth of the scenario.
     async fn wait_for_step(&self, step: u32) {
         let step_length = Duration::from_millis(self.seconds * 100);
         tokio::time::sleep_until((self.began + step_length * step).into()).await;
     }
 
-    /// Records an event, or a finding where it took too long.
+    /// Records an event with its duration, or a finding if the event took too long.
     fn record(&mut self, event: &str, duration: Result<Duration, String>) {
         match duration {
             Ok(duration) => self.events.push(format!("{event} after {} ms", duration.as_millis())),
@@ -155,6 +160,7 @@
         }
     }
 
+    /// Injects the faults, one after another, at fixed steps.
     async fn inject_faults(&mut self) -> Result<(), String> {
         self.wait_for_step(1).await;
         self.change_config().await?;
@@ -177,28 +183,30 @@
         self.restart_front().await
     }
 
+    /// Changes the configuration and records the time until all nodes have the change.
     async fn change_config(&mut self) -> Result<(), String> {
         let version = apply_config(&self.fleet, STOPPED_FRONT, &config_tree(self.spec, 5, &[])).await?;
         let duration = self.fleet.wait_for_version(version, Duration::from_secs(2)).await;
-        self.record("a configuration change everywhere", duration);
+        self.record("a configuration change applied on all nodes", duration);
         Ok(())
     }
 
+    /// Returns the number of the tenant whose key is revoked.
     fn revoked_tenant(&self) -> usize {
         self.spec.tenants - 1
     }
 
-    /// Gives the version that has no key for the tenant.
+    /// Revokes the key of a tenant. Returns the version that contains the revocation.
     async fn revoke_key(&mut self) -> Result<u64, String> {
         let tenant = self.revoked_tenant();
         let version = apply_config(&self.fleet, REVOKING_FRONT, &config_tree(self.spec, 6, &[tenant])).await?;
         self.revocation = Some(Revocation { tenant: format!("t{tenant}"), acknowledged_at: Instant::now() });
         let duration = self.fleet.wait_for_version(version, Duration::from_secs(5)).await;
-        self.record("a key withdrawn everywhere", duration);
+        self.record("a key revocation applied on all nodes", duration);
         Ok(version)
     }
 
-    /// Restarts the killed nodes; the core must come back with what was acknowledged.
+    /// Restarts the killed nodes and checks that the core has all acknowledged versions.
     async fn restart_killed_nodes(&mut self, acknowledged: u64) -> Result<(), String> {
         for node in [KILLED_CORE, KILLED_FRONT] {
             self.fleet.start(node).map_err(|error| error.to_string())?;
@@ -207,22 +215,22 @@
         self.record("core and front ready again", duration);
         let newest = self.fleet.version(1).await.unwrap_or(0);
         if self.fleet.version(KILLED_CORE).await != Some(newest) || newest < acknowledged {
-            self.findings.push(Finding(format!("the core came back with another version than {newest}")));
+            self.findings.push(Finding(format!("the restarted core does not have version {newest}")));
         }
         Ok(())
     }
 
-    /// Stops a front, which must finish its calls, and starts it again.
+    /// Stops a front by SIGTERM, which must complete its calls, and restarts it.
     async fn restart_front(&mut self) -> Result<(), String> {
         self.fleet.signal(STOPPED_FRONT, libc::SIGTERM);
         match self.fleet.wait_for_exit(STOPPED_FRONT).await {
-            Some(0) => self.events.push("a front was told to stop and stopped cleanly".into()),
-            code => self.findings.push(Finding(format!("a front that was told to stop ended with {code:?}"))),
+            Some(0) => self.events.push("a front exited with code 0 after SIGTERM".into()),
+            code => self.findings.push(Finding(format!("a front exited with code {code:?} after SIGTERM"))),
         }
         self.fleet.start(STOPPED_FRONT).map_err(|error| error.to_string())
     }
 
-    /// No front may accept the revoked key at the end.
+    /// Checks that all fronts reject the revoked key at the end.
     async fn check_revoked_key(&mut self) {
         let tenant = self.revoked_tenant();
         let client = StandInClient {
@@ -235,12 +243,13 @@
         for index in CORES..self.fleet.nodes.len() {
             let record = client.call(&self.fleet.nodes[index].front(), &format!("late-{index}"), "x").await;
             if !matches!(&record.observation, ClientObservation::Refused { status: 401 | 503, .. }) {
-                let finding = format!("a withdrawn key got {:?} from {}", record.observation, record.front);
+                let finding = format!("a revoked key got {:?} from {}", record.observation, record.front);
                 self.findings.push(Finding(finding));
             }
         }
     }
 
+    /// Sums each counter over all nodes.
     async fn sum_counters(&self) -> BTreeMap<String, u64> {
         let mut counters: BTreeMap<String, u64> = BTreeMap::new();
         for index in 0..self.fleet.nodes.len() {
@@ -255,18 +264,18 @@
         counters
     }
 
-    /// Judges the rehearsal.
-    async fn finish(mut self, records: Vec<ClientRecord>, faults: bool) -> Outcomes {
+    /// Checks the invariants and returns the outcome.
+    async fn finish(mut self, records: Vec<ClientRecord>, with_faults: bool) -> ScenarioOutcome {
         let counters = self.sum_counters().await;
         let cpu_ms = self.fleet.nodes.iter().map(Node::cpu_ms).sum();
         let runs = self.log.runs();
         self.findings.extend(judge(&records, &runs, self.revocation.as_ref()));
-        self.findings.extend(judge_retries(&counters));
-        if faults {
-            self.findings.extend(judge_stop(&records, &self.fleet.nodes[STOPPED_FRONT].front()));
+        self.findings.extend(check_retries(&counters));
+        if with_faults {
+            self.findings.extend(check_graceful_stop(&records, &self.fleet.nodes[STOPPED_FRONT].front()));
         }
-        self.findings.extend(judge_completeness(&records));
-        Outcomes {
+        self.findings.extend(check_completeness(&records));
+        ScenarioOutcome {
             spec: self.spec,
             seconds: self.seconds,
             began: self.began,
@@ -281,25 +290,25 @@
     }
 }
 
-/// Retries are bounded by a share of the first attempts.
-fn judge_retries(counters: &BTreeMap<String, u64>) -> Option<Finding> {
+/// Checks that retries are at most a quarter of the first attempts, plus 10.
+fn check_retries(counters: &BTreeMap<String, u64>) -> Option<Finding> {
     let counter = |name| counters.get(name).copied().unwrap_or(0);
     let (first, retries) = (counter("attempts_first"), counter("retries"));
-    (retries * 4 > first + 40).then(|| Finding(format!("{retries} second tries for {first} first ones")))
+    (retries * 4 > first + 40).then(|| Finding(format!("{retries} retries for {first} first attempts")))
 }
 
-/// A front that is stopped responds to every call that it got.
-fn judge_stop(records: &[ClientRecord], front: &str) -> Vec<Finding> {
-    let lost =
+/// Checks that a front which was stopped by SIGTERM responded to all calls that it received.
+fn check_graceful_stop(records: &[ClientRecord], front: &str) -> Vec<Finding> {
+    let is_lost =
         |record: &&ClientRecord| record.front == front && matches!(record.observation, ClientObservation::NoResponse);
     let finding =
-        |record: &ClientRecord| Finding(format!("{}: no answer from a front that was told to stop", record.call));
-    records.iter().filter(lost).map(finding).collect()
+        |record: &ClientRecord| Finding(format!("{}: no response from a front that was stopping", record.call));
+    records.iter().filter(is_lost).map(finding).collect()
 }
 
-/// At least half of the calls are served.
-fn judge_completeness(records: &[ClientRecord]) -> Option<Finding> {
+/// Checks that at least half of the calls got a complete response.
+fn check_completeness(records: &[ClientRecord]) -> Option<Finding> {
     let complete = records.iter().filter(|record| record.observation == ClientObservation::Complete).count();
     (complete * 2 < records.len())
-        .then(|| Finding(format!("only {complete} of {} calls were served whole", records.len())))
+        .then(|| Finding(format!("only {complete} of {} calls got a complete response", records.len())))
 }
--- a/crates/testbed/src/fleet/setup.rs
+++ b/crates/testbed/src/fleet/setup.rs
@@ -1,4 +1,4 @@
-//! What brings a fleet into service: processes, configuration and workers.
+//! The start of a fleet: its processes, configuration and workers.
 
 use super::nodes::Fleet;
 use super::spec::FleetSpec;
@@ -7,21 +7,21 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Cores of every fleet; the node of this index is the first front.
+/// The number of cores of every fleet, and the index of the first front.
 pub const CORES: usize = 3;
-/// How often a change is tried whose base is stale.
+/// The maximum number of attempts of a change that is rejected with status 412 or 503.
 const CHANGE_ATTEMPTS: u32 = 20;
-/// How long until every front knows of all workers.
-const WORKERS_LIMIT: Duration = Duration::from_secs(10);
+/// The time within which all fronts must know all workers.
+const WORKERS_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Replaces the newest configuration through a node; gives the version that was acknowledged.
+/// Replaces the newest configuration through a node. Returns the acknowledged version.
 ///
 /// # Errors
 ///
-/// The node does not respond or refuses the change, or no attempt was accepted.
+/// The node does not respond or rejects the change, or no attempt was accepted.
 pub async fn apply_config(fleet: &Fleet, index: usize, body: &str) -> Result<u64, String> {
     for _ in 0..CHANGE_ATTEMPTS {
-        let version = fleet.version(index).await.ok_or("no version")?;
+        let version = fleet.version(index).await.ok_or("the node reports no version")?;
         let tag = format!("\"{version}\"");
         let headers = [("if-match", tag.as_str())];
         let (status, response) = fleet.admin_request(index, Method::PUT, "/v1/config", &headers, body).await?;
@@ -31,14 +31,15 @@
             _ => return Err(format!("{status} {response}")),
         }
     }
-    Err("no change was accepted".into())
+    Err("no attempt of the change was accepted".into())
 }
 
+/// Parses the version in the response to an accepted change.
 fn acknowledged_version(response: &str) -> Option<u64> {
     response.split("\"version\":").nth(1)?.split(',').next()?.parse().ok()
 }
 
-/// Starts the workers of a fleet; each reports to the nodes of its zone.
+/// Starts the workers of a fleet. Each worker reports to the nodes of its zone.
 async fn start_workers(fleet: &Fleet, spec: FleetSpec, log: &WorkerLog) -> Result<Vec<StandInWorker>, String> {
     let mut workers = Vec::new();
     for index in 0..spec.model_workers + spec.app_workers {
@@ -48,13 +49,14 @@
     Ok(workers)
 }
 
+/// Returns the spec of a worker: the model workers come first, then those of the application.
 fn worker_spec(fleet: &Fleet, spec: FleetSpec, index: usize) -> Result<WorkerSpec, String> {
     let zone = format!("z{}", index % 3 + 1);
     let (pool, slots) = if index < spec.model_workers { ("llm", 16) } else { ("app", 64) };
     let addr: Result<SocketAddr, _> = format!("{}.{}:7200", fleet.net, 200 + index).parse();
     Ok(WorkerSpec {
         id: format!("{pool}{index}"),
-        addr: addr.map_err(|_| "no address")?,
+        addr: addr.map_err(|_| "invalid worker address")?,
         pool: pool.into(),
         nodes: fleet.nodes.iter().filter(|node| node.zone == zone).map(super::node::Node::admin).collect(),
         zone,
@@ -63,12 +65,12 @@
     })
 }
 
-/// Starts a fleet and waits until it is ready, with a configuration and its workers known on
-/// every front.
+/// Starts a fleet with a configuration and its workers. Returns once all nodes are ready and all fronts
+/// know the configuration and the workers.
 ///
 /// # Errors
 ///
-/// A process or a worker can't be started, or a step took too long.
+/// A process or a worker can't be started, or a step timed out.
 pub async fn start_fleet(spec: FleetSpec, config: &str) -> Result<(Fleet, Vec<StandInWorker>, WorkerLog), String> {
     let mut fleet = Fleet::new(CORES, spec.fronts).map_err(|error| error.to_string())?;
     for index in 0..fleet.nodes.len() {
@@ -83,26 +85,26 @@
     Ok((fleet, workers, log))
 }
 
-/// Waits until every front knows of exactly so many workers; gives how long that took.
+/// Waits until all running fronts know exactly `expected` workers. Returns the time that this took.
 ///
 /// # Errors
 ///
-/// It took longer than ten seconds.
+/// The condition did not hold within ten seconds.
 pub async fn wait_for_workers(fleet: &Fleet, expected: u64) -> Result<Duration, String> {
     let begin = Instant::now();
     loop {
-        let mut others = Vec::new();
+        let mut wrong_counts = Vec::new();
         for index in (CORES..fleet.nodes.len()).filter(|index| fleet.nodes[*index].is_running()) {
             let count = fleet.metrics(index).await.get("sumacvale_workers").unwrap_or(0);
             if count != expected {
-                others.push(count);
+                wrong_counts.push(count);
             }
         }
-        if others.is_empty() {
+        if wrong_counts.is_empty() {
             return Ok(begin.elapsed());
         }
-        if begin.elapsed() > WORKERS_LIMIT {
-            return Err(format!("{others:?} of {expected} workers known after 10 s"));
+        if begin.elapsed() > WORKERS_TIMEOUT {
+            return Err(format!("fronts know {wrong_counts:?} of {expected} workers after 10 s"));
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
--- a/crates/testbed/src/fleet/spec.rs
+++ b/crates/testbed/src/fleet/spec.rs
@@ -1,26 +1,26 @@
-//! The sizes of the fleets that are tried.
+//! The sizes of the test fleets.
 
-/// The sizes of a fleet and its traffic.
+/// The size of a fleet and the rates of its traffic.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSpec {
-    /// Its name on the command line and in the report.
+    /// The name on the command line and in the report.
     pub name: &'static str,
-    /// Nodes that take calls.
+    /// The number of nodes that accept calls.
     pub fronts: usize,
-    /// Workers of the pool `llm`.
+    /// The number of workers of the pool `llm`.
     pub model_workers: usize,
-    /// Workers of the pool `app`.
+    /// The number of workers of the pool `app`.
     pub app_workers: usize,
-    /// Tenants, each with a key.
+    /// The number of tenants; each has one key.
     pub tenants: usize,
-    /// Calls to the application in a second.
+    /// The number of calls to the application per second.
     pub lookup_rate: u64,
-    /// Calls to the model in a second.
+    /// The number of calls to the model per second.
     pub model_rate: u64,
 }
 
 impl FleetSpec {
-    /// The deployment mtatsminda of the brief.
+    /// The deployment mtatsminda.
     pub const MTATSMINDA: FleetSpec = FleetSpec {
         name: "mtatsminda",
         fronts: 6,
@@ -30,7 +30,7 @@
         lookup_rate: 40,
         model_rate: 120,
     };
-    /// The deployment derwent of the brief.
+    /// The deployment derwent.
     pub const DERWENT: FleetSpec = FleetSpec {
         name: "derwent",
         fronts: 9,
@@ -40,7 +40,7 @@
         lookup_rate: 25,
         model_rate: 60,
     };
-    /// The smallest fleet in which anything can be tried; it has no traffic of its own.
+    /// The smallest fleet for tests, which send their own calls.
     pub const SMALL: FleetSpec = FleetSpec {
         name: "small",
         fronts: 2,
@@ -51,7 +51,7 @@
         model_rate: 0,
     };
 
-    /// The deployment of this name.
+    /// Returns the deployment with this name.
     #[must_use]
     pub fn named(name: &str) -> Option<FleetSpec> {
         [Self::MTATSMINDA, Self::DERWENT].into_iter().find(|spec| spec.name == name)
--- a/crates/testbed/src/fleet/traffic.rs
+++ b/crates/testbed/src/fleet/traffic.rs
@@ -1,7 +1,7 @@
-//! The traffic of a deployment, drawn from a seed.
+//! The traffic of a deployment. The calls are drawn from a seed.
 
 use super::config::tenant_key;
-use super::platform::ReadyFronts;
+use super::load_balancer::ReadyFronts;
 use super::spec::FleetSpec;
 use crate::standin::{ClientRecord, HttpClient, StandInClient};
 use std::sync::{Arc, Mutex};
@@ -12,53 +12,54 @@
 
 /// The time between two draws of calls.
 const TICK: Duration = Duration::from_millis(10);
-/// Arrears count in so many parts of a call: a tick is a hundredth of a second, and the scale is in percent.
-const PARTS_PER_CALL: u64 = 10_000;
-/// The index of lookups among the two groups of calls; the other group calls the model.
+/// The resolution of `accumulated`, in units per call: 100 ticks per second times 100 percent.
+const UNITS_PER_CALL: u64 = 10_000;
+/// The index of the group of lookups; calls of the other group go to the model.
 const LOOKUPS: usize = 0;
 
-/// The records of all calls that ended. Clones share them.
+/// The records of all ended calls. Clones share the same records.
 #[derive(Clone, Default)]
 pub struct ClientRecords(Arc<Mutex<Vec<ClientRecord>>>);
 
 impl ClientRecords {
+    /// Adds the record of a call.
     fn add(&self, record: ClientRecord) {
         if let Ok(mut records) = self.0.lock() {
             records.push(record);
         }
     }
 
-    /// All records so far.
+    /// Returns all records so far.
     pub fn all(&self) -> Vec<ClientRecord> {
         self.0.lock().map(|records| records.clone()).unwrap_or_default()
     }
 }
 
-/// What sends a deployment's calls.
+/// The generator of a deployment's calls.
 pub struct Traffic {
-    /// The rates and the number of tenants.
+    /// The deployment, with the rates and the number of tenants.
     pub spec: FleetSpec,
-    /// The connections of all clients.
+    /// The HTTP client that all clients share.
     pub http: HttpClient,
-    /// Where clients may send calls.
+    /// The fronts that clients may send calls to.
     pub fronts: ReadyFronts,
     /// The seed of all draws.
     pub seed: u64,
-    /// The rates in percent of the deployment's.
+    /// The call rates, in percent of the deployment's rates.
     pub scale_percent: u64,
-    /// Where the records of calls go.
+    /// The records that each ended call is added to.
     pub records: ClientRecords,
 }
 
 impl Traffic {
-    /// Sends calls at the deployment's rates until it is stopped, then awaits them.
+    /// Sends calls at the deployment's rates until `stop` is true, then waits for their ends.
     pub async fn run(self, mut stop: watch::Receiver<bool>) {
         let mut rng = Rng::new(self.seed);
         let mut interval = tokio::time::interval(TICK);
         interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut calls = JoinSet::new();
         let mut call_count = 0u64;
-        let mut arrears = [0u64; 2];
+        let mut accumulated = [0u64; 2];
         loop {
             tokio::select! {
                 _ = interval.tick() => {}
@@ -66,8 +67,8 @@
             }
             while calls.try_join_next().is_some() {}
             for (group, rate) in [self.spec.lookup_rate, self.spec.model_rate].into_iter().enumerate() {
-                arrears[group] += rate * self.scale_percent;
-                for _ in 0..draw_call_count(&mut arrears[group], &mut rng) {
+                accumulated[group] += rate * self.scale_percent;
+                for _ in 0..draw_call_count(&mut accumulated[group], &mut rng) {
                     call_count += 1;
                     self.send_call(group, call_count, &mut rng, &mut calls);
                 }
@@ -76,6 +77,7 @@
         while calls.join_next().await.is_some() {}
     }
 
+    /// Draws a call and sends it to a ready front; drops the call if no front is ready.
     fn send_call(&self, group: usize, number: u64, rng: &mut Rng, calls: &mut JoinSet<()>) {
         let Some(client) = self.draw_client(group, rng) else { return };
         let fronts = self.fronts.borrow().clone();
@@ -89,9 +91,10 @@
         calls.spawn(async move { records.add(client.call(&front, &id, &prompt).await) });
     }
 
+    /// Draws the tenant, key, kind and path of a call.
     fn draw_client(&self, group: usize, rng: &mut Rng) -> Option<StandInClient> {
         let (kind, path) = draw_path(group, rng);
-        // A few tenants have most of the traffic; one call in fifty has no known key.
+        // Two tenants have most of the traffic; one call in fifty has an unknown key.
         let tenant = if rng.chance(55) { rng.below(2) } else { rng.below(self.spec.tenants as u64) };
         let tenant = usize::try_from(tenant).ok()?;
         let key = if rng.chance(2) { format!("nobody-{}", rng.below(1_000)) } else { tenant_key(tenant) };
@@ -99,18 +102,18 @@
     }
 }
 
-/// Calls come at random times, on the average at the rate.
-fn draw_call_count(arrears: &mut u64, rng: &mut Rng) -> u64 {
-    let whole_calls = *arrears / PARTS_PER_CALL;
-    *arrears %= PARTS_PER_CALL;
-    let extra_call = u64::from(rng.below(PARTS_PER_CALL) < *arrears);
-    if rng.below(PARTS_PER_CALL) < *arrears {
-        *arrears = 0;
+/// Draws the number of calls to send in this tick. Calls are sent at random times, on average at the rate.
+fn draw_call_count(accumulated: &mut u64, rng: &mut Rng) -> u64 {
+    let whole_calls = *accumulated / UNITS_PER_CALL;
+    *accumulated %= UNITS_PER_CALL;
+    let extra_call = u64::from(rng.below(UNITS_PER_CALL) < *accumulated);
+    if rng.below(UNITS_PER_CALL) < *accumulated {
+        *accumulated = 0;
     }
     whole_calls + extra_call
 }
 
-/// The kind and the path of a call.
+/// Draws the kind and the path of a call.
 fn draw_path(group: usize, rng: &mut Rng) -> (&'static str, &'static str) {
     if group == LOOKUPS {
         return ("lookup", if rng.chance(80) { "/v1/confirm" } else { "/v1/book" });
--- a/crates/testbed/src/fleet/trial.rs
+++ b/crates/testbed/src/fleet/trial.rs
@@ -1,31 +1,31 @@
-//! What trials on a small fleet have in common.
+//! Helpers for tests on a small fleet.
 
 use super::config::tenant_key;
 use super::nodes::Fleet;
 use crate::standin::StandInClient;
 
-/// Runs one trial to its end.
+/// Runs an asynchronous test to its end.
 ///
 /// # Panics
 ///
-/// The trial fails; the message is the reason that it gives.
-pub fn run_trial(trial: impl Future<Output = Result<(), String>>) {
+/// The test returns an error, which becomes the message of the panic.
+pub fn run_trial(test: impl Future<Output = Result<(), String>>) {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().expect("threads");
-    if let Err(reason) = runtime.block_on(trial) {
+    if let Err(reason) = runtime.block_on(test) {
         panic!("{reason}");
     }
 }
 
-/// Checks a condition of a trial.
+/// Checks a condition of a test.
 ///
 /// # Errors
 ///
-/// The condition does not hold; the error is the reason.
+/// The condition does not hold. The error is `reason`.
 pub fn ensure(condition: bool, reason: impl Into<String>) -> Result<(), String> {
     if condition { Ok(()) } else { Err(reason.into()) }
 }
 
-/// A client of a tenant, which calls one path.
+/// Returns a client of a tenant that calls one path.
 #[must_use]
 pub fn client(fleet: &Fleet, path: &'static str, tenant: usize) -> StandInClient {
     StandInClient { http: fleet.http.clone(), kind: "x", path, tenant: format!("t{tenant}"), key: tenant_key(tenant) }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,4 +1,5 @@
-//! Development only: the simulator, the stand-ins and the fleet on one machine.
+//! Development tools and test support: the simulator, the emulator of engines, test doubles for workers
+//! and clients, and a fleet of processes on one machine.
 
 pub mod bounds;
 pub mod engines;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,8 +1,8 @@
-//! The program `testbed`: tries a sumacvale fleet on this machine.
+//! The program `testbed`: tests a sumacvale fleet on this machine.
 
 mod cli;
 
-/// Counts allocations for `testbed hollow`.
+/// The allocator, which counts allocations for `testbed hollow`.
 #[global_allocator]
 static ALLOCATOR: sumacvale_testbed::hollow::Counting = sumacvale_testbed::hollow::Counting;
 
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -1,30 +1,32 @@
-//! Either deployment of the brief as processes, with a change, a revocation, a
-//! drain, kills and a stop in the middle, checked by the workers' logs.
+//! Both deployments as processes, with a configuration change, a key revocation, a drain, kills and a
+//! graceful stop under traffic. The checks compare what clients saw with the logs of the workers.
 
 use std::time::{Duration, Instant};
-use sumacvale_testbed::fleet::{FleetSpec, Revocation, judge, rehearse};
+use sumacvale_testbed::fleet::{FleetSpec, Revocation, judge, run_scenario};
 use sumacvale_testbed::standin::{ClientObservation, ClientRecord, WorkerRun};
 
 const SECONDS: u64 = 16;
 const SEED: u64 = 1;
 const SCALE_PERCENT: u64 = 50;
 
-fn rehearse_without_findings(spec: FleetSpec) {
+/// Runs a scenario with faults and asserts that no invariant was violated.
+fn run_without_findings(spec: FleetSpec) {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(4).enable_all().build().expect("threads");
-    let outcomes = runtime.block_on(rehearse(spec, SECONDS, SEED, true, SCALE_PERCENT)).expect("a complete rehearsal");
-    outcomes.print();
-    assert!(outcomes.records.len() > 300, "{} calls", outcomes.records.len());
-    assert!(outcomes.findings.is_empty(), "{:#?}", outcomes.findings);
+    let outcome =
+        runtime.block_on(run_scenario(spec, SECONDS, SEED, true, SCALE_PERCENT)).expect("a complete scenario");
+    outcome.print();
+    assert!(outcome.records.len() > 300, "{} calls", outcome.records.len());
+    assert!(outcome.findings.is_empty(), "{:#?}", outcome.findings);
 }
 
 #[test]
 fn mtatsminda_has_no_findings_under_faults() {
-    rehearse_without_findings(FleetSpec::MTATSMINDA);
+    run_without_findings(FleetSpec::MTATSMINDA);
 }
 
 #[test]
 fn derwent_has_no_findings_under_faults() {
-    rehearse_without_findings(FleetSpec::DERWENT);
+    run_without_findings(FleetSpec::DERWENT);
 }
 
 fn run_of(call: &str, path: &str, began: Instant) -> WorkerRun {
@@ -60,18 +62,19 @@
     ClientObservation::Refused { status, code: "x".into(), ran: "no".into(), has_retry_after }
 }
 
-/// What clients and workers recorded, and the finding that it must give.
+/// Records of clients and workers, and the finding that the checks must report for them.
 struct Case {
     name: &'static str,
     records: Vec<ClientRecord>,
     runs: Vec<WorkerRun>,
     revocation: Option<Revocation>,
-    /// Part of a finding; none must be given where it is empty.
+    /// A part of the expected finding; no finding is expected if it is empty.
     finding: &'static str,
 }
 
+/// Guards against checks that pass because they detect nothing: each case violates one invariant, or none.
 #[test]
-fn the_judge_finds_every_planted_breach() {
+fn every_violated_invariant_is_a_finding() {
     let now = Instant::now();
     let run = |call: &str, path: &str| run_of(call, path, now);
     let saw = |observation| vec![record_of("a", observation, now + Duration::from_secs(9))];
@@ -82,18 +85,23 @@
     let cases = [
         case("complete and run once", saw(ClientObservation::Complete), chat(), ""),
         case("run twice", vec![], vec![run("a", "/v1/book"), run("a", "/v1/book")], "ran 2 times"),
-        case("run twice and safe", vec![], vec![run("a", "/v1/confirm"), run("a", "/v1/confirm")], ""),
-        case("hidden", saw(refused_as_not_run(503, true)), chat(), "refused as not run"),
-        case("invented", saw(ClientObservation::Complete), vec![], "that no worker ran"),
+        case("run twice and safe to repeat", vec![], vec![run("a", "/v1/confirm"), run("a", "/v1/confirm")], ""),
+        case("run but rejected as not run", saw(refused_as_not_run(503, true)), chat(), "refused as not run"),
+        case("complete but not run", saw(ClientObservation::Complete), vec![], "that no worker ran"),
         case("no time to retry", saw(refused_as_not_run(429, false)), vec![], "without a time to return"),
         case("violation", saw(violation), vec![], "piece 3"),
         Case {
             revocation: Some(Revocation { tenant: "t".into(), acknowledged_at: now }),
             ..case("revoked", saw(ClientObservation::Complete), chat(), "after its key was withdrawn")
         },
-        case("begun twice", vec![], vec![run("a", "/v1/draft"), run("a", "/v1/draft")], "begun twice"),
+        case("stream started twice", vec![], vec![run("a", "/v1/draft"), run("a", "/v1/draft")], "begun twice"),
         case("draining", vec![], vec![WorkerRun { draining_since, ..run("a", "/v1/chat") }], "began to drain"),
-        case("quota", vec![], (0..300).map(|i| run(&format!("{i}"), "/v1/chat")).collect(), "of 120 calls ran"),
+        case(
+            "quota",
+            vec![],
+            (0..300).map(|number| run(&format!("{number}"), "/v1/chat")).collect(),
+            "of 120 calls ran",
+        ),
     ];
     for Case { name, records, runs, revocation, finding } in cases {
         let findings = judge(&records, &runs, revocation.as_ref());
