--- a/crates/testbed/src/standin/http.rs
+++ b/crates/testbed/src/standin/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP client of the stand-ins.
+//! The HTTP client of the test clients and workers.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -9,17 +9,17 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use std::time::Duration;
 
-/// How long a connection may take to open.
+/// The time-out of opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long an unused connection stays open.
+/// The time for which an idle connection stays open.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a whole response may take.
+/// The time-out of a whole response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A pooled client; clones share the pool.
+/// An HTTP client with a connection pool; clones share the pool.
 pub type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// A client that never sends a request again by itself: each one must be counted once.
+/// Creates a client that never retries a request, as each request must be counted once.
 #[must_use]
 pub fn http_client() -> HttpClient {
     let mut connector = HttpConnector::new();
@@ -32,11 +32,11 @@
         .build(connector)
 }
 
-/// Sends a request and gives the response as soon as its head is there.
+/// Sends a request. Returns the response once its head was received.
 ///
 /// # Errors
 ///
-/// The request is malformed, or the connection failed before the head of a response came.
+/// The request is malformed, or the connection failed before the head of a response was received.
 pub async fn send_request(
     client: &HttpClient,
     method: Method,
@@ -53,11 +53,11 @@
     client.request(request).await.map_err(|error| format!("{error:?}"))
 }
 
-/// Sends a request and gives the status and the whole body of the response.
+/// Sends a request. Returns the status and the whole body of the response.
 ///
 /// # Errors
 ///
-/// As [`send_request`]; or the body broke off, or was not complete within ten seconds.
+/// Those of [`send_request`]; or the body was truncated or not complete within ten seconds.
 pub async fn request_text(
     client: &HttpClient,
     method: Method,
@@ -71,5 +71,5 @@
         let body = response.into_body().collect().await.map_err(|error| error.to_string())?.to_bytes();
         Ok((status, String::from_utf8_lossy(&body).into_owned()))
     };
-    tokio::time::timeout(RESPONSE_TIMEOUT, exchange).await.map_err(|_| "no answer in 10 s".to_owned())?
+    tokio::time::timeout(RESPONSE_TIMEOUT, exchange).await.map_err(|_| "no complete response within 10 s".to_owned())?
 }
--- a/crates/testbed/src/standin/log.rs
+++ b/crates/testbed/src/standin/log.rs
@@ -1,4 +1,4 @@
-//! The workers' log of the calls that they ran.
+//! The log of the calls that workers ran.
 
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
@@ -6,30 +6,30 @@
 /// One run of a call at a worker.
 #[derive(Clone, Debug)]
 pub struct WorkerRun {
-    /// The id that the client gave the call.
+    /// The id of the call, chosen by the client.
     pub call: String,
-    /// The tenant, as the front named it.
+    /// The name of the tenant, as sent by the front.
     pub tenant: String,
     /// The path of the request.
     pub path: String,
-    /// The shared start of the prompt.
+    /// The shared prefix of the prompt.
     pub prefix: String,
     /// The id of the worker.
     pub worker: String,
     /// The zone of the worker.
     pub zone: String,
-    /// When the run began.
+    /// The time at which the run began.
     pub began: Instant,
-    /// The event after which a resumed run continued.
+    /// The last event before a resumed run; `None` for a run that was not resumed.
     pub resumed_after: Option<u64>,
-    /// The window that its unit of the quota belongs to.
+    /// The window that the quota unit of the call belongs to.
     pub quota_window: u64,
-    /// When the worker had begun to drain, if it had.
+    /// The time at which the worker began to drain, if it was draining.
     pub draining_since: Option<Instant>,
 }
 
-/// What really ran: only stand-in workers write it, so that it can be compared with what the
-/// clients saw. Clones share the runs.
+/// The runs of all calls. Only test workers write this log; the checks compare it with the records of
+/// clients. Clones share the runs.
 #[derive(Clone, Debug, Default)]
 pub struct WorkerLog(Arc<Mutex<Vec<WorkerRun>>>);
 
@@ -41,7 +41,7 @@
         }
     }
 
-    /// All runs so far.
+    /// Returns all runs so far.
     #[must_use]
     pub fn runs(&self) -> Vec<WorkerRun> {
         self.0.lock().map(|runs| runs.clone()).unwrap_or_default()
--- a/crates/testbed/src/standin/mod.rs
+++ b/crates/testbed/src/standin/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for workers, clients and the network between them, which record what they saw.
+//! Test doubles for workers, clients and the network between them. Workers and clients record all calls.
 
 mod client;
 mod http;
--- a/crates/testbed/src/standin/raw.rs
+++ b/crates/testbed/src/standin/raw.rs
@@ -1,4 +1,4 @@
-//! A worker that responds with fixed bytes, for responses that no HTTP library would send.
+//! A worker that responds with fixed bytes, for responses that HTTP libraries do not send.
 
 use super::http::{HttpClient, request_text};
 use hyper::Method;
@@ -10,12 +10,12 @@
 /// The time between two reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Starts a worker that writes the same bytes to each call and closes, whatever they are.
-/// It reports to the admin address `node` until that can't be reached.
+/// Starts a worker that responds to each call with the bytes of `response` and closes the connection.
+/// The worker reports to the admin address `node` until this address is unreachable.
 ///
 /// # Errors
 ///
-/// The address can't be listened at.
+/// The listener can't be bound to the address.
 pub async fn start_raw_worker(
     id: &str,
     pool: &str,
@@ -35,6 +35,7 @@
     Ok(())
 }
 
+/// Sends reports until the node is unreachable.
 async fn report(id: String, pool: String, addr: SocketAddr, node: String, http: HttpClient) {
     for seq in 1u64.. {
         let body = format!(
@@ -49,10 +50,11 @@
     }
 }
 
+/// Reads a request up to the end of its JSON body, writes the response and closes the connection.
 async fn respond(mut stream: TcpStream, response: &'static [u8]) {
     let mut buffer = vec![0; 4 << 10];
     let mut request = Vec::new();
-    // The head and the body of a request come in one or two parts.
+    // The head and the body of a request may be received in separate reads.
     while !request.ends_with(b"}") {
         match stream.read(&mut buffer).await {
             Ok(length) if length > 0 => request.extend_from_slice(&buffer[..length]),
--- a/crates/testbed/src/standin/worker.rs
+++ b/crates/testbed/src/standin/worker.rs
@@ -1,4 +1,4 @@
-//! A worker of the model or the application, which reports to nodes, runs calls and fails on request.
+//! A worker of the model or the application, which reports to nodes, runs calls and injects faults on request.
 
 use super::http::{HttpClient, request_text};
 use super::log::{WorkerLog, WorkerRun};
@@ -17,91 +17,94 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// How often a worker looks whether it should report. It reports every other time, and at once
-/// when it has begun to drain.
-const REPORT_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Nodes that get each report, so that one of them may be down.
+/// The interval of a worker's report timer. A report is sent on every second tick, and on the first tick
+/// after the worker began to drain.
+const REPORT_TICK: Duration = Duration::from_millis(250);
+/// The number of nodes that get each report; one of them may be down.
 const NODES_PER_REPORT: usize = 2;
 
-/// How a worker behaves.
+/// The behaviour of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerMode {
-    /// It runs every call.
+    /// The worker runs all calls.
     Healthy,
-    /// It accepts calls and never responds.
+    /// The worker accepts calls and never responds.
     Hang,
-    /// It breaks each stream off after so many events, in the middle of the next.
+    /// The worker truncates each stream after this number of events, in the middle of the next event.
     Truncate(u64),
-    /// It runs a call and closes the connection without a response.
+    /// The worker runs calls and closes the connection without a response.
     NoResponse,
 }
 
-/// What a worker is and whom it reports to.
+/// The static properties of a worker and the nodes that it reports to.
 #[derive(Clone, Debug)]
 pub struct WorkerSpec {
-    /// Its id.
+    /// The id of the worker.
     pub id: String,
-    /// The address that it listens at.
+    /// The address to listen at.
     pub addr: SocketAddr,
-    /// The pool that it belongs to.
+    /// The pool that the worker belongs to.
     pub pool: String,
-    /// Its zone.
+    /// The zone of the worker.
     pub zone: String,
-    /// Calls that it runs at the same time; it refuses more.
+    /// The number of calls that run at the same time; further calls are rejected.
     pub slots: u64,
-    /// The incarnation that it reports.
+    /// The incarnation in all reports.
     pub incarnation: u64,
-    /// The admin addresses of the nodes that it reports to.
+    /// The admin addresses of the nodes that get the reports.
     pub nodes: Vec<String>,
 }
 
+/// The state that all clones of a worker share.
 #[derive(Debug)]
-struct Inner {
+struct WorkerState {
     spec: WorkerSpec,
-    /// The address that the listener really has.
+    /// The bound address of the listener.
     addr: SocketAddr,
     /// The sequence number of the last report.
     report_seq: AtomicU64,
-    /// Calls that run.
+    /// The number of running calls.
     busy: AtomicU64,
-    draining: AtomicBool,
+    /// True once the worker has begun to drain; set after `draining_since`.
+    is_draining: AtomicBool,
     draining_since: Mutex<Option<Instant>>,
     mode: Mutex<WorkerMode>,
     log: WorkerLog,
-    /// The address that it reports, where that is not its own.
+    /// The reported address, if it is not `addr`.
     reported_addr: Mutex<Option<SocketAddr>>,
-    /// False once the worker has crashed.
-    up: watch::Sender<bool>,
+    /// False once the worker has crashed. All tasks of the worker watch this value.
+    up_sender: watch::Sender<bool>,
 }
 
-/// A stand-in for a worker of the model or the application. Clones are the same worker.
+/// A test worker of the model or the application. Clones are handles of the same worker.
 #[derive(Clone, Debug)]
-pub struct StandInWorker(Arc<Inner>);
+pub struct StandInWorker(Arc<WorkerState>);
 
 type Body = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// What a path's response is like.
+/// The size and the timing of a response.
 #[derive(Clone, Copy)]
 struct ResponsePlan {
-    /// Events of the stream; 0 for a plain response.
+    /// The number of events of a stream; 0 for a plain response.
     events: u64,
-    /// The time before each event, or before a plain response.
-    pause: Duration,
+    /// The delay before each event, or before a plain response.
+    delay: Duration,
 }
 
 impl ResponsePlan {
+    /// Returns the plan for responses to this path.
     fn for_path(path: &str) -> Self {
-        let (events, pause_ms) = match path {
+        let (events, delay_ms) = match path {
             "/v1/draft" => (40, 10),
             "/v1/chat" => (10, 6),
             "/v1/summary" => (3, 60),
             _ => (0, 4),
         };
-        ResponsePlan { events, pause: Duration::from_millis(pause_ms) }
+        ResponsePlan { events, delay: Duration::from_millis(delay_ms) }
     }
 }
 
-/// What a request says of its call.
+/// The properties of a call, read from its request.
 struct CallRequest {
     call: String,
     tenant: String,
@@ -111,6 +114,7 @@
 }
 
 impl CallRequest {
+    /// Reads the path and the headers of a request.
     fn read(request: &Request<Incoming>) -> Self {
         let header =
             |name: &str| request.headers().get(name).and_then(|value| value.to_str().ok()).unwrap_or("").to_owned();
@@ -125,92 +129,93 @@
 }
 
 impl StandInWorker {
-    /// Starts a worker, which reports and serves until it crashes.
+    /// Starts a worker, which sends reports and serves calls until [`StandInWorker::crash`].
     ///
     /// # Errors
     ///
-    /// Its address can't be listened at.
+    /// The listener can't be bound to the address.
     pub async fn start(spec: WorkerSpec, log: &WorkerLog, http: &HttpClient) -> std::io::Result<StandInWorker> {
         let listener = TcpListener::bind(spec.addr).await?;
-        let (up, is_up) = watch::channel(true);
-        let worker = StandInWorker(Arc::new(Inner {
+        let (up_sender, is_up) = watch::channel(true);
+        let worker = StandInWorker(Arc::new(WorkerState {
             addr: listener.local_addr()?,
             spec,
             report_seq: AtomicU64::new(0),
             busy: AtomicU64::new(0),
-            draining: AtomicBool::new(false),
+            is_draining: AtomicBool::new(false),
             draining_since: Mutex::new(None),
             mode: Mutex::new(WorkerMode::Healthy),
             log: log.clone(),
             reported_addr: Mutex::new(None),
-            up,
+            up_sender,
         }));
         tokio::spawn(worker.clone().serve(listener, is_up.clone()));
         tokio::spawn(worker.clone().report(http.clone(), is_up));
         Ok(worker)
     }
 
-    /// Its id.
+    /// Returns the id of the worker.
     #[must_use]
     pub fn id(&self) -> &str {
         &self.0.spec.id
     }
 
-    /// The address that it listens at.
+    /// Returns the bound address of the listener.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.0.addr
     }
 
-    /// Changes how it behaves from the next call on.
+    /// Changes the behaviour for all later calls.
     pub fn set_mode(&self, mode: WorkerMode) {
         if let Ok(mut current) = self.0.mode.lock() {
             *current = mode;
         }
     }
 
-    /// Reports another address than its own from now on: that of a relay.
+    /// Changes the reported address, for example to that of a relay.
     pub fn report_addr(&self, addr: SocketAddr) {
         if let Ok(mut reported) = self.0.reported_addr.lock() {
             *reported = Some(addr);
         }
     }
 
-    /// Ends the listener, all connections and the reports at once.
+    /// Closes the listener and all connections and stops the reports, all at once.
     pub fn crash(&self) {
-        let _ = self.0.up.send(false);
+        let _ = self.0.up_sender.send(false);
     }
 
-    /// Reports from now on that it drains; it still runs every call.
+    /// Begins to drain: all later reports say so, and the worker still runs all calls.
     pub fn drain(&self) {
         if let Ok(mut since) = self.0.draining_since.lock() {
             *since = Some(Instant::now());
         }
-        self.0.draining.store(true, Ordering::Release);
+        self.0.is_draining.store(true, Ordering::Release);
     }
 
+    /// Sends reports until the worker crashes.
     async fn report(self, http: HttpClient, mut is_up: watch::Receiver<bool>) {
-        let mut interval = tokio::time::interval(REPORT_CHECK_INTERVAL);
+        let mut interval = tokio::time::interval(REPORT_TICK);
         let mut ticks = 0;
-        let mut reported_draining = false;
+        let mut has_reported_draining = false;
         loop {
             tokio::select! {
                 _ = interval.tick() => {}
                 _ = is_up.wait_for(|up| !*up) => return,
             }
             ticks += 1;
-            let draining = self.0.draining.load(Ordering::Acquire);
-            let has_begun_to_drain = draining && !reported_draining;
+            let is_draining = self.0.is_draining.load(Ordering::Acquire);
+            let has_begun_to_drain = is_draining && !has_reported_draining;
             if ticks % 2 == 1 || has_begun_to_drain {
-                reported_draining = draining;
-                self.send_report(&http, ticks / 2, draining);
+                has_reported_draining = is_draining;
+                self.send_report(&http, ticks / 2, is_draining);
             }
         }
     }
 
-    /// Sends a report without waiting for responses; the round decides which nodes get it.
-    fn send_report(&self, http: &HttpClient, round: usize, draining: bool) {
-        let body = self.report_body(draining);
+    /// Sends a report without waiting for the responses. The nodes take turns: `round` selects the first one.
+    fn send_report(&self, http: &HttpClient, round: usize, is_draining: bool) {
+        let body = self.report_body(is_draining);
         let nodes = &self.0.spec.nodes;
         for index in 0..nodes.len().min(NODES_PER_REPORT) {
             let uri = format!("http://{}/v1/report", nodes[(round + index) % nodes.len()]);
@@ -222,11 +227,12 @@
         }
     }
 
-    fn report_body(&self, draining: bool) -> String {
+    /// Returns the next report as JSON.
+    fn report_body(&self, is_draining: bool) -> String {
         let (worker, spec) = (&self.0, &self.0.spec);
         let seq = worker.report_seq.fetch_add(1, Ordering::AcqRel) + 1;
         format!(
-            "{{\"id\":\"{}\",\"incarnation\":{},\"seq\":{seq},\"addr\":\"{}\",\"pool\":\"{}\",\"zone\":\"{}\",\"slots\":{},\"busy\":{},\"draining\":{draining}}}",
+            "{{\"id\":\"{}\",\"incarnation\":{},\"seq\":{seq},\"addr\":\"{}\",\"pool\":\"{}\",\"zone\":\"{}\",\"slots\":{},\"busy\":{},\"draining\":{is_draining}}}",
             spec.id,
             spec.incarnation,
             worker.reported_addr.lock().ok().and_then(|addr| *addr).unwrap_or(worker.addr),
@@ -237,6 +243,7 @@
         )
     }
 
+    /// Accepts connections until the worker crashes.
     async fn serve(self, listener: TcpListener, mut is_up: watch::Receiver<bool>) {
         loop {
             let stream = tokio::select! {
@@ -248,6 +255,7 @@
         }
     }
 
+    /// Serves a connection until it is closed or the worker crashes.
     async fn serve_connection(self, stream: TcpStream, mut is_up: watch::Receiver<bool>) {
         let service = service_fn(move |request| self.clone().respond(request));
         let connection = hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
@@ -257,10 +265,11 @@
         }
     }
 
+    /// Runs a call and returns the response of the current mode.
     async fn respond(self, request: Request<Incoming>) -> Result<Response<Body>, std::io::Error> {
         let call = CallRequest::read(&request);
         let body = request.into_body().collect().await.map_err(std::io::Error::other)?.to_bytes();
-        let Some(slot) = BusySlot::occupy(&self) else {
+        let Some(slot) = BusySlot::acquire(&self) else {
             return Ok(plain_response(StatusCode::SERVICE_UNAVAILABLE, &call.call, "no", "{\"busy\":true}".into()));
         };
         self.record_run(&call, &body);
@@ -272,7 +281,7 @@
             WorkerMode::Healthy => None,
         };
         let plan = ResponsePlan::for_path(&call.path);
-        tokio::time::sleep(plan.pause).await;
+        tokio::time::sleep(plan.delay).await;
         if plan.events == 0 {
             let body = format!("{{\"call\":\"{}\",\"ok\":true}}", call.call);
             return Ok(plain_response(StatusCode::OK, &call.call, "yes", body));
@@ -280,6 +289,7 @@
         Ok(stream_response(&call, plan, truncate_after, slot))
     }
 
+    /// Adds the run of a call to the log.
     fn record_run(&self, call: &CallRequest, body: &[u8]) {
         let spec = &self.0.spec;
         self.0.log.add(WorkerRun {
@@ -297,12 +307,13 @@
     }
 }
 
-/// A slot of a worker, which is free again when this is dropped.
+/// A slot of a worker in use. Dropping it frees the slot.
 struct BusySlot(StandInWorker);
 
 impl BusySlot {
-    fn occupy(worker: &StandInWorker) -> Option<Self> {
-        // Made first: the count falls again also where no slot is free.
+    /// Acquires a slot; returns `None` if no slot is free.
+    fn acquire(worker: &StandInWorker) -> Option<Self> {
+        // Created before the check: its drop decrements the count also if no slot is free.
         let slot = BusySlot(worker.clone());
         (worker.0.busy.fetch_add(1, Ordering::AcqRel) < worker.0.spec.slots).then_some(slot)
     }
@@ -314,6 +325,7 @@
     }
 }
 
+/// Returns a JSON response that is no stream.
 fn plain_response(status: StatusCode, call: &str, ran: &'static str, body: String) -> Response<Body> {
     let body = Full::new(Bytes::from(body)).map_err(|error| match error {}).boxed_unsync();
     let mut response = Response::new(body);
@@ -324,6 +336,7 @@
     response
 }
 
+/// Returns a stream of events, which starts after the last event of a resumed call.
 fn stream_response(
     call: &CallRequest,
     plan: ResponsePlan,
@@ -344,7 +357,7 @@
     }
 }
 
-/// The events from `first` on. A truncated stream sends half an event and then fails.
+/// Returns the events from number `first` on. A truncated stream sends half an event and then fails.
 fn event_stream(
     call: String,
     first: u64,
@@ -360,13 +373,13 @@
             if number >= total {
                 return None;
             }
-            tokio::time::sleep(plan.pause).await;
+            tokio::time::sleep(plan.delay).await;
             let (item, next) = match truncate_at {
-                Some(at) if number == at => {
-                    let half = format!("id: {number}\ndata: {{\"call\":\"{call}\",");
-                    (Ok(Frame::data(half.into())), number + 1)
+                Some(end) if number == end => {
+                    let half_event = format!("id: {number}\ndata: {{\"call\":\"{call}\",");
+                    (Ok(Frame::data(half_event.into())), number + 1)
                 }
-                Some(at) if number > at => (Err(std::io::Error::other("cut")), total),
+                Some(end) if number > end => (Err(std::io::Error::other("truncated")), total),
                 _ => {
                     let event =
                         format!("id: {number}\ndata: {{\"call\":\"{call}\",\"n\":{number},\"of\":{total}}}\n\n");
--- a/crates/testbed/tests/connections.rs
+++ b/crates/testbed/tests/connections.rs
@@ -1,6 +1,6 @@
-//! Wires that break, processes that die while they write, and what comes on the wire itself.
+//! Network faults between fronts and workers, processes that are killed while they write, and the exact
+//! bytes of HTTP responses.
 
-// The locals of these long scripts have short names yet, see the roadmap.
 #![allow(clippy::many_single_char_names)]
 
 use hyper::Method;
@@ -14,262 +14,300 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Sends one call on a connection and reads until `end` or the close.
-async fn talk(s: &mut TcpStream, path: &str, version: &str, body: &str, end: &str) -> Result<String, String> {
-    let k = tenant_key(0);
-    let n = body.len();
-    let head =
-        format!("POST {path} HTTP/{version}\r\nhost: x\r\nauthorization: Bearer {k}\r\ncontent-length: {n}\r\n\r\n");
-    s.write_all((head + body).as_bytes()).await.map_err(|e| e.to_string())?;
-    let mut out = Vec::new();
-    let mut b = [0; 4096];
-    let go = async {
+/// Sends one call on a connection. Returns what was received until `end` or until the close.
+async fn exchange(stream: &mut TcpStream, path: &str, version: &str, body: &str, end: &str) -> Result<String, String> {
+    let key = tenant_key(0);
+    let length = body.len();
+    let head = format!(
+        "POST {path} HTTP/{version}\r\nhost: x\r\nauthorization: Bearer {key}\r\ncontent-length: {length}\r\n\r\n"
+    );
+    stream.write_all((head + body).as_bytes()).await.map_err(|error| error.to_string())?;
+    let mut received = Vec::new();
+    let mut buffer = [0; 4096];
+    let read = async {
         loop {
-            match s.read(&mut b).await {
-                Ok(n) if n > 0 => out.extend_from_slice(&b[..n]),
+            match stream.read(&mut buffer).await {
+                Ok(length) if length > 0 => received.extend_from_slice(&buffer[..length]),
                 _ => break,
             }
-            if !end.is_empty() && String::from_utf8_lossy(&out).contains(end) {
+            if !end.is_empty() && String::from_utf8_lossy(&received).contains(end) {
                 break;
             }
         }
     };
-    tokio::time::timeout(Duration::from_secs(8), go).await.map_err(|_| "no end in 8 s".to_owned())?;
-    Ok(String::from_utf8_lossy(&out).into_owned())
+    tokio::time::timeout(Duration::from_secs(8), read)
+        .await
+        .map_err(|_| "no complete response within 8 s".to_owned())?;
+    Ok(String::from_utf8_lossy(&received).into_owned())
 }
 
+/// Guards against two faults. A worker ends a body by closing the connection, and the client takes a
+/// truncated body for a complete one. A front is stopped, and calls on open connections get no response.
 #[test]
-fn a_body_ended_by_the_close_is_truncated_and_no_response_is_lost_while_stopping() {
+fn a_body_delimited_by_close_is_truncated_and_a_stopping_front_loses_no_response() {
     run_trial(async {
-        let more = "\"app\":{},\"bare\":{},\"events\":{}";
-        let ms = "\"matches\":{\"bare\":{\"path\":\"/v1/bare/{id}\",\"pool\":\"bare\"},\"events\":{\"path\":\"/v1/events\",\"pool\":\"events\"},";
-        let body = config_tree(FleetSpec::SMALL, 0, &[]).replace("\"app\":{}", more).replace("\"matches\":{", ms);
+        let extra_pools = "\"app\":{},\"bare\":{},\"events\":{}";
+        let extra_matches = "\"matches\":{\"bare\":{\"path\":\"/v1/bare/{id}\",\"pool\":\"bare\"},\"events\":{\"path\":\"/v1/events\",\"pool\":\"events\"},";
+        let body = config_tree(FleetSpec::SMALL, 0, &[])
+            .replace("\"app\":{}", extra_pools)
+            .replace("\"matches\":{", extra_matches);
         let (mut fleet, _workers, _log) = start_fleet(FleetSpec::SMALL, &body).await?;
-        let at = |k: u32| format!("{}.{k}:7300", fleet.net).parse().map_err(|_| "no address".to_owned());
+        let address = |host: u32| format!("{}.{host}:7300", fleet.net).parse().map_err(|_| "no address".to_owned());
         let bare = b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\n\r\n{\"half\":";
         let events = b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\nid: 0\ndata: a\n\n";
-        for (id, pool, at, say) in [("b", "bare", at(240)?, &bare[..]), ("e", "events", at(241)?, &events[..])] {
-            start_raw_worker(id, pool, at, say, fleet.nodes[3].admin(), fleet.http.clone())
+        for (id, pool, listen, response) in
+            [("b", "bare", address(240)?, &bare[..]), ("e", "events", address(241)?, &events[..])]
+        {
+            start_raw_worker(id, pool, listen, response, fleet.nodes[3].admin(), fleet.http.clone())
                 .await
-                .map_err(|e| e.to_string())?;
+                .map_err(|error| error.to_string())?;
         }
         wait_for_workers(&fleet, 7).await?;
         let front = fleet.nodes[3].front();
-        let open = async || TcpStream::connect(&front).await.map_err(|e| e.to_string());
-        for (path, part) in [("/v1/bare/7", "half"), ("/v1/events", "data: a")] {
-            let t = talk(&mut open().await?, path, "1.1", "{\"prompt\":\"x\"}", "").await?;
-            let ok =
-                t.contains(part) && t.to_lowercase().contains("transfer-encoding: chunked") && !t.contains("\r\n0\r\n");
-            ensure(ok, format!("{path} must not look whole: {t}"))?;
+        let connect = async || TcpStream::connect(&front).await.map_err(|error| error.to_string());
+        for (path, expected) in [("/v1/bare/7", "half"), ("/v1/events", "data: a")] {
+            let response = exchange(&mut connect().await?, path, "1.1", "{\"prompt\":\"x\"}", "").await?;
+            let is_truncated = response.contains(expected)
+                && response.to_lowercase().contains("transfer-encoding: chunked")
+                && !response.contains("\r\n0\r\n");
+            ensure(is_truncated, format!("{path}: a truncated body ended as complete: {response}"))?;
         }
-        let t = talk(&mut open().await?, "/v1/chat", "1.0", "{\"prompt\":\"x\"}", "").await?;
-        ensure(t.contains(" 505 ") && t.contains("\"ran\":\"no\""), t)?;
-        // A connection that is kept: the next call on it is answered while the node stops.
-        let mut s = open().await?;
-        let whole = "\"ok\":true}";
-        let t = talk(&mut s, "/v1/confirm", "1.1", "{\"prompt\":\"x\"}", whole).await?;
-        ensure(t.contains(" 200 ") && !t.to_lowercase().contains("connection: close"), t)?;
+        let response = exchange(&mut connect().await?, "/v1/chat", "1.0", "{\"prompt\":\"x\"}", "").await?;
+        ensure(response.contains(" 505 ") && response.contains("\"ran\":\"no\""), response)?;
+        // A kept-alive connection: its next call gets a response while the node is stopping.
+        let mut kept_alive = connect().await?;
+        let complete_body = "\"ok\":true}";
+        let response = exchange(&mut kept_alive, "/v1/confirm", "1.1", "{\"prompt\":\"x\"}", complete_body).await?;
+        ensure(response.contains(" 200 ") && !response.to_lowercase().contains("connection: close"), response)?;
         fleet.signal(3, libc::SIGTERM);
         let begin = Instant::now();
         while fleet.is_ready(3).await {
-            ensure(begin.elapsed() < Duration::from_secs(2), "ready while stopping")?;
+            ensure(begin.elapsed() < Duration::from_secs(2), "the front is still ready 2 s after SIGTERM")?;
         }
-        let t = talk(&mut s, "/v1/confirm", "1.1", "{\"prompt\":\"x\"}", whole).await?;
-        ensure(t.contains(" 200 ") && t.to_lowercase().contains("connection: close"), t)?;
-        // A long one that was read before the listener closed is finished.
-        let c = client(&fleet, "/v1/draft", 0);
-        let record = c.call(&front, "last", "x").await;
+        let response = exchange(&mut kept_alive, "/v1/confirm", "1.1", "{\"prompt\":\"x\"}", complete_body).await?;
+        ensure(response.contains(" 200 ") && response.to_lowercase().contains("connection: close"), response)?;
+        // A long call that was read before the listener closed is completed.
+        let draft_client = client(&fleet, "/v1/draft", 0);
+        let record = draft_client.call(&front, "last", "x").await;
         ensure(record.observation == ClientObservation::Complete, format!("{:?}", record.observation))?;
-        ensure(fleet.wait_for_exit(3).await == Some(0), "no clean end")
+        ensure(fleet.wait_for_exit(3).await == Some(0), "the front did not exit with code 0")
     });
 }
 
+/// Guards against links that fail in the middle of calls: a call must not run twice, a truncated response
+/// must not end as complete, and all workers must serve again once the links are healthy.
 #[test]
-fn calls_survive_links_to_workers_that_are_cut_stalled_or_half_open() {
+fn link_faults_break_no_invariant_and_workers_serve_again() {
     run_trial(async {
         let body = config_tree(FleetSpec::SMALL, 0, &[])
             .replace("\"prefix_chars\":32", "\"prefix_chars\":32,\"first_ms\":900,\"idle_ms\":900");
         let (fleet, workers, log) = start_fleet(FleetSpec::SMALL, &body).await?;
         let mut relays = Vec::new();
-        for (k, w) in workers.iter().enumerate() {
-            let at = format!("{}.{}:7400", fleet.net, 200 + k).parse().map_err(|_| "no address")?;
-            let r = Relay::start(at, w.addr()).await.map_err(|e| e.to_string())?;
-            w.report_addr(r.addr);
-            relays.push(r);
+        for (index, worker) in workers.iter().enumerate() {
+            let listen = format!("{}.{}:7400", fleet.net, 200 + index).parse().map_err(|_| "no address")?;
+            let relay = Relay::start(listen, worker.addr()).await.map_err(|error| error.to_string())?;
+            worker.report_addr(relay.addr);
+            relays.push(relay);
         }
-        let t = Instant::now();
+        let begin = Instant::now();
         loop {
-            let (_, s) = fleet.admin_request(3, Method::GET, "/v1/workers", &[], "").await?;
-            let (_, u) = fleet.admin_request(4, Method::GET, "/v1/workers", &[], "").await?;
-            if !s.contains(":7200") && !u.contains(":7200") && s.matches(":7400").count() == workers.len() {
+            let (_, first_list) = fleet.admin_request(3, Method::GET, "/v1/workers", &[], "").await?;
+            let (_, second_list) = fleet.admin_request(4, Method::GET, "/v1/workers", &[], "").await?;
+            if !first_list.contains(":7200")
+                && !second_list.contains(":7200")
+                && first_list.matches(":7400").count() == workers.len()
+            {
                 break;
             }
-            ensure(t.elapsed() < Duration::from_secs(5), s)?;
+            ensure(begin.elapsed() < Duration::from_secs(5), first_list)?;
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        // Whole responses are counted as such, also those whose length is announced.
-        for n in 0..6 {
-            let path = ["/v1/confirm", "/v1/chat"][n % 2];
-            let record = client(&fleet, path, 0).call(&fleet.nodes[3].front(), &format!("s{n}"), "x").await;
+        // Complete responses are counted as served, also those with a content-length.
+        for number in 0..6 {
+            let path = ["/v1/confirm", "/v1/chat"][number % 2];
+            let record = client(&fleet, path, 0).call(&fleet.nodes[3].front(), &format!("s{number}"), "x").await;
             ensure(record.observation == ClientObservation::Complete, format!("{:?}", record.observation))?;
         }
-        let m = fleet.metrics(3).await;
-        let count = |name: &str| m.get(name).unwrap_or(0);
-        ensure(count("sumacvale_served_total") == 6 && count("sumacvale_clients_gone_total") == 0, format!("{m:?}"))?;
-        let (_, t) = fleet.admin_request(3, Method::GET, "/metrics", &[], "").await?;
-        let p = prometheus_parse::Scrape::parse(t.lines().map(|l| Ok(l.to_owned()))).map_err(|e| e.to_string())?;
-        let first = |kind: &str| {
-            p.samples.iter().find_map(|s| match &s.value {
-                prometheus_parse::Value::Histogram(h) if s.metric == "sumacvale_time_to_first_byte_seconds" => {
-                    (s.labels.get("kind") == Some(kind)).then(|| h.last().map_or(0.0, |b| b.count))
+        let metrics = fleet.metrics(3).await;
+        let count = |name: &str| metrics.get(name).unwrap_or(0);
+        ensure(
+            count("sumacvale_served_total") == 6 && count("sumacvale_clients_gone_total") == 0,
+            format!("{metrics:?}"),
+        )?;
+        let (_, text) = fleet.admin_request(3, Method::GET, "/metrics", &[], "").await?;
+        let scrape = prometheus_parse::Scrape::parse(text.lines().map(|line| Ok(line.to_owned())))
+            .map_err(|error| error.to_string())?;
+        let first_byte_count = |kind: &str| {
+            scrape.samples.iter().find_map(|sample| match &sample.value {
+                prometheus_parse::Value::Histogram(buckets)
+                    if sample.metric == "sumacvale_time_to_first_byte_seconds" =>
+                {
+                    (sample.labels.get("kind") == Some(kind)).then(|| buckets.last().map_or(0.0, |bucket| bucket.count))
                 }
                 _ => None,
             })
         };
-        ensure(first("lookup") == Some(3.0) && first("chat") == Some(3.0), t.clone())?;
+        ensure(first_byte_count("lookup") == Some(3.0) && first_byte_count("chat") == Some(3.0), text.clone())?;
         ensure(
-            p.docs.len() > 40 && p.samples.len() > 60,
-            format!("{} texts, {} samples", p.docs.len(), p.samples.len()),
+            scrape.docs.len() > 40 && scrape.samples.len() > 60,
+            format!("{} help texts, {} samples", scrape.docs.len(), scrape.samples.len()),
         )?;
-        let mut all = Vec::new();
-        let mut set = tokio::task::JoinSet::new();
-        let mut n = 0;
-        for wire in [
+        let mut records = Vec::new();
+        let mut calls = tokio::task::JoinSet::new();
+        let mut number = 0;
+        for state in [
             LinkState::Healthy,
             LinkState::Stalled,
             LinkState::Healthy,
-            LinkState::Cut,
+            LinkState::Reset,
             LinkState::Healthy,
             LinkState::HalfOpen,
             LinkState::Healthy,
         ] {
-            for r in &relays {
-                r.set(wire);
+            for relay in &relays {
+                relay.set(state);
             }
-            let mut t = tokio::time::interval(Duration::from_millis(8));
+            let mut interval = tokio::time::interval(Duration::from_millis(8));
             for _ in 0..80 {
-                t.tick().await;
-                n += 1;
-                let path = ["/v1/confirm", "/v1/book", "/v1/chat", "/v1/draft"][n % 4];
-                let (c, at) = (client(&fleet, path, 0), fleet.nodes[3 + n % 2].front());
-                set.spawn(async move { c.call(&at, &format!("w{n}"), &format!("prefix {}|", n % 7)).await });
+                interval.tick().await;
+                number += 1;
+                let path = ["/v1/confirm", "/v1/book", "/v1/chat", "/v1/draft"][number % 4];
+                let (client, front) = (client(&fleet, path, 0), fleet.nodes[3 + number % 2].front());
+                calls.spawn(async move {
+                    client.call(&front, &format!("w{number}"), &format!("prefix {}|", number % 7)).await
+                });
             }
         }
-        while let Some(record) = set.join_next().await {
-            all.push(record.map_err(|e| e.to_string())?);
+        while let Some(record) = calls.join_next().await {
+            records.push(record.map_err(|error| error.to_string())?);
         }
-        for record in all.iter().filter(|record| matches!(record.observation, ClientObservation::Violation(_))) {
+        for record in records.iter().filter(|record| matches!(record.observation, ClientObservation::Violation(_))) {
             println!("{record:?}");
-            for i in 3..5 {
-                let m = fleet.metrics(i).await;
-                println!("{:?}", m.iter().filter(|x| x.1 > 0).collect::<Vec<_>>());
+            for index in 3..5 {
+                let metrics = fleet.metrics(index).await;
+                println!("{:?}", metrics.iter().filter(|(_, value)| *value > 0).collect::<Vec<_>>());
             }
         }
-        let of = |f: fn(&ClientObservation) -> bool| all.iter().filter(|record| f(&record.observation)).count();
-        let (whole, broken) =
-            (of(|s| *s == ClientObservation::Complete), of(|s| matches!(s, ClientObservation::Truncated { .. })));
-        let unknown = of(|s| matches!(s, ClientObservation::Refused { ran, .. } if ran == "unknown"));
-        println!("{whole} whole, {broken} broken off, {unknown} of which nobody knows, of {}", all.len());
-        ensure(whole > 150 && broken > 0 && unknown > 0, "the wires were not in trouble")?;
-        let bad = judge(&all, &log.runs(), None);
-        ensure(bad.is_empty(), format!("{bad:?}"))?;
-        // Whole again: every worker serves.
-        let t = Instant::now();
+        let count = |matches: fn(&ClientObservation) -> bool| {
+            records.iter().filter(|record| matches(&record.observation)).count()
+        };
+        let (complete, truncated) = (
+            count(|observation| *observation == ClientObservation::Complete),
+            count(|observation| matches!(observation, ClientObservation::Truncated { .. })),
+        );
+        let unknown =
+            count(|observation| matches!(observation, ClientObservation::Refused { ran, .. } if ran == "unknown"));
+        println!("{complete} complete, {truncated} truncated, {unknown} with unknown outcome, of {}", records.len());
+        ensure(complete > 150 && truncated > 0 && unknown > 0, "the link faults had no effect on calls")?;
+        let findings = judge(&records, &log.runs(), None);
+        ensure(findings.is_empty(), format!("{findings:?}"))?;
+        // The links are healthy again, so calls must be served.
+        let begin = Instant::now();
         loop {
             let record = client(&fleet, "/v1/chat", 0)
-                .call(&fleet.nodes[3].front(), &format!("z{}", t.elapsed().as_micros()), "x")
+                .call(&fleet.nodes[3].front(), &format!("z{}", begin.elapsed().as_micros()), "x")
                 .await;
             if record.observation == ClientObservation::Complete {
                 return Ok(());
             }
-            ensure(t.elapsed() < Duration::from_secs(12), format!("{:?}", record.observation))?;
+            ensure(begin.elapsed() < Duration::from_secs(12), format!("{:?}", record.observation))?;
         }
     });
 }
 
-/// Cores die while they write; whatever was acknowledged is there after it.
+/// Guards against acknowledged changes that are lost when cores are killed while they write, one at a time
+/// or all at once.
 #[test]
 fn acknowledged_changes_survive_cores_killed_at_any_point_and_all_at_once() {
     run_trial(async {
         let (mut fleet, _workers, _log): (Fleet, Vec<StandInWorker>, WorkerLog) =
             start_fleet(FleetSpec::SMALL, &config_tree(FleetSpec::SMALL, 0, &[])).await?;
-        let mut r = Rng::new(5);
-        let mut acked = fleet.version(3).await.unwrap_or(0);
-        for n in 1..=12usize {
-            let i = n % 3;
-            let body = config_tree(FleetSpec::SMALL, n, &[]);
-            let after = Duration::from_micros(r.below(9_000));
-            let (got, ()) = {
-                let put = apply_config(&fleet, 3 + n % 2, &body);
+        let mut rng = Rng::new(5);
+        let mut acknowledged = fleet.version(3).await.unwrap_or(0);
+        for round in 1..=12usize {
+            let core = round % 3;
+            let body = config_tree(FleetSpec::SMALL, round, &[]);
+            let kill_delay = Duration::from_micros(rng.below(9_000));
+            let (result, ()) = {
+                let change = apply_config(&fleet, 3 + round % 2, &body);
                 let kill = async {
-                    tokio::time::sleep(after).await;
-                    fleet.signal(i, libc::SIGKILL);
+                    tokio::time::sleep(kill_delay).await;
+                    fleet.signal(core, libc::SIGKILL);
                 };
-                tokio::join!(put, kill)
+                tokio::join!(change, kill)
             };
-            fleet.wait_for_exit(i).await;
-            if let Ok(v) = got {
-                ensure(v > acked, format!("version {v} after {acked}"))?;
-                acked = v;
+            fleet.wait_for_exit(core).await;
+            if let Ok(version) = result {
+                ensure(version > acknowledged, format!("version {version} after {acknowledged}"))?;
+                acknowledged = version;
             }
-            fleet.start(i).map_err(|e| e.to_string())?;
-            // The next one may go while this one comes back.
-            if n % 4 == 0 {
+            fleet.start(core).map_err(|error| error.to_string())?;
+            // In other rounds, the next core may be killed while this one is starting.
+            if round % 4 == 0 {
                 fleet.wait_until_ready(Duration::from_secs(12)).await?;
-                fleet.wait_for_version(acked, Duration::from_secs(2)).await?;
+                fleet.wait_for_version(acknowledged, Duration::from_secs(2)).await?;
             }
         }
-        for i in 0..5 {
-            fleet.signal(i, libc::SIGKILL);
+        for index in 0..5 {
+            fleet.signal(index, libc::SIGKILL);
         }
-        for i in 0..5 {
-            fleet.wait_for_exit(i).await;
-            fleet.start(i).map_err(|e| e.to_string())?;
+        for index in 0..5 {
+            fleet.wait_for_exit(index).await;
+            fleet.start(index).map_err(|error| error.to_string())?;
         }
-        let t = fleet.wait_until_ready(Duration::from_secs(12)).await?;
-        println!("all five back after {} ms", t.as_millis());
-        for i in 0..5 {
-            let v = fleet.version(i).await.unwrap_or(0);
-            ensure(v >= acked, format!("node {i} is at {v}, {acked} was acknowledged"))?;
+        let elapsed = fleet.wait_until_ready(Duration::from_secs(12)).await?;
+        println!("all five nodes ready after {} ms", elapsed.as_millis());
+        for index in 0..5 {
+            let version = fleet.version(index).await.unwrap_or(0);
+            ensure(
+                version >= acknowledged,
+                format!("node {index} has version {version}, but {acknowledged} was acknowledged"),
+            )?;
         }
-        let v = apply_config(&fleet, 3, &config_tree(FleetSpec::SMALL, 20, &[])).await?;
-        ensure(v > acked, "an older version")
+        let version = apply_config(&fleet, 3, &config_tree(FleetSpec::SMALL, 20, &[])).await?;
+        ensure(version > acknowledged, "a change after the restart got an older version")
     });
 }
 
-/// Thousands of matches come with one change; calls go on meanwhile.
+/// Guards against calls that fail or wait while one change adds thousands of matches.
 #[test]
 fn calls_continue_while_a_configuration_grows_by_thousands_of_matches() {
     run_trial(async {
         let (fleet, _workers, log) = start_fleet(FleetSpec::SMALL, &config_tree(FleetSpec::SMALL, 0, &[])).await?;
-        let mut set = tokio::task::JoinSet::new();
-        let (tx, rx) = tokio::sync::watch::channel(false);
-        for k in 0..2 {
-            let (c, at, rx) = (client(&fleet, "/v1/confirm", 0), fleet.nodes[3 + k].front(), rx.clone());
-            set.spawn(async move {
-                let mut v = Vec::new();
-                while !*rx.borrow() {
-                    v.push(c.call(&at, &format!("g{k}-{}", v.len()), "x").await);
+        let mut clients = tokio::task::JoinSet::new();
+        let (stop_sender, stop) = tokio::sync::watch::channel(false);
+        for index in 0..2 {
+            let (client, front, stop) =
+                (client(&fleet, "/v1/confirm", 0), fleet.nodes[3 + index].front(), stop.clone());
+            clients.spawn(async move {
+                let mut records = Vec::new();
+                while !*stop.borrow() {
+                    records.push(client.call(&front, &format!("g{index}-{}", records.len()), "x").await);
                     tokio::time::sleep(Duration::from_millis(10)).await;
                 }
-                v
+                records
             });
         }
-        for n in [5_000, 10_000, 3] {
-            let t = Instant::now();
-            let v = apply_config(&fleet, 4, &config_tree(FleetSpec::SMALL, n, &[])).await?;
-            let acked = t.elapsed();
-            let s = fleet.wait_for_version(v, Duration::from_secs(2)).await?;
-            println!("{n} matches: acknowledged after {} ms, everywhere {} ms later", acked.as_millis(), s.as_millis());
+        for match_count in [5_000, 10_000, 3] {
+            let begin = Instant::now();
+            let version = apply_config(&fleet, 4, &config_tree(FleetSpec::SMALL, match_count, &[])).await?;
+            let acknowledged = begin.elapsed();
+            let applied = fleet.wait_for_version(version, Duration::from_secs(2)).await?;
+            println!(
+                "{match_count} matches: acknowledged after {} ms, applied on all nodes {} ms later",
+                acknowledged.as_millis(),
+                applied.as_millis()
+            );
         }
-        let _ = tx.send(true);
-        let mut all = Vec::new();
-        while let Some(v) = set.join_next().await {
-            all.extend(v.map_err(|e| e.to_string())?);
+        let _ = stop_sender.send(true);
+        let mut records = Vec::new();
+        while let Some(client_records) = clients.join_next().await {
+            records.extend(client_records.map_err(|error| error.to_string())?);
         }
-        let bad: Vec<_> = all.iter().filter(|record| record.observation != ClientObservation::Complete).collect();
-        ensure(bad.is_empty() && all.len() > 20, format!("{} calls, {bad:?}", all.len()))?;
-        let bad = judge(&all, &log.runs(), None);
-        ensure(bad.is_empty(), format!("{bad:?}"))
+        let incomplete: Vec<_> =
+            records.iter().filter(|record| record.observation != ClientObservation::Complete).collect();
+        ensure(incomplete.is_empty() && records.len() > 20, format!("{} calls, {incomplete:?}", records.len()))?;
+        let findings = judge(&records, &log.runs(), None);
+        ensure(findings.is_empty(), format!("{findings:?}"))
     });
 }
--- a/crates/testbed/tests/hollow.rs
+++ b/crates/testbed/tests/hollow.rs
@@ -1,40 +1,52 @@
-//! The sweep tool: same shape and seed, same counts; and what it counts is what was asked for.
+//! The tool `testbed hollow`: runs are deterministic, and a run has the size and traffic of its shape.
 
-// See `src/hollow/mod.rs`; a slope of one point is exactly zero.
+// See `src/hollow/mod.rs`; the slope of a single point is exactly zero.
 #![allow(clippy::float_cmp)]
 
 use sumacvale_core::base::SEC;
 use sumacvale_testbed::hollow::{Outcome, Role, SWEEPS, Shape, fit, run};
 
+/// Returns a small shape.
 fn small() -> Shape {
     Shape { nodes: 9, tenants: 5, matches: 5, warm: 4 * SEC, secs: 3, ..Shape::default() }
 }
 
-fn sum(o: &Outcome, col: &str) -> f64 {
-    o.rows.iter().map(|r| r.get(col) * r.count as f64).sum()
+/// Returns the sum of a column over all nodes.
+fn sum(outcome: &Outcome, column: &str) -> f64 {
+    outcome.rows.iter().map(|row| row.get(column) * row.count as f64).sum()
 }
 
-/// Everything but the times of the machine that it ran on.
-fn counts(o: &Outcome) -> Vec<String> {
-    let cols = |r: &sumacvale_testbed::hollow::Row| -> Vec<String> {
-        let timed = ["step_us", "step_us_most", "wire_us", "memory"];
-        r.cols.iter().filter(|c| !timed.contains(&c.0)).map(|c| format!("{} {:.3}", c.0, c.1)).collect()
+/// Returns all figures of a run except measured times and memory.
+fn counts(outcome: &Outcome) -> Vec<String> {
+    let columns = |row: &sumacvale_testbed::hollow::Row| -> Vec<String> {
+        let measured = ["step_us", "step_us_most", "wire_us", "memory"];
+        row.cols
+            .iter()
+            .filter(|column| !measured.contains(&column.0))
+            .map(|column| format!("{} {:.3}", column.0, column.1))
+            .collect()
     };
-    let mut v: Vec<_> = o.rows.iter().map(|r| format!("{:?} {} {:?}", r.role, r.count, cols(r))).collect();
-    v.push(format!("{:?} {} {} {} {}", o.spread, o.stale, o.calls, o.served, o.workers));
-    v
+    let mut lines: Vec<_> =
+        outcome.rows.iter().map(|row| format!("{:?} {} {:?}", row.role, row.count, columns(row))).collect();
+    lines.push(format!(
+        "{:?} {} {} {} {}",
+        outcome.spread, outcome.stale, outcome.calls, outcome.served, outcome.workers
+    ));
+    lines
 }
 
+/// Guards against figures that depend on anything but the shape and the seed.
 #[test]
-fn the_same_seed_gives_the_same_counts() {
-    let s = Shape { workers: 30, calls: 100, changes: 1_000, ..small() };
-    let (a, b) = (run(s), run(s));
-    assert_eq!(counts(&a), counts(&b));
-    assert_ne!(counts(&a), counts(&run(Shape { seed: 2, ..s })));
+fn counts_are_determined_by_shape_and_seed() {
+    let shape = Shape { workers: 30, calls: 100, changes: 1_000, ..small() };
+    let (first, second) = (run(shape), run(shape));
+    assert_eq!(counts(&first), counts(&second));
+    assert_ne!(counts(&first), counts(&run(Shape { seed: 2, ..shape })));
 }
 
+/// Guards against a run that measures another size or less traffic than its shape requests.
 #[test]
-fn what_was_asked_for_is_there() {
+fn a_run_has_the_nodes_workers_calls_and_changes_of_its_shape() {
     let cases = [
         Shape { workers: 30, ..small() },
         Shape { zones: 2, regions: 2, ..small() },
@@ -42,39 +54,47 @@
         Shape { changes: 1_000, ..small() },
         Shape { cores: 5, voters: 5, zones: 5, regions: 4, changes: 500, ..small() },
     ];
-    for s in cases {
-        let o = run(s);
-        let core = o.rows.iter().find(|r| r.role == Role::Core).map_or(0, |r| r.count);
-        assert_eq!((o.nodes, core), (s.nodes, s.voters), "{s:?}");
-        assert_eq!(o.workers, s.workers, "{s:?}");
-        assert_eq!(o.rows.iter().map(|r| r.count).sum::<u64>(), s.nodes, "{s:?}");
-        assert!(o.calls.abs_diff(s.calls * s.secs) <= 1 && o.gave_up == 0, "{s:?}: {o:?}");
-        assert!(o.served + 5 >= o.calls, "{s:?}: {o:?}");
-        assert_eq!(o.stale, 0, "{s:?}");
-        assert!(o.spread.len() as u64 + 1 >= s.changes * s.secs / 1_000, "{s:?}: {o:?}");
-        assert!(o.spread.iter().all(|t| *t < SEC), "{s:?}: {:?}", o.spread);
-        assert_eq!(sum(&o, "bytes_region") > 0.0, s.regions > 1, "{s:?}");
-        assert!(sum(&o, "bytes_far") >= sum(&o, "bytes_region"), "{s:?}");
-        assert!(sum(&o, "msgs_out") > 0.0 && sum(&o, "bytes_out") >= sum(&o, "bytes_far"), "{s:?}");
-        assert!((sum(&o, "msgs_out") - sum(&o, "msgs_in")).abs() < s.nodes as f64 * 3.0, "{s:?}");
+    for shape in cases {
+        let outcome = run(shape);
+        let core_count = outcome.rows.iter().find(|row| row.role == Role::Core).map_or(0, |row| row.count);
+        assert_eq!((outcome.nodes, core_count), (shape.nodes, shape.voters), "{shape:?}");
+        assert_eq!(outcome.workers, shape.workers, "{shape:?}");
+        assert_eq!(outcome.rows.iter().map(|row| row.count).sum::<u64>(), shape.nodes, "{shape:?}");
+        assert!(
+            outcome.calls.abs_diff(shape.calls * shape.secs) <= 1 && outcome.gave_up == 0,
+            "{shape:?}: {outcome:?}"
+        );
+        assert!(outcome.served + 5 >= outcome.calls, "{shape:?}: {outcome:?}");
+        assert_eq!(outcome.stale, 0, "{shape:?}");
+        assert!(outcome.spread.len() as u64 + 1 >= shape.changes * shape.secs / 1_000, "{shape:?}: {outcome:?}");
+        assert!(outcome.spread.iter().all(|time| *time < SEC), "{shape:?}: {:?}", outcome.spread);
+        assert_eq!(sum(&outcome, "bytes_region") > 0.0, shape.regions > 1, "{shape:?}");
+        assert!(sum(&outcome, "bytes_far") >= sum(&outcome, "bytes_region"), "{shape:?}");
+        assert!(
+            sum(&outcome, "msgs_out") > 0.0 && sum(&outcome, "bytes_out") >= sum(&outcome, "bytes_far"),
+            "{shape:?}"
+        );
+        assert!((sum(&outcome, "msgs_out") - sum(&outcome, "msgs_in")).abs() < shape.nodes as f64 * 3.0, "{shape:?}");
     }
 }
 
+/// Guards against wrong coefficients: the points lie on a known line, power law or textbook example.
 #[test]
-fn a_line_is_found_with_its_error() {
-    let f = fit(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)]);
-    assert!((f.base - 3.0).abs() < 1e-9 && (f.slope - 2.0).abs() < 1e-9 && f.error < 1e-9, "{f:?}");
-    let f = fit(&[(1.0, 3.0), (2.0, 12.0), (4.0, 48.0)]);
-    assert!((f.power - 2.0).abs() < 1e-9 && f.error > 0.0, "{f:?}");
-    // The slope's error is that of the textbook: sqrt(rest / (n - 2) / sxx).
-    let f = fit(&[(0.0, 0.0), (1.0, 2.0), (2.0, 1.0), (3.0, 3.0)]);
-    assert!((f.slope - 0.8).abs() < 1e-9 && (f.error - 0.18f64.sqrt()).abs() < 1e-9, "{f:?}");
+fn a_fit_finds_base_slope_power_and_standard_error() {
+    let line = fit(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)]);
+    assert!((line.base - 3.0).abs() < 1e-9 && (line.slope - 2.0).abs() < 1e-9 && line.error < 1e-9, "{line:?}");
+    let line = fit(&[(1.0, 3.0), (2.0, 12.0), (4.0, 48.0)]);
+    assert!((line.power - 2.0).abs() < 1e-9 && line.error > 0.0, "{line:?}");
+    // The standard error of the slope in simple linear regression: sqrt(SSR / (n - 2) / Sxx).
+    let line = fit(&[(0.0, 0.0), (1.0, 2.0), (2.0, 1.0), (3.0, 3.0)]);
+    assert!((line.slope - 0.8).abs() < 1e-9 && (line.error - 0.18f64.sqrt()).abs() < 1e-9, "{line:?}");
     assert_eq!(fit(&[(2.0, 4.0)]).slope, 0.0);
 }
 
+/// Guards against runs of shapes that no fleet can have.
 #[test]
-fn sizes_that_no_fleet_has_are_refused() {
-    let bad = [
+fn invalid_shapes_are_rejected_and_all_sweeps_are_valid() {
+    let invalid = [
         Shape { voters: 0, ..small() },
         Shape { voters: 4, ..small() },
         Shape { cores: 9, ..small() },
@@ -83,12 +103,12 @@
         Shape { tenants: 0, calls: 1, ..small() },
         Shape { nodes: 2_001, ..small() },
     ];
-    for s in bad {
-        assert!(s.check().is_err(), "{s:?}");
+    for shape in invalid {
+        assert!(shape.check().is_err(), "{shape:?}");
     }
-    for a in SWEEPS {
-        for x in a.points {
-            assert_eq!((a.shape)(*x).check(), Ok(()), "{} {x}", a.name);
+    for sweep in SWEEPS {
+        for point in sweep.points {
+            assert_eq!((sweep.shape)(*point).check(), Ok(()), "{} {point}", sweep.name);
         }
     }
 }
