--- a/crates/node/tests/disk.rs
+++ b/crates/node/tests/disk.rs
@@ -1,4 +1,5 @@
-//! The data folder: what was synced is there again, and what is not ours is refused.
+//! The data folder: synced writes survive a restart, a loss of power and a full disk, and a folder that
+//! is foreign, locked or corrupt is rejected.
 
 use std::io::BufRead;
 use std::os::unix::process::CommandExt;
@@ -9,32 +10,34 @@
 use sumacvale_core::protocol::{Ballot, EntryDigest, LogEntry, RegisteredIncarnation, Voter, WindowGrant};
 use sumacvale_node::disk::{Database, DiskError, DiskWriter, WriteJob};
 
-struct Dir(PathBuf);
+/// A folder for one test, removed at its end.
+struct TemporaryFolder(PathBuf);
 
-impl Dir {
-    fn new(n: &str) -> Dir {
-        let d = std::env::temp_dir().join(format!("sumacvale-disk-{n}-{}", std::process::id()));
-        let _ = std::fs::remove_dir_all(&d);
-        std::fs::create_dir(&d).expect("makes a folder");
-        Dir(d)
+impl TemporaryFolder {
+    fn new(name: &str) -> TemporaryFolder {
+        let path = std::env::temp_dir().join(format!("sumacvale-disk-{name}-{}", std::process::id()));
+        let _ = std::fs::remove_dir_all(&path);
+        std::fs::create_dir(&path).expect("creates a folder");
+        TemporaryFolder(path)
     }
 }
 
-impl Drop for Dir {
+impl Drop for TemporaryFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-fn decree(version: u64) -> LogEntry {
-    let c = |n| Voter { node_id: NodeId(n), addr: format!("10.0.0.{n}:1") };
+/// A small log entry.
+fn log_entry(version: u64) -> LogEntry {
+    let voter = |n| Voter { node_id: NodeId(n), addr: format!("10.0.0.{n}:1") };
     LogEntry {
         version,
         change_id: ChangeId(version + 7),
         fleet_id: 9,
         voters_since: 0,
         previous_voters: vec![],
-        voters: vec![c(1), c(2)],
+        voters: vec![voter(1), voter(2)],
         body: format!("{{\"n\":{version}}}"),
         revision: version * 3,
         patch: None,
@@ -42,115 +45,117 @@
     }
 }
 
-fn ops() -> Vec<DurableWrite> {
+/// Writes of many kinds, some of which replace or delete what earlier ones wrote.
+fn writes() -> Vec<DurableWrite> {
     let ballot = Ballot { number: 3, node_id: NodeId(u64::MAX), incarnation: 2 };
     let grant = |window, node_id, granted_total| {
         DurableWrite::Grant(WindowGrant { tenant: "t".into(), window, node_id: NodeId(node_id), granted_total, age: 0 })
     };
-    let mut v = vec![
-        DurableWrite::BootstrapVote(decree(0).voters),
+    let mut writes = vec![
+        DurableWrite::BootstrapVote(log_entry(0).voters),
         DurableWrite::Promise { instance: 1, ballot },
-        DurableWrite::Accept { ballot, entry: decree(1) },
+        DurableWrite::Accept { ballot, entry: log_entry(1) },
     ];
-    v.extend((0..80).map(|n| DurableWrite::Commit(decree(n))));
-    v.extend([
+    writes.extend((0..80).map(|n| DurableWrite::Commit(log_entry(n))));
+    writes.extend([
         DurableWrite::Epoch { role: 3, epoch: 5 },
         DurableWrite::Epoch { role: 3, epoch: 6 },
         DurableWrite::Ready(0),
     ]);
-    v.extend([grant(1, 1, 4), grant(1, 2, 5), grant(2, 1, 1), grant(2, 1, 3)]);
-    let life = |node_id, incarnation| RegisteredIncarnation {
+    writes.extend([grant(1, 1, 4), grant(1, 2, 5), grant(2, 1, 1), grant(2, 1, 3)]);
+    let incarnation = |node_id, incarnation| RegisteredIncarnation {
         node_id: NodeId(node_id),
         incarnation,
         addr: format!("a{node_id}:1"),
     };
-    v.push(DurableWrite::Register(vec![life(1, 1), life(2, u64::MAX), life(2, 3)]));
-    v.push(DurableWrite::Deregister(vec![(NodeId(2), 3), (NodeId(9), 1)]));
-    v
+    writes.push(DurableWrite::Register(vec![incarnation(1, 1), incarnation(2, u64::MAX), incarnation(2, 3)]));
+    writes.push(DurableWrite::Deregister(vec![(NodeId(2), 3), (NodeId(9), 1)]));
+    writes
 }
 
 #[test]
-fn the_disk_and_the_simulated_disk_keep_the_same() {
-    let d = Dir::new("same");
-    let mut want = DurableState { node_id: NodeId(77), ..DurableState::default() };
-    let (mut b, k, life) = Database::open(&d.0, NodeId(77)).expect("opens");
-    assert_eq!((k, life), (want.clone(), 1));
-    for o in ops() {
-        b.commit([&o].into_iter()).expect("commits");
-        want.apply(&o);
-        drop(b);
-        let (again, k, _) = Database::open(&d.0, NodeId(1)).expect("opens again");
-        assert_eq!(k, want, "after {o:?}");
-        b = again;
+fn the_database_and_the_simulated_disk_hold_the_same_state() {
+    let folder = TemporaryFolder::new("same");
+    let mut expected = DurableState { node_id: NodeId(77), ..DurableState::default() };
+    let (mut database, state, incarnation) = Database::open(&folder.0, NodeId(77)).expect("opens");
+    assert_eq!((state, incarnation), (expected.clone(), 1));
+    for write in writes() {
+        database.commit([&write].into_iter()).expect("commits");
+        expected.apply(&write);
+        drop(database);
+        let (again, state, _) = Database::open(&folder.0, NodeId(1)).expect("opens again");
+        assert_eq!(state, expected, "after {write:?}");
+        database = again;
     }
-    let (_, _, life) = {
-        drop(b);
-        Database::open(&d.0, NodeId(1)).expect("opens")
+    let (_, _, incarnation) = {
+        drop(database);
+        Database::open(&folder.0, NodeId(1)).expect("opens")
     };
-    assert!(life > 80, "each start is a new life");
+    assert!(incarnation > 80, "each start is a new incarnation");
 }
 
 #[test]
-fn folders_that_are_in_use_foreign_or_damaged_are_refused() {
-    let d = Dir::new("use");
-    let (b, ..) = Database::open(&d.0, NodeId(5)).expect("opens");
-    assert!(matches!(Database::open(&d.0, NodeId(6)), Err(DiskError::InUse { .. })));
-    drop(b);
-    let d = Dir::new("foreign");
-    std::fs::write(d.0.join("letters.txt"), "x").expect("writes");
-    assert!(matches!(Database::open(&d.0, NodeId(5)), Err(DiskError::ForeignFolder { .. })));
-    let d = Dir::new("other");
-    std::fs::write(d.0.join("state.db"), vec![7; 5_000]).expect("writes");
-    assert!(matches!(Database::open(&d.0, NodeId(5)), Err(DiskError::UnsupportedFormat { .. })));
-    let d = Dir::new("empty");
-    std::fs::write(d.0.join("state.db"), b"").expect("writes");
+fn a_locked_foreign_or_corrupt_folder_is_rejected() {
+    let folder = TemporaryFolder::new("use");
+    let (database, ..) = Database::open(&folder.0, NodeId(5)).expect("opens");
+    assert!(matches!(Database::open(&folder.0, NodeId(6)), Err(DiskError::InUse { .. })));
+    drop(database);
+    let folder = TemporaryFolder::new("foreign");
+    std::fs::write(folder.0.join("letters.txt"), "x").expect("writes");
+    assert!(matches!(Database::open(&folder.0, NodeId(5)), Err(DiskError::ForeignFolder { .. })));
+    let folder = TemporaryFolder::new("other");
+    std::fs::write(folder.0.join("state.db"), vec![7; 5_000]).expect("writes");
+    assert!(matches!(Database::open(&folder.0, NodeId(5)), Err(DiskError::UnsupportedFormat { .. })));
+    let folder = TemporaryFolder::new("empty");
+    std::fs::write(folder.0.join("state.db"), b"").expect("writes");
     assert!(
-        matches!(Database::open(&d.0, NodeId(5)), Err(DiskError::UnsupportedFormat { .. })),
-        "a file that lost all is no new folder"
+        matches!(Database::open(&folder.0, NodeId(5)), Err(DiskError::UnsupportedFormat { .. })),
+        "an empty database file is not treated as a new folder"
     );
 }
 
 #[test]
-fn no_flipped_byte_is_taken_for_what_was_written() {
-    let dir = Dir::new("flip");
-    let file = dir.0.join("state.db");
-    let mut want = DurableState { node_id: NodeId(77), ..DurableState::default() };
-    let (mut database, ..) = Database::open(&dir.0, NodeId(77)).expect("opens");
-    for operation in ops() {
-        want.apply(&operation);
+fn a_flipped_bit_never_yields_another_vote_or_log_entry() {
+    let folder = TemporaryFolder::new("flip");
+    let file = folder.0.join("state.db");
+    let mut expected = DurableState { node_id: NodeId(77), ..DurableState::default() };
+    let (mut database, ..) = Database::open(&folder.0, NodeId(77)).expect("opens");
+    for write in writes() {
+        expected.apply(&write);
     }
-    database.commit(ops().iter()).expect("commits");
+    database.commit(writes().iter()).expect("commits");
     drop(database);
-    let good = std::fs::read(&file).expect("reads");
+    let valid = std::fs::read(&file).expect("reads");
     let mut random = sumacvale_core::base::Rng::new(3);
-    let mut refused = 0;
+    let mut rejected = 0;
     for _ in 0..60 {
-        let mut bad = good.clone();
-        let index = usize::try_from(random.below(bad.len() as u64)).expect("small");
-        bad[index] ^= 1 << random.below(8);
-        let _ = std::fs::remove_file(dir.0.join("state.db-wal"));
-        std::fs::write(&file, &bad).expect("writes");
-        match Database::open(&dir.0, NodeId(1)) {
-            Err(_) => refused += 1,
+        let mut flipped = valid.clone();
+        let index = usize::try_from(random.below(flipped.len() as u64)).expect("small");
+        flipped[index] ^= 1 << random.below(8);
+        let _ = std::fs::remove_file(folder.0.join("state.db-wal"));
+        std::fs::write(&file, &flipped).expect("writes");
+        match Database::open(&folder.0, NodeId(1)) {
+            Err(_) => rejected += 1,
             Ok((_, read, _)) => {
-                let same = (&read.entries, &read.promised, &read.accepted, &read.bootstrap_vote)
-                    == (&want.entries, &want.promised, &want.accepted, &want.bootstrap_vote);
-                assert!(same, "byte {index}: read as something else");
+                let is_same = (&read.entries, &read.promised, &read.accepted, &read.bootstrap_vote)
+                    == (&expected.entries, &expected.promised, &expected.accepted, &expected.bootstrap_vote);
+                assert!(is_same, "byte {index}: other content was read");
             }
         }
     }
-    assert!(refused > 0);
+    assert!(rejected > 0);
 }
 
-/// Bytes of all files in a folder.
-fn on_disk(dir: &Path) -> u64 {
-    let files = std::fs::read_dir(dir).expect("lists").map(|f| f.expect("an entry").metadata().expect("its size"));
-    files.map(|m| m.len()).sum()
+/// The size of all files in a folder in bytes.
+fn folder_bytes(folder: &Path) -> u64 {
+    let files =
+        std::fs::read_dir(folder).expect("lists").map(|file| file.expect("an entry").metadata().expect("its size"));
+    files.map(|metadata| metadata.len()).sum()
 }
 
 #[test]
-fn a_start_that_power_ended_halfway_is_begun_anew() {
-    // Each of them may have lasted by itself, torn or whole.
+fn an_interrupted_creation_of_the_database_starts_over() {
+    // After a loss of power each of these files may be left alone, incomplete or complete.
     let cases: [&[(&str, usize)]; 7] = [
         &[(".sumacvale-write", 0)],
         &[("state.db.new", 0)],
@@ -161,24 +166,25 @@
         &[("state.db-journal", 512)],
     ];
     for files in cases {
-        let d = Dir::new("halfway");
+        let folder = TemporaryFolder::new("halfway");
         for (name, size) in files {
-            std::fs::write(d.0.join(name), vec![0; *size]).expect("writes");
+            std::fs::write(folder.0.join(name), vec![0; *size]).expect("writes");
         }
-        let (b, k, life) = Database::open(&d.0, NodeId(8)).unwrap_or_else(|e| panic!("{files:?}: {e}"));
-        assert_eq!((k.node_id, life), (NodeId(8), 1), "{files:?}");
-        drop(b);
-        let (.., life) = Database::open(&d.0, NodeId(9)).expect("opens again");
-        assert_eq!(life, 2, "{files:?}");
+        let (database, state, incarnation) =
+            Database::open(&folder.0, NodeId(8)).unwrap_or_else(|e| panic!("{files:?}: {e}"));
+        assert_eq!((state.node_id, incarnation), (NodeId(8), 1), "{files:?}");
+        drop(database);
+        let (.., incarnation) = Database::open(&folder.0, NodeId(9)).expect("opens again");
+        assert_eq!(incarnation, 2, "{files:?}");
     }
 }
 
 #[test]
-fn a_journal_that_comes_back_after_a_loss_of_power_undoes_no_vote() {
-    let d = Dir::new("journal");
-    drop(Database::open(&d.0, NodeId(77)).expect("opens"));
-    // The journal of a change of the file's mode, as it was synced, whose removal was not.
-    let (file, journal) = (d.0.join("state.db"), d.0.join("state.db-journal"));
+fn a_rollback_journal_that_reappears_after_a_loss_of_power_undoes_no_vote() {
+    let folder = TemporaryFolder::new("journal");
+    drop(Database::open(&folder.0, NodeId(77)).expect("opens"));
+    // A rollback journal that was synced, but whose removal was not.
+    let (file, journal) = (folder.0.join("state.db"), folder.0.join("state.db-journal"));
     let old = {
         let db = rusqlite::Connection::open(&file).expect("opens");
         db.execute_batch(
@@ -192,153 +198,160 @@
         db.execute_batch("ROLLBACK; PRAGMA journal_mode=WAL;").expect("goes back");
         old
     };
-    let mut want = DurableState { node_id: NodeId(77), ..DurableState::default() };
-    let (mut b, ..) = Database::open(&d.0, NodeId(1)).expect("opens");
-    b.commit(ops().iter()).expect("commits");
-    for operation in ops() {
-        want.apply(&operation);
+    let mut expected = DurableState { node_id: NodeId(77), ..DurableState::default() };
+    let (mut database, ..) = Database::open(&folder.0, NodeId(1)).expect("opens");
+    database.commit(writes().iter()).expect("commits");
+    for write in writes() {
+        expected.apply(&write);
     }
-    drop(b);
-    std::fs::write(&journal, old).expect("comes back");
-    let (_, k, _) = Database::open(&d.0, NodeId(1)).expect("opens with the journal");
-    assert_eq!(k, want);
+    drop(database);
+    std::fs::write(&journal, old).expect("writes the journal");
+    let (_, state, _) = Database::open(&folder.0, NodeId(1)).expect("opens with the journal");
+    assert_eq!(state, expected);
 }
 
-fn large(version: u64) -> LogEntry {
-    LogEntry { body: "x".repeat(4 << 20), ..decree(version) }
+/// A log entry with a body of 4 MiB.
+fn large_entry(version: u64) -> LogEntry {
+    LogEntry { body: "x".repeat(4 << 20), ..log_entry(version) }
 }
 
 #[test]
-fn the_folder_stays_small_however_large_versions_are() {
-    let d = Dir::new("large");
-    let (mut b, ..) = Database::open(&d.0, NodeId(5)).expect("opens");
+fn the_size_of_the_folder_is_bounded_for_large_versions() {
+    let folder = TemporaryFolder::new("large");
+    let (mut database, ..) = Database::open(&folder.0, NodeId(5)).expect("opens");
     let ballot = Ballot { number: 3, node_id: NodeId(2), incarnation: 2 };
-    let mut most = 0;
-    let mut want = DurableState { node_id: NodeId(5), ..DurableState::default() };
+    let mut max_bytes = 0;
+    let mut expected = DurableState { node_id: NodeId(5), ..DurableState::default() };
     for version in 0..30 {
-        let each = [
+        let writes = [
             DurableWrite::Promise { instance: version, ballot },
-            DurableWrite::Accept { ballot, entry: large(version) },
-            DurableWrite::Commit(large(version)),
+            DurableWrite::Accept { ballot, entry: large_entry(version) },
+            DurableWrite::Commit(large_entry(version)),
         ];
-        for o in &each {
-            b.commit([o].into_iter()).expect("commits");
-            want.apply(o);
-            most = most.max(on_disk(&d.0));
+        for write in &writes {
+            database.commit([write].into_iter()).expect("commits");
+            expected.apply(write);
+            max_bytes = max_bytes.max(folder_bytes(&folder.0));
         }
     }
-    let bodies: usize = want.entries.values().map(|d| d.body.len()).sum();
-    println!("30 versions of 4 MiB: {bodies} bytes of bodies kept, {most} bytes of files at most");
-    assert!(bodies <= MAX_HISTORY_BYTES, "{bodies}");
-    assert!(most <= 56 << 20, "{most}");
-    drop(b);
-    let (_, k, _) = Database::open(&d.0, NodeId(5)).expect("opens again");
-    assert_eq!(k, want);
-    assert_eq!(k.digests.len(), 30, "all are remembered");
+    let body_bytes: usize = expected.entries.values().map(|entry| entry.body.len()).sum();
+    println!("30 versions of 4 MiB: {body_bytes} bytes of bodies kept, {max_bytes} bytes of files at most");
+    assert!(body_bytes <= MAX_HISTORY_BYTES, "{body_bytes}");
+    assert!(max_bytes <= 56 << 20, "{max_bytes}");
+    drop(database);
+    let (_, state, _) = Database::open(&folder.0, NodeId(5)).expect("opens again");
+    assert_eq!(state, expected);
+    assert_eq!(state.digests.len(), 30, "all digests are kept");
 }
 
 #[test]
-fn twenty_thousand_versions_are_remembered_in_a_few_megabytes() {
-    let d = Dir::new("digests");
-    let (mut b, ..) = Database::open(&d.0, NodeId(5)).expect("opens");
-    let all: Vec<_> = (0..MAX_DIGESTS as u64 + 500).map(|v| EntryDigest::of(&decree(v))).collect();
-    for piece in all.chunks(500) {
-        b.commit([DurableWrite::Digests(piece.to_vec())].iter()).expect("commits");
+fn the_newest_digests_are_kept_in_a_few_megabytes() {
+    let folder = TemporaryFolder::new("digests");
+    let (mut database, ..) = Database::open(&folder.0, NodeId(5)).expect("opens");
+    let digests: Vec<_> = (0..MAX_DIGESTS as u64 + 500).map(|version| EntryDigest::of(&log_entry(version))).collect();
+    for batch in digests.chunks(500) {
+        database.commit([DurableWrite::Digests(batch.to_vec())].iter()).expect("commits");
     }
-    let last = decree(MAX_DIGESTS as u64 + 500);
-    b.commit([DurableWrite::Commit(last.clone())].iter()).expect("commits");
-    drop(b);
-    let from = std::time::Instant::now();
-    let (_, k, _) = Database::open(&d.0, NodeId(5)).expect("opens again");
-    let (took, bytes) = (from.elapsed(), on_disk(&d.0));
-    println!("{} digests: {bytes} bytes of files, read in {} ms", k.digests.len(), took.as_millis());
-    assert_eq!(k.digests.len(), MAX_DIGESTS);
-    assert_eq!(k.digests.as_slice().last(), Some(&EntryDigest::of(&last)));
-    assert!(k.digests.get(500).is_none() && k.digests.get(501).is_some(), "the oldest go first");
+    let last = log_entry(MAX_DIGESTS as u64 + 500);
+    database.commit([DurableWrite::Commit(last.clone())].iter()).expect("commits");
+    drop(database);
+    let started_at = std::time::Instant::now();
+    let (_, state, _) = Database::open(&folder.0, NodeId(5)).expect("opens again");
+    let (elapsed, bytes) = (started_at.elapsed(), folder_bytes(&folder.0));
+    println!("{} digests: {bytes} bytes of files, read in {} ms", state.digests.len(), elapsed.as_millis());
+    assert_eq!(state.digests.len(), MAX_DIGESTS);
+    assert_eq!(state.digests.as_slice().last(), Some(&EntryDigest::of(&last)));
+    assert!(state.digests.get(500).is_none() && state.digests.get(501).is_some(), "the oldest digests are deleted");
     assert!(bytes <= 8 << 20, "{bytes}");
     assert!(std::mem::size_of::<EntryDigest>() * MAX_DIGESTS <= 2 << 20);
 }
 
-fn limit_files(pid: libc::pid_t, bytes: u64) {
+/// Limits the size of files that a process may write; 0 stands for this process.
+fn limit_file_size(pid: libc::pid_t, bytes: u64) {
     let limit = libc::rlimit { rlim_cur: bytes, rlim_max: libc::RLIM_INFINITY };
-    // SAFETY: the limit is read, nothing is written back.
-    let r = unsafe { libc::prlimit(pid, libc::RLIMIT_FSIZE, &raw const limit, std::ptr::null_mut()) };
-    assert_eq!(r, 0, "sets the limit");
+    // SAFETY: `limit` is only read, and the null pointer requests no old limit.
+    let result = unsafe { libc::prlimit(pid, libc::RLIMIT_FSIZE, &raw const limit, std::ptr::null_mut()) };
+    assert_eq!(result, 0, "sets the limit");
 }
 
-/// What tells the copy of this program that its files may not grow.
-const INNER: &str = "SUMACVALE_TEST_FULL_DISK";
+/// Environment variable that makes a child process of this test run [`fill_the_disk`].
+const FULL_DISK_VARIABLE: &str = "SUMACVALE_TEST_FULL_DISK";
 
 #[test]
 fn a_disk_that_fills_during_large_versions_loses_nothing_and_takes_writes_again() {
-    if std::env::var_os(INNER).is_some() {
+    if std::env::var_os(FULL_DISK_VARIABLE).is_some() {
         return fill_the_disk();
     }
-    // The limit holds for a whole process, so the trial has one of its own.
+    // The limit applies to a whole process, so the test runs in a child process.
     let name = "a_disk_that_fills_during_large_versions_loses_nothing_and_takes_writes_again";
-    let me = std::env::current_exe().expect("this program");
-    let out = Command::new(me).args(["--exact", name, "--nocapture"]).env(INNER, "1").output().expect("runs");
-    let told = String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr);
-    assert!(out.status.success() && told.contains("1 passed"), "{told}");
+    let program = std::env::current_exe().expect("this program");
+    let output = Command::new(program)
+        .args(["--exact", name, "--nocapture"])
+        .env(FULL_DISK_VARIABLE, "1")
+        .output()
+        .expect("runs");
+    let text = String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr);
+    assert!(output.status.success() && text.contains("1 passed"), "{text}");
 }
 
 fn fill_the_disk() {
-    // SAFETY: ignoring a signal touches no memory of ours.
+    // SAFETY: ignoring a signal accesses no memory of this process.
     unsafe { libc::signal(libc::SIGXFSZ, libc::SIG_IGN) };
-    let d = Dir::new("full");
-    let (b, ..) = Database::open(&d.0, NodeId(5)).expect("opens");
-    limit_files(0, 10 << 20);
-    let (done, synced) = std::sync::mpsc::channel();
-    let w = DiskWriter::open(b, move |t| done.send(t).expect("heard")).expect("starts");
-    let mut want = DurableState { node_id: NodeId(5), ..DurableState::default() };
+    let folder = TemporaryFolder::new("full");
+    let (database, ..) = Database::open(&folder.0, NodeId(5)).expect("opens");
+    limit_file_size(0, 10 << 20);
+    let (synced_sender, synced) = std::sync::mpsc::channel();
+    let writer =
+        DiskWriter::open(database, move |token| synced_sender.send(token).expect("is received")).expect("starts");
+    let mut expected = DurableState { node_id: NodeId(5), ..DurableState::default() };
     for token in 0..6 {
-        let op = DurableWrite::Commit(large(token));
-        want.apply(&op);
-        w.jobs.send(WriteJob { token, writes: vec![op] }).expect("takes it");
+        let write = DurableWrite::Commit(large_entry(token));
+        expected.apply(&write);
+        writer.jobs.send(WriteJob { token, writes: vec![write] }).expect("is queued");
     }
-    while w.error_count.load(std::sync::atomic::Ordering::Relaxed) < 3 {
+    while writer.error_count.load(std::sync::atomic::Ordering::Relaxed) < 3 {
         std::thread::yield_now();
     }
-    assert!(synced.try_iter().all(|t| t < 5), "nothing is named as synced that is not");
-    limit_files(0, libc::RLIM_INFINITY);
-    while synced.recv().expect("goes on") < 5 {}
-    drop(w);
-    // The writer gives the folder up when its thread ends.
-    let k = loop {
-        match Database::open(&d.0, NodeId(5)) {
-            Ok((_, k, _)) => break k,
+    assert!(synced.try_iter().all(|token| token < 5), "no unsynced write is reported as synced");
+    limit_file_size(0, libc::RLIM_INFINITY);
+    while synced.recv().expect("writes continue") < 5 {}
+    drop(writer);
+    // The writer unlocks the folder when its thread ends.
+    let state = loop {
+        match Database::open(&folder.0, NodeId(5)) {
+            Ok((_, state, _)) => break state,
             Err(DiskError::InUse { .. }) => std::thread::yield_now(),
             Err(e) => panic!("{e}"),
         }
     };
-    assert_eq!(k, want);
+    assert_eq!(state, expected);
 }
 
 #[test]
-fn a_core_whose_disk_is_full_at_its_start_waits_for_room() {
-    for held in [false, true] {
-        let d = Dir::new(if held { "room-held" } else { "room-new" });
-        let data = d.0.join("data");
-        if held {
+fn a_core_that_starts_on_a_full_disk_waits_until_it_can_write() {
+    for has_data in [false, true] {
+        let folder = TemporaryFolder::new(if has_data { "room-held" } else { "room-new" });
+        let data = folder.0.join("data");
+        if has_data {
             drop(Database::open(&data, NodeId(77)).expect("opens"));
         }
         let token = format!("sha256:{}", "0".repeat(64));
-        let a = |port| format!("127.0.77.{}:{port}", if held { 1 } else { 2 });
+        let addr = |port| format!("127.0.77.{}:{port}", if has_data { 1 } else { 2 });
         let settings = format!(
             "{{\"data\":\"{}\",\"zone\":\"z\",\"peer\":\"{}\",\"admin\":\"{}\",\"downstream\":\"{}\",\"seeds\":[\"{}\"],\"operators\":[\"{token}\"],\"workers\":[\"{token}\"]}}",
             data.display(),
-            a(7_100),
-            a(7_101),
-            a(7_102),
-            a(7_100)
+            addr(7_100),
+            addr(7_101),
+            addr(7_102),
+            addr(7_100)
         );
-        let file = d.0.join("node.json");
+        let file = folder.0.join("node.json");
         std::fs::write(&file, settings).expect("writes");
-        let mut c = Command::new(env!("CARGO_BIN_EXE_sumacvale"));
-        c.args(["--env".as_ref(), file.as_os_str()]).stderr(Stdio::piped()).stdout(Stdio::null());
-        // SAFETY: setting a limit is all that is done between fork and exec.
+        let mut command = Command::new(env!("CARGO_BIN_EXE_sumacvale"));
+        command.args(["--env".as_ref(), file.as_os_str()]).stderr(Stdio::piped()).stdout(Stdio::null());
+        // SAFETY: only `setrlimit`, which is async-signal-safe, runs between fork and exec.
         unsafe {
-            c.pre_exec(|| {
+            command.pre_exec(|| {
                 let none = libc::rlimit { rlim_cur: 0, rlim_max: libc::RLIM_INFINITY };
                 if libc::setrlimit(libc::RLIMIT_FSIZE, &raw const none) == 0 {
                     Ok(())
@@ -347,22 +360,22 @@
                 }
             });
         }
-        let mut child = c.spawn().expect("starts");
+        let mut child = command.spawn().expect("starts");
         let lines = std::io::BufReader::new(child.stderr.take().expect("piped")).lines();
-        let (mut waited, mut told, mut up) = (false, Vec::new(), false);
+        let (mut has_waited, mut log, mut has_started) = (false, Vec::new(), false);
         for line in lines.map_while(Result::ok) {
             if line.contains("takes no writes") {
-                waited = true;
-                limit_files(libc::pid_t::try_from(child.id()).expect("a pid"), libc::RLIM_INFINITY);
+                has_waited = true;
+                limit_file_size(libc::pid_t::try_from(child.id()).expect("a pid"), libc::RLIM_INFINITY);
             }
-            up = line.contains("sumacvale starts");
-            told.push(line);
-            if up {
+            has_started = line.contains("sumacvale starts");
+            log.push(line);
+            if has_started {
                 break;
             }
         }
-        child.kill().expect("is there to be killed");
+        child.kill().expect("is running");
         child.wait().expect("ends");
-        assert!(waited && up, "held before: {held}: {told:?}");
+        assert!(has_waited && has_started, "existing folder: {has_data}: {log:?}");
     }
 }
--- a/crates/node/tests/golden_records/main.rs
+++ b/crates/node/tests/golden_records/main.rs
@@ -1,22 +1,22 @@
-//! Golden files: what a core's disk holds must stay readable and the same, whatever is renamed in
-//! the code.
+//! Golden files: the content of a core's disk must stay readable and byte for byte the same, whatever is
+//! renamed in the code.
 //!
-//! - `records/*.bin` are the records that the database holds as bytes, with their check sums.
-//! - `records/database.sql` is the whole database as SQL: its tables and all rows, also those that
-//!   are no encoded records, such as grants and lives.
+//! - `records/*.bin` are the encoded records of the database with their checksums.
+//! - `records/database.sql` is the whole database as SQL: its tables and all rows, including those that
+//!   are not encoded records, such as grants and incarnations.
 //!
-//! The tests write to a real database and compare what it then holds with the golden files, and
-//! make a database of the golden files and compare what is read from it with what was written.
+//! The tests write to a real database and compare its content with the golden files. They also create a
+//! database from the golden files and compare the state read from it with the state that was written.
 //!
-//! For a new record, add an `Op` to `operations` and a line to `RECORDS`, and run
-//! `GOLDEN_WRITE=1 cargo test -p sumacvale-node --test golden_records`. It writes files that are
-//! missing, and never overwrites a file that exists: a test that fails for an existing file means
-//! that a new release can't read the disk of an old one, so restore the encoding.
+//! For a new record, add a `DurableWrite` to `writes` and a line to `RECORDS`, and run
+//! `GOLDEN_WRITE=1 cargo test -p sumacvale-node --test golden_records`. The command creates missing files
+//! and never overwrites an existing one. A failure for an existing file means that a new release can't
+//! read the disk of an old one, so restore the encoding.
 
 #[path = "../../../core/tests/golden/folder.rs"]
 mod folder;
 #[path = "../../../core/tests/golden/values.rs"]
-#[allow(dead_code, reason = "shared with the golden frames, which need more of it")]
+#[allow(dead_code, reason = "shared with the golden frames, which use more of it")]
 mod values;
 
 use folder::GoldenFolder;
@@ -30,6 +30,7 @@
 use values::{ballot, body_decree, core, digest, full_decree, grant, life};
 
 const NODE: NodeId = NodeId(0xD15C_0000_0000_0077);
+/// The golden file that holds the whole database.
 const DATABASE: &str = "database.sql";
 
 /// Each golden record, and the query that reads it from the database.
@@ -43,19 +44,19 @@
     ("pledge.bin", "SELECT body FROM vote WHERE what = 'pledge'"),
 ];
 
-/// A decree that came by a patch; the disk keeps its body beside the patch, and no packed form.
-fn decree_with_patch() -> LogEntry {
+/// A log entry committed by a patch; the disk holds its body and the patch, but no compressed body.
+fn patched_entry() -> LogEntry {
     LogEntry { version: 1_102, compressed: Vec::new(), ..full_decree() }
 }
 
-/// Writes of every kind that leave something on the disk.
-fn operations() -> Vec<DurableWrite> {
+/// Writes of every kind that add something to the disk.
+fn writes() -> Vec<DurableWrite> {
     vec![
         DurableWrite::BootstrapVote(vec![core(11), core(12)]),
         DurableWrite::Promise { instance: 4_001, ballot: ballot(4_002) },
-        DurableWrite::Accept { ballot: ballot(4_003), entry: LogEntry { version: 1_103, ..decree_with_patch() } },
+        DurableWrite::Accept { ballot: ballot(4_003), entry: LogEntry { version: 1_103, ..patched_entry() } },
         DurableWrite::Commit(body_decree()),
-        DurableWrite::Commit(decree_with_patch()),
+        DurableWrite::Commit(patched_entry()),
         DurableWrite::Digests(vec![digest(1)]),
         DurableWrite::Epoch { role: 4_004, epoch: 4_005 },
         DurableWrite::Grant(grant_on_disk(1)),
@@ -65,18 +66,18 @@
     ]
 }
 
-/// The disk doesn't keep the age of a grant.
+/// A grant without its age, which the disk doesn't store.
 fn grant_on_disk(number: u64) -> WindowGrant {
     WindowGrant { age: 0, ..grant(number) }
 }
 
-/// What a core finds on its disk after these writes.
+/// The state of the disk after these writes.
 fn expected() -> DurableState {
-    let mut kept = DurableState { node_id: NODE, ..DurableState::default() };
-    for operation in &operations() {
-        kept.apply(operation);
+    let mut state = DurableState { node_id: NODE, ..DurableState::default() };
+    for write in &writes() {
+        state.apply(write);
     }
-    kept
+    state
 }
 
 /// A folder for one test, removed at its end.
@@ -106,25 +107,27 @@
 }
 
 fn read_database(folder: &Path) -> DurableState {
-    let (_, kept, _) = Database::open(folder, NodeId(1)).expect("opens the database");
-    kept
+    let (_, state, _) = Database::open(folder, NodeId(1)).expect("opens the database");
+    state
 }
 
-fn write_operations(folder: &TemporaryFolder) {
+/// Creates a database in the folder and commits all writes.
+fn commit_writes(folder: &TemporaryFolder) {
     let (mut database, ..) = Database::open(&folder.0, NODE).expect("creates the database");
-    database.commit(operations().iter()).expect("commits");
+    database.commit(writes().iter()).expect("commits");
 }
 
-/// The whole database as SQL that makes the same one.
+/// Dumps the whole database as SQL that creates the same database.
 fn dump(connection: &Connection) -> String {
-    let mark: i64 = connection.query_row("PRAGMA application_id", [], |row| row.get(0)).expect("the mark");
-    let mut sql = format!("PRAGMA application_id={mark};\n");
+    let application_id: i64 =
+        connection.query_row("PRAGMA application_id", [], |row| row.get(0)).expect("the application id");
+    let mut sql = format!("PRAGMA application_id={application_id};\n");
     let tables = "SELECT name, sql FROM sqlite_master WHERE type = 'table' ORDER BY name";
     for table in rows(connection, tables) {
         let [Value::Text(name), Value::Text(definition)] = table.as_slice() else { panic!("a table has a name") };
         sql += &format!("{definition};\n");
         for row in rows(connection, &format!("SELECT * FROM {name} ORDER BY 1, 2")) {
-            let literals: Vec<String> = row.iter().map(literal).collect();
+            let literals: Vec<String> = row.iter().map(sql_literal).collect();
             sql += &format!("INSERT INTO {name} VALUES ({});\n", literals.join(", "));
         }
     }
@@ -138,8 +141,8 @@
     rows.expect("runs the query").collect::<Result<_, _>>().expect("reads all rows")
 }
 
-/// A value as it is written in SQL.
-fn literal(value: &Value) -> String {
+/// Formats a value as an SQL literal.
+fn sql_literal(value: &Value) -> String {
     match value {
         Value::Null => "NULL".into(),
         Value::Integer(number) => number.to_string(),
@@ -150,57 +153,57 @@
 }
 
 #[test]
-fn the_disk_writes_the_golden_records_and_reads_them() {
+fn the_golden_records_are_written_and_read() {
     let written = TemporaryFolder::new("written");
-    write_operations(&written);
+    commit_writes(&written);
     let connection = written.connect();
     let stored = golden().expect_same_bytes(DATABASE, dump(&connection).as_bytes());
     let records: Vec<(&str, Vec<u8>)> = RECORDS.iter().map(|record| check_record(&connection, record)).collect();
     drop(connection);
-    assert_eq!(read_database(&written.0), expected(), "what was written is read");
+    assert_eq!(read_database(&written.0), expected(), "the written state is read");
 
-    // A folder of the release that wrote the golden files.
-    let made = TemporaryFolder::new("made");
-    let connection = made.connect();
-    connection.execute_batch(std::str::from_utf8(&stored).expect("SQL is text")).expect("makes the database");
+    // A data folder as the release that wrote the golden files left it.
+    let created = TemporaryFolder::new("created");
+    let connection = created.connect();
+    connection.execute_batch(std::str::from_utf8(&stored).expect("SQL is text")).expect("creates the database");
     for ((_, query), (file_name, record)) in RECORDS.iter().zip(&records) {
-        let held: Vec<u8> = connection.query_row(query, [], |row| row.get(0)).expect("the record is there");
-        assert_eq!(&held, record, "{file_name}: the same record in {DATABASE}");
+        let stored_record: Vec<u8> = connection.query_row(query, [], |row| row.get(0)).expect("the record is there");
+        assert_eq!(&stored_record, record, "{file_name}: {DATABASE} holds the same record");
     }
     drop(connection);
-    assert_eq!(read_database(&made.0), expected(), "the golden database is read");
+    assert_eq!(read_database(&created.0), expected(), "the golden database is read");
 
     let file_names = RECORDS.iter().map(|(file_name, _)| *file_name);
     golden().expect_only(file_names.chain([DATABASE]));
 }
 
-/// Compares a record in the database with its golden file.
+/// Compares a record in the database with its golden file; returns the file's name and content.
 fn check_record<'a>(connection: &Connection, (file_name, query): &(&'a str, &str)) -> (&'a str, Vec<u8>) {
-    let held: Vec<u8> = connection.query_row(query, [], |row| row.get(0)).expect("the record is there");
-    (*file_name, golden().expect_same_bytes(file_name, &held))
+    let stored_record: Vec<u8> = connection.query_row(query, [], |row| row.get(0)).expect("the record is there");
+    (*file_name, golden().expect_same_bytes(file_name, &stored_record))
 }
 
 #[test]
-fn each_kind_of_write_is_covered() {
-    let mut kinds: Vec<&str> = operations().iter().map(kind).collect();
+fn every_kind_of_write_is_covered() {
+    let mut kinds: Vec<&str> = writes().iter().map(kind).collect();
     kinds.dedup();
-    assert_eq!(kinds.len(), 9, "one for each kind of write that leaves something: {kinds:?}");
+    assert_eq!(kinds.len(), 9, "one for each kind of write that adds something: {kinds:?}");
 }
 
-/// The name of a kind of write. The compiler asks for a new one here; then add it to `operations`
-/// and raise the count above.
-fn kind(operation: &DurableWrite) -> &'static str {
-    match operation {
-        DurableWrite::BootstrapVote(_) => "pledge",
+/// Returns the name of a kind of write. A new kind doesn't compile before it is named here; also add it
+/// to `writes` and raise the count above.
+fn kind(write: &DurableWrite) -> &'static str {
+    match write {
+        DurableWrite::BootstrapVote(_) => "bootstrap vote",
         DurableWrite::Promise { .. } => "promise",
         DurableWrite::Accept { .. } => "accept",
-        DurableWrite::Commit(_) => "decide",
+        DurableWrite::Commit(_) => "commit",
         DurableWrite::Digests(_) => "digests",
         DurableWrite::Epoch { .. } => "epoch",
         DurableWrite::Grant(_) => "grant",
         DurableWrite::Ready(_) => "ready",
-        DurableWrite::Register(_) => "enroll",
-        // It only removes what an enrollment left.
-        DurableWrite::Deregister(_) => "retire",
+        DurableWrite::Register(_) => "register",
+        // Not in `writes`, because it only deletes what `Register` adds.
+        DurableWrite::Deregister(_) => "deregister",
     }
 }
--- a/crates/node/tests/old_data_folder.rs
+++ b/crates/node/tests/old_data_folder.rs
@@ -1,9 +1,8 @@
-//! A data folder that an earlier state of this program wrote stays readable.
+//! A data folder that an earlier release wrote must stay readable.
 //!
-//! `tests/fixtures/data-folder-v1/` was written by the state ee6e79b of this repository. It is never
-//! written anew: when a test here fails, the program changed what it reads from a disk, and it is the
-//! program that must be mended. The writer below, [`write_folder`], is how the folder was made. It
-//! writes to another place when it is told to:
+//! Commit ee6e79b of this repository wrote `tests/fixtures/data-folder-v1/`. Never regenerate it: a
+//! failure here means that the program no longer reads an existing disk, so correct the program.
+//! [`write_folder`] shows how the folder was created. It can write a new folder elsewhere:
 //!
 //! ```text
 //! DATA_FOLDER_WRITE=/some/new/folder cargo test -p sumacvale-node --test old_data_folder
@@ -22,35 +21,37 @@
 };
 use sumacvale_node::disk::Database;
 
-/// The folder that was checked in.
+/// The data folder that is checked in.
 const FIXTURE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/data-folder-v1");
-/// Names a folder, not there yet, to which the writer writes.
-const WRITE_TO: &str = "DATA_FOLDER_WRITE";
-/// The one file of a data folder.
-const FILE: &str = "state.db";
+/// Environment variable that holds the path of a new folder for [`write_folder`].
+const WRITE_FOLDER_VARIABLE: &str = "DATA_FOLDER_WRITE";
+/// The only file of a data folder.
+const DATABASE_FILE: &str = "state.db";
 
-/// The core whose folder it is. Its highest bit is set: ids are unsigned, `SQLite`'s integers aren't.
+/// The core that owns the folder. The highest bit of its id is set, because ids are unsigned and
+/// `SQLite`'s integers are signed.
 const THIS_CORE: NodeId = NodeId(0x8f3a_0000_0000_0001);
 const SECOND_CORE: NodeId = NodeId(22);
 const THIRD_CORE: NodeId = NodeId(33);
-/// A core that a change of the voters replaced by the third one.
+/// The voter that was replaced by `THIRD_CORE`.
 const REPLACED_CORE: NodeId = NodeId(11);
 const FRONT: NodeId = NodeId(0xfedc_ba98_7654_3210);
 const FLEET: u64 = 9;
 
 /// The version at which the set of voters last changed.
-const NEWEST_SET: u64 = 6;
+const NEWEST_VOTER_SET: u64 = 6;
 const NEWEST_VERSION: u64 = 7;
-/// The vote for the version after the newest.
-const VOTE: Ballot = Ballot { number: 5, node_id: SECOND_CORE, incarnation: 4 };
+/// The ballot that was promised and accepted for the version after the newest.
+const ACCEPTED_BALLOT: Ballot = Ballot { number: 5, node_id: SECOND_CORE, incarnation: 4 };
 
-/// The packed body of the newest version. Another release of the packing library may pack the same
-/// body into other bytes, so those of the fixture are told by their hash.
-const PACKED_LENGTH: usize = 866;
-const PACKED_HASH: u64 = 6_781_517_488_793_589_917;
+/// Length of the compressed body of the newest version in bytes.
+const COMPRESSED_LENGTH: usize = 866;
+/// Hash of the compressed body of the newest version. Another release of the compression library may
+/// compress the same body to other bytes, so the test identifies those of the fixture by their hash.
+const COMPRESSED_HASH: u64 = 6_781_517_488_793_589_917;
 
-/// What the database is made of: table, column, type, whether it must not be null, and its place in
-/// the primary key (nought: none).
+/// The columns of the database: table, column, type, whether the column is NOT NULL, and its position in
+/// the primary key (0: none).
 const SCHEMA: &[(&str, &str, &str, bool, u32)] = &[
     ("decree", "ver", "INTEGER", false, 1),
     ("decree", "body", "BLOB", true, 0),
@@ -114,7 +115,7 @@
     vec![core(SECOND_CORE, 2), core(THIRD_CORE, 3), core(THIS_CORE, 4)]
 }
 
-/// A log entry decided by the first voters.
+/// A log entry committed by the first voters.
 fn early_version(version: u64, change_id: u64, revision: u64, body: String) -> LogEntry {
     LogEntry {
         version,
@@ -130,10 +131,10 @@
     }
 }
 
-/// A log entry decided since the voters changed.
+/// A log entry committed by the newest voters.
 fn late_version(version: u64, change_id: u64, revision: u64, body: String) -> LogEntry {
     LogEntry {
-        voters_since: NEWEST_SET,
+        voters_since: NEWEST_VOTER_SET,
         previous_voters: first_voters(),
         voters: newest_voters(),
         ..early_version(version, change_id, revision, body)
@@ -142,7 +143,7 @@
 
 /// A document of lists of named items, the kind that patches apply to.
 fn list_document(revision: u64, first_row: &str) -> String {
-    let rows: Vec<_> = (1..300).map(|n| format!("{{\"name\":\"row-{n}\",\"what\":{n}}}")).collect();
+    let rows: Vec<_> = (1..300).map(|index| format!("{{\"name\":\"row-{index}\",\"what\":{index}}}")).collect();
     format!("{{\"number\":{revision},\"rows\":[{first_row},{}]}}", rows.join(","))
 }
 
@@ -153,9 +154,9 @@
     Patch { number_at: "number".into(), number: 23, lists: vec![list] }
 }
 
-/// A configuration tree with 300 pools, large enough to be packed.
+/// A configuration tree with 300 pools, large enough to be compressed.
 fn tree(revision: u64) -> String {
-    let pools: Vec<_> = (0..300).map(|n| format!("\"pool-{n}\":{{\"workers\":\"any\"}}")).collect();
+    let pools: Vec<_> = (0..300).map(|index| format!("\"pool-{index}\":{{\"workers\":\"any\"}}")).collect();
     format!(
         "{{\"revision\":{revision},\"pools\":{{{}}},\
          \"matches\":{{\"calls\":{{\"under\":\"/x/\",\"pool\":\"pool-3\"}}}},\
@@ -165,41 +166,36 @@
     )
 }
 
-/// The decided versions whose bodies the folder holds; none in packed form.
-fn decided_versions() -> [LogEntry; 5] {
+/// The committed versions whose bodies the folder holds, not compressed.
+fn committed_versions() -> [LogEntry; 5] {
     let before_patch = list_document(22, "{\"name\":\"row-0\",\"what\":0}");
     let after_patch = list_document(23, "{\"name\":\"row-0\",\"what\":1000}");
     [
         early_version(3, 103, 21, "{\"revision\":21,\"pools\":{\"p\":{}}}".into()),
         early_version(4, 104, 22, before_patch),
         LogEntry { patch: Some(patch()), ..early_version(5, 105, 23, after_patch.clone()) },
-        LogEntry { patch: Some(Patch::unchanged()), ..late_version(NEWEST_SET, 106, 23, after_patch) },
+        LogEntry { patch: Some(Patch::unchanged()), ..late_version(NEWEST_VOTER_SET, 106, 23, after_patch) },
         late_version(NEWEST_VERSION, 107, 31, tree(31)),
     ]
 }
 
-/// What this core accepted and has not heard to be decided.
+/// The proposal that this core accepted and that is not known to be committed.
 fn accepted_version() -> LogEntry {
     late_version(8, 108, 32, "{\"revision\":32,\"pools\":{\"q\":{}}}".into())
 }
 
-fn digest(version: u64, change_id: u64, since: u64, revision: u64, content: &str) -> EntryDigest {
-    let byte = |n: usize| u8::from_str_radix(&content[2 * n..2 * n + 2], 16).expect("two hexadecimal digits");
-    EntryDigest {
-        version,
-        change_id: ChangeId(change_id),
-        voters_since: since,
-        revision,
-        content: std::array::from_fn(byte),
-    }
+fn digest(version: u64, change_id: u64, voters_since: u64, revision: u64, content: &str) -> EntryDigest {
+    let byte =
+        |index: usize| u8::from_str_radix(&content[2 * index..2 * index + 2], 16).expect("two hexadecimal digits");
+    EntryDigest { version, change_id: ChangeId(change_id), voters_since, revision, content: std::array::from_fn(byte) }
 }
 
-/// The digests of versions that were decided before the oldest whose body is held.
+/// The digests of committed versions whose bodies the folder no longer holds.
 fn early_digests() -> [EntryDigest; 2] {
     [digest(1, 101, 0, 19, &"a1".repeat(32)), digest(2, 102, 0, 20, &"b2".repeat(32))]
 }
 
-/// The digests of the versions whose bodies are held.
+/// The digests of the versions whose bodies the folder holds.
 fn late_digests() -> [EntryDigest; 5] {
     [
         digest(3, 103, 0, 21, "624a6c6493af95fc226638316f95307768fb730a5b620a517873da07a727001d"),
@@ -214,11 +210,11 @@
     WindowGrant { tenant: tenant.into(), window, node_id, granted_total, age: 0 }
 }
 
-fn life(node_id: NodeId, incarnation: u64, addr: &str) -> RegisteredIncarnation {
+fn registered_incarnation(node_id: NodeId, incarnation: u64, addr: &str) -> RegisteredIncarnation {
     RegisteredIncarnation { node_id, incarnation, addr: addr.into() }
 }
 
-/// All writes that made the folder, in their order. Some take back what an earlier one wrote.
+/// All writes that created the folder, in order. Some replace or delete what an earlier one wrote.
 fn writes() -> Vec<DurableWrite> {
     let mut writes = vec![
         DurableWrite::BootstrapVote(first_voters()),
@@ -226,34 +222,35 @@
         DurableWrite::Promise { instance: 3, ballot: Ballot { number: 1, node_id: REPLACED_CORE, incarnation: 1 } },
         DurableWrite::Accept {
             ballot: Ballot { number: 1, node_id: REPLACED_CORE, incarnation: 1 },
-            entry: decided_versions()[0].clone(),
+            entry: committed_versions()[0].clone(),
         },
     ];
-    writes.extend(decided_versions().map(|version| DurableWrite::Commit(version.compress())));
+    writes.extend(committed_versions().map(|version| DurableWrite::Commit(version.compress())));
     writes.extend([
-        DurableWrite::Promise { instance: 8, ballot: VOTE },
-        DurableWrite::Accept { ballot: VOTE, entry: accepted_version() },
+        DurableWrite::Promise { instance: 8, ballot: ACCEPTED_BALLOT },
+        DurableWrite::Accept { ballot: ACCEPTED_BALLOT, entry: accepted_version() },
         DurableWrite::Ready(0),
-        DurableWrite::Ready(NEWEST_SET),
+        DurableWrite::Ready(NEWEST_VOTER_SET),
         DurableWrite::Epoch { role: 0, epoch: 3 },
-        DurableWrite::Epoch { role: 0, epoch: (NEWEST_SET << 24) + 2 },
-        DurableWrite::Epoch { role: 7, epoch: (NEWEST_SET << 24) + 1 },
+        DurableWrite::Epoch { role: 0, epoch: (NEWEST_VOTER_SET << 24) + 2 },
+        DurableWrite::Epoch { role: 7, epoch: (NEWEST_VOTER_SET << 24) + 1 },
         DurableWrite::Grant(grant("alpha", FRONT, 900, 50)),
         DurableWrite::Grant(grant("alpha", THIS_CORE, 901, 7)),
         DurableWrite::Grant(grant("alpha", FRONT, 901, 12)),
         DurableWrite::Grant(grant("alpha", FRONT, 901, 20)),
         DurableWrite::Grant(grant("gamma", SECOND_CORE, 5, 1)),
         DurableWrite::Register(vec![
-            life(FRONT, 1, "10.0.1.1:7000"),
-            life(FRONT, u64::MAX, "10.0.1.1:7001"),
-            life(NodeId(44), 3, "10.0.1.2:7000"),
+            registered_incarnation(FRONT, 1, "10.0.1.1:7000"),
+            registered_incarnation(FRONT, u64::MAX, "10.0.1.1:7001"),
+            registered_incarnation(NodeId(44), 3, "10.0.1.2:7000"),
         ]),
         DurableWrite::Deregister(vec![(FRONT, 1)]),
     ]);
     writes
 }
 
-/// What the folder holds, by hand and not by the writes; the packed bytes are left out.
+/// The state that the folder holds, written by hand and not derived from the writes; without the
+/// compressed bodies.
 fn expected() -> DurableState {
     let mut digests = DigestLog::default();
     digests.insert_all(early_digests());
@@ -262,10 +259,10 @@
     DurableState {
         node_id: THIS_CORE,
         bootstrap_vote: first_voters(),
-        entries: decided_versions().into_iter().map(|version| (version.version, version)).collect(),
+        entries: committed_versions().into_iter().map(|version| (version.version, version)).collect(),
         digests,
-        promised: Some((8, VOTE)),
-        accepted: Some((VOTE, accepted_version())),
+        promised: Some((8, ACCEPTED_BALLOT)),
+        accepted: Some((ACCEPTED_BALLOT, accepted_version())),
         epochs: BTreeMap::from([(0, 100_663_298), (7, 100_663_297)]),
         grants: grants.into_iter().map(|grant| ((grant.tenant.clone(), grant.node_id), grant)).collect(),
         ready_set: Some(6),
@@ -276,11 +273,11 @@
     }
 }
 
-/// Makes a data folder with this program's own code. `SQLite` moves its log into the file when the
-/// database is closed, so one file remains.
+/// Creates a data folder with this program's own code. `SQLite` merges its write-ahead log into the file
+/// when the database is closed, so one file remains.
 fn write_folder(folder: &Path) {
-    std::fs::create_dir(folder).expect("the folder is a new one");
-    let (mut database, _, incarnation) = Database::open(folder, THIS_CORE).expect("makes a database");
+    std::fs::create_dir(folder).expect("the folder is new");
+    let (mut database, _, incarnation) = Database::open(folder, THIS_CORE).expect("creates a database");
     assert_eq!(incarnation, 1);
     for write in writes() {
         database.commit([&write].into_iter()).expect("writes");
@@ -288,19 +285,19 @@
     drop(database);
     let names: Vec<_> =
         std::fs::read_dir(folder).expect("lists").map(|entry| entry.expect("an entry").file_name()).collect();
-    assert_eq!(names, [FILE]);
+    assert_eq!(names, [DATABASE_FILE]);
 }
 
-/// The same without the packed bytes, and these bytes by version.
-fn without_packed(mut kept: DurableState) -> (DurableState, BTreeMap<u64, Vec<u8>>) {
-    let mut packed = BTreeMap::new();
-    for (version, decree) in &mut kept.entries {
-        let bytes = std::mem::take(&mut decree.compressed);
+/// Splits a state into one without compressed bodies, and the compressed bodies by version.
+fn split_compressed(mut state: DurableState) -> (DurableState, BTreeMap<u64, Vec<u8>>) {
+    let mut compressed = BTreeMap::new();
+    for (version, entry) in &mut state.entries {
+        let bytes = std::mem::take(&mut entry.compressed);
         if !bytes.is_empty() {
-            packed.insert(*version, bytes);
+            compressed.insert(*version, bytes);
         }
     }
-    (kept, packed)
+    (state, compressed)
 }
 
 /// The settings with which the core starts.
@@ -322,32 +319,34 @@
     }
 }
 
-/// Hands the node a message from the second core. Returns what the node answers to that core,
-/// and the version that it shows to those who take calls, if it shows a new picture.
-fn ask(node: &mut Node, msg: Message) -> (Vec<Message>, Option<u64>) {
-    let frame = Frame { from: SECOND_CORE, to: THIS_CORE, incarnation: 4, fleet_id: FLEET, sent_at: SEC, message: msg };
-    let (mut answers, mut shown) = (Vec::new(), None);
+/// Delivers a message of the second core to the node. Returns the node's replies to that core, and the
+/// version of the view that the node publishes, if any.
+fn deliver(node: &mut Node, message: Message) -> (Vec<Message>, Option<u64>) {
+    let frame = Frame { from: SECOND_CORE, to: THIS_CORE, incarnation: 4, fleet_id: FLEET, sent_at: SEC, message };
+    let (mut replies, mut published_version) = (Vec::new(), None);
     for effect in node.step(Event::Frame(Box::new(frame)), SEC) {
         match effect {
-            Effect::Send { frame, .. } if frame.to == SECOND_CORE => answers.push(frame.message),
-            Effect::Publish(view) => shown = view.version,
+            Effect::Send { frame, .. } if frame.to == SECOND_CORE => replies.push(frame.message),
+            Effect::Publish(view) => published_version = view.version,
             _ => {}
         }
     }
-    (answers, shown)
+    (replies, published_version)
 }
 
-/// Table, column, type, whether it must not be null, and its place in the primary key.
+/// Table, column, type, whether the column is NOT NULL, and its position in the primary key.
 type Column = (String, String, String, bool, u32);
 
-/// The schema of a data folder that nobody has open.
-fn schema(folder: &Path) -> Vec<Column> {
-    let database = Connection::open_with_flags(folder.join(FILE), OpenFlags::SQLITE_OPEN_READ_WRITE).expect("opens");
+/// Reads the schema of a data folder that no process has open.
+fn read_schema(folder: &Path) -> Vec<Column> {
+    let database =
+        Connection::open_with_flags(folder.join(DATABASE_FILE), OpenFlags::SQLITE_OPEN_READ_WRITE).expect("opens");
     let columns = "SELECT m.name, c.name, c.type, c.\"notnull\", c.pk
                    FROM sqlite_master m JOIN pragma_table_info(m.name) c
                    WHERE m.type = 'table' ORDER BY m.name, c.cid";
     let mut query = database.prepare(columns).expect("a query");
-    let rows = query.query_map([], |r| Ok((r.get(0)?, r.get(1)?, r.get(2)?, r.get(3)?, r.get(4)?))).expect("runs");
+    let rows =
+        query.query_map([], |row| Ok((row.get(0)?, row.get(1)?, row.get(2)?, row.get(3)?, row.get(4)?))).expect("runs");
     rows.map(|row| row.expect("a column")).collect()
 }
 
@@ -359,58 +358,65 @@
 }
 
 #[test]
-fn all_that_the_old_folder_holds_is_read_as_it_was_written() {
+fn the_whole_state_of_the_old_folder_is_read() {
     let folder = TemporaryFolder::with_fixture("read");
-    let (_database, kept, incarnation) = Database::open(&folder.0, NodeId(1)).expect("opens the old folder");
-    assert_eq!(incarnation, 2, "the state that wrote the folder had it open once");
-    let (kept, packed) = without_packed(kept);
-    assert_eq!(kept, expected());
-    assert_eq!(packed.keys().copied().collect::<Vec<_>>(), [4, NEWEST_VERSION]);
-    let newest = &packed[&NEWEST_VERSION];
-    assert_eq!((newest.len(), hash64(newest)), (PACKED_LENGTH, PACKED_HASH));
+    let (_database, state, incarnation) = Database::open(&folder.0, NodeId(1)).expect("opens the old folder");
+    assert_eq!(incarnation, 2, "the release that wrote the folder opened it once");
+    let (state, compressed) = split_compressed(state);
+    assert_eq!(state, expected());
+    assert_eq!(compressed.keys().copied().collect::<Vec<_>>(), [4, NEWEST_VERSION]);
+    let newest = &compressed[&NEWEST_VERSION];
+    assert_eq!((newest.len(), hash64(newest)), (COMPRESSED_LENGTH, COMPRESSED_HASH));
 }
 
 #[test]
-fn a_core_serves_from_the_old_folder() {
+fn a_core_starts_with_the_state_of_the_old_folder() {
     let folder = TemporaryFolder::with_fixture("serve");
-    let (_database, kept, incarnation) = Database::open(&folder.0, NodeId(1)).expect("opens the old folder");
-    let mut node = Node::new(settings(kept.node_id, incarnation), &kept, 5, SEC);
+    let (_database, state, incarnation) = Database::open(&folder.0, NodeId(1)).expect("opens the old folder");
+    let mut node = Node::new(settings(state.node_id, incarnation), &state, 5, SEC);
     assert_eq!(node.version(), Some(NEWEST_VERSION));
-    assert!(node.voter() && node.is_ready(), "it is a voter and took over the grants of the voters before");
+    assert!(
+        node.voter() && node.is_ready(),
+        "the core is a voter and has taken over the grants of the previous voters"
+    );
     assert_eq!((node.config.version, node.config.revision, node.config.pools.len()), (7, 31, 300));
     assert_eq!(node.config.tenants.keys().collect::<Vec<_>>(), ["alpha", "beta"]);
-    assert!(node.config.find("GET", "any.test", "/x/y").is_some(), "calls are routed by the plan");
+    assert!(node.config.find("GET", "any.test", "/x/y").is_some(), "calls are routed by the configuration");
     assert_eq!(node.consensus.state.bootstrap_vote, first_voters());
     assert_eq!(
         (node.consensus.state.promised_ballot, node.consensus.state.accepted.clone()),
-        (VOTE, Some((VOTE, accepted_version())))
+        (ACCEPTED_BALLOT, Some((ACCEPTED_BALLOT, accepted_version())))
     );
     assert_eq!(node.consensus.state.digests, expected().digests);
     assert_eq!(node.leases.grantor.epochs, expected().epochs);
 
-    // A lower ballot is refused by the vote that is on the disk.
-    let lower = Ballot { number: 4, ..VOTE };
-    let (answers, shown) = ask(&mut node, Message::Consensus(ConsensusMessage::Prepare { instance: 8, ballot: lower }));
+    // The promise on the disk rejects a lower ballot.
+    let lower = Ballot { number: 4, ..ACCEPTED_BALLOT };
+    let (replies, published_version) =
+        deliver(&mut node, Message::Consensus(ConsensusMessage::Prepare { instance: 8, ballot: lower }));
     assert!(
-        answers.contains(&Message::Consensus(ConsensusMessage::Reject { instance: 8, ballot: VOTE })),
-        "{answers:?}"
+        replies.contains(&Message::Consensus(ConsensusMessage::Reject { instance: 8, ballot: ACCEPTED_BALLOT })),
+        "{replies:?}"
     );
-    assert_eq!(shown, Some(NEWEST_VERSION));
+    assert_eq!(published_version, Some(NEWEST_VERSION));
 
-    // A core that takes over is told all grants and all registered lives.
-    let (answers, _) =
-        ask(&mut node, Message::Membership(MembershipMessage::TakeoverRequest { voter_set: NEWEST_SET }));
-    let told = Message::Membership(MembershipMessage::TakeoverReply {
-        voter_set: NEWEST_SET,
+    // A core that takes over receives all grants and all registered incarnations.
+    let (replies, _) =
+        deliver(&mut node, Message::Membership(MembershipMessage::TakeoverRequest { voter_set: NEWEST_VOTER_SET }));
+    let reply = Message::Membership(MembershipMessage::TakeoverReply {
+        voter_set: NEWEST_VOTER_SET,
         is_complete: true,
         grants: expected().grants.into_values().collect(),
-        registered: vec![life(NodeId(44), 3, "10.0.1.2:7000"), life(FRONT, u64::MAX, "10.0.1.1:7001")],
+        registered: vec![
+            registered_incarnation(NodeId(44), 3, "10.0.1.2:7000"),
+            registered_incarnation(FRONT, u64::MAX, "10.0.1.1:7001"),
+        ],
     });
-    assert!(answers.contains(&told), "{answers:?}");
+    assert!(replies.contains(&reply), "{replies:?}");
 }
 
 #[test]
-fn the_old_folder_takes_new_writes_beside_the_old() {
+fn new_writes_are_added_to_the_old_folder() {
     let folder = TemporaryFolder::with_fixture("write");
     let (mut database, ..) = Database::open(&folder.0, NodeId(1)).expect("opens the old folder");
     let new_grant = grant("beta", FRONT, 2, 4);
@@ -418,39 +424,39 @@
         DurableWrite::Commit(accepted_version()),
         DurableWrite::Grant(new_grant.clone()),
         DurableWrite::Epoch { role: 3, epoch: 100_663_300 },
-        DurableWrite::Register(vec![life(NodeId(55), 1, "10.0.1.3:7000")]),
+        DurableWrite::Register(vec![registered_incarnation(NodeId(55), 1, "10.0.1.3:7000")]),
     ];
     database.commit(new_writes.iter()).expect("writes");
     drop(database);
 
-    let (_database, kept, incarnation) = Database::open(&folder.0, NodeId(1)).expect("opens again");
-    let mut want = expected();
-    want.entries.insert(8, accepted_version());
-    want.digests.insert_all([EntryDigest::of(&accepted_version())]);
-    want.grants.insert(("beta".into(), FRONT), new_grant);
-    want.epochs.insert(3, 100_663_300);
-    want.registered.insert((NodeId(55), 1), "10.0.1.3:7000".into());
+    let (_database, state, incarnation) = Database::open(&folder.0, NodeId(1)).expect("opens again");
+    let mut expected_state = expected();
+    expected_state.entries.insert(8, accepted_version());
+    expected_state.digests.insert_all([EntryDigest::of(&accepted_version())]);
+    expected_state.grants.insert(("beta".into(), FRONT), new_grant);
+    expected_state.epochs.insert(3, 100_663_300);
+    expected_state.registered.insert((NodeId(55), 1), "10.0.1.3:7000".into());
     assert_eq!(incarnation, 3);
-    assert_eq!(without_packed(kept).0, want);
+    assert_eq!(split_compressed(state).0, expected_state);
 }
 
 #[test]
-fn the_schema_of_old_and_new_folders_is_the_same() {
+fn old_and_new_folders_have_the_same_schema() {
     let old = TemporaryFolder::with_fixture("schema");
-    assert_eq!(schema(&old.0), expected_schema(), "the old folder");
+    assert_eq!(read_schema(&old.0), expected_schema(), "the old folder");
     let new = TemporaryFolder::new("schema-new");
-    drop(Database::open(&new.0, THIS_CORE).expect("makes a database"));
-    assert_eq!(schema(&new.0), expected_schema(), "a new folder");
+    drop(Database::open(&new.0, THIS_CORE).expect("creates a database"));
+    assert_eq!(read_schema(&new.0), expected_schema(), "a new folder");
 }
 
 #[test]
-fn the_writer_makes_the_same_folder_in_a_new_place() {
-    let place = TemporaryFolder::new("writer");
-    let named = std::env::var_os(WRITE_TO).map(PathBuf::from);
-    write_folder(&named.unwrap_or_else(|| place.0.join("data")));
-    // What is read here is a second one: reading counts a start, and the named folder has had one.
-    let second = place.0.join("second");
+fn the_writer_creates_a_folder_with_the_same_state() {
+    let folder = TemporaryFolder::new("writer");
+    let target = std::env::var_os(WRITE_FOLDER_VARIABLE).map(PathBuf::from);
+    write_folder(&target.unwrap_or_else(|| folder.0.join("data")));
+    // A second folder is read, because each open counts an incarnation and the written folder must have 1.
+    let second = folder.0.join("second");
     write_folder(&second);
-    let (_database, kept, _) = Database::open(&second, NodeId(1)).expect("opens");
-    assert_eq!(without_packed(kept).0, expected());
+    let (_database, state, _) = Database::open(&second, NodeId(1)).expect("opens");
+    assert_eq!(split_compressed(state).0, expected());
 }
