--- a/crates/node/src/settings/read.rs
+++ b/crates/node/src/settings/read.rs
@@ -146,57 +146,57 @@
     },
     /// settings file: {0}
     InvalidFile(String),
-    /// {setting}: unknown setting; known are {known}
-    UnknownSetting {
-        /// The setting or flag, such as `/zone` or `--zone`.
-        setting: String,
+    /// {key}: unknown setting; known are {known}
+    Unknown {
+        /// The key of the setting or the flag, such as `/zone` or `--zone`.
+        key: String,
         /// The names of all known settings.
         known: String,
     },
-    /// {setting}: is missing; set it in the file or with its flag
-    MissingSetting {
-        /// The setting or flag, such as `/zone` or `--zone`.
-        setting: String,
+    /// {key}: is missing; set it in the file or with its flag
+    Missing {
+        /// The key of the setting or the flag, such as `/zone` or `--zone`.
+        key: String,
     },
-    /// {setting}: {value} is no {expected}
-    InvalidValue {
-        /// The setting or flag, such as `/zone` or `--zone`.
-        setting: String,
+    /// {key}: {value} is no {expected}
+    Invalid {
+        /// The key of the setting or the flag, such as `/zone` or `--zone`.
+        key: String,
         /// The value that was given.
         value: String,
         /// What the value must be.
         expected: String,
     },
-    /// {setting}: stands there twice; name different seeds
+    /// {key}: stands there twice; name different seeds
     DuplicateSeed {
-        /// The setting or flag, such as `/zone` or `--zone`.
-        setting: String,
+        /// The key of the setting or the flag, such as `/zone` or `--zone`.
+        key: String,
     },
-    /// {setting}: {count} seeds are named; name one to three
+    /// {key}: {count} seeds are named; name one to three
     SeedCount {
-        /// The setting or flag, such as `/zone` or `--zone`.
-        setting: String,
+        /// The key of the setting or the flag, such as `/zone` or `--zone`.
+        key: String,
         /// Number of seeds that were given.
         count: usize,
     },
-    /// {setting}: the same address as {other}; give each listener its own
+    /// {key}: the same address as {other}; give each listener its own
     SharedAddress {
-        /// The setting or flag, such as `/zone` or `--zone`.
-        setting: String,
+        /// The key of the setting or the flag, such as `/zone` or `--zone`.
+        key: String,
         /// The other setting with the same address.
         other: String,
     },
-    /// {setting}: {reason}
+    /// {key}: {reason}
     DataFolder {
-        /// The setting or flag, such as `/zone` or `--zone`.
-        setting: String,
+        /// The key of the setting or the flag, such as `/zone` or `--zone`.
+        key: String,
         /// Why the file or folder can't be used.
         reason: String,
     },
 }
 
 /// Names of all settings of the file.
-const KNOWN_SETTINGS: [&str; 17] = [
+const KNOWN: [&str; 17] = [
     "peer",
     "admin",
     "downstream",
@@ -231,12 +231,8 @@
     }
 
     /// Records that a value is not what the setting needs.
-    fn reject(&mut self, setting: &str, value: &str, expected: &str) {
-        self.errors.push(SettingsError::InvalidValue {
-            setting: setting.into(),
-            value: value.into(),
-            expected: expected.into(),
-        });
+    fn reject(&mut self, key: &str, value: &str, expected: &str) {
+        self.errors.push(SettingsError::Invalid { key: key.into(), value: value.into(), expected: expected.into() });
     }
 
     /// Returns the setting or flag that gives the text, and the text.
@@ -256,20 +252,20 @@
 
     /// Returns a required address; records an error where it is missing or invalid.
     fn addr(&mut self, name: &str, flag_value: Option<&String>) -> Option<SocketAddr> {
-        let Some((setting, text)) = self.text(name, flag_value) else {
+        let Some((key, text)) = self.text(name, flag_value) else {
             if self.value(name).is_none() {
-                self.errors.push(SettingsError::MissingSetting { setting: format!("/{name}") });
+                self.errors.push(SettingsError::Missing { key: format!("/{name}") });
             }
             return None;
         };
-        self.parse_addr(&setting, &text)
+        self.parse_addr(&key, &text)
     }
 
-    fn parse_addr(&mut self, setting: &str, text: &str) -> Option<SocketAddr> {
+    fn parse_addr(&mut self, key: &str, text: &str) -> Option<SocketAddr> {
         match text.parse::<SocketAddr>() {
             Ok(addr) if addr.port() != 0 && !addr.ip().is_unspecified() => Some(addr),
             _ => {
-                self.reject(setting, text, "IP address and port that others can reach, such as 10.0.0.4:7000");
+                self.reject(key, text, "IP address and port that others can reach, such as 10.0.0.4:7000");
                 None
             }
         }
@@ -287,9 +283,9 @@
         }
     }
 
-    fn flag(&mut self, setting: &str, value: &Value, default: bool) -> bool {
+    fn flag(&mut self, key: &str, value: &Value, default: bool) -> bool {
         value.as_bool().unwrap_or_else(|| {
-            self.reject(setting, &value.to_string(), "true or false");
+            self.reject(key, &value.to_string(), "true or false");
             default
         })
     }
@@ -306,15 +302,15 @@
             return membership;
         };
         for (name, item) in object {
-            let setting = format!("/members/{name}");
+            let key = format!("/members/{name}");
             match name {
-                "auto" => membership.manages_voters = self.flag(&setting, item, membership.manages_voters),
-                "first" => membership.may_bootstrap = self.flag(&setting, item, membership.may_bootstrap),
+                "auto" => membership.manages_voters = self.flag(&key, item, membership.manages_voters),
+                "first" => membership.may_bootstrap = self.flag(&key, item, membership.may_bootstrap),
                 "lose" => match item.as_u64().and_then(|n| u32::try_from(n).ok()).filter(|n| (1..=4).contains(n)) {
                     Some(n) => membership.tolerated_losses = n,
-                    None => self.reject(&setting, &item.to_string(), "whole number from 1 to 4"),
+                    None => self.reject(&key, &item.to_string(), "whole number from 1 to 4"),
                 },
-                _ => self.errors.push(SettingsError::UnknownSetting { setting, known: "auto, lose, first".into() }),
+                _ => self.errors.push(SettingsError::Unknown { key, known: "auto, lose, first".into() }),
             }
         }
         membership
@@ -364,11 +360,8 @@
                 }
                 Some(object) => {
                     for (name, _) in object {
-                        if !KNOWN_SETTINGS.contains(&name) {
-                            errors.push(SettingsError::UnknownSetting {
-                                setting: format!("/{name}"),
-                                known: KNOWN_SETTINGS.join(", "),
-                            });
+                        if !KNOWN.contains(&name) {
+                            errors.push(SettingsError::Unknown { key: format!("/{name}"), known: KNOWN.join(", ") });
                         }
                     }
                 }
@@ -380,14 +373,14 @@
     let admin = reader.addr("admin", overrides.admin.as_ref());
     let downstream = reader.addr("downstream", overrides.downstream.as_ref());
     let zone = match reader.text("zone", overrides.zone.as_ref()) {
-        Some((setting, zone)) if zone.is_empty() || zone.len() > 64 || zone.chars().any(char::is_whitespace) => {
-            reader.reject(&setting, &zone, "zone name of 1 to 64 bytes without blanks");
+        Some((key, zone)) if zone.is_empty() || zone.len() > 64 || zone.chars().any(char::is_whitespace) => {
+            reader.reject(&key, &zone, "zone name of 1 to 64 bytes without blanks");
             None
         }
         Some((_, zone)) => Some(zone),
         None => {
             if reader.value("zone").is_none() {
-                reader.errors.push(SettingsError::MissingSetting { setting: "/zone".into() });
+                reader.errors.push(SettingsError::Missing { key: "/zone".into() });
             }
             None
         }
@@ -400,8 +393,8 @@
     let report_interval = reader.number("beat_ms", 500, 10_000, 500) * MS;
     let reports_to_cores_only = match reader.text("beat_to", None) {
         Some((_, target)) if target == "cores" => true,
-        Some((setting, target)) if target != "any" => {
-            reader.reject(&setting, &target, "word of any, cores");
+        Some((key, target)) if target != "any" => {
+            reader.reject(&key, &target, "word of any, cores");
             false
         }
         _ => false,
@@ -409,9 +402,8 @@
     let drain_notice = reader.number("notice_ms", 0, 60_000, 2_000) * MS;
     let shutdown_grace = reader.number("grace_ms", 0, 600_000, 25_000) * MS;
     // On a machine with one processor core a second thread only costs wake-ups.
-    let default_threads = std::thread::available_parallelism().map_or(1, |n| n.get().min(2));
-    let worker_threads =
-        usize::try_from(reader.number("threads", 1, 256, default_threads as u64)).unwrap_or(default_threads);
+    let threads = std::thread::available_parallelism().map_or(1, |n| n.get().min(2));
+    let worker_threads = usize::try_from(reader.number("threads", 1, 256, threads as u64)).unwrap_or(threads);
     let max_queued_calls = usize::try_from(reader.number("waitlist", 1, 100_000, 256)).unwrap_or(256);
     let max_body_bytes = usize::try_from(reader.number("bodies_mib", 1, 65_536, 256)).unwrap_or(256) << 20;
     let max_connections = usize::try_from(reader.number("connections", 1, 1_000_000, 4_096)).unwrap_or(4_096);
@@ -419,16 +411,14 @@
         errors.extend(shared_addresses(peer, admin, downstream));
     }
     if operator_hashes.is_empty()
-        && !errors.iter().any(
-            |error| matches!(error, SettingsError::InvalidValue { setting, .. } if setting.starts_with("/operators")),
-        )
+        && !errors.iter().any(|e| matches!(e, SettingsError::Invalid { key, .. } if key.starts_with("/operators")))
     {
-        errors.push(SettingsError::MissingSetting { setting: "/operators".into() });
+        errors.push(SettingsError::Missing { key: "/operators".into() });
     }
-    let data_folder = data_folder.and_then(|(setting, path)| match check_data_folder(Path::new(&path)) {
+    let data_folder = data_folder.and_then(|(key, path)| match check_data_folder(Path::new(&path)) {
         Ok(folder) => Some(folder),
         Err(reason) => {
-            errors.push(SettingsError::DataFolder { setting, reason });
+            errors.push(SettingsError::DataFolder { key, reason });
             None
         }
     });
@@ -464,9 +454,7 @@
         (admin, downstream, "/downstream", "/admin"),
     ];
     let shared = pairs.into_iter().filter(|(first, second, ..)| first == second);
-    shared
-        .map(|(.., setting, other)| SettingsError::SharedAddress { setting: setting.into(), other: other.into() })
-        .collect()
+    shared.map(|(.., key, other)| SettingsError::SharedAddress { key: key.into(), other: other.into() }).collect()
 }
 
 /// Reads the seeds of the command line, or else of the file, and checks their number.
@@ -476,7 +464,7 @@
     if seeds.is_empty() {
         match reader.value("seeds").cloned() {
             None => {
-                reader.errors.push(SettingsError::MissingSetting { setting: "/seeds".into() });
+                reader.errors.push(SettingsError::Missing { key: "/seeds".into() });
                 return Vec::new();
             }
             Some(value) => match value.as_array() {
@@ -493,13 +481,13 @@
         }
     }
     if seeds.is_empty() || seeds.len() > 3 {
-        reader.errors.push(SettingsError::SeedCount { setting: "/seeds".into(), count: seeds.len() });
+        reader.errors.push(SettingsError::SeedCount { key: "/seeds".into(), count: seeds.len() });
     }
     let mut addrs: Vec<SocketAddr> = Vec::new();
-    for (setting, text) in seeds {
-        if let Some(addr) = reader.parse_addr(&setting, &text) {
+    for (key, text) in seeds {
+        if let Some(addr) = reader.parse_addr(&key, &text) {
             if addrs.contains(&addr) {
-                reader.errors.push(SettingsError::DuplicateSeed { setting });
+                reader.errors.push(SettingsError::DuplicateSeed { key });
             } else {
                 addrs.push(addr);
             }
