--- a/crates/testbed/tests/trials.rs
+++ b/crates/testbed/tests/trials.rs
@@ -54,13 +54,12 @@
         let mut stream = tokio::net::TcpStream::connect(fleet.nodes[3].front()).await.map_err(|e| e.to_string())?;
         let head = format!("POST /v1/chat HTTP/1.1\r\nhost: x\r\nx: {}\r\n\r\n", "y".repeat(200_000));
         let _ = stream.write_all(head.as_bytes()).await;
-        let mut response = Vec::new();
-        let _ = tokio::time::timeout(Duration::from_secs(5), stream.read_to_end(&mut response))
+        let mut bytes = Vec::new();
+        let _ = tokio::time::timeout(Duration::from_secs(5), stream.read_to_end(&mut bytes))
             .await
             .map_err(|_| "the connection with an oversized head stayed open")?;
-        let text = String::from_utf8_lossy(&response).into_owned();
-        let is_expected = response.is_empty() || text.starts_with("HTTP/1.1 431") || text.starts_with("HTTP/1.1 400");
-        ensure(is_expected, text)?;
+        let text = String::from_utf8_lossy(&bytes).into_owned();
+        ensure(bytes.is_empty() || text.starts_with("HTTP/1.1 431") || text.starts_with("HTTP/1.1 400"), text)?;
         ensure(log.runs().is_empty(), "an invalid call reached a worker")?;
 
         let version = fleet.version(3).await;
@@ -101,23 +100,20 @@
             }
             let method = Method::from_bytes(method.as_bytes()).map_err(|e| e.to_string())?;
             let url = format!("http://{}{path}", fleet.nodes[3].admin());
-            let (got_status, got_body) = request_text(&fleet.http, method, &url, &headers, body).await?;
-            let is_expected = got_status == status
-                && got_body.contains(&format!("\"code\":\"{code}\""))
-                && got_body.contains("remedy");
-            ensure(is_expected, format!("{name}: {got_status} {got_body}"))?;
+            let (got, text) = request_text(&fleet.http, method, &url, &headers, body).await?;
+            let is_expected =
+                got == status && text.contains(&format!("\"code\":\"{code}\"")) && text.contains("remedy");
+            ensure(is_expected, format!("{name}: {got} {text}"))?;
         }
-        let dry_run = fleet
-            .admin_request(3, Method::PUT, "/v1/config?dry_run=true", &[("if-match", tag.as_str())], &valid_config)
-            .await?;
+        let base = [("if-match", tag.as_str())];
+        let dry_run = fleet.admin_request(3, Method::PUT, "/v1/config?dry_run=true", &base, &valid_config).await?;
         ensure(dry_run.0 == 200 && dry_run.1.contains("valid"), format!("dry run: {dry_run:?}"))?;
         ensure(fleet.version(3).await == version, "a rejected change changed the version")?;
         // A change that is sent again with the same change id, as after a lost response, is committed once.
         let headers = [("if-match", tag.as_str()), ("change-id", "00000000000000ab")];
-        let first =
-            fleet.admin_request(3, Method::PUT, "/v1/config", &headers, &config_tree(FleetSpec::SMALL, 1, &[])).await?;
-        let repeated =
-            fleet.admin_request(4, Method::PUT, "/v1/config", &headers, &config_tree(FleetSpec::SMALL, 1, &[])).await?;
+        let changed_config = config_tree(FleetSpec::SMALL, 1, &[]);
+        let first = fleet.admin_request(3, Method::PUT, "/v1/config", &headers, &changed_config).await?;
+        let repeated = fleet.admin_request(4, Method::PUT, "/v1/config", &headers, &changed_config).await?;
         ensure(first.0 == 200 && first == repeated, format!("{first:?} {repeated:?}"))?;
         let reused =
             fleet.admin_request(4, Method::PUT, "/v1/config", &headers, &config_tree(FleetSpec::SMALL, 2, &[])).await?;
