--- a/crates/testbed/src/sim/faults/control/mod.rs
+++ b/crates/testbed/src/sim/faults/control/mod.rs
@@ -145,8 +145,8 @@
 
     /// Draws the next fault and starts it.
     fn start_fault(&mut self, world: &mut World) {
-        let k = usize::try_from(world.rng.below(self.profile.faults.len() as u64)).unwrap_or(0);
-        let fault = self.profile.faults[k];
+        let position = usize::try_from(world.rng.below(self.profile.faults.len() as u64)).unwrap_or(0);
+        let fault = self.profile.faults[position];
         *self.troubles.entry(format!("{fault:?}")).or_default() += 1;
         world.log(format!("{fault:?}"));
         if world.rng.chance(self.profile.departure_percent) {
@@ -234,6 +234,6 @@
 fn draw_core(world: &mut World) -> Option<usize> {
     let running: Vec<usize> =
         (0..world.machines.len()).filter(|i| world.machines[*i].is_core && world.is_running(*i)).collect();
-    let k = usize::try_from(world.rng.below(running.len().max(1) as u64)).unwrap_or(0);
-    running.get(k).copied()
+    let position = usize::try_from(world.rng.below(running.len().max(1) as u64)).unwrap_or(0);
+    running.get(position).copied()
 }
--- a/crates/testbed/src/sim/faults/injection.rs
+++ b/crates/testbed/src/sim/faults/injection.rs
@@ -122,7 +122,7 @@
             | Fault::HoldFrames
             | Fault::LoseFrames => inject_network_fault(world, fault, duration),
             Fault::SlowDisk | Fault::StallDisk | Fault::FullDisk | Fault::SlowDisks => {
-                inject_disk_fault(world, fault, duration)
+                inject_disk_fault(world, fault, duration);
             }
             Fault::StopWorker
             | Fault::FaultyWorker(_)
@@ -405,8 +405,8 @@
         }
         Fault::SlowDisks => {
             world.log(format!("all disks of cores are slow for {duration} us"));
-            for s in world.machines.iter_mut().filter(|s| s.is_core) {
-                s.disk.slow_until = now + duration;
+            for core in world.machines.iter_mut().filter(|machine| machine.is_core) {
+                core.disk.slow_until = now + duration;
             }
         }
         _ => {}
--- a/crates/testbed/src/sim/faults/membership_losses.rs
+++ b/crates/testbed/src/sim/faults/membership_losses.rs
@@ -76,8 +76,8 @@
         let mut drawn = Vec::new();
         for _ in 0..count {
             if !running.is_empty() {
-                let k = usize::try_from(world.rng.below(running.len() as u64)).unwrap_or(0);
-                drawn.push(running.swap_remove(k));
+                let position = usize::try_from(world.rng.below(running.len() as u64)).unwrap_or(0);
+                drawn.push(running.swap_remove(position));
             }
         }
         drawn
@@ -257,7 +257,7 @@
                     self.last_started = Some(machine);
                 }
                 MembershipAction::Remove(machine) if self.must_keep_running(world, machine) => {
-                    self.schedule(now + 50 * MS, action)
+                    self.schedule(now + 50 * MS, action);
                 }
                 MembershipAction::Remove(machine) => world.retire(machine),
                 MembershipAction::Join(machine) => {
--- a/crates/testbed/src/sim/world.rs
+++ b/crates/testbed/src/sim/world.rs
@@ -214,7 +214,7 @@
     }
 
     /// Returns true while the process of a machine runs and isn't frozen.
-    pub fn is_running(&self, i: usize) -> bool {
-        self.machines[i].node.is_some() && self.machines[i].frozen_until <= self.now
+    pub fn is_running(&self, machine: usize) -> bool {
+        self.machines[machine].node.is_some() && self.machines[machine].frozen_until <= self.now
     }
 }
--- a/crates/testbed/tests/sim.rs
+++ b/crates/testbed/tests/sim.rs
@@ -319,7 +319,7 @@
 }
 
 /// The outcome of a call as its client observed it.
-fn outcome(observation: ClientObservation, body: &str) -> CallOutcome {
+fn seen(observation: ClientObservation, body: &str) -> CallOutcome {
     let request =
         CallRequest { tenant: "r".into(), path: "/v1/chat", prefix: 0, max_wait: 2 * SEC, disconnects_after: None };
     let body = body.as_bytes().to_vec();
@@ -337,7 +337,7 @@
 }
 
 /// The execution of a call by a worker.
-fn execution(call: u64, path: &'static str) -> ExecutionRecord {
+fn executed(call: u64, path: &'static str) -> ExecutionRecord {
     ExecutionRecord {
         call,
         tenant: "r".into(),
@@ -370,39 +370,15 @@
         tries: (100, 20),
         freezes: Vec::new(),
     };
-    let chat = || ExecutionRecord { tenant: "t".into(), ..execution(1, "/v1/chat") };
-    let late = || CallOutcome { ended_at: 2 * SEC, ..outcome(rejected("full", true), "") };
+    let chat = || ExecutionRecord { tenant: "t".into(), ..executed(1, "/v1/chat") };
+    let late = || CallOutcome { ended_at: 2 * SEC, ..seen(rejected("full", true), "") };
     let cases = [
-        ("complete and run once", vec![outcome(ClientObservation::Complete, &whole)], vec![chat()], limits.clone(), ""),
-        ("aborted", vec![outcome(ClientObservation::Aborted, part)], vec![chat()], limits.clone(), ""),
-        (
-            "a part reported as complete",
-            vec![outcome(ClientObservation::Complete, part)],
-            vec![chat()],
-            limits.clone(),
-            "not its own",
-        ),
-        (
-            "the body of another call",
-            vec![outcome(ClientObservation::Complete, &other)],
-            vec![chat()],
-            limits.clone(),
-            "not its own",
-        ),
-        (
-            "a missing piece",
-            vec![outcome(ClientObservation::Aborted, &gap)],
-            vec![chat()],
-            limits.clone(),
-            "not its own",
-        ),
-        (
-            "a response without an execution",
-            vec![outcome(ClientObservation::Complete, &whole)],
-            vec![],
-            limits.clone(),
-            "no worker gave",
-        ),
+        ("complete and run once", vec![seen(ClientObservation::Complete, &whole)], vec![chat()], limits.clone(), ""),
+        ("aborted", vec![seen(ClientObservation::Aborted, part)], vec![chat()], limits.clone(), ""),
+        ("partial body", vec![seen(ClientObservation::Complete, part)], vec![chat()], limits.clone(), "not its own"),
+        ("foreign body", vec![seen(ClientObservation::Complete, &other)], vec![chat()], limits.clone(), "not its own"),
+        ("missing piece", vec![seen(ClientObservation::Aborted, &gap)], vec![chat()], limits.clone(), "not its own"),
+        ("no execution", vec![seen(ClientObservation::Complete, &whole)], vec![], limits.clone(), "no worker gave"),
         ("run twice", vec![], vec![chat(), chat()], limits.clone(), "ran 2 times"),
         (
             "a stream started twice",
@@ -412,21 +388,15 @@
             "begun twice",
         ),
         (
-            "an execution reported as not run",
-            vec![outcome(rejected("full", true), "")],
+            "hidden execution",
+            vec![seen(rejected("full", true), "")],
             vec![chat()],
             limits.clone(),
             "refused as not run",
         ),
-        ("no retry-after", vec![outcome(rejected("full", false), "")], vec![], limits.clone(), "without a time"),
-        ("rejected too late", vec![late()], vec![], limits.clone(), "given up on only after"),
-        (
-            "rejected late by a frozen node",
-            vec![late()],
-            vec![],
-            CallLimits { freezes: vec![(0, 0, SEC)], ..limits.clone() },
-            "",
-        ),
+        ("no retry-after", vec![seen(rejected("full", false), "")], vec![], limits.clone(), "without a time"),
+        ("rejected late", vec![late()], vec![], limits.clone(), "given up on only after"),
+        ("late, but frozen", vec![late()], vec![], CallLimits { freezes: vec![(0, 0, SEC)], ..limits.clone() }, ""),
         (
             "run on a draining worker",
             vec![],
@@ -434,18 +404,18 @@
             limits.clone(),
             "began to drain",
         ),
-        ("run with a withdrawn key", vec![], vec![execution(1, "/v1/chat")], limits.clone(), "withdrawn over 5 s"),
+        ("withdrawn key", vec![], vec![executed(1, "/v1/chat")], limits.clone(), "withdrawn over 5 s"),
         (
-            "run within 5 s of the withdrawal of a key",
+            "within 5 s",
             vec![],
-            vec![ExecutionRecord { started_at: 6 * SEC, ..execution(1, "/v1/chat") }],
+            vec![ExecutionRecord { started_at: 6 * SEC, ..executed(1, "/v1/chat") }],
             limits.clone(),
             "",
         ),
         (
             "quota exceeded",
             vec![],
-            (1..4).map(|c| ExecutionRecord { started_at: 2 * SEC, ..execution(c, "/v1/chat") }).collect(),
+            (1..4).map(|c| ExecutionRecord { started_at: 2 * SEC, ..executed(c, "/v1/chat") }).collect(),
             limits.clone(),
             "ran 3 of 2 calls in window 1",
         ),
@@ -453,8 +423,8 @@
             "an expired unit",
             vec![],
             vec![
-                ExecutionRecord { started_at: 2 * SEC, ..execution(1, "/v1/chat") },
-                ExecutionRecord { started_at: 4 * SEC, ..execution(2, "/v1/chat") },
+                ExecutionRecord { started_at: 2 * SEC, ..executed(1, "/v1/chat") },
+                ExecutionRecord { started_at: 4 * SEC, ..executed(2, "/v1/chat") },
             ],
             limits.clone(),
             "units of window 1",
@@ -462,8 +432,7 @@
         ("too many retries", vec![], vec![], CallLimits { tries: (100, 21), ..limits.clone() }, "21 second tries"),
     ];
     for (name, outcomes, executions, limits, expected) in cases {
-        let got: Vec<_> =
-            check_calls(&outcomes, &executions, &limits).into_iter().map(|violation| violation.0).collect();
+        let got: Vec<_> = check_calls(&outcomes, &executions, &limits).into_iter().map(|v| v.0).collect();
         if expected.is_empty() {
             assert!(got.is_empty(), "{name}: {got:?}");
         } else {
