--- a/crates/testbed/src/sim/drive.rs
+++ b/crates/testbed/src/sim/drive.rs
@@ -25,10 +25,15 @@
     settings: Run,
     world: World,
     operators: Operators,
+    /// Faults of machines, the network, disks, workers and callers.
     injector: FaultInjector,
+    /// Losses and replacements of cores that manage the voters themselves.
     membership: MembershipFaults,
+    /// Present in the profiles whose losses follow one another as closely as possible.
     repeated_losses: Option<RepeatedLosses>,
+    /// Present in the profiles of the control plane.
     control: Option<Control>,
+    /// When the run began, in microseconds of true time.
     begin: Micros,
     /// When faults are no longer injected, in microseconds of true time.
     end: Micros,
--- a/crates/testbed/src/sim/machines/disk.rs
+++ b/crates/testbed/src/sim/machines/disk.rs
@@ -13,8 +13,9 @@
 /// A write that is not durable yet.
 #[derive(Clone, Debug)]
 struct QueuedWrite {
-    /// The token by which the node is told of the sync.
+    /// The token by which the node is notified of the sync.
     token: u64,
+    /// The operations of the write, applied together.
     operations: Vec<DurableWrite>,
     /// When the write completes, in microseconds of true time.
     due: Micros,
