--- a/crates/testbed/src/sim/faults/control/mod.rs
+++ b/crates/testbed/src/sim/faults/control/mod.rs
@@ -1,8 +1,9 @@
-//! Fault injector of the control plane: one fault at a time, each as soon after the last one as the fleet must tolerate.
+//! Fault injector of the control plane: one fault at a time, each as soon after the last one as the fleet must
+//! tolerate.
 //!
-//! Faults are partitions of each kind with orders at their end, losses right after an acknowledgement, an accepted call
-//! or an order, full disks, planned restarts, a core that is down through hundreds of changes, and workers that leave at
-//! such moments.
+//! Faults are partitions of each kind with orders at their end, losses right after an acknowledgement, an accepted
+//! call or an order, full disks, planned restarts, a core that is down through hundreds of changes, and workers that
+//! leave at such moments.
 
 mod checks;
 mod departures;
@@ -40,8 +41,8 @@
     RequestShutdown(usize),
     /// Stops a core if other nodes hold its state, or kills it at `kill_at`.
     Stop { machine: usize, kill_at: Micros },
-    /// Sends an order, or with `race` two at once, to a core whose partition ends; with `drain` a worker leaves there, and
-    /// with `hard` the order goes to this core alone until its answer is clear.
+    /// Sends an order, or with `race` two at once, to a core whose partition ends; with `drain` a worker leaves
+    /// there, and with `hard` the order goes to this core alone until its answer is clear.
     EndPartition { machine: usize, race: bool, drain: bool, hard: bool },
     /// Checks that a machine has caught up.
     CheckCaughtUp(usize),
--- a/crates/testbed/src/sim/faults/control/partitions.rs
+++ b/crates/testbed/src/sim/faults/control/partitions.rs
@@ -15,8 +15,8 @@
 const REFUSED_CONNECT_PAUSE: Micros = 160 * MS;
 
 impl Control {
-    /// Chooses the core that acknowledged last, that was read last, that has the oldest disk, that was partitioned least
-    /// often, or the drawn one.
+    /// Chooses the core that acknowledged last, that was read last, that has the oldest disk, that was partitioned
+    /// least often, or the drawn one.
     fn choose_partition_target(&mut self, world: &mut World, drawn: usize) -> usize {
         let (name, chosen) = match world.rng.below(6) {
             0 | 1 => ("leader", self.orders.leader),
@@ -56,7 +56,8 @@
         self.next_fault_at = until + CATCH_UP_TIME;
     }
 
-    /// Changes the seeds of all nodes to the partitioned machine, and restarts some fronts in the middle of the partition.
+    /// Changes the seeds of running nodes to the partitioned core, and restarts some fronts in the middle of the
+    /// partition.
     fn change_seeds(&mut self, world: &mut World, machine: usize, until: Micros) {
         let middle = world.now + (until - world.now) / 2;
         let seeds = vec![world.machines[machine].addr.clone()];
--- a/crates/testbed/src/sim/faults/control/plan.rs
+++ b/crates/testbed/src/sim/faults/control/plan.rs
@@ -39,7 +39,8 @@
     AfterWork { gone: bool },
     /// All cores, or with `all` all machines, lose power right after a call or an order was accepted.
     PowerAfterWork { all: bool },
-    /// A disk rejects each write; with `power` the machine loses power meanwhile, and is restarted before there is room.
+    /// A disk rejects each write; with `power` the machine loses power meanwhile, and is restarted before there is
+    /// room.
     FullDisk { power: bool },
     /// A machine loses its disk, and power again during its first start on the empty one: what that start wrote is kept
     /// or lost.
--- a/crates/testbed/src/sim/faults/control/triggers.rs
+++ b/crates/testbed/src/sim/faults/control/triggers.rs
@@ -1,5 +1,5 @@
-//! Faults that wait for a trigger: an acknowledgement, an accepted call or a sent order. The closing fault, the last one
-//! of a run, is among them.
+//! Faults that wait for a trigger: an acknowledgement, an accepted call or a sent order. The closing fault, the last
+//! one of a run, is among them.
 
 use super::losses::Loss;
 use super::plan::CATCH_UP_TIME;
--- a/crates/testbed/src/sim/faults/membership_losses.rs
+++ b/crates/testbed/src/sim/faults/membership_losses.rs
@@ -132,7 +132,8 @@
         self.cut_power(world, &[]);
     }
 
-    /// Returns true while a core that was asked to shut down must run on until other nodes hold its state, within the grace period.
+    /// Returns true while a core that was asked to shut down must run on until other nodes hold its state, within the
+    /// grace period.
     fn must_keep_running(&self, world: &World, machine: usize) -> bool {
         let state = &world.machines[machine];
         let waits = state.node.as_ref().is_some_and(|node| !node.may_stop(state.clock(world.now)));
--- a/crates/testbed/src/sim/machines/disk.rs
+++ b/crates/testbed/src/sim/machines/disk.rs
@@ -1,7 +1,7 @@
 //! The simulated disk of a machine.
 //!
-//! Synced writes are durable; other writes may be lost with the power. A full disk rejects each write until it has room,
-//! as the node's disk thread sees it.
+//! Synced writes are durable; other writes may be lost with the power. A full disk rejects each write until it has
+//! room, as the node's disk thread sees it.
 
 use std::collections::VecDeque;
 use sumacvale_core::base::{MS, Micros, Rng};
@@ -77,8 +77,8 @@
         self.retry_at > now
     }
 
-    /// Drops the queued writes at a loss of power. A drawn number of the first ones reached the disk whole, but none on a full
-    /// disk.
+    /// Drops the queued writes at a loss of power. A drawn number of the first ones reached the disk whole, but none
+    /// on a full disk.
     pub fn lose_power(&mut self, now: Micros, rng: &mut Rng) {
         let completed =
             if self.queue.is_empty() || self.full_until > now { 0 } else { rng.below(self.queue.len() as u64 + 1) };
--- a/crates/testbed/src/sim/machines/lifecycle.rs
+++ b/crates/testbed/src/sim/machines/lifecycle.rs
@@ -23,8 +23,8 @@
 
     /// Draws the seeds of a machine, as an operator's list that is partly outdated.
     ///
-    /// One seed is a core that is up, or will be, and is not removed for good; the others are any cores. A node whose seeds
-    /// are all removed can't find the fleet.
+    /// One seed is a core that is up, or will be, and is not removed for good; the others are any cores. A node whose
+    /// seeds are all removed can't find the fleet.
     fn draw_seeds(&mut self, index: usize) -> Vec<String> {
         let all: Vec<_> = self.machines.iter().filter(|s| s.is_core).map(|s| s.addr.clone()).collect();
         let is_staying = |other: &usize| {
--- a/crates/testbed/src/sim/mod.rs
+++ b/crates/testbed/src/sim/mod.rs
@@ -1,4 +1,5 @@
-//! Deterministic simulator: runs the same core code as `sumacvale` in virtual time, with all randomness drawn from a seed.
+//! Deterministic simulator: runs the same core code as `sumacvale` in virtual time, with all randomness drawn from a
+//! seed.
 
 // Short locals of the world and its events are not all renamed yet, see the roadmap.
 #![allow(clippy::many_single_char_names)]
--- a/crates/testbed/src/sim/network/delivery.rs
+++ b/crates/testbed/src/sim/network/delivery.rs
@@ -28,7 +28,8 @@
                 || held(second))
     }
 
-    /// Closes the connections between two machines; both ends are notified and try to reconnect at this interval until then.
+    /// Closes the connections between two machines; both ends are notified and try to reconnect at this interval
+    /// until then.
     pub fn close_between(&mut self, first: usize, second: usize, until: Micros, interval: Micros) {
         for (from, to) in [(first, second), (second, first)] {
             self.connections.reconnect(from, to);
--- a/crates/testbed/src/sim/settings.rs
+++ b/crates/testbed/src/sim/settings.rs
@@ -32,7 +32,8 @@
         Run { fronts: day.fronts, workers: day.models, day: Some(day), ..Run::new(seed, profile) }
     }
 
-    /// Returns the settings for a profile with the usual fleet: six fronts, six workers and, for most profiles, three cores.
+    /// Returns the settings for a profile with the usual fleet: six fronts, six workers and, for most profiles, three
+    /// cores.
     pub fn new(seed: u64, profile: &'static Profile) -> Self {
         let cores = match profile.name {
             "many" | "repairs_two" => 7,
--- a/crates/testbed/src/sim/world.rs
+++ b/crates/testbed/src/sim/world.rs
@@ -82,8 +82,8 @@
     pub streams_resumed: u64,
     /// The number of slots reassigned, in processes that ended.
     pub slots_reassigned: u64,
-    /// The interval at which nodes expect workers' reports, in microseconds; above half a second each report goes to one
-    /// core only.
+    /// The interval at which nodes expect workers' reports, in microseconds; above half a second each report goes to
+    /// one core only.
     pub report_interval: Micros,
     /// A machine that a third of the workers report to first, and until when.
     pub preferred_report_target: Option<(usize, Micros)>,
