--- a/crates/testbed/src/sim/faults/control/mod.rs
+++ b/crates/testbed/src/sim/faults/control/mod.rs
@@ -1,8 +1,9 @@
-//! Fault injector of the control plane: one fault at a time, each as soon after the last one as the fleet must tolerate.
+//! Fault injector of the control plane: one fault at a time, each as soon after the last one as the fleet must
+//! tolerate.
 //!
-//! Faults are partitions of each kind with orders at their end, losses right after an acknowledgement, an accepted call
-//! or an order, full disks, planned restarts, a core that is down through hundreds of changes, and workers that leave at
-//! such moments.
+//! Faults are partitions of each kind with orders at their end, losses right after an acknowledgement, an accepted
+//! call or an order, full disks, planned restarts, a core that is down through hundreds of changes, and workers that
+//! leave at such moments.
 
 mod checks;
 mod departures;
@@ -40,8 +41,8 @@
     RequestShutdown(usize),
     /// Stops a core if other nodes hold its state, or kills it at `kill_at`.
     Stop { machine: usize, kill_at: Micros },
-    /// Sends an order, or with `race` two at once, to a core whose partition ends; with `drain` a worker leaves there, and
-    /// with `hard` the order goes to this core alone until its answer is clear.
+    /// Sends an order, or with `race` two at once, to a core whose partition ends; with `drain` a worker leaves
+    /// there, and with `hard` the order goes to this core alone until its answer is clear.
     EndPartition { machine: usize, race: bool, drain: bool, hard: bool },
     /// Checks that a machine has caught up.
     CheckCaughtUp(usize),
@@ -145,8 +146,8 @@
 
     /// Draws the next fault and starts it.
     fn start_fault(&mut self, world: &mut World) {
-        let k = usize::try_from(world.rng.below(self.profile.faults.len() as u64)).unwrap_or(0);
-        let fault = self.profile.faults[k];
+        let position = usize::try_from(world.rng.below(self.profile.faults.len() as u64)).unwrap_or(0);
+        let fault = self.profile.faults[position];
         *self.troubles.entry(format!("{fault:?}")).or_default() += 1;
         world.log(format!("{fault:?}"));
         if world.rng.chance(self.profile.departure_percent) {
@@ -234,6 +235,6 @@
 fn draw_core(world: &mut World) -> Option<usize> {
     let running: Vec<usize> =
         (0..world.machines.len()).filter(|i| world.machines[*i].is_core && world.is_running(*i)).collect();
-    let k = usize::try_from(world.rng.below(running.len().max(1) as u64)).unwrap_or(0);
-    running.get(k).copied()
+    let position = usize::try_from(world.rng.below(running.len().max(1) as u64)).unwrap_or(0);
+    running.get(position).copied()
 }
