--- a/crates/testbed/src/engines/worker.rs
+++ b/crates/testbed/src/engines/worker.rs
@@ -34,7 +34,7 @@
 }
 
 impl Sequence {
-    /// Creates a sequence of whose prompt nothing is computed yet.
+    /// Creates a sequence without computed prompt tokens.
     pub fn new(call: usize, urgency: u8, deadline: Micros, chain: Vec<PromptSegment>, output_tokens: u32) -> Self {
         let uncomputed_tokens = chain.iter().map(|segment| segment.tokens).sum();
         Sequence {
--- a/crates/testbed/src/fleet/report.rs
+++ b/crates/testbed/src/fleet/report.rs
@@ -16,7 +16,7 @@
 }
 
 impl ScenarioOutcome {
-    /// Prints latencies, refusals, counters, costs, events and findings.
+    /// Prints latencies, failures, counters, costs, events and findings.
     pub fn print(&self) {
         println!("deployment {} for {} s, {} calls", self.spec.name, self.seconds, self.records.len());
         for kind in ["lookup", "chat", "draft", "summary"] {
