--- a/crates/testbed/src/sim/calls/call_driver.rs
+++ b/crates/testbed/src/sim/calls/call_driver.rs
@@ -82,11 +82,11 @@
     }
 
     /// Calls a function with the context that call state machines of a machine step in.
-    fn with_context<R>(&mut self, machine: usize, f: impl FnOnce(&mut StepContext) -> R) -> R {
+    fn with_context<R>(&mut self, machine: usize, callback: impl FnOnce(&mut StepContext) -> R) -> R {
         let now = self.machines[machine].clock(self.now);
         let registry = &mut self.machines[machine].calls;
         let clock = || now;
-        f(&mut StepContext {
+        callback(&mut StepContext {
             shared: &registry.shared,
             thread_caches: &mut registry.thread_caches,
             view: &registry.view,
