--- a/crates/testbed/tests/connections.rs
+++ b/crates/testbed/tests/connections.rs
@@ -4,6 +4,7 @@
 #![allow(clippy::many_single_char_names)]
 
 use hyper::Method;
+use prometheus_parse::{Scrape, Value};
 use std::time::{Duration, Instant};
 use sumacvale_core::base::Rng;
 use sumacvale_testbed::fleet::{
@@ -111,15 +112,12 @@
         }
         let begin = Instant::now();
         loop {
-            let (_, first_list) = fleet.admin_request(3, Method::GET, "/v1/workers", &[], "").await?;
-            let (_, second_list) = fleet.admin_request(4, Method::GET, "/v1/workers", &[], "").await?;
-            if !first_list.contains(":7200")
-                && !second_list.contains(":7200")
-                && first_list.matches(":7400").count() == workers.len()
-            {
+            let (_, list) = fleet.admin_request(3, Method::GET, "/v1/workers", &[], "").await?;
+            let (_, other) = fleet.admin_request(4, Method::GET, "/v1/workers", &[], "").await?;
+            if !list.contains(":7200") && !other.contains(":7200") && list.matches(":7400").count() == workers.len() {
                 break;
             }
-            ensure(begin.elapsed() < Duration::from_secs(5), first_list)?;
+            ensure(begin.elapsed() < Duration::from_secs(5), list)?;
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         // Complete responses are counted as served, also those with a content-length.
@@ -129,19 +127,13 @@
             ensure(record.observation == ClientObservation::Complete, format!("{:?}", record.observation))?;
         }
         let metrics = fleet.metrics(3).await;
-        let count = |name: &str| metrics.get(name).unwrap_or(0);
-        ensure(
-            count("sumacvale_served_total") == 6 && count("sumacvale_clients_gone_total") == 0,
-            format!("{metrics:?}"),
-        )?;
+        let get = |name: &str| metrics.get(name).unwrap_or(0);
+        ensure(get("sumacvale_served_total") == 6 && get("sumacvale_clients_gone_total") == 0, format!("{metrics:?}"))?;
         let (_, text) = fleet.admin_request(3, Method::GET, "/metrics", &[], "").await?;
-        let scrape = prometheus_parse::Scrape::parse(text.lines().map(|line| Ok(line.to_owned())))
-            .map_err(|error| error.to_string())?;
+        let scrape = Scrape::parse(text.lines().map(|line| Ok(line.to_owned()))).map_err(|error| error.to_string())?;
         let first_byte_count = |kind: &str| {
             scrape.samples.iter().find_map(|sample| match &sample.value {
-                prometheus_parse::Value::Histogram(buckets)
-                    if sample.metric == "sumacvale_time_to_first_byte_seconds" =>
-                {
+                Value::Histogram(buckets) if sample.metric == "sumacvale_time_to_first_byte_seconds" => {
                     (sample.labels.get("kind") == Some(kind)).then(|| buckets.last().map_or(0.0, |bucket| bucket.count))
                 }
                 _ => None,
@@ -154,7 +146,7 @@
         )?;
         let mut records = Vec::new();
         let mut calls = tokio::task::JoinSet::new();
-        let mut number = 0;
+        let mut seq = 0;
         for state in [
             LinkState::Healthy,
             LinkState::Stalled,
@@ -170,12 +162,10 @@
             let mut interval = tokio::time::interval(Duration::from_millis(8));
             for _ in 0..80 {
                 interval.tick().await;
-                number += 1;
-                let path = ["/v1/confirm", "/v1/book", "/v1/chat", "/v1/draft"][number % 4];
-                let (client, front) = (client(&fleet, path, 0), fleet.nodes[3 + number % 2].front());
-                calls.spawn(async move {
-                    client.call(&front, &format!("w{number}"), &format!("prefix {}|", number % 7)).await
-                });
+                seq += 1;
+                let path = ["/v1/confirm", "/v1/book", "/v1/chat", "/v1/draft"][seq % 4];
+                let (client, to) = (client(&fleet, path, 0), fleet.nodes[3 + seq % 2].front());
+                calls.spawn(async move { client.call(&to, &format!("w{seq}"), &format!("prefix {}|", seq % 7)).await });
             }
         }
         while let Some(record) = calls.join_next().await {
@@ -188,15 +178,12 @@
                 println!("{:?}", metrics.iter().filter(|(_, value)| *value > 0).collect::<Vec<_>>());
             }
         }
-        let count = |matches: fn(&ClientObservation) -> bool| {
-            records.iter().filter(|record| matches(&record.observation)).count()
-        };
+        let count = |test: fn(&ClientObservation) -> bool| records.iter().filter(|r| test(&r.observation)).count();
         let (complete, truncated) = (
-            count(|observation| *observation == ClientObservation::Complete),
-            count(|observation| matches!(observation, ClientObservation::Truncated { .. })),
+            count(|seen| *seen == ClientObservation::Complete),
+            count(|seen| matches!(seen, ClientObservation::Truncated { .. })),
         );
-        let unknown =
-            count(|observation| matches!(observation, ClientObservation::Refused { ran, .. } if ran == "unknown"));
+        let unknown = count(|seen| matches!(seen, ClientObservation::Refused { ran, .. } if ran == "unknown"));
         println!("{complete} complete, {truncated} truncated, {unknown} with unknown outcome, of {}", records.len());
         ensure(complete > 150 && truncated > 0 && unknown > 0, "the link faults had no effect on calls")?;
         let findings = judge(&records, &log.runs(), None);
