--- a/crates/checker/src/agreement.rs
+++ b/crates/checker/src/agreement.rs
@@ -1,10 +1,9 @@
-//! Consensus on versions: all orders of the frames that it consists of, with each machine's clock on its own.
+//! Model of the consensus on versions: explores every delivery order of its frames, with one clock per machine.
 //!
-//! Explored: which frame is delivered next (so any overtakes any other), a frame lost, a frame delivered
-//! twice, a process that ends with any part of its unsynced writes, a disk that is lost, a machine whose
-//! timers expire, and when and where operators submit their changes, also again. Frames of other machinery
-//! (gossip, leases, updates) are lost from the start of the exploration on, which is a thing that networks do;
-//! the check of the recovery delivers all of them.
+//! Explored are reordered, lost and duplicated frames, crashes that keep any prefix of the unsynced writes,
+//! lost disks, expired timers, and when and where operators submit and resubmit their changes. Frames of other
+//! protocols (gossip, leases, updates) are lost from the start of the exploration on, as a network may lose
+//! them; the recovery check delivers all of them.
 
 use crate::explore::Model;
 use crate::frames::{AddressedFrame, FramesInFlight, InFlightFrame};
@@ -22,17 +21,17 @@
 const BACKOFF: Micros = 300 * MS;
 /// The time between two announcements of a bootstrap, in microseconds.
 const ANNOUNCE_INTERVAL: Micros = 300 * MS;
-/// How far the clocks move in one round of a run without faults, in microseconds.
-const ROUND: Micros = 25 * MS;
-/// All machines must have converged so long after the last fault, in microseconds.
+/// The time by which the clocks advance in one round of a run without faults, in microseconds.
+const ROUND_DURATION: Micros = 25 * MS;
+/// The time after the last fault within which all machines must converge, in microseconds.
 const RECOVERY_TIME: Micros = 8 * SEC;
-/// A change must be decided within this time once all is well, in microseconds.
+/// The time within which a change must be decided once no fault is active, in microseconds.
 const DECISION_TIME: Micros = 4 * SEC;
 
-/// How often each thing may happen on one path.
+/// How often each kind of fault or event may occur on one path.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Allowance {
-    /// Processes that end with any part of their unsynced writes.
+    /// Crashes that keep any prefix of the unsynced writes.
     pub crashes: u8,
     /// Crashes that lose the disk as well.
     pub wipes: u8,
@@ -44,29 +43,30 @@
     pub timeouts: u8,
     /// Freshness probes: requests to all voters whether anything newer was voted for.
     pub probes: u8,
-    /// How often operators submit a change again.
+    /// The number of times that operators resubmit a change.
     pub resubmissions: u8,
-    /// How often a voter has yielded long enough, after a vote for another proposer, to start its own ballot.
+    /// The number of times that a voter's yield to another proposer ends, so that the voter may start a ballot.
     pub yields: u8,
 }
 
 /// A change that an operator submits.
 #[derive(Clone, Debug)]
 pub struct PlannedChange {
-    /// The revision or version that it is based on, by the kind of the change.
+    /// The revision (of a document) or version (of a set of voters) that the change is based on.
     pub base: u64,
-    /// What is changed.
+    /// The new document or set of voters.
     pub change: Change,
     /// The identifier of the change.
     pub change_id: ChangeId,
-    /// The machines that it is submitted to: the first at first, any of them later. Invariant: not empty.
+    /// The machines that receive the change: the first submission goes to the first machine, a resubmission to
+    /// any. Invariant: not empty.
     pub receivers: Vec<usize>,
     /// The index of a change that must be acknowledged before this one is submitted.
     pub after: Option<usize>,
 }
 
 impl PlannedChange {
-    /// A document with one pool on top of the revision `base`.
+    /// Returns a change to a document with one pool, based on the revision `base`.
     #[must_use]
     pub fn document(base: u64, revision: u64, pool: &str, receivers: &[usize]) -> Self {
         let body = document(revision, pool);
@@ -75,7 +75,7 @@
         PlannedChange { base, change, change_id, receivers: receivers.to_vec(), after: None }
     }
 
-    /// A set of voters, by their machines, on top of the version `base`.
+    /// Returns a change to the voters on these machines, based on the version `base`.
     #[must_use]
     pub fn voters(base: u64, voters: &[usize], receivers: &[usize]) -> Self {
         let change_id = change_id(&format!("voters {voters:?}"));
@@ -83,13 +83,13 @@
         PlannedChange { base, change, change_id, receivers: receivers.to_vec(), after: None }
     }
 
-    /// The same change, submitted once another one was acknowledged.
+    /// Delays the first submission until the change with the index `other` is acknowledged.
     #[must_use]
     pub fn after(self, other: usize) -> Self {
         PlannedChange { after: Some(other), ..self }
     }
 
-    /// The base by the kind of the change.
+    /// Returns the base with the type that the kind of the change calls for.
     fn typed_base(&self) -> Base {
         match self.change {
             Change::Voters(_) => Base::Voters(self.base),
@@ -98,7 +98,7 @@
     }
 }
 
-/// A step of the fixed way into a directed bound, named by what it is rather than by an index.
+/// A step of the fixed prefix of a directed bound. It names a frame by its kind and machines, not by an index.
 #[derive(Clone, Debug)]
 pub enum Opening {
     /// A change is submitted to a machine.
@@ -117,7 +117,7 @@
         /// The receiving machine.
         to: usize,
     },
-    /// The same frame is lost.
+    /// The first frame of this kind between two machines is lost.
     Lose {
         /// The name of the message, see [`Message::name`].
         kind: &'static str,
@@ -131,21 +131,21 @@
         /// The machine.
         machine: usize,
     },
-    /// A machine's timers expire; it counts towards the allowance.
+    /// A machine's timers expire, which counts towards the allowance.
     Timeout {
         /// The machine.
         machine: usize,
     },
-    /// A machine loses its disk; it counts towards the allowance.
+    /// A machine loses its disk, which counts towards the allowance.
     Wipe {
         /// The machine.
         machine: usize,
     },
-    /// A machine's process ends and starts anew.
+    /// A machine's process crashes and restarts.
     Crash {
         /// The machine.
         machine: usize,
-        /// How many of its unsynced writes are on the disk.
+        /// The number of unsynced writes that reached the disk.
         landed: usize,
     },
 }
@@ -154,23 +154,23 @@
 pub struct Agreement {
     /// The number of machines; the first [`VOTERS`] vote at the start.
     pub machines: usize,
-    /// Whether the machines begin with empty disks and found the fleet. A time-out is then a single turn of
-    /// a machine's timers.
+    /// True if the machines start with empty disks and bootstrap the fleet. A time-out is then a single tick of
+    /// a machine.
     pub is_bootstrap: bool,
-    /// What happens before the exploration begins. Losses and crashes there count towards no allowance.
+    /// The steps before the exploration begins. Their losses and crashes count towards no allowance.
     pub opening: Vec<Opening>,
-    /// How often each thing may happen on one path.
+    /// How often each kind of fault or event may occur on one path.
     pub allowance: Allowance,
     /// The changes that operators submit.
     pub changes: Vec<PlannedChange>,
-    /// Machines whose syncs are actions of their own; the others sync at once.
+    /// Machines whose syncs are separate actions; all other machines sync at once.
     pub slow_disks: Vec<usize>,
 }
 
-/// What became of one planned change so far.
+/// The progress of one planned change.
 #[derive(Clone, Copy, Debug, Default)]
 struct Submission {
-    /// How often it was submitted.
+    /// The number of submissions, including resubmissions.
     count: u8,
     is_acknowledged: bool,
 }
@@ -182,31 +182,31 @@
     /// The clock of each machine, in microseconds.
     clocks: Vec<Micros>,
     frames: FramesInFlight,
-    /// What is left of the allowance.
+    /// The allowance that is not used up yet.
     left: Allowance,
-    /// By the index of the planned change.
+    /// Indexed like the planned changes.
     submissions: Vec<Submission>,
     judge: Judge,
-    /// The rule that the opening violated; reported by the first action.
+    /// The violation found during the opening; the first action reports it.
     opening_violation: Option<String>,
 }
 
-/// What may happen next.
+/// A transition of the model.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// A frame is delivered.
     Deliver {
-        /// Its index among the frames under way.
+        /// The index of the frame among the frames in flight.
         index: usize,
     },
     /// A frame is lost.
     Lose {
-        /// Its index among the frames under way.
+        /// The index of the frame among the frames in flight.
         index: usize,
     },
-    /// A frame is delivered, and once more later.
+    /// A frame is delivered, and a copy of the frame stays in flight.
     Duplicate {
-        /// Its index among the frames under way.
+        /// The index of the frame among the frames in flight.
         index: usize,
     },
     /// A machine's writes are synced.
@@ -214,11 +214,11 @@
         /// The machine.
         machine: usize,
     },
-    /// A machine's process ends and starts anew.
+    /// A machine's process crashes and restarts.
     Crash {
         /// The machine.
         machine: usize,
-        /// How many of its unsynced writes are on the disk.
+        /// The number of unsynced writes that reached the disk.
         landed: usize,
     },
     /// A machine loses its disk.
@@ -243,19 +243,20 @@
     },
     /// A change is submitted.
     Submit {
-        /// Its index among the planned changes.
+        /// The index of the change among the planned changes.
         change: usize,
         /// The receiving machine.
         to: usize,
     },
 }
 
-/// Request identifiers are this much for each submission of a change, plus the change's index.
+/// The distance between the request identifiers of two submissions of a change: an identifier is the number of
+/// the submission times this distance, plus the index of the change.
 const REQUEST_STRIDE: u64 = 100;
-/// The request identifier of the change that is submitted after the recovery.
+/// The request identifier of the change that the recovery check submits.
 const LAST_REQUEST: u64 = REQUEST_STRIDE - 1;
 
-/// Whether a message is one of those that consensus consists of.
+/// Returns true if a message belongs to a ballot or to the replication of its result.
 fn is_consensus(message: &Message) -> bool {
     matches!(
         message,
@@ -289,8 +290,8 @@
 
 /// The steps of single machines.
 impl Agreement {
-    /// Whether the order of this message is explored; all others are lost. Timers send probes as well, but
-    /// only those that are actions of their own count.
+    /// Returns true if the delivery of this message is explored; all other messages are lost. Timers send probes
+    /// as well, but only probes sent by [`Action::Probe`] are explored.
     fn is_explored(&self, message: &Message, sends_probes: bool) -> bool {
         let explores_probes = self.allowance.probes > 0;
         is_consensus(message)
@@ -299,7 +300,7 @@
             || (explores_probes && is_probe(message) && sends_probes)
     }
 
-    /// Puts what a machine emitted under way and judges it.
+    /// Sends the frames that a machine emitted, and judges the machine and its completed changes.
     fn process_output(
         &self,
         world: &mut World,
@@ -316,11 +317,11 @@
         self.process_completed(world, output.completed)?;
         world.frames.sort();
         self.drop_obsolete(world);
-        world.machines[machine].seal(Scope::Agreement);
+        world.machines[machine].update_digest(Scope::Agreement);
         Ok(())
     }
 
-    /// Drops the frames that no machine would ever act on again: to deliver them or not is the same.
+    /// Drops the frames that their receivers would ignore, since delivering them changes nothing.
     fn drop_obsolete(&self, world: &mut World) {
         let World { machines, frames, .. } = world;
         frames.retain(|in_flight| !self.is_obsolete(&machines[in_flight.to], &in_flight.frame.message));
@@ -411,7 +412,7 @@
         self.step(world, to, event)
     }
 
-    /// Lets the timers of a machine expire: those of a phase, then the backoff.
+    /// Expires the timers of a machine: first the phase time-out, then the backoff.
     fn time_out(&self, world: &mut World, machine: usize) -> Result<(), String> {
         if self.is_bootstrap {
             world.clocks[machine] += ANNOUNCE_INTERVAL;
@@ -423,7 +424,7 @@
         self.step(world, machine, Event::Tick)
     }
 
-    /// Moves a machine's clock to its next freshness probe, or the probe to the clock if it is overdue.
+    /// Advances a machine's clock to its next freshness probe, or moves an overdue probe to the clock.
     fn send_probe(&self, world: &mut World, machine: usize) -> Result<(), String> {
         let due = world.machines[machine].node.consensus.freshness.probe_due;
         world.clocks[machine] = world.clocks[machine].max(due);
@@ -434,14 +435,14 @@
         self.step(world, machine, Event::Tick)
     }
 
-    /// Moves a machine's clock to the end of its yield.
+    /// Advances a machine's clock to the end of its yield.
     fn end_yield(&self, world: &mut World, machine: usize) -> Result<(), String> {
         world.clocks[machine] = world.machines[machine].node.consensus.state.yields_until;
         self.step(world, machine, Event::Tick)
     }
 
-    /// Takes one action, and counts it against the allowance.
-    fn act(&self, world: &mut World, action: &Action) -> Result<(), String> {
+    /// Applies one action and deducts it from the allowance.
+    fn perform(&self, world: &mut World, action: &Action) -> Result<(), String> {
         match *action {
             Action::Deliver { index } => self.deliver(world, index),
             Action::Lose { index } => {
@@ -484,7 +485,7 @@
         }
     }
 
-    /// Takes one step of the opening. One that is not possible is an error of the bound.
+    /// Applies one step of the opening. A step that is not possible is an error in the bound.
     fn open(&self, world: &mut World, opening: &Opening) -> Result<(), String> {
         match *opening {
             Opening::Submit { change, to } => self.submit(world, change, to),
@@ -497,8 +498,8 @@
                 world.frames.remove(index);
                 Ok(())
             }
-            Opening::Timeout { machine } => self.act(world, &Action::Timeout { machine }),
-            Opening::Wipe { machine } => self.act(world, &Action::Wipe { machine }),
+            Opening::Timeout { machine } => self.perform(world, &Action::Timeout { machine }),
+            Opening::Wipe { machine } => self.perform(world, &Action::Wipe { machine }),
             Opening::Sync { machine } => self.sync(world, machine),
             Opening::Crash { machine, landed } => world.crash(machine, landed),
         }
@@ -506,14 +507,14 @@
 }
 
 impl World {
-    /// Puts a frame under way. The frames are not sorted after it.
+    /// Adds a frame to the frames in flight without sorting them.
     fn send(&mut self, machine: usize, sent: AddressedFrame) -> Result<(), String> {
         let AddressedFrame { to, frame } = &sent;
         self.judge.on_send(machine, &frame.message, &self.machines[machine].durable)?;
         if is_probe(&frame.message) {
             self.judge.on_probe(machine, self.clocks[machine]);
         }
-        // Without the time of sending: each machine has a clock of its own.
+        // The digest omits the time of sending, because each machine has its own clock.
         let digest = digest_of(&(to, frame.from, frame.to, frame.incarnation, &frame.message));
         self.frames.push(InFlightFrame::new(sent, digest));
         Ok(())
@@ -528,7 +529,7 @@
         self.machines[machine] = self.machines[machine].wipe(self.clocks[machine]);
     }
 
-    /// The index of the first frame of this kind between two machines.
+    /// Returns the index of the first frame of this kind between two machines.
     fn index_of(&self, kind: &str, from: usize, to: usize) -> Result<usize, String> {
         let sender = self.machines[from].node.settings.node_id;
         let is_wanted = |in_flight: &InFlightFrame| {
@@ -541,15 +542,15 @@
 
 /// Runs without faults.
 impl Agreement {
-    /// Runs all machines in rounds, with every kind of frame, nothing lost and prompt disks.
+    /// Runs all machines in rounds: every kind of frame is delivered, and disks sync at once.
     fn run(&self, world: &mut World, duration: Micros) -> Result<(), String> {
         let mut frames = world.frames.drain();
         for machine in 0..self.machines {
             self.sync_promptly(world, machine, &mut frames)?;
         }
-        for _ in 0..duration / ROUND {
+        for _ in 0..duration / ROUND_DURATION {
             for machine in 0..self.machines {
-                world.clocks[machine] += ROUND;
+                world.clocks[machine] += ROUND_DURATION;
                 self.step_promptly(world, machine, Event::Tick, &mut frames)?;
             }
             for AddressedFrame { to, frame } in std::mem::take(&mut frames) {
@@ -561,7 +562,7 @@
         Ok(())
     }
 
-    /// Steps a machine whose disk syncs at once; what it sends is added to `frames`.
+    /// Steps a machine whose disk syncs at once, and appends the frames that the machine sends to `frames`.
     fn step_promptly(
         &self,
         world: &mut World,
@@ -585,12 +586,12 @@
     }
 }
 
-/// What may happen next.
+/// The actions that are possible in a state.
 impl Agreement {
     fn frame_actions(world: &World) -> Vec<Action> {
         let mut actions = Vec::new();
         for index in 0..world.frames.len() {
-            // Two that are alike give the same.
+            // Delivering either of two equal frames leads to the same state.
             if index > 0 && world.frames[index - 1].digest == world.frames[index].digest {
                 continue;
             }
@@ -657,7 +658,7 @@
 
     fn initial_state(&self) -> World {
         let new_machine =
-            |index| if self.is_bootstrap { Machine::unfounded(index) } else { Machine::new(index, false) };
+            |index| if self.is_bootstrap { Machine::with_empty_disk(index) } else { Machine::new(index, false) };
         let mut world = World {
             machines: (0..self.machines).map(new_machine).collect(),
             clocks: vec![STARTED_AT; self.machines],
@@ -667,11 +668,11 @@
             judge: Judge::default(),
             opening_violation: None,
         };
-        // Peers know each other before anything happens, unless the bootstrap is explored.
-        let acquainted = if self.is_bootstrap { Ok(()) } else { self.run(&mut world, DECISION_TIME) };
+        // Peers have discovered each other before the opening, unless the bootstrap is explored.
+        let discovered = if self.is_bootstrap { Ok(()) } else { self.run(&mut world, DECISION_TIME) };
         world.frames = FramesInFlight::default();
-        world.machines.iter_mut().for_each(|machine| machine.seal(Scope::Agreement));
-        let opened = acquainted.and_then(|()| self.opening.iter().try_for_each(|step| self.open(&mut world, step)));
+        world.machines.iter_mut().for_each(|machine| machine.update_digest(Scope::Agreement));
+        let opened = discovered.and_then(|()| self.opening.iter().try_for_each(|step| self.open(&mut world, step)));
         world.opening_violation = opened.err();
         world
     }
@@ -691,8 +692,8 @@
     }
 
     fn actions(&self, world: &World) -> Vec<Action> {
-        // That a machine has synced a version only lets others acknowledge and replicate, and does so the
-        // same in any order: it is delivered first, unless it is lost.
+        // A `Synced` message only lets others acknowledge and replicate, with the same result in any order. To
+        // reduce the number of states, the message is delivered or lost before any other action.
         if let Some(index) = world.frames.position(|in_flight| is_synced(&in_flight.frame.message)) {
             return match world.left.losses {
                 0 => vec![Action::Deliver { index }],
@@ -710,14 +711,14 @@
             return Err(violation.clone());
         }
         let mut next = world.clone();
-        self.act(&mut next, action)?;
+        self.perform(&mut next, action)?;
         Ok(next)
     }
 
     fn check_recovery(&self, world: &World) -> Result<(), String> {
         let mut world = world.clone();
         self.run(&mut world, RECOVERY_TIME)?;
-        // Seeds whose disks were lost before a majority held version 0 found nothing any more.
+        // Seeds whose disks were lost before a majority held version 0 can no longer bootstrap the fleet.
         let lost_disks = self.is_bootstrap && world.left.wipes < self.allowance.wipes;
         if lost_disks && world.machines.iter().filter(|machine| machine.node.voter()).count() < 2 {
             return Ok(());
@@ -729,7 +730,7 @@
 
 impl World {
     /// Checks that all machines hold the same newest version and that all voters are fresh; returns the
-    /// revision in force.
+    /// current revision.
     fn check_convergence(&self) -> Result<u64, String> {
         let entries = self.machines.iter().filter_map(|machine| machine.node.consensus.state.newest());
         let newest = entries.max_by_key(|entry| entry.version).ok_or("no machine holds a version")?;
@@ -752,7 +753,7 @@
 }
 
 impl Agreement {
-    /// Checks that a change that is submitted now is decided in time.
+    /// Checks that a new change is decided within [`DECISION_TIME`].
     fn check_decides_another(&self, world: &mut World, base: u64) -> Result<(), String> {
         let body = document(base + 1, "last");
         let is_voter = |machine: &Machine| machine.node.voter();
--- a/crates/checker/src/explore.rs
+++ b/crates/checker/src/explore.rs
@@ -1,7 +1,7 @@
-//! The exploration of a model: every reachable state is expanded once, by several threads.
+//! Exhaustive state-space exploration of a model: several threads expand every reachable state once.
 //!
-//! States are told apart by their 64-bit digests alone; two states with one digest count as one. The
-//! exploration stops at the first violation, or unfinished at the limits of its [`Options`].
+//! States are identified by their 64-bit digests alone; two states with the same digest count as one. The
+//! exploration stops at the first violation, or incomplete at a limit of its [`Options`].
 
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, VecDeque};
@@ -9,35 +9,35 @@
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A system with an initial state and, in each state, a finite list of what may happen next.
+/// A transition system with an initial state and, in each state, a finite list of actions.
 ///
-/// The graph of its states must have no endless path: each action uses up a frame or a bounded allowance.
+/// Invariant: the state graph has no infinite path, because each action uses up a frame or a bounded allowance.
 pub trait Model: Sync {
     /// One state of the system.
     type State: Send + Sync;
-    /// One thing that may happen next.
+    /// One transition out of a state.
     type Action;
 
-    /// The state from which the exploration begins.
+    /// Returns the state from which the exploration begins.
     fn initial_state(&self) -> Self::State;
-    /// The digest of a state. Two states with one digest behave alike.
+    /// Returns the digest of a state. States with the same digest must behave alike.
     fn digest(&self, state: &Self::State) -> u64;
-    /// What may happen next. The order is the same for all states with one digest.
+    /// Returns the possible actions. Their order is the same for all states with the same digest.
     fn actions(&self, state: &Self::State) -> Vec<Self::Action>;
-    /// An action in words, for traces.
+    /// Describes an action for traces.
     fn describe(&self, state: &Self::State, action: &Self::Action) -> String;
-    /// The next state, or the rule that the action violates.
+    /// Returns the next state, or the rule that the action violates.
     fn apply(&self, state: &Self::State, action: &Self::Action) -> Result<Self::State, String>;
-    /// Checks that the system recovers from here once no further fault occurs.
+    /// Checks that the system recovers from this state once no further fault occurs.
     fn check_recovery(&self, state: &Self::State) -> Result<(), String>;
 }
 
-/// Which state is expanded next.
+/// The order in which states are expanded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SearchOrder {
-    /// The state found first: traces are the shortest, and the frontier is large.
+    /// Oldest state first: shortest traces, but a large frontier.
     BreadthFirst,
-    /// The state found last: little memory.
+    /// Newest state first: needs little memory.
     DepthFirst,
 }
 
@@ -46,14 +46,13 @@
 pub struct Options {
     /// The number of threads that expand states; 4 by default.
     pub threads: usize,
-    /// Which state is expanded next; depth first by default.
+    /// The order in which states are expanded; depth first by default.
     pub order: SearchOrder,
-    /// The exploration ends unfinished after so many states; without limit by default.
+    /// The number of states after which the exploration ends incomplete; unlimited by default.
     pub max_states: u64,
-    /// The exploration ends unfinished after so long; an hour by default.
+    /// The time after which the exploration ends incomplete; an hour by default.
     pub max_duration: Duration,
-    /// Recovery is checked from each state without a next action and from one state in so many; 1,000 by
-    /// default.
+    /// Recovery is checked from every final state and from one in this many other states; 1,000 by default.
     pub recovery_interval: u64,
 }
 
@@ -69,40 +68,40 @@
     }
 }
 
-/// A rule that was violated, and the actions that lead to the violation.
+/// A violated rule and the actions that lead to the violation.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// The rule, a colon, and what was found.
+    /// The name of the violated rule, a colon, and the details.
     pub message: String,
-    /// The actions from the initial state on, in words.
+    /// Descriptions of the actions, starting at the initial state.
     pub trace: Vec<String>,
 }
 
-/// What an exploration did and found.
+/// The statistics and the result of an exploration.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// The states that were found.
+    /// The number of distinct states.
     pub states: u64,
-    /// The actions that were applied.
+    /// The number of applied actions.
     pub transitions: u64,
-    /// States without a next action.
+    /// The number of states without a possible action.
     pub final_states: u64,
-    /// States from which recovery was checked.
+    /// The number of states from which recovery was checked.
     pub recoveries: u64,
-    /// How long the exploration took, in seconds.
+    /// The duration of the exploration, in seconds.
     pub seconds: f64,
-    /// Whether every state within the bounds was expanded.
+    /// True if every reachable state was expanded.
     pub complete: bool,
-    /// The first violation that was found.
+    /// The first violation, if any.
     pub violation: Option<Violation>,
 }
 
-/// The number of maps that the visited states are spread over.
-const SHARDS: usize = 64;
-/// How many states a thread takes from the queue at most.
-const BATCH: usize = 32;
+/// The number of shards of the visited states.
+const SHARD_COUNT: usize = 64;
+/// The maximum number of states that a thread takes from the frontier at a time.
+const MAX_BATCH_STATES: usize = 32;
 
-/// A mutex is poisoned only by a panic, which ends the exploration anyway.
+/// Locks a mutex and ignores poisoning: the panic that poisons a mutex ends the exploration anyway.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -110,26 +109,26 @@
 /// How a state was first reached.
 #[derive(Clone, Copy)]
 struct Predecessor {
-    /// The digest of the state before it.
+    /// The digest of the preceding state.
     digest: u64,
-    /// The index of the action among the actions of the state before it.
+    /// The index of the action among the actions of the preceding state.
     action_index: u32,
 }
 
-/// The states that were found, by their digests.
+/// The predecessors of all visited states by the states' digests, in shards to reduce lock contention.
 struct VisitedStates(Vec<Mutex<HashMap<u64, Predecessor>>>);
 
 impl VisitedStates {
     fn new() -> Self {
-        VisitedStates((0..SHARDS).map(|_| Mutex::default()).collect())
+        VisitedStates((0..SHARD_COUNT).map(|_| Mutex::default()).collect())
     }
 
     fn shard(&self, digest: u64) -> MutexGuard<'_, HashMap<u64, Predecessor>> {
-        let index = usize::try_from(digest % SHARDS as u64).unwrap_or(0);
+        let index = usize::try_from(digest % SHARD_COUNT as u64).unwrap_or(0);
         lock(&self.0[index])
     }
 
-    /// Adds a state; returns whether it is new.
+    /// Adds a state; returns true if the state is new.
     fn insert(&self, digest: u64, predecessor: Predecessor) -> bool {
         match self.shard(digest).entry(digest) {
             Entry::Occupied(_) => false,
@@ -140,7 +139,7 @@
         }
     }
 
-    /// The indexes of the actions that lead from the initial state to another one.
+    /// Returns the indexes of the actions that lead from the initial state to the target.
     fn path(&self, initial: u64, target: u64) -> Vec<u32> {
         let mut path = Vec::new();
         let mut digest = target;
@@ -160,20 +159,20 @@
 /// The states that are not expanded yet.
 struct Frontier<S> {
     states: VecDeque<Unexpanded<S>>,
-    /// The number of states in `states` or being expanded. The exploration ends when it is zero.
+    /// The number of states in `states` or being expanded. The exploration ends when `open` is zero.
     open: usize,
 }
 
-/// Where a rule was violated.
+/// The state and action at which a rule was violated.
 struct ViolationSite {
     message: String,
     /// The digest of the state before the violation.
     digest: u64,
-    /// The index of the action that violated the rule; none where the recovery failed.
+    /// The index of the action that violated the rule; none if the recovery check failed.
     action_index: Option<u32>,
 }
 
-/// One exploration, as its threads share it.
+/// The state of one exploration, shared by its threads.
 struct Exploration<'a, M: Model> {
     model: &'a M,
     options: &'a Options,
@@ -202,7 +201,7 @@
     exploration.report(initial)
 }
 
-/// The actions of a path in words.
+/// Describes the actions of a path.
 fn trace<M: Model>(model: &M, path: &[u32]) -> Vec<String> {
     let mut descriptions = Vec::new();
     let mut state = model.initial_state();
@@ -257,7 +256,7 @@
         self.is_stopped.load(Ordering::Relaxed)
     }
 
-    /// The work of one thread.
+    /// Expands batches of states until none is left; the main loop of one thread.
     fn expand_until_done(&self) {
         while let Some(batch) = self.next_batch() {
             let expanded = batch.len();
@@ -271,7 +270,7 @@
         }
     }
 
-    /// Some states to expand; none when all are expanded or the exploration is stopped.
+    /// Waits for states to expand; returns none when all are expanded or the exploration is stopped.
     fn next_batch(&self) -> Option<Vec<Unexpanded<M::State>>> {
         let mut frontier = lock(&self.frontier);
         loop {
@@ -280,7 +279,7 @@
                 return None;
             }
             if !frontier.states.is_empty() {
-                let share = (frontier.states.len() / self.options.threads.max(1)).clamp(1, BATCH);
+                let share = (frontier.states.len() / self.options.threads.max(1)).clamp(1, MAX_BATCH_STATES);
                 let next = || match self.options.order {
                     SearchOrder::BreadthFirst => frontier.states.pop_front(),
                     SearchOrder::DepthFirst => frontier.states.pop_back(),
@@ -298,7 +297,7 @@
         self.frontier_changed.notify_all();
     }
 
-    /// Applies all actions of a state; new states go to `found`.
+    /// Applies all actions of a state and appends new states to `found`.
     fn expand(&self, digest: u64, state: &M::State, found: &mut Vec<Unexpanded<M::State>>) {
         if self.is_limit_reached() {
             self.is_stopped.store(true, Ordering::Relaxed);
@@ -325,7 +324,7 @@
             || self.states.load(Ordering::Relaxed) >= self.options.max_states
     }
 
-    /// Checks the recovery from final states and from a sample of all others.
+    /// Checks recovery from final states and from a sample of all other states.
     fn check_recovery(&self, digest: u64, state: &M::State, is_final: bool) -> Result<(), String> {
         if is_final {
             self.final_states.fetch_add(1, Ordering::Relaxed);
@@ -337,7 +336,7 @@
         self.model.check_recovery(state)
     }
 
-    /// Counts a state and returns it, if it is new.
+    /// Counts a state and returns the state if it is new.
     fn record(&self, state: M::State, predecessor: Predecessor) -> Option<Unexpanded<M::State>> {
         let digest = self.model.digest(&state);
         if !self.visited.insert(digest, predecessor) {
@@ -347,7 +346,7 @@
         Some((digest, state))
     }
 
-    /// Stops the exploration; the first violation counts.
+    /// Stops the exploration and keeps the first violation.
     fn stop_at(&self, site: ViolationSite) {
         lock(&self.violation).get_or_insert(site);
         self.is_stopped.store(true, Ordering::Relaxed);
--- a/crates/checker/src/fleet.rs
+++ b/crates/checker/src/fleet.rs
@@ -1,10 +1,10 @@
-//! Whole nodes in rounds: all machinery (consensus, freshness, membership, takeover, leases, gossip) with its
-//! timers, under every choice of faults at every choice point.
+//! Model of whole nodes in rounds: every protocol (consensus, freshness, membership, takeover, leases, gossip)
+//! runs with its timers, under every choice of faults at every choice point.
 //!
-//! Time is common and moves in rounds of 25 ms. In each round every machine receives what was sent in the
-//! round before, then its timers run; what it writes is synced in the next round. So the order within a round
-//! is fixed, and what is explored is which faults come when. Two operators submit changes all the time, each
-//! again to the next machine while it has no clear outcome.
+//! All machines share one clock, which advances in rounds of 25 ms. In each round every machine receives the
+//! frames sent in the previous round, then its timers run; its writes are synced in the next round. The order
+//! within a round is fixed, so the exploration covers which faults occur and when. Two operators submit changes
+//! continuously, and each retries a change on the next machine until the change has a definite outcome.
 
 use crate::explore::Model;
 use crate::frames::AddressedFrame;
@@ -18,78 +18,80 @@
 use sumacvale_core::protocol::{Change, ChangeOutcome, Frame};
 
 /// The length of a round, in microseconds.
-const ROUND: Micros = 25 * MS;
-/// How long machines know each other before the first choice, in microseconds.
-const ACQUAINTANCE: Micros = 4 * SEC;
-/// A second loss may come so long after an earlier one, in microseconds.
+const ROUND_DURATION: Micros = 25 * MS;
+/// The time for peer discovery before the first choice, in microseconds.
+const DISCOVERY_TIME: Micros = 4 * SEC;
+/// The minimum time between two losses of a disk, in microseconds.
 const LOSS_INTERVAL: Micros = 8 * SEC;
-/// All must be well so long after the last fault, in microseconds.
+/// The time after the last fault within which the fleet must recover, in microseconds.
 const RECOVERY_TIME: Micros = 12 * SEC;
-/// The grants of so many requests may be lost with a fault. Their units stay with the requester, which would
-/// learn of them with its next grant, and sends no more requests in these bounds.
+/// The maximum number of units whose grants one fault may lose. Their units stay with the requester, which would
+/// learn of these units with its next grant, but sends no more requests in these bounds.
 const LOST_UNITS: u64 = 2;
-/// A change must be decided within this time once all is well, in microseconds.
+/// The time within which a change must be decided once no fault is active, in microseconds.
 const DECISION_TIME: Micros = 4 * SEC;
-/// How late the frames of a machine with [`FaultKind::DelayedFrames`] are, in microseconds.
+/// The delay of the frames of a machine with [`FaultKind::DelayedFrames`], in microseconds.
 const FRAME_DELAY: Micros = 200 * MS;
-/// How many rounds after the first copy the second copy of a duplicated frame may be delivered.
-const DUPLICATE_DELAY: Micros = 3 * ROUND;
+/// The delay between the two copies of a duplicated frame, in microseconds.
+const DUPLICATE_DELAY: Micros = 3 * ROUND_DURATION;
 /// The time between two syncs of a slow disk, in microseconds.
 const SLOW_SYNC_INTERVAL: Micros = 400 * MS;
-/// How long a machine that is set aside receives nothing at all, in microseconds: almost as long as a new set
-/// of voters waits for the set before it.
-const ISOLATED_FOR: Micros = 2_400 * MS;
+/// The time for which a machine with [`FaultKind::Aside`] receives nothing at all, in microseconds: slightly
+/// shorter than a new set of voters waits for the previous set.
+const ISOLATION_DURATION: Micros = 2_400 * MS;
 /// The number of operators in bounds without requesters.
-const OPERATORS: u64 = 2;
-/// Request identifiers are this much for each submission of an operator, plus the operator's index.
+const OPERATOR_COUNT: u64 = 2;
+/// The distance between the request identifiers of two submissions of an operator. The remainder is the index of
+/// the operator.
 const REQUEST_STRIDE: u64 = 10;
-/// An operator submits a change again after this time without an outcome, in microseconds.
+/// The time without an outcome after which an operator retries a change, in microseconds.
 const OUTCOME_TIMEOUT: Micros = SEC;
-/// An operator rests for this time after a commit, in microseconds.
-const REST_AFTER_COMMIT: Micros = 300 * MS;
-/// An operator rests for this time after any other outcome, in microseconds.
-const REST_AFTER_FAILURE: Micros = 100 * MS;
-/// Longer than any run of a model, in microseconds: until then lasts what never ends.
+/// The delay of an operator's next submission after a commit, in microseconds.
+const DELAY_AFTER_COMMIT: Micros = 300 * MS;
+/// The delay of an operator's next submission after any other outcome, in microseconds.
+const DELAY_AFTER_FAILURE: Micros = 100 * MS;
+/// The duration of permanent faults, in microseconds: longer than any run of a model.
 const FOREVER: Micros = Micros::MAX / 2;
 
-/// What may go wrong with a machine, or with all.
+/// A fault of one machine or of all machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FaultKind {
-    /// The process ends with its unsynced writes, and the next one starts at once.
+    /// The process crashes, loses its unsynced writes and restarts soon.
     Crash,
-    /// The same, and the next one starts only when others took the node for failed.
+    /// The process crashes, and restarts only after other nodes have marked the node as failed.
     LongCrash,
-    /// The machine comes back with an empty disk.
+    /// The machine restarts with an empty disk.
     Wipe,
-    /// The machine is lost for good.
+    /// The machine is lost permanently.
     Gone,
-    /// A partition: no frame from it or to it is delivered.
+    /// A partition: no frame from or to the machine is delivered.
     Partition,
     /// A partition for longer than the failure time-out.
     LongPartition,
-    /// No frame from it is delivered.
+    /// No frame from the machine is delivered.
     LostSends,
-    /// No frame to it is delivered.
+    /// No frame to the machine is delivered.
     LostReceives,
-    /// Its frames are late, so that others overtake them.
+    /// Frames from the machine are delayed, so that frames from other machines overtake them.
     DelayedFrames,
-    /// It stands still and then finds all that was sent to it.
+    /// The machine pauses, and then receives all frames sent in the meantime.
     Freeze,
-    /// Its disk syncs only now and then.
+    /// The disk syncs only once in `SLOW_SYNC_INTERVAL`.
     SlowDisk,
     /// Every frame of all machines is delivered twice.
     DuplicatedFrames,
-    /// All processes end at once, with their unsynced writes.
+    /// All processes crash at once and lose their unsynced writes.
     Blackout,
-    /// A partition between it and the next voter.
+    /// A partition between the machine and the next voter.
     PairPartition,
-    /// It receives nothing for `ISOLATED_FOR`, then for a while only from others that are set aside too.
+    /// The machine receives nothing for `ISOLATION_DURATION`, then for a while only frames from machines with the
+    /// same fault.
     Aside,
-    /// It is told to leave, and goes on until it may stop.
+    /// The machine is told to leave, and runs until it may stop.
     Leave,
 }
 
-/// The faults that are explored in the bounds of any fault.
+/// The faults that the `any-…` bounds explore.
 pub const ANY_FAULT: [FaultKind; 13] = [
     FaultKind::Crash,
     FaultKind::LongCrash,
@@ -107,17 +109,17 @@
 ];
 
 impl FaultKind {
-    /// Whether it counts as the loss of a machine with its disk.
+    /// Returns true if the fault loses the disk of a machine.
     fn loses_disk(self) -> bool {
         matches!(self, FaultKind::Wipe | FaultKind::Gone)
     }
 
-    /// Whether it strikes all machines at once.
-    fn strikes_all(self) -> bool {
+    /// Returns true if the fault affects all machines at once.
+    fn affects_all(self) -> bool {
         matches!(self, FaultKind::DuplicatedFrames | FaultKind::Blackout)
     }
 
-    /// How long it lasts, in microseconds.
+    /// Returns the duration of the fault, in microseconds.
     fn duration(self) -> Micros {
         match self {
             FaultKind::Crash | FaultKind::Blackout => 200 * MS,
@@ -136,14 +138,14 @@
     }
 }
 
-/// A fault that strikes before the exploration begins.
+/// A fault that is injected before the exploration begins.
 #[derive(Clone, Copy, Debug)]
 pub struct OpeningFault {
-    /// How long after the fault before it, in microseconds.
+    /// The time since the previous fault, in microseconds.
     pub delay: Micros,
-    /// What goes wrong.
+    /// The kind of the fault.
     pub kind: FaultKind,
-    /// The machine that it strikes.
+    /// The affected machine.
     pub machine: usize,
 }
 
@@ -154,56 +156,56 @@
     pub machines: usize,
     /// The faults that are explored.
     pub kinds: Vec<FaultKind>,
-    /// The faults that strike before the exploration begins.
+    /// The faults that are injected before the exploration begins.
     pub opening: Vec<OpeningFault>,
-    /// How many faults may strike on one path.
+    /// The maximum number of faults on one path.
     pub faults: u8,
     /// The time between choices, in microseconds.
     pub step: Micros,
-    /// The time within which the first fault strikes, in microseconds.
+    /// The time within which the first fault occurs, in microseconds.
     pub first_within: Micros,
-    /// The time after each fault within which the next one strikes, in microseconds.
+    /// The time after each fault within which the next fault occurs, in microseconds.
     pub next_within: Micros,
-    /// Whether two nodes request units of a tenant's window all the time, in the place of operators.
+    /// True if two nodes request units of a tenant's window continuously, instead of operators submitting changes.
     pub has_requesters: bool,
-    /// Whether a second loss may come as soon as all voters of the newest set are up.
+    /// True if a second disk may be lost as soon as all voters of the newest set are up.
     pub allows_close_losses: bool,
 }
 
-/// What may happen next.
+/// A transition of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Time passes without a fault.
     Wait,
-    /// A fault strikes a machine, and time passes.
+    /// A fault occurs on a machine, and time passes.
     Fault(FaultKind, usize),
 }
 
-/// A change that an operator submitted, without a clear outcome so far.
+/// A submitted change without a definite outcome.
 #[derive(Clone, Debug)]
 struct OpenChange {
     base: u64,
     body: String,
 }
 
-/// An operator, who submits one change after the other.
+/// An operator that submits one change after the other.
 #[derive(Clone, Debug, Default)]
 struct Operator {
-    /// How many changes it began.
+    /// The number of changes that the operator has created.
     changes: u64,
     open: Option<OpenChange>,
-    /// When the next submission is due, in microseconds.
+    /// The time of the next submission, in microseconds.
     due: Micros,
     /// The identifier of the last submission.
     request_id: u64,
-    /// The number that the receiving machine is derived from.
+    /// The receiving machine, modulo the number of machines.
     receiver: usize,
 }
 
-/// A frame under way.
+/// A frame in flight and its time of delivery.
 #[derive(Clone, Debug)]
 struct DelayedFrame {
-    /// It is delivered in the first round after this time, in microseconds.
+    /// The frame is delivered in the first round after this time, in microseconds.
     deliver_after: Micros,
     to: usize,
     frame: Frame,
@@ -214,30 +216,30 @@
 pub struct World {
     now: Micros,
     machines: Vec<Machine>,
-    /// For each machine: when its next process starts, in microseconds; 0 while one runs.
+    /// The time at which each machine's next process starts, in microseconds; 0 while a process runs.
     down_until: Vec<Micros>,
-    /// When each fault ends, in microseconds, by the machine that it struck.
+    /// The time at which each fault ends, in microseconds, by kind and affected machine.
     faults: BTreeMap<(FaultKind, usize), Micros>,
     frames: Vec<DelayedFrame>,
     operators: Vec<Operator>,
-    /// None where operators act.
+    /// None if operators submit changes instead.
     requesters: Option<Requesters>,
     judge: Judge,
-    /// How many faults may still strike.
+    /// The number of faults that may still occur.
     faults_left: u8,
-    /// The next fault strikes before this time, in microseconds.
-    choose_until: Micros,
-    /// When the last disk was lost, in microseconds.
+    /// The time before which the next fault occurs, in microseconds.
+    next_fault_before: Micros,
+    /// The time of the last loss of a disk, in microseconds.
     disk_lost_at: Option<Micros>,
-    /// When the last change was acknowledged, in microseconds.
+    /// The time of the last acknowledgement of a change, in microseconds.
     acknowledged_at: Micros,
-    /// Operators submit nothing any more.
-    operators_rest: bool,
-    /// The rule that was violated before the first choice; reported by the first action.
+    /// True once operators no longer submit changes.
+    are_operators_paused: bool,
+    /// The violation found before the first choice; the first action reports it.
     opening_violation: Option<String>,
 }
 
-/// Which faults last.
+/// The effects of the active faults.
 impl World {
     fn is_up(&self, machine: usize) -> bool {
         self.down_until[machine] <= self.now
@@ -247,26 +249,26 @@
         self.faults.get(&(kind, machine)).is_some_and(|until| *until > self.now)
     }
 
-    /// Whether it is set aside and has not been for long enough to receive from the others there.
+    /// Returns true during the first phase of [`FaultKind::Aside`], in which the machine receives nothing at all.
     fn is_isolated(&self, machine: usize) -> bool {
         let until = self.faults.get(&(FaultKind::Aside, machine)).copied().unwrap_or(0);
-        self.now < (until + ISOLATED_FOR).saturating_sub(FaultKind::Aside.duration())
+        self.now < (until + ISOLATION_DURATION).saturating_sub(FaultKind::Aside.duration())
     }
 
-    /// Whether it is partitioned from all others.
+    /// Returns true if the machine is partitioned from all other machines.
     fn is_partitioned(&self, machine: usize) -> bool {
         self.has_fault(FaultKind::Partition, machine)
             || self.has_fault(FaultKind::LongPartition, machine)
             || self.is_isolated(machine)
     }
 
-    /// Whether the node takes events.
+    /// Returns true if the node processes events.
     fn is_running(&self, machine: usize) -> bool {
         self.is_up(machine) && !self.has_fault(FaultKind::Freeze, machine)
     }
 
-    /// Whether frames between these machines are lost.
-    fn is_cut_off(&self, from: usize, to: usize) -> bool {
+    /// Returns true if frames between these machines are lost.
+    fn is_link_down(&self, from: usize, to: usize) -> bool {
         let pair = |one, other| self.has_fault(FaultKind::PairPartition, one) && other == (one + 1) % VOTERS;
         self.has_fault(FaultKind::Aside, from) != self.has_fault(FaultKind::Aside, to)
             || pair(from, to)
@@ -277,7 +279,7 @@
             || self.has_fault(FaultKind::LostReceives, to)
     }
 
-    /// Whether all voters of the newest set that any machine knows are up.
+    /// Returns true if all voters of the newest set that any machine knows are up.
     fn are_voters_up(&self) -> bool {
         let entries = self.machines.iter().filter_map(|machine| machine.node.consensus.state.newest());
         let is_node_up = |node_id| {
@@ -313,7 +315,7 @@
         if let Some(requesters) = self.requesters.as_mut().filter(|_| to >= FIRST_ADDRESS) {
             return requesters.on_frame(to - FIRST_ADDRESS, &frame, self.now);
         }
-        if to >= self.machines.len() || self.is_cut_off(machine, to) {
+        if to >= self.machines.len() || self.is_link_down(machine, to) {
             return Ok(());
         }
         self.judge.on_send(machine, &frame.message, &self.machines[machine].durable)?;
@@ -340,26 +342,26 @@
             ChangeOutcome::Committed { .. } => {
                 self.acknowledged_at = self.now;
                 operator.open = None;
-                operator.due = self.now + REST_AFTER_COMMIT;
+                operator.due = self.now + DELAY_AFTER_COMMIT;
             }
             ChangeOutcome::Stale { .. } => {
                 operator.open = None;
-                operator.due = self.now + REST_AFTER_FAILURE;
+                operator.due = self.now + DELAY_AFTER_FAILURE;
             }
-            _ => operator.due = self.now + REST_AFTER_FAILURE,
+            _ => operator.due = self.now + DELAY_AFTER_FAILURE,
         }
         Ok(())
     }
 }
 
-/// The rounds.
+/// The execution of rounds.
 impl World {
     fn run(&mut self, duration: Micros) -> Result<(), String> {
-        (0..duration / ROUND).try_for_each(|_| self.run_round())
+        (0..duration / ROUND_DURATION).try_for_each(|_| self.run_round())
     }
 
     fn run_round(&mut self) -> Result<(), String> {
-        self.now += ROUND;
+        self.now += ROUND_DURATION;
         for machine in 0..self.machines.len() {
             self.restart_and_sync(machine)?;
         }
@@ -369,14 +371,14 @@
                 self.step(machine, Event::Tick)?;
             }
         }
-        if !self.operators_rest {
+        if !self.are_operators_paused {
             (0..self.operators.len()).try_for_each(|operator| self.submit_if_due(operator))?;
         }
         self.deliver_requests()?;
         self.judge.check_fleet(self.running_nodes(), self.now)
     }
 
-    /// Starts the next process of a machine whose time has come, and syncs its disk.
+    /// Starts the next process of a machine if due, and syncs the machine's disk.
     fn restart_and_sync(&mut self, machine: usize) -> Result<(), String> {
         if self.down_until[machine] != 0 && self.down_until[machine] <= self.now {
             self.down_until[machine] = 0;
@@ -392,7 +394,7 @@
         self.process_output(machine, output)
     }
 
-    /// Delivers the frames that are due. Those to a frozen machine wait, those to one that is down are lost.
+    /// Delivers the frames that are due. Frames to a frozen machine are kept, frames to a stopped machine are lost.
     fn deliver_frames(&mut self) -> Result<(), String> {
         for delayed in std::mem::take(&mut self.frames) {
             let DelayedFrame { deliver_after, to, .. } = delayed;
@@ -417,7 +419,7 @@
         Ok(())
     }
 
-    /// Lets an operator submit its next change, or the open one again to the next machine.
+    /// Submits an operator's next change, or retries its open change on the next machine.
     fn submit_if_due(&mut self, index: usize) -> Result<(), String> {
         let entries = self.machines.iter().filter_map(|machine| machine.node.consensus.state.newest());
         let newest_revision = entries.map(|entry| entry.revision).max().unwrap_or(0);
@@ -467,37 +469,38 @@
     }
 
     fn stop_process(&mut self, machine: usize, until: Micros) {
-        // The next process starts when the machine is back; until then its node counts for nothing.
+        // The next process starts at `until`. Until then the machine is not up, and its node is not stepped.
         self.machines[machine] = self.machines[machine].restart(0, self.now);
         self.down_until[machine] = self.down_until[machine].max(until);
     }
 }
 
-/// What holds once no fault lasts any more.
+/// The checks once no fault is active.
 impl World {
     fn live_machines(&self) -> Vec<usize> {
         (0..self.machines.len()).filter(|machine| self.is_up(*machine)).collect()
     }
 
-    /// When the last fault that ends has ended, in microseconds.
+    /// Returns the end of the last fault that is not permanent, in microseconds.
     fn faults_end_at(&self) -> Micros {
         let ends = self.faults.values().chain(&self.down_until);
         ends.filter(|end| **end < FOREVER / 2).max().copied().unwrap_or(0)
     }
 
-    /// Checks that changes are decided, and that all units of a window are granted.
+    /// Checks that changes are decided, and that all units of a window except lost ones are granted.
     fn check_progress(&self, lost_units: u64) -> Result<(), String> {
         if !self.operators.is_empty() && self.acknowledged_at + DECISION_TIME < self.now {
             let ago = (self.now - self.acknowledged_at) / MS;
             return Err(format!("a change is decided once all is well: the last one was {ago} ms ago"));
         }
-        if self.requesters.as_ref().is_some_and(|requesters| !requesters.has_all_units_but(lost_units)) {
+        if self.requesters.as_ref().is_some_and(|requesters| !requesters.has_granted_all_but(lost_units)) {
             return Err(format!("all units of a window are granted in the end: {:?}", self.requesters));
         }
         Ok(())
     }
 
-    /// Checks that all live machines hold one version, are fresh, and that each role has a holder.
+    /// Checks that all live machines hold the same version and are fresh, that each role has a holder, and that
+    /// enough machines vote.
     fn check_convergence(&self) -> Result<(), String> {
         let live = self.live_machines();
         let node = |machine: &usize| &self.machines[*machine].node;
@@ -533,35 +536,35 @@
             receiver: usize::try_from(index).unwrap_or(0),
             ..Operator::default()
         };
-        let operators = if self.has_requesters { 0 } else { OPERATORS };
+        let operators = if self.has_requesters { 0 } else { OPERATOR_COUNT };
         World {
             now: STARTED_AT,
             machines: (0..self.machines).map(|index| Machine::with_configuration(index, true, configuration)).collect(),
-            requesters: self.has_requesters.then(|| Requesters::new(STARTED_AT + ACQUAINTANCE)),
+            requesters: self.has_requesters.then(|| Requesters::new(STARTED_AT + DISCOVERY_TIME)),
             down_until: vec![0; self.machines],
             faults: BTreeMap::new(),
             frames: Vec::new(),
             operators: (0..operators).map(new_operator).collect(),
             judge: Judge::default(),
             faults_left: self.faults,
-            choose_until: 0,
+            next_fault_before: 0,
             disk_lost_at: None,
             acknowledged_at: 0,
-            operators_rest: false,
+            are_operators_paused: false,
             opening_violation: None,
         }
     }
 
     fn open(&self, world: &mut World) -> Result<(), String> {
-        world.run(ACQUAINTANCE)?;
+        world.run(DISCOVERY_TIME)?;
         self.opening.iter().try_for_each(|fault| {
             world.run(fault.delay)?;
             world.inject(fault.kind, fault.machine)
         })
     }
 
-    /// Whether a fault of this kind would come too soon after the loss of a disk.
-    fn is_too_early(&self, world: &World, kind: FaultKind) -> bool {
+    /// Returns true if a fault of this kind is not allowed yet after the last loss of a disk.
+    fn is_too_soon(&self, world: &World, kind: FaultKind) -> bool {
         let Some(lost_at) = world.disk_lost_at.filter(|_| kind.loses_disk()) else { return false };
         if self.allows_close_losses { !world.are_voters_up() } else { world.now < lost_at + LOSS_INTERVAL }
     }
@@ -574,7 +577,7 @@
     fn initial_state(&self) -> World {
         let mut world = self.new_world();
         world.opening_violation = self.open(&mut world).err();
-        world.choose_until = world.now + self.first_within;
+        world.next_fault_before = world.now + self.first_within;
         world
     }
 
@@ -594,15 +597,15 @@
     }
 
     fn actions(&self, world: &World) -> Vec<Action> {
-        if world.faults_left == 0 || world.now >= world.choose_until {
+        if world.faults_left == 0 || world.now >= world.next_fault_before {
             return Vec::new();
         }
         let mut actions = vec![Action::Wait];
         for kind in &self.kinds {
-            if self.is_too_early(world, *kind) {
+            if self.is_too_soon(world, *kind) {
                 continue;
             }
-            let machines = if kind.strikes_all() { 1 } else { self.machines };
+            let machines = if kind.affects_all() { 1 } else { self.machines };
             let running = (0..machines).filter(|machine| world.is_running(*machine));
             actions.extend(running.map(|machine| Action::Fault(*kind, machine)));
         }
@@ -617,7 +620,7 @@
         if let Action::Fault(kind, machine) = action {
             next.inject(*kind, *machine)?;
             next.faults_left -= 1;
-            next.choose_until = next.now + self.next_within;
+            next.next_fault_before = next.now + self.next_within;
         }
         next.run(self.step)?;
         Ok(next)
@@ -628,8 +631,8 @@
         let remaining = world.faults_end_at().saturating_sub(world.now);
         world.run(remaining + RECOVERY_TIME)?;
         world.check_progress(LOST_UNITS * u64::from(self.faults))?;
-        // Changes are submitted all the time, so machines may be one version apart: operators rest first.
-        world.operators_rest = true;
+        // Pause the operators first: while changes are submitted, machines may be one version apart.
+        world.are_operators_paused = true;
         world.run(DECISION_TIME)?;
         world.check_convergence()
     }
--- a/crates/checker/src/frames.rs
+++ b/crates/checker/src/frames.rs
@@ -1,50 +1,50 @@
-//! Frames under way between the machines of a model.
+//! Frames in flight between the machines of a model.
 //!
 //! [`FramesInFlight`] is the network of the models that explore the order of deliveries: any frame may be
-//! delivered next, be lost, or be delivered twice. It is kept sorted, so that two states that differ only in
-//! the order in which frames were sent are one state.
+//! delivered next, be lost, or be delivered twice. The frames are kept sorted, so that states that differ only
+//! in the order of sending count as one state.
 
 use std::fmt;
 use std::ops::Index;
 use std::sync::Arc;
 use sumacvale_core::protocol::Frame;
 
-/// A frame and the machine that it is for.
+/// A frame and its receiving machine.
 #[derive(Clone, Debug)]
 pub struct AddressedFrame {
-    /// The index of the receiving machine; it may be outside the model.
+    /// The index of the receiving machine, which may be outside the model.
     pub to: usize,
     /// The frame.
     pub frame: Frame,
 }
 
-/// A frame under way whose delivery is an action of its own.
+/// A frame in flight whose delivery is a separate action.
 #[derive(Clone)]
 pub struct InFlightFrame {
     /// The index of the receiving machine.
     pub to: usize,
     /// The frame.
     pub frame: Arc<Frame>,
-    /// The digest of all of the frame that decides.
+    /// The digest of the parts of the frame that affect the receiver.
     pub digest: u64,
-    /// Whether the frame was delivered once already.
+    /// True if the frame was already delivered once.
     pub is_duplicate: bool,
 }
 
 impl InFlightFrame {
-    /// A frame that was just sent.
+    /// Returns a frame that was just sent.
     #[must_use]
     pub fn new(sent: AddressedFrame, digest: u64) -> Self {
         InFlightFrame { to: sent.to, frame: Arc::new(sent.frame), digest, is_duplicate: false }
     }
 
-    /// The frame as the receiving node takes it.
+    /// Returns the frame in the form that the receiving node accepts.
     #[must_use]
     pub fn to_addressed(&self) -> AddressedFrame {
         AddressedFrame { to: self.to, frame: (*self.frame).clone() }
     }
 
-    /// A second copy of the frame, which is under way after the first one was delivered.
+    /// Returns a second copy of the frame, to stay in flight after the first copy is delivered.
     #[must_use]
     pub fn duplicate(&self) -> Self {
         InFlightFrame { is_duplicate: true, ..self.clone() }
@@ -55,15 +55,15 @@
     }
 }
 
-/// For traces: the receiver, the sender and the message.
+/// Shows the receiver, the sender and the message in traces.
 impl fmt::Display for InFlightFrame {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "to {} from {:?}: {:?}", self.to, self.frame.from, self.frame.message)
     }
 }
 
-/// The frames under way. Invariant: sorted by their digests once [`FramesInFlight::sort`] was called after
-/// the last change; actions name frames by their index in this order.
+/// The frames in flight. Invariant: sorted by digest whenever actions are listed or applied, because actions
+/// refer to frames by index. [`FramesInFlight::sort`] restores the order after additions.
 #[derive(Clone, Default)]
 pub struct FramesInFlight(Vec<InFlightFrame>);
 
@@ -73,7 +73,7 @@
         self.0.push(frame);
     }
 
-    /// Removes a frame, to deliver it or to lose it.
+    /// Removes a frame that is delivered or lost.
     pub fn remove(&mut self, index: usize) -> InFlightFrame {
         self.0.remove(index)
     }
@@ -88,7 +88,7 @@
         self.0.retain(is_kept);
     }
 
-    /// The index of the first frame that `is_wanted` accepts.
+    /// Returns the index of the first frame that `is_wanted` accepts.
     pub fn position(&self, is_wanted: impl FnMut(&InFlightFrame) -> bool) -> Option<usize> {
         self.0.iter().position(is_wanted)
     }
@@ -99,19 +99,19 @@
         std::mem::take(&mut self.0).iter().map(InFlightFrame::to_addressed).collect()
     }
 
-    /// The number of frames under way.
+    /// Returns the number of frames in flight.
     #[must_use]
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether no frame is under way.
+    /// Returns true if no frame is in flight.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// For the digest of a state: what tells the frames apart.
+    /// Returns the sort keys of the frames, for the digest of a state.
     #[must_use]
     pub fn digests(&self) -> Vec<(u64, bool)> {
         self.0.iter().map(InFlightFrame::sort_key).collect()
--- a/crates/checker/src/judge.rs
+++ b/crates/checker/src/judge.rs
@@ -1,7 +1,8 @@
-//! What must hold in every state, judged from outside.
+//! Safety invariants that must hold in every state, checked by an external observer.
 //!
-//! The judge sees what operators were answered, what nodes hold as decided, and what each node reports to
-//! others. It knows nothing of the algorithm. Each violation begins with the rule, before the first colon.
+//! The judge sees the outcomes that operators receive, the entries that nodes hold as decided, and the messages
+//! that nodes send. The judge doesn't depend on the algorithm. The message of a violation begins with the name
+//! of the rule and a colon.
 
 use std::collections::{BTreeMap, BTreeSet};
 use sumacvale_core::base::{ChangeId, Micros, SEC, Version};
@@ -10,31 +11,31 @@
 use sumacvale_core::node::Node;
 use sumacvale_core::protocol::{ChangeOutcome, ConsensusMessage, LogEntry, Message, Voter};
 
-/// What a change is based on, by the rule of its kind.
+/// The base of a change: the revision or version that the change replaces, depending on its kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Base {
-    /// A document names the revision of the one that it replaces. A change of voters keeps that revision.
+    /// The revision of the document that a new document replaces. A change of voters keeps the revision.
     Document(u64),
-    /// A set of voters names the version right before its own.
+    /// The version right before the version of a new set of voters.
     Voters(Version),
 }
 
-/// What a version was seen as.
+/// The change that was first observed as a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct DecidedVersion {
     change_id: ChangeId,
-    /// The revision of the document that is in force with this version.
+    /// The revision of the document in this version.
     revision: u64,
 }
 
-/// A change that was acknowledged.
+/// An acknowledged change and its version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct AcknowledgedChange {
     change_id: ChangeId,
     version: Version,
 }
 
-/// When an acknowledgement was received.
+/// The time at which an operator received an acknowledgement, and the acknowledged version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Acknowledgement {
     /// In microseconds of a clock that all machines share; 0 where there is no such clock.
@@ -45,35 +46,35 @@
 /// A freshness probe: the machine that sent it, and the time of that machine's clock, in microseconds.
 type ProbeKey = (usize, Micros);
 
-/// What was seen so far. It is a part of the explored state.
+/// Checks the safety invariants against the observations so far, which are part of the explored state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Judge {
-    /// What each version was first seen as. Invariant: an entry never changes.
+    /// The change first observed as each version. Invariant: an entry never changes.
     decided: BTreeMap<Version, DecidedVersion>,
-    /// The acknowledged changes by what they are based on. Invariant: an entry never changes.
+    /// The acknowledged changes by their base. Invariant: an entry never changes.
     acknowledged: BTreeMap<Base, AcknowledgedChange>,
-    /// Changes that were rejected for good.
+    /// Changes that were finally rejected, and must never be decided or acknowledged.
     rejected: BTreeSet<ChangeId>,
-    /// The newest acknowledged version when a machine sent a freshness probe.
+    /// The newest acknowledged version at the time of each freshness probe.
     newest_at_probe: BTreeMap<ProbeKey, Version>,
     /// All acknowledgements, in the order of their arrival.
     acknowledgements: Vec<Acknowledgement>,
-    /// The fleet and its first voters, as version 0 names them.
+    /// The identifier of the fleet and its first voters, from version 0.
     first_entry: Option<(u64, Vec<Voter>)>,
 }
 
-/// Withdrawn keys are rejected everywhere after this time, in microseconds.
+/// The time after which every node rejects revoked keys, in microseconds.
 const REVOCATION_TIME: Micros = 5 * SEC;
-/// How many of the newest log entries of a node are judged after each of its steps.
-const JUDGED_ENTRIES: usize = 4;
+/// The number of newest log entries of a node that are checked after each step.
+const CHECKED_ENTRY_COUNT: usize = 4;
 
 impl Judge {
-    /// The newest version that an operator received as committed.
+    /// Returns the newest version that was acknowledged to an operator.
     fn newest_acknowledged(&self) -> Version {
         self.acknowledged.values().map(|change| change.version).max().unwrap_or(0)
     }
 
-    /// Judges an entry that a node holds as decided.
+    /// Checks an entry that a node holds as decided.
     ///
     /// # Errors
     /// The rule that the entry violates.
@@ -105,7 +106,7 @@
         Ok(())
     }
 
-    /// Checks a version that was not seen before against what was acknowledged of it and of the next one.
+    /// Checks a newly observed version against the acknowledgements of this version and the next.
     fn check_acknowledged(&self, machine: usize, entry: &LogEntry) -> Result<(), String> {
         for (base, acknowledged) in &self.acknowledged {
             if acknowledged.version == entry.version && acknowledged.change_id != entry.change_id {
@@ -120,7 +121,7 @@
         Ok(())
     }
 
-    /// Judges the outcome that an operator received for a change.
+    /// Checks the outcome that an operator received for a change.
     ///
     /// # Errors
     /// The rule that the outcome violates.
@@ -173,14 +174,14 @@
         Ok(())
     }
 
-    /// Whether a version with a higher revision than this was decided.
+    /// Returns true if a version with a higher revision was decided.
     #[must_use]
     pub fn is_outdated(&self, revision: u64) -> bool {
         self.decided.values().any(|decided| decided.revision > revision)
     }
 
-    /// Checks that a version comes right after what it names as its base, and that exactly documents raise
-    /// the revision.
+    /// Checks that a version directly follows its base, and that documents raise the revision while sets of
+    /// voters keep it.
     fn check_base(&self, base: Base, version: Version) -> Result<(), String> {
         let revision_of = |version: Version| self.decided.get(&version).map(|decided| decided.revision);
         let (previous, own) = (version.checked_sub(1).and_then(revision_of), revision_of(version));
@@ -199,7 +200,7 @@
         Ok(())
     }
 
-    /// Judges a message that a machine sends: what it reports of its votes and versions is synced to its disk.
+    /// Checks that the votes and versions that a message reports are synced to the sender's disk.
     ///
     /// # Errors
     /// The rule that the message violates.
@@ -226,18 +227,18 @@
         Err(format!("nothing is sent before it is on disk: machine {machine} sends {message:?}"))
     }
 
-    /// A machine sent a freshness probe at this time of its clock.
+    /// Records that a machine sent a freshness probe at this time of its clock.
     pub fn on_probe(&mut self, machine: usize, clock: Micros) {
         let newest = self.newest_acknowledged();
         self.newest_at_probe.insert((machine, clock), newest);
     }
 
-    /// Judges one machine after one of its steps.
+    /// Checks one machine after a step.
     ///
     /// # Errors
     /// The rule that the machine violates.
     pub fn check_machine(&mut self, machine: usize, node: &Node) -> Result<(), String> {
-        for entry in node.consensus.state.history.values().rev().take(JUDGED_ENTRIES) {
+        for entry in node.consensus.state.history.values().rev().take(CHECKED_ENTRY_COUNT) {
             self.on_decided(machine, entry)?;
         }
         let Some((version, probed_at)) = node.consensus.freshness.confirmed else { return Ok(()) };
@@ -252,7 +253,7 @@
         Ok(())
     }
 
-    /// Judges all machines at one time of the clock that they share.
+    /// Checks all machines at one time of their shared clock.
     ///
     /// # Errors
     /// The rule that the fleet violates.
@@ -278,7 +279,7 @@
         Ok(())
     }
 
-    /// Checks that a node holds every acknowledged change as its version.
+    /// Checks that a node holds every acknowledged change under its acknowledged version.
     ///
     /// # Errors
     /// The acknowledged change that the node does not hold.
@@ -298,10 +299,10 @@
     }
 }
 
-/// What a machine knows of one role, for the message about two holders.
+/// The state of one role on a machine, shown in the message about two holders.
 #[derive(Debug)]
 #[allow(dead_code, reason = "read by Debug only")]
-struct RoleKnowledge {
+struct RoleState {
     machine: usize,
     voter_set: Option<Version>,
     held_epoch: Option<u64>,
@@ -309,10 +310,10 @@
     granted: Option<GrantedLease>,
 }
 
-impl RoleKnowledge {
+impl RoleState {
     fn of(machine: usize, node: &Node, role: u32) -> Self {
         let held = node.leases.held.by_role.get(&role);
-        RoleKnowledge {
+        RoleState {
             machine,
             voter_set: node.consensus.state.newest().map(|entry| entry.voters_since),
             held_epoch: held.map(|lease| lease.epoch),
@@ -332,6 +333,6 @@
     if holders.len() <= 1 {
         return Ok(());
     }
-    let known: Vec<_> = nodes.map(|(machine, node)| RoleKnowledge::of(machine, node, role)).collect();
+    let known: Vec<_> = nodes.map(|(machine, node)| RoleState::of(machine, node, role)).collect();
     Err(format!("one holder of a role at a time: {holders:?} hold {role} at {now}: {known:?}"))
 }
--- a/crates/checker/src/machine.rs
+++ b/crates/checker/src/machine.rs
@@ -1,7 +1,7 @@
-//! One machine of a model: the core's own [`Node`] and a disk that syncs when the model says so.
+//! One machine of a model: the core's own [`Node`] and a simulated disk that syncs under the model's control.
 //!
-//! A machine outlives its processes: [`Machine::restart`] ends one with any part of its unsynced writes, and
-//! [`Machine::wipe`] loses the disk too, which gives a node with another identifier.
+//! A machine outlives its processes: [`Machine::restart`] crashes a process and keeps any prefix of its unsynced
+//! writes; [`Machine::wipe`] loses the disk too, and the new node has another identifier.
 
 use crate::frames::AddressedFrame;
 use std::sync::Arc;
@@ -10,52 +10,52 @@
 use sumacvale_core::node::{Effect, Event, Node, NodeSettings, Scope, digest_of};
 use sumacvale_core::protocol::{ChangeOutcome, LogEntry, Voter};
 
-/// The machines that vote at the start; the ones after them are spares.
+/// The number of initial voters; the machines after them are spares.
 pub const VOTERS: usize = 3;
-/// All nodes start at this time of their clocks, in microseconds.
+/// The initial time of all clocks, in microseconds.
 pub const STARTED_AT: Micros = 100 * SEC;
-/// The identifier of the fleet that was founded before the exploration.
+/// The identifier of the fleet that was bootstrapped before the exploration.
 pub const FLEET_ID: u64 = 7;
 
-/// How often nodes send reports, in microseconds.
+/// The interval between two reports of a node, in microseconds.
 const REPORT_INTERVAL: Micros = 500 * MS;
 
 /// A write that is not synced yet.
 #[derive(Clone, Debug)]
 pub struct UnsyncedWrite {
-    /// Names the write to the node once it is synced.
+    /// Identifies the write in [`Event::Synced`].
     token: u64,
     writes: Vec<DurableWrite>,
 }
 
-/// One machine of a model.
+/// A machine of a model: its node, its disk and its unsynced writes.
 #[derive(Clone)]
 pub struct Machine {
-    /// Its index in the model.
+    /// The index of the machine in the model.
     pub index: usize,
-    /// The node that runs on it.
+    /// The node that runs on the machine.
     pub node: Arc<Node>,
-    /// What is synced to its disk.
+    /// The state that is synced to the disk.
     pub durable: Arc<DurableState>,
     /// The writes that are not synced, oldest first.
     pub unsynced: Arc<Vec<UnsyncedWrite>>,
-    /// How many processes ran on this machine.
+    /// The number of processes started on this machine.
     incarnation: Incarnation,
-    /// How many disks this machine has lost; each disk gives a node of its own.
+    /// The number of disks that this machine has lost. Each disk belongs to a node with its own identifier.
     lost_disks: u64,
     kind: MachineKind,
-    /// The digest of the state as of the last [`Machine::seal`].
+    /// The cached digest of the state as of the last [`Machine::update_digest`].
     digest: u64,
 }
 
-/// What a machine is in each of its incarnations.
+/// The role of a machine, which is the same in all incarnations.
 #[derive(Clone, Copy, Debug)]
 struct MachineKind {
-    /// It has a disk; the others are fronts.
+    /// True for a core, which has a disk; false for a front.
     is_core: bool,
-    /// It proposes changes of the set of voters by itself.
+    /// True if the node proposes changes of the set of voters by itself.
     manages_voters: bool,
-    /// It may take part in the bootstrap of a fleet.
+    /// True if the node may take part in the bootstrap of a fleet.
     may_bootstrap: bool,
 }
 
@@ -64,56 +64,56 @@
 pub struct CompletedChange {
     /// The identifier of the request that submitted the change.
     pub request_id: u64,
-    /// What became of it.
+    /// The outcome of the change.
     pub outcome: ChangeOutcome,
 }
 
-/// What the steps of a machine emitted.
+/// The frames and outcomes that the steps of a machine emitted.
 #[derive(Default)]
 pub struct StepOutput {
-    /// The frames that it sent.
+    /// The frames that the machine sent.
     pub frames: Vec<AddressedFrame>,
-    /// The changes that it completed.
+    /// The changes that the machine completed.
     pub completed: Vec<CompletedChange>,
 }
 
-/// The address of a machine.
+/// Returns the address of a machine.
 #[must_use]
 pub fn address(index: usize) -> String {
     format!("n{index}")
 }
 
-/// The index of the machine at an address.
+/// Parses the index of a machine from its address.
 fn index_of(address: &str) -> Option<usize> {
     address.strip_prefix('n')?.parse().ok()
 }
 
-/// The identifier of the node on a machine that has lost so many disks.
+/// Returns the identifier of the node on a machine that has lost `lost_disks` disks.
 #[must_use]
 pub fn node_id(index: usize, lost_disks: u64) -> NodeId {
     NodeId((index as u64 + 1) << 48 | lost_disks)
 }
 
-/// A machine with its first disk as a voter.
+/// Returns the voter for a machine that still has its first disk.
 #[must_use]
 pub fn voter(index: usize) -> Voter {
     Voter { node_id: node_id(index, 0), addr: address(index) }
 }
 
-/// A configuration document with one pool.
+/// Returns a configuration document with one pool.
 #[must_use]
 pub fn document(revision: u64, pool: &str) -> String {
     format!("{{\"revision\":{revision},\"pools\":{{\"{pool}\":{{}}}}}}")
 }
 
-/// The identifier of a change, from its text.
+/// Derives the identifier of a change from its text.
 #[must_use]
 pub fn change_id(text: &str) -> ChangeId {
     ChangeId(hash64(text.as_bytes()).max(1))
 }
 
-/// What the disk of a machine holds in a fleet that was founded with so many voters.
-fn founded_state(index: usize, voters: usize, body: &str) -> DurableState {
+/// Returns the disk contents of a machine in a fleet that was bootstrapped with this number of voters.
+fn bootstrapped_state(index: usize, voters: usize, body: &str) -> DurableState {
     let first_entry = LogEntry {
         version: 0,
         change_id: ChangeId(1),
@@ -133,29 +133,29 @@
 }
 
 impl Machine {
-    /// A machine of a fleet that was founded long ago: voters and spares hold version 0.
+    /// Creates a core of a bootstrapped fleet: voters and spares hold version 0.
     #[must_use]
     pub fn new(index: usize, manages_voters: bool) -> Self {
         Machine::with_configuration(index, manages_voters, "{}")
     }
 
-    /// The same where version 0 has this configuration.
+    /// Creates a core of a bootstrapped fleet whose version 0 has this configuration.
     #[must_use]
     pub fn with_configuration(index: usize, manages_voters: bool, body: &str) -> Self {
         let kind = MachineKind { is_core: true, manages_voters, may_bootstrap: false };
-        Machine::start(index, founded_state(index, VOTERS, body), kind, 1, 0, STARTED_AT)
+        Machine::start(index, bootstrapped_state(index, VOTERS, body), kind, 1, 0, STARTED_AT)
     }
 
-    /// A machine of a fleet of so many cores, which all vote; the machines after them are fronts.
+    /// Creates a machine of a fleet in which the first `cores` machines are cores and vote; the others are fronts.
     #[must_use]
     pub fn core_or_front(index: usize, cores: usize, body: &str) -> Self {
         let kind = MachineKind { is_core: index < cores, manages_voters: false, may_bootstrap: false };
-        Machine::start(index, founded_state(index, cores, body), kind, 1, 0, STARTED_AT)
+        Machine::start(index, bootstrapped_state(index, cores, body), kind, 1, 0, STARTED_AT)
     }
 
-    /// A machine with an empty disk, which takes part in the bootstrap of a fleet.
+    /// Creates a machine with an empty disk that takes part in the bootstrap of a fleet.
     #[must_use]
-    pub fn unfounded(index: usize) -> Self {
+    pub fn with_empty_disk(index: usize) -> Self {
         let durable = DurableState { node_id: node_id(index, 0), ..DurableState::default() };
         let kind = MachineKind { is_core: true, manages_voters: false, may_bootstrap: true };
         Machine::start(index, durable, kind, 1, 0, STARTED_AT)
@@ -181,11 +181,11 @@
             kind,
             digest: 0,
         };
-        machine.seal(Scope::Agreement);
+        machine.update_digest(Scope::Agreement);
         machine
     }
 
-    /// Ends the process and starts the next one. Of the unsynced writes the first `landed` are on the disk.
+    /// Crashes and restarts the process. The first `landed` unsynced writes are on the disk, the others are lost.
     #[must_use]
     pub fn restart(&self, landed: usize, now: Micros) -> Self {
         let mut durable = (*self.durable).clone();
@@ -193,7 +193,7 @@
         Machine::start(self.index, durable, self.kind, self.incarnation + 1, self.lost_disks, now)
     }
 
-    /// Loses the disk: an empty one comes, with a node of another identifier.
+    /// Replaces the disk with an empty disk and starts a node with another identifier.
     #[must_use]
     pub fn wipe(&self, now: Micros) -> Self {
         let lost_disks = self.lost_disks + 1;
@@ -201,14 +201,14 @@
         Machine::start(self.index, durable, self.kind, self.incarnation + 1, lost_disks, now)
     }
 
-    /// The node of this state alone: what its slices of quotas hold is copied as well.
+    /// Returns a node that is not shared with other states. Its quota slices are copied as well.
     pub fn node_mut(&mut self) -> &mut Node {
         let node = Arc::make_mut(&mut self.node);
         Arc::make_mut(&mut node.quota.slices);
         node
     }
 
-    /// Steps the node; what it writes waits for a sync.
+    /// Steps the node. Its writes stay unsynced.
     pub fn step(&mut self, event: Event, now: Micros, output: &mut StepOutput) {
         for effect in self.node_mut().step(event, now) {
             match effect {
@@ -229,13 +229,13 @@
         }
     }
 
-    /// Syncs until nothing is left to write.
+    /// Syncs until no unsynced write is left.
     pub fn sync(&mut self, now: Micros, output: &mut StepOutput) {
         while self.sync_once(now, output) {}
     }
 
-    /// Syncs what was written so far and reports it to the node; what that writes waits. Returns whether
-    /// there was anything to sync.
+    /// Syncs all pending writes and notifies the node, whose further writes stay unsynced. Returns true if there
+    /// was a write to sync.
     pub fn sync_once(&mut self, now: Micros, output: &mut StepOutput) -> bool {
         let Some(token) = self.unsynced.last().map(|write| write.token) else { return false };
         let landed = std::mem::take(&mut self.unsynced);
@@ -244,19 +244,19 @@
         true
     }
 
-    /// The digest of what is on the disk or on the way there.
+    /// Returns the digest of the synced and unsynced writes.
     #[must_use]
     pub fn disk_digest(&self) -> u64 {
         let writes: Vec<_> = self.unsynced.iter().map(|write| &write.writes).collect();
         digest_of(&(&*self.durable, writes, self.incarnation, self.lost_disks))
     }
 
-    /// Updates the digest after a change.
-    pub fn seal(&mut self, scope: Scope) {
+    /// Recomputes the cached digest after a change.
+    pub fn update_digest(&mut self, scope: Scope) {
         self.digest = digest_of(&(self.node.digest(scope), self.disk_digest()));
     }
 
-    /// The digest as of the last [`Machine::seal`].
+    /// Returns the digest as of the last [`Machine::update_digest`].
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.digest
--- a/crates/checker/src/main.rs
+++ b/crates/checker/src/main.rs
@@ -1,6 +1,6 @@
-//! Explores bounds by hand: `checker BOUND… --seconds N --threads N --breadth`, where `all` and `small` stand
-//! for all bounds and for those of the tests. `checker planted FAULT…` removes guards, one at a time, and shows
-//! what notices.
+//! Command line of the checker. `checker BOUND… --seconds N --threads N --breadth` explores bounds; `all` stands
+//! for all bounds and `small` for the bounds that the tests explore. `checker planted FAULT…` removes one guard at
+//! a time and shows which bound detects each fault.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -8,18 +8,18 @@
 use sumacvale_checker::planted::{self, RunOptions, VIOLATION_PREFIX};
 use sumacvale_checker::scenarios::{self, Scenario};
 
-/// Threads that explore, unless the command line says otherwise.
+/// The default of `--threads`.
 const DEFAULT_THREADS: u64 = 4;
-/// Seconds until a bound ends unfinished, unless the command line says otherwise.
+/// The default of `--seconds` for a bound.
 const DEFAULT_SECONDS: u64 = 600;
-/// The same for each bound of a planted fault.
+/// The default of `--seconds` for each bound of a planted fault.
 const DEFAULT_PLANTED_SECONDS: u64 = 60;
 
 fn main() -> ExitCode {
     let mut parser = getopts::Options::new();
-    parser.optopt("", "seconds", "end each bound unfinished after so long", "N");
-    parser.optopt("", "threads", "threads to explore with", "N");
-    parser.optflag("", "breadth", "shortest traces, more memory");
+    parser.optopt("", "seconds", "time limit for each bound, in seconds", "N");
+    parser.optopt("", "threads", "number of threads", "N");
+    parser.optflag("", "breadth", "search breadth first: shortest traces, more memory");
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let matches = match parser.parse(&arguments) {
         Ok(matches) => matches,
--- a/crates/checker/src/planted.rs
+++ b/crates/checker/src/planted.rs
@@ -1,8 +1,7 @@
-//! Faults that are planted in a scratch copy of the core, to show that the checker notices them.
+//! Mutation testing: plants faults in a scratch copy of the core to show that the checker detects them.
 //!
-//! Each fault removes one guard. All are built into one copy, each behind a switch that the environment
-//! variable `PLANTED` turns on; so the copy is built once. A fault whose guard is not found exactly once is an
-//! error, not a pass.
+//! Each fault removes one guard. The copy is built once with all faults, and the environment variable `PLANTED`
+//! selects the active fault. A fault whose guard is not found exactly once is an error, not a pass.
 
 use std::fs;
 use std::io;
@@ -10,40 +9,40 @@
 use std::process::Command;
 use std::time::Instant;
 
-/// How the line about a violation begins in the output of the checker.
+/// The prefix of the line that reports a violation in the output of the checker.
 pub const VIOLATION_PREFIX: &str = "BROKEN: ";
-/// The list of faults, from the root of the project.
+/// The path of the list of faults, relative to the root of the project.
 const FAULT_LIST: &str = "crates/checker/planted.txt";
-/// The environment variable that names the fault.
+/// The environment variable that names the active fault.
 const SWITCH_VARIABLE: &str = "PLANTED";
 
-/// One guard that is removed.
+/// A fault that removes one guard.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fault {
-    /// The name of the fault, by which it is turned on.
+    /// The name of the fault, as `PLANTED` gives it.
     pub name: String,
-    /// What the guard ensures.
+    /// The property that the guard ensures.
     pub guard: String,
-    /// The file with the guard, from the root of the project.
+    /// The path of the file with the guard, relative to the root of the project.
     pub file: String,
-    /// The text of the guard, which must be in the file exactly once.
+    /// The text of the guard. Invariant: occurs exactly once in the file.
     pub find: String,
-    /// The text that replaces it.
+    /// The text that replaces the guard.
     pub replacement: String,
-    /// The bounds that may notice, in the order in which they are tried.
+    /// The bounds that may detect the fault, in the order in which they are explored.
     pub bounds: Vec<String>,
 }
 
-/// The limits of each bound.
+/// The limits of the exploration of each bound.
 #[derive(Clone, Copy, Debug)]
 pub struct RunOptions {
-    /// A bound ends unfinished after so many seconds.
+    /// The time limit for a bound, in seconds.
     pub seconds: u64,
     /// The number of threads.
     pub threads: u64,
 }
 
-/// The module of the scratch copy that says whether a fault is planted.
+/// The source of the module in the scratch copy that reads whether a fault is active.
 const SWITCH: &str = "//! Which fault is planted.
 use std::sync::OnceLock;
 
@@ -53,7 +52,7 @@
 }
 ";
 
-/// Reads a list of faults.
+/// Parses a list of faults.
 #[must_use]
 pub fn parse(text: &str) -> Vec<Fault> {
     let mut faults: Vec<Fault> = Vec::new();
@@ -83,7 +82,7 @@
     Ok(parse(&read(&root(), FAULT_LIST)?))
 }
 
-/// Plants all faults below `root`, each behind its name.
+/// Plants all faults in the sources below `root`. Each fault is inactive until `PLANTED` names it.
 ///
 /// # Errors
 /// A file could not be read or written, or a guard is not in its file exactly once.
@@ -93,7 +92,7 @@
         let count = text.matches(&fault.find).count();
         if count != 1 {
             return Err(format!(
-                "{}: `{}` is {count} times in {}, not once; update the guard in {FAULT_LIST}",
+                "{}: `{}` occurs {count} times in {}, expected once; update the guard in {FAULT_LIST}",
                 fault.name, fault.find, fault.file
             ));
         }
@@ -110,15 +109,15 @@
     fs::write(root.join(file), text).map_err(|error| format!("{file}: {error}"))
 }
 
-/// Copies the sources that the checker consists of, as a workspace of their own.
+/// Copies the core and the checker into a separate workspace.
 ///
 /// # Errors
 /// A file could not be read or written.
-pub fn copy_sources(from: &Path, to: &Path) -> Result<(), String> {
-    // Nothing is there the first time.
+pub fn copy_workspace(from: &Path, to: &Path) -> Result<(), String> {
+    // The directory doesn't exist on the first run.
     let _ = fs::remove_dir_all(to);
     for part in ["crates/core", "crates/checker"] {
-        copy_directory(&from.join(part), &to.join(part)).map_err(|error| format!("{part}: {error}"))?;
+        copy_directory_recursively(&from.join(part), &to.join(part)).map_err(|error| format!("{part}: {error}"))?;
     }
     let manifest = read(from, "Cargo.toml")?;
     let reduced: Vec<_> = manifest
@@ -129,13 +128,13 @@
     write(to, "Cargo.lock", &read(from, "Cargo.lock")?)
 }
 
-fn copy_directory(from: &Path, to: &Path) -> io::Result<()> {
+fn copy_directory_recursively(from: &Path, to: &Path) -> io::Result<()> {
     fs::create_dir_all(to)?;
     for entry in fs::read_dir(from)? {
         let entry = entry?;
         let target = to.join(entry.file_name());
         if entry.file_type()?.is_dir() {
-            copy_directory(&entry.path(), &target)?;
+            copy_directory_recursively(&entry.path(), &target)?;
         } else {
             fs::copy(entry.path(), target)?;
         }
@@ -143,14 +142,14 @@
     Ok(())
 }
 
-/// The root of this project.
+/// Returns the root of this project.
 #[must_use]
 pub fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Plants each fault in turn (all if `names` is empty), explores its bounds and prints what noticed it.
-/// Returns whether each was noticed.
+/// Activates each named fault in turn (all if `names` is empty), explores its bounds and prints which bound
+/// detected the fault. Returns true if all faults were detected.
 ///
 /// # Errors
 /// The copy could not be made or built.
@@ -158,18 +157,18 @@
     let faults = read_list()?;
     let checker = build_planted(&faults)?;
     println!("| fault | guard | caught by | what broke | states | steps | seconds |\n|---|---|---|---|---|---|---|");
-    let mut are_all_noticed = true;
+    let mut are_all_detected = true;
     for fault in faults.iter().filter(|fault| names.is_empty() || names.contains(&fault.name)) {
-        are_all_noticed &= try_fault(fault, &checker, options);
+        are_all_detected &= run_fault(fault, &checker, options);
     }
-    Ok(are_all_noticed)
+    Ok(are_all_detected)
 }
 
-/// Builds a copy of the checker with all faults behind their switches; returns the path of the program.
+/// Builds a copy of the checker with all faults, initially inactive; returns the path of the binary.
 fn build_planted(faults: &[Fault]) -> Result<PathBuf, String> {
     let scratch = root().join("target/planted");
     let sources = scratch.join("sources");
-    copy_sources(&root(), &sources)?;
+    copy_workspace(&root(), &sources)?;
     plant(&sources, faults)?;
     write(&sources, "crates/core/src/planted.rs", SWITCH)?;
     let library = "crates/core/src/lib.rs";
@@ -182,13 +181,14 @@
         .env("CARGO_TARGET_DIR", &target)
         .status();
     if !build.is_ok_and(|status| status.success()) {
-        return Err(format!("the copy with the planted faults does not build; correct the texts in {FAULT_LIST}"));
+        return Err(format!("the copy with the planted faults does not build; correct the entries in {FAULT_LIST}"));
     }
     Ok(target.join("release/checker"))
 }
 
-/// Explores the bounds of a fault until one notices it, and prints a row of the table.
-fn try_fault(fault: &Fault, checker: &Path, options: RunOptions) -> bool {
+/// Explores the bounds of a fault until one detects the fault, and prints a row of the table. Returns true if the
+/// fault was detected.
+fn run_fault(fault: &Fault, checker: &Path, options: RunOptions) -> bool {
     let started_at = Instant::now();
     for bound in &fault.bounds {
         let output = Command::new(checker)
--- a/crates/checker/src/quota.rs
+++ b/crates/checker/src/quota.rs
@@ -1,11 +1,10 @@
-//! Quotas: all orders of the frames by which units of one tenant are requested, granted, recalled and
-//! returned, between the core that holds the tenant's role and the fronts that spend.
+//! Model of quotas: explores every delivery order of the frames that request, grant, recall and return units of
+//! one tenant, between the lease holder of the tenant's role and the fronts that spend units.
 //!
-//! The nodes are whole ones; what callers would do at a front is played on its real slices. Time is common.
-//! Explored: when calls come and which of them refund their unit, which frame of the quota is delivered next
-//! (so any overtakes any other), a frame lost, a frame delivered twice, how far time passes meanwhile, and
-//! when the lease holder's process ends. All other frames (gossip, leases, registrations, grants, and what the
-//! standbys request, among the cores) are delivered at once.
+//! The nodes are whole nodes; simulated callers use the real slices of the fronts. All machines share one clock.
+//! Explored are the times of calls, refunds of unused units, reordered, lost and duplicated quota frames, the
+//! passing of time, and restarts of the lease holder's process. All other frames (gossip, leases, registrations,
+//! grants, and the requests of standbys, among the cores) are delivered at once.
 
 use crate::explore::Model;
 use crate::frames::{AddressedFrame, FramesInFlight, InFlightFrame};
@@ -17,24 +16,24 @@
 use sumacvale_core::protocol::{Message, QuotaMessage};
 use sumacvale_core::quota::{AcquireOutcome, FULL_SHARE, LOAN_DURATION, SHARE_LEASE};
 
-/// The one tenant.
+/// The name of the only tenant.
 const TENANT: &str = "home";
-/// Timers run so often while time passes, in microseconds.
-const ROUND: Micros = 50 * MS;
-/// How long machines know each other before the first call, in microseconds.
-const ACQUAINTANCE: Micros = 4 * SEC;
-/// So long after the last fault, in microseconds, a lease holder that restarted has a successor, which grants
-/// shares, and all windows and leases that it does not know of have ended.
+/// The interval at which timers run while time passes, in microseconds.
+const ROUND_DURATION: Micros = 50 * MS;
+/// The time for peer discovery before the first call, in microseconds.
+const DISCOVERY_TIME: Micros = 4 * SEC;
+/// The recovery time after the last fault, in microseconds. By then a restarted lease holder has a successor that
+/// grants shares, and all windows and leases unknown to the successor have ended.
 const RECOVERY_TIME: Micros = 3 * SEC + 2 * SHARE_LEASE;
-/// A front that calls is granted all that is left within this time, in microseconds.
+/// The time within which a front with calls is granted all remaining units, in microseconds.
 const GRANT_TIME: Micros = 3 * SEC;
 /// One call, in thousandths.
 const MILLI_PER_CALL: u64 = 1_000;
 
-/// How the tenant's calls are limited.
+/// The rate limit of the tenant's calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Limit {
-    /// So many calls in each window.
+    /// A number of calls in each window.
     Window {
         /// Calls in each window.
         calls: u64,
@@ -43,7 +42,7 @@
     },
     /// A rate with a burst.
     Rate {
-        /// Calls a second.
+        /// Calls per second.
         rate: u64,
         /// Calls at once.
         burst: u64,
@@ -65,7 +64,7 @@
     }
 }
 
-/// How often each thing may happen on one path.
+/// How often each kind of fault or event may occur on one path.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Allowance {
     /// Calls at each front.
@@ -82,24 +81,24 @@
     pub restarts: u8,
 }
 
-/// What happens before the exploration begins.
+/// A step of the fixed prefix of a bound.
 #[derive(Clone, Copy, Debug)]
 pub enum Opening {
-    /// Calls come to a front at once.
+    /// A front receives several calls at once.
     Calls {
         /// The front.
         front: usize,
-        /// How many calls.
+        /// The number of calls.
         count: u8,
     },
     /// Time passes, and each frame is delivered at once.
     Run {
-        /// How long, in microseconds.
+        /// The duration, in microseconds.
         duration: Micros,
     },
-    /// Time passes, and frames of the quota stay under way.
+    /// Time passes, and quota frames stay in flight.
     PassTime {
-        /// How long, in microseconds.
+        /// The duration, in microseconds.
         duration: Micros,
     },
     /// The oldest call at a front refunds its unit unused.
@@ -112,7 +111,7 @@
         /// The name of the message, see [`Message::name`].
         kind: &'static str,
     },
-    /// The lease holder's process ends, and the next one starts at once.
+    /// The lease holder's process restarts.
     RestartHolder,
 }
 
@@ -125,18 +124,18 @@
     pub fronts: usize,
     /// The tenant's limit.
     pub limit: Limit,
-    /// What happens before the exploration begins.
+    /// The steps before the exploration begins.
     pub opening: Vec<Opening>,
-    /// How often each thing may happen on one path.
+    /// How often each kind of fault or event may occur on one path.
     pub allowance: Allowance,
-    /// How far time passes in one step, in microseconds.
+    /// The time that passes in one step, in microseconds.
     pub step: Micros,
 }
 
-/// What may happen next.
+/// A transition of the model.
 #[derive(Clone, Copy, Debug)]
 pub enum Action {
-    /// A call comes to a front.
+    /// A front receives a call.
     Call {
         /// The front.
         front: usize,
@@ -148,42 +147,42 @@
     },
     /// A frame is delivered.
     Deliver {
-        /// Its index among the frames under way.
+        /// The index of the frame among the frames in flight.
         index: usize,
     },
     /// A frame is lost.
     Lose {
-        /// Its index among the frames under way.
+        /// The index of the frame among the frames in flight.
         index: usize,
     },
-    /// A frame is delivered, and once more later.
+    /// A frame is delivered, and a copy of the frame stays in flight.
     Duplicate {
-        /// Its index among the frames under way.
+        /// The index of the frame among the frames in flight.
         index: usize,
     },
-    /// Time passes, and frames of the quota stay under way.
+    /// Time passes, and quota frames stay in flight.
     PassTime,
-    /// The lease holder's process ends, and the next one starts at once.
+    /// The lease holder's process restarts.
     RestartHolder,
 }
 
 /// A unit that a call acquired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct SpentUnit {
-    /// In microseconds.
+    /// The time of the acquisition, in microseconds.
     acquired_at: Micros,
-    /// The window by which the slice named it, which a refund must name too.
+    /// The window of the slice that granted the unit; a refund must name the same window.
     window: u64,
 }
 
 /// The callers at one front.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Callers {
-    /// Calls that may still come.
+    /// The number of calls that may still arrive.
     calls_left: u8,
-    /// Calls that wait for a unit.
+    /// The number of calls that wait for a unit.
     waiting: u64,
-    /// The units of calls that were admitted, oldest first.
+    /// The units of admitted calls, oldest first.
     spent: Vec<SpentUnit>,
 }
 
@@ -193,19 +192,19 @@
     limit: Limit,
     now: Micros,
     machines: Vec<Machine>,
-    /// The machines whose digests are older than their last step.
-    unsealed: BTreeSet<usize>,
+    /// The machines that were stepped since their digests were last updated.
+    stale_digests: BTreeSet<usize>,
     frames: FramesInFlight,
     callers: Vec<Callers>,
-    /// What is left of the allowance.
+    /// The allowance that is not used up yet.
     left: Allowance,
-    /// A frame was lost, or a lease holder restarted: units may be granted that no front knows of.
+    /// True once a frame was lost or a lease holder restarted: there may be granted units that no front knows of.
     may_have_lost_grants: bool,
-    /// The rule that the opening violated; reported by the first action.
+    /// The violation found during the opening; the first action reports it.
     opening_violation: Option<String>,
 }
 
-/// Whether the order of this message is explored.
+/// Returns true if the delivery order of this message is explored.
 fn is_explored(message: &Message) -> bool {
     matches!(
         message,
@@ -224,7 +223,7 @@
     )
 }
 
-/// One front's slice of a window.
+/// The units of one window in a front's slice.
 #[derive(Clone, Copy, Debug, Default)]
 struct FrontSlice {
     window: u64,
@@ -233,7 +232,7 @@
     free: u64,
 }
 
-/// What the lease holder counts of a window.
+/// The units of one window in the lease holder's ledger.
 #[derive(Clone, Copy, Debug)]
 struct HolderWindow {
     window: u64,
@@ -243,12 +242,12 @@
 
 /// The steps of single machines.
 impl World {
-    /// The machine of a front.
+    /// Returns the index of a front's machine.
     fn machine_of(&self, front: usize) -> usize {
         self.machines.len() - self.callers.len() + front
     }
 
-    /// The machine that holds the lease of the tenant's role.
+    /// Returns the machine that holds the lease of the tenant's role.
     fn holder(&self) -> Option<usize> {
         let role = quota_role(TENANT);
         let is_holder = |machine: &Machine| machine.node.leases.held.valid_epoch(role, self.now).is_some();
@@ -260,12 +259,12 @@
         let mut output = StepOutput::default();
         self.machines[machine].step(event, self.now, &mut output);
         self.machines[machine].sync(self.now, &mut output);
-        self.unsealed.insert(machine);
+        self.stale_digests.insert(machine);
         self.serve_waiting(machine);
         output.frames
     }
 
-    /// Steps one machine, and all that receive frames because of it whose order is not explored.
+    /// Steps one machine, and then every machine that receives a resulting frame whose order is not explored.
     fn step(&mut self, machine: usize, event: Event) {
         let cores = self.machines.len() - self.callers.len();
         let frames = self.step_alone(machine, event);
@@ -287,7 +286,7 @@
         }
     }
 
-    /// Lets the calls that wait at this machine acquire what there is, as the queues of the data plane do.
+    /// Lets waiting calls at this machine acquire available units, as the queues of the data plane do.
     fn serve_waiting(&mut self, machine: usize) {
         let cores = self.machines.len() - self.callers.len();
         let Some(front) = machine.checked_sub(cores) else { return };
@@ -305,7 +304,7 @@
         }
     }
 
-    /// A call acquires a unit, or waits where there is none, as one of the data plane does.
+    /// Acquires a unit for a new call, or makes the call wait if there is none, as the data plane does.
     fn call(&mut self, front: usize) {
         let machine = self.machine_of(front);
         match self.acquire(front) {
@@ -323,7 +322,7 @@
         }
     }
 
-    /// What a new call finds. It does not overtake those that wait.
+    /// Tries to acquire a unit for a new call, which must not overtake waiting calls.
     fn acquire(&mut self, front: usize) -> AcquireOutcome {
         let (machine, now) = (self.machine_of(front), self.now);
         let has_waiting = self.callers[front].waiting > 0;
@@ -335,7 +334,7 @@
         }
     }
 
-    /// The call at this front that acquired its unit first refunds it unused.
+    /// Refunds the unused unit of the oldest admitted call at this front.
     fn refund(&mut self, front: usize) {
         let machine = self.machine_of(front);
         if self.callers[front].spent.is_empty() {
@@ -354,25 +353,25 @@
     fn restart_holder(&mut self) {
         if let Some(holder) = self.holder() {
             self.machines[holder] = self.machines[holder].restart(0, self.now);
-            self.unsealed.insert(holder);
+            self.stale_digests.insert(holder);
             self.may_have_lost_grants = true;
         }
     }
 
-    /// Updates the digests of the machines that were stepped, and the order of the frames.
-    fn seal(&mut self) {
-        for machine in std::mem::take(&mut self.unsealed) {
-            self.machines[machine].seal(Scope::Full);
+    /// Updates the digests of the stepped machines and sorts the frames.
+    fn normalize(&mut self) {
+        for machine in std::mem::take(&mut self.stale_digests) {
+            self.machines[machine].update_digest(Scope::Full);
         }
         self.frames.sort();
     }
 }
 
-/// The passing of time.
+/// The execution of rounds and of the opening.
 impl World {
-    /// One round of all timers. Calls that wait look again whether the lease holder may be sent a request.
+    /// Runs all timers once. Waiting calls then retry to send a request to the lease holder.
     fn run_round(&mut self) {
-        self.now += ROUND;
+        self.now += ROUND_DURATION;
         for machine in 0..self.machines.len() {
             self.step(machine, Event::Tick);
         }
@@ -384,9 +383,9 @@
         }
     }
 
-    /// Lets time pass while frames of the quota stay under way.
+    /// Advances time while quota frames stay in flight.
     fn pass_time(&mut self, duration: Micros) -> Result<(), String> {
-        for _ in 0..duration / ROUND {
+        for _ in 0..duration / ROUND_DURATION {
             self.run_round();
             self.check()?;
         }
@@ -402,10 +401,10 @@
         Ok(())
     }
 
-    /// Lets time pass while each frame is delivered at once.
+    /// Advances time and delivers each frame at once.
     fn run(&mut self, duration: Micros) -> Result<(), String> {
         self.deliver_all()?;
-        for _ in 0..duration / ROUND {
+        for _ in 0..duration / ROUND_DURATION {
             self.run_round();
             self.deliver_all()?;
         }
@@ -429,7 +428,7 @@
     }
 }
 
-/// What must hold in every state.
+/// The invariants of every state.
 impl World {
     fn check(&self) -> Result<(), String> {
         match self.limit {
@@ -457,7 +456,7 @@
         Some(HolderWindow { window: row.1, granted: row.2, returned: row.3 })
     }
 
-    /// The units that were spent, by window.
+    /// Returns the number of spent units by window.
     fn spent_by_window(&self) -> BTreeMap<u64, u64> {
         let mut spent_units = BTreeMap::new();
         for spent in self.spent_units() {
@@ -487,7 +486,7 @@
         }
     }
 
-    /// Checks that no unit was spent once one of a later window was.
+    /// Checks that no unit of an older window was spent after a unit of the newest window.
     fn check_window_order(&self) -> Result<(), String> {
         let newest = self.spent_units().map(|spent| spent.window).max().unwrap_or(0);
         let of_newest = self.spent_units().filter(|spent| spent.window == newest);
@@ -499,7 +498,7 @@
         }
     }
 
-    /// Checks that what a front was granted of a window is free, spent or returned.
+    /// Checks that a front's free, spent and returned units of a window don't exceed the granted units.
     fn check_slices(&self, front: usize) -> Result<(), String> {
         for slice in self.slices_of(front) {
             let FrontSlice { window, granted, returned, free } = slice;
@@ -541,7 +540,7 @@
         let Some(last) = times.last().copied() else { return Ok(()) };
         for (index, from) in times.iter().enumerate() {
             let spent = (times.len() - index) as u64 * MILLI_PER_CALL;
-            // What is lent counts as spent when it is lent, up to so long before.
+            // A loan counts as spent when it is lent, up to `LOAN_DURATION` before the call.
             let refilled = rate * MILLI_PER_CALL * (last - from + LOAN_DURATION) / SEC;
             let limit = burst * MILLI_PER_CALL + refilled;
             if spent > limit {
@@ -555,12 +554,12 @@
     }
 }
 
-/// What holds once no fault occurs any more.
+/// The checks once no further fault occurs.
 impl World {
-    /// Checks that all that the tenant may have now is granted to this front, but what was granted by a
-    /// frame that was lost.
+    /// Checks that this front is granted all units that the tenant may have now, except units granted by lost
+    /// frames.
     fn check_grants_all(&mut self, front: usize) -> Result<(), String> {
-        // Within the window that the first call begins, where it is a short one.
+        // The first call starts the window, so the run must end within a short window.
         let (calls, duration) = match self.limit {
             Limit::Window { calls, length } => (calls, GRANT_TIME.min(length / 2)),
             Limit::Rate { burst, .. } => (burst, GRANT_TIME),
@@ -580,7 +579,7 @@
         }
     }
 
-    /// Checks that every unit of the newest window was spent, or was granted by a frame that was lost.
+    /// Checks that every unit of the newest window was spent or granted by a lost frame.
     fn check_accounted(&self, calls: u64) -> Result<(), String> {
         let counted = self.holder_window().ok_or("all granted units come back: nobody holds the role")?;
         let of_window = self.slices().filter(|slice| slice.window == counted.window);
@@ -607,7 +606,7 @@
             limit: self.limit,
             now: STARTED_AT,
             machines: (0..machines).map(|index| Machine::core_or_front(index, self.cores, &configuration)).collect(),
-            unsealed: (0..machines).collect(),
+            stale_digests: (0..machines).collect(),
             frames: FramesInFlight::default(),
             callers: vec![callers; self.fronts],
             left: self.allowance,
@@ -616,7 +615,7 @@
         }
     }
 
-    fn act(&self, world: &mut World, action: Action) -> Result<(), String> {
+    fn perform(&self, world: &mut World, action: Action) -> Result<(), String> {
         match action {
             Action::Call { front } => {
                 world.callers[front].calls_left -= 1;
@@ -657,10 +656,10 @@
 
     fn initial_state(&self) -> World {
         let mut world = self.new_world();
-        let acquainted = world.run(ACQUAINTANCE);
-        let opened = acquainted.and_then(|()| self.opening.iter().try_for_each(|opening| world.open(*opening)));
+        let discovered = world.run(DISCOVERY_TIME);
+        let opened = discovered.and_then(|()| self.opening.iter().try_for_each(|opening| world.open(*opening)));
         world.opening_violation = opened.err();
-        world.seal();
+        world.normalize();
         world
     }
 
@@ -673,7 +672,7 @@
     }
 
     fn describe(&self, world: &World, action: &Action) -> String {
-        let what = match action {
+        let description = match action {
             Action::Deliver { index } | Action::Lose { index } | Action::Duplicate { index } => {
                 format!("{action:?}: {}", world.frames[*index])
             }
@@ -681,7 +680,7 @@
         };
         let callers: Vec<_> = world.callers.iter().map(|callers| (callers.spent.len(), callers.waiting)).collect();
         let seconds = (world.now - STARTED_AT) as f64 / SEC as f64;
-        format!("at {seconds:.3} s, spent and waiting {callers:?}: {what}")
+        format!("at {seconds:.3} s, spent and waiting {callers:?}: {description}")
     }
 
     fn actions(&self, world: &World) -> Vec<Action> {
@@ -717,8 +716,8 @@
             return Err(violation.clone());
         }
         let mut next = world.clone();
-        self.act(&mut next, *action)?;
-        next.seal();
+        self.perform(&mut next, *action)?;
+        next.normalize();
         next.check()?;
         Ok(next)
     }
--- a/crates/checker/src/requesters.rs
+++ b/crates/checker/src/requesters.rs
@@ -1,6 +1,6 @@
-//! Nodes that request units of one tenant's window from the cores: never more than its limit is granted.
+//! Simulated nodes that request units of one tenant's window and check that the limit is never exceeded.
 //!
-//! They are not whole nodes: they gossip their records, send requests, and count the grants they receive.
+//! Requesters are not whole nodes: they gossip their records, send requests, and count the received grants.
 
 use crate::frames::AddressedFrame;
 use crate::machine::{FLEET_ID, address};
@@ -8,50 +8,52 @@
 use sumacvale_core::base::{MS, Micros, NodeId};
 use sumacvale_core::protocol::{DisseminationMessage, Frame, Message, PeerRecord, QuotaMessage};
 
-/// One tenant with a window that is longer than any run of a model.
+/// A configuration with one tenant, whose window is longer than any run of a model.
 pub const CONFIGURATION: &str = r#"{"defaults":{"quota":{"calls":12,"window_ms":600000}},"pools":{"llm":{}},
     "matches":{"chat":{"path":"/v1/chat","pool":"llm","kind":"chat"}},
     "tenants":{"home":{"keys":["sha256:0000000000000000000000000000000000000000000000000000000000000000"]}}}"#;
 /// The tenant's name in [`CONFIGURATION`].
 const TENANT: &str = "home";
-/// The tenant's limit in [`CONFIGURATION`].
+/// The tenant's limit in [`CONFIGURATION`], in units per window.
 const WINDOW_UNITS: u64 = 12;
 
-/// The indexes of addresses from this one on are those of requesters.
+/// The index of the first requester's address; all higher indexes are requesters, too.
 pub const FIRST_ADDRESS: usize = 100;
 /// The number of requesters.
-const REQUESTERS: usize = 2;
+const REQUESTER_COUNT: usize = 2;
 /// The identifier of the first requester's node.
 const FIRST_NODE_ID: u64 = 9_000;
 /// The time between two requests, in microseconds.
 const REQUEST_INTERVAL: Micros = 150 * MS;
 /// The time between two heartbeats, in microseconds.
 const HEARTBEAT_INTERVAL: Micros = 500 * MS;
-/// The first requester sends requests for so long, in microseconds, then the second: what a successor of the
-/// lease holder does not know to be granted shows where it is granted to somebody else.
-const TURN: Micros = 1_200 * MS;
+/// The time for which the first requester sends requests, in microseconds; then the second requester does. The
+/// change of requesters reveals units that a new lease holder grants a second time because it doesn't know of
+/// the first grant.
+const TURN_DURATION: Micros = 1_200 * MS;
 
+/// A simulated node that requests units from one core at a time.
 #[derive(Clone, Debug, Default)]
 struct Requester {
     /// The core that receives the next request.
     core: usize,
     /// The identifier of the last request.
     request_id: u64,
-    /// Whether a grant was received since the last request.
+    /// True if a grant was received since the last request.
     is_served: bool,
-    /// When the next request is due, in microseconds.
+    /// The time of the next request, in microseconds.
     due: Micros,
 }
 
-/// All requesters, and what they were granted.
+/// All requesters and their grants.
 #[derive(Clone, Debug)]
 pub struct Requesters {
-    /// When the first request is due, in microseconds.
+    /// The time of the first request, in microseconds.
     started_at: Micros,
     heartbeat: u64,
     heartbeat_due: Micros,
     requesters: Vec<Requester>,
-    /// The highest total that each requester was granted, by window and requester.
+    /// The highest granted total, by window and requester. The sum must not exceed `WINDOW_UNITS`.
     granted_totals: BTreeMap<(u64, usize), u64>,
 }
 
@@ -64,14 +66,14 @@
 }
 
 impl Requesters {
-    /// Requesters that make themselves known at once and send requests from this time on.
+    /// Creates requesters that gossip their records at once and send requests from this time on.
     #[must_use]
     pub fn new(started_at: Micros) -> Self {
-        let requesters = vec![Requester::default(); REQUESTERS];
+        let requesters = vec![Requester::default(); REQUESTER_COUNT];
         Requesters { started_at, heartbeat: 0, heartbeat_due: 0, requesters, granted_totals: BTreeMap::new() }
     }
 
-    /// All units that were granted, in all windows: one alone runs in the time of a model.
+    /// Returns the number of units granted in all windows. A run of a model has only one window.
     fn granted_units(&self) -> u64 {
         self.granted_totals.values().sum()
     }
@@ -90,14 +92,14 @@
         }
     }
 
-    /// The frames that are sent to cores now.
+    /// Returns the heartbeats and the request that are due now.
     #[must_use]
     pub fn due_frames(&mut self, cores: usize, now: Micros) -> Vec<AddressedFrame> {
         let mut frames = Vec::new();
         if now >= self.heartbeat_due {
             self.heartbeat_due = now + HEARTBEAT_INTERVAL;
             self.heartbeat += 1;
-            frames.extend((0..REQUESTERS).flat_map(|requester| self.heartbeats(requester, cores, now)));
+            frames.extend((0..REQUESTER_COUNT).flat_map(|requester| self.heartbeats(requester, cores, now)));
         }
         frames.extend(self.due_request(cores, now));
         frames
@@ -116,10 +118,10 @@
         (0..cores).map(|to| AddressedFrame { to, frame: frame.clone() }).collect()
     }
 
-    /// The request of the requester whose turn it is, if it is due. It goes to another core if the last one
-    /// was not served.
+    /// Returns the current requester's next request, if due. The request goes to the next core if the last
+    /// request was not served.
     fn due_request(&mut self, cores: usize, now: Micros) -> Option<AddressedFrame> {
-        let turn = usize::from(now >= self.started_at + TURN);
+        let turn = usize::from(now >= self.started_at + TURN_DURATION);
         let requester = &mut self.requesters[turn];
         if now < self.started_at.max(requester.due) {
             return None;
@@ -140,7 +142,7 @@
         Some(AddressedFrame { to: requester.core, frame: frame(turn, request, now) })
     }
 
-    /// A requester receives a frame. What it was granted counts from here on.
+    /// Records the grant in a frame that a requester receives.
     ///
     /// # Errors
     /// The rule that the grant violates.
@@ -160,9 +162,9 @@
         Ok(())
     }
 
-    /// Whether all units were granted but for so many, whose grants were lost.
+    /// Returns true if all units were granted, except at most `lost` units whose grants were lost.
     #[must_use]
-    pub fn has_all_units_but(&self, lost: u64) -> bool {
+    pub fn has_granted_all_but(&self, lost: u64) -> bool {
         self.granted_units() + lost >= WINDOW_UNITS
     }
 }
--- a/crates/checker/src/scenarios.rs
+++ b/crates/checker/src/scenarios.rs
@@ -1,4 +1,4 @@
-//! The bounds that are explored: small ones in CI, large ones by hand.
+//! The bounds of the explorations: the small bounds run in CI, the large bounds are run by hand.
 //!
 //! Bounds keep their names: `planted.txt`, the tests and the notes on measurements refer to them.
 
@@ -9,13 +9,13 @@
 use crate::quota::{self, Limit, Quota};
 use sumacvale_core::base::{MS, Micros, SEC};
 
-/// A named bound.
+/// A named bound of a model.
 pub struct Scenario<M: Model> {
-    /// The name on the command line.
+    /// The name of the bound on the command line.
     pub name: &'static str,
-    /// Whether the tests explore it whole.
+    /// True if the tests explore the bound completely.
     pub is_small: bool,
-    /// What is explored.
+    /// The model with its bounds.
     pub model: M,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// Nothing but deliveries, syncs and submissions.
+/// No faults: only deliveries, syncs and submissions.
 const NONE: Allowance =
     Allowance { crashes: 0, wipes: 0, losses: 0, duplicates: 0, timeouts: 0, probes: 0, resubmissions: 0, yields: 0 };
 
@@ -43,12 +43,13 @@
     vec![PlannedChange::document(0, 1, "a", &[0]), PlannedChange::document(0, 2, "b", &[0])]
 }
 
-/// The second change is based on the first and is submitted once that was acknowledged.
+/// The second change is based on the first, and is submitted once the first is acknowledged.
 fn chain() -> Vec<PlannedChange> {
     vec![PlannedChange::document(0, 1, "a", &[0, 1]), PlannedChange::document(1, 2, "b", &[2, 1]).after(0)]
 }
 
-/// Three versions, each based on the one before and submitted to the machine that has it first.
+/// Three versions, each based on the previous version and all submitted to machine 0, which holds each version
+/// first.
 fn chain_of_three() -> Vec<PlannedChange> {
     vec![
         PlannedChange::document(0, 1, "a", &[0]),
@@ -64,13 +65,13 @@
     changes
 }
 
-/// The second names a base that was not acknowledged to anybody yet.
-fn ahead() -> Vec<PlannedChange> {
+/// The second change names a base that was not acknowledged to any operator yet.
+fn unacknowledged_base() -> Vec<PlannedChange> {
     vec![PlannedChange::document(0, 1, "a", &[0]), PlannedChange::document(1, 2, "b", &[1])]
 }
 
 /// One change that may be submitted to any voter.
-fn one() -> Vec<PlannedChange> {
+fn single_change() -> Vec<PlannedChange> {
     vec![PlannedChange::document(0, 1, "a", &[0, 1, 2])]
 }
 
@@ -79,8 +80,8 @@
     vec![PlannedChange::voters(0, &[0, 1, 3], &[0]), PlannedChange::document(0, 1, "a", &[1, 2])]
 }
 
-/// The same spare is to replace one voter and another one, on the same version.
-fn two_lists() -> Vec<PlannedChange> {
+/// Two changes based on the same version replace different voters with the same spare.
+fn competing_voter_sets() -> Vec<PlannedChange> {
     vec![PlannedChange::voters(0, &[0, 1, 3], &[0]), PlannedChange::voters(0, &[0, 2, 3], &[0])]
 }
 
@@ -89,14 +90,13 @@
     Agreement { machines, is_bootstrap: false, opening: Vec::new(), allowance, changes, slow_disks }
 }
 
-/// Three seeds with empty disks, whose timers expire so many times in all, after this opening.
-fn founding(opening: Vec<Opening>, timeouts: u8, allowance: Allowance, slow_disks: &[usize]) -> Agreement {
+/// A bootstrap by three seeds with empty disks: after the opening, timers expire up to `timeouts` times in all.
+fn bootstrap(opening: Vec<Opening>, timeouts: u8, allowance: Allowance, slow_disks: &[usize]) -> Agreement {
     let allowance = Allowance { timeouts, ..allowance };
     Agreement { is_bootstrap: true, opening, ..agreement(3, Vec::new(), allowance, slow_disks) }
 }
 
-/// All seeds announce their votes once; the announcements between these machines (from, to) are delivered, the
-/// others are lost.
+/// All seeds announce their votes once. The announcements in `delivered` (from, to) arrive, all others are lost.
 fn seeds_announce(delivered: &[(usize, usize)]) -> Vec<Opening> {
     let mut steps: Vec<_> = (0..3).map(|machine| Opening::Timeout { machine }).collect();
     for (from, to) in EVERY_PAIR {
@@ -112,8 +112,9 @@
 /// All pairs of seeds, as sender and receiver.
 const EVERY_PAIR: [(usize, usize); 6] = [(0, 1), (0, 2), (1, 0), (1, 2), (2, 0), (2, 1)];
 
-/// All voted for one set; only machine 1 received all votes and founded the fleet, and its disk is lost.
-fn founder_wiped() -> Vec<Opening> {
+/// All seeds voted for one set. Only machine 1 received all votes and bootstrapped the fleet; then machine 1's disk
+/// is lost.
+fn bootstrapper_wiped() -> Vec<Opening> {
     let mut steps = seeds_announce(&EVERY_PAIR);
     steps.extend(seeds_announce(&[(0, 1), (2, 1)]));
     steps.push(Opening::Wipe { machine: 1 });
@@ -121,9 +122,9 @@
     steps
 }
 
-/// Machine 2 received nothing from machine 1 and voted for nothing; machine 0 announces its vote again. Then
-/// machine 1's disk is lost.
-fn one_not_received() -> Vec<Opening> {
+/// Machine 2 received nothing from machine 1 and did not vote; machine 0 announces its vote again. Then machine
+/// 1's disk is lost.
+fn announcement_not_received() -> Vec<Opening> {
     let mut steps = seeds_announce(&[(1, 0), (2, 0), (0, 1), (2, 1), (0, 2)]);
     steps.push(Opening::Timeout { machine: 0 });
     steps.push(Opening::Lose { kind: "Bootstrap", from: 0, to: 1 });
@@ -132,8 +133,8 @@
     steps
 }
 
-/// The votes of machines 0 and 2 are not synced to their disks when their processes end, and machine 1, which
-/// may have received them, loses its disk.
+/// Machines 0 and 2 crash before their votes are synced, and machine 1, which may have received the votes, loses
+/// its disk.
 fn votes_unsynced() -> Vec<Opening> {
     let mut steps = seeds_announce(&EVERY_PAIR);
     steps.extend(seeds_announce(&[(0, 1), (2, 1)]));
@@ -145,8 +146,8 @@
 }
 
 /// Machine 0 ran a ballot, had change "a" accepted by machine 1, and restarted before any of its own votes were
-/// synced. Now it has another change to propose, and machine 1 a third, once it has yielded for long enough to
-/// the ballots that it voted for.
+/// synced. Now machine 0 has another change to propose, and machine 1 a third change, once machine 1 has yielded
+/// long enough to the ballots that it voted for.
 fn second_incarnation() -> Agreement {
     let changes = vec![
         PlannedChange::document(0, 1, "a", &[0]),
@@ -171,8 +172,7 @@
     Agreement { opening, ..agreement(3, changes, Allowance { yields: 1, ..NONE }, &[0]) }
 }
 
-/// Machine 0 alone accepted "a" in its ballot; machine 1 promised a higher one to machine 2, which proposes
-/// "b".
+/// Only machine 0 accepted "a" in its ballot; machine 1 promised a higher ballot to machine 2, which proposes "b".
 fn two_acceptances(allowance: Allowance) -> Agreement {
     let opening = vec![
         Opening::Submit { change: 0, to: 0 },
@@ -215,13 +215,16 @@
         Scenario::large("twice-slow-crash", agreement(3, same_receiver(), Allowance { crashes: 1, ..NONE }, &[0])),
         Scenario::small("second-life", second_incarnation()),
         Scenario::small("two-acceptances", two_acceptances(Allowance { timeouts: 1, ..NONE })),
-        Scenario::small("founding", founding(seeds_announce(&EVERY_PAIR), 6, NONE, &[])),
-        Scenario::small("founding-wiped", founding(founder_wiped(), 12, Allowance { wipes: 1, ..NONE }, &[])),
-        Scenario::small("founding-unheard", founding(one_not_received(), 7, Allowance { wipes: 1, ..NONE }, &[])),
-        Scenario::small("founding-unsynced", founding(votes_unsynced(), 12, Allowance { wipes: 1, ..NONE }, &[0, 2])),
-        Scenario::large("founding-any", founding(Vec::new(), 6, NONE, &[])),
-        Scenario::large("founding-wipe", founding(Vec::new(), 8, Allowance { wipes: 1, ..NONE }, &[])),
-        Scenario::large("founding-crash", founding(Vec::new(), 8, Allowance { crashes: 1, ..NONE }, &[0])),
+        Scenario::small("founding", bootstrap(seeds_announce(&EVERY_PAIR), 6, NONE, &[])),
+        Scenario::small("founding-wiped", bootstrap(bootstrapper_wiped(), 12, Allowance { wipes: 1, ..NONE }, &[])),
+        Scenario::small(
+            "founding-unheard",
+            bootstrap(announcement_not_received(), 7, Allowance { wipes: 1, ..NONE }, &[]),
+        ),
+        Scenario::small("founding-unsynced", bootstrap(votes_unsynced(), 12, Allowance { wipes: 1, ..NONE }, &[0, 2])),
+        Scenario::large("founding-any", bootstrap(Vec::new(), 6, NONE, &[])),
+        Scenario::large("founding-wipe", bootstrap(Vec::new(), 8, Allowance { wipes: 1, ..NONE }, &[])),
+        Scenario::large("founding-crash", bootstrap(Vec::new(), 8, Allowance { crashes: 1, ..NONE }, &[0])),
         Scenario::large("three", agreement(3, race_and_chain(), NONE, &[])),
         Scenario::large("three-crash", agreement(3, race_and_chain(), Allowance { crashes: 1, ..NONE }, &[])),
         Scenario::small("chain", agreement(3, chain(), NONE, &[])),
@@ -231,36 +234,45 @@
         Scenario::large("chain-question", agreement(3, chain(), Allowance { probes: 1, ..NONE }, &[])),
         Scenario::large("chain-crash", agreement(3, chain(), Allowance { crashes: 1, timeouts: 1, ..NONE }, &[])),
         Scenario::large("chain-repeat", agreement(3, chain(), Allowance { resubmissions: 1, ..NONE }, &[])),
-        Scenario::small("ahead", agreement(3, ahead(), NONE, &[])),
-        Scenario::large("ahead-slow", agreement(3, ahead(), NONE, &[2])),
-        Scenario::small("one-question", agreement(3, one(), Allowance { probes: 1, ..NONE }, &[])),
-        Scenario::small("one-crash", agreement(3, one(), Allowance { crashes: 1, ..NONE }, &[])),
-        Scenario::large("one-crash-timeout", agreement(3, one(), Allowance { crashes: 1, timeouts: 1, ..NONE }, &[])),
-        Scenario::small("one-wipe", agreement(3, one(), Allowance { wipes: 1, ..NONE }, &[])),
-        Scenario::small("one-lost", agreement(3, one(), Allowance { losses: 1, ..NONE }, &[])),
-        Scenario::large("one-lost-doubled", agreement(3, one(), Allowance { losses: 1, duplicates: 1, ..NONE }, &[])),
-        Scenario::small("one-timeout", agreement(3, one(), Allowance { timeouts: 1, ..NONE }, &[])),
-        Scenario::small("one-repeat", agreement(3, one(), Allowance { resubmissions: 1, ..NONE }, &[])),
-        Scenario::small("one-slow-crash", agreement(3, one(), Allowance { crashes: 1, ..NONE }, &[2])),
-        Scenario::large("one-all-slow-crash", agreement(3, one(), Allowance { crashes: 1, ..NONE }, &[0, 1, 2])),
+        Scenario::small("ahead", agreement(3, unacknowledged_base(), NONE, &[])),
+        Scenario::large("ahead-slow", agreement(3, unacknowledged_base(), NONE, &[2])),
+        Scenario::small("one-question", agreement(3, single_change(), Allowance { probes: 1, ..NONE }, &[])),
+        Scenario::small("one-crash", agreement(3, single_change(), Allowance { crashes: 1, ..NONE }, &[])),
+        Scenario::large(
+            "one-crash-timeout",
+            agreement(3, single_change(), Allowance { crashes: 1, timeouts: 1, ..NONE }, &[]),
+        ),
+        Scenario::small("one-wipe", agreement(3, single_change(), Allowance { wipes: 1, ..NONE }, &[])),
+        Scenario::small("one-lost", agreement(3, single_change(), Allowance { losses: 1, ..NONE }, &[])),
+        Scenario::large(
+            "one-lost-doubled",
+            agreement(3, single_change(), Allowance { losses: 1, duplicates: 1, ..NONE }, &[]),
+        ),
+        Scenario::small("one-timeout", agreement(3, single_change(), Allowance { timeouts: 1, ..NONE }, &[])),
+        Scenario::small("one-repeat", agreement(3, single_change(), Allowance { resubmissions: 1, ..NONE }, &[])),
+        Scenario::small("one-slow-crash", agreement(3, single_change(), Allowance { crashes: 1, ..NONE }, &[2])),
+        Scenario::large(
+            "one-all-slow-crash",
+            agreement(3, single_change(), Allowance { crashes: 1, ..NONE }, &[0, 1, 2]),
+        ),
         Scenario::large(
             "one-slow-crashes",
-            agreement(3, one(), Allowance { crashes: 2, timeouts: 1, ..NONE }, &[0, 1, 2]),
+            agreement(3, single_change(), Allowance { crashes: 2, timeouts: 1, ..NONE }, &[0, 1, 2]),
         ),
         Scenario::large("voters", agreement(4, voters(), NONE, &[])),
-        Scenario::small("two-lists", agreement(4, two_lists(), NONE, &[])),
+        Scenario::small("two-lists", agreement(4, competing_voter_sets(), NONE, &[])),
         Scenario::large("voters-crash", agreement(4, voters(), Allowance { crashes: 1, ..NONE }, &[])),
     ]
 }
 
-/// When faults may strike, in microseconds.
+/// The times at which faults may occur, in microseconds.
 #[derive(Clone, Copy)]
 struct FaultTimes {
     /// The time between choices.
     step: Micros,
-    /// The first fault strikes within this time.
+    /// The time within which the first fault occurs.
     first: Micros,
-    /// Each further fault strikes within this time after the one before.
+    /// The time after each fault within which the next fault occurs.
     next: Micros,
 }
 
@@ -297,12 +309,12 @@
 #[must_use]
 pub fn fleets() -> Vec<Scenario<Fleet>> {
     // One voter receives nothing until its grants have expired, then the lease holder is partitioned, and the
-    // third voter's process ends.
+    // third voter's process crashes.
     let restart = [(0, FaultKind::Partition, 2), (950 * MS, FaultKind::Partition, 0)];
-    // One voter is replaced; another accepts that, receives nothing, and then only from the replaced one. The
-    // second entry has the replaced one stay away for longer.
-    let under_way = [(0, FaultKind::Aside, 2), (2_600 * MS, FaultKind::Aside, 2)];
-    // A partition between two voters; the third one leaves and is replaced.
+    // One voter is replaced; another voter accepts the replacement, receives nothing, and then receives frames only
+    // from the replaced voter. The second entry extends the isolation of the replaced voter.
+    let pending_voter_change = [(0, FaultKind::Aside, 2), (2_600 * MS, FaultKind::Aside, 2)];
+    // A partition separates two voters; the third voter leaves and is replaced.
     let newcomer = [(0, FaultKind::PairPartition, 0), (1_500 * MS, FaultKind::Leave, 2)];
     let grant_losses = [
         FaultKind::Crash,
@@ -318,7 +330,10 @@
         Scenario::small("any-one", one_fault(&ANY_FAULT, 100 * MS, SEC)),
         Scenario::large("any-one-fine", one_fault(&ANY_FAULT, 25 * MS, 2 * SEC)),
         Scenario::small("restarted-voter", after(&restart, one_fault(&[FaultKind::Crash], 25 * MS, 300 * MS))),
-        Scenario::small("change-under-way", after(&under_way, one_fault(&[FaultKind::Aside], 25 * MS, 600 * MS))),
+        Scenario::small(
+            "change-under-way",
+            after(&pending_voter_change, one_fault(&[FaultKind::Aside], 25 * MS, 600 * MS)),
+        ),
         Scenario::small("newcomer", after(&newcomer, one_fault(&[FaultKind::LongPartition], 25 * MS, 600 * MS))),
         Scenario::small("window", with_requesters(one_fault(&grant_losses, 100 * MS, 600 * MS))),
         Scenario::large(
@@ -362,10 +377,10 @@
 }
 
 /// A window that is longer than any run of a model, in microseconds.
-const LONG: Micros = 600 * SEC;
+const LONG_WINDOW: Micros = 600 * SEC;
 /// A window that ends during the exploration, in microseconds.
-const SHORT: Micros = 400 * MS;
-/// Nothing but deliveries.
+const SHORT_WINDOW: Micros = 400 * MS;
+/// No calls, faults or passing of time: only deliveries.
 const DELIVERIES_ONLY: quota::Allowance =
     quota::Allowance { calls: 0, refunds: 0, time_steps: 0, losses: 0, duplicates: 0, restarts: 0 };
 /// The time that passes in one step, in microseconds.
@@ -381,15 +396,15 @@
     Quota { cores: 1, fronts: 2, limit, opening: opening.to_vec(), allowance, step: QUOTA_STEP }
 }
 
-/// A standby holds its reserve this long after the machines met, in microseconds: its first request can't prove yet
-/// that it knows the lease.
+/// The time after peer discovery by which a standby holds its reserve, in microseconds. The first request of a
+/// standby can't prove yet that the standby knows the lease.
 const STANDBY_READY: Micros = 6 * SEC;
 
 /// The fronts of the bounds of quotas.
 const FIRST_FRONT: usize = 0;
 const SECOND_FRONT: usize = 1;
 
-/// All units are granted; the first front holds two that it does not use.
+/// All units are granted; the first front holds two unused units.
 fn idle_units() -> Vec<quota::Opening> {
     vec![
         Calls { front: FIRST_FRONT, count: 3 },
@@ -401,7 +416,7 @@
     ]
 }
 
-/// The same in a short window, which ends while two units are on their way back.
+/// Idle units in a short window, which ends while the return of two units is in flight.
 fn late_return() -> Vec<quota::Opening> {
     vec![
         Calls { front: FIRST_FRONT, count: 3 },
@@ -425,7 +440,7 @@
     opening
 }
 
-/// Both fronts request more than there is, and nothing of it was delivered.
+/// Both fronts request more than the available units, and their requests are still in flight.
 fn busy_fronts() -> Vec<quota::Opening> {
     vec![
         Calls { front: FIRST_FRONT, count: 2 },
@@ -435,7 +450,7 @@
     ]
 }
 
-/// All of the burst was spent when the lease holder restarted; its successor receives requests for more.
+/// The whole burst was spent when the lease holder restarted; its successor receives requests for more.
 fn spent_burst() -> Vec<quota::Opening> {
     vec![
         Calls { front: FIRST_FRONT, count: 8 },
@@ -446,8 +461,8 @@
     ]
 }
 
-/// So many calls came to the first front when the lease holder restarted. Calls wait at both fronts, whose requests
-/// nobody grants, so that they turn to the standby.
+/// The first front received `before` calls when the lease holder restarted. Calls wait at both fronts and turn to
+/// the standby, because nobody grants their requests.
 fn calls_without_holder(before: u8) -> Vec<quota::Opening> {
     vec![
         Run { duration: STANDBY_READY },
@@ -460,8 +475,8 @@
     ]
 }
 
-/// Many more calls come to one front than the rate brings in four seconds.
-fn crowd_at_one_front() -> Vec<quota::Opening> {
+/// One front receives many more calls than the rate refills in four seconds.
+fn overload_at_one_front() -> Vec<quota::Opening> {
     vec![
         Run { duration: STANDBY_READY },
         Calls { front: FIRST_FRONT, count: 80 },
@@ -479,25 +494,25 @@
     vec![
         Scenario::small(
             "units",
-            window(4, LONG, &idle_units(), Allowance { calls: 1, duplicates: 1, ..DELIVERIES_ONLY }),
+            window(4, LONG_WINDOW, &idle_units(), Allowance { calls: 1, duplicates: 1, ..DELIVERIES_ONLY }),
         ),
         Scenario::small(
             "units-lost",
-            window(4, LONG, &idle_units(), Allowance { calls: 1, losses: 1, ..DELIVERIES_ONLY }),
+            window(4, LONG_WINDOW, &idle_units(), Allowance { calls: 1, losses: 1, ..DELIVERIES_ONLY }),
         ),
         Scenario::small(
             "units-unrun",
-            window(4, LONG, &idle_units(), Allowance { calls: 1, refunds: 1, ..DELIVERIES_ONLY }),
+            window(4, LONG_WINDOW, &idle_units(), Allowance { calls: 1, refunds: 1, ..DELIVERIES_ONLY }),
         ),
         Scenario::small(
             "units-short",
-            window(4, SHORT, &late_return(), Allowance { calls: 1, refunds: 1, ..DELIVERIES_ONLY }),
+            window(4, SHORT_WINDOW, &late_return(), Allowance { calls: 1, refunds: 1, ..DELIVERIES_ONLY }),
         ),
         Scenario::small(
             "units-ended",
             with_three_cores(window(
                 4,
-                LONG,
+                LONG_WINDOW,
                 &idle_units_then_restart(),
                 Allowance { calls: 1, duplicates: 1, ..DELIVERIES_ONLY },
             )),
@@ -506,7 +521,7 @@
             "units-wide",
             window(
                 4,
-                LONG,
+                LONG_WINDOW,
                 &idle_units(),
                 Allowance { calls: 2, refunds: 1, time_steps: 2, losses: 1, duplicates: 1, restarts: 0 },
             ),
@@ -533,7 +548,7 @@
                 Allowance { duplicates: 1, losses: 1, ..DELIVERIES_ONLY },
             )),
         ),
-        // More calls came than the burst has units: the standby lent all of its part.
+        // More calls arrived than the burst has units: the standby lent all of its part.
         Scenario::small(
             "shares-standby-spent",
             with_three_cores(rate(
@@ -543,10 +558,10 @@
                 Allowance { duplicates: 1, losses: 1, ..DELIVERIES_ONLY },
             )),
         ),
-        // Far more calls than come in, so that the standby's part is used as fast as it is refilled.
+        // Far more calls than the rate refills, so that the standby's part is spent as fast as it is refilled.
         Scenario::small(
             "shares-standby-refilled",
-            with_three_cores(rate(8, 8, &crowd_at_one_front(), Allowance { duplicates: 1, ..DELIVERIES_ONLY })),
+            with_three_cores(rate(8, 8, &overload_at_one_front(), Allowance { duplicates: 1, ..DELIVERIES_ONLY })),
         ),
         Scenario::large(
             "shares-wide",
--- a/crates/checker/tests/bounds.rs
+++ b/crates/checker/tests/bounds.rs
@@ -1,16 +1,16 @@
-//! The small bounds, explored whole; the large ones are run by hand (`checker all`).
+//! Explores the small bounds completely; the large bounds are run by hand (`checker all`).
 
 use std::time::Duration;
 use sumacvale_checker::explore::{Model, Options, Report, explore};
 use sumacvale_checker::planted;
 use sumacvale_checker::scenarios::{self, Scenario};
 
-/// The bound of three versions with a slow disk takes many minutes whole. Where a version is reported before it
-/// is synced to the disk, a few hundred states show it.
+/// The number of states explored of the bound with three versions and a slow disk. The whole bound takes many
+/// minutes; a version that is reported before its sync is found within a few hundred states.
 const SLOW_DISK_STATES: u64 = 100_000;
 
-/// Explores a bound whole and asserts that nothing is violated.
-fn explore_whole<M: Model>(Scenario { name, model, .. }: &Scenario<M>) -> Report {
+/// Explores a bound completely and asserts that no rule is violated.
+fn explore_completely<M: Model>(Scenario { name, model, .. }: &Scenario<M>) -> Report {
     let options = Options { max_duration: Duration::from_mins(10), recovery_interval: 500, ..Options::default() };
     let report = explore(model, &options);
     println!(
@@ -29,25 +29,25 @@
     }
 }
 
-/// Explores the small bounds whole; returns the number of states.
+/// Explores the small bounds completely; returns the number of states.
 fn explore_small<M: Model>(scenarios: &[Scenario<M>]) -> u64 {
-    scenarios.iter().filter(|scenario| scenario.is_small).map(|scenario| explore_whole(scenario).states).sum()
+    scenarios.iter().filter(|scenario| scenario.is_small).map(|scenario| explore_completely(scenario).states).sum()
 }
 
 #[test]
-fn agreement_holds_in_every_order_of_its_frames() {
+fn consensus_is_safe_in_every_order_of_its_frames() {
     let states = explore_small(&scenarios::agreements());
     assert!(states > 50_000, "{states} states are too few to mean much");
 }
 
 #[test]
-fn fleets_hold_and_recover_whatever_fails_when() {
+fn fleets_are_safe_and_recover_from_every_fault_at_every_time() {
     let states = explore_small(&scenarios::fleets());
     assert!(states > 500, "{states} states are too few to mean much");
 }
 
 #[test]
-fn quotas_hold_and_all_units_come_back_in_every_order_of_their_frames() {
+fn quotas_are_kept_and_all_units_are_returned_in_every_order_of_their_frames() {
     let states = explore_small(&scenarios::quotas());
     assert!(states > 5_000, "{states} states are too few to mean much");
 }
@@ -57,7 +57,7 @@
     let faults = planted::read_list().expect("the list is there");
     assert!(faults.len() >= 37);
     let copy = std::env::temp_dir().join(format!("sumacvale-planted-{}", std::process::id()));
-    planted::copy_sources(&planted::root(), &copy).expect("copied");
+    planted::copy_workspace(&planted::root(), &copy).expect("copied");
     let planted = planted::plant(&copy, &faults);
     std::fs::remove_dir_all(&copy).expect("removed");
     assert_eq!(planted, Ok(()));
@@ -73,9 +73,10 @@
     }
 }
 
-/// A machine with a slow disk holds a version that is not synced yet, and receives a ballot for a later one.
+/// Guards against a machine that reports a version before the version is synced: a machine with a slow disk holds
+/// an unsynced version and receives a ballot for a later version.
 #[test]
-fn what_a_machine_says_that_it_has_is_on_its_disk() {
+fn machines_report_only_versions_synced_to_their_disks() {
     let bounds = scenarios::agreements();
     let bound = bounds.iter().find(|scenario| scenario.name == "three-in-a-row-slow").expect("the bound is there");
     let options = Options { max_states: SLOW_DISK_STATES, recovery_interval: 5_000, ..Options::default() };
--- a/crates/checker/tests/judge.rs
+++ b/crates/checker/tests/judge.rs
@@ -1,4 +1,4 @@
-//! Which violations the judge of the bounds finds, shown on made-up histories.
+//! The violations that the judge finds in artificial histories.
 
 use sumacvale_checker::judge::{Base, Judge};
 use sumacvale_checker::machine::voter;
@@ -9,7 +9,7 @@
 const FIRST: ChangeId = ChangeId(2);
 const SECOND: ChangeId = ChangeId(3);
 
-/// A version of a change, with the revision of the document that is in force with it.
+/// Returns a log entry for a change, with the revision of the document in this version.
 fn entry(version: Version, change_id: ChangeId, revision: u64) -> LogEntry {
     LogEntry {
         version,
@@ -25,7 +25,7 @@
     }
 }
 
-/// A judge that has seen these changes as versions 0, 1 and so on, each with its revision.
+/// Returns a judge that has observed these changes and revisions as versions 0, 1 and so on.
 fn judge_of(versions: &[(ChangeId, u64)]) -> Judge {
     let mut judge = Judge::default();
     for (version, (change_id, revision)) in (0..).zip(versions) {
