--- a/crates/checker/src/agreement.rs
+++ b/crates/checker/src/agreement.rs
@@ -370,8 +370,8 @@
 
     fn step(&self, world: &mut World, machine: usize, event: Event) -> Result<(), String> {
         let clock = world.clocks[machine];
-        let probe_due = world.machines[machine].node.consensus.freshness.probe_due;
-        let sends_probes = matches!(event, Event::Tick) && probe_due == clock;
+        let next_probe_at = world.machines[machine].node.consensus.freshness.next_probe_at;
+        let sends_probes = matches!(event, Event::Tick) && next_probe_at == clock;
         let mut output = StepOutput::default();
         world.machines[machine].step(event, clock, &mut output);
         if !self.slow_disks.contains(&machine) {
@@ -426,18 +426,18 @@
 
     /// Advances a machine's clock to its next freshness probe, or moves an overdue probe to the clock.
     fn send_probe(&self, world: &mut World, machine: usize) -> Result<(), String> {
-        let due = world.machines[machine].node.consensus.freshness.probe_due;
+        let due = world.machines[machine].node.consensus.freshness.next_probe_at;
         world.clocks[machine] = world.clocks[machine].max(due);
         if due < world.clocks[machine] {
             let node = Arc::make_mut(&mut world.machines[machine].node);
-            node.consensus.freshness.probe_due = world.clocks[machine];
+            node.consensus.freshness.next_probe_at = world.clocks[machine];
         }
         self.step(world, machine, Event::Tick)
     }
 
     /// Advances a machine's clock to the end of its yield.
     fn end_yield(&self, world: &mut World, machine: usize) -> Result<(), String> {
-        world.clocks[machine] = world.machines[machine].node.consensus.state.yields_until;
+        world.clocks[machine] = world.machines[machine].node.consensus.state.yield_until;
         self.step(world, machine, Event::Tick)
     }
 
@@ -620,13 +620,13 @@
             actions.push(Action::Wipe { machine: index });
         }
         let state = &machine.node.consensus.state;
-        let is_voter = machine.node.voter();
+        let is_voter = machine.node.is_voter();
         let is_waiting = state.proposal.is_some() || state.accepted.is_some() || !state.pending_changes.is_empty();
         let is_founding = self.is_bootstrap && machine.node.version().is_none();
         if left.timeouts > 0 && (is_founding || is_waiting && is_voter) {
             actions.push(Action::Timeout { machine: index });
         }
-        let is_yielding = is_waiting && state.proposal.is_none() && state.yields_until > world.clocks[index];
+        let is_yielding = is_waiting && state.proposal.is_none() && state.yield_until > world.clocks[index];
         if left.yields > 0 && is_yielding && is_voter {
             actions.push(Action::EndYield { machine: index });
         }
@@ -720,7 +720,7 @@
         self.run(&mut world, RECOVERY_TIME)?;
         // Seeds whose disks were lost before a majority held version 0 can no longer bootstrap the fleet.
         let lost_disks = self.is_bootstrap && world.left.wipes < self.allowance.wipes;
-        if lost_disks && world.machines.iter().filter(|machine| machine.node.voter()).count() < 2 {
+        if lost_disks && world.machines.iter().filter(|machine| machine.node.is_voter()).count() < 2 {
             return Ok(());
         }
         let revision = world.check_convergence()?;
@@ -744,7 +744,7 @@
                 ));
             }
             self.judge.check_keeps_acknowledged(index, node)?;
-            if node.voter() && !node.is_fresh(self.clocks[index]) {
+            if node.is_voter() && !node.is_fresh(self.clocks[index]) {
                 return Err(format!("all converge: voter {index} is not fresh"));
             }
         }
@@ -756,7 +756,7 @@
     /// Checks that a new change is decided within [`DECISION_TIME`].
     fn check_decides_another(&self, world: &mut World, base: u64) -> Result<(), String> {
         let body = document(base + 1, "last");
-        let is_voter = |machine: &Machine| machine.node.voter();
+        let is_voter = |machine: &Machine| machine.node.is_voter();
         let receiver = world.machines.iter().position(is_voter).ok_or("no machine votes")?;
         let event = Event::SubmitChange {
             request_id: LAST_REQUEST,
--- a/crates/checker/src/fleet.rs
+++ b/crates/checker/src/fleet.rs
@@ -504,7 +504,7 @@
     fn check_convergence(&self) -> Result<(), String> {
         let live = self.live_machines();
         let node = |machine: &usize| &self.machines[*machine].node;
-        let voters: Vec<_> = live.iter().filter(|machine| node(machine).voter()).collect();
+        let voters: Vec<_> = live.iter().filter(|machine| node(machine).is_voter()).collect();
         let versions: Vec<_> = live.iter().map(|machine| node(machine).version()).collect();
         if versions.iter().any(|version| *version != versions[0]) {
             return Err(format!("all converge: machines {live:?} hold versions {versions:?}, voters {voters:?}"));
@@ -592,7 +592,7 @@
     }
 
     fn describe(&self, world: &World, action: &Action) -> String {
-        let voters: Vec<_> = (0..self.machines).filter(|machine| world.machines[*machine].node.voter()).collect();
+        let voters: Vec<_> = (0..self.machines).filter(|machine| world.machines[*machine].node.is_voter()).collect();
         format!("at {:.3} s, voters {voters:?}: {action:?}", (world.now - STARTED_AT) as f64 / SEC as f64)
     }
 
--- a/crates/checker/src/machine.rs
+++ b/crates/checker/src/machine.rs
@@ -269,7 +269,7 @@
             node_id,
             incarnation,
             addr: address(index),
-            admin: String::new(),
+            admin_addr: String::new(),
             zone: format!("z{}", index % 3),
             seeds: (0..VOTERS).map(address).collect(),
             is_core: self.is_core,
@@ -278,7 +278,7 @@
             manages_voters: self.manages_voters,
             tolerated_losses: 1,
             report_interval: REPORT_INTERVAL,
-            reports_to_cores_only: false,
+            workers_report_to_cores_only: false,
         }
     }
 }
--- a/crates/checker/src/quota.rs
+++ b/crates/checker/src/quota.rs
@@ -308,9 +308,9 @@
     fn call(&mut self, front: usize) {
         let machine = self.machine_of(front);
         match self.acquire(front) {
-            AcquireOutcome::Acquired { window, low, .. } => {
+            AcquireOutcome::Acquired { window, is_low, .. } => {
                 self.callers[front].spent.push(SpentUnit { acquired_at: self.now, window });
-                if low {
+                if is_low {
                     self.step(machine, Event::QuotaNeeded { tenant: TENANT.into(), waiting: 0 });
                 }
             }
@@ -328,7 +328,7 @@
         let has_waiting = self.callers[front].waiting > 0;
         let slices = &self.machines[machine].node_mut().quota.slices;
         if has_waiting {
-            slices.rates.peek(TENANT, 1, now).unwrap_or(AcquireOutcome::Empty)
+            slices.rates.outcome_behind_waiters(TENANT, 1, now).unwrap_or(AcquireOutcome::Empty)
         } else {
             slices.acquire_unit(TENANT, now)
         }
--- a/crates/core/src/base/mod.rs
+++ b/crates/core/src/base/mod.rs
@@ -10,5 +10,5 @@
 pub use hash::{hash64, rendezvous_weight, sha256_hex};
 pub use ids::{ChangeId, Incarnation, NodeId, Version};
 pub use rng::Rng;
-pub use shards::Shards;
+pub use shards::ShardedMap;
 pub use time::{MS, Micros, SEC};
--- a/crates/core/src/base/rng.rs
+++ b/crates/core/src/base/rng.rs
@@ -21,12 +21,12 @@
     }
 
     /// Returns a number below `bound`. If `bound` is 0, returns 0 without advancing the generator.
-    pub fn below(&mut self, bound: u64) -> u64 {
+    pub fn next_below(&mut self, bound: u64) -> u64 {
         if bound == 0 { 0 } else { self.next_u64() % bound }
     }
 
     /// Returns true with a probability of `percent` in 100.
-    pub fn chance(&mut self, percent: u64) -> bool {
-        self.below(100) < percent
+    pub fn chance_percent(&mut self, percent: u64) -> bool {
+        self.next_below(100) < percent
     }
 }
--- a/crates/core/src/base/shards.rs
+++ b/crates/core/src/base/shards.rs
@@ -9,22 +9,22 @@
 
 /// A map of values by name, split into shards with a lock each. A method locks at most one shard at a time.
 #[derive(Debug)]
-pub struct Shards<V>(Vec<Mutex<BTreeMap<String, V>>>);
+pub struct ShardedMap<V>(Vec<Mutex<BTreeMap<String, V>>>);
 
-impl<V> Default for Shards<V> {
+impl<V> Default for ShardedMap<V> {
     fn default() -> Self {
-        Shards((0..SHARD_COUNT).map(|_| Mutex::default()).collect())
+        ShardedMap((0..SHARD_COUNT).map(|_| Mutex::default()).collect())
     }
 }
 
 /// Copies shard by shard. The copy is not atomic: of two concurrent changes it may contain only one.
-impl<V: Clone> Clone for Shards<V> {
+impl<V: Clone> Clone for ShardedMap<V> {
     fn clone(&self) -> Self {
-        Shards(self.0.iter().map(|shard| Mutex::new(lock(shard).clone())).collect())
+        ShardedMap(self.0.iter().map(|shard| Mutex::new(lock(shard).clone())).collect())
     }
 }
 
-impl<V> Shards<V> {
+impl<V> ShardedMap<V> {
     /// Locks the shard that contains a name.
     pub fn lock_shard(&self, name: &str) -> MutexGuard<'_, BTreeMap<String, V>> {
         lock(&self.0[usize::try_from(hash64(name.as_bytes()) % SHARD_COUNT as u64).unwrap_or(0)])
--- a/crates/core/src/call/caches.rs
+++ b/crates/core/src/call/caches.rs
@@ -1,7 +1,7 @@
 //! The two cache layers of a call's lookups: one per thread and one per process.
 
 use crate::cache::{CacheOptions, LocalCache, SharedCache};
-use crate::config::{Limit, Tenant};
+use crate::config::{QuotaLimit, Tenant};
 use crate::placement::PlacementTable;
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
     /// The tenant that owns an API key, by the hash of the key.
     pub keys: SharedCache<Arc<Tenant>>,
     /// The quota of a tenant, by its name.
-    pub quotas: SharedCache<Limit>,
+    pub quotas: SharedCache<QuotaLimit>,
     /// The placement table of a pool, by its name.
     pub routes: SharedCache<Arc<PlacementTable>>,
 }
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 pub struct ThreadCaches {
     keys: LocalCache<Arc<Tenant>>,
-    quotas: LocalCache<Limit>,
+    quotas: LocalCache<QuotaLimit>,
     routes: LocalCache<Arc<PlacementTable>>,
 }
 
@@ -78,7 +78,7 @@
 const ENDPOINT_BYTES: usize = 1_200;
 
 cached!(Arc<Tenant>, keys, |_: &Arc<Tenant>| 256);
-cached!(Limit, quotas, |_: &Limit| 64);
+cached!(QuotaLimit, quotas, |_: &QuotaLimit| 64);
 cached!(Arc<PlacementTable>, routes, |table: &Arc<PlacementTable>| {
     EMPTY_TABLE_BYTES + table.endpoints.len() * ENDPOINT_BYTES
 });
--- a/crates/core/src/call/context.rs
+++ b/crates/core/src/call/context.rs
@@ -8,12 +8,12 @@
 use super::latency::LatencyHistogram;
 use super::queue_entries::{SlotWaiter, TenantQueue};
 use super::rejections::RejectionCounters;
-use crate::base::{Micros, SEC, Shards};
+use crate::base::{Micros, SEC, ShardedMap};
 use crate::freshness;
 use crate::node::View;
 use crate::placement::{EngineModels, WorkerLoads};
 use crate::queue::FairQueue;
-use crate::quota::WindowSlices;
+use crate::quota::TenantQuotas;
 use crate::retry::RetryBudget;
 use std::sync::Arc;
 
@@ -27,7 +27,7 @@
     /// The zone of this node.
     pub zone: String,
     /// The quota slices that the lease holders granted to this node.
-    pub slices: Arc<WindowSlices>,
+    pub slices: Arc<TenantQuotas>,
     /// The calls that this node has in flight at each worker.
     pub worker_loads: WorkerLoads,
     /// The models of the engines, for placement by predicted latency.
@@ -51,9 +51,9 @@
     /// The maximum number of calls in one slot queue (per pool) or one quota queue (per tenant).
     pub queue_capacity: usize,
     /// The calls that wait for a slot, by pool.
-    pub(super) slot_queues: Shards<FairQueue<SlotWaiter>>,
+    pub(super) slot_queues: ShardedMap<FairQueue<SlotWaiter>>,
     /// The calls that wait for quota, by tenant.
-    pub(super) quota_queues: Shards<TenantQueue>,
+    pub(super) quota_queues: ShardedMap<TenantQueue>,
 }
 
 /// The inputs of one step beside its event.
@@ -74,7 +74,7 @@
     /// Creates the state of a process that has served no call, with queues of `queue_capacity` calls and
     /// `max_body_bytes` bytes of memory for bodies.
     #[must_use]
-    pub fn new(zone: &str, queue_capacity: usize, max_body_bytes: usize, slices: Arc<WindowSlices>) -> Self {
+    pub fn new(zone: &str, queue_capacity: usize, max_body_bytes: usize, slices: Arc<TenantQuotas>) -> Self {
         SharedCallState {
             zone: zone.to_owned(),
             slices,
@@ -89,8 +89,8 @@
             slot_wait: LatencyHistogram::default(),
             body_budget: BodyBudget::new(max_body_bytes),
             queue_capacity,
-            slot_queues: Shards::default(),
-            quota_queues: Shards::default(),
+            slot_queues: ShardedMap::default(),
+            quota_queues: ShardedMap::default(),
         }
     }
 
@@ -98,7 +98,7 @@
     /// report.
     pub(super) fn eject_worker(&self, slot: &ReservedSlot) {
         let endpoint = &slot.endpoint;
-        self.worker_loads.mark_failed(&endpoint.worker_id, endpoint.incarnation, endpoint.seq);
+        self.worker_loads.eject(&endpoint.worker_id, endpoint.incarnation, endpoint.seq);
         self.caches.routes.delete(&slot.pool);
     }
 }
@@ -122,7 +122,7 @@
     /// Returns the time at which the view becomes stale unless it is confirmed again, in microseconds.
     #[must_use]
     pub fn stale_at(&self) -> Micros {
-        self.confirmed_at.map_or(0, |confirmed| confirmed + freshness::MAX_AGE + 1)
+        self.confirmed_at.map_or(0, |confirmed| confirmed + freshness::MAX_CONFIRMATION_AGE + 1)
     }
 
     /// Whether the worker incarnation that the slot belongs to still accepts calls of its pool.
--- a/crates/core/src/call/latency.rs
+++ b/crates/core/src/call/latency.rs
@@ -1,7 +1,7 @@
 //! Latency histograms with fixed buckets for each kind of traffic.
 
 use crate::base::{MS, Micros};
-use crate::config::Kind;
+use crate::config::TrafficKind;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// The upper bounds of the buckets, in microseconds. One more bucket holds the slower observations.
@@ -35,7 +35,7 @@
 
 impl LatencyHistogram {
     /// Records one duration in microseconds.
-    pub fn record(&self, kind: Kind, duration: Micros) {
+    pub fn record(&self, kind: TrafficKind, duration: Micros) {
         let histogram = &self.0[kind as usize];
         let bucket = BUCKET_BOUNDS.partition_point(|bound| *bound < duration);
         histogram.buckets[bucket].fetch_add(1, Ordering::Relaxed);
@@ -45,12 +45,12 @@
     /// Returns the observations so far, one entry for each kind.
     #[must_use]
     pub fn snapshot(&self) -> Vec<HistogramSnapshot> {
-        Kind::ALL.into_iter().map(|kind| self.0[kind as usize].snapshot(kind)).collect()
+        TrafficKind::ALL.into_iter().map(|kind| self.0[kind as usize].snapshot(kind)).collect()
     }
 }
 
 impl KindHistogram {
-    fn snapshot(&self, kind: Kind) -> HistogramSnapshot {
+    fn snapshot(&self, kind: TrafficKind) -> HistogramSnapshot {
         let add_up = |total: &mut u64, bucket: &AtomicU64| {
             *total += bucket.load(Ordering::Relaxed);
             Some(*total)
--- a/crates/core/src/call/mod.rs
+++ b/crates/core/src/call/mod.rs
@@ -29,7 +29,7 @@
 pub use body_budget::{BodyBudget, BodyReservation};
 pub use caches::{Caches, ThreadCaches};
 pub use context::{SharedCallState, StepContext};
-pub use counters::{DataPlaneCounters, HELP_TEXTS as COUNT_HELP};
+pub use counters::{DataPlaneCounters, HELP_TEXTS as COUNTER_HELP_TEXTS};
 pub use holdings::{QuotaUnit, ReservedSlot};
 pub use io::{BodyError, Effect, Effects, Event, RequestHead, ResponseHead, Wakeup};
 pub use latency::{BUCKET_BOUNDS, HistogramSnapshot, LatencyHistogram};
--- a/crates/core/src/call/queue_entries.rs
+++ b/crates/core/src/call/queue_entries.rs
@@ -1,7 +1,7 @@
 //! The entries of the slot queues and the quota queues.
 
 use crate::base::Micros;
-use crate::config::Kind;
+use crate::config::TrafficKind;
 use crate::placement::PromptRequest;
 use crate::queue::FairQueue;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
     /// The priority weight of the tenant.
     pub(super) weight: u64,
     /// The kind of traffic, which has its own weight.
-    pub(super) kind: Kind,
+    pub(super) kind: TrafficKind,
     /// The end of the call's wait, in microseconds.
     pub(super) deadline: Micros,
     /// The end of the call's wait for units of a rate, in microseconds.
--- a/crates/core/src/call/quota_queue.rs
+++ b/crates/core/src/call/quota_queue.rs
@@ -57,7 +57,7 @@
     /// The time between later units, in microseconds.
     interval: Micros,
     /// True if the lease holder may grant a larger share.
-    may_get_more: bool,
+    may_receive_units: bool,
 }
 
 impl RateRefill {
@@ -86,12 +86,12 @@
         let queue = queues.entry(call.tenant.to_owned()).or_insert_with(|| TenantQueue::new(self.queue_capacity, now));
         if queue.waiters.is_empty() {
             match self.slices.acquire_units(call.tenant, call.units, now) {
-                AcquireOutcome::Acquired { window, until, low } => {
-                    return UnitOutcome::Granted { unit: QuotaUnit { window, expires_at: until }, is_low: low };
+                AcquireOutcome::Acquired { window, expires_at, is_low } => {
+                    return UnitOutcome::Granted { unit: QuotaUnit { window, expires_at }, is_low };
                 }
                 AcquireOutcome::WindowSpent { remaining } => return UnitOutcome::Exhausted { retry_after: remaining },
-                AcquireOutcome::RateExhausted { wait, interval, may_get_more } => {
-                    return queue.wait_for_rate(call, RateRefill { wait, interval, may_get_more }, now);
+                AcquireOutcome::RateExhausted { wait, interval, may_receive_units } => {
+                    return queue.wait_for_rate(call, RateRefill { wait, interval, may_receive_units }, now);
                 }
                 AcquireOutcome::Empty => {}
             }
@@ -99,10 +99,10 @@
             if now.saturating_sub(queue.last_request_at) > SEC {
                 queue.unanswered_since = None;
             }
-        } else if let Some(AcquireOutcome::RateExhausted { wait, interval, may_get_more }) =
-            self.slices.rates.peek(call.tenant, call.units, now)
+        } else if let Some(AcquireOutcome::RateExhausted { wait, interval, may_receive_units }) =
+            self.slices.rates.outcome_behind_waiters(call.tenant, call.units, now)
         {
-            return queue.wait_for_rate(call, RateRefill { wait, interval, may_get_more }, now);
+            return queue.wait_for_rate(call, RateRefill { wait, interval, may_receive_units }, now);
         }
         queue.wait_for_holder(call, now, effects)
     }
@@ -113,7 +113,7 @@
         self.quota_queues
             .lock_shard(tenant)
             .get_mut(tenant)
-            .is_some_and(|queue| queue.waiters.remove_first(|waiter| waiter.call_id == call_id).is_some())
+            .is_some_and(|queue| queue.waiters.remove_matching(|waiter| waiter.call_id == call_id).is_some())
     }
 
     /// Grants the available units to the waiting calls, or notifies them that the quota is exhausted.
@@ -131,8 +131,12 @@
                 NextGrant::Rejected(AcquireOutcome::WindowSpent { remaining }) => {
                     wakeups.extend(queue.drop_all(tenant, Event::WindowSpent(remaining)));
                 }
-                NextGrant::Rejected(AcquireOutcome::RateExhausted { wait, interval, may_get_more }) => {
-                    wakeups.extend(queue.drop_past_deadline(tenant, RateRefill { wait, interval, may_get_more }, now));
+                NextGrant::Rejected(AcquireOutcome::RateExhausted { wait, interval, may_receive_units }) => {
+                    wakeups.extend(queue.drop_past_deadline(
+                        tenant,
+                        RateRefill { wait, interval, may_receive_units },
+                        now,
+                    ));
                     break;
                 }
                 NextGrant::Rejected(AcquireOutcome::Empty | AcquireOutcome::Acquired { .. }) => {
@@ -150,7 +154,7 @@
         };
         let mut first_rejection = None;
         let next = queue.waiters.pop(|waiter| match self.slices.acquire_for_waiter(tenant, waiter.units, now) {
-            AcquireOutcome::Acquired { window, until, .. } => Some(QuotaUnit { window, expires_at: until }),
+            AcquireOutcome::Acquired { window, expires_at, .. } => Some(QuotaUnit { window, expires_at }),
             rejection => {
                 first_rejection.get_or_insert(rejection);
                 None
@@ -165,7 +169,7 @@
                 return granted(smaller);
             }
             let smallest = queue.waiters.iter().map(|waiter| waiter.units).min().unwrap_or(1);
-            self.slices.rates.set_smallest_call(tenant, smallest);
+            self.slices.rates.set_smallest_waiting_call(tenant, smallest);
         }
         NextGrant::Rejected(rejection)
     }
@@ -174,7 +178,7 @@
     /// queued behind a call that needs too many.
     fn grant_smaller(&self, queue: &mut TenantQueue, tenant: &str, now: Micros) -> Option<(UnitWaiter, QuotaUnit)> {
         queue.waiters.pop_any(|waiter| match self.slices.rates.acquire_for_waiter(tenant, waiter.units, now)? {
-            AcquireOutcome::Acquired { window, until, .. } => Some(QuotaUnit { window, expires_at: until }),
+            AcquireOutcome::Acquired { window, expires_at, .. } => Some(QuotaUnit { window, expires_at }),
             _ => None,
         })
     }
@@ -214,7 +218,7 @@
     fn wait_for_rate(&mut self, call: &QueuedCall, refill: RateRefill, now: Micros) -> UnitOutcome {
         let queued_wait = refill.interval.saturating_mul(self.waiters.len() as u64);
         let available_at = queued_wait.saturating_add(refill.wait).saturating_add(now);
-        if !refill.may_get_more && available_at > call.rate_deadline {
+        if !refill.may_receive_units && available_at > call.rate_deadline {
             return UnitOutcome::Exhausted { retry_after: RateRefill::retry_after(available_at - now) };
         }
         self.unanswered_since = None;
@@ -237,8 +241,11 @@
     fn drop_past_deadline(&mut self, tenant: &str, refill: RateRefill, now: Micros) -> impl Iterator<Item = Wakeup> {
         let mut available_at = now.saturating_add(refill.wait);
         let dropped = self.waiters.drain_where(|waiter, _| {
-            let is_past_deadline =
-                if refill.may_get_more { now >= waiter.rate_deadline } else { available_at > waiter.rate_deadline };
+            let is_past_deadline = if refill.may_receive_units {
+                now >= waiter.rate_deadline
+            } else {
+                available_at > waiter.rate_deadline
+            };
             if !is_past_deadline {
                 available_at = available_at.saturating_add(refill.interval);
             }
--- a/crates/core/src/call/rejections.rs
+++ b/crates/core/src/call/rejections.rs
@@ -77,7 +77,7 @@
     /// The worker did not respond before the deadline.
     WorkerTimedOut = "worker_slow", 504, "worker_slow";
     /// The call was not sent with HTTP/1.1.
-    HttpVersion = "http_version", 505, "http_version";
+    UnsupportedHttpVersion = "http_version", 505, "http_version";
 }
 
 /// The number of rejected calls, by reason.
@@ -116,7 +116,7 @@
     /// Returns the counts by reason since the last log line, such as `full=3 quota=12`; `None` if the
     /// next line is not due or no call was rejected.
     #[must_use]
-    pub fn line(&mut self, rejections: &RejectionCounters, now: Micros) -> Option<String> {
+    pub fn poll_line(&mut self, rejections: &RejectionCounters, now: Micros) -> Option<String> {
         if now < self.next_line_at {
             return None;
         }
--- a/crates/core/src/call/slot_queue.rs
+++ b/crates/core/src/call/slot_queue.rs
@@ -86,7 +86,7 @@
             && let Some(index) = self.choose_worker(table, &request, view, now)
         {
             let endpoint = &table.endpoints[index];
-            self.worker_loads.begin(&endpoint.worker_id);
+            self.worker_loads.record_start(&endpoint.worker_id);
             return SlotOutcome::Reserved(endpoint.clone());
         }
         enqueue_for_slot(queue, request, call, now, effects)
@@ -97,7 +97,7 @@
     fn choose_worker(&self, table: &PlacementTable, request: &SlotRequest, view: &View, now: Micros) -> Option<usize> {
         let Some(prompt) = request.prompt else {
             let loads = self.worker_loads.current(table);
-            return table.nominate(request.prefix_hash, &self.zone, &loads, request.excluded);
+            return table.choose_by_ring(request.prefix_hash, &self.zone, &loads, request.excluded);
         };
         let configured = view.config.pools.get(request.pool).map(|pool| &pool.placement_weights);
         let defaults = PlacementWeights::default();
@@ -117,7 +117,7 @@
         self.slot_queues
             .lock_shard(pool)
             .get_mut(pool)
-            .is_some_and(|queue| queue.remove_first(|waiter| waiter.call_id == call_id).is_some())
+            .is_some_and(|queue| queue.remove_matching(|waiter| waiter.call_id == call_id).is_some())
     }
 
     /// Returns the retry-after time of a call that was rejected for lack of slots, in microseconds from now.
@@ -129,10 +129,10 @@
     /// Releases a slot and assigns free slots to the waiting calls.
     pub(super) fn release_slot(slot: &ReservedSlot, context: &mut StepContext) -> Vec<Wakeup> {
         let (shared, worker_id) = (context.shared, &slot.endpoint.worker_id);
-        shared.worker_loads.end(worker_id);
+        shared.worker_loads.record_end(worker_id);
         shared.engines.record_end(&slot.pool, worker_id, slot.ticket, CallOutcome::Done, context.now);
         if let Some(queue) = shared.slot_queues.lock_shard(&slot.pool).get_mut(&slot.pool) {
-            queue.record_freed(context.now);
+            queue.record_slot_freed(context.now);
         }
         SharedCallState::serve_slot_queue(&slot.pool, context)
     }
@@ -155,7 +155,7 @@
             };
             let Some((waiter, index)) = queue.pop(choose) else { break };
             let endpoint = &table.endpoints[index];
-            shared.worker_loads.begin(&endpoint.worker_id);
+            shared.worker_loads.record_start(&endpoint.worker_id);
             wakeups.push(wakeup(waiter.call_id, Event::SlotAssigned(endpoint.clone())));
         }
         let unplaceable = queue.drain_where(|waiter, _| excludes_all(&waiter.excluded, &table)).into_iter();
@@ -173,7 +173,7 @@
             queue: pool.to_owned(),
             event: Event::DroppedFromQueue(retry_after),
         };
-        queue.drain_hopeless(now).into_iter().map(drop_waiter).collect()
+        queue.drain_unservable(now).into_iter().map(drop_waiter).collect()
     }
 }
 
--- a/crates/core/src/call/state.rs
+++ b/crates/core/src/call/state.rs
@@ -257,9 +257,9 @@
     /// that can be resumed at another worker.
     #[must_use]
     pub fn stream_idle_timeout(&self) -> Micros {
-        let Match { max_stream_gap, resumable, idle_timeout, .. } = *self.matched;
-        if max_stream_gap > 0 && resumable {
-            idle_timeout.min((IDLE_GAP_MULTIPLIER * max_stream_gap).max(MIN_RESUMABLE_IDLE_TIMEOUT))
+        let Match { max_stream_pause, resumable, idle_timeout, .. } = *self.matched;
+        if max_stream_pause > 0 && resumable {
+            idle_timeout.min((IDLE_GAP_MULTIPLIER * max_stream_pause).max(MIN_RESUMABLE_IDLE_TIMEOUT))
         } else {
             idle_timeout
         }
--- a/crates/core/src/call/steps/acquire_unit.rs
+++ b/crates/core/src/call/steps/acquire_unit.rs
@@ -146,8 +146,8 @@
 pub(super) fn replace_unit(granted: &mut QuotaGranted, context: &StepContext) -> bool {
     let tenant = &granted.request.route.tenant.name;
     let outcome = context.shared.slices.acquire_units(tenant, granted.request.units, context.now);
-    let AcquireOutcome::Acquired { window, until, .. } = outcome else { return false };
-    granted.unit = QuotaUnit { window, expires_at: until };
+    let AcquireOutcome::Acquired { window, expires_at, .. } = outcome else { return false };
+    granted.unit = QuotaUnit { window, expires_at };
     true
 }
 
--- a/crates/core/src/call/steps/admission.rs
+++ b/crates/core/src/call/steps/admission.rs
@@ -67,7 +67,7 @@
 /// Admits a call without a known key only to a match that allows anonymous calls.
 fn authenticate_anonymous(call: Call<Received>) -> StepResult<Call<Authenticated>> {
     let config = &call.view.config;
-    let matched = config.find(&call.head.method, &call.head.host, &call.head.path);
+    let matched = config.find_match(&call.head.method, &call.head.host, &call.head.path);
     if config.requires_key() && matched.is_none_or(|matched| !matched.allows_anonymous) {
         return ControlFlow::Break(Halt::Respond(invalid_key()));
     }
@@ -78,7 +78,7 @@
 fn choose_route(call: Call<Authenticated>) -> StepResult<Call<Routed>> {
     let Authenticated { tenant, .. } = &call.state;
     let may_use = |name: &String| tenant.matches.as_ref().is_none_or(|allowed| allowed.contains(name));
-    let matched = call.view.config.find(&call.head.method, &call.head.host, &call.head.path);
+    let matched = call.view.config.find_match(&call.head.method, &call.head.host, &call.head.path);
     let Some(matched) = matched.filter(|matched| may_use(&matched.name)).cloned() else {
         let remedy = "no match of your tenant has this method and path; ask the operator which there are";
         return ControlFlow::Break(Halt::Respond(LocalResponse::new(RejectionReason::NoMatch, remedy)));
--- a/crates/core/src/call/steps/attempt.rs
+++ b/crates/core/src/call/steps/attempt.rs
@@ -12,7 +12,7 @@
 use crate::call::rejections::RejectionReason;
 use crate::call::release::disconnect;
 use crate::call::state::{AwaitingHead, Call, CallState, Connecting, QuotaGranted};
-use crate::config::Limit;
+use crate::config::QuotaLimit;
 use crate::retry::{Execution, FailurePoint};
 use std::ops::ControlFlow;
 
@@ -101,7 +101,7 @@
 /// Whether a retry needs a unit of the current window in addition to its expired unit: the
 /// previous attempt may have run in the old window, and the retry runs in the current one.
 fn counts_in_current_window(granted: &QuotaGranted) -> bool {
-    let has_windows = matches!(granted.request.route.tenant.quota, Limit::Window(_));
+    let has_windows = matches!(granted.request.route.tenant.quota, QuotaLimit::Window(_));
     has_windows && granted.request.attempts.execution == Execution::Unknown && granted.stream.is_none()
 }
 
@@ -197,7 +197,7 @@
         context.shared.engines.record_load(&slot.pool, &slot.endpoint.worker_id, running, waiting, context.now);
     }
     if head.not_run {
-        context.shared.worker_loads.mark_full(&slot.endpoint.worker_id, slot.endpoint.slots);
+        context.shared.worker_loads.record_full(&slot.endpoint.worker_id, slot.endpoint.slots);
         call.state.granted.request.attempts.declined.push(slot.endpoint.worker_id.clone());
         return fail_after_send(call, FailurePoint::Declined, context, effects);
     }
@@ -246,7 +246,7 @@
         && matched.latency_target > 0
         && matched.idempotent
         && granted.request.attempts.sent < matched.max_attempts
-        && context.shared.retry_budget.has_enough()
+        && context.shared.retry_budget.allows_retry()
 }
 
 /// Continues the stream with the response of the worker that resumes it, or ends the call if that
--- a/crates/core/src/call/steps/body.rs
+++ b/crates/core/src/call/steps/body.rs
@@ -8,7 +8,7 @@
 use crate::call::progress::{StepResult, or_respond};
 use crate::call::rejections::RejectionReason;
 use crate::call::state::{Attempts, BodyRead, Call, CallState, Routed};
-use crate::config::{Kind, Match};
+use crate::config::{Match, TrafficKind};
 use crate::placement::PromptRequest;
 use bytes::Bytes;
 use sonic_rs::{JsonValueTrait, LazyValue};
@@ -50,7 +50,7 @@
         parts: head.prompt_parts.iter().copied().collect(),
         max_output_tokens,
         latency_target: if matched.latency_target > 0 { matched.latency_target } else { SEC / 2 },
-        max_stream_gap: matched.max_stream_gap,
+        max_stream_pause: matched.max_stream_pause,
         time_left: route.deadline.saturating_sub(context.now).min(matched.first_byte_timeout),
         urgency: route.urgency().unwrap_or(DEFAULT_URGENCY),
         bytes: u32::try_from(body_size).unwrap_or(u32::MAX).saturating_add(output_bytes),
@@ -80,7 +80,7 @@
     if matched.has_prompt_parts {
         return Ok(shared_parts_hash(call_id, head));
     }
-    if body.is_empty() && (head.method == "GET" || matched.kind == Kind::Lookup) {
+    if body.is_empty() && (head.method == "GET" || matched.kind == TrafficKind::Lookup) {
         let query = head.query.as_deref().unwrap_or("");
         return Ok(hash64(format!("{}?{query}", head.path).as_bytes()));
     }
@@ -105,7 +105,7 @@
     let pointer = || matched.prompt.join("/");
     let prompt = match sonic_rs::get_from_slice(body, &matched.prompt) {
         Ok(prompt) => prompt,
-        Err(_) if matched.kind == Kind::Lookup => return Ok(hash64(body)),
+        Err(_) if matched.kind == TrafficKind::Lookup => return Ok(hash64(body)),
         Err(_) => return Err(reject(&format!("the prompt at /{} is missing", pointer()))),
     };
     let Some(text) = prompt.as_str() else {
--- a/crates/core/src/config/check/defaults.rs
+++ b/crates/core/src/config/check/defaults.rs
@@ -4,7 +4,7 @@
 use super::reader::ObjectReader;
 use super::syntax::unescape_pointer;
 use crate::base::{MS, Micros};
-use crate::config::{Kind, Match, RevocationPolicy};
+use crate::config::{Match, RevocationPolicy, TrafficKind};
 
 /// The members that both the defaults and a match may have.
 pub const SHARED_MEMBERS: [&str; 16] = [
@@ -44,9 +44,9 @@
         path_prefix: None,
         pool: String::new(),
         weighted_pools: Vec::new(),
-        kind: Kind::Chat,
+        kind: TrafficKind::Chat,
         latency_target: 0,
-        max_stream_gap: 0,
+        max_stream_pause: 0,
         max_attempts: 16,
         urgency: None,
         allows_anonymous: false,
@@ -86,7 +86,7 @@
 }
 
 fn latency_targets(settings: &mut Match) -> Vec<(&'static str, &mut Micros)> {
-    vec![("aim_ms", &mut settings.latency_target), ("gap_ms", &mut settings.max_stream_gap)]
+    vec![("aim_ms", &mut settings.latency_target), ("gap_ms", &mut settings.max_stream_pause)]
 }
 
 fn read_times(
@@ -136,7 +136,7 @@
 
 fn read_kind(object: &ObjectReader, settings: &mut Match, errors: &mut Vec<ConfigError>) {
     let Some(text) = object.text("kind", errors) else { return };
-    match Kind::parse(text) {
+    match TrafficKind::parse(text) {
         Some(kind) => settings.kind = kind,
         None => object.reject("kind", "lookup, chat, draft or summary", errors),
     }
--- a/crates/core/src/config/check/document.rs
+++ b/crates/core/src/config/check/document.rs
@@ -9,12 +9,13 @@
 use super::syntax::check_syntax;
 use super::tenants::{MAX_PRIORITY_WEIGHT, TenantDefaults, add_tenant};
 use crate::base::SEC;
-use crate::config::{CompiledConfig, Limit, Match, Measure, PlacementWeights, WindowQuota};
+use crate::config::{CompiledConfig, Match, PlacementWeights, QuotaLimit, QuotaMeasure, WindowQuota};
 
 /// The maximum revision: all JSON parsers represent integers up to it exactly.
 const MAX_REVISION: u64 = 1 << 53;
 /// The limit that applies where neither a tenant nor the document's defaults set one.
-const BUILT_IN_QUOTA: (Limit, Measure) = (Limit::Window(WindowQuota { calls: 100, window: SEC }), Measure::Calls);
+const BUILT_IN_QUOTA: (QuotaLimit, QuotaMeasure) =
+    (QuotaLimit::Window(WindowQuota { calls: 100, window: SEC }), QuotaMeasure::Calls);
 
 /// Validates and compiles a document.
 ///
--- a/crates/core/src/config/check/limits.rs
+++ b/crates/core/src/config/check/limits.rs
@@ -3,7 +3,7 @@
 use super::ConfigError;
 use super::reader::ObjectReader;
 use crate::base::MS;
-use crate::config::{Limit, Measure, Rate, WindowQuota};
+use crate::config::{QuotaLimit, QuotaMeasure, Rate, WindowQuota};
 use sonic_rs::JsonValueTrait;
 
 /// The members of a rate.
@@ -17,11 +17,11 @@
 
 /// Reads the limit of a tenant or of the defaults and the unit that the limit counts; `None` if the limit is
 /// absent or invalid.
-pub fn quota(parent: &ObjectReader, errors: &mut Vec<ConfigError>) -> Option<(Limit, Measure)> {
+pub fn quota(parent: &ObjectReader, errors: &mut Vec<ConfigError>) -> Option<(QuotaLimit, QuotaMeasure)> {
     let value = parent.member("quota")?;
     if value.is_str() {
         if value.as_str() == Some("none") {
-            return Some((Limit::Unlimited, Measure::Calls));
+            return Some((QuotaLimit::Unlimited, QuotaMeasure::Calls));
         }
         parent.reject("quota", "\"none\", a rate with a burst, or calls in a window_ms", errors);
         return None;
@@ -33,19 +33,19 @@
     window_quota(&quota, errors)
 }
 
-fn window_quota(quota: &ObjectReader, errors: &mut Vec<ConfigError>) -> Option<(Limit, Measure)> {
+fn window_quota(quota: &ObjectReader, errors: &mut Vec<ConfigError>) -> Option<(QuotaLimit, QuotaMeasure)> {
     quota.reject_unknown(&WINDOW_MEMBERS, errors);
     for name in WINDOW_MEMBERS {
         quota.require(name, "a whole number", errors);
     }
     let calls = quota.integer("calls", 1, 1_000_000_000, errors);
     let window_ms = quota.integer("window_ms", 100, 86_400_000, errors);
-    Some((Limit::Window(WindowQuota { calls: calls?, window: window_ms? * MS }), Measure::Calls))
+    Some((QuotaLimit::Window(WindowQuota { calls: calls?, window: window_ms? * MS }), QuotaMeasure::Calls))
 }
 
 /// Reads a rate. `over` (a fraction) and `slack` (units) set by how much the limit may be exceeded. The
 /// rate includes this allowance in full, minus the units that late use may add to an interval.
-fn rate_quota(quota: &ObjectReader, errors: &mut Vec<ConfigError>) -> Option<(Limit, Measure)> {
+fn rate_quota(quota: &ObjectReader, errors: &mut Vec<ConfigError>) -> Option<(QuotaLimit, QuotaMeasure)> {
     quota.reject_unknown(&RATE_MEMBERS, errors);
     for name in ["rate", "burst"] {
         quota.require(name, "a number", errors);
@@ -59,21 +59,21 @@
     let allowance = slack + burst * over / 1000;
     let late_use = rate / LATE_USE_DIVISOR;
     let burst_milli = match measure {
-        Measure::Calls => burst + allowance.saturating_sub(late_use),
+        QuotaMeasure::Calls => burst + allowance.saturating_sub(late_use),
         // A few calls may use a large part of a limit in tokens, so late use is subtracted from the
         // burst itself where the slack doesn't cover it.
-        Measure::Tokens { .. } => (burst + allowance).saturating_sub(late_use).max(burst / 2),
+        QuotaMeasure::Tokens { .. } => (burst + allowance).saturating_sub(late_use).max(burst / 2),
     };
-    Some((Limit::Rate(Rate { milli_per_second: rate + rate * over / 1000, burst_milli }), measure))
+    Some((QuotaLimit::Rate(Rate { milli_per_second: rate + rate * over / 1000, burst_milli }), measure))
 }
 
 /// Reads the unit that a rate counts: calls, unless the document names tokens.
-fn measure(quota: &ObjectReader, errors: &mut Vec<ConfigError>) -> Option<Measure> {
+fn measure(quota: &ObjectReader, errors: &mut Vec<ConfigError>) -> Option<QuotaMeasure> {
     let default_units =
         quota.integer("untold", 1, u64::from(u32::MAX), errors).and_then(|units| u32::try_from(units).ok());
     match quota.member("measure").map(|value| value.as_str()) {
-        None | Some(Some("calls")) => Some(Measure::Calls),
-        Some(Some("tokens")) => Some(Measure::Tokens { default_units: default_units.unwrap_or(1) }),
+        None | Some(Some("calls")) => Some(QuotaMeasure::Calls),
+        Some(Some("tokens")) => Some(QuotaMeasure::Tokens { default_units: default_units.unwrap_or(1) }),
         Some(_) => {
             quota.reject("measure", "calls or tokens", errors);
             None
--- a/crates/core/src/config/check/tenants.rs
+++ b/crates/core/src/config/check/tenants.rs
@@ -4,7 +4,7 @@
 use super::defaults::{revocation_policy, urgency};
 use super::limits::quota;
 use super::reader::ObjectReader;
-use crate::config::{CompiledConfig, Limit, Measure, Tenant};
+use crate::config::{CompiledConfig, QuotaLimit, QuotaMeasure, Tenant};
 use sonic_rs::JsonValueTrait;
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy)]
 pub struct TenantDefaults {
     /// The limit and the unit that it counts.
-    pub quota: (Limit, Measure),
+    pub quota: (QuotaLimit, QuotaMeasure),
     /// The priority weight relative to other tenants, from 1 to [`MAX_PRIORITY_WEIGHT`].
     pub weight: u64,
 }
--- a/crates/core/src/config/compiled/effective.rs
+++ b/crates/core/src/config/compiled/effective.rs
@@ -1,6 +1,6 @@
 //! The effective settings of one match or tenant, including inherited values, as JSON.
 
-use super::{CompiledConfig, Limit, Match, Measure, Tenant};
+use super::{CompiledConfig, Match, QuotaLimit, QuotaMeasure, Tenant};
 use crate::base::MS;
 use crate::config::object_writer::ObjectWriter;
 
@@ -9,7 +9,7 @@
 
 /// Returns the settings of one match or tenant, including every inherited value; `None` if `collection`
 /// is neither `matches` nor `tenants`, or has no item of this name.
-pub fn effective(config: &CompiledConfig, collection: &str, name: &str) -> Option<String> {
+pub fn effective_settings(config: &CompiledConfig, collection: &str, name: &str) -> Option<String> {
     match collection {
         "matches" => config.matches.get(name).map(|settings| match_settings(settings)),
         "tenants" => config.tenants.get(name).map(|tenant| tenant_settings(config, tenant)),
@@ -37,7 +37,7 @@
     object.add_optional_text("under", settings.path_prefix.as_deref());
     object.add_json("split", &pool_weights(&settings.weighted_pools));
     object.add_plain("aim_ms", settings.latency_target / MS);
-    object.add_plain("gap_ms", settings.max_stream_gap / MS);
+    object.add_plain("gap_ms", settings.max_stream_pause / MS);
     object.add_plain("tries", settings.max_attempts);
     add_urgency(&mut object, settings.urgency);
     object.add_plain("open", settings.allows_anonymous);
@@ -77,18 +77,18 @@
 }
 
 /// Formats a quota. A rate includes the allowance that `over` and `slack` add to it.
-fn quota(limit: Limit, measure: Measure) -> String {
+fn quota(limit: QuotaLimit, measure: QuotaMeasure) -> String {
     let mut object = ObjectWriter::with_capacity(TYPICAL_SETTINGS_BYTES);
     match limit {
-        Limit::Unlimited => return "\"none\"".to_owned(),
-        Limit::Window(window) => {
+        QuotaLimit::Unlimited => return "\"none\"".to_owned(),
+        QuotaLimit::Window(window) => {
             object.add_plain("calls", window.calls);
             object.add_plain("window_ms", window.window / MS);
         }
-        Limit::Rate(rate) => {
+        QuotaLimit::Rate(rate) => {
             object.add_plain("rate", decimal(rate.milli_per_second));
             object.add_plain("burst", decimal(rate.burst_milli));
-            if let Measure::Tokens { default_units } = measure {
+            if let QuotaMeasure::Tokens { default_units } = measure {
                 object.add_text("measure", "tokens");
                 object.add_plain("untold", default_units);
             }
--- a/crates/core/src/config/compiled/limits.rs
+++ b/crates/core/src/config/compiled/limits.rs
@@ -22,7 +22,7 @@
 
 /// The unit that a rate counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Measure {
+pub enum QuotaMeasure {
     /// Each call is one unit.
     #[default]
     Calls,
@@ -33,13 +33,13 @@
     },
 }
 
-impl Measure {
+impl QuotaMeasure {
     /// Returns the number of units of a call with these counts of input and output tokens. Both counts are 0
     /// if they are unknown.
     pub fn units(self, (tokens_in, tokens_out): (u32, u32)) -> u32 {
         match self {
-            Measure::Calls => 1,
-            Measure::Tokens { default_units } => match tokens_in.saturating_add(tokens_out) {
+            QuotaMeasure::Calls => 1,
+            QuotaMeasure::Tokens { default_units } => match tokens_in.saturating_add(tokens_out) {
                 0 => default_units.max(1),
                 tokens => tokens,
             },
@@ -49,7 +49,7 @@
 
 /// The limit on a tenant's calls over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Limit {
+pub enum QuotaLimit {
     /// A limit on the number of calls in each time window.
     Window(WindowQuota),
     /// A token bucket.
--- a/crates/core/src/config/compiled/mod.rs
+++ b/crates/core/src/config/compiled/mod.rs
@@ -9,10 +9,10 @@
 mod route;
 mod tenant;
 
-pub use effective::effective;
-pub use limits::{Limit, Measure, Rate, WindowQuota};
+pub use effective::effective_settings;
+pub use limits::{QuotaLimit, QuotaMeasure, Rate, WindowQuota};
 pub use pool::{PlacementWeights, Pool};
-pub use route::{Kind, Match, RevocationPolicy};
+pub use route::{Match, RevocationPolicy, TrafficKind};
 pub use tenant::Tenant;
 
 use super::check::{ConfigError, validate};
@@ -48,11 +48,11 @@
     /// Compiles a document that was validated before it was decided. An invalid document gives an empty
     /// configuration.
     pub fn compile(version: u64, document: &str) -> CompiledConfig {
-        CompiledConfig::parse_with(validate, version, document)
+        CompiledConfig::compile_with(validate, version, document)
     }
 
     /// Compiles a document with `reader`. An invalid document gives an empty configuration.
-    pub fn parse_with(reader: ConfigReader, version: u64, document: &str) -> CompiledConfig {
+    pub fn compile_with(reader: ConfigReader, version: u64, document: &str) -> CompiledConfig {
         let mut config = reader(document).unwrap_or_default();
         config.version = version;
         config
@@ -60,7 +60,7 @@
 
     /// Finds the match of a call: first by path pattern, then by the longest path prefix of the
     /// call's host, then by the longest path prefix of matches for every host.
-    pub fn find(&self, method: &str, host: &str, path: &str) -> Option<&Arc<Match>> {
+    pub fn find_match(&self, method: &str, host: &str, path: &str) -> Option<&Arc<Match>> {
         let exact = self.paths.get(method).and_then(|router| router.at(path).ok()).map(|found| found.value);
         if let Some(found) = exact.filter(|found| found.host.as_deref().is_none_or(|own| own == host)) {
             return Some(found);
--- a/crates/core/src/config/compiled/route.rs
+++ b/crates/core/src/config/compiled/route.rs
@@ -4,7 +4,7 @@
 
 /// A kind of traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kind {
+pub enum TrafficKind {
     /// Lookups, with the highest priority weight.
     Lookup,
     /// Conversations.
@@ -15,32 +15,33 @@
     Summary,
 }
 
-impl Kind {
+impl TrafficKind {
     /// All kinds, in the order of their discriminants.
-    pub const ALL: [Kind; 4] = [Kind::Lookup, Kind::Chat, Kind::Draft, Kind::Summary];
+    pub const ALL: [TrafficKind; 4] =
+        [TrafficKind::Lookup, TrafficKind::Chat, TrafficKind::Draft, TrafficKind::Summary];
 
     /// Returns the name in documents.
     pub fn name(self) -> &'static str {
         match self {
-            Kind::Lookup => "lookup",
-            Kind::Chat => "chat",
-            Kind::Draft => "draft",
-            Kind::Summary => "summary",
+            TrafficKind::Lookup => "lookup",
+            TrafficKind::Chat => "chat",
+            TrafficKind::Draft => "draft",
+            TrafficKind::Summary => "summary",
         }
     }
 
     /// Returns the kind with this name.
-    pub fn parse(name: &str) -> Option<Kind> {
-        Kind::ALL.into_iter().find(|kind| kind.name() == name)
+    pub fn parse(name: &str) -> Option<TrafficKind> {
+        TrafficKind::ALL.into_iter().find(|kind| kind.name() == name)
     }
 
     /// Returns the priority weight of this kind in the slot queues.
     pub fn weight(self) -> u64 {
         match self {
-            Kind::Lookup => 8,
-            Kind::Chat => 4,
-            Kind::Draft => 2,
-            Kind::Summary => 1,
+            TrafficKind::Lookup => 8,
+            TrafficKind::Chat => 4,
+            TrafficKind::Draft => 2,
+            TrafficKind::Summary => 1,
         }
     }
 }
@@ -88,11 +89,11 @@
     /// The pools that share the calls, with their weights; replaces `pool`.
     pub weighted_pools: Vec<(String, u32)>,
     /// The kind of traffic; chat by default.
-    pub kind: Kind,
+    pub kind: TrafficKind,
     /// The target for the time to the first token; 0 (the default) if there is none.
     pub latency_target: Micros,
     /// The target for the longest gap between events of a stream; 0 (the default) if there is none.
-    pub max_stream_gap: Micros,
+    pub max_stream_pause: Micros,
     /// The maximum number of attempts of a call, each at another worker; 16 by default.
     pub max_attempts: u32,
     /// The urgency of the calls, 0 is served first; `None` if not configured.
--- a/crates/core/src/config/compiled/tenant.rs
+++ b/crates/core/src/config/compiled/tenant.rs
@@ -1,6 +1,6 @@
 //! Tenants: the customers that own API keys.
 
-use super::{Limit, Measure, RevocationPolicy};
+use super::{QuotaLimit, QuotaMeasure, RevocationPolicy};
 
 /// The settings of one tenant. The tenant's keys are in [`super::CompiledConfig::keys`].
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -8,9 +8,9 @@
     /// The name in the document; empty for the anonymous tenant.
     pub name: String,
     /// The limit on the tenant's calls over all nodes.
-    pub quota: Limit,
+    pub quota: QuotaLimit,
     /// The unit that the limit counts.
-    pub measure: Measure,
+    pub measure: QuotaMeasure,
     /// The priority weight relative to other tenants, from 1 to 1000.
     pub weight: u64,
     /// The urgency of the tenant's calls, 0 is served first; takes precedence over the match's urgency.
@@ -26,8 +26,8 @@
     pub fn anonymous() -> Tenant {
         Tenant {
             name: String::new(),
-            quota: Limit::Unlimited,
-            measure: Measure::Calls,
+            quota: QuotaLimit::Unlimited,
+            measure: QuotaMeasure::Calls,
             weight: 1,
             urgency: None,
             revocation_policy: None,
--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -11,7 +11,7 @@
 
 pub use check::{ConfigError, validate};
 pub use compiled::{
-    CompiledConfig, ConfigReader, Kind, Limit, Match, Measure, PlacementWeights, Pool, Rate, RevocationPolicy, Tenant,
-    WindowQuota, effective,
+    CompiledConfig, ConfigReader, Match, PlacementWeights, Pool, QuotaLimit, QuotaMeasure, Rate, RevocationPolicy,
+    Tenant, TrafficKind, WindowQuota, effective_settings,
 };
 pub use patch::{Item, ListPatch, Patch};
--- a/crates/core/src/config/patch.rs
+++ b/crates/core/src/config/patch.rs
@@ -83,7 +83,7 @@
     }
 
     /// Returns the errors of the patch itself, independent of the document that it is applied to.
-    pub fn troubles(&self) -> Vec<ConfigError> {
+    pub fn validation_errors(&self) -> Vec<ConfigError> {
         if self.lists.iter().all(|list| list.put.is_empty() && list.remove.is_empty()) {
             let expected = "an item to put or a name to remove".into();
             return vec![ConfigError::Missing { pointer: String::new(), expected }];
@@ -109,7 +109,7 @@
         if *self == Patch::unchanged() {
             return Ok(document.to_owned());
         }
-        let errors = self.troubles();
+        let errors = self.validation_errors();
         if !errors.is_empty() {
             return Err(errors);
         }
--- a/crates/core/src/consensus/digest_log.rs
+++ b/crates/core/src/consensus/digest_log.rs
@@ -54,7 +54,7 @@
 
     /// Inserts the digests of versions that are neither present nor too old, and returns the inserted
     /// digests. Of several digests of one version the first is inserted.
-    pub fn insert_all(&mut self, digests: impl IntoIterator<Item = EntryDigest>) -> Vec<EntryDigest> {
+    pub fn insert_missing(&mut self, digests: impl IntoIterator<Item = EntryDigest>) -> Vec<EntryDigest> {
         let lowest = self.lowest_retained_version();
         let mut versions = BTreeSet::new();
         let mut is_new = |digest: &EntryDigest| {
--- a/crates/core/src/consensus/durable.rs
+++ b/crates/core/src/consensus/durable.rs
@@ -91,7 +91,7 @@
             DurableWrite::Accept { ballot, entry } => self.accepted = Some((*ballot, entry.clone())),
             DurableWrite::Commit(entry) => self.apply_commit(entry),
             DurableWrite::Digests(digests) => {
-                self.digests.insert_all(digests.iter().copied());
+                self.digests.insert_missing(digests.iter().copied());
             }
             DurableWrite::Epoch { role, epoch } => {
                 self.epochs.insert(*role, *epoch);
@@ -108,7 +108,7 @@
 
     /// Adds a decided entry and its digest, and trims the history.
     fn apply_commit(&mut self, entry: &LogEntry) {
-        self.digests.insert_all([EntryDigest::of(entry)]);
+        self.digests.insert_missing([EntryDigest::of(entry)]);
         self.entries.insert(entry.version, entry.clone());
         trim_history(&mut self.entries);
     }
--- a/crates/core/src/consensus/history.rs
+++ b/crates/core/src/consensus/history.rs
@@ -13,7 +13,7 @@
 
 /// Returns the lowest version that is retained with its body, given all versions and their body sizes in
 /// bytes, the newest first.
-pub fn lowest_kept_version(sizes: impl Iterator<Item = (Version, usize)>) -> Version {
+pub fn lowest_retained_version(sizes: impl Iterator<Item = (Version, usize)>) -> Version {
     let mut lowest = Version::MAX;
     let mut bytes = 0;
     for (count, (version, size)) in sizes.enumerate() {
@@ -29,7 +29,7 @@
 
 /// Removes the oldest versions until the history is within its bounds.
 pub fn trim_history(history: &mut BTreeMap<Version, LogEntry>) {
-    let lowest = lowest_kept_version(history.values().rev().map(|entry| (entry.version, entry.body.len())));
+    let lowest = lowest_retained_version(history.values().rev().map(|entry| (entry.version, entry.body.len())));
     while history.first_key_value().is_some_and(|(version, _)| *version < lowest) {
         history.pop_first();
     }
--- a/crates/core/src/consensus/mod.rs
+++ b/crates/core/src/consensus/mod.rs
@@ -11,6 +11,6 @@
 
 pub use digest_log::{ChangeStatus, DigestLog, MAX_DIGESTS};
 pub use durable::{DurableState, DurableWrite};
-pub use history::{MAX_HISTORY_BYTES, MAX_HISTORY_ENTRIES, lowest_kept_version, trim_history};
+pub use history::{MAX_HISTORY_BYTES, MAX_HISTORY_ENTRIES, lowest_retained_version, trim_history};
 pub use patch_chain::PatchChain;
 pub use state::{ConsensusState, PendingChange, Phase, Proposal, Requester, is_majority};
--- a/crates/core/src/consensus/state.rs
+++ b/crates/core/src/consensus/state.rs
@@ -30,7 +30,7 @@
     /// The current phase.
     pub phase: Phase,
     /// The voters that have promised or accepted in the current phase.
-    pub answered: BTreeSet<NodeId>,
+    pub responders: BTreeSet<NodeId>,
     /// The accepted entry with the highest ballot among those that promises reported. Only used in the
     /// prepare phase; the entry becomes the value.
     pub highest_accepted: Option<(Ballot, LogEntry)>,
@@ -64,7 +64,7 @@
 impl PendingChange {
     /// Returns true if this core alone received the change and has not proposed it. A node that forwards a
     /// change may have sent the change to another core too.
-    pub fn is_known_here_alone(&self) -> bool {
+    pub fn is_unshared(&self) -> bool {
         self.is_first_send && !self.was_proposed && !matches!(self.requester, Requester::Peer { .. })
     }
 
@@ -121,7 +121,7 @@
     pub backoff_until: Micros,
     /// The end of the time that this core leaves to another proposer's ballot, in microseconds of this core's
     /// clock: this core starts no ballot before it.
-    pub yields_until: Micros,
+    pub yield_until: Micros,
     /// The highest ballot number that this core has used or been rejected with.
     pub ballot_number: u64,
     /// The changes that await their decision, in the order of arrival.
@@ -140,7 +140,7 @@
         let mut digests = durable.digests.clone();
         // Data folders of earlier releases hold no digests.
         let entry_digests = durable.entries.values().map(EntryDigest::of);
-        digests.insert_all(entry_digests.filter(|digest| durable.digests.get(digest.version).is_none()));
+        digests.insert_missing(entry_digests.filter(|digest| durable.digests.get(digest.version).is_none()));
         let promised = durable.promised.filter(|(instance, _)| is_next(*instance));
         ConsensusState {
             history: durable.entries.clone(),
@@ -189,7 +189,7 @@
         if self.version().is_some_and(|version| version >= entry.version) {
             return false;
         }
-        self.digests.insert_all([EntryDigest::of(&entry)]);
+        self.digests.insert_missing([EntryDigest::of(&entry)]);
         self.newest_self_contained = None;
         self.patch_chain.append(&entry);
         self.history.insert(entry.version, entry);
@@ -197,7 +197,7 @@
         self.promised_ballot = Ballot::default();
         self.accepted = None;
         self.proposal = None;
-        self.yields_until = 0;
+        self.yield_until = 0;
         true
     }
 
@@ -247,7 +247,7 @@
         if self.history.contains_key(&entry.version) {
             return false;
         }
-        let inserted = self.digests.insert_all([EntryDigest::of(entry)]);
+        let inserted = self.digests.insert_missing([EntryDigest::of(entry)]);
         self.history.insert(entry.version, entry.clone());
         trim_history(&mut self.history);
         !inserted.is_empty() || self.history.contains_key(&entry.version)
--- a/crates/core/src/freshness.rs
+++ b/crates/core/src/freshness.rs
@@ -1,13 +1,13 @@
 //! Freshness of the configuration: the time since this node's version was confirmed as the newest of all.
 //!
-//! A node admits calls only while its confirmation is at most [`MAX_AGE`] old. The age of a confirmation counts from
-//! the sending of its probe, so a confirmation never claims more than the replies prove.
+//! A node admits calls only while its confirmation is at most [`MAX_CONFIRMATION_AGE`] old. The age of a confirmation
+//! counts from the sending of its probe, so a confirmation never claims more than the replies prove.
 
 use crate::base::{MS, Micros, NodeId, SEC, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The greatest age of a valid confirmation, in microseconds (4 s): a node with an older confirmation admits no calls.
-pub const MAX_AGE: Micros = 4 * SEC;
+pub const MAX_CONFIRMATION_AGE: Micros = 4 * SEC;
 /// The interval between two freshness probes of a voter, in microseconds (500 ms).
 pub const PROBE_INTERVAL: Micros = 500 * MS;
 
@@ -40,7 +40,7 @@
     /// Probes that still collect replies, by sequence number.
     pub open_probes: BTreeMap<u64, OpenProbe>,
     /// When the next regular probe is due, in microseconds of this node's clock.
-    pub probe_due: Micros,
+    pub next_probe_at: Micros,
 }
 
 impl Freshness {
@@ -67,5 +67,5 @@
 
 /// Returns whether a confirmation whose probe was sent at `confirmed_at` is still valid at `now`.
 pub fn is_fresh_at(confirmed_at: Micros, now: Micros) -> bool {
-    now.saturating_sub(confirmed_at) <= MAX_AGE
+    now.saturating_sub(confirmed_at) <= MAX_CONFIRMATION_AGE
 }
--- a/crates/core/src/lease/grantor.rs
+++ b/crates/core/src/lease/grantor.rs
@@ -34,7 +34,7 @@
 pub struct LeaseGrantor {
     /// The end of the start-up fence, in microseconds of this voter's clock: no new lease of any role is
     /// granted before it, as leases that an earlier incarnation of this voter granted may still be valid.
-    pub fence_until: Micros,
+    pub startup_fence_until: Micros,
     /// The ends of the fences of single roles, in microseconds of this voter's clock. A role's fence outlasts a
     /// start-up fence that is lifted early: quota windows that an earlier incarnation of this voter recorded
     /// may still be open. The disk does not hold the age of these windows, so their age counts from this
@@ -43,7 +43,7 @@
     /// The end of the fence for earlier sets of voters, in microseconds of this voter's clock: leases that an
     /// earlier set granted without this voter's knowledge may be valid until then, so this voter grants no
     /// new one.
-    pub earlier_sets_until: Micros,
+    pub earlier_sets_fence_until: Micros,
     /// The latest lease of each role that this incarnation granted, including expired leases.
     pub granted: BTreeMap<u32, GrantedLease>,
     /// The highest epoch of each role that this voter granted or observed. Invariant: never decreases, and
@@ -92,7 +92,7 @@
             self.grant(role, from, epoch, now);
             return LeaseDecision::Granted { is_new_epoch: epoch > highest };
         }
-        let fence = self.fence_until.max(self.role_fences.get(&role).copied().unwrap_or(0));
+        let fence = self.startup_fence_until.max(self.role_fences.get(&role).copied().unwrap_or(0));
         if now < fence {
             return reject(NodeId::default(), (fence - now).min(MAX_FENCE_BACKOFF));
         }
--- a/crates/core/src/lease/holder.rs
+++ b/crates/core/src/lease/holder.rs
@@ -15,7 +15,7 @@
 
 /// A request for a lease or a renewal, while it collects grants.
 #[derive(Clone, Debug)]
-pub struct OpenRequest {
+pub struct PendingRequest {
     /// The ID of the request, which tells its replies from those to earlier requests.
     pub request_id: u64,
     /// When the request was sent, in microseconds; the duration of the lease counts from this time.
@@ -49,7 +49,7 @@
     /// When the lease expires, in microseconds; 0 if it was never held.
     pub expires_at: Micros,
     /// The request that collects grants, if any.
-    pub open_request: Option<OpenRequest>,
+    pub pending_request: Option<PendingRequest>,
     /// The end of the backoff, in microseconds: no request is sent before it.
     pub backoff_until: Micros,
     /// The highest epoch that a voter reported; the next new epoch must exceed it.
@@ -93,13 +93,13 @@
     }
 
     /// Returns true if a request or a renewal should be sent now.
-    pub(crate) fn is_request_due(&self, is_majority_silent: bool, now: Micros) -> bool {
+    pub(crate) fn is_request_due(&self, is_majority_unresponsive: bool, now: Micros) -> bool {
         let is_fresh = self.expires_at > now + LEASE_DURATION - RENEW_AFTER;
         let is_early = self.is_valid(now) && is_fresh && self.is_renewed;
-        let open_request = self.open_request.as_ref();
-        let awaits_replies = open_request.is_some_and(|open| now.saturating_sub(open.sent_at) < REQUEST_TIMEOUT);
+        let pending_request = self.pending_request.as_ref();
+        let awaits_replies = pending_request.is_some_and(|open| now.saturating_sub(open.sent_at) < REQUEST_TIMEOUT);
         // A node that receives no replies would block the others by retrying its requests for the role.
-        let is_futile = is_majority_silent && open_request.is_some();
+        let is_futile = is_majority_unresponsive && pending_request.is_some();
         !is_early && !awaits_replies && !is_futile && now >= self.backoff_until
     }
 
@@ -116,13 +116,13 @@
 
     /// Records that a request was sent now, which replaces an earlier request.
     pub(crate) fn record_request(&mut self, request_id: u64, now: Micros) {
-        self.open_request = Some(OpenRequest { request_id, sent_at: now, granted_by: BTreeSet::new() });
+        self.pending_request = Some(PendingRequest { request_id, sent_at: now, granted_by: BTreeSet::new() });
     }
 
     /// Returns the open request, if a reply with this request ID and epoch belongs to it.
-    pub(crate) fn matching_request(&mut self, request_id: u64, epoch: u64) -> Option<&mut OpenRequest> {
+    pub(crate) fn matching_request(&mut self, request_id: u64, epoch: u64) -> Option<&mut PendingRequest> {
         let is_same_epoch = self.epoch == epoch;
-        self.open_request.as_mut().filter(|open| open.request_id == request_id && is_same_epoch)
+        self.pending_request.as_mut().filter(|open| open.request_id == request_id && is_same_epoch)
     }
 }
 
--- a/crates/core/src/lease/mod.rs
+++ b/crates/core/src/lease/mod.rs
@@ -14,7 +14,7 @@
 mod holder;
 
 pub use grantor::{GrantedLease, LeaseDecision, LeaseGrantor};
-pub use holder::{HeldLease, HeldLeases, OpenRequest, ReceivedGrant};
+pub use holder::{HeldLease, HeldLeases, PendingRequest, ReceivedGrant};
 
 use crate::base::{MS, Micros, Version, hash64};
 
--- a/crates/core/src/node/consensus/acceptor.rs
+++ b/crates/core/src/node/consensus/acceptor.rs
@@ -28,7 +28,7 @@
             self.report_synced_version(proposer, now);
             return false;
         }
-        self.voter() && !self.is_disk_behind()
+        self.is_voter() && !self.is_disk_behind()
     }
 
     /// Promises the ballot if this core may vote and has promised no higher one; otherwise rejects it.
@@ -43,7 +43,7 @@
         }
         self.consensus.state.promised_ballot = ballot;
         if proposer != self.settings.node_id {
-            self.consensus.state.yields_until = now + YIELD_TIMEOUT;
+            self.consensus.state.yield_until = now + YIELD_TIMEOUT;
         }
         true
     }
--- a/crates/core/src/node/consensus/digest_sync.rs
+++ b/crates/core/src/node/consensus/digest_sync.rs
@@ -96,7 +96,7 @@
     ) {
         let Some(newest) = self.version().filter(|_| self.settings.is_core) else { return };
         let is_requested = |digest: &EntryDigest| (from..=to).contains(&digest.version) && digest.version < newest;
-        let inserted = self.consensus.state.digests.insert_all(digests.into_iter().filter(is_requested));
+        let inserted = self.consensus.state.digests.insert_missing(digests.into_iter().filter(is_requested));
         if inserted.is_empty() {
             let other_voters = self.other_voters().count();
             self.consensus.digest_sync.record_empty_reply(from, to, other_voters, now);
--- a/crates/core/src/node/consensus/forwarding.rs
+++ b/crates/core/src/node/consensus/forwarding.rs
@@ -87,7 +87,7 @@
 impl Node {
     /// Handles a change or read of a caller at this node: admits it as a voter, or forwards it.
     pub(in crate::node) fn submit_change(&mut self, request_id: u64, submitted: SubmittedChange, now: Micros) {
-        if self.voter() {
+        if self.is_voter() {
             self.accept_change(Requester::Local(request_id), submitted, now);
             return;
         }
@@ -168,7 +168,7 @@
 
     /// Handles a request that another node has forwarded. A node without a vote declines the request.
     pub(super) fn on_forward(&mut self, sender: NodeId, request_id: u64, submitted: SubmittedChange, now: Micros) {
-        if self.voter() {
+        if self.is_voter() {
             self.accept_change(Requester::Peer { node_id: sender, request_id }, submitted, now);
         } else {
             let declined = ConsensusMessage::ForwardReply { request_id, outcome: ChangeOutcome::NoQuorum };
--- a/crates/core/src/node/consensus/freshness.rs
+++ b/crates/core/src/node/consensus/freshness.rs
@@ -31,12 +31,12 @@
 impl Node {
     /// Sends a freshness probe if one is due.
     pub(in crate::node) fn tick_freshness(&mut self, now: Micros) {
-        if !self.voter() || now < self.consensus.freshness.probe_due.min(self.next_probe_at(now)) {
+        if !self.is_voter() || now < self.consensus.freshness.next_probe_at.min(self.next_probe_at(now)) {
             return;
         }
         let Some(version) = self.version() else { return };
         let freshness = &mut self.consensus.freshness;
-        freshness.probe_due = now + freshness::PROBE_INTERVAL;
+        freshness.next_probe_at = now + freshness::PROBE_INTERVAL;
         freshness.last_probe += 1;
         let seq = freshness.last_probe;
         freshness.open_probes.retain(|_, probe| now.saturating_sub(probe.sent_at) < PROBE_TIMEOUT);
@@ -47,7 +47,7 @@
     /// Sends a probe from a node without a vote while its callers wait, to determine which voters are
     /// reachable.
     pub(in crate::node) fn tick_contact_probe(&mut self, now: Micros) {
-        if self.voter() || !self.has_waiting_callers() || now < self.next_probe_at(now) {
+        if self.is_voter() || !self.has_waiting_callers() || now < self.next_probe_at(now) {
             return;
         }
         self.consensus.freshness.last_probe += 1;
--- a/crates/core/src/node/consensus/learner.rs
+++ b/crates/core/src/node/consensus/learner.rs
@@ -28,7 +28,7 @@
         let previous_version = self.version();
         let previous_voter_set = self.voter_set();
         let previous_voter_count = self.consensus.state.voters().len();
-        let was_voter = self.voter();
+        let was_voter = self.is_voter();
         if !self.consensus.state.apply(entry.clone()) {
             self.backfill_entry(entry);
             return;
@@ -48,8 +48,8 @@
             self.consensus.synced_version = Some(entry.version);
         }
         self.push_versions(now);
-        if !self.voter() {
-            self.dissemination.workers.subscribe_due = now;
+        if !self.is_voter() {
+            self.dissemination.workers.next_subscribe_at = now;
         }
     }
 
@@ -62,9 +62,9 @@
 
     /// Compiles the configuration of the entry that was just applied.
     fn compile_config(&mut self, entry: &LogEntry, now: Micros) {
-        let config = CompiledConfig::parse_with(self.settings.config_reader, entry.version, &entry.body);
+        let config = CompiledConfig::compile_with(self.settings.config_reader, entry.version, &entry.body);
         self.config = Arc::new(config);
-        self.quota.slices.rates.apply_plan(&self.config, now);
+        self.quota.slices.rates.apply_config(&self.config, now);
         self.publisher.is_dirty = true;
     }
 
@@ -77,7 +77,7 @@
         let mut receivers: Vec<_> = entry.voters.iter().map(|voter| voter.node_id).collect();
         if !receivers.contains(&self.settings.node_id) {
             // Voters must know a new core before they can add it to the set.
-            self.dissemination.peers.gossip_due = now;
+            self.dissemination.peers.next_gossip_at = now;
             receivers.push(self.settings.node_id);
         }
         let synced = |node_id| (node_id, Message::Consensus(ConsensusMessage::Synced { version }));
--- a/crates/core/src/node/consensus/outcomes.rs
+++ b/crates/core/src/node/consensus/outcomes.rs
@@ -78,8 +78,7 @@
     /// another change.
     fn stale_outcome_of_passed_base(&self, pending: &PendingChange) -> Option<ChangeOutcome> {
         let version = self.version()?;
-        let is_superseded =
-            pending.is_known_here_alone() || self.consensus.state.is_superseded(&pending.change, pending.base);
+        let is_superseded = pending.is_unshared() || self.consensus.state.is_superseded(&pending.change, pending.base);
         is_superseded.then_some(ChangeOutcome::Stale { version })
     }
 
--- a/crates/core/src/node/consensus/proposer.rs
+++ b/crates/core/src/node/consensus/proposer.rs
@@ -31,7 +31,7 @@
         }
         self.complete_decided_changes(now);
         let Some(version) = self.version() else { return };
-        if !self.voter() {
+        if !self.is_voter() {
             self.consensus.state.proposal = None;
             return;
         }
@@ -41,7 +41,7 @@
             }
             self.back_off(now);
         }
-        if now < self.consensus.state.backoff_until.max(self.consensus.state.yields_until) {
+        if now < self.consensus.state.backoff_until.max(self.consensus.state.yield_until) {
             return;
         }
         let has_proposable_change = self.proposable_change(now).is_some();
@@ -70,7 +70,7 @@
     /// Abandons the current ballot; the next one starts after a random backoff.
     fn back_off(&mut self, now: Micros) {
         self.consensus.state.proposal = None;
-        let jitter = self.rng.below(BACKOFF_JITTER);
+        let jitter = self.rng.next_below(BACKOFF_JITTER);
         self.consensus.state.backoff_until = now + MIN_BACKOFF + jitter;
     }
 
@@ -85,12 +85,12 @@
             node_id: self.settings.node_id,
             incarnation: self.settings.incarnation,
         };
-        let deadline = now + PHASE_TIMEOUT + self.rng.below(PHASE_TIMEOUT);
+        let deadline = now + PHASE_TIMEOUT + self.rng.next_below(PHASE_TIMEOUT);
         self.consensus.state.proposal = Some(Proposal {
             instance,
             ballot,
             phase: Phase::Prepare,
-            answered: BTreeSet::new(),
+            responders: BTreeSet::new(),
             highest_accepted: None,
             value: None,
             deadline,
@@ -147,7 +147,7 @@
     /// Counts a promise and keeps the accepted entry of the highest ballot.
     fn record_promise(&mut self, sender: NodeId, accepted: Option<(Ballot, LogEntry)>) {
         let Some(proposal) = self.consensus.state.proposal.as_mut() else { return };
-        proposal.answered.insert(sender);
+        proposal.responders.insert(sender);
         if let Some(accepted) = accepted
             && proposal.highest_accepted.as_ref().is_none_or(|highest| accepted.0 > highest.0)
         {
@@ -158,7 +158,7 @@
     /// Returns whether a majority of the voters has answered in the current phase.
     fn has_majority_answered(&self) -> bool {
         let state = &self.consensus.state;
-        state.proposal.as_ref().is_some_and(|proposal| is_majority(state.voters(), &proposal.answered))
+        state.proposal.as_ref().is_some_and(|proposal| is_majority(state.voters(), &proposal.responders))
     }
 
     /// Returns the value for the accept phase: the accepted entry of the highest ballot, or else a pending
@@ -181,7 +181,7 @@
         let stripped = entry.without_body();
         if let Some(proposal) = self.consensus.state.proposal.as_mut() {
             proposal.phase = Phase::Accept;
-            proposal.answered.clear();
+            proposal.responders.clear();
             proposal.value = Some(entry);
             proposal.deadline = now + PHASE_TIMEOUT * 2;
         }
@@ -244,7 +244,7 @@
             return;
         }
         if let Some(proposal) = self.consensus.state.proposal.as_mut() {
-            proposal.answered.insert(sender);
+            proposal.responders.insert(sender);
         }
         if !self.has_majority_answered() {
             return;
--- a/crates/core/src/node/consensus/reader.rs
+++ b/crates/core/src/node/consensus/reader.rs
@@ -41,7 +41,7 @@
             if let Some(entry) = newest {
                 let text = entry.body.clone();
                 self.complete_change(read.requester, ChangeOutcome::Content { text }, now);
-            } else if !self.voter()
+            } else if !self.is_voter()
                 || self.should_redirect(read.received_at, now)
                 || now >= read.received_at + READ_TIMEOUT
             {
--- a/crates/core/src/node/consensus/validation.rs
+++ b/crates/core/src/node/consensus/validation.rs
@@ -49,7 +49,7 @@
                 patch.number_at, patch.number
             ));
         }
-        let errors = patch.troubles();
+        let errors = patch.validation_errors();
         if !errors.is_empty() {
             return Some(join_errors(&errors));
         }
--- a/crates/core/src/node/dissemination/contact.rs
+++ b/crates/core/src/node/dissemination/contact.rs
@@ -142,13 +142,13 @@
 
     /// Returns whether this voter knows that it has lost the majority.
     pub(in crate::node) fn is_majority_lost(&self, now: Micros) -> bool {
-        self.voter() && self.time_without_majority(0, now) >= MAJORITY_LOST_TIMEOUT
+        self.is_voter() && self.time_without_majority(0, now) >= MAJORITY_LOST_TIMEOUT
     }
 
     /// Returns whether a caller that has waited here since `since` must be redirected to another core.
     pub(in crate::node) fn should_redirect(&self, since: Micros, now: Micros) -> bool {
         let timeout = if self.is_majority_lost(now) { LAST_PROBE_TIMEOUT } else { QUORUM_TIMEOUT };
-        self.voter() && self.time_without_majority(since, now) >= timeout
+        self.is_voter() && self.time_without_majority(since, now) >= timeout
     }
 
     /// Returns whether a change that was received at `since` must be abandoned, since no majority replies.
--- a/crates/core/src/node/dissemination/gossip.rs
+++ b/crates/core/src/node/dissemination/gossip.rs
@@ -46,10 +46,10 @@
             incarnation: self.settings.incarnation,
             heartbeat: self.dissemination.heartbeat,
             addr: self.settings.addr.clone(),
-            admin: self.settings.admin.clone(),
+            admin: self.settings.admin_addr.clone(),
             zone: self.settings.zone.clone(),
             is_core: self.settings.is_core,
-            draining: self.draining,
+            draining: self.is_draining,
             version: self.version().unwrap_or(0),
         }
     }
@@ -62,12 +62,12 @@
 
     /// Advances this node's heartbeat and gossips, if that is due.
     pub(in crate::node) fn tick_gossip(&mut self, now: Micros) {
-        if now < self.dissemination.peers.gossip_due {
+        if now < self.dissemination.peers.next_gossip_at {
             return;
         }
         let seeks_configuration = self.version().is_none() && !self.settings.may_bootstrap;
         let interval = if seeks_configuration { GREETING_INTERVAL } else { peers::GOSSIP_INTERVAL };
-        self.dissemination.peers.gossip_due = now + interval;
+        self.dissemination.peers.next_gossip_at = now + interval;
         self.advance_heartbeat(now);
         for target in self.draw_gossip_targets(now) {
             self.gossip_to(target, true, Vec::new(), now);
@@ -122,10 +122,11 @@
     fn needs_no_greeting(&self, addr: &str, now: Micros) -> bool {
         let mut at_address = self.dissemination.peers.entries.values().filter(|entry| entry.record.addr == addr);
         let is_voter_address = self.settings.manages_voters
-            && self.voter()
+            && self.is_voter()
             && self.consensus.state.voters().iter().any(|voter| voter.addr == addr);
-        let is_unresponsive_core =
-            |entry: &peers::PeerEntry| is_voter_address && now.saturating_sub(entry.contacted_at) > CORE_FRAME_TIMEOUT;
+        let is_unresponsive_core = |entry: &peers::PeerEntry| {
+            is_voter_address && now.saturating_sub(entry.last_contact_at) > CORE_FRAME_TIMEOUT
+        };
         at_address
             .any(|entry| self.dissemination.peers.is_alive(entry.record.node_id, now) && !is_unresponsive_core(entry))
     }
@@ -163,7 +164,7 @@
     /// records are sent again. Otherwise neither side would send this node's record: this node assumes that
     /// the sender has it, and the sender has no address to request it from.
     pub(in crate::node) fn on_greeting(&mut self, from: NodeId) {
-        self.dissemination.peers.forget_sent(from);
+        self.dissemination.peers.reset_peer(from);
         self.dissemination.peers.incarnation_sets.remove(&from);
     }
 
@@ -182,11 +183,11 @@
             );
         }
         self.dissemination.peers.incarnation_sets.insert(from, gossip.incarnation_set);
-        if has_newer_version && !self.voter() {
-            self.dissemination.workers.subscribe_due = now;
+        if has_newer_version && !self.is_voter() {
+            self.dissemination.workers.next_subscribe_at = now;
         }
         if is_new_peer {
-            self.dissemination.peers.forget_sent(from);
+            self.dissemination.peers.reset_peer(from);
         } else {
             self.dissemination.peers.forget_sent_nodes(from, gossip.unknown_nodes);
         }
@@ -231,7 +232,7 @@
 
     /// Starts to drain and notifies all live nodes, so that they no longer rely on this node.
     pub(in crate::node) fn shut_down(&mut self, now: Micros) {
-        self.draining = true;
+        self.is_draining = true;
         self.advance_heartbeat(now);
         let own_id = self.settings.node_id;
         let others: Vec<_> =
--- a/crates/core/src/node/dissemination/peer_clocks.rs
+++ b/crates/core/src/node/dissemination/peer_clocks.rs
@@ -68,7 +68,7 @@
     /// The newest requests without a reply.
     probes: VecDeque<ClockProbe>,
     /// When the next request may be sent.
-    probe_due: Micros,
+    next_probe_at: Micros,
     /// When the peer last sent a report.
     last_used_at: Micros,
     /// The reports that wait for a bound.
@@ -81,7 +81,7 @@
             incarnation,
             bound: None,
             probes: VecDeque::new(),
-            probe_due: now,
+            next_probe_at: now,
             last_used_at: now,
             waiting: Vec::new(),
         }
@@ -104,7 +104,7 @@
         let known = self.offset_now(now).unwrap_or(measured);
         self.bound = Some(OffsetBound { offset: known.max(measured), measured_at: now });
         let is_slow = now.saturating_sub(requested_at) > SLOW_ROUND_TRIP_THRESHOLD;
-        self.probe_due = now + if is_slow { RENEW_SLOW_INTERVAL } else { RENEW_INTERVAL };
+        self.next_probe_at = now + if is_slow { RENEW_SLOW_INTERVAL } else { RENEW_INTERVAL };
     }
 
     /// Drops reports that waited for too long, and returns their number.
@@ -173,8 +173,8 @@
     fn request_clock(&mut self, peer: NodeId, now: Micros) {
         let request_id = self.next_request_id();
         let clock = self.dissemination.peer_clocks.peers.get_mut(&peer);
-        let Some(clock) = clock.filter(|clock| now >= clock.probe_due) else { return };
-        clock.probe_due = now + RETRY_INTERVAL;
+        let Some(clock) = clock.filter(|clock| now >= clock.next_probe_at) else { return };
+        clock.next_probe_at = now + RETRY_INTERVAL;
         clock.probes.push_back(ClockProbe { request_id, sent_at: now });
         if clock.probes.len() > MAX_REMEMBERED_REQUESTS {
             clock.probes.pop_front();
--- a/crates/core/src/node/dissemination/peer_incarnations.rs
+++ b/crates/core/src/node/dissemination/peer_incarnations.rs
@@ -62,8 +62,8 @@
         self.counters.peers_restarted += 1;
         self.outbox.push(Effect::Reconnect { to: address });
         // Requests to the former incarnation will not be answered.
-        if is_core && !self.voter() {
-            self.dissemination.workers.subscribe_due = 0;
+        if is_core && !self.is_voter() {
+            self.dissemination.workers.next_subscribe_at = 0;
         }
     }
 
--- a/crates/core/src/node/dissemination/reachability.rs
+++ b/crates/core/src/node/dissemination/reachability.rs
@@ -20,7 +20,7 @@
     /// Returns whether a report that this node received at `since` reaches the nodes that must know it; none
     /// while the voters' replies are pending.
     pub(in crate::node) fn reaches_others(&self, since: Micros, now: Micros) -> Option<bool> {
-        if self.voter() {
+        if self.is_voter() {
             return match self.is_majority_reached(now) {
                 true => Some(true),
                 false => (self.is_majority_lost(now) || self.should_redirect(since, now)).then_some(false),
@@ -55,7 +55,7 @@
         }
         workers.core_contact_at = workers.core_contact_at.max(confirmed_at);
         let core_contact_at = workers.core_contact_at;
-        if self.settings.reports_to_cores_only && core_contact_at > 0 && !self.is_core_in_contact(now) {
+        if self.settings.workers_report_to_cores_only && core_contact_at > 0 && !self.is_core_in_contact(now) {
             self.dissemination.workers.record_unreachable(core_contact_at, now);
         }
     }
--- a/crates/core/src/node/dissemination/removals.rs
+++ b/crates/core/src/node/dissemination/removals.rs
@@ -130,10 +130,10 @@
             }
             return;
         }
-        if now < removal.send_due {
+        if now < removal.next_send_at {
             return;
         }
-        removal.send_due = now + RESEND_INTERVAL;
+        removal.next_send_at = now + RESEND_INTERVAL;
         let entries = &self.dissemination.workers.entries;
         let Some(entry) = entries.get(&removal.key.worker_id).filter(|entry| entry.report.is_out_of_service()) else {
             return;
@@ -154,7 +154,7 @@
         now: Micros,
     ) -> bool {
         let voters = self.consensus.state.voters();
-        let is_voter = self.voter();
+        let is_voter = self.is_voter();
         // Knowledge of all reachable nodes proves nothing if this node is partitioned together with them.
         let mut known_by = removal.known_by.clone();
         known_by.extend(is_voter.then_some(self.settings.node_id));
--- a/crates/core/src/node/dissemination/reports.rs
+++ b/crates/core/src/node/dissemination/reports.rs
@@ -6,9 +6,9 @@
 
 use crate::base::{Incarnation, MS, Micros, NodeId};
 use crate::node::Node;
-use crate::protocol::{DisseminationMessage, Message, UNNUMBERED_INCARNATION, WorkerReport};
+use crate::protocol::{DisseminationMessage, Message, UNKNOWN_INCARNATION, WorkerReport};
 use crate::workers::MergeOutcome;
-use crate::workers::removals::TAKE_OVER_AFTER;
+use crate::workers::removals::REMOVAL_TAKEOVER_DELAY;
 use std::collections::BTreeMap;
 
 /// The time after a stall of this node during which reports of other nodes are dropped, in microseconds: they
@@ -20,14 +20,14 @@
     /// one of the worker and so is ignored.
     pub(in crate::node) fn on_report(&mut self, report: &WorkerReport, now: Micros) -> bool {
         let mut report = report.clone();
-        if report.incarnation == UNNUMBERED_INCARNATION {
+        if report.incarnation == UNKNOWN_INCARNATION {
             report.incarnation = self.dissemination.workers.resolve_incarnation(&report, now);
         }
         let is_known_removal = self.is_known_removal(&report);
         if !self.apply_report(&report, now, now) {
             return is_known_removal || self.dissemination.workers.is_current(&report);
         }
-        self.dissemination.workers.unsent.push(report.worker_id.clone());
+        self.dissemination.workers.unsent_workers.push(report.worker_id.clone());
         if report.is_out_of_service() && !is_known_removal {
             self.start_removal(&report.worker_id, now);
         }
@@ -57,20 +57,20 @@
         }
         let workers = &mut self.dissemination.workers;
         // The interval between reports to a single core is long, so the next push must not wait.
-        if !is_routine && self.settings.reports_to_cores_only {
-            workers.push_due = now;
+        if !is_routine && self.settings.workers_report_to_cores_only {
+            workers.next_push_at = now;
         }
         if !report.is_out_of_service() {
             workers.removals.remove(&report.worker_id);
         } else if self.settings.is_core && !is_known_removal {
             // Every core keeps a removal, in case the core that spreads the removal is lost.
-            workers.removals.start(&report.removal_key(), now + TAKE_OVER_AFTER, now);
+            workers.removals.start(&report.removal_key(), now + REMOVAL_TAKEOVER_DELAY, now);
         }
         true
     }
 
     fn merge_report(&mut self, report: &WorkerReport, made_at: Micros, now: Micros) -> MergeOutcome {
-        let outcome = self.dissemination.workers.merge(report, made_at, now);
+        let outcome = self.dissemination.workers.merge_report(report, made_at, now);
         match outcome {
             MergeOutcome::Applied => {
                 self.counters.reports += 1;
@@ -124,10 +124,10 @@
 
     /// Sends the reports that workers made to this node to the home nodes of their pools in each zone.
     pub(in crate::node) fn flush_reports(&mut self, now: Micros) {
-        if self.dissemination.workers.unsent.is_empty() {
+        if self.dissemination.workers.unsent_workers.is_empty() {
             return;
         }
-        let unsent = std::mem::take(&mut self.dissemination.workers.unsent);
+        let unsent = std::mem::take(&mut self.dissemination.workers.unsent_workers);
         let zones = self.dissemination.peers.zones(now);
         let mut reports_to: BTreeMap<NodeId, Vec<WorkerReport>> = BTreeMap::new();
         for worker_id in unsent {
--- a/crates/core/src/node/dissemination/updates.rs
+++ b/crates/core/src/node/dissemination/updates.rs
@@ -80,7 +80,7 @@
         let mut upstreams: BTreeMap<NodeId, Vec<String>> = BTreeMap::new();
         for topic in self.topics() {
             let is_config = topic == CONFIG_TOPIC;
-            if is_config && self.voter() {
+            if is_config && self.is_voter() {
                 continue;
             }
             let home_nodes = self.dissemination.peers.home_nodes(&topic, &self.settings.zone, now);
@@ -139,10 +139,10 @@
 
     /// Renews this node's subscriptions, if that is due.
     pub(in crate::node) fn tick_subscribe(&mut self, now: Micros) {
-        if now < self.dissemination.workers.subscribe_due {
+        if now < self.dissemination.workers.next_subscribe_at {
             return;
         }
-        self.dissemination.workers.subscribe_due = now + freshness::PROBE_INTERVAL;
+        self.dissemination.workers.next_subscribe_at = now + freshness::PROBE_INTERVAL;
         self.last_request_id += 1;
         let desired = self.desired_upstreams(now);
         self.dissemination.workers.upstreams.retain(|node_id, _| desired.contains_key(node_id));
@@ -290,10 +290,10 @@
     /// Sends new versions at every tick, and changes of workers if those are due.
     pub(in crate::node) fn tick_push(&mut self, now: Micros) {
         self.push_versions(now);
-        if now < self.dissemination.workers.push_due {
+        if now < self.dissemination.workers.next_push_at {
             return;
         }
-        self.dissemination.workers.push_due = now + PUSH_INTERVAL;
+        self.dissemination.workers.next_push_at = now + PUSH_INTERVAL;
         self.flush_reports(now);
         let targets: Vec<_> = self
             .dissemination
--- a/crates/core/src/node/io.rs
+++ b/crates/core/src/node/io.rs
@@ -20,7 +20,7 @@
     /// The address where the node listens for frames of other nodes.
     pub addr: String,
     /// The address where the node serves the admin API.
-    pub admin: String,
+    pub admin_addr: String,
     /// The zone that the node runs in.
     pub zone: String,
     /// The addresses of nodes that this node contacts first, to join the fleet.
@@ -38,7 +38,7 @@
     /// The interval between reports of each worker, in microseconds.
     pub report_interval: Micros,
     /// Whether each worker reports to one core at a time and to no other node.
-    pub reports_to_cores_only: bool,
+    pub workers_report_to_cores_only: bool,
 }
 
 /// An event that a node handles in one step.
--- a/crates/core/src/node/lease/grantor.rs
+++ b/crates/core/src/node/lease/grantor.rs
@@ -23,7 +23,7 @@
             return;
         }
         // A rejection would end the request, which other voters may still grant.
-        if is_new_epoch && now < self.leases.grantor.earlier_sets_until {
+        if is_new_epoch && now < self.leases.grantor.earlier_sets_fence_until {
             return;
         }
         match self.leases.grantor.request(role, from, epoch, is_new_epoch, now) {
--- a/crates/core/src/node/lease/holder.rs
+++ b/crates/core/src/node/lease/holder.rs
@@ -37,7 +37,7 @@
         let ranked = self.ranked_voters(role);
         let Some(rank) = ranked.iter().position(|node| *node == self.settings.node_id) else { return false };
         let grantor = &self.leases.grantor;
-        let vacant_since = grantor.granted.get(&role).map_or(grantor.fence_until, |lease| lease.expires_at);
+        let vacant_since = grantor.granted.get(&role).map_or(grantor.startup_fence_until, |lease| lease.expires_at);
         now >= vacant_since + RANK_DELAY * rank as u64
     }
 
@@ -51,7 +51,7 @@
         let is_majority_unresponsive = self.is_majority_unresponsive(now);
         for role in 0..ROLE_COUNT {
             let is_held = self.leases.held.valid_epoch(role, now).is_some();
-            if !self.draining && (is_held || self.is_candidate(role, now)) {
+            if !self.is_draining && (is_held || self.is_candidate(role, now)) {
                 self.request_lease_if_due(role, is_held, is_majority_unresponsive, now);
             }
         }
@@ -91,9 +91,9 @@
     pub(super) fn on_lease_vote(&mut self, from: NodeId, vote: LeaseVote, delay: Micros, now: Micros) {
         let LeaseVote { role, epoch, request_id, .. } = vote;
         let Some(lease) = self.leases.held.by_role.get_mut(&role) else { return };
-        let Some(open_request) = lease.matching_request(request_id, epoch) else { return };
-        open_request.granted_by.insert(from);
-        let (sent_at, mut granted_by) = (open_request.sent_at, open_request.granted_by.clone());
+        let Some(pending_request) = lease.matching_request(request_id, epoch) else { return };
+        pending_request.granted_by.insert(from);
+        let (sent_at, mut granted_by) = (pending_request.sent_at, pending_request.granted_by.clone());
         let received = vote.grants.into_iter().map(|grant| grant.aged_by(delay));
         lease.inherited_grants.extend(received.map(|grant| ReceivedGrant { received_at: now, grant }));
         lease.registered.extend(vote.registered);
@@ -114,7 +114,7 @@
     /// Starts or extends the lease that a majority has granted; `sent_at` is when the request was sent.
     fn on_lease_majority(&mut self, role: u32, sent_at: Micros, now: Micros) {
         let Some(lease) = self.leases.held.by_role.get_mut(&role) else { return };
-        lease.open_request = None;
+        lease.pending_request = None;
         // A renewal that is granted after the lease expired is void: the ledger is gone.
         if !lease.is_new_epoch && !lease.is_valid(now) {
             return;
@@ -138,7 +138,7 @@
         self.leases.held.holder_hints.insert(role, self.settings.node_id);
         self.forget_windows(role);
         for inherited in inherited_grants {
-            self.quota.window_ledger.inherit(&inherited.into_current(now), now);
+            self.quota.window_ledger.restore_grant(&inherited.into_current(now), now);
         }
         // A holder under an earlier set of voters may act until its lease expires.
         let overlap = if voter_set > 0 { LEASE_DURATION } else { 0 };
@@ -154,7 +154,7 @@
     fn forget_windows(&mut self, role: u32) {
         let tenants = self.quota.window_ledger.list().into_iter().map(|entry| entry.0);
         for tenant in tenants.filter(|tenant| quota_role(tenant) == role) {
-            self.quota.window_ledger.forget(&tenant);
+            self.quota.window_ledger.remove_tenant(&tenant);
         }
     }
 
@@ -162,7 +162,7 @@
     pub(super) fn on_lease_rejected(&mut self, rejection: &LeaseRejection, now: Micros) {
         let LeaseRejection { role, epoch, request_id, holder, remaining } = *rejection;
         let Some(lease) = self.leases.held.by_role.get_mut(&role) else { return };
-        if lease.open_request.as_ref().is_none_or(|open_request| open_request.request_id != request_id) {
+        if lease.pending_request.as_ref().is_none_or(|pending_request| pending_request.request_id != request_id) {
             return;
         }
         self.counters.leases_rejected += 1;
@@ -171,7 +171,7 @@
             self.leases.held.holder_hints.insert(role, holder);
         }
         if !lease.is_valid(now) {
-            lease.open_request = None;
+            lease.pending_request = None;
             lease.backoff_until = now + remaining.clamp(MIN_BACKOFF, LEASE_DURATION);
         }
     }
--- a/crates/core/src/node/lease/mod.rs
+++ b/crates/core/src/node/lease/mod.rs
@@ -28,14 +28,19 @@
 
 impl Leases {
     /// Creates the state after a start from the durable state. Leases of earlier sets of voters that this
-    /// node does not know may be valid until `earlier_sets_until`.
-    pub(super) fn new(durable: &DurableState, first_request: u64, earlier_sets_until: Micros, now: Micros) -> Self {
-        let fence_until = now + LEASE_DURATION;
-        let role_fences = durable.grants.keys().map(|(tenant, _)| (quota_role(tenant), fence_until)).collect();
+    /// node does not know may be valid until `earlier_sets_fence_until`.
+    pub(super) fn new(
+        durable: &DurableState,
+        first_request: u64,
+        earlier_sets_fence_until: Micros,
+        now: Micros,
+    ) -> Self {
+        let startup_fence_until = now + LEASE_DURATION;
+        let role_fences = durable.grants.keys().map(|(tenant, _)| (quota_role(tenant), startup_fence_until)).collect();
         let grantor = LeaseGrantor {
-            fence_until,
+            startup_fence_until,
             role_fences,
-            earlier_sets_until,
+            earlier_sets_fence_until,
             granted: BTreeMap::new(),
             epochs: durable.epochs.clone(),
             previously_held: durable.epochs.keys().copied().collect(),
--- a/crates/core/src/node/lease/startup_fence.rs
+++ b/crates/core/src/node/lease/startup_fence.rs
@@ -1,7 +1,7 @@
 //! The start-up fence: a restarted voter proves that no lease of its earlier incarnations is valid.
 //!
 //! A voter keeps no leases on its disk, so after a start it grants no new lease until every lease that it may
-//! have granted before has expired: the start-up fence, [`LeaseGrantor::fence_until`]. If every core that may
+//! have granted before has expired: the start-up fence, [`LeaseGrantor::startup_fence_until`]. If every core that may
 //! hold a lease replies that it holds none, for example after a power loss of all cores, the fence is lifted
 //! early.
 //!
@@ -9,7 +9,7 @@
 //! those already counted for an open request nor those in transit. It can win a lease only by votes that the
 //! new incarnation knows of.
 //!
-//! [`LeaseGrantor::fence_until`]: crate::lease::LeaseGrantor::fence_until
+//! [`LeaseGrantor::startup_fence_until`]: crate::lease::LeaseGrantor::startup_fence_until
 
 use crate::base::{Incarnation, MS, Micros, NodeId};
 use crate::node::Node;
@@ -48,8 +48,8 @@
 
     /// Queries the possible holders until all have replied that they hold no lease, or the fence expires.
     pub(in crate::node) fn tick_startup_fence(&mut self, now: Micros) {
-        let is_fenced = now < self.leases.grantor.fence_until;
-        if !self.voter() || !is_fenced || now < self.leases.startup_fence.next_query_at {
+        let is_fenced = now < self.leases.grantor.startup_fence_until;
+        if !self.is_voter() || !is_fenced || now < self.leases.startup_fence.next_query_at {
             return;
         }
         self.leases.startup_fence.next_query_at = now + QUERY_INTERVAL;
@@ -59,7 +59,7 @@
         let query_id = self.leases.startup_fence.query_id;
         let mut holders = self.possible_holders();
         if holders.is_empty() {
-            self.leases.grantor.fence_until = now;
+            self.leases.grantor.startup_fence_until = now;
         }
         holders.retain(|node| !self.leases.startup_fence.without_leases.contains(node));
         for node in holders {
@@ -76,8 +76,10 @@
         }
         let (voter, incarnation) = from;
         if self.leases.startup_fence.answered.insert(voter, incarnation) != Some(incarnation) {
-            for open_request in self.leases.held.by_role.values_mut().filter_map(|lease| lease.open_request.as_mut()) {
-                open_request.granted_by.remove(&voter);
+            for pending_request in
+                self.leases.held.by_role.values_mut().filter_map(|lease| lease.pending_request.as_mut())
+            {
+                pending_request.granted_by.remove(&voter);
             }
         }
         self.send(voter, Message::Lease(LeaseMessage::NoHeldLeases { query_id }), now);
@@ -91,12 +93,12 @@
 
     /// Records a core's reply that it holds no lease. Lifts the fence once all possible holders have replied.
     pub(super) fn on_no_held_leases(&mut self, from: NodeId, query_id: u64, now: Micros) {
-        if query_id != self.leases.startup_fence.query_id || now >= self.leases.grantor.fence_until {
+        if query_id != self.leases.startup_fence.query_id || now >= self.leases.grantor.startup_fence_until {
             return;
         }
         self.leases.startup_fence.without_leases.insert(from);
         if self.possible_holders().is_subset(&self.leases.startup_fence.without_leases) {
-            self.leases.grantor.fence_until = now;
+            self.leases.grantor.startup_fence_until = now;
         }
     }
 }
--- a/crates/core/src/node/membership/registrations.rs
+++ b/crates/core/src/node/membership/registrations.rs
@@ -12,7 +12,7 @@
 use crate::node::Node;
 use crate::node::quota::ShareRequests;
 use crate::protocol::{LeaseClaim, MembershipMessage, Message, QuotaMessage, RegisteredIncarnation, ShareRequest};
-use crate::quota::{RESERVE_MARK, STANDBY_SHARE};
+use crate::quota::{RESERVE_REQUEST_MARKER, STANDBY_SHARE};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The time for which a lease holder relies on a registration, from its request on, in microseconds.
@@ -151,7 +151,7 @@
         incarnations: Vec<RegisteredIncarnation>,
         now: Micros,
     ) {
-        if !self.voter() || voter_set != self.voter_set() {
+        if !self.is_voter() || voter_set != self.voter_set() {
             return;
         }
         let registrations = &mut self.membership.registrations;
@@ -191,8 +191,9 @@
         let any_is_granted_here = batch.requests.iter().any(|request| is_granted_here(&request.tenant_key));
         // Every later lease holder counts the reserves of standbys without calls of their own, registered or not;
         // other nodes are granted no reserve.
-        let is_reserve =
-            |request: &ShareRequest| request.smallest_call == RESERVE_MARK && request.held_share <= STANDBY_SHARE;
+        let is_reserve = |request: &ShareRequest| {
+            request.smallest_call_units == RESERVE_REQUEST_MARKER && request.held_share <= STANDBY_SHARE
+        };
         let is_for_reserves = batch.requests.iter().all(is_reserve);
         let registrations = &mut self.membership.registrations;
         if !any_is_granted_here || is_for_reserves || registrations.is_confirmed(from, REGISTRATION_VALIDITY, now) {
@@ -345,7 +346,7 @@
             let epoch = self.share_epoch(claim.role, now);
             if claim.voter_set == self.voter_set()
                 && epoch == Some(claim.epoch)
-                && self.quota.share_pools.record_alive(claim.role, from, addr, age, now)
+                && self.quota.share_pools.record_reply(claim.role, from, addr, age, now)
             {
                 accounted_roles.push(claim.role);
             }
--- a/crates/core/src/node/membership/takeover.rs
+++ b/crates/core/src/node/membership/takeover.rs
@@ -24,7 +24,7 @@
 
 use super::TakeoverReply;
 use crate::base::{Incarnation, MS, Micros, NodeId, Version};
-use crate::config::Limit;
+use crate::config::QuotaLimit;
 use crate::consensus::{ConsensusState, DurableWrite, is_majority};
 use crate::lease::{LEASE_DURATION, ReceivedGrant, epoch_base};
 use crate::node::Node;
@@ -98,7 +98,7 @@
         self.membership.voters_changed_at = now;
         let has_shrunk = self.consensus.state.voters().len() < previous_count;
         if !was_voter || has_shrunk || may_miss_leases(&self.consensus.state, self.settings.node_id) {
-            self.leases.grantor.earlier_sets_until = now + LEASE_DURATION;
+            self.leases.grantor.earlier_sets_fence_until = now + LEASE_DURATION;
         }
     }
 
@@ -110,7 +110,7 @@
     /// Returns whether this voter may grant in the newest set.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.voter() && self.membership.ready_set == Some(self.voter_set())
+        self.is_voter() && self.membership.ready_set == Some(self.voter_set())
     }
 
     /// Returns whether this voter accepted a change of the set and does not know whether it was decided.
@@ -121,7 +121,7 @@
     /// Makes this voter ready for the newest set: at once if the set has no predecessor, otherwise by
     /// requests to the voters of both sets, or by time-out.
     pub(in crate::node) fn tick_takeover(&mut self, now: Micros) {
-        if !self.voter() || self.is_ready() {
+        if !self.is_voter() || self.is_ready() {
             return;
         }
         let Some(entry) = self.consensus.state.newest() else { return };
@@ -219,8 +219,8 @@
     /// earlier sets.
     fn spent_windows(&self) -> Vec<WindowGrant> {
         let window = epoch_base(self.voter_set());
-        let spent = |tenant: &String, quota: &Limit| match quota {
-            Limit::Window(limit) => Some(WindowGrant {
+        let spent = |tenant: &String, quota: &QuotaLimit| match quota {
+            QuotaLimit::Window(limit) => Some(WindowGrant {
                 tenant: tenant.clone(),
                 window,
                 node_id: NodeId::default(),
--- a/crates/core/src/node/membership/voters.rs
+++ b/crates/core/src/node/membership/voters.rs
@@ -95,8 +95,8 @@
 /// contact. A voter that never contacted this incarnation may still be reported by other nodes long after its
 /// loss, so the time of its first report proves nothing.
 fn is_successor(other: &PeerEntry, voter: &PeerEntry) -> bool {
-    let is_known_later = voter.contacted_at == 0 || other.discovered_at >= voter.discovered_at;
-    is_known_later && other.contacted_at > voter.contacted_at.max(voter.discovered_at) + REPLACEMENT_MARGIN
+    let is_known_later = voter.last_contact_at == 0 || other.discovered_at >= voter.discovered_at;
+    is_known_later && other.last_contact_at > voter.last_contact_at.max(voter.discovered_at) + REPLACEMENT_MARGIN
 }
 
 /// Returns whether `other` runs at the address of a voter now and replaces it. `own` is the voter's own
@@ -118,7 +118,7 @@
         return VoterStatus::Replaced;
     }
     let Some(own) = own else { return VoterStatus::Failed };
-    match now.saturating_sub(own.heartbeat_at.max(own.contacted_at)) {
+    match now.saturating_sub(own.heartbeat_at.max(own.last_contact_at)) {
         _ if own.record.draining => VoterStatus::Draining,
         silence if silence >= FAILURE_TIMEOUT => VoterStatus::Failed,
         silence if silence >= SUSPECT_TIMEOUT => VoterStatus::Suspect,
@@ -208,7 +208,7 @@
         let peers = &self.dissemination.peers.entries;
         let is_self = voter.node_id == self.settings.node_id;
         let status = match is_self {
-            true if self.draining => VoterStatus::Draining,
+            true if self.is_draining => VoterStatus::Draining,
             true => VoterStatus::Live,
             false => voter_status(voter, peers, now),
         };
@@ -256,7 +256,7 @@
         if other_cores.peek().is_none() {
             return true;
         }
-        let awaits_replacement = self.voter() && self.settings.manages_voters;
+        let awaits_replacement = self.is_voter() && self.settings.manages_voters;
         if awaits_replacement && other_cores.any(|peer| !self.consensus.state.is_voter(peer.node_id)) {
             return false;
         }
@@ -278,10 +278,10 @@
     /// Probes the voters' versions for [`Node::may_stop`]: a draining core without a vote learns them in no
     /// other way.
     fn probe_before_stop(&mut self, now: Micros) {
-        let is_leaving = self.draining && self.settings.is_core && !self.voter();
+        let is_leaving = self.is_draining && self.settings.is_core && !self.is_voter();
         let Some(version) = self.version().filter(|_| is_leaving) else { return };
-        if now >= self.consensus.freshness.probe_due {
-            self.consensus.freshness.probe_due = now + PROBE_INTERVAL;
+        if now >= self.consensus.freshness.next_probe_at {
+            self.consensus.freshness.next_probe_at = now + PROBE_INTERVAL;
             self.broadcast_to_voters(&Message::Consensus(ConsensusMessage::FreshnessProbe { seq: 0, version }), now);
         }
     }
@@ -290,7 +290,7 @@
     pub(in crate::node) fn tick_voters(&mut self, now: Micros) {
         self.probe_before_stop(now);
         // A draining voter proposes too, after all others: there may be no other voter.
-        if !self.settings.manages_voters || !self.voter() {
+        if !self.settings.manages_voters || !self.is_voter() {
             return;
         }
         let Some(version) = self.version() else { return };
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -61,7 +61,7 @@
     /// The counters for metrics.
     pub counters: Counters,
     /// True once this node has started to shut down and has notified the live nodes.
-    pub draining: bool,
+    pub is_draining: bool,
     /// The effects of the current step, and those that wait for the disk.
     outbox: outbox::Outbox,
     /// The last published view.
@@ -94,20 +94,20 @@
         let consensus = Consensus::new(durable, last_request_id);
         let newest = consensus.state.newest();
         let config = newest
-            .map(|entry| CompiledConfig::parse_with(settings.config_reader, entry.version, &entry.body))
+            .map(|entry| CompiledConfig::compile_with(settings.config_reader, entry.version, &entry.body))
             .unwrap_or_default();
         let may_miss_leases = membership::takeover::may_miss_leases(&consensus.state, settings.node_id);
-        let earlier_sets_until = if may_miss_leases { now + LEASE_DURATION } else { 0 };
+        let earlier_sets_fence_until = if may_miss_leases { now + LEASE_DURATION } else { 0 };
         Node {
             rng,
             consensus,
             membership: Membership::new(durable, now),
-            leases: Leases::new(durable, last_request_id, earlier_sets_until, now),
+            leases: Leases::new(durable, last_request_id, earlier_sets_fence_until, now),
             quota: Quota::new(durable, &config, now),
             dissemination: Dissemination::new(settings.report_interval, last_request_id, now),
             config: Arc::new(config),
             counters: Counters::default(),
-            draining: false,
+            is_draining: false,
             outbox: outbox::Outbox::default(),
             publisher: publisher::Publisher::new(),
             clock: StepClock { last_step: now, resumed_at: now, started_at: now },
@@ -127,7 +127,7 @@
     }
 
     /// Returns whether this core is one of the voters of the version that it holds.
-    pub fn voter(&self) -> bool {
+    pub fn is_voter(&self) -> bool {
         self.settings.is_core && self.consensus.state.is_voter(self.settings.node_id)
     }
 
--- a/crates/core/src/node/publisher.rs
+++ b/crates/core/src/node/publisher.rs
@@ -30,7 +30,7 @@
     /// All known nodes, and whether each of them is live.
     pub nodes: Vec<(PeerRecord, bool)>,
     /// Whether the node is a voter.
-    pub voter: bool,
+    pub is_voter: bool,
     /// Whether the node may stop without loss: a majority without this node holds all that this node holds.
     pub may_stop: bool,
     /// The roles whose lease this node holds, and their epochs.
@@ -89,7 +89,7 @@
             self.publisher.version = self.version();
             self.publisher.entry = self.consensus.state.newest().cloned().map(Arc::new);
         }
-        let workers: Vec<_> = self.dissemination.workers.live(now).cloned().collect();
+        let workers: Vec<_> = self.dissemination.workers.live_workers(now).cloned().collect();
         if *self.publisher.workers != workers {
             self.publisher.workers = Arc::new(workers);
         }
@@ -109,7 +109,7 @@
             entry: self.publisher.entry.clone(),
             workers: self.publisher.workers.clone(),
             nodes: peers.entries.values().map(|entry| with_liveness(&entry.record)).collect(),
-            voter: self.voter(),
+            is_voter: self.is_voter(),
             may_stop: self.may_stop(now),
             held_leases: (0..ROLE_COUNT).filter_map(held_epoch).collect(),
             grants: self.quota.window_ledger.list(),
--- a/crates/core/src/node/quota/mod.rs
+++ b/crates/core/src/node/quota/mod.rs
@@ -16,7 +16,7 @@
 use crate::config::CompiledConfig;
 use crate::consensus::DurableState;
 use crate::protocol::{Message, QuotaMessage, WindowGrant};
-use crate::quota::{SharePools, WindowLedger, WindowSlices};
+use crate::quota::{SharePools, TenantQuotas, WindowLedger};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -28,7 +28,7 @@
     /// As a lease holder: the shares lent of each tenant's rate.
     pub share_pools: SharePools,
     /// For its own calls: the slices and shares that the data plane takes units from.
-    pub slices: Arc<WindowSlices>,
+    pub slices: Arc<TenantQuotas>,
     /// As a voter: the grants that are on its disk or are being written to it.
     pub(in crate::node) grants: BTreeMap<(String, NodeId), WindowGrant>,
     /// The newest window of each tenant with a grant.
@@ -47,8 +47,8 @@
 impl Quota {
     /// Creates the state after a start from the durable state and the configuration that is in force.
     pub(super) fn new(durable: &DurableState, config: &CompiledConfig, now: Micros) -> Self {
-        let slices = Arc::<WindowSlices>::default();
-        slices.rates.apply_plan(config, now);
+        let slices = Arc::<TenantQuotas>::default();
+        slices.rates.apply_config(config, now);
         let newest_window = |grant: &WindowGrant| {
             (grant.tenant.clone(), windows::NewestWindow { number: grant.window, started_at: now })
         };
--- a/crates/core/src/node/quota/shares.rs
+++ b/crates/core/src/node/quota/shares.rs
@@ -7,11 +7,11 @@
 
 use super::{Node, NodeId};
 use crate::base::{Incarnation, MS, Micros, SEC, Version};
-use crate::config::{Limit, Rate, Tenant};
+use crate::config::{QuotaLimit, Rate, Tenant};
 use crate::lease::quota_role;
 use crate::node::Effect;
 use crate::protocol::{LeaseClaim, QuotaMessage, ShareGrant, ShareRequest};
-use crate::quota::{RESERVE_MARK, RESPONSE_TIMEOUT, Requester, SharePurpose, tenant_key};
+use crate::quota::{RESERVE_REQUEST_MARKER, RESPONSE_TIMEOUT, Requester, SharePurpose, tenant_key};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -101,7 +101,7 @@
             return cached.by_key.clone();
         }
         let tenant_rate = |tenant: &Arc<Tenant>| match tenant.quota {
-            Limit::Rate(rate) => {
+            QuotaLimit::Rate(rate) => {
                 let role = quota_role(&tenant.name);
                 Some((tenant_key(&tenant.name), TenantRate { tenant: tenant.clone(), role, rate }))
             }
@@ -114,7 +114,7 @@
 
     /// Requests a share soon, as calls of a tenant wait for `waiting` units or the tenant's bucket runs low.
     pub(in crate::node) fn on_rate_needed(&mut self, tenant: &str, waiting: u64, now: Micros) {
-        self.quota.slices.rates.request_soon(tenant);
+        self.quota.slices.rates.request_units_soon(tenant);
         self.quota.slices.rates.record_waiting(tenant, waiting, now);
         let waiting_units = self.quota.share_client.waiting_units.entry(tenant.to_owned()).or_default();
         *waiting_units = (*waiting_units).max(waiting);
@@ -128,7 +128,7 @@
         if self.version().is_none() {
             return;
         }
-        let is_eager_front = !self.settings.is_core && !self.draining;
+        let is_eager_front = !self.settings.is_core && !self.is_draining;
         let standby_roles = self.standby_roles(now);
         let is_eager = |tenant: &str| is_eager_front || standby_roles.contains(&quota_role(tenant));
         let mut by_holder: BTreeMap<NodeId, Vec<String>> = BTreeMap::new();
@@ -154,7 +154,7 @@
                 continue;
             };
             let request = match self.settings.is_core {
-                true => self.quota.slices.rates.into_reserve_request(&tenant, request),
+                true => self.quota.slices.rates.to_reserve_request(&tenant, request),
                 false => request,
             };
             requested.push(tenant);
@@ -204,7 +204,7 @@
                 roles.insert(claim.role);
             }
         }
-        if self.version().is_none() || self.draining || roles.is_empty() {
+        if self.version().is_none() || self.is_draining || roles.is_empty() {
             return;
         }
         let has_share = |name: &&String| roles.contains(&quota_role(name)) && self.quota.slices.rates.is_rate(name);
@@ -411,19 +411,21 @@
         // A request that was sent before this lease was known may be older than grants of an earlier lease.
         let knows_lease = context.knows_lease(role, FencingToken { voter_set: context.voter_set, epoch });
         if knows_lease {
-            self.quota.share_pools.record_request(role, request, context.from, rate, idle_for, now);
+            self.quota.share_pools.record_share_report(role, request, context.from, rate, idle_for, now);
         }
         let pool = self.quota.share_pools.pool(role, request.tenant_key, rate, now)?;
-        let purpose = match (context.standby_roles.contains(&role), request.smallest_call == RESERVE_MARK) {
-            (true, _) => SharePurpose::Standby,
-            (false, true) => SharePurpose::FormerStandby,
-            (false, false) => SharePurpose::OwnCalls,
-        };
+        let purpose =
+            match (context.standby_roles.contains(&role), request.smallest_call_units == RESERVE_REQUEST_MARKER) {
+                (true, _) => SharePurpose::StandbyReserve,
+                (false, true) => SharePurpose::ReturnReserve,
+                (false, false) => SharePurpose::OwnCalls,
+            };
         let requester = Requester { incarnation: context.from, request_id: context.request_id, purpose, knows_lease };
         let mut grant = pool.grant(requester, request, rate, context.live_nodes, now)?;
         if context.from.0 != self.settings.node_id {
             let missing_units = request.missing_units.saturating_sub(grant.loaned_units);
-            grant.loaned_units += self.lend_own_units(&tenant.tenant.name, missing_units, request.smallest_call, now);
+            grant.loaned_units +=
+                self.lend_own_units(&tenant.tenant.name, missing_units, request.smallest_call_units, now);
         }
         Some(grant)
     }
--- a/crates/core/src/node/quota/standby.rs
+++ b/crates/core/src/node/quota/standby.rs
@@ -2,7 +2,7 @@
 //!
 //! The live voter that ranks first for a role after its lease holder is the role's *standby*. The standby requests
 //! shares of that role's rates like any other node and is granted at least [`STANDBY_SHARE`]. Out of these shares
-//! it lends units to nodes whose requests no lease holder granted within [`HEDGE_AFTER`], or whose lease holder had
+//! it lends units to nodes whose requests no lease holder granted within [`HEDGE_DELAY`], or whose lease holder had
 //! no units. Therefore a tenant's calls go on until the lease of a lost holder has expired.
 //!
 //! Guarantees that standby lending adds no units: a loan is spent in the standby's own bucket before it is sent, is
@@ -10,7 +10,7 @@
 //! was sent. If nodes disagree about which node is the standby, their requests are granted nothing.
 //!
 //! [`STANDBY_SHARE`]: crate::quota::STANDBY_SHARE
-//! [`HEDGE_AFTER`]: crate::quota::HEDGE_AFTER
+//! [`HEDGE_DELAY`]: crate::quota::HEDGE_DELAY
 //! [`LOAN_DURATION`]: crate::quota::LOAN_DURATION
 
 use super::{Node, NodeId};
@@ -143,8 +143,14 @@
 
     /// Lends units out of this node's own bucket that its pool lacks, such as those that this node held as the
     /// standby of the previous lease holder.
-    pub(super) fn lend_own_units(&mut self, tenant: &str, missing_units: u32, smallest_call: u32, now: Micros) -> u32 {
-        let request = LoanRequest { tenant_key: tenant_key(tenant), missing_units, smallest_call };
+    pub(super) fn lend_own_units(
+        &mut self,
+        tenant: &str,
+        missing_units: u32,
+        smallest_call_units: u32,
+        now: Micros,
+    ) -> u32 {
+        let request = LoanRequest { tenant_key: tenant_key(tenant), missing_units, smallest_call_units };
         if missing_units == 0 { 0 } else { self.quota.slices.rates.lend(tenant, &request, now) }
     }
 }
@@ -164,7 +170,7 @@
     fn is_standby(&self, role: u32, now: Micros) -> bool {
         let holder = self.other_lease_holder(role, now);
         let is_held = holder != NodeId::default();
-        is_held && !self.draining && self.standby_of(role, holder, now) == Some(self.settings.node_id)
+        is_held && !self.is_draining && self.standby_of(role, holder, now) == Some(self.settings.node_id)
     }
 
     /// Handles requests for loans: lends units out of this node's own buckets.
--- a/crates/core/src/node/quota/windows.rs
+++ b/crates/core/src/node/quota/windows.rs
@@ -6,7 +6,7 @@
 //! need units.
 
 use crate::base::{MS, Micros, NodeId, SEC, Version};
-use crate::config::{Limit, WindowQuota};
+use crate::config::{QuotaLimit, WindowQuota};
 use crate::consensus::{DurableWrite, is_majority};
 use crate::lease::{LEASE_DURATION, quota_role};
 use crate::node::{Effect, Node};
@@ -113,7 +113,7 @@
 impl Node {
     fn window_quota(&self, tenant: &str) -> Option<WindowQuota> {
         match self.config.tenants.get(tenant)?.quota {
-            Limit::Window(quota) => Some(quota),
+            QuotaLimit::Window(quota) => Some(quota),
             _ => None,
         }
     }
@@ -221,7 +221,7 @@
             self.request_slice(tenant, waiting, 0, None, now);
             return;
         }
-        self.quota.slices.mark_spent(tenant, window, now + remaining - delay, now);
+        self.quota.slices.record_window_spent(tenant, window, now + remaining - delay, now);
         self.outbox.push(Effect::WakeTenant { tenant: tenant.to_owned() });
     }
 
@@ -266,7 +266,7 @@
         if self.is_message_fenced(quota_role(tenant), epoch) {
             return;
         }
-        let returned = self.quota.slices.return_idle(tenant, window, now).unwrap_or(0);
+        let returned = self.quota.slices.return_idle_units(tenant, window, now).unwrap_or(0);
         self.send_quota(from, QuotaMessage::ReturnSlice { tenant: tenant.to_owned(), window, returned }, now);
     }
 }
@@ -309,7 +309,8 @@
         let Some(quota) = self.window_quota(tenant) else { return };
         if self.leases.held.valid_epoch(quota_role(tenant), now).is_some() {
             let nodes = self.live_node_count(now);
-            let actions = self.quota.window_ledger.return_units(tenant, quota, from, window, returned, nodes, now);
+            let actions =
+                self.quota.window_ledger.record_recall_reply(tenant, quota, from, window, returned, nodes, now);
             self.apply_ledger_actions(tenant, actions, now);
         }
     }
@@ -326,7 +327,7 @@
                 }
                 // A tenant that is not in this node's configuration may be in the next one.
                 (Some(_), None) => {}
-                (None, _) => self.quota.window_ledger.forget(&tenant),
+                (None, _) => self.quota.window_ledger.remove_tenant(&tenant),
             }
         }
     }
@@ -445,8 +446,8 @@
             return false;
         }
         // A sender that has just started may not know how long the window has run.
-        let fence_until = self.clock.started_at + LEASE_DURATION;
-        self.leases.grantor.role_fences.entry(quota_role(&grant.tenant)).or_insert(fence_until);
+        let startup_fence_until = self.clock.started_at + LEASE_DURATION;
+        self.leases.grantor.role_fences.entry(quota_role(&grant.tenant)).or_insert(startup_fence_until);
         let started_at = now.saturating_sub(grant.age);
         if grant.window > newest {
             self.quota.grants.retain(|(tenant, _), _| *tenant != grant.tenant);
--- a/crates/core/src/node/state_digest.rs
+++ b/crates/core/src/node/state_digest.rs
@@ -53,11 +53,11 @@
     pub fn digest(&self, scope: Scope) -> u64 {
         let mut input = DigestInput::new();
         let settings = &self.settings;
-        input.add(&(settings.node_id.0, settings.incarnation, &settings.addr, self.draining));
+        input.add(&(settings.node_id.0, settings.incarnation, &settings.addr, self.is_draining));
         self.add_consensus(&mut input);
         input.add(&(
             self.consensus.freshness.confirmed,
-            self.consensus.freshness.probe_due,
+            self.consensus.freshness.next_probe_at,
             &self.consensus.freshness.open_probes,
         ));
         input.add(&(self.consensus.synced_version, self.membership.ready_set, self.membership.synced_ready_set));
@@ -100,7 +100,7 @@
         input.add(&(state.digests.len(), state.digests.newest_gap(), &state.bootstrap_vote));
         let accepted = state.accepted.as_ref().map(|accepted| (accepted.0, accepted.1.version, accepted.1.change_id.0));
         input.add(&(state.promised_ballot, accepted, state.accepted_at, state.backoff_until, state.ballot_number));
-        input.add(&state.yields_until);
+        input.add(&state.yield_until);
         if let Some(proposal) = &state.proposal {
             let highest_accepted = proposal.highest_accepted.as_ref().map(|highest| (highest.0, highest.1.change_id.0));
             let value = proposal.value.as_ref().map(|entry| entry.change_id.0);
@@ -108,7 +108,7 @@
                 proposal.instance,
                 proposal.ballot,
                 proposal.phase,
-                &proposal.answered,
+                &proposal.responders,
                 highest_accepted,
                 value,
                 proposal.deadline,
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -37,18 +37,18 @@
     /// The incarnation of the node.
     pub incarnation: Incarnation,
     /// The heartbeat counter of that incarnation.
-    pub heartbeat: u64,
+    pub counter: u64,
 }
 
 impl From<&PeerRecord> for HeartbeatStamp {
     fn from(record: &PeerRecord) -> Self {
-        HeartbeatStamp { incarnation: record.incarnation, heartbeat: record.heartbeat }
+        HeartbeatStamp { incarnation: record.incarnation, counter: record.heartbeat }
     }
 }
 
 impl From<&Heartbeat> for HeartbeatStamp {
     fn from(heartbeat: &Heartbeat) -> Self {
-        HeartbeatStamp { incarnation: heartbeat.incarnation, heartbeat: heartbeat.heartbeat }
+        HeartbeatStamp { incarnation: heartbeat.incarnation, counter: heartbeat.counter }
     }
 }
 
@@ -62,21 +62,21 @@
     /// When the node entered the table.
     pub discovered_at: Micros,
     /// When the last frame arrived from the node itself; 0 if none has.
-    pub contacted_at: Micros,
+    pub last_contact_at: Micros,
     /// When a field other than the heartbeat last changed.
-    pub changed_at: Micros,
+    pub last_change_at: Micros,
 }
 
 impl PeerEntry {
     fn new(record: PeerRecord, now: Micros) -> Self {
-        PeerEntry { record, heartbeat_at: now, discovered_at: now, contacted_at: 0, changed_at: now }
+        PeerEntry { record, heartbeat_at: now, discovered_at: now, last_contact_at: 0, last_change_at: now }
     }
 
     fn heartbeat(&self) -> Heartbeat {
         Heartbeat {
             node_id: self.record.node_id,
             incarnation: self.record.incarnation,
-            heartbeat: self.record.heartbeat,
+            counter: self.record.heartbeat,
             version: self.record.version,
             draining: self.record.draining,
         }
@@ -128,7 +128,7 @@
     /// Every known node, including failed nodes until they are removed.
     pub entries: BTreeMap<NodeId, PeerEntry>,
     /// When this node gossips next, in microseconds.
-    pub gossip_due: Micros,
+    pub next_gossip_at: Micros,
     /// By peer: the newest stamp of each node that was sent to the peer or received from it. Peers that are not
     /// in `entries` are removed every second, by [`PeerTable::expire`].
     sent_stamps: BTreeMap<NodeId, BTreeMap<NodeId, HeartbeatStamp>>,
@@ -149,7 +149,7 @@
                 if (record.incarnation, record.version, record.draining)
                     != (known.incarnation, known.version, known.draining)
                 {
-                    entry.changed_at = now;
+                    entry.last_change_at = now;
                 }
                 entry.record = record.clone();
                 entry.heartbeat_at = now;
@@ -168,7 +168,7 @@
     /// Records that a frame arrived from the node itself.
     pub fn record_contact(&mut self, node_id: NodeId, now: Micros) {
         if let Some(entry) = self.entries.get_mut(&node_id) {
-            entry.contacted_at = now;
+            entry.last_contact_at = now;
         }
     }
 
@@ -281,7 +281,7 @@
     /// Returns the full heartbeats of nodes that changed recently: compact heartbeats omit the versions.
     pub fn recent_changes(&self, now: Micros) -> Vec<Heartbeat> {
         self.recently_advanced(now)
-            .filter(|entry| now.saturating_sub(entry.changed_at) < RECENT_CHANGE_PERIOD)
+            .filter(|entry| now.saturating_sub(entry.last_change_at) < RECENT_CHANGE_PERIOD)
             .map(PeerEntry::heartbeat)
             .collect()
     }
@@ -323,7 +323,7 @@
     }
 
     /// Forgets all stamps that a peer is known to have: the next delta to it holds every record.
-    pub fn forget_sent(&mut self, peer: NodeId) {
+    pub fn reset_peer(&mut self, peer: NodeId) {
         self.sent_stamps.remove(&peer);
     }
 
@@ -341,7 +341,7 @@
         if peers.is_empty() {
             return None;
         }
-        peers.get(usize::try_from(rng.below(peers.len() as u64)).unwrap_or(0)).copied()
+        peers.get(usize::try_from(rng.next_below(peers.len() as u64)).unwrap_or(0)).copied()
     }
 
     /// Returns the state that a peer does not know yet, and records it as sent.
@@ -379,9 +379,9 @@
             return Some(false);
         }
         if (heartbeat.version, heartbeat.draining) != (entry.record.version, entry.record.draining) {
-            entry.changed_at = now;
+            entry.last_change_at = now;
         }
-        entry.record.heartbeat = heartbeat.heartbeat;
+        entry.record.heartbeat = heartbeat.counter;
         entry.record.version = heartbeat.version;
         entry.record.draining = heartbeat.draining;
         if !is_version_only {
--- a/crates/core/src/placement/cost.rs
+++ b/crates/core/src/placement/cost.rs
@@ -74,7 +74,7 @@
     fn stream_delay(&self) -> f64 {
         let load = self.load;
         let per_token =
-            self.pool.fit.coefficients().per_token * self.slowness / self.request.max_stream_gap.max(1) as f64;
+            self.pool.fit.coefficients().per_token * self.slowness / self.request.max_stream_pause.max(1) as f64;
         let pause = |tokens: f64| (per_token * tokens - GAP_TOLERANCE).clamp(0.0, 1.0);
         0.1 * load.uncached_tokens * self.pool.fit.coefficients().per_token / 100_000.0 * (1.0 + load.running / 8.0)
             + DELAYED_STREAM_COST
--- a/crates/core/src/placement/engines.rs
+++ b/crates/core/src/placement/engines.rs
@@ -6,7 +6,7 @@
 use super::pool_model::PoolModel;
 use super::prompt::{PromptRequest, SegmentChain, shared_prefix_key, splitmix64};
 use super::{Endpoint, PlacementTable, WorkerLoads};
-use crate::base::{Micros, Rng, SEC, Shards};
+use crate::base::{Micros, Rng, SEC, ShardedMap};
 use crate::config::PlacementWeights;
 use smallvec::SmallVec;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -62,9 +62,9 @@
 #[derive(Debug, Default)]
 pub struct EngineModels {
     /// The models of engines, by worker id.
-    engines: Shards<EngineModel>,
+    engines: ShardedMap<EngineModel>,
     /// The models of pools, by pool name.
-    pools: Shards<PoolModel>,
+    pools: ShardedMap<PoolModel>,
     next_ticket: AtomicU64,
 }
 
@@ -317,7 +317,7 @@
             slots,
             first_token_time,
             crosses_zones: endpoint.zone != self.context.zone,
-            random: rng.below(1000) as f64 / 1000.0,
+            random: rng.next_below(1000) as f64 / 1000.0,
         };
         Some(model.total() + self.partition_penalty(candidate.index))
     }
@@ -404,7 +404,7 @@
             [(near, RANDOM_CANDIDATES), (far, RANDOM_CANDIDATES / 2), (other_partition, RANDOM_CANDIDATES / 4)]
         {
             for _ in 0..count.min(group.len() as u64) {
-                let index = usize::try_from(rng.below(group.len() as u64)).unwrap_or(0);
+                let index = usize::try_from(rng.next_below(group.len() as u64)).unwrap_or(0);
                 chosen.push(group.swap_remove(index));
             }
         }
--- a/crates/core/src/placement/loads.rs
+++ b/crates/core/src/placement/loads.rs
@@ -1,7 +1,7 @@
 //! The number of calls in flight at each worker, as known to this node.
 
 use super::{Endpoint, PlacementTable};
-use crate::base::Shards;
+use crate::base::ShardedMap;
 
 /// The number of a worker's report: its incarnation and its sequence number. A later report has a greater number.
 type ReportNumber = (u64, u64);
@@ -41,7 +41,7 @@
 
 /// The loads of all workers, by worker id.
 #[derive(Debug, Default)]
-pub struct WorkerLoads(Shards<Load>);
+pub struct WorkerLoads(ShardedMap<Load>);
 
 impl WorkerLoads {
     /// Returns the load of each endpoint of a table: the calls of this node and, by the worker's report, of other
@@ -61,19 +61,19 @@
     }
 
     /// Records that a call of this node is sent to the worker.
-    pub fn begin(&self, worker_id: &str) {
+    pub fn record_start(&self, worker_id: &str) {
         self.0.lock_shard(worker_id).entry(worker_id.to_owned()).or_default().in_flight += 1;
     }
 
     /// Records that a call of this node ended at the worker.
-    pub fn end(&self, worker_id: &str) {
+    pub fn record_end(&self, worker_id: &str) {
         if let Some(load) = self.0.lock_shard(worker_id).get_mut(worker_id) {
             load.in_flight = load.in_flight.saturating_sub(1);
         }
     }
 
     /// Records that a call failed at the worker, which is avoided until its next report.
-    pub fn mark_failed(&self, worker_id: &str, incarnation: u64, seq: u64) {
+    pub fn eject(&self, worker_id: &str, incarnation: u64, seq: u64) {
         let mut shard = self.0.lock_shard(worker_id);
         shard.entry(worker_id.to_owned()).or_default().failed_report = Some((incarnation, seq));
     }
@@ -87,7 +87,7 @@
     /// Records that the worker rejected a call because all of its slots are in use: other nodes' calls occupy the
     /// slots that this node's calls do not. A slot counts as free again once a call of this node ends or the worker
     /// reports again.
-    pub fn mark_full(&self, worker_id: &str, slots: u32) {
+    pub fn record_full(&self, worker_id: &str, slots: u32) {
         let mut shard = self.0.lock_shard(worker_id);
         let load = shard.entry(worker_id.to_owned()).or_default();
         load.others = load.others.max(slots.saturating_sub(load.in_flight.saturating_sub(1)));
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -1,7 +1,7 @@
 //! Placement: the choice of the worker that serves a call.
 //!
 //! A call without prompt parts is placed on a ring by consistent hashing with bounded loads
-//! ([`PlacementTable::nominate`]). A call with prompt parts goes to the worker with the lowest
+//! ([`PlacementTable::choose_by_ring`]). A call with prompt parts goes to the worker with the lowest
 //! expected cost ([`EngineModels::choose`]): a model of each engine, learned from its responses,
 //! gives the expected time to first token, and rendezvous hashing gives the workers that likely have
 //! the prompt's prefix in their KV cache. Each node decides on its own, without waiting for others.
--- a/crates/core/src/placement/prompt.rs
+++ b/crates/core/src/placement/prompt.rs
@@ -21,7 +21,7 @@
     /// The time to first token up to which the response has its full value, in microseconds; 500 ms by default.
     pub latency_target: Micros,
     /// The longest acceptable pause of concurrent streams, in microseconds; 300 ms by default.
-    pub max_stream_gap: Micros,
+    pub max_stream_pause: Micros,
     /// The time until the caller's deadline, in microseconds; 2 seconds by default.
     pub time_left: Micros,
     /// The call's priority; 0 is served first, 5 is the default.
@@ -46,7 +46,7 @@
             parts: SmallVec::new(),
             max_output_tokens: 0,
             latency_target: 500 * MS,
-            max_stream_gap: 300 * MS,
+            max_stream_pause: 300 * MS,
             time_left: 2 * SEC,
             urgency: 5,
             bytes: 0,
--- a/crates/core/src/placement/table.rs
+++ b/crates/core/src/placement/table.rs
@@ -72,7 +72,7 @@
     /// Returns the index of the worker for a prefix with this hash: the first one along the ring that is below
     /// its load bound, otherwise the first one with a free slot. Workers of the caller's zone take precedence
     /// over all others. Returns `None` if all workers are full or excluded.
-    pub fn nominate(&self, hash: u64, zone: &str, loads: &[u32], excluded: &[String]) -> Option<usize> {
+    pub fn choose_by_ring(&self, hash: u64, zone: &str, loads: &[u32], excluded: &[String]) -> Option<usize> {
         let load = |index: usize| loads.get(index).copied().unwrap_or(0);
         let is_free = |index: usize| {
             let endpoint = &self.endpoints[index];
--- a/crates/core/src/protocol/dissemination.rs
+++ b/crates/core/src/protocol/dissemination.rs
@@ -39,7 +39,7 @@
     /// The incarnation of the node.
     pub incarnation: Incarnation,
     /// The heartbeat counter.
-    pub heartbeat: u64,
+    pub counter: u64,
     /// The newest version of the configuration on the node.
     pub version: Version,
     /// Whether the node is shutting down.
@@ -48,14 +48,14 @@
 
 /// The incarnation in reports of a worker that does not number its incarnations. The node that receives the
 /// reports assigns one.
-pub const UNNUMBERED_INCARNATION: Incarnation = 0;
+pub const UNKNOWN_INCARNATION: Incarnation = 0;
 
 /// The state of a worker as the worker reported it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct WorkerReport {
     /// The ID of the worker, unique in the fleet.
     pub worker_id: String,
-    /// The incarnation of the worker, or [`UNNUMBERED_INCARNATION`].
+    /// The incarnation of the worker, or [`UNKNOWN_INCARNATION`].
     pub incarnation: Incarnation,
     /// The sequence number of the report within the incarnation.
     pub seq: u64,
--- a/crates/core/src/protocol/frame.rs
+++ b/crates/core/src/protocol/frame.rs
@@ -33,23 +33,23 @@
 #[derive(Clone, Debug, PartialEq, Eq, Display, thiserror::Error)]
 pub enum FrameError {
     /// unsupported peer protocol version {0}; run only adjacent releases in one fleet
-    Version(u8),
+    UnsupportedVersion(u8),
     /// frame of {0} bytes exceeds the maximum of the peer protocol; check which client connects to the peer address
     TooLarge(usize),
     /// empty frame; check which client connects to the peer address
     Empty,
     /// invalid frame: {0}; check which client connects to the peer address
-    Undecodable(String),
+    Invalid(String),
 }
 
 /// Encodes a frame as bytes.
 ///
 /// # Errors
-/// [`FrameError::Undecodable`] if the frame cannot be encoded, [`FrameError::TooLarge`] if it has more than
+/// [`FrameError::Invalid`] if the frame cannot be encoded, [`FrameError::TooLarge`] if it has more than
 /// [`MAX_FRAME_BYTES`].
 pub fn encode_frame(frame: &Frame) -> Result<Vec<u8>, FrameError> {
     let mut bytes = vec![PROTOCOL_VERSION];
-    bytes.extend(musli::wire::to_vec(frame).map_err(|error| FrameError::Undecodable(error.to_string()))?);
+    bytes.extend(musli::wire::to_vec(frame).map_err(|error| FrameError::Invalid(error.to_string()))?);
     if bytes.len() > MAX_FRAME_BYTES { Err(FrameError::TooLarge(bytes.len())) } else { Ok(bytes) }
 }
 
@@ -64,8 +64,8 @@
     match bytes.split_first() {
         None => Err(FrameError::Empty),
         Some((&PROTOCOL_VERSION, content)) => {
-            musli::wire::from_slice(content).map_err(|error| FrameError::Undecodable(error.to_string()))
+            musli::wire::from_slice(content).map_err(|error| FrameError::Invalid(error.to_string()))
         }
-        Some((version, _)) => Err(FrameError::Version(*version)),
+        Some((version, _)) => Err(FrameError::UnsupportedVersion(*version)),
     }
 }
--- a/crates/core/src/protocol/mod.rs
+++ b/crates/core/src/protocol/mod.rs
@@ -16,9 +16,7 @@
 
 pub use consensus::{Ballot, Change, ChangeOutcome, ConsensusMessage};
 pub use digest::EntryDigest;
-pub use dissemination::{
-    DisseminationMessage, Heartbeat, PeerRecord, RemovalKey, UNNUMBERED_INCARNATION, WorkerReport,
-};
+pub use dissemination::{DisseminationMessage, Heartbeat, PeerRecord, RemovalKey, UNKNOWN_INCARNATION, WorkerReport};
 pub use entry::{LogEntry, Voter};
 pub use frame::{Frame, FrameError, MAX_FRAME_BYTES, PROTOCOL_VERSION, decode_frame, encode_frame};
 pub use lease::LeaseMessage;
--- a/crates/core/src/protocol/quota.rs
+++ b/crates/core/src/protocol/quota.rs
@@ -44,9 +44,9 @@
     /// The units that the bucket lacked for calls.
     pub missing_units: u32,
     /// The units of the smallest of these calls; fewer units serve no call.
-    pub smallest_call: u32,
+    pub smallest_call_units: u32,
     /// The moving average of the units of a call.
-    pub usual_call: u32,
+    pub mean_call_units: u32,
     /// The demand, in thousandths of calls a second.
     pub call_rate_milli: u64,
 }
@@ -74,7 +74,7 @@
     /// The units that waiting calls lack.
     pub missing_units: u32,
     /// The units of the smallest of these calls; fewer units serve no call.
-    pub smallest_call: u32,
+    pub smallest_call_units: u32,
 }
 
 /// The units that a standby lends from its own bucket to waiting calls.
--- a/crates/core/src/queue/fair_queue.rs
+++ b/crates/core/src/queue/fair_queue.rs
@@ -12,11 +12,11 @@
 //! entry unless that displaces an entry of the longest flow relative to its weight.
 
 use crate::base::{Micros, SEC};
-use crate::config::Kind;
+use crate::config::TrafficKind;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// The tenant and the kind of traffic that identify a flow.
-type FlowKey = (String, Kind);
+type FlowKey = (String, TrafficKind);
 
 /// The time for which a freed slot counts in the measured rate, in microseconds.
 const FREED_WINDOW: Micros = 5 * SEC;
@@ -116,7 +116,7 @@
     }
 
     /// Records that a slot was freed; later waits are estimated from these records.
-    pub fn record_freed(&mut self, now: Micros) {
+    pub fn record_slot_freed(&mut self, now: Micros) {
         self.freed_at.push_back(now);
         let is_old = |time: &Micros| now.saturating_sub(*time) > FREED_WINDOW;
         while self.freed_at.len() > MAX_FREED_SLOTS || self.freed_at.front().is_some_and(is_old) {
@@ -146,7 +146,7 @@
 
     /// Removes and returns the entries that can't be served before their deadline at the current rate of
     /// freed slots.
-    pub fn drain_hopeless(&mut self, now: Micros) -> Vec<T> {
+    pub fn drain_unservable(&mut self, now: Micros) -> Vec<T> {
         if self.len == 0 {
             return Vec::new();
         }
@@ -180,7 +180,7 @@
 
     /// Removes and returns the entry for which `matches` holds, if there is one. `matches` must hold for one
     /// entry at most: further matching entries would be removed as well.
-    pub fn remove_first(&mut self, mut matches: impl FnMut(&T) -> bool) -> Option<T> {
+    pub fn remove_matching(&mut self, mut matches: impl FnMut(&T) -> bool) -> Option<T> {
         self.drain_where(|value, _| matches(value)).pop()
     }
 
--- a/crates/core/src/quota/rates.rs
+++ b/crates/core/src/quota/rates.rs
@@ -2,11 +2,11 @@
 //!
 //! Holds a [`ShareBucket`] for each tenant with a rate, and an entry for each tenant without a limit. Tenants with
 //! counting windows have no entry: methods return `None` or `false` for them, and the caller continues with
-//! [`WindowSlices`](super::WindowSlices).
+//! [`TenantQuotas`](super::TenantQuotas).
 
 use super::{AcquireOutcome, ShareBucket};
-use crate::base::{Micros, Shards, hash64};
-use crate::config::{CompiledConfig, Limit, Rate};
+use crate::base::{Micros, ShardedMap, hash64};
+use crate::config::{CompiledConfig, QuotaLimit, Rate};
 use crate::protocol::{LoanRequest, ShareGrant, ShareRequest};
 use std::sync::OnceLock;
 
@@ -20,7 +20,7 @@
 /// This node's shares of all tenants' rates, and the tenants without a limit.
 #[derive(Clone, Debug, Default)]
 pub struct RateShares {
-    tenants: Shards<TenantRate>,
+    tenants: ShardedMap<TenantRate>,
     /// When this incarnation of the node started: the time of its first configuration, even if that names no tenant.
     started_at: OnceLock<Micros>,
     /// Set by the first configuration that names a tenant, and never cleared.
@@ -34,7 +34,7 @@
 
 impl RateShares {
     /// Applies a configuration: shares are kept, and their refill follows the new rates.
-    pub fn apply_plan(&self, config: &CompiledConfig, now: Micros) {
+    pub fn apply_config(&self, config: &CompiledConfig, now: Micros) {
         let started_at = *self.started_at.get_or_init(|| now);
         let is_first = self.has_seen_tenants.get().is_none();
         if !config.tenants.is_empty() {
@@ -42,7 +42,7 @@
         }
         for mut tenants in self.tenants.lock_each() {
             tenants.retain(|name, _| {
-                config.tenants.get(name).is_some_and(|tenant| !matches!(tenant.quota, Limit::Window(_)))
+                config.tenants.get(name).is_some_and(|tenant| !matches!(tenant.quota, QuotaLimit::Window(_)))
             });
         }
         // A later configuration may add a removed tenant again, of whose rate this node held a share before.
@@ -53,12 +53,12 @@
         for (name, tenant) in &config.tenants {
             let mut tenants = self.tenants.lock_shard(name);
             match (tenant.quota, tenants.get_mut(name)) {
-                (Limit::Window(_), _) => {}
-                (Limit::Unlimited, _) => {
+                (QuotaLimit::Window(_), _) => {}
+                (QuotaLimit::Unlimited, _) => {
                     tenants.insert(name.clone(), TenantRate::Unlimited);
                 }
-                (Limit::Rate(rate), Some(TenantRate::Limited(bucket))) => bucket.set_rate(rate, now),
-                (Limit::Rate(rate), _) => {
+                (QuotaLimit::Rate(rate), Some(TenantRate::Limited(bucket))) => bucket.set_rate(rate, now),
+                (QuotaLimit::Rate(rate), _) => {
                     tenants.insert(name.clone(), TenantRate::Limited(Box::new(new_bucket(rate))));
                 }
             }
@@ -89,19 +89,21 @@
         acquire: impl FnOnce(&mut ShareBucket) -> AcquireOutcome,
     ) -> Option<AcquireOutcome> {
         match self.tenants.lock_shard(tenant).get_mut(tenant)? {
-            TenantRate::Unlimited => Some(AcquireOutcome::Acquired { window: 0, until: Micros::MAX, low: false }),
+            TenantRate::Unlimited => {
+                Some(AcquireOutcome::Acquired { window: 0, expires_at: Micros::MAX, is_low: false })
+            }
             TenantRate::Limited(bucket) => Some(acquire(bucket)),
         }
     }
 
-    /// See [`ShareBucket::peek`].
-    pub fn peek(&self, tenant: &str, units: u32, now: Micros) -> Option<AcquireOutcome> {
-        self.with_bucket(tenant, |bucket| bucket.peek(units, now))
+    /// See [`ShareBucket::outcome_behind_waiters`].
+    pub fn outcome_behind_waiters(&self, tenant: &str, units: u32, now: Micros) -> Option<AcquireOutcome> {
+        self.with_bucket(tenant, |bucket| bucket.outcome_behind_waiters(units, now))
     }
 
-    /// See [`ShareBucket::set_smallest_call`].
-    pub fn set_smallest_call(&self, tenant: &str, units: u32) {
-        self.with_bucket(tenant, |bucket| bucket.set_smallest_call(units));
+    /// See [`ShareBucket::set_smallest_waiting_call`].
+    pub fn set_smallest_waiting_call(&self, tenant: &str, units: u32) {
+        self.with_bucket(tenant, |bucket| bucket.set_smallest_waiting_call(units));
     }
 
     /// Refunds unused units, see [`ShareBucket::refund`]; returns false if the tenant has a counting window or is
@@ -127,9 +129,9 @@
         self.with_bucket(tenant, |_| ()).is_some()
     }
 
-    /// See [`ShareBucket::request_soon`].
-    pub fn request_soon(&self, tenant: &str) {
-        self.with_bucket(tenant, ShareBucket::request_soon);
+    /// See [`ShareBucket::request_units_soon`].
+    pub fn request_units_soon(&self, tenant: &str) {
+        self.with_bucket(tenant, ShareBucket::request_units_soon);
     }
 
     /// See [`ShareBucket::request_timed_out`].
@@ -198,9 +200,9 @@
         self.with_bucket(tenant, |bucket| bucket.make_request(tenant_key(tenant), request_id, waiting_units, now))
     }
 
-    /// See [`ShareBucket::into_reserve_request`].
-    pub fn into_reserve_request(&self, tenant: &str, request: ShareRequest) -> ShareRequest {
-        self.with_bucket(tenant, |bucket| bucket.into_reserve_request(request)).unwrap_or(request)
+    /// See [`ShareBucket::to_reserve_request`].
+    pub fn to_reserve_request(&self, tenant: &str, request: ShareRequest) -> ShareRequest {
+        self.with_bucket(tenant, |bucket| bucket.to_reserve_request(request)).unwrap_or(request)
     }
 
     /// See [`ShareBucket::idle_for`]; zero if the tenant has no rate.
--- a/crates/core/src/quota/share_bucket.rs
+++ b/crates/core/src/quota/share_bucket.rs
@@ -12,8 +12,8 @@
 use crate::protocol::{LoanRequest, ShareGrant, ShareRequest};
 use std::collections::VecDeque;
 
-/// The value of `smallest_call` that marks a request for a reserve; a real call takes at least one unit.
-pub const RESERVE_MARK: u32 = 0;
+/// The value of `smallest_call_units` that marks a request for a reserve; a real call takes at least one unit.
+pub const RESERVE_REQUEST_MARKER: u32 = 0;
 /// A tenant's whole rate, in millionths, the unit of shares.
 pub const FULL_SHARE: u32 = 1_000_000;
 /// The validity of a share, from the sending of its request, in microseconds.
@@ -29,7 +29,7 @@
 
 /// The time after which a request without a grant is hedged by a loan request to the standby, in microseconds. Lease
 /// holders usually respond within a few milliseconds.
-pub const HEDGE_AFTER: Micros = 20 * MS;
+pub const HEDGE_DELAY: Micros = 20 * MS;
 /// The time after which a loan request to the standby times out, in microseconds.
 const LOAN_TIMEOUT: Micros = 100 * MS;
 /// The backoff after a loan request that brought no units or timed out, in microseconds.
@@ -53,7 +53,7 @@
 /// The most units that one request is for, in usual calls.
 const MAX_REQUESTED_CALLS: u32 = 64;
 /// The number of calls over which the units of the usual call are averaged.
-const USUAL_CALL_WEIGHT: u64 = 8;
+const MEAN_CALL_WEIGHT: u64 = 8;
 /// The remaining validity below which an idle share is renewed, in microseconds.
 const RENEW_BEFORE: Micros = 2_500 * MS;
 /// The time after a node's first response in which the lease holder's pool may still be filling up from empty, as
@@ -193,7 +193,7 @@
     demand_milli: u64,
     call_rate_milli: u64,
     /// The units of a usual call; zero before the first call.
-    usual_call: u32,
+    mean_call_units: u32,
     /// The units that calls lacked since the last request for units, and the smallest of these calls.
     missing_units: u32,
     smallest_missing_call: u32,
@@ -319,9 +319,10 @@
     fn count_demand(&mut self, units: u32) {
         self.demanded_units += u64::from(units);
         self.demanded_calls += 1;
-        let weighted = u64::from(self.usual_call.max(1)) * (USUAL_CALL_WEIGHT - 1) + u64::from(units);
-        let usual_call = (weighted + USUAL_CALL_WEIGHT / 2) / USUAL_CALL_WEIGHT;
-        self.usual_call = if self.usual_call == 0 { units } else { u32::try_from(usual_call).unwrap_or(u32::MAX) };
+        let weighted = u64::from(self.mean_call_units.max(1)) * (MEAN_CALL_WEIGHT - 1) + u64::from(units);
+        let mean_call_units = (weighted + MEAN_CALL_WEIGHT / 2) / MEAN_CALL_WEIGHT;
+        self.mean_call_units =
+            if self.mean_call_units == 0 { units } else { u32::try_from(mean_call_units).unwrap_or(u32::MAX) };
     }
 
     fn count_missing(&mut self, units: u32) {
@@ -331,7 +332,7 @@
     }
 
     /// Sets the fewest units that are useful to a waiting call.
-    pub fn set_smallest_call(&mut self, units: u32) {
+    pub fn set_smallest_waiting_call(&mut self, units: u32) {
         self.smallest_missing_call = units;
     }
 
@@ -341,18 +342,18 @@
         let price = u128::from(units) * UNIT;
         if self.free >= price {
             let window = self.spend(price, now);
-            let low = self.free < share_capacity(self.rate(), self.share) / 4 && self.may_request(now);
-            return AcquireOutcome::Acquired { window, until: now + UNIT_VALIDITY, low };
+            let is_low = self.free < share_capacity(self.rate(), self.share) / 4 && self.may_request(now);
+            return AcquireOutcome::Acquired { window, expires_at: now + UNIT_VALIDITY, is_low };
         }
         let lent = self.loan.valid_units(now).saturating_add(self.standby_loan.valid_units(now));
         if lent >= units {
             // Lent units can't be refunded: they count as spent at the node that lent them.
-            return AcquireOutcome::Acquired { window: 0, until: self.take_loans(units, now), low: false };
+            return AcquireOutcome::Acquired { window: 0, expires_at: self.take_loans(units, now), is_low: false };
         }
         let rest = price - u128::from(lent) * UNIT;
         if lent > 0 && self.free >= rest {
-            let until = self.take_loans(lent, now);
-            return AcquireOutcome::Acquired { window: self.spend(rest, now), until, low: false };
+            let expires_at = self.take_loans(lent, now);
+            return AcquireOutcome::Acquired { window: self.spend(rest, now), expires_at, is_low: false };
         }
         self.exhausted(units, now)
     }
@@ -380,7 +381,7 @@
 
     /// Returns the outcome for a call that arrives while others wait: the call takes no units, and its demand is
     /// counted.
-    pub fn peek(&mut self, units: u32, now: Micros) -> AcquireOutcome {
+    pub fn outcome_behind_waiters(&mut self, units: u32, now: Micros) -> AcquireOutcome {
         self.count_demand(units);
         self.count_missing(units);
         self.refill(now);
@@ -392,7 +393,7 @@
         if self.has_no_recent_response(now) {
             return AcquireOutcome::Empty;
         }
-        let may_get_more = self.may_get_more(units, now);
+        let may_receive_units = self.may_receive_units(units, now);
         let (rate, share) = (self.rate(), self.share);
         let refill = share_refill(rate, share, 1);
         let price = u128::from(units) * UNIT;
@@ -400,12 +401,12 @@
             return AcquireOutcome::RateExhausted {
                 wait: MAX_REPORTED_WAIT,
                 interval: MAX_REPORTED_WAIT,
-                may_get_more,
+                may_receive_units,
             };
         }
         let refill_time = |units: u128| Micros::try_from(units.div_ceil(refill)).unwrap_or(MAX_REPORTED_WAIT);
         let wait = refill_time(price.saturating_sub(self.free));
-        AcquireOutcome::RateExhausted { wait, interval: refill_time(price), may_get_more }
+        AcquireOutcome::RateExhausted { wait, interval: refill_time(price), may_receive_units }
     }
 
     /// Returns whether the newest response is older than a share's lease, or there is none.
@@ -414,7 +415,7 @@
     }
 
     /// Returns whether the lease holder or the standby may have units for a call of this size.
-    fn may_get_more(&self, units: u32, now: Micros) -> bool {
+    fn may_receive_units(&self, units: u32, now: Micros) -> bool {
         // A response without units applies to calls that are at least as large as the smallest one it was for.
         let is_exhausted = self.exhausted_for_call > 0 && units >= self.exhausted_for_call;
         let is_unrequested = !is_exhausted && self.missing_units > 0;
@@ -449,7 +450,7 @@
     }
 
     /// Requests units for a waiting call as soon as the backoff allows.
-    pub fn request_soon(&mut self) {
+    pub fn request_units_soon(&mut self) {
         self.is_urgent = true;
     }
 
@@ -498,9 +499,9 @@
         self.unanswered_requests = if self.is_awaiting_response { self.unanswered_requests + 1 } else { 0 };
         let returned_milli = u64::try_from(self.returned / MILLI).unwrap_or(0);
         // Units that calls lacked are requested again until a response arrives.
-        let usual_call = self.usual_call.max(1);
+        let mean_call_units = self.mean_call_units.max(1);
         let waiting_units = u32::try_from(waiting_units).unwrap_or(u32::MAX);
-        let max_units = MAX_REQUESTED_CALLS.saturating_mul(usual_call);
+        let max_units = MAX_REQUESTED_CALLS.saturating_mul(mean_call_units);
         self.requested_units = self.missing_units.max(waiting_units).min(max_units);
         self.requested_smallest_call = self.smallest_missing_call.clamp(1, self.requested_units.max(1));
         self.missing_units = self.missing_units.min(self.requested_units);
@@ -515,20 +516,20 @@
             returned_milli,
             demand_milli: self.demand_milli,
             missing_units: self.requested_units,
-            smallest_call: self.requested_smallest_call,
-            usual_call,
+            smallest_call_units: self.requested_smallest_call,
+            mean_call_units,
             call_rate_milli: self.call_rate_milli,
         }
     }
 
     /// Turns a request into one for a standby's reserve if no call needs units. The share is refilled as a reserve from
     /// now on, before the lease holder receives the request.
-    pub fn into_reserve_request(&mut self, request: ShareRequest) -> ShareRequest {
+    pub fn to_reserve_request(&mut self, request: ShareRequest) -> ShareRequest {
         if request.demand_milli > 0 || request.missing_units > 0 {
             return request;
         }
         (self.is_reserve, self.is_reserve_requested) = (true, true);
-        ShareRequest { smallest_call: RESERVE_MARK, ..request }
+        ShareRequest { smallest_call_units: RESERVE_REQUEST_MARKER, ..request }
     }
 
     fn measure_demand(&mut self, now: Micros) {
@@ -607,17 +608,17 @@
     /// Returns whether a loan request to the standby is due: calls wait, and the lease holder does not respond or has
     /// no units.
     pub fn is_loan_due(&self, now: Micros) -> bool {
-        let is_ungranted = self.ungranted_since.is_some_and(|since| now >= since + HEDGE_AFTER);
+        let is_ungranted = self.ungranted_since.is_some_and(|since| now >= since + HEDGE_DELAY);
         self.standby_loans.is_due(now) && (is_ungranted || self.exhausted_for_call > 0)
     }
 
     /// Makes the loan request to the standby that is sent now.
     pub fn make_loan_request(&mut self, tenant_key: u64, now: Micros) -> LoanRequest {
-        let max_units = MAX_REQUESTED_CALLS.saturating_mul(self.usual_call.max(1));
+        let max_units = MAX_REQUESTED_CALLS.saturating_mul(self.mean_call_units.max(1));
         let missing_units = std::mem::take(&mut self.standby_loans.waiting_units).min(max_units);
-        let smallest_call = self.smallest_missing_call.clamp(1, missing_units.max(1));
+        let smallest_call_units = self.smallest_missing_call.clamp(1, missing_units.max(1));
         (self.standby_loans.requested_at, self.standby_loans.is_awaiting_response) = (now, true);
-        LoanRequest { tenant_key, missing_units, smallest_call }
+        LoanRequest { tenant_key, missing_units, smallest_call_units }
     }
 
     /// Applies the standby's response to the request that was sent at `sent_at`.
@@ -635,8 +636,9 @@
     /// returns the number of units.
     pub fn lend(&mut self, request: &LoanRequest, now: Micros) -> u32 {
         self.refill(now);
-        let smallest_call = u64::from(request.smallest_call.max(1));
-        let whole_calls = u64::try_from(self.free / UNIT).unwrap_or(u64::MAX) / smallest_call * smallest_call;
+        let smallest_call_units = u64::from(request.smallest_call_units.max(1));
+        let whole_calls =
+            u64::try_from(self.free / UNIT).unwrap_or(u64::MAX) / smallest_call_units * smallest_call_units;
         let lent = u32::try_from(u64::from(request.missing_units).min(whole_calls)).unwrap_or(0);
         self.free -= u128::from(lent) * UNIT;
         lent
--- a/crates/core/src/quota/share_pool.rs
+++ b/crates/core/src/quota/share_pool.rs
@@ -10,7 +10,7 @@
 //! at once.
 
 use super::share_bucket::{
-    FULL_SHARE, MILLI, RESERVE_MARK, SHARE_LEASE, UNIT, reserve_refill, share_capacity, share_refill,
+    FULL_SHARE, MILLI, RESERVE_REQUEST_MARKER, SHARE_LEASE, UNIT, reserve_refill, share_capacity, share_refill,
 };
 use crate::base::{Incarnation, MS, Micros, NodeId};
 use crate::config::Rate;
@@ -51,7 +51,7 @@
     expires_at: Micros,
     demand_milli: u64,
     /// The units of the node's usual call.
-    usual_call: u32,
+    mean_call_units: u32,
     /// Whether the node holds the share only as a standby, because no calls of its own arrive.
     is_reserve: bool,
     /// Whether the refill of the reserve goes to this pool. A node that may still apply a grant of an earlier lease may
@@ -79,9 +79,9 @@
     /// For the calls that arrive at the node.
     OwnCalls,
     /// For the calls that arrive at the node, and as a reserve of the lease holder's standby.
-    Standby,
+    StandbyReserve,
     /// For no calls: the node was the standby, or wrongly considers itself the standby, and returns its share.
-    FormerStandby,
+    ReturnReserve,
 }
 
 /// A share that no node held for some time, and whose refill is credited to the pool.
@@ -214,7 +214,7 @@
     fn target_share(&self, rate: Rate, request: &ShareRequest, nodes: u64) -> u32 {
         let whole = u64::from(FULL_SHARE);
         let demand_total = self.demand_total_milli;
-        let one_call = share_of_call(rate, request.usual_call);
+        let one_call = share_of_call(rate, request.mean_call_units);
         // Half of the rate follows the demand, if that is steady enough to be measured; the rest stays in the pool
         // for nodes with empty buckets.
         let steady = if request.call_rate_milli >= STEADY_CALL_RATE_MILLI { request.demand_milli } else { 0 };
@@ -232,9 +232,9 @@
         let standby_share = || self.standby_share(requester, request.held_share, rate);
         match (requester.purpose, request.demand_milli > 0) {
             (SharePurpose::OwnCalls, _) => for_own_calls,
-            (SharePurpose::Standby, true) => for_own_calls.max(standby_share()),
-            (SharePurpose::Standby, false) => standby_share(),
-            (SharePurpose::FormerStandby, _) => 0,
+            (SharePurpose::StandbyReserve, true) => for_own_calls.max(standby_share()),
+            (SharePurpose::StandbyReserve, false) => standby_share(),
+            (SharePurpose::ReturnReserve, _) => 0,
         }
     }
 
@@ -248,8 +248,8 @@
     /// at least half full, because scarce units are better lent to the nodes that request them first, and only once no
     /// other reserve is left, because a later lease holder counts a single reserve that it does not know of.
     fn standby_share(&self, standby: &Requester, held_share: u32, rate: Rate) -> u32 {
-        let usual_call = self.held.values().map(|held| held.usual_call).max().unwrap_or(1);
-        let is_large = share_of_call(rate, usual_call) * MIN_CALLS_FOR_STANDBY <= u64::from(FULL_SHARE);
+        let mean_call_units = self.held.values().map(|held| held.mean_call_units).max().unwrap_or(1);
+        let is_large = share_of_call(rate, mean_call_units) * MIN_CALLS_FOR_STANDBY <= u64::from(FULL_SHARE);
         let is_plentiful = self.free * 2 >= share_capacity(rate, self.unheld_share());
         let may_grow = is_plentiful && standby.knows_lease && self.reserves_of_others(standby.incarnation) == 0;
         match (is_large, may_grow) {
@@ -290,7 +290,7 @@
             return None;
         }
         self.account_for(&previous, request, rate);
-        let is_reserve = purpose != SharePurpose::OwnCalls && request.smallest_call == RESERVE_MARK;
+        let is_reserve = purpose != SharePurpose::OwnCalls && request.smallest_call_units == RESERVE_REQUEST_MARKER;
         if previous.is_refilled_here {
             self.reserve_total -= u64::from(previous.share);
         }
@@ -299,13 +299,13 @@
             self.unaccounted_reserve -= self.unaccounted_reserve.min(u64::from(request.held_share));
         }
         let target = self.target_for(&requester, rate, request, nodes);
-        let is_returned = purpose == SharePurpose::FormerStandby;
+        let is_returned = purpose == SharePurpose::ReturnReserve;
         let is_far = is_returned || self.is_far_from_target(target, request, rate, now);
         let mut grant = ShareGrant { granted: true, share: request.held_share, ..ShareGrant::default() };
         grant.loaned_units = self.lend(request);
         if target > request.held_share && is_far {
             self.grow(&mut grant, target, rate);
-            if grant.share < target && purpose != SharePurpose::Standby {
+            if grant.share < target && purpose != SharePurpose::StandbyReserve {
                 self.shortage_until = now + SHORTAGE_DURATION;
             }
         } else if target < request.held_share && is_far {
@@ -316,11 +316,12 @@
         self.held_total += u64::from(share - request.held_share);
         self.cap_free(rate);
         let expires_at = now + SHARE_LEASE + EXPIRY_GRACE;
-        let (demand_milli, usual_call) = (request.demand_milli, request.usual_call);
+        let (demand_milli, mean_call_units) = (request.demand_milli, request.mean_call_units);
         if is_refilled_here {
             self.reserve_total += u64::from(share);
         }
-        let held = HeldShare { request_id, share, expires_at, demand_milli, usual_call, is_reserve, is_refilled_here };
+        let held =
+            HeldShare { request_id, share, expires_at, demand_milli, mean_call_units, is_reserve, is_refilled_here };
         self.held.insert(incarnation, held);
         Some(grant)
     }
@@ -347,16 +348,16 @@
         if now < self.shortage_until && target < request.held_share {
             return difference >= 1;
         }
-        let usual_call_milli = 1_000 * u64::from(request.usual_call.max(1));
-        let half_a_call = usual_call_milli * u64::from(FULL_SHARE) / rate.burst_milli.max(1) / 2;
+        let mean_call_milli = 1_000 * u64::from(request.mean_call_units.max(1));
+        let half_a_call = mean_call_milli * u64::from(FULL_SHARE) / rate.burst_milli.max(1) / 2;
         difference >= (u64::from(request.held_share) / 8).max(half_a_call)
     }
 
     /// Lends units to waiting calls. Lent units count as spent here and expire soon at the node, and so need no share.
     /// Lends only multiples of the smallest call, because a part of a call's units is useless.
     fn lend(&mut self, request: &ShareRequest) -> u32 {
-        let smallest_call = u64::from(request.smallest_call.max(1));
-        let whole_calls = u64::try_from(self.free / UNIT).unwrap_or(0) / smallest_call * smallest_call;
+        let smallest_call_units = u64::from(request.smallest_call_units.max(1));
+        let whole_calls = u64::try_from(self.free / UNIT).unwrap_or(0) / smallest_call_units * smallest_call_units;
         let lent = u64::from(request.missing_units).min(whole_calls);
         self.free -= u128::from(lent) * UNIT;
         u32::try_from(lent).unwrap_or(0)
@@ -398,9 +399,9 @@
 }
 
 /// Returns the smallest share whose capacity is a usual call, in millionths.
-fn share_of_call(rate: Rate, usual_call: u32) -> u64 {
+fn share_of_call(rate: Rate, mean_call_units: u32) -> u64 {
     let whole = u64::from(FULL_SHARE);
-    (whole * 1_000 * u64::from(usual_call.max(1))).div_ceil(rate.burst_milli.max(1)).min(whole)
+    (whole * 1_000 * u64::from(mean_call_units.max(1))).div_ceil(rate.burst_milli.max(1)).min(whole)
 }
 
 /// Returns the latest possible start, by this node's clock, of a duration that another node measured.
@@ -524,7 +525,7 @@
     /// Records that an incarnation replied under this lease. Suspects at its address, and earlier incarnations of its
     /// node, had ended when the incarnation started, `age` microseconds ago. Returns true if this clears the last
     /// suspect.
-    pub fn record_alive(
+    pub fn record_reply(
         &mut self,
         role: u32,
         sender: (NodeId, Incarnation),
@@ -560,7 +561,7 @@
 
     /// Records the report in a request that was sent under this lease: the sender's share of one tenant's rate, and
     /// that for `idle` microseconds the sender held the same share and was granted nothing.
-    pub fn record_request(
+    pub fn record_share_report(
         &mut self,
         role: u32,
         request: &ShareRequest,
--- a/crates/core/src/quota/slices.rs
+++ b/crates/core/src/quota/slices.rs
@@ -6,7 +6,7 @@
 //! nodes may return units in the meantime.
 
 use super::RateShares;
-use crate::base::{MS, Micros, Shards};
+use crate::base::{MS, Micros, ShardedMap};
 
 /// The time whose demand a slice is sized for, in microseconds.
 const SLICE_DURATION: Micros = 500 * MS;
@@ -68,9 +68,9 @@
     fn acquire_for_waiter(&mut self, now: Micros) -> AcquireOutcome {
         if now < self.valid_until && self.free > 0 {
             self.free -= 1;
-            let low =
+            let is_low =
                 self.free <= self.demand / 2 && now.saturating_sub(self.requested_at) > LOW_SLICE_REQUEST_INTERVAL;
-            return AcquireOutcome::Acquired { window: self.window, until: self.valid_until, low };
+            return AcquireOutcome::Acquired { window: self.window, expires_at: self.valid_until, is_low };
         }
         if now < self.spent_until {
             let ends_at = self.reported_window_end.max(self.valid_until).max(self.spent_until);
@@ -100,9 +100,9 @@
         /// The number by which the units can be refunded: the window or, for a rate, the number of the acquisition.
         window: u64,
         /// The time by which the call must have started, in microseconds of this node's clock.
-        until: Micros,
+        expires_at: Micros,
         /// Whether few units are left, so that more should be requested soon.
-        low: bool,
+        is_low: bool,
     },
     /// This node has no units and no valid response: request units from the lease holder and wait.
     Empty,
@@ -118,19 +118,19 @@
         /// The time to refill the units of each further call of this size, in microseconds.
         interval: Micros,
         /// Whether the lease holder or its standby may have units for this call.
-        may_get_more: bool,
+        may_receive_units: bool,
     },
 }
 
 /// All tenants' quotas on this node: slices of windows, and shares of rates.
 #[derive(Clone, Debug, Default)]
-pub struct WindowSlices {
-    slices: Shards<Slice>,
+pub struct TenantQuotas {
+    slices: ShardedMap<Slice>,
     /// The tenants that have a rate, or no limit.
     pub rates: RateShares,
 }
 
-impl WindowSlices {
+impl TenantQuotas {
     /// Takes one unit for a call that arrives now.
     pub fn acquire_unit(&self, tenant: &str, now: Micros) -> AcquireOutcome {
         self.acquire_units(tenant, 1, now)
@@ -218,7 +218,7 @@
     }
 
     /// Records the lease holder's report that a window is spent. The window ends at `ends_at` or slightly earlier.
-    pub fn mark_spent(&self, tenant: &str, window: u64, ends_at: Micros, now: Micros) {
+    pub fn record_window_spent(&self, tenant: &str, window: u64, ends_at: Micros, now: Micros) {
         let mut slices = self.slices.lock_shard(tenant);
         let slice = slices.entry(tenant.to_owned()).or_default();
         if window >= slice.window {
@@ -230,7 +230,7 @@
 
     /// Gives up all idle units, including those of calls that wait for a slot. Returns the total number of units
     /// returned in the window, or `None` if the window is not the current one or has ended.
-    pub fn return_idle(&self, tenant: &str, window: u64, now: Micros) -> Option<u64> {
+    pub fn return_idle_units(&self, tenant: &str, window: u64, now: Micros) -> Option<u64> {
         let mut slices = self.slices.lock_shard(tenant);
         let slice = slices.get_mut(tenant)?;
         if slice.window != window || now >= slice.valid_until {
--- a/crates/core/src/quota/window_ledger.rs
+++ b/crates/core/src/quota/window_ledger.rs
@@ -2,7 +2,7 @@
 //!
 //! Guarantees that within one window the granted units minus the returned ones never exceed the window's quota.
 //! The ledger itself is volatile: the lease holder sends a grant only once a majority of voters has stored it
-//! durably, and the next lease holder rebuilds the ledger from these grants with [`WindowLedger::inherit`].
+//! durably, and the next lease holder rebuilds the ledger from these grants with [`WindowLedger::restore_grant`].
 //!
 //! When no unit is left, the lease holder recalls idle units from every node that may have some, and reports the
 //! window as spent only after that recall. It starts no further recall for [`RECALL_BACKOFF`].
@@ -104,7 +104,7 @@
 impl WindowLedger {
     /// Adds a grant of an earlier lease holder that a voter has stored. A window whose start no voter knows starts
     /// now.
-    pub fn inherit(&mut self, grant: &WindowGrant, now: Micros) {
+    pub fn restore_grant(&mut self, grant: &WindowGrant, now: Micros) {
         let started_at = now.saturating_sub(grant.age);
         let state = self.tenants.entry(grant.tenant.clone()).or_default();
         if grant.window > state.window {
@@ -118,7 +118,7 @@
     }
 
     /// Removes a tenant whose lease has ended or that is no longer configured.
-    pub fn forget(&mut self, tenant: &str) {
+    pub fn remove_tenant(&mut self, tenant: &str) {
         self.tenants.remove(tenant);
     }
 
@@ -146,7 +146,7 @@
 
     /// Handles a node's reply to a recall: the node has returned `returned` units of the window in total.
     #[allow(clippy::too_many_arguments)]
-    pub fn return_units(
+    pub fn record_recall_reply(
         &mut self,
         tenant: &str,
         quota: WindowQuota,
--- a/crates/core/src/retry/budget.rs
+++ b/crates/core/src/retry/budget.rs
@@ -26,7 +26,7 @@
 
     /// Returns whether the balance covers a retry.
     #[must_use]
-    pub fn has_enough(&self) -> bool {
+    pub fn allows_retry(&self) -> bool {
         self.0.load(Ordering::Relaxed) >= RETRY_COST
     }
 
--- a/crates/core/src/workers/removals.rs
+++ b/crates/core/src/workers/removals.rs
@@ -13,7 +13,7 @@
 /// The time after which the request of a removal that no majority knows is rejected, in microseconds.
 pub const REMOVAL_TIMEOUT: Micros = 850 * MS;
 /// The time that another core waits for the first core to disseminate a removal, in microseconds.
-pub const TAKE_OVER_AFTER: Micros = 300 * MS;
+pub const REMOVAL_TAKEOVER_DELAY: Micros = 300 * MS;
 /// The interval at which a removal is sent again to nodes that have not acknowledged it, in microseconds.
 pub const RESEND_INTERVAL: Micros = 150 * MS;
 /// The time for which a removal is kept that not all live nodes have acknowledged, in microseconds.
@@ -36,7 +36,7 @@
     /// When this node learned of the removal, in microseconds.
     pub started_at: Micros,
     /// When the removal is next sent to the nodes that have not acknowledged it, in microseconds.
-    pub send_due: Micros,
+    pub next_send_at: Micros,
     /// The other nodes that know the removal.
     pub known_by: BTreeSet<NodeId>,
     /// The requests that reported the removal and wait to be acknowledged.
@@ -44,15 +44,15 @@
 }
 
 impl Removal {
-    fn new(key: RemovalKey, send_due: Micros, now: Micros) -> Self {
-        Removal { key, started_at: now, send_due, known_by: BTreeSet::new(), waiting_requests: Vec::new() }
+    fn new(key: RemovalKey, next_send_at: Micros, now: Micros) -> Self {
+        Removal { key, started_at: now, next_send_at, known_by: BTreeSet::new(), waiting_requests: Vec::new() }
     }
 
     /// Restarts with a newer key that supersedes this one. Pending requests stay pending.
-    fn supersede(&mut self, key: RemovalKey, send_due: Micros, now: Micros) {
+    fn supersede(&mut self, key: RemovalKey, next_send_at: Micros, now: Micros) {
         self.key = key;
         self.started_at = now;
-        self.send_due = send_due;
+        self.next_send_at = next_send_at;
         self.known_by.clear();
     }
 }
@@ -64,15 +64,16 @@
 impl Removals {
     /// Starts to disseminate a removal, or continues if that is in progress. Returns `None` if a newer removal of
     /// the worker is being disseminated.
-    pub fn start(&mut self, key: &RemovalKey, send_due: Micros, now: Micros) -> Option<&mut Removal> {
-        let removal = self.0.entry(key.worker_id.clone()).or_insert_with(|| Removal::new(key.clone(), send_due, now));
+    pub fn start(&mut self, key: &RemovalKey, next_send_at: Micros, now: Micros) -> Option<&mut Removal> {
+        let removal =
+            self.0.entry(key.worker_id.clone()).or_insert_with(|| Removal::new(key.clone(), next_send_at, now));
         if &removal.key > key {
             return None;
         }
         if &removal.key < key {
-            removal.supersede(key.clone(), send_due, now);
+            removal.supersede(key.clone(), next_send_at, now);
         }
-        removal.send_due = removal.send_due.min(send_due);
+        removal.next_send_at = removal.next_send_at.min(next_send_at);
         Some(removal)
     }
 
--- a/crates/core/src/workers/table.rs
+++ b/crates/core/src/workers/table.rs
@@ -104,13 +104,13 @@
     /// The nodes that subscribe to this node.
     pub subscribers: BTreeMap<NodeId, Subscriber>,
     /// The ids of workers whose reports must still be sent to the home nodes of their pools.
-    pub unsent: Vec<String>,
+    pub unsent_workers: Vec<String>,
     /// The number of this node's newest subscription request.
     pub last_request_seq: u64,
     /// When this node next renews its subscriptions, in microseconds.
-    pub subscribe_due: Micros,
+    pub next_subscribe_at: Micros,
     /// When this node next sends updates, in microseconds.
-    pub push_due: Micros,
+    pub next_push_at: Micros,
     /// The number of reports that were dropped because a newer one was known.
     pub outdated_reports: u64,
     /// The interval between a worker's reports, in microseconds.
@@ -180,7 +180,7 @@
     }
 
     /// Merges one report that was made at `made_at`, in microseconds by this node's clock.
-    pub fn merge(&mut self, report: &WorkerReport, made_at: Micros, now: Micros) -> MergeOutcome {
+    pub fn merge_report(&mut self, report: &WorkerReport, made_at: Micros, now: Micros) -> MergeOutcome {
         if made_at > now {
             return MergeOutcome::FromFuture;
         }
@@ -222,7 +222,7 @@
 
     /// Returns the workers that may be sent requests. Of several workers at one address, only the one that reported
     /// last is live.
-    pub fn live(&self, now: Micros) -> impl Iterator<Item = &WorkerReport> {
+    pub fn live_workers(&self, now: Micros) -> impl Iterator<Item = &WorkerReport> {
         let timeout = self.report_timeout();
         let last_reports = self.last_report_by_address();
         self.entries
--- a/crates/core/tests/call/exploration.rs
+++ b/crates/core/tests/call/exploration.rs
@@ -318,13 +318,13 @@
                 if choice == Choice::UnitsGranted {
                     slices.add_granted("t", 2, 5, now + SEC);
                 } else {
-                    slices.mark_spent("t", 1, now + SEC, now);
+                    slices.record_window_spent("t", 1, now + SEC, now);
                 }
                 self.fixture.shared.serve_quota_queue("t", now).pop()?.event
             }
             Choice::SlotFreed => {
                 let worker_id = self.fixture.view.workers.first()?.worker_id.clone();
-                self.fixture.shared.worker_loads.end(&worker_id);
+                self.fixture.shared.worker_loads.record_end(&worker_id);
                 self.fixture.expire_waiters().pop()?.event
             }
         })
--- a/crates/core/tests/call/fixture.rs
+++ b/crates/core/tests/call/fixture.rs
@@ -10,7 +10,7 @@
 use sumacvale_core::node::View;
 use sumacvale_core::placement::Endpoint;
 use sumacvale_core::protocol::WorkerReport;
-use sumacvale_core::quota::WindowSlices;
+use sumacvale_core::quota::TenantQuotas;
 pub use sumacvale_core::retry::FailurePoint;
 
 /// The time at which the call is received, in microseconds.
@@ -118,7 +118,7 @@
 
     /// Creates a call with the tenant's key under this configuration.
     pub fn with_config(path: &str, workers: u64, slots: u32, units: u64, config: Arc<CompiledConfig>) -> CallFixture {
-        let slices = Arc::new(WindowSlices::default());
+        let slices = Arc::new(TenantQuotas::default());
         if units > 0 {
             slices.add_granted("t", 1, units, START + SEC);
         }
@@ -188,7 +188,7 @@
     /// Reserves all slots of all workers.
     pub fn occupy_slots(&mut self) {
         for worker in self.view.workers.iter() {
-            (0..worker.slots).for_each(|_| self.shared.worker_loads.begin(&worker.worker_id));
+            (0..worker.slots).for_each(|_| self.shared.worker_loads.record_start(&worker.worker_id));
         }
     }
 
@@ -324,7 +324,7 @@
         }
         AnswerQuota(window) => {
             if window == 0 {
-                call.shared.slices.mark_spent("t", 1, call.now + SEC, call.now);
+                call.shared.slices.record_window_spent("t", 1, call.now + SEC, call.now);
             } else {
                 call.shared.slices.add_granted("t", window, 5, call.now + SEC);
             }
--- a/crates/core/tests/call/waiting.rs
+++ b/crates/core/tests/call/waiting.rs
@@ -149,7 +149,7 @@
 
 #[test]
 fn a_unit_is_recalled_from_a_call_that_waits_for_a_slot() {
-    let recall = |call: &CallFixture| call.shared.slices.return_idle("t", 1, call.now);
+    let recall = |call: &CallFixture| call.shared.slices.return_idle_units("t", 1, call.now);
     let (mut call, first) = one_call_waiting();
     assert_eq!(recall(&call), Some(1), "the unit of the call that waits, not of the one that was sent");
     assert_eq!(recall(&call), Some(1), "once");
@@ -194,7 +194,7 @@
     let (mut call, _first) = one_call_waiting();
     assert_eq!(call.step(Event::ClientDisconnected), "");
     assert_eq!(call.holdings().free_units, 1);
-    assert_eq!(call.shared.slices.return_idle("t", 1, call.now), Some(1));
+    assert_eq!(call.shared.slices.return_idle_units("t", 1, call.now), Some(1));
 }
 
 #[test]
@@ -246,10 +246,10 @@
     ] {
         let old_config = config_with_quota(1, before);
         let mut call = CallFixture::with_config("/chat", 1, 4, 0, old_config.clone());
-        call.shared.slices.rates.apply_plan(&old_config, START);
+        call.shared.slices.rates.apply_config(&old_config, START);
         run(name, &mut call, vec![(Deliver(Event::Wake), "read body"), (DeliverBody, "request units")]);
         let new_config = config_with_quota(2, after);
-        call.shared.slices.rates.apply_plan(&new_config, START);
+        call.shared.slices.rates.apply_config(&new_config, START);
         call.update_view(|view| (view.version, view.config) = (Some(2), new_config.clone()));
         if first_units == 0 {
             run(name, &mut call, vec![(Deliver(Event::Wake), "request units")]);
--- a/crates/core/tests/cutoff.rs
+++ b/crates/core/tests/cutoff.rs
@@ -2,7 +2,7 @@
 
 mod nodes;
 
-use nodes::{addr, doc, founded, me};
+use nodes::{addr, founding_disk, node_settings, pool_document};
 use std::collections::BTreeMap;
 use sumacvale_core::base::{ChangeId, MS, Micros, Rng, SEC, hash64};
 use sumacvale_core::consensus::DurableState;
@@ -88,14 +88,14 @@
 
 impl Net {
     fn new(seed: u64, cores: usize, fronts: usize) -> Self {
-        let disk = founded(cores, doc(1, "p"), 1);
+        let disk = founding_disk(cores, pool_document(1, "p"), 1);
         let disks: Vec<_> =
             (0..cores + fronts).map(|node| if node < cores { disk.clone() } else { DurableState::default() }).collect();
-        let me = |node: usize| me(node, cores, SEC);
+        let settings_of = |node: usize| node_settings(node, cores, SEC);
         let nodes = disks
             .iter()
             .enumerate()
-            .map(|(node, disk)| Node::new(me(node), disk, seed * 10 + node as u64, SEC))
+            .map(|(node, disk)| Node::new(settings_of(node), disk, seed * 10 + node as u64, SEC))
             .collect();
         let mut net = Net {
             now: SEC,
@@ -130,10 +130,10 @@
         match effect {
             Effect::Send { to, frame } => {
                 let Some(peer) = (0..self.nodes.len()).find(|peer| addr(*peer) == to) else { return };
-                if self.loss_percent > 0 && self.rng.chance(self.loss_percent) {
+                if self.loss_percent > 0 && self.rng.chance_percent(self.loss_percent) {
                     return;
                 }
-                let delay = if self.max_delay > 0 { self.rng.below(self.max_delay) } else { 0 };
+                let delay = if self.max_delay > 0 { self.rng.next_below(self.max_delay) } else { 0 };
                 self.in_flight.insert((self.now + MS + delay, self.sequence), (node, peer, *frame));
             }
             Effect::Write { token, writes } => {
@@ -212,7 +212,7 @@
         match kind {
             CallKind::Change => {
                 let base = self.newest_revision();
-                self.submit_document(node, request_id, base, &doc(base + 1, &format!("o{request_id}")));
+                self.submit_document(node, request_id, base, &pool_document(base + 1, &format!("o{request_id}")));
             }
             CallKind::Read => {
                 let change = Change::ReadNewest;
@@ -520,7 +520,7 @@
         for index in 0..12 {
             let at = index % 5;
             let base = net.newest_revision();
-            let (body, request_id) = (doc(base + 3, &format!("k{index}")), 10 + index as u64);
+            let (body, request_id) = (pool_document(base + 3, &format!("k{index}")), 10 + index as u64);
             net.submit_document(at, request_id, base, &body);
             if net.wait_for_reply(request_id).0 != Reply::Success {
                 continue;
@@ -548,7 +548,7 @@
         for after in 0..12 {
             let mut net = Net::new(after, 3, 1);
             net.sync_delay = 2 * MS;
-            let (body, other) = (doc(5, "mine"), doc(6, "other"));
+            let (body, other) = (pool_document(5, "mine"), pool_document(6, "other"));
             net.submit_document(0, 1, 1, &body);
             net.run(after * MS);
             net.partition(&[0], partition);
@@ -637,7 +637,7 @@
             (0..cores).flat_map(|node| (0..cores).filter(move |peer| node != *peer).map(move |peer| (node, peer))),
         );
         let now = net.now;
-        net.nodes[voter] = Node::new(me(voter, cores, now), &net.disks[voter], seed, now);
+        net.nodes[voter] = Node::new(node_settings(voter, cores, now), &net.disks[voter], seed, now);
         net.wait_for_reply(request_id);
         net.blocked_links.clear();
         net.run(8 * SEC);
--- a/crates/core/tests/digests.rs
+++ b/crates/core/tests/digests.rs
@@ -26,7 +26,7 @@
 
 fn digest_log(versions: impl IntoIterator<Item = Version>) -> DigestLog {
     let mut log = DigestLog::default();
-    log.insert_all(versions.into_iter().map(|version| EntryDigest::of(&entry(version))));
+    log.insert_missing(versions.into_iter().map(|version| EntryDigest::of(&entry(version))));
     log
 }
 
@@ -42,7 +42,7 @@
     assert_eq!(log.status_of(ChangeId(999), &document(4)), ChangeStatus::Unknown);
     // Two changes with the same identifier are both recognized.
     let mut log = digest_log(0..10);
-    log.insert_all([EntryDigest::of(&LogEntry { change_id: ChangeId(104), body: "other".into(), ..entry(10) })]);
+    log.insert_missing([EntryDigest::of(&LogEntry { change_id: ChangeId(104), body: "other".into(), ..entry(10) })]);
     assert_eq!(log.status_of(ChangeId(104), &document(4)), ChangeStatus::Decided(4));
     assert_eq!(log.status_of(ChangeId(104), &Change::Document("other".into())), ChangeStatus::Decided(10));
 }
@@ -50,7 +50,7 @@
 #[test]
 fn a_change_of_voters_is_identified_by_the_voters() {
     let mut log = digest_log(0..3);
-    log.insert_all([EntryDigest::of(&LogEntry { voters_since: 3, voters: vec![voter(1), voter(2)], ..entry(3) })]);
+    log.insert_missing([EntryDigest::of(&LogEntry { voters_since: 3, voters: vec![voter(1), voter(2)], ..entry(3) })]);
     assert_eq!(log.status_of(ChangeId(103), &Change::Voters(vec![voter(2), voter(1)])), ChangeStatus::Decided(3));
     assert_eq!(log.status_of(ChangeId(103), &Change::Voters(vec![voter(1)])), ChangeStatus::IdReused);
     assert_eq!(log.status_of(ChangeId(103), &document(3)), ChangeStatus::IdReused);
@@ -86,8 +86,8 @@
     while let Some((from, to)) = log.newest_gap() {
         let chunk = complete_log.chunk(from, to, 300);
         assert!(chunk.len() <= 300 && chunk.last().is_some_and(|digest| digest.version == to));
-        assert_eq!(log.insert_all(chunk.clone()), chunk, "the whole chunk is new");
-        assert!(log.insert_all(chunk).is_empty(), "nothing is inserted twice");
+        assert_eq!(log.insert_missing(chunk.clone()), chunk, "the whole chunk is new");
+        assert!(log.insert_missing(chunk).is_empty(), "nothing is inserted twice");
         chunks += 1;
     }
     assert_eq!((log, chunks), (complete_log, 4));
@@ -98,12 +98,12 @@
     let max_digests = MAX_DIGESTS as Version;
     let mut log = digest_log(0..max_digests);
     assert_eq!((log.len(), log.newest_gap()), (MAX_DIGESTS, None));
-    log.insert_all([EntryDigest::of(&entry(max_digests + 4))]);
+    log.insert_missing([EntryDigest::of(&entry(max_digests + 4))]);
     assert_eq!((log.lowest_retained_version(), log.len()), (5, MAX_DIGESTS - 4));
     assert_eq!(log.status_of(ChangeId(104), &document(4)), ChangeStatus::Unknown);
     assert_eq!(log.status_of(ChangeId(105), &document(5)), ChangeStatus::Decided(5));
     assert_eq!(log.newest_gap(), Some((max_digests, max_digests + 3)));
-    assert!(log.insert_all([EntryDigest::of(&entry(3))]).is_empty(), "digests that are too old are not inserted");
+    assert!(log.insert_missing([EntryDigest::of(&entry(3))]).is_empty(), "digests that are too old are not inserted");
 }
 
 /// A faulty peer may send two digests of one version in one message: the first is inserted, and the change
@@ -113,7 +113,7 @@
     let first = EntryDigest::of(&entry(4));
     let second = EntryDigest::of(&LogEntry { change_id: ChangeId(900), body: "other".into(), ..entry(4) });
     let mut log = digest_log(0..4);
-    assert_eq!(log.insert_all([first, second]).len(), 1, "what is to be written to the disk");
+    assert_eq!(log.insert_missing([first, second]).len(), 1, "what is to be written to the disk");
     assert_eq!(log.len(), 5);
     assert_eq!(log.status_of(ChangeId(104), &document(4)), ChangeStatus::Decided(4));
     assert_eq!(log.status_of(ChangeId(900), &document(4)), ChangeStatus::Unknown);
