--- a/crates/core/tests/documents/main.rs
+++ b/crates/core/tests/documents/main.rs
@@ -7,7 +7,7 @@
 mod patches;
 
 use net::{ALL, CORES, FRONT, SimulatedNetwork, machine_settings};
-use nodes::{core, doc};
+use nodes::{core, pool_document};
 use std::collections::{BTreeMap, BTreeSet};
 use sumacvale_core::base::{ChangeId, MS, Micros, NodeId, Rng, SEC, hash64};
 use sumacvale_core::config::CompiledConfig;
@@ -23,7 +23,7 @@
 #[test]
 fn a_document_is_committed_only_on_the_revision_in_force() {
     type Submitted = (usize, u64, String, &'static str);
-    let document = doc;
+    let document = pool_document;
     // Name; the node, base, document and outcome of each change; the final version.
     let cases: Vec<(&str, Vec<Submitted>, u64)> = vec![
         ("the first document", vec![(0, 0, document(1, "a"), "committed")], 1),
@@ -96,12 +96,12 @@
     for seed in 0..20 {
         for (first, second) in [(0, 1), (1, 2), (2, 2), (FRONT, 0), (FRONT, FRONT)] {
             let mut net = SimulatedNetwork::new(seed);
-            assert_eq!(net.submit_and_run(0, 0, &doc(3, "zero")), "committed");
-            net.submit(first, 1, 3, &doc(7, "a"));
-            net.submit(second, 2, 3, &doc(4, "b"));
+            assert_eq!(net.submit_and_run(0, 0, &pool_document(3, "zero")), "committed");
+            net.submit(first, 1, 3, &pool_document(7, "a"));
+            net.submit(second, 2, 3, &pool_document(4, "b"));
             net.run(4 * SEC);
             let outcomes = (net.outcome(1), net.outcome(2));
-            let expected = if outcomes.0 == "committed" { doc(7, "a") } else { doc(4, "b") };
+            let expected = if outcomes.0 == "committed" { pool_document(7, "a") } else { pool_document(4, "b") };
             assert!(
                 matches!((outcomes.0.as_str(), outcomes.1.as_str()), ("committed", "stale") | ("stale", "committed")),
                 "seed {seed}, at {first} and {second}: {outcomes:?}"
@@ -116,11 +116,11 @@
     for seed in 0..10 {
         let mut net = SimulatedNetwork::new(seed);
         for (node, request_id) in [(0, 1), (1, 2), (FRONT, 3)] {
-            net.submit(node, request_id, 0, &doc(9, "a"));
+            net.submit(node, request_id, 0, &pool_document(9, "a"));
         }
         net.run(4 * SEC);
         assert_eq!([1, 2, 3].map(|r| net.outcome(r)), ["committed", "committed", "committed"], "seed {seed}");
-        assert_eq!(net.decided(), (1, doc(9, "a")));
+        assert_eq!(net.decided(), (1, pool_document(9, "a")));
     }
 }
 
@@ -128,22 +128,22 @@
 fn a_change_of_voters_makes_no_document_stale() {
     // A change of voters between two documents.
     let mut net = SimulatedNetwork::new(3);
-    assert_eq!(net.submit_and_run(0, 0, &doc(5, "a")), "committed");
+    assert_eq!(net.submit_and_run(0, 0, &pool_document(5, "a")), "committed");
     net.submit_voters(1, 1, &[0, 1]);
     net.run(4 * SEC);
-    assert_eq!((net.outcome(1), net.decided()), ("committed".into(), (2, doc(5, "a"))));
-    assert_eq!(net.submit_and_run(1, 5, &doc(6, "b")), "committed");
-    assert_eq!(net.submit_and_run(0, 0, &doc(5, "a")), "committed", "the first document again");
-    assert_eq!(net.submit_and_run(0, 0, &doc(7, "c")), "stale");
-    assert_eq!(net.decided(), (3, doc(6, "b")));
+    assert_eq!((net.outcome(1), net.decided()), ("committed".into(), (2, pool_document(5, "a"))));
+    assert_eq!(net.submit_and_run(1, 5, &pool_document(6, "b")), "committed");
+    assert_eq!(net.submit_and_run(0, 0, &pool_document(5, "a")), "committed", "the first document again");
+    assert_eq!(net.submit_and_run(0, 0, &pool_document(7, "c")), "stale");
+    assert_eq!(net.decided(), (3, pool_document(6, "b")));
     // A change of voters at the same time as a document, decided in either order.
     for seed in 0..10 {
         let mut net = SimulatedNetwork::new(seed);
         net.submit_voters(1, 0, &[0, 1]);
-        net.submit(1, 2, 0, &doc(5, "a"));
+        net.submit(1, 2, 0, &pool_document(5, "a"));
         net.run(6 * SEC);
         assert_eq!(net.outcome(2), "committed", "seed {seed}: {}", net.outcome(1));
-        assert_eq!(net.decided().1, doc(5, "a"), "seed {seed}");
+        assert_eq!(net.decided().1, pool_document(5, "a"), "seed {seed}");
     }
 }
 
@@ -151,17 +151,17 @@
 fn a_core_knows_the_outcomes_of_old_documents_after_a_partition() {
     // The documents that the core receives after it missed three versions, and their outcomes.
     for (name, base, body, expected) in [
-        ("the first document that it missed", 0, doc(2, "a"), "committed"),
-        ("the second", 2, doc(4, "b"), "committed"),
-        ("the newest", 4, doc(6, "c"), "committed"),
-        ("another document on the base that it holds", 0, doc(3, "x"), "stale"),
-        ("another document on a base that it missed", 2, doc(5, "x"), "stale"),
-        ("a document on the newest revision", 6, doc(7, "x"), "committed"),
+        ("the first document that it missed", 0, pool_document(2, "a"), "committed"),
+        ("the second", 2, pool_document(4, "b"), "committed"),
+        ("the newest", 4, pool_document(6, "c"), "committed"),
+        ("another document on the base that it holds", 0, pool_document(3, "x"), "stale"),
+        ("another document on a base that it missed", 2, pool_document(5, "x"), "stale"),
+        ("a document on the newest revision", 6, pool_document(7, "x"), "committed"),
     ] {
         let mut net = SimulatedNetwork::new(5);
         net.partitioned.push(2);
         for (missed_base, revision, pool) in [(0, 2, "a"), (2, 4, "b"), (4, 6, "c")] {
-            assert_eq!(net.submit_and_run(0, missed_base, &doc(revision, pool)), "committed", "{name}");
+            assert_eq!(net.submit_and_run(0, missed_base, &pool_document(revision, pool)), "committed", "{name}");
         }
         net.partitioned.clear();
         assert_eq!(net.submit_and_run(2, base, &body), expected, "{name}");
@@ -172,18 +172,18 @@
 fn a_document_with_an_unknown_outcome_is_retried_and_committed_once() {
     let mut net = SimulatedNetwork::new(8);
     net.partitioned.push(0);
-    net.submit(0, 1, 0, &doc(2, "a"));
+    net.submit(0, 1, 0, &pool_document(2, "a"));
     net.run(4 * SEC);
     assert!(
         !["committed", "stale", "invalid"].contains(&net.outcome(1).as_str()),
         "the partitioned core can't know the outcome: {}",
         net.outcome(1)
     );
-    assert_eq!(net.submit_and_run(1, 0, &doc(2, "a")), "committed");
+    assert_eq!(net.submit_and_run(1, 0, &pool_document(2, "a")), "committed");
     net.partitioned.clear();
     net.run(2 * SEC);
-    assert_eq!(net.submit_and_run(0, 0, &doc(2, "a")), "committed");
-    assert_eq!(net.decided(), (1, doc(2, "a")));
+    assert_eq!(net.submit_and_run(0, 0, &pool_document(2, "a")), "committed");
+    assert_eq!(net.decided(), (1, pool_document(2, "a")));
 }
 
 /// A submitted document whose outcome is pending.
@@ -213,25 +213,25 @@
             net.run(100 * MS);
             net.collect_decided(&mut decided);
             // At most one core at a time is partitioned or stopped, and later restored.
-            if rng.chance(5) && net.partitioned.is_empty() && net.stopped.is_empty() {
-                let core_index = usize::try_from(rng.below(3)).expect("small");
-                if rng.chance(50) { net.partitioned.push(core_index) } else { net.stopped.push(core_index) }
-            } else if rng.chance(8) {
+            if rng.chance_percent(5) && net.partitioned.is_empty() && net.stopped.is_empty() {
+                let core_index = usize::try_from(rng.next_below(3)).expect("small");
+                if rng.chance_percent(50) { net.partitioned.push(core_index) } else { net.stopped.push(core_index) }
+            } else if rng.chance_percent(8) {
                 net.partitioned.clear();
                 net.stopped.clone().into_iter().for_each(|i| net.restart(i));
             }
             for (index, submission) in submissions.iter_mut().enumerate() {
-                let target = usize::try_from(rng.below(4)).expect("small");
+                let target = usize::try_from(rng.next_below(4)).expect("small");
                 let Some(submitted) = submission else {
-                    if !rng.chance(15) {
+                    if !rng.chance_percent(15) {
                         continue;
                     }
                     // The base is the newest revision of some core, which may be stale.
-                    let core_index = usize::try_from(rng.below(3)).expect("small");
+                    let core_index = usize::try_from(rng.next_below(3)).expect("small");
                     let base = net.nodes[core_index].consensus.state.newest().map_or(0, |entry| entry.revision);
                     serial += 1;
-                    let revision = base + 1 + rng.below(9);
-                    let body = doc(revision, &format!("by{index}n{serial}"));
+                    let revision = base + 1 + rng.next_below(9);
+                    let body = pool_document(revision, &format!("by{index}n{serial}"));
                     request_id += 1;
                     net.submit(target, request_id, base, &body);
                     *submission = Some(Submitted {
@@ -290,19 +290,19 @@
 fn the_outcome_of_a_change_is_known_after_hundreds_of_others_at_any_node_and_after_any_loss() {
     let mut net = SimulatedNetwork::new(11);
     for (revision, what) in [(1, "a"), (2, "b"), (3, "c")] {
-        assert_eq!(net.submit_and_wait(0, revision - 1, &doc(revision, what)), "committed");
+        assert_eq!(net.submit_and_wait(0, revision - 1, &pool_document(revision, what)), "committed");
     }
-    let last = net.submit_many(3, 150, |revision| doc(revision, "later"));
+    let last = net.submit_many(3, 150, |revision| pool_document(revision, "later"));
     let check_outcomes = |net: &mut SimulatedNetwork, when: &str| {
         for node in 0..ALL {
             for (revision, what) in [(1, "a"), (2, "b"), (3, "c")] {
                 assert_eq!(
-                    net.submit_and_wait(node, revision - 1, &doc(revision, what)),
+                    net.submit_and_wait(node, revision - 1, &pool_document(revision, what)),
                     "committed",
                     "{when}: committed, sent again to {node}"
                 );
                 assert_eq!(
-                    net.submit_and_wait(node, revision - 1, &doc(revision, "x")),
+                    net.submit_and_wait(node, revision - 1, &pool_document(revision, "x")),
                     "stale",
                     "{when}: another document sent to {node}"
                 );
@@ -319,16 +319,16 @@
         net.run(4 * SEC);
     }
     check_outcomes(&mut net, "after the loss of every disk");
-    assert_eq!(net.submit_many(last, 2, |revision| doc(revision, "last")), last + 2);
+    assert_eq!(net.submit_many(last, 2, |revision| pool_document(revision, "last")), last + 2);
 }
 
 #[test]
 fn a_core_that_joined_by_a_snapshot_rejects_nothing_that_may_have_been_decided() {
     let mut net = SimulatedNetwork::new(12);
     for revision in 1..=5 {
-        assert_eq!(net.submit_and_wait(0, revision - 1, &doc(revision, "a")), "committed");
+        assert_eq!(net.submit_and_wait(0, revision - 1, &pool_document(revision, "a")), "committed");
     }
-    let large_document = |revision| doc(revision, "a") + &" ".repeat(300_000);
+    let large_document = |revision| pool_document(revision, "a") + &" ".repeat(300_000);
     net.submit_many(5, 20, large_document);
     // The core receives the newest version but no digests of the versions that it skipped.
     net.dropped_kinds = vec!["DigestReply"];
@@ -336,20 +336,20 @@
     net.run(4 * SEC);
     for revision in 1..=5 {
         for what in ["a", "x"] {
-            let outcome = net.submit_and_wait(2, revision - 1, &doc(revision, what));
+            let outcome = net.submit_and_wait(2, revision - 1, &pool_document(revision, what));
             assert!(!["stale", "invalid"].contains(&outcome.as_str()), "{revision} {what}: {outcome}");
         }
     }
     net.dropped_kinds.clear();
     net.run(SEC);
-    assert_eq!(net.submit_and_wait(2, 0, &doc(1, "a")), "committed");
-    assert_eq!(net.submit_and_wait(2, 0, &doc(1, "x")), "stale");
+    assert_eq!(net.submit_and_wait(2, 0, &pool_document(1, "a")), "committed");
+    assert_eq!(net.submit_and_wait(2, 0, &pool_document(1, "x")), "stale");
 }
 
 #[test]
 fn a_change_that_may_have_been_forwarded_to_another_core_is_not_rejected_by_one_that_skipped_it() {
     let mut net = SimulatedNetwork::new(13);
-    let body = doc(2, "a");
+    let body = pool_document(2, "a");
     let change_id = ChangeId(hash64(body.as_bytes()).max(1));
     net.partitioned.push(0);
     // The change is first forwarded to this core, which is partitioned from the others.
@@ -371,7 +371,7 @@
     net.step(0, Event::Frame(Box::new(frame)));
     // The change is also sent to another core, which gets it decided, followed by a later change.
     assert_eq!(net.submit_and_wait(1, 0, &body), "committed");
-    assert_eq!(net.submit_and_wait(1, 2, &doc(4, "b")), "committed");
+    assert_eq!(net.submit_and_wait(1, 2, &pool_document(4, "b")), "committed");
     let newest = net.nodes[1].consensus.state.newest().expect("has a version").clone();
     let message = Message::Consensus(ConsensusMessage::Replicate { entries: vec![newest] });
     let frame =
@@ -435,7 +435,7 @@
 
 /// Returns a document of about 4 MiB.
 fn huge(revision: u64) -> String {
-    doc(revision, "a") + &" ".repeat((4 << 20) - 100)
+    pool_document(revision, "a") + &" ".repeat((4 << 20) - 100)
 }
 
 #[test]
@@ -468,7 +468,7 @@
     assert_eq!(net.nodes[2].version(), net.nodes[0].version(), "the stalled core catches up");
     for i in 0..CORES {
         assert_eq!(net.submit_and_wait(i, 3, &huge(4)), "committed", "at {i}");
-        assert_eq!(net.submit_and_wait(i, 3, &doc(4, "x")), "stale", "at {i}");
+        assert_eq!(net.submit_and_wait(i, 3, &pool_document(4, "x")), "stale", "at {i}");
     }
 }
 
@@ -561,7 +561,7 @@
     // Random text, which compression hardly makes smaller.
     let mut rng = Rng::new(18);
     let noise: String = (0..3 << 16).map(|_| format!("{:016x}", rng.next_u64())).collect();
-    assert_eq!(net.submit_and_wait(1, 0, &doc(1, &noise)), "committed");
+    assert_eq!(net.submit_and_wait(1, 0, &pool_document(1, &noise)), "committed");
     net.run(SEC / 2);
     let bytes_per_step: Vec<_> =
         net.update_bytes.iter().filter(|update| update.0.0 == 0).map(|update| *update.1).collect();
--- a/crates/core/tests/documents/net.rs
+++ b/crates/core/tests/documents/net.rs
@@ -1,7 +1,7 @@
 //! Three cores and a node without a vote that the test steps directly, with a simulated network and disks that can
 //! fail.
 
-use super::nodes::{self, addr, core, founded};
+use super::nodes::{self, addr, core, founding_disk};
 use std::collections::BTreeMap;
 use sumacvale_core::base::{ChangeId, MS, Micros, NodeId, Rng, SEC, hash64};
 use sumacvale_core::consensus::{DurableState, DurableWrite};
@@ -84,12 +84,12 @@
 
 /// Returns the settings of a node. Each machine is in a zone of its own.
 pub fn machine_settings(machine: usize, incarnation: Micros) -> NodeSettings {
-    NodeSettings { zone: format!("z{machine}"), ..nodes::me(machine, CORES, incarnation) }
+    NodeSettings { zone: format!("z{machine}"), ..nodes::node_settings(machine, CORES, incarnation) }
 }
 
 impl SimulatedNetwork {
     pub fn new(seed: u64) -> Self {
-        let disk = founded(CORES, "{}".into(), 0);
+        let disk = founding_disk(CORES, "{}".into(), 0);
         let disks: Vec<_> =
             (0..ALL).map(|machine| if machine < CORES { disk.clone() } else { DurableState::default() }).collect();
         let nodes = disks
@@ -156,7 +156,7 @@
                     {
                         continue;
                     }
-                    if self.loss_percent > 0 && self.rng.chance(self.loss_percent) {
+                    if self.loss_percent > 0 && self.rng.chance_percent(self.loss_percent) {
                         continue;
                     }
                     self.sequence += 1;
--- a/crates/core/tests/documents/packed.rs
+++ b/crates/core/tests/documents/packed.rs
@@ -1,7 +1,7 @@
 //! Compressed log entries: restoring their content, and their size on the wire.
 
 use super::net::{CORES, FRONT, SimulatedNetwork};
-use super::nodes::doc;
+use super::nodes::pool_document;
 use sumacvale_core::base::{ChangeId, SEC};
 use sumacvale_core::config::{Item, ListPatch, Patch};
 use sumacvale_core::protocol::LogEntry;
@@ -92,7 +92,7 @@
         format!("{{\"revision\":{revision},\"pools\":{{{}}}}}", pools.join(","))
     };
     let mut net = SimulatedNetwork::new(31);
-    assert_eq!(net.submit_and_wait(0, 0, &doc(1, "a")), "committed");
+    assert_eq!(net.submit_and_wait(0, 0, &pool_document(1, "a")), "committed");
     net.run(SEC);
     net.entry_bytes = 0;
     assert_eq!(net.submit_and_wait(1, 1, &large(2)), "committed");
--- a/crates/core/tests/documents/patches.rs
+++ b/crates/core/tests/documents/patches.rs
@@ -250,9 +250,9 @@
         net.loss_percent = 5;
         let mut number = 5;
         for step in 0..60 {
-            let node = usize::try_from(net.rng.below(4)).expect("small");
+            let node = usize::try_from(net.rng.next_below(4)).expect("small");
             if step % 9 == 4 {
-                net.partitioned = vec![usize::try_from(net.rng.below(3)).expect("small")];
+                net.partitioned = vec![usize::try_from(net.rng.next_below(3)).expect("small")];
             } else if step % 9 == 7 {
                 net.partitioned.clear();
             }
--- a/crates/core/tests/draining.rs
+++ b/crates/core/tests/draining.rs
@@ -2,7 +2,7 @@
 
 mod fleet;
 
-use fleet::{Fleet, decree, kept};
+use fleet::{Fleet, durable_state, log_entry};
 use sumacvale_core::base::{MS, NodeId, SEC};
 use sumacvale_core::node::Event;
 use sumacvale_core::protocol::{Ballot, ConsensusMessage, Message};
@@ -15,7 +15,7 @@
 fn three_voters() -> Fleet {
     let mut fleet = Fleet::default();
     for machine in [A, B, C] {
-        fleet.start(machine, kept(machine, &[decree(0, 0, &[], &[A, B, C])], Some(0)));
+        fleet.start(machine, durable_state(machine, &[log_entry(0, 0, &[], &[A, B, C])], Some(0)));
     }
     fleet.run(4 * SEC);
     fleet
@@ -27,24 +27,24 @@
 
 fn drain(fleet: &mut Fleet, machine: u64) {
     let effects = fleet.step(machine, Event::Shutdown);
-    fleet.carry(machine, effects);
+    fleet.apply_effects(machine, effects);
 }
 
 /// A voter that stops before its replacement would leave the fleet with one voter less.
 #[test]
 fn a_draining_voter_waits_until_it_is_replaced() {
     let mut fleet = three_voters();
-    fleet.start(D, kept(D, &[], None));
+    fleet.start(D, durable_state(D, &[], None));
     fleet.run(2 * SEC);
-    fleet.stuck.insert(D);
+    fleet.stalled_disks.insert(D);
     drain(&mut fleet, A);
     assert!(!may_stop(&fleet, A), "it votes, and D could take its place");
     fleet.run(SEC);
     assert!(!fleet.node(B).consensus.state.is_voter(NodeId(A)), "it was replaced");
-    assert!(!fleet.node(A).voter());
+    assert!(!fleet.node(A).is_voter());
     // B and C are a majority without A and D.
     assert!(may_stop(&fleet, A));
-    assert!(fleet.kept(D).ready_set != Some(1), "D has synced no takeover");
+    assert!(fleet.synced_state(D).ready_set != Some(1), "D has synced no takeover");
 }
 
 /// The replacement is decided by the draining voter's own vote. If it stopped then, only one disk of the new
@@ -52,17 +52,17 @@
 #[test]
 fn a_draining_voter_waits_while_only_one_other_disk_holds_the_newest_version() {
     let mut fleet = three_voters();
-    fleet.start(D, kept(D, &[], None));
+    fleet.start(D, durable_state(D, &[], None));
     fleet.run(2 * SEC);
     drain(&mut fleet, A);
-    fleet.stuck.insert(D);
+    fleet.stalled_disks.insert(D);
     fleet.run(25 * MS);
-    fleet.stuck.insert(C);
+    fleet.stalled_disks.insert(C);
     let is_replaced = |fleet: &Fleet| !fleet.node(A).consensus.state.is_voter(NodeId(A));
     assert!(fleet.run_until(SEC, is_replaced).is_some(), "A's own vote decides it");
     fleet.run(SEC);
     assert!(!may_stop(&fleet, A), "only B has it on its disk");
-    fleet.stuck.clear();
+    fleet.stalled_disks.clear();
     let waited = fleet.run_until(SEC, |fleet| may_stop(fleet, A));
     assert!(waited.is_some(), "it may stop once another disk has it");
 }
@@ -71,18 +71,18 @@
 #[test]
 fn a_draining_voter_waits_until_the_newest_version_is_on_two_other_disks() {
     let mut fleet = three_voters();
-    fleet.stuck.insert(C);
+    fleet.stalled_disks.insert(C);
     for (from, to) in [(B, A), (A, B), (A, C)] {
-        fleet.tell(
+        fleet.deliver_message(
             from,
             to,
-            Message::Consensus(ConsensusMessage::Replicate { entries: vec![decree(1, 0, &[], &[A, B, C])] }),
+            Message::Consensus(ConsensusMessage::Replicate { entries: vec![log_entry(1, 0, &[], &[A, B, C])] }),
         );
     }
     drain(&mut fleet, A);
     fleet.run(SEC);
     assert!(!may_stop(&fleet, A), "C has it in memory only");
-    fleet.stuck.clear();
+    fleet.stalled_disks.clear();
     assert!(fleet.run_until(SEC, |fleet| may_stop(fleet, A)).is_some(), "B and C hold it");
 }
 
@@ -103,19 +103,19 @@
     drain(&mut fleet, A);
     fleet.run(SEC);
     assert!(!may_stop(&fleet, A), "C alone would hold the newest");
-    fleet.start(D, kept(D, &[], None));
+    fleet.start(D, durable_state(D, &[], None));
     let waited = fleet.run_until(3 * SEC, |fleet| may_stop(fleet, A));
-    assert!(waited.is_some() && fleet.node(D).voter(), "D votes, and C and D hold all versions");
+    assert!(waited.is_some() && fleet.node(D).is_voter(), "D votes, and C and D hold all versions");
 }
 
 /// The accepted change may be decided by this voter's acceptance, and would be lost with its disk.
 #[test]
 fn a_draining_voter_waits_while_a_change_that_it_accepted_is_undecided() {
     let mut fleet = three_voters();
-    fleet.part(&[A], &[B, C]);
-    let entry = decree(1, 0, &[], &[A, B, C]);
+    fleet.partition(&[A], &[B, C]);
+    let entry = log_entry(1, 0, &[], &[A, B, C]);
     let ballot = Ballot { number: 9_000, node_id: NodeId(B), incarnation: 1 };
-    fleet.tell(B, A, Message::Consensus(ConsensusMessage::Accept { ballot, entry }));
+    fleet.deliver_message(B, A, Message::Consensus(ConsensusMessage::Accept { ballot, entry }));
     drain(&mut fleet, A);
     fleet.run(200 * MS);
     assert!(!may_stop(&fleet, A), "it may be one of the two that decide it");
@@ -137,13 +137,13 @@
 #[test]
 fn a_sole_voter_that_drains_still_proposes_its_replacement() {
     let mut fleet = Fleet::default();
-    fleet.start(A, kept(A, &[decree(0, 0, &[], &[A])], Some(0)));
-    fleet.start(D, kept(D, &[], None));
+    fleet.start(A, durable_state(A, &[log_entry(0, 0, &[], &[A])], Some(0)));
+    fleet.start(D, durable_state(D, &[], None));
     fleet.run(3 * SEC);
-    assert!(fleet.node(A).voter() && !fleet.node(D).voter(), "one voter of two cores");
+    assert!(fleet.node(A).is_voter() && !fleet.node(D).is_voter(), "one voter of two cores");
     drain(&mut fleet, A);
     assert!(!may_stop(&fleet, A), "it holds the only copy");
-    let waited = fleet.run_until(3 * SEC, |fleet| fleet.node(D).voter() && may_stop(fleet, A));
+    let waited = fleet.run_until(3 * SEC, |fleet| fleet.node(D).is_voter() && may_stop(fleet, A));
     assert!(waited.is_some(), "D never becomes the voter");
-    assert!(fleet.kept(D).entries.contains_key(&1), "D has it on its disk");
+    assert!(fleet.synced_state(D).entries.contains_key(&1), "D has it on its disk");
 }
--- a/crates/core/tests/fleet/mod.rs
+++ b/crates/core/tests/fleet/mod.rs
@@ -5,7 +5,7 @@
 #[path = "../nodes/mod.rs"]
 mod nodes;
 
-use nodes::{FLEET, addr, core_at, me};
+use nodes::{FLEET, addr, core_at, node_settings};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use sumacvale_core::base::{ChangeId, MS, Micros, NodeId, SEC};
 use sumacvale_core::consensus::{DurableState, DurableWrite};
@@ -31,7 +31,7 @@
 
 /// Creates a log entry with an empty document; `voters` are the voters since version `voters_since`, and
 /// `previous_voters` the voters before that version.
-pub fn decree(version: u64, voters_since: u64, previous_voters: &[u64], voters: &[u64]) -> LogEntry {
+pub fn log_entry(version: u64, voters_since: u64, previous_voters: &[u64], voters: &[u64]) -> LogEntry {
     let cores = |machines: &[u64]| machines.iter().map(|machine| core(*machine)).collect::<Vec<_>>();
     LogEntry {
         version,
@@ -48,7 +48,7 @@
 }
 
 /// Creates the state of a disk with these versions; `ready_set` is the set of voters whose takeover is on it.
-pub fn kept(node_id: u64, entries: &[LogEntry], ready_set: Option<u64>) -> DurableState {
+pub fn durable_state(node_id: u64, entries: &[LogEntry], ready_set: Option<u64>) -> DurableState {
     let entries = entries.iter().map(|entry| (entry.version, entry.clone())).collect();
     DurableState { node_id: NodeId(node_id), entries, ready_set, ..DurableState::default() }
 }
@@ -84,9 +84,9 @@
     /// The virtual time, in microseconds.
     pub now: Micros,
     /// Whether cores that are started from now on change the set of voters without an operator.
-    pub auto: bool,
+    pub manages_voters: bool,
     /// Machines whose disks are stalled: they sync no writes.
-    pub stuck: BTreeSet<u64>,
+    pub stalled_disks: BTreeSet<u64>,
     /// All sent frames, each with the machine that sent it.
     pub sent: Vec<(u64, Frame)>,
     machines: BTreeMap<u64, Machine>,
@@ -99,8 +99,8 @@
     fn default() -> Self {
         Fleet {
             now: 100 * SEC,
-            auto: true,
-            stuck: BTreeSet::new(),
+            manages_voters: true,
+            stalled_disks: BTreeSet::new(),
             sent: Vec::new(),
             machines: BTreeMap::new(),
             in_transit: VecDeque::new(),
@@ -124,10 +124,10 @@
             seeds: (1..4).map(address).collect(),
             is_core: true,
             may_bootstrap: false,
-            manages_voters: self.auto,
+            manages_voters: self.manages_voters,
             report_interval: 500 * MS,
-            reports_to_cores_only: false,
-            ..me(index(machine), 0, incarnation)
+            workers_report_to_cores_only: false,
+            ..node_settings(index(machine), 0, incarnation)
         };
         let node = Node::new(settings, &disk, node_id * 1_000 + incarnation, self.now);
         self.machines.insert(machine, Machine { node: Some(node), disk, incarnation, unsynced: VecDeque::new() });
@@ -135,7 +135,7 @@
 
     /// Restarts the process of a machine from the synced state of its disk.
     pub fn restart(&mut self, machine: u64) {
-        let disk = self.kept(machine).clone();
+        let disk = self.synced_state(machine).clone();
         self.start_at(disk.node_id.0, machine, disk);
     }
 
@@ -153,12 +153,12 @@
     }
 
     /// Returns the synced state of the disk of a machine.
-    pub fn kept(&self, machine: u64) -> &DurableState {
+    pub fn synced_state(&self, machine: u64) -> &DurableState {
         &self.machines[&machine].disk
     }
 
     /// Partitions the first machines from the second: all frames between them are lost from now on.
-    pub fn part(&mut self, first_machines: &[u64], second_machines: &[u64]) {
+    pub fn partition(&mut self, first_machines: &[u64], second_machines: &[u64]) {
         for first in first_machines {
             for second in second_machines {
                 self.partitions.insert((*first, *second));
@@ -168,12 +168,12 @@
     }
 
     /// Delivers a message from a node to a machine despite partitions, and then all frames that follow from it.
-    pub fn tell(&mut self, from: u64, machine: u64, message: Message) {
-        self.tell_late(from, machine, message, 0);
+    pub fn deliver_message(&mut self, from: u64, machine: u64, message: Message) {
+        self.deliver_message_late(from, machine, message, 0);
     }
 
     /// The same for a frame that was in transit for `delay` longer than others, in microseconds.
-    pub fn tell_late(&mut self, from: u64, machine: u64, message: Message, delay: Micros) {
+    pub fn deliver_message_late(&mut self, from: u64, machine: u64, message: Message, delay: Micros) {
         let frame = Frame {
             from: NodeId(from),
             to: NodeId::default(),
@@ -183,7 +183,7 @@
             message,
         };
         let effects = self.step(machine, Event::Frame(Box::new(frame)));
-        self.carry(machine, effects);
+        self.apply_effects(machine, effects);
         self.deliver();
     }
 
@@ -195,7 +195,7 @@
     }
 
     /// Carries out the effects of a step: queues frames for delivery and writes for the next sync.
-    pub fn carry(&mut self, machine: u64, effects: Vec<Effect>) {
+    pub fn apply_effects(&mut self, machine: u64, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Send { to, frame } => {
@@ -215,7 +215,7 @@
     /// Syncs the oldest write of each disk that is not stalled, and returns whether there was any.
     fn sync(&mut self) -> bool {
         let unstalled: Vec<u64> =
-            self.machines.keys().copied().filter(|machine| !self.stuck.contains(machine)).collect();
+            self.machines.keys().copied().filter(|machine| !self.stalled_disks.contains(machine)).collect();
         let mut has_synced = false;
         for number in unstalled {
             let Some(machine) = self.machines.get_mut(&number) else { continue };
@@ -225,7 +225,7 @@
             }
             has_synced = true;
             let effects = self.step(number, Event::Synced(token));
-            self.carry(number, effects);
+            self.apply_effects(number, effects);
         }
         has_synced
     }
@@ -238,7 +238,7 @@
                 let is_connected = |machine: &u64| !self.partitions.contains(&(from_machine, *machine));
                 if let Some(machine) = receiver.filter(is_connected) {
                     let effects = self.step(machine, Event::Frame(Box::new(frame)));
-                    self.carry(machine, effects);
+                    self.apply_effects(machine, effects);
                 }
             } else if !self.sync() {
                 return;
@@ -263,7 +263,7 @@
             self.deliver();
             for machine in self.machines.keys().copied().collect::<Vec<_>>() {
                 let effects = self.step(machine, Event::Tick);
-                self.carry(machine, effects);
+                self.apply_effects(machine, effects);
             }
             self.deliver();
         }
--- a/crates/core/tests/golden/values.rs
+++ b/crates/core/tests/golden/values.rs
@@ -62,7 +62,7 @@
 }
 
 pub fn heartbeat() -> Heartbeat {
-    Heartbeat { node_id: NodeId(2_001), incarnation: 2_002, heartbeat: 2_003, version: 2_004, draining: true }
+    Heartbeat { node_id: NodeId(2_001), incarnation: 2_002, counter: 2_003, version: 2_004, draining: true }
 }
 
 pub fn peer() -> PeerRecord {
@@ -138,8 +138,8 @@
         returned_milli: 3_002,
         demand_milli: 3_003,
         missing_units: 3_004,
-        smallest_call: 3_005,
-        usual_call: 3_006,
+        smallest_call_units: 3_005,
+        mean_call_units: 3_006,
         call_rate_milli: 3_007,
     }
 }
@@ -149,7 +149,7 @@
 }
 
 pub fn loan_request() -> LoanRequest {
-    LoanRequest { tenant_key: 0xFEED_0000_0000_0002, missing_units: 3_151, smallest_call: 3_152 }
+    LoanRequest { tenant_key: 0xFEED_0000_0000_0002, missing_units: 3_151, smallest_call_units: 3_152 }
 }
 
 pub fn loan() -> Loan {
--- a/crates/core/tests/machines.rs
+++ b/crates/core/tests/machines.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeMap;
 use sumacvale_core::base::{MS, NodeId, SEC};
-use sumacvale_core::config::{Kind, WindowQuota};
+use sumacvale_core::config::{TrafficKind, WindowQuota};
 use sumacvale_core::lease::{HOLDER_MARGIN, HeldLease, LEASE_DURATION, LeaseDecision, LeaseGrantor};
 use sumacvale_core::placement::{PlacementTable, WorkerLoads};
 use sumacvale_core::protocol::{
     Frame, FrameError, Message, QuotaMessage, WindowGrant, WorkerReport, decode_frame, encode_frame,
 };
 use sumacvale_core::queue::FairQueue;
-use sumacvale_core::quota::{AcquireOutcome, LedgerAction, SliceRequest, WindowLedger, WindowSlices};
+use sumacvale_core::quota::{AcquireOutcome, LedgerAction, SliceRequest, TenantQuotas, WindowLedger};
 use sumacvale_core::retry::{Execution, FailurePoint, RetryBudget, RetryDecision, decide};
 use sumacvale_core::stream::{EventSplitter, StreamError};
 use sumacvale_core::workers::{MergeOutcome, WorkerTable};
@@ -44,8 +44,8 @@
         ("from the future", 2, 6, 11, MergeOutcome::FromFuture, 5),
     ] {
         let mut table = WorkerTable::default();
-        assert_eq!(table.merge(&report("w", "z", 2, 5), 5, 5), MergeOutcome::Applied);
-        assert_eq!(table.merge(&report("w", "z", incarnation, seq), made_at, 10), expected, "{name}");
+        assert_eq!(table.merge_report(&report("w", "z", 2, 5), 5, 5), MergeOutcome::Applied);
+        assert_eq!(table.merge_report(&report("w", "z", incarnation, seq), made_at, 10), expected, "{name}");
         assert_eq!(table.entries["w"].reported_at, expected_reported_at, "{name}");
     }
 }
@@ -53,18 +53,18 @@
 #[test]
 fn failed_and_draining_workers_are_not_live() {
     let mut table = WorkerTable::default();
-    table.merge(&report("w", "z", 1, 1), 0, 0);
-    assert_eq!(table.live(1_499 * MS).count(), 1);
-    assert_eq!(table.live(1_500 * MS).count(), 0);
-    table.merge(&WorkerReport { draining: true, ..report("w", "z", 1, 2) }, SEC, SEC);
-    assert_eq!(table.live(SEC).count(), 0);
+    table.merge_report(&report("w", "z", 1, 1), 0, 0);
+    assert_eq!(table.live_workers(1_499 * MS).count(), 1);
+    assert_eq!(table.live_workers(1_500 * MS).count(), 0);
+    table.merge_report(&WorkerReport { draining: true, ..report("w", "z", 1, 2) }, SEC, SEC);
+    assert_eq!(table.live_workers(SEC).count(), 0);
 }
 
 #[test]
 fn leases_are_granted_once_and_fenced() {
     let (first_node, second_node) = (NodeId(1), NodeId(2));
     let granted = |is_new_epoch| LeaseDecision::Granted { is_new_epoch };
-    let mut grantor = LeaseGrantor { fence_until: SEC, ..LeaseGrantor::default() };
+    let mut grantor = LeaseGrantor { startup_fence_until: SEC, ..LeaseGrantor::default() };
     let is_rejected = |decision: LeaseDecision| matches!(decision, LeaseDecision::Rejected { .. });
     assert!(is_rejected(grantor.request(0, first_node, 1, true, 0)), "fenced after a start");
     assert_eq!(grantor.request(0, first_node, 1, true, SEC), granted(true));
@@ -94,11 +94,11 @@
 fn a_role_fence_outlasts_a_startup_fence_that_is_lifted_early() {
     let (first_node, second_node) = (NodeId(1), NodeId(2));
     let mut grantor = LeaseGrantor {
-        fence_until: LEASE_DURATION,
+        startup_fence_until: LEASE_DURATION,
         role_fences: BTreeMap::from([(3, LEASE_DURATION)]),
         ..LeaseGrantor::default()
     };
-    grantor.fence_until = 0;
+    grantor.startup_fence_until = 0;
     assert_eq!(
         grantor.request(4, first_node, 1, true, MS),
         LeaseDecision::Granted { is_new_epoch: true },
@@ -153,7 +153,7 @@
     assert_eq!(granted, 10);
     let actions = ledger.request("t", QUOTA, slice_request(99, 1), (0, 0), 1, 1);
     assert!(matches!(&actions[..], [LedgerAction::Recall { to, .. }] if to.len() == 10), "{actions:?}");
-    let actions = ledger.return_units("t", QUOTA, NodeId(3), 1, 1, 1, 2);
+    let actions = ledger.record_recall_reply("t", QUOTA, NodeId(3), 1, 1, 1, 2);
     assert!(matches!(&actions[..], [LedgerAction::Grant { grant, .. }] if grant.node_id == NodeId(99)), "{actions:?}");
     let actions = ledger.request("t", QUOTA, slice_request(98, 1), (0, 0), 1, 3);
     assert!(matches!(&actions[..], [LedgerAction::Recall { .. }]), "{actions:?}");
@@ -178,7 +178,7 @@
     ] {
         let mut ledger = WindowLedger::default();
         for (node_number, granted_total) in [(1, 5), (2, 3)] {
-            ledger.inherit(
+            ledger.restore_grant(
                 &WindowGrant { tenant: "t".into(), window: 7, node_id: NodeId(node_number), granted_total, age },
                 10 * SEC,
             );
@@ -194,7 +194,7 @@
 
 #[test]
 fn a_slice_ends_inside_its_window() {
-    let slices = WindowSlices::default();
+    let slices = TenantQuotas::default();
     assert_eq!(slices.acquire_unit("t", 0), AcquireOutcome::Empty);
     slices.add_granted("t", 1, 2, SEC);
     assert!(matches!(slices.acquire_unit("t", 0), AcquireOutcome::Acquired { window: 1, .. }));
@@ -212,8 +212,8 @@
     assert_eq!(slices.acquire_unit("t", SEC - 1), AcquireOutcome::Empty);
     slices.add_granted("t", 2, 5, 2 * SEC);
     slices.refund("t", 1);
-    assert_eq!(slices.return_idle("t", 2, SEC), Some(5), "a refund of an older window adds nothing");
-    assert_eq!(slices.return_idle("t", 2, SEC), Some(5), "returned once");
+    assert_eq!(slices.return_idle_units("t", 2, SEC), Some(5), "a refund of an older window adds nothing");
+    assert_eq!(slices.return_idle_units("t", 2, SEC), Some(5), "returned once");
     assert_eq!(slices.acquire_unit("t", SEC), AcquireOutcome::Empty);
     slices.add_granted("t", 1, 9, 3 * SEC);
     assert_eq!(slices.acquire_unit("t", SEC), AcquireOutcome::Empty, "an older window comes too late");
@@ -286,27 +286,27 @@
     let zone = |index: usize| table.endpoints[index].zone.clone();
     let mut moved = 0;
     for prefix_hash in (0..500u64).map(|index| index.wrapping_mul(0x9E37_79B9_7F4A_7C15)) {
-        let chosen = table.nominate(prefix_hash, "z1", &no_load, &[]).expect("room");
+        let chosen = table.choose_by_ring(prefix_hash, "z1", &no_load, &[]).expect("room");
         assert_eq!(zone(chosen), "z1");
-        assert_eq!(table.nominate(prefix_hash, "z1", &no_load, &[]), Some(chosen), "the same again");
+        assert_eq!(table.choose_by_ring(prefix_hash, "z1", &no_load, &[]), Some(chosen), "the same again");
         let mut load = no_load.clone();
         load[chosen] = 4;
-        let fallback = table.nominate(prefix_hash, "z1", &load, &[]).expect("room");
+        let fallback = table.choose_by_ring(prefix_hash, "z1", &load, &[]).expect("room");
         assert!(fallback != chosen && zone(fallback) == "z1", "past a full one");
         let excluded = [table.endpoints[chosen].worker_id.clone()];
-        assert!(table.nominate(prefix_hash, "z1", &no_load, &excluded) != Some(chosen));
+        assert!(table.choose_by_ring(prefix_hash, "z1", &no_load, &excluded) != Some(chosen));
         let full: Vec<_> = (0..9).map(|index| if zone(index) == "z1" { 4 } else { 0 }).collect();
-        assert!(zone(table.nominate(prefix_hash, "z1", &full, &[]).expect("room elsewhere")) != "z1");
+        assert!(zone(table.choose_by_ring(prefix_hash, "z1", &full, &[]).expect("room elsewhere")) != "z1");
         // The removal of a worker moves only its own prefixes.
         let smaller_table = PlacementTable::new(reports.iter().filter(|report| report.worker_id != "w4"));
-        let remapped = smaller_table.nominate(prefix_hash, "z1", &[0; 8], &[]).expect("room");
+        let remapped = smaller_table.choose_by_ring(prefix_hash, "z1", &[0; 8], &[]).expect("room");
         if table.endpoints[chosen].worker_id != "w4" {
             moved += usize::from(smaller_table.endpoints[remapped].worker_id != table.endpoints[chosen].worker_id);
         }
     }
     assert_eq!(moved, 0);
-    assert_eq!(table.nominate(1, "z1", &[4; 9], &[]), None);
-    assert_eq!(PlacementTable::default().nominate(1, "z1", &[], &[]), None);
+    assert_eq!(table.choose_by_ring(1, "z1", &[4; 9], &[]), None);
+    assert_eq!(PlacementTable::default().choose_by_ring(1, "z1", &[], &[]), None);
 }
 
 #[test]
@@ -316,7 +316,7 @@
     let table = PlacementTable::new(reports.iter());
     let mut load = vec![0u32; 4];
     for _ in 0..200 {
-        let index = table.nominate(42, "z", &load, &[]).expect("room");
+        let index = table.choose_by_ring(42, "z", &load, &[]).expect("room");
         load[index] += 1;
     }
     assert!(load.iter().all(|requests| *requests <= 63), "{load:?}");
@@ -326,31 +326,31 @@
 fn a_failed_worker_is_excluded_until_it_reports_again() {
     let loads = WorkerLoads::default();
     let table = PlacementTable::new([report("w", "z", 1, 5)].iter());
-    loads.begin("w");
+    loads.record_start("w");
     assert_eq!(loads.current(&table), [1]);
-    loads.mark_failed("w", 1, 5);
+    loads.eject("w", 1, 5);
     assert_eq!(loads.current(&table), [u32::MAX]);
     assert_eq!(loads.current(&PlacementTable::new([report("w", "z", 1, 6)].iter())), [1]);
     let busy = WorkerReport { busy: 3, ..report("w", "z", 1, 7) };
     assert_eq!(loads.current(&PlacementTable::new([busy.clone()].iter())), [3], "one own and two of others");
-    loads.begin("w");
-    loads.mark_full("w", 4);
+    loads.record_start("w");
+    loads.record_full("w", 4);
     assert_eq!(loads.current(&PlacementTable::new([busy.clone()].iter())), [5], "it reported that it is full");
-    loads.end("w");
-    loads.end("w");
+    loads.record_end("w");
+    loads.record_end("w");
     assert_eq!(loads.current(&PlacementTable::new([busy].iter())), [3], "room where own calls ended");
     assert_eq!(loads.current(&PlacementTable::new([report("w", "z", 1, 8)].iter())), [0]);
 }
 
 #[test]
 fn the_queue_is_fair_and_bounded_and_rejects_at_once() {
-    let flow_key = |tenant: &str, kind: Kind| (tenant.to_owned(), kind);
+    let flow_key = |tenant: &str, kind: TrafficKind| (tenant.to_owned(), kind);
     let mut queue = FairQueue::new(100);
     for number in 0..50 {
-        assert!(queue.push(flow_key("big", Kind::Chat), 1, ("big", number), SEC, 0).is_ok());
+        assert!(queue.push(flow_key("big", TrafficKind::Chat), 1, ("big", number), SEC, 0).is_ok());
     }
     for number in 0..5 {
-        assert!(queue.push(flow_key("small", Kind::Chat), 1, ("small", number), SEC, 0).is_ok());
+        assert!(queue.push(flow_key("small", TrafficKind::Chat), 1, ("small", number), SEC, 0).is_ok());
     }
     let first: Vec<_> = (0..10).filter_map(|_| queue.pop(|_| Some(())).map(|entry| entry.0.0)).collect();
     assert_eq!(first.iter().filter(|tenant| **tenant == "small").count(), 5, "{first:?}");
@@ -359,28 +359,28 @@
 
     // Lookups are not blocked by drafts of the same tenant.
     for number in 0..20 {
-        let _ = queue.push(flow_key("t", Kind::Draft), 1, ("draft", number), 9 * SEC, SEC);
+        let _ = queue.push(flow_key("t", TrafficKind::Draft), 1, ("draft", number), 9 * SEC, SEC);
     }
-    let _ = queue.push(flow_key("t", Kind::Lookup), 1, ("lookup", 0), 9 * SEC, SEC);
+    let _ = queue.push(flow_key("t", TrafficKind::Lookup), 1, ("lookup", 0), 9 * SEC, SEC);
     let popped: Vec<_> = (0..2).filter_map(|_| queue.pop(|_| Some(())).map(|entry| entry.0.0)).collect();
     assert!(popped.contains(&"lookup"), "{popped:?}");
 
     // A full queue evicts the last of the longest flow, never one of a short flow.
     let mut queue = FairQueue::new(3);
     for number in 0..3 {
-        assert!(matches!(queue.push(flow_key("big", Kind::Chat), 1, number, SEC, 0), Ok(None)));
+        assert!(matches!(queue.push(flow_key("big", TrafficKind::Chat), 1, number, SEC, 0), Ok(None)));
     }
-    assert!(matches!(queue.push(flow_key("small", Kind::Chat), 1, 9, SEC, 0), Ok(Some(2))));
-    assert!(queue.push(flow_key("big", Kind::Chat), 1, 8, SEC, 0).is_err());
+    assert!(matches!(queue.push(flow_key("small", TrafficKind::Chat), 1, 9, SEC, 0), Ok(Some(2))));
+    assert!(queue.push(flow_key("big", TrafficKind::Chat), 1, 8, SEC, 0).is_err());
     // What cannot be served before its deadline is rejected at once.
     let mut queue = FairQueue::new(100);
     for count in 0..10 {
-        queue.record_freed(count * 100 * MS);
+        queue.record_slot_freed(count * 100 * MS);
     }
     for _ in 0..5 {
-        assert!(queue.push(flow_key("t", Kind::Chat), 1, 0, SEC + 500 * MS, SEC).is_ok());
+        assert!(queue.push(flow_key("t", TrafficKind::Chat), 1, 0, SEC + 500 * MS, SEC).is_ok());
     }
-    let rejected = queue.push(flow_key("t", Kind::Chat), 1, 0, SEC + 500 * MS, SEC);
+    let rejected = queue.push(flow_key("t", TrafficKind::Chat), 1, 0, SEC + 500 * MS, SEC);
     assert!(matches!(rejected, Err((_, rejected)) if rejected.retry_after >= 500 * MS), "{rejected:?}");
 }
 
@@ -403,17 +403,17 @@
     let bytes = encode_frame(&frame).expect("the frame can be encoded");
     assert_eq!(decode_frame(&bytes), Ok(frame));
     assert_eq!(decode_frame(&[]), Err(FrameError::Empty));
-    assert_eq!(decode_frame(&[9, 1, 2]), Err(FrameError::Version(9)));
+    assert_eq!(decode_frame(&[9, 1, 2]), Err(FrameError::UnsupportedVersion(9)));
     assert!(matches!(decode_frame(&vec![1; 17 << 20]), Err(FrameError::TooLarge(_))));
     // Mutated and truncated bytes are decoded to some frame or rejected, without a panic.
     let mut rng = sumacvale_core::base::Rng::new(7);
     for _ in 0..20_000 {
         let mut mutated = bytes.clone();
-        for _ in 0..=rng.below(3) {
-            let position = usize::try_from(rng.below(mutated.len() as u64)).expect("small");
-            mutated[position] = u8::try_from(rng.below(256)).expect("byte");
+        for _ in 0..=rng.next_below(3) {
+            let position = usize::try_from(rng.next_below(mutated.len() as u64)).expect("small");
+            mutated[position] = u8::try_from(rng.next_below(256)).expect("byte");
         }
-        mutated.truncate(usize::try_from(rng.below(mutated.len() as u64 + 1)).expect("small"));
+        mutated.truncate(usize::try_from(rng.next_below(mutated.len() as u64 + 1)).expect("small"));
         let _ = decode_frame(&mutated);
     }
 }
@@ -423,7 +423,7 @@
     use sumacvale_core::call::{BUCKET_BOUNDS, LatencyHistogram};
     let histogram = LatencyHistogram::default();
     for micros in [1, 5 * MS, 5 * MS + 1, 99 * MS, 11 * SEC] {
-        histogram.record(Kind::Chat, micros);
+        histogram.record(TrafficKind::Chat, micros);
     }
     let series = histogram.snapshot();
     let chat = series.iter().find(|kind_series| kind_series.kind == "chat").expect("a kind");
--- a/crates/core/tests/nodes/mod.rs
+++ b/crates/core/tests/nodes/mod.rs
@@ -27,12 +27,12 @@
 }
 
 /// Returns an operator's document of this revision with one pool.
-pub fn doc(revision: u64, pool: &str) -> String {
+pub fn pool_document(revision: u64, pool: &str) -> String {
     format!("{{\"revision\":{revision},\"pools\":{{\"{pool}\":{{}}}}}}")
 }
 
 /// Returns the settings of the first node of a machine. The first `cores` machines have cores.
-pub fn me(machine: usize, cores: usize, incarnation: Micros) -> NodeSettings {
+pub fn node_settings(machine: usize, cores: usize, incarnation: Micros) -> NodeSettings {
     NodeSettings {
         config_reader: sumacvale_core::config::validate,
         may_bootstrap: true,
@@ -41,17 +41,17 @@
         node_id: core(machine).node_id,
         incarnation,
         addr: addr(machine),
-        admin: String::new(),
+        admin_addr: String::new(),
         zone: format!("z{}", machine % 3),
         seeds: (0..cores.min(3)).map(addr).collect(),
         is_core: machine < cores,
         report_interval: 1_200 * MS,
-        reports_to_cores_only: true,
+        workers_report_to_cores_only: true,
     }
 }
 
 /// Returns the disk of a core in a fleet whose only version is this version 0.
-pub fn founded(cores: usize, body: String, revision: u64) -> DurableState {
+pub fn founding_disk(cores: usize, body: String, revision: u64) -> DurableState {
     let voters = (0..cores).map(core).collect();
     let entry = LogEntry {
         version: 0,
--- a/crates/core/tests/peers.rs
+++ b/crates/core/tests/peers.rs
@@ -89,14 +89,14 @@
 #[test]
 fn a_version_is_merged_after_a_compact_heartbeat_that_arrived_first() {
     let mut table = peer_table(&[peer(2, 1, 5, 3)], 0);
-    for (name, counter, version, expected_version, outcome) in [
+    for (name, received, version, expected_version, outcome) in [
         ("an older heartbeat with a newer version", 4, 9, 3, Some(false)),
         ("the known heartbeat with a newer version", 5, 4, 4, Some(true)),
         ("again", 5, 4, 4, Some(false)),
         ("the known heartbeat with an older version", 5, 3, 4, Some(false)),
         ("a newer heartbeat", 6, 5, 5, Some(true)),
     ] {
-        let heartbeat = Heartbeat { node_id: NodeId(2), incarnation: 1, heartbeat: counter, version, draining: false };
+        let heartbeat = Heartbeat { node_id: NodeId(2), incarnation: 1, counter: received, version, draining: false };
         assert_eq!(table.merge_heartbeat(&heartbeat, SEC), outcome, "{name}");
         assert_eq!(table.entries[&NodeId(2)].record.version, expected_version, "{name}");
     }
@@ -110,7 +110,7 @@
         let mut table = peer_table(&[peer(2, 1, 5, 0)], 0);
         table.record_received(
             NodeId(9),
-            [(NodeId(2), HeartbeatStamp { incarnation: 1, heartbeat: received })].into_iter(),
+            [(NodeId(2), HeartbeatStamp { incarnation: 1, counter: received })].into_iter(),
         );
         let delta = table.delta(NodeId(9), 0);
         assert_eq!((delta.heartbeats.len(), delta.records.len()), (expected, 0), "{name}");
@@ -136,7 +136,7 @@
             node_id,
             incarnation,
             addr: format!("10.0.0.{machine}:7000"),
-            admin: String::new(),
+            admin_addr: String::new(),
             zone: format!("z{}", machine % 3),
             seeds: vec!["10.0.0.0:7000".into()],
             is_core: false,
@@ -145,7 +145,7 @@
             manages_voters: false,
             tolerated_losses: 1,
             report_interval: 500 * MS,
-            reports_to_cores_only: false,
+            workers_report_to_cores_only: false,
         };
         Node::new(settings, &DurableState::default(), machine + 1, now)
     }
@@ -201,7 +201,7 @@
 fn all_nodes_agree_on_the_live_nodes_despite_frame_loss_failures_and_restarts() {
     for (name, loss_percent) in [("no loss", 0), ("a tenth of the frames lost", 10), ("a third", 33)] {
         let mut net = GossipNet::new(12);
-        let lost = |frame_number: usize| Rng::new(frame_number as u64).chance(loss_percent);
+        let lost = |frame_number: usize| Rng::new(frame_number as u64).chance_percent(loss_percent);
         net.run(8 * SEC, lost);
         net.expect_live(name, 12);
         net.nodes[5] = None;
@@ -226,7 +226,7 @@
     for (name, loss_percent) in [("no loss", 0), ("a tenth of the frames lost", 10), ("a third", 33)] {
         for downtime in [500 * MS, 1_500 * MS, 3 * SEC] {
             let mut net = GossipNet::new(12);
-            let lost = |frame_number: usize| Rng::new(frame_number as u64).chance(loss_percent);
+            let lost = |frame_number: usize| Rng::new(frame_number as u64).chance_percent(loss_percent);
             net.run(8 * SEC, lost);
             net.nodes[5] = None;
             net.run(8 * SEC + downtime, lost);
@@ -274,7 +274,7 @@
         let heartbeat = Heartbeat {
             node_id: record.node_id,
             incarnation: record.incarnation,
-            heartbeat: record.heartbeat,
+            counter: record.heartbeat,
             version: record.version,
             draining: false,
         };
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -215,7 +215,7 @@
             "all failed",
             |router, table, _| {
                 for endpoint in &table.endpoints {
-                    router.loads.mark_failed(&endpoint.worker_id, endpoint.incarnation, endpoint.seq);
+                    router.loads.eject(&endpoint.worker_id, endpoint.incarnation, endpoint.seq);
                 }
             },
             true,
@@ -224,7 +224,7 @@
             "all but one failed",
             |router, table, _| {
                 for endpoint in &table.endpoints[1..] {
-                    router.loads.mark_failed(&endpoint.worker_id, endpoint.incarnation, endpoint.seq);
+                    router.loads.eject(&endpoint.worker_id, endpoint.incarnation, endpoint.seq);
                 }
             },
             true,
--- a/crates/core/tests/prompt_lengths.rs
+++ b/crates/core/tests/prompt_lengths.rs
@@ -18,8 +18,8 @@
     let mut now = start;
     for _ in 0..calls {
         now += 100 * MS;
-        let (route, mean) = if rng.chance(long_of_100) { (LONG_ROUTE, 12_000) } else { (SHORT_ROUTE, 2_400) };
-        let tokens = (mean / 2 + rng.below(mean)) as f64;
+        let (route, mean) = if rng.chance_percent(long_of_100) { (LONG_ROUTE, 12_000) } else { (SHORT_ROUTE, 2_400) };
+        let tokens = (mean / 2 + rng.next_below(mean)) as f64;
         lengths.record(route, tokens, tokens * 0.7, now);
     }
     now
@@ -61,7 +61,7 @@
     let mut lengths = PromptLengths::default();
     let mut rng = Rng::new(3);
     for nth in 0..2_000 {
-        lengths.record(nth % 4, (900 + rng.below(400)) as f64, 500.0, nth * 10 * MS);
+        lengths.record(nth % 4, (900 + rng.next_below(400)) as f64, 500.0, nth * 10 * MS);
     }
     assert_eq!((0..4).filter_map(|route| lengths.class_of(route)).count(), 0);
     let mut lengths = PromptLengths::default();
--- a/crates/core/tests/rates.rs
+++ b/crates/core/tests/rates.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 use sumacvale_core::base::{MS, Micros, NodeId, Rng, SEC};
-use sumacvale_core::config::{CompiledConfig, Limit, Rate, effective, validate};
+use sumacvale_core::config::{CompiledConfig, QuotaLimit, Rate, effective_settings, validate};
 use sumacvale_core::lease::{LEASE_DURATION, LeaseDecision, LeaseGrantor};
 use sumacvale_core::protocol::{RegisteredIncarnation, ShareGrant, ShareRequest};
 use sumacvale_core::quota::{
@@ -111,7 +111,7 @@
     let mut bucket = granted_bucket(500_000, 0, SEC);
     assert_eq!(
         bucket.acquire_unit(SEC),
-        AcquireOutcome::RateExhausted { wait: 200 * MS, interval: 200 * MS, may_get_more: true },
+        AcquireOutcome::RateExhausted { wait: 200 * MS, interval: 200 * MS, may_receive_units: true },
         "it was not requested yet"
     );
     // The lease holder has no units, and its pool is no longer filling up.
@@ -120,21 +120,21 @@
     assert!(bucket.apply_grant(2, grant_of(500_000, 0), 3 * SEC, 3 * SEC));
     assert_eq!(
         bucket.acquire_unit(3 * SEC),
-        AcquireOutcome::RateExhausted { wait: 200 * MS, interval: 200 * MS, may_get_more: false }
+        AcquireOutcome::RateExhausted { wait: 200 * MS, interval: 200 * MS, may_receive_units: false }
     );
     let mut bucket = granted_bucket(500_000, 0, SEC);
     assert!(
-        matches!(bucket.acquire_unit(SEC + 100 * MS), AcquireOutcome::RateExhausted { wait, may_get_more: true, .. } if wait == 100 * MS)
+        matches!(bucket.acquire_unit(SEC + 100 * MS), AcquireOutcome::RateExhausted { wait, may_receive_units: true, .. } if wait == 100 * MS)
     );
     assert_eq!(bucket.acquire_unit(SEC + SHARE_LEASE), AcquireOutcome::Empty, "the share has expired");
     let mut bucket = granted_bucket(0, 0, SEC);
     assert!(
-        matches!(bucket.acquire_unit(SEC), AcquireOutcome::RateExhausted { may_get_more: true, wait, .. } if wait > 3_600 * SEC)
+        matches!(bucket.acquire_unit(SEC), AcquireOutcome::RateExhausted { may_receive_units: true, wait, .. } if wait > 3_600 * SEC)
     );
     bucket.make_request(0, 2, 0, 3 * SEC);
     assert!(bucket.apply_grant(2, grant_of(0, 0), 3 * SEC, 3 * SEC), "there is none");
     assert!(
-        matches!(bucket.acquire_unit(3 * SEC), AcquireOutcome::RateExhausted { may_get_more: false, wait, .. } if wait > 3_600 * SEC)
+        matches!(bucket.acquire_unit(3 * SEC), AcquireOutcome::RateExhausted { may_receive_units: false, wait, .. } if wait > 3_600 * SEC)
     );
 }
 
@@ -143,7 +143,7 @@
 #[test]
 fn calls_wait_for_the_pool_to_fill_right_after_a_start() {
     let waits = |bucket: &mut ShareBucket, now: Micros| {
-        matches!(bucket.acquire_unit(now), AcquireOutcome::RateExhausted { may_get_more: true, .. })
+        matches!(bucket.acquire_unit(now), AcquireOutcome::RateExhausted { may_receive_units: true, .. })
     };
     let respond_with_nothing = |bucket: &mut ShareBucket, request_id: u64, now: Micros| {
         bucket.make_request(0, request_id, 1, now);
@@ -173,8 +173,8 @@
         returned_milli: 0,
         demand_milli,
         missing_units,
-        smallest_call: missing_units.min(1),
-        usual_call: 1,
+        smallest_call_units: missing_units.min(1),
+        mean_call_units: 1,
         call_rate_milli: demand_milli,
     }
 }
@@ -283,33 +283,37 @@
     for (tenant, expected, shown) in [
         (
             "a",
-            Limit::Rate(Rate { milli_per_second: 40_280, burst_milli: 50_280 }),
+            QuotaLimit::Rate(Rate { milli_per_second: 40_280, burst_milli: 50_280 }),
             r#""quota":{"rate":40.28,"burst":50.28}"#,
         ),
-        ("b", Limit::Unlimited, r#""quota":"none""#),
-        ("d", Limit::Rate(Rate { milli_per_second: 500, burst_milli: 2_000 }), r#""quota":{"rate":0.5,"burst":2}"#),
+        ("b", QuotaLimit::Unlimited, r#""quota":"none""#),
+        (
+            "d",
+            QuotaLimit::Rate(Rate { milli_per_second: 500, burst_milli: 2_000 }),
+            r#""quota":{"rate":0.5,"burst":2}"#,
+        ),
     ] {
         assert_eq!(config.tenants[tenant].quota, expected, "{tenant}");
-        assert!(effective(&config, "tenants", tenant).unwrap().contains(shown), "{tenant}");
+        assert!(effective_settings(&config, "tenants", tenant).unwrap().contains(shown), "{tenant}");
     }
-    assert!(matches!(config.tenants["c"].quota, Limit::Window(quota) if quota.calls == 5));
+    assert!(matches!(config.tenants["c"].quota, QuotaLimit::Window(quota) if quota.calls == 5));
 }
 
 #[test]
 fn the_effective_settings_of_a_tenant_name_its_urgency() {
     let config = validate(r#"{"tenants":{"a":{"keys":[],"urgency":3},"b":{"keys":[]}}}"#).unwrap();
     for (tenant, shown) in [("a", r#""urgency":3"#), ("b", r#""urgency":null"#)] {
-        let settings = effective(&config, "tenants", tenant).unwrap();
+        let settings = effective_settings(&config, "tenants", tenant).unwrap();
         assert!(settings.contains(shown), "{settings}");
     }
 }
 
 #[test]
 fn an_unlimited_tenant_makes_no_requests() {
-    let slices = sumacvale_core::quota::WindowSlices::default();
-    slices.rates.apply_plan(&CompiledConfig::compile(1, r#"{"tenants":{"b":{"keys":[],"quota":"none"}}}"#), 0);
+    let slices = sumacvale_core::quota::TenantQuotas::default();
+    slices.rates.apply_config(&CompiledConfig::compile(1, r#"{"tenants":{"b":{"keys":[],"quota":"none"}}}"#), 0);
     for now in 0..1_000 {
-        assert!(matches!(slices.acquire_unit("b", now), AcquireOutcome::Acquired { low: false, .. }));
+        assert!(matches!(slices.acquire_unit("b", now), AcquireOutcome::Acquired { is_low: false, .. }));
     }
     assert!(slices.rates.due_requests(|_| true, SEC).is_empty());
 }
@@ -443,10 +447,10 @@
 
     /// Sends a message that may be lost, delayed, reordered or duplicated.
     fn send(&mut self, to_previous: bool, make: impl Fn() -> Packet) {
-        for _ in 0..if self.rng.chance(self.loss / 2) { 2 } else { 1 } {
-            if !self.rng.chance(self.loss) {
-                let longest_delay = if self.rng.chance(self.loss / 4) { 6 * SEC } else { self.delay };
-                let at = self.now + 1 + self.rng.below(longest_delay);
+        for _ in 0..if self.rng.chance_percent(self.loss / 2) { 2 } else { 1 } {
+            if !self.rng.chance_percent(self.loss) {
+                let longest_delay = if self.rng.chance_percent(self.loss / 4) { 6 * SEC } else { self.delay };
+                let at = self.now + 1 + self.rng.next_below(longest_delay);
                 self.in_flight.push((at, to_previous, make()));
             }
         }
@@ -468,7 +472,7 @@
             }
         }
         for index in 0..self.fronts.len() {
-            let draw = self.rng.below(1_000_000);
+            let draw = self.rng.next_below(1_000_000);
             if self.fronts[index].frozen_until <= now {
                 self.serve_calls(index, draw);
                 self.send_request_if_due(index);
@@ -526,8 +530,8 @@
         if sent_at.is_some_and(|sent_at| sent_at - front.clock_offset >= self.lease_began_at) {
             let age = if self.planted == Planted::OverstatesAge { age + 5 * SEC } else { age };
             let idle = if self.planted == Planted::OverstatesIdleTime { 5 * SEC } else { idle };
-            self.pools.record_alive(0, by, &index.to_string(), age, now);
-            self.pools.record_request(0, request, by, self.rate, idle, now);
+            self.pools.record_reply(0, by, &index.to_string(), age, now);
+            self.pools.record_share_report(0, request, by, self.rate, idle, now);
         }
     }
 
@@ -551,18 +555,20 @@
         if draw < front.load {
             match front.bucket.acquire_unit(local_now) {
                 AcquireOutcome::Acquired { window, .. } => {
-                    if self.loss > 0 && self.rng.chance(5) {
+                    if self.loss > 0 && self.rng.chance_percent(5) {
                         front.bucket.refund(window, local_now);
                     } else {
                         self.ran.push(now);
                     }
                 }
-                AcquireOutcome::RateExhausted { wait, may_get_more, .. } if may_get_more || wait < MAX_WAIT => {
-                    front.bucket.request_soon();
+                AcquireOutcome::RateExhausted { wait, may_receive_units, .. }
+                    if may_receive_units || wait < MAX_WAIT =>
+                {
+                    front.bucket.request_units_soon();
                     front.waiting.push_back(now + MAX_WAIT);
                 }
                 _ => {
-                    front.bucket.request_soon();
+                    front.bucket.request_units_soon();
                     self.rejected.push(now);
                 }
             }
@@ -592,7 +598,7 @@
         let age_and_idle = (local_now - front.started_at, front.bucket.idle_for(local_now));
         let request = front.bucket.make_request(7, request_id, 0, local_now);
         let is_cut_off = front.cut_off_until > now;
-        let to_previous = self.previous_pools.is_some() && self.rng.chance(30);
+        let to_previous = self.previous_pools.is_some() && self.rng.chance_percent(30);
         if !is_cut_off {
             self.send(to_previous, || Packet::Request(by, request_id, request, age_and_idle));
         }
@@ -601,18 +607,18 @@
     /// Injects a random fault.
     fn inject_fault(&mut self) {
         let now = self.now;
-        let index = usize::try_from(self.rng.below(self.fronts.len() as u64)).unwrap();
-        match self.rng.below(7) {
+        let index = usize::try_from(self.rng.next_below(self.fronts.len() as u64)).unwrap();
+        match self.rng.next_below(7) {
             0 => {
                 // The lease holder is lost or frozen; the next lease holder starts after the end of the lease.
-                self.holder_down_until = now + self.rng.below(2 * SEC);
+                self.holder_down_until = now + self.rng.next_below(2 * SEC);
                 let mut pools = SharePools::default();
                 pools.begin_lease(0, false, self.holder_down_until.max(now), 0);
                 let previous = std::mem::replace(&mut self.pools, pools);
                 self.previous_pools =
-                    Some((previous, now + self.rng.below(self.holder_down_until.saturating_sub(now) + 1)));
+                    Some((previous, now + self.rng.next_below(self.holder_down_until.saturating_sub(now) + 1)));
             }
-            1 => self.fronts[index].frozen_until = now + self.rng.below(6 * SEC),
+            1 => self.fronts[index].frozen_until = now + self.rng.next_below(6 * SEC),
             2 => {
                 let front = &mut self.fronts[index];
                 front.id.1 += 1;
@@ -620,11 +626,11 @@
                 front.bucket = ShareBucket::first_of_incarnation(self.rate, front.started_at, front.started_at);
                 front.sent.clear();
             }
-            3 => self.loss = self.rng.below(60),
+            3 => self.loss = self.rng.next_below(60),
             4 => self.loss = 0,
-            5 => self.delay = 1 + self.rng.below(400 * MS),
+            5 => self.delay = 1 + self.rng.next_below(400 * MS),
             _ => {
-                let load = self.rng.below(200_000);
+                let load = self.rng.next_below(200_000);
                 self.fronts[index].load = load;
             }
         }
@@ -639,11 +645,11 @@
         let ignores_cut_off = self.planted == Planted::IgnoresCutOff;
         self.previous_pools = None;
         self.in_flight.clear();
-        let front_count = if self.rng.chance(self.holder_alone_chance) { 0 } else { self.fronts.len() };
+        let front_count = if self.rng.chance_percent(self.holder_alone_chance) { 0 } else { self.fronts.len() };
         for index in 0..front_count {
-            let cut_off_until = now + self.rng.below(8 * SEC);
+            let cut_off_until = now + self.rng.next_below(8 * SEC);
             let front = &mut self.fronts[index];
-            if self.rng.chance(self.partition_chance) {
+            if self.rng.chance_percent(self.partition_chance) {
                 front.cut_off_until = cut_off_until;
             } else {
                 front.id.0.0 += 100;
@@ -681,19 +687,22 @@
     let kind = seed % 3;
     let (rate, loads): (_, Vec<_>) = match kind {
         0 => {
-            let rate = Rate { milli_per_second: 5_000 + rng.below(80_000), burst_milli: 5_000 + rng.below(80_000) };
-            (rate, (0..2 + rng.below(6)).map(|_| 20_000 + rng.below(100_000)).collect())
+            let rate =
+                Rate { milli_per_second: 5_000 + rng.next_below(80_000), burst_milli: 5_000 + rng.next_below(80_000) };
+            (rate, (0..2 + rng.next_below(6)).map(|_| 20_000 + rng.next_below(100_000)).collect())
         }
         // Nodes use loans and hold no share: their demand is low, and the burst is too small for a unit at each node.
         // Often only the lease holder loses power.
         1 => {
-            let rate = Rate { milli_per_second: 2_000 + rng.below(3_000), burst_milli: 8_000 + rng.below(6_000) };
-            (rate, (0..5 + rng.below(3)).map(|_| 1_000 + rng.below(2_000)).collect())
+            let rate =
+                Rate { milli_per_second: 2_000 + rng.next_below(3_000), burst_milli: 8_000 + rng.next_below(6_000) };
+            (rate, (0..5 + rng.next_below(3)).map(|_| 1_000 + rng.next_below(2_000)).collect())
         }
         // The burst takes many seconds to refill, and no front is partitioned.
         _ => {
-            let rate = Rate { milli_per_second: 2_000 + rng.below(5_000), burst_milli: 30_000 + rng.below(30_000) };
-            (rate, (0..2 + rng.below(6)).map(|_| 20_000 + rng.below(100_000)).collect())
+            let rate =
+                Rate { milli_per_second: 2_000 + rng.next_below(5_000), burst_milli: 30_000 + rng.next_below(30_000) };
+            (rate, (0..2 + rng.next_below(6)).map(|_| 20_000 + rng.next_below(100_000)).collect())
         }
     };
     let mut simulation = Simulation::new(seed, rate, &loads, true);
@@ -706,7 +715,7 @@
         simulation.step();
         if simulation.now >= next {
             simulation.lose_power();
-            next = simulation.now + 2 * SEC + simulation.rng.below(8 * SEC);
+            next = simulation.now + 2 * SEC + simulation.rng.next_below(8 * SEC);
         }
     }
     let ran = simulation.ran.len();
@@ -761,9 +770,16 @@
                 pool_of(&mut pools, 3, SEC).unwrap().request((NodeId(50), 1), 1, &request_of(0, 100, 0), RATE, 1, SEC);
             }
             for (node, incarnation, addr, reports_share) in *replies {
-                pools.record_alive(3, (NodeId(*node), *incarnation), addr, 0, replied_at);
+                pools.record_reply(3, (NodeId(*node), *incarnation), addr, 0, replied_at);
                 if *reports_share {
-                    pools.record_request(3, &request_of(0, 0, 0), (NodeId(*node), *incarnation), RATE, 0, replied_at);
+                    pools.record_share_report(
+                        3,
+                        &request_of(0, 0, 0),
+                        (NodeId(*node), *incarnation),
+                        RATE,
+                        0,
+                        replied_at,
+                    );
                 }
             }
             let grant = pool_of(&mut pools, 3, later)
@@ -833,9 +849,9 @@
                 );
             }
             for (node, addr, age, idle) in *replies {
-                pools.record_alive(3, (NodeId(*node), 1), addr, *age, now);
+                pools.record_reply(3, (NodeId(*node), 1), addr, *age, now);
                 if let Some(idle) = idle {
-                    pools.record_request(3, &request_of(0, 0, 0), (NodeId(*node), 1), RATE, *idle, now);
+                    pools.record_share_report(3, &request_of(0, 0, 0), (NodeId(*node), 1), RATE, *idle, now);
                 }
             }
             let grant = pool_of(&mut pools, 3, now)
@@ -849,7 +865,7 @@
     let mut pools = SharePools::default();
     pools.begin_lease(3, false, lease_began_at, 0);
     pools.set_suspects(3, &[registered(1, "a")]);
-    pools.record_alive(3, (NodeId(9), 1), "a", 60 * SEC, now);
+    pools.record_reply(3, (NodeId(9), 1), "a", 60 * SEC, now);
     let grant =
         pools.pool(3, 7, slow, now).unwrap().request((NodeId(60), 1), 1, &request_of(0, 0, 99), slow, 1, now).unwrap();
     assert_eq!(grant.loaned_units, 4, "an incarnation that voters have forgotten may have used it before that");
@@ -886,7 +902,7 @@
         }
         for (by, share) in [(FIRST_NODE, held.0), (SECOND_NODE, held.1)] {
             let request = request_of(share, 0, 0);
-            pools.record_request(3, &request, by, RATE, SEC, now);
+            pools.record_share_report(3, &request, by, RATE, SEC, now);
             grant_to(&mut pools, by, 2, request);
         }
         assert_eq!(grant_to(&mut pools, (NodeId(60), 1), 1, request_of(0, 0, 99)).loaned_units, expected, "{name}");
@@ -934,12 +950,12 @@
     let compile = |document: &str| CompiledConfig::compile(1, document);
     let (with_tenant, without_tenants) =
         (r#"{"tenants":{"a":{"keys":[],"quota":{"rate":5,"burst":5}}}}"#, r#"{"tenants":{}}"#);
-    let slices = sumacvale_core::quota::WindowSlices::default();
-    slices.rates.apply_plan(&compile(without_tenants), SEC);
-    slices.rates.apply_plan(&compile(with_tenant), 3 * SEC);
+    let slices = sumacvale_core::quota::TenantQuotas::default();
+    slices.rates.apply_config(&compile(without_tenants), SEC);
+    slices.rates.apply_config(&compile(with_tenant), 3 * SEC);
     assert_eq!(slices.rates.idle_for("a", 4 * SEC), 3 * SEC, "since the start of the incarnation");
-    slices.rates.apply_plan(&compile(without_tenants), 5 * SEC);
-    slices.rates.apply_plan(&compile(with_tenant), 6 * SEC);
+    slices.rates.apply_config(&compile(without_tenants), 5 * SEC);
+    slices.rates.apply_config(&compile(with_tenant), 6 * SEC);
     assert_eq!(slices.rates.idle_for("a", 7 * SEC), 500 * MS, "earlier units may be used for half a second");
 }
 
@@ -948,16 +964,16 @@
     let mut ran = 0;
     for seed in 0..150 {
         let mut rng = Rng::new(seed);
-        let rate = Rate { milli_per_second: 500 + rng.below(80_000), burst_milli: 1_000 + rng.below(80_000) };
-        let loads: Vec<_> = (0..=rng.below(8)).map(|_| rng.below(100_000)).collect();
+        let rate = Rate { milli_per_second: 500 + rng.next_below(80_000), burst_milli: 1_000 + rng.next_below(80_000) };
+        let loads: Vec<_> = (0..=rng.next_below(8)).map(|_| rng.next_below(100_000)).collect();
         let mut simulation = Simulation::new(seed, rate, &loads, seed % 2 == 0);
-        simulation.loss = rng.below(30);
+        simulation.loss = rng.next_below(30);
         let mut next_fault_at = simulation.now + SEC;
         while simulation.now < 140 * SEC {
             simulation.step();
             if simulation.now >= next_fault_at {
                 simulation.inject_fault();
-                next_fault_at = simulation.now + 50 * MS + simulation.rng.below(3 * SEC);
+                next_fault_at = simulation.now + 50 * MS + simulation.rng.next_below(3 * SEC);
             }
         }
         ran += simulation.ran.len();
--- a/crates/core/tests/recovery/load.rs
+++ b/crates/core/tests/recovery/load.rs
@@ -32,7 +32,7 @@
     let role = quota_role(tenant);
     let cores = || net.nodes[..CORES].iter().flatten();
     let Some(holder) = cores().find(|core| core.leases.held.valid_epoch(role, net.now).is_some()) else {
-        let voters = cores().filter(|core| core.leases.grantor.fence_until <= net.now).count();
+        let voters = cores().filter(|core| core.leases.grantor.startup_fence_until <= net.now).count();
         return if 2 * voters <= CORES { RejectionCause::StartupFence } else { RejectionCause::EarlierLease };
     };
     if holder.share_epoch(role, net.now).is_none() {
@@ -99,8 +99,8 @@
     pub fn advance(&mut self, net: &mut Net) {
         for tenant_number in 0..TENANTS {
             while self.next_at[tenant_number] <= net.now {
-                self.next_at[tenant_number] += self.interval / 2 + self.rng.below(self.interval);
-                let front = CORES + usize::try_from(self.rng.below((ALL - CORES) as u64)).expect("small");
+                self.next_at[tenant_number] += self.interval / 2 + self.rng.next_below(self.interval);
+                let front = CORES + usize::try_from(self.rng.next_below((ALL - CORES) as u64)).expect("small");
                 if net.nodes[front].is_some() {
                     self.call(net, front, format!("t{tenant_number}"));
                 }
@@ -129,7 +129,9 @@
         let received_at = net.now;
         match node.quota.slices.acquire_unit(&tenant, received_at) {
             AcquireOutcome::Acquired { .. } => self.serve(tenant, received_at),
-            AcquireOutcome::RateExhausted { wait, may_get_more, .. } if !may_get_more && wait > CALL_TIMEOUT => {
+            AcquireOutcome::RateExhausted { wait, may_receive_units, .. }
+                if !may_receive_units && wait > CALL_TIMEOUT =>
+            {
                 let cause = rejection_cause(net, &tenant);
                 self.rejected.push(RejectedCall { tenant, received_at, cause });
             }
@@ -171,7 +173,7 @@
         let mut draw = Rng::new(seed);
         for index in lost {
             net.start(*index);
-            calls.run(&mut net, draw.below(30) * MS);
+            calls.run(&mut net, draw.next_below(30) * MS);
         }
         let from = net.now;
         calls.run(&mut net, 3 * SEC);
--- a/crates/core/tests/recovery/main.rs
+++ b/crates/core/tests/recovery/main.rs
@@ -43,10 +43,10 @@
         }
         net.run(DOWNTIME);
         let mut order = [0, 1, 2];
-        order.rotate_left(usize::try_from(rng.below(3)).expect("small"));
+        order.rotate_left(usize::try_from(rng.next_below(3)).expect("small"));
         for index in order {
             net.start(index);
-            net.run(rng.below(150) * MS);
+            net.run(rng.next_below(150) * MS);
         }
         let delay = run_until_all_roles_are_held(&mut net);
         assert!(delay <= 500 * MS, "seed {seed}: {} ms after the last core started", delay / MS);
@@ -75,15 +75,21 @@
         // roles are held soon after.
         net.run(delay_ms * MS);
         assert!(
-            (0..CORES)
-                .all(|index| net.nodes[index].as_ref().is_some_and(|core| core.leases.grantor.fence_until > net.now)),
+            (0..CORES).all(|index| net.nodes[index].as_ref().is_some_and(|core| core
+                .leases
+                .grantor
+                .startup_fence_until
+                > net.now)),
             "every voter must await the replies of all"
         );
         let delay = run_until_all_roles_are_held(&mut net);
         assert!(delay <= 400 * MS, "reached after {delay_ms} ms: roles held {} ms later", delay / MS);
         assert!(
-            (0..CORES)
-                .all(|index| net.nodes[index].as_ref().is_some_and(|core| core.leases.grantor.fence_until <= net.now)),
+            (0..CORES).all(|index| net.nodes[index].as_ref().is_some_and(|core| core
+                .leases
+                .grantor
+                .startup_fence_until
+                <= net.now)),
             "no voter is left with its fence"
         );
     }
@@ -95,17 +101,17 @@
 fn votes_of_an_earlier_incarnation_are_dropped_once_the_newer_one_got_a_reply() {
     let voter = core(1).node_id;
     let mut net = Net::new(|now, from, to| now > 100 * SEC + 35 * MS && from != to && to == 0);
-    let open_request = |net: &Net| {
+    let pending_request = |net: &Net| {
         let held = &net.nodes[0].as_ref().expect("it runs").leases.held.by_role;
         held.iter().find_map(|(role, lease)| {
-            let open = lease.open_request.as_ref()?;
+            let open = lease.pending_request.as_ref()?;
             Some((*role, lease.epoch, open.request_id, open.granted_by.contains(&voter)))
         })
     };
-    while open_request(&net).is_none() && net.now < 101 * SEC {
+    while pending_request(&net).is_none() && net.now < 101 * SEC {
         net.run(MS);
     }
-    let (role, epoch, request_id, _) = open_request(&net).expect("it requests a role without a reply");
+    let (role, epoch, request_id, _) = pending_request(&net).expect("it requests a role without a reply");
     let frame = |incarnation, message| Frame {
         from: voter,
         to: core(0).node_id,
@@ -124,7 +130,7 @@
     });
     net.step(0, Event::Frame(Box::new(frame(2, Message::Lease(LeaseMessage::HeldLeasesQuery { query_id: 5 })))));
     net.step(0, Event::Frame(Box::new(frame(1, vote))));
-    let (open_role, _, open_id, is_granted) = open_request(&net).expect("still open");
+    let (open_role, _, open_id, is_granted) = pending_request(&net).expect("still open");
     assert_eq!(
         (open_role, open_id, is_granted),
         (role, request_id, false),
@@ -156,7 +162,7 @@
         net.run(DOWNTIME);
         for index in 0..ALL {
             net.start(index);
-            net.run(rng.below(30) * MS);
+            net.run(rng.next_below(30) * MS);
         }
         let from = net.now;
         while net.now < from + 5 * SEC && !fronts_without_shares(&net).is_empty() {
@@ -188,8 +194,9 @@
         net.start(2);
         while net.now < from + 900 * MS {
             net.run(5 * MS);
-            let is_fenced =
-                |index: usize| net.nodes[index].as_ref().is_some_and(|core| core.leases.grantor.fence_until > net.now);
+            let is_fenced = |index: usize| {
+                net.nodes[index].as_ref().is_some_and(|core| core.leases.grantor.startup_fence_until > net.now)
+            };
             assert!(
                 is_fenced(1) && is_fenced(2),
                 "silent {is_silent}: {} ms after the holder's grant",
@@ -224,15 +231,15 @@
     for seed in 0..200 {
         let mut rng = Rng::new(seed);
         let lossless_from = 108 * SEC;
-        let mut net = Net::new(move |now, _, _| now < lossless_from && rng.below(3) == 0);
+        let mut net = Net::new(move |now, _, _| now < lossless_from && rng.next_below(3) == 0);
         let mut restart_rng = Rng::new(seed ^ 0xabcd);
         net.run(SEC);
         while net.now < lossless_from - SEC {
-            let index = usize::try_from(restart_rng.below(ALL as u64)).expect("small");
+            let index = usize::try_from(restart_rng.next_below(ALL as u64)).expect("small");
             net.nodes[index] = None;
-            net.run(restart_rng.below(800) * MS);
+            net.run(restart_rng.next_below(800) * MS);
             net.start(index);
-            net.run(restart_rng.below(600) * MS);
+            net.run(restart_rng.next_below(600) * MS);
         }
         net.run(lossless_from.saturating_sub(net.now) + RECOVERY_TIME);
         assert_eq!(net.not_fresh(), Vec::<usize>::new(), "seed {seed}: these reject every call");
@@ -258,7 +265,7 @@
         net.run(DOWNTIME);
         for index in 0..CORES {
             net.start(index);
-            net.run(rng.below(30) * MS);
+            net.run(rng.next_below(30) * MS);
         }
         let from = net.now;
         let has_recovered = |net: &Net| {
--- a/crates/core/tests/recovery/net.rs
+++ b/crates/core/tests/recovery/net.rs
@@ -1,6 +1,6 @@
 //! A fleet of three cores and six fronts in virtual time, with links that may lose frames.
 
-use crate::nodes::{addr, core, founded, me};
+use crate::nodes::{addr, core, founding_disk, node_settings};
 use std::collections::{BTreeMap, BTreeSet};
 use sumacvale_core::base::{MS, Micros, NodeId, SEC, sha256_hex};
 use sumacvale_core::config::Rate;
@@ -30,7 +30,7 @@
     };
     let tenants: Vec<_> = (0..TENANTS).map(tenant).collect();
     let body = format!("{{\"pools\":{{\"p\":{{}}}},\"matches\":{{}},\"tenants\":{{{}}}}}", tenants.join(","));
-    DurableState { node_id: core(core_index).node_id, ..founded(CORES, body, 0) }
+    DurableState { node_id: core(core_index).node_id, ..founding_disk(CORES, body, 0) }
 }
 
 /// Nodes in virtual time, connected by links that may lose frames.
@@ -100,9 +100,9 @@
         self.losing_frames_since.retain(|(from, _), _| *from != index);
         let is_core = index < CORES;
         let node_id = if is_core { core(index).node_id } else { NodeId(1_000 + self.incarnations) };
-        let me = NodeSettings { node_id, may_bootstrap: false, ..me(index, CORES, self.incarnations) };
+        let settings = NodeSettings { node_id, may_bootstrap: false, ..node_settings(index, CORES, self.incarnations) };
         let durable = if is_core { self.disks[index].clone() } else { DurableState::default() };
-        self.nodes[index] = Some(Node::new(me, &durable, self.incarnations, self.now));
+        self.nodes[index] = Some(Node::new(settings, &durable, self.incarnations, self.now));
     }
 
     /// Steps a node and carries out the effects; writes are synced at once.
--- a/crates/core/tests/recovery/standby.rs
+++ b/crates/core/tests/recovery/standby.rs
@@ -111,17 +111,17 @@
     let mut lent = 0;
     for seed in 0..8 {
         let mut loss_rng = Rng::new(seed + 1_000);
-        let mut net = Net::new(move |_, _, _| loss_rng.below(50) == 0);
+        let mut net = Net::new(move |_, _, _| loss_rng.next_below(50) == 0);
         net.run(6 * SEC);
         let mut calls = Calls::with_interval(seed, net.now, CALL_INTERVAL / 3);
         calls.run(&mut net, 2 * SEC);
         let mut fault_rng = Rng::new(seed + 2_000);
         for _ in 0..8 {
-            let fault = FAULTS[usize::try_from(fault_rng.below(4)).expect("small")];
-            let core = usize::try_from(fault_rng.below(CORES as u64)).expect("small");
-            let duration = [300 * MS, SEC, 2 * SEC, 6 * SEC][usize::try_from(fault_rng.below(4)).expect("small")];
+            let fault = FAULTS[usize::try_from(fault_rng.next_below(4)).expect("small")];
+            let core = usize::try_from(fault_rng.next_below(CORES as u64)).expect("small");
+            let duration = [300 * MS, SEC, 2 * SEC, 6 * SEC][usize::try_from(fault_rng.next_below(4)).expect("small")];
             inject(fault, core, duration, &mut net, &mut calls);
-            calls.run(&mut net, fault_rng.below(2_000) * MS);
+            calls.run(&mut net, fault_rng.next_below(2_000) * MS);
         }
         lent += (0..ALL)
             .filter_map(|index| net.nodes[index].as_ref())
--- a/crates/core/tests/rejections.rs
+++ b/crates/core/tests/rejections.rs
@@ -8,7 +8,7 @@
 };
 use sumacvale_core::config::CompiledConfig;
 use sumacvale_core::node::View;
-use sumacvale_core::quota::WindowSlices;
+use sumacvale_core::quota::TenantQuotas;
 
 const NOW: Micros = 100 * SEC;
 
@@ -23,7 +23,7 @@
 
 /// Returns the reason of the local response of a node with this view, and the counters that increased.
 fn reject(view: View, key: &str, path: &str, body: &str) -> (Option<RejectionReason>, Vec<(RejectionReason, u64)>) {
-    let shared = SharedCallState::new("z", 8, 1 << 20, Arc::new(WindowSlices::default()));
+    let shared = SharedCallState::new("z", 8, 1 << 20, Arc::new(TenantQuotas::default()));
     let view = Arc::new(view);
     let head =
         RequestHead { method: "POST".into(), path: path.into(), api_key: Some(key.into()), ..RequestHead::default() };
@@ -66,14 +66,14 @@
 #[test]
 fn the_log_has_counts_by_reason_once_a_second_while_calls_are_rejected() {
     let (rejections, mut log) = (RejectionCounters::default(), RejectionLog::default());
-    assert_eq!(log.line(&rejections, NOW), None, "nothing was rejected");
+    assert_eq!(log.poll_line(&rejections, NOW), None, "nothing was rejected");
     for _ in 0..3 {
         rejections.add(RejectionReason::StaleView);
     }
     rejections.add(RejectionReason::SlotsExhausted);
-    assert_eq!(log.line(&rejections, NOW + 999 * MS), None, "less than a second later");
-    assert_eq!(log.line(&rejections, NOW + SEC).as_deref(), Some("old_stamp=3 full=1"));
+    assert_eq!(log.poll_line(&rejections, NOW + 999 * MS), None, "less than a second later");
+    assert_eq!(log.poll_line(&rejections, NOW + SEC).as_deref(), Some("old_stamp=3 full=1"));
     rejections.add(RejectionReason::SlotsExhausted);
-    assert_eq!(log.line(&rejections, NOW + 2 * SEC).as_deref(), Some("full=1"), "only what was added");
-    assert_eq!(log.line(&rejections, NOW + 3 * SEC), None, "nothing was rejected since");
+    assert_eq!(log.poll_line(&rejections, NOW + 2 * SEC).as_deref(), Some("full=1"), "only what was added");
+    assert_eq!(log.poll_line(&rejections, NOW + 3 * SEC), None, "nothing was rejected since");
 }
--- a/crates/core/tests/routes.rs
+++ b/crates/core/tests/routes.rs
@@ -8,7 +8,7 @@
 }
 
 fn matched_name(config: &CompiledConfig, method: &str, host: &str, path: &str) -> String {
-    config.find(method, host, path).map_or_else(String::new, |matched| matched.name.clone())
+    config.find_match(method, host, path).map_or_else(String::new, |matched| matched.name.clone())
 }
 
 #[test]
@@ -65,7 +65,7 @@
         (r#"{"p":1000000,"q":1000000}"#, 2_000_000, [1_000_000, 1_000_000, 0]),
     ] {
         let config = config(&format!("\"m\":{{\"under\":\"/\",\"split\":{split}}}"));
-        let matched = config.find("GET", "h", "/").expect("found");
+        let matched = config.find_match("GET", "h", "/").expect("found");
         let mut calls = [0; 3];
         for hash in 0..round {
             let pool = ["p", "q", "r"].iter().position(|pool| *pool == matched.pool_for(hash)).expect("a known pool");
@@ -78,6 +78,6 @@
         assert_eq!(allowed, weighted, "{split}: a pool without weight gets no calls");
     }
     let config = config(r#""m":{"under":"/","pool":"q"}"#);
-    let matched = config.find("GET", "h", "/").expect("found");
+    let matched = config.find_match("GET", "h", "/").expect("found");
     assert!([0, 1, u64::MAX].iter().all(|hash| matched.pool_for(*hash) == "q"));
 }
--- a/crates/core/tests/self_recovery.rs
+++ b/crates/core/tests/self_recovery.rs
@@ -3,13 +3,13 @@
 
 use sumacvale_core::base::{MS, Micros, SEC};
 use sumacvale_core::cache::{CacheOptions, LocalCache, Lookup, LookupContext, SharedCache, look_up};
-use sumacvale_core::config::{Kind, PlacementWeights, Rate};
+use sumacvale_core::config::{PlacementWeights, Rate, TrafficKind};
 use sumacvale_core::placement::{
     CallOutcome, EngineModels, PlacementContext, PlacementTable, PromptRequest, WorkerLoads,
 };
 use sumacvale_core::protocol::{ShareGrant, WorkerReport};
 use sumacvale_core::queue::FairQueue;
-use sumacvale_core::quota::{AcquireOutcome, ShareBucket, WindowSlices};
+use sumacvale_core::quota::{AcquireOutcome, ShareBucket, TenantQuotas};
 use sumacvale_core::retry::RetryBudget;
 
 const WORKERS: usize = 6;
@@ -103,8 +103,8 @@
 fn a_failed_worker_is_used_again_after_its_next_report() {
     let loads = WorkerLoads::default();
     assert_eq!(loads.current(&table(1))[..2], [0, 0]);
-    loads.mark_failed("w0", 1, 1);
-    loads.mark_full("w1", SLOTS);
+    loads.eject("w0", 1, 1);
+    loads.record_full("w1", SLOTS);
     assert_eq!(loads.current(&table(1))[..2], [u32::MAX, SLOTS]);
     assert_eq!(loads.current(&table(2))[..2], [0, 0], "no call to it was needed");
 }
@@ -112,12 +112,12 @@
 /// A low measured rate rejects all calls, so no slot is taken and freed that could raise the rate.
 #[test]
 fn a_measured_slow_rate_of_freed_slots_expires_without_a_freed_slot() {
-    let key = |n: u64| (format!("t{n}"), Kind::Chat);
+    let key = |n: u64| (format!("t{n}"), TrafficKind::Chat);
     let mut queue: FairQueue<u64> = FairQueue::new(8);
-    queue.record_freed(SEC);
+    queue.record_slot_freed(SEC);
     assert!(queue.push(key(1), 1, 1, 5 * SEC, 5 * SEC - 100 * MS).is_err(), "one slot in four seconds");
     assert!(queue.push(key(1), 1, 1, 6 * SEC + 200 * MS, 6 * SEC + 100 * MS).is_ok(), "the rate is unknown again");
-    assert!(queue.drain_hopeless(7 * SEC).contains(&1), "a call that can't be served is removed by time");
+    assert!(queue.drain_unservable(7 * SEC).contains(&1), "a call that can't be served is removed by time");
     assert!(queue.is_empty());
 }
 
@@ -155,8 +155,8 @@
 /// If the lease holder is lost, no reply clears the mark of a spent window: the mark must expire by itself.
 #[test]
 fn a_spent_window_expires_though_its_holder_is_lost() {
-    let slices = WindowSlices::default();
-    slices.mark_spent("t", 3, 60 * SEC, SEC);
+    let slices = TenantQuotas::default();
+    slices.record_window_spent("t", 3, 60 * SEC, SEC);
     assert!(matches!(slices.acquire_unit("t", SEC), AcquireOutcome::WindowSpent { .. }));
     assert!(matches!(slices.acquire_unit("t", SEC + 200 * MS), AcquireOutcome::Empty), "a slice is requested again");
 }
--- a/crates/core/tests/slices.rs
+++ b/crates/core/tests/slices.rs
@@ -3,12 +3,12 @@
 
 mod fleet;
 
-use fleet::{Fleet, decree, kept};
+use fleet::{Fleet, durable_state, log_entry};
 use sumacvale_core::base::{MS, Micros, NodeId, SEC};
 use sumacvale_core::config::{CompiledConfig, WindowQuota};
 use sumacvale_core::node::Event;
 use sumacvale_core::protocol::{ConsensusMessage, Message, QuotaMessage};
-use sumacvale_core::quota::{AcquireOutcome, LedgerAction, SliceRequest, WindowLedger, WindowSlices};
+use sumacvale_core::quota::{AcquireOutcome, LedgerAction, SliceRequest, TenantQuotas, WindowLedger};
 
 const QUOTA: WindowQuota = WindowQuota { calls: 60, window: SEC };
 const TENANT: &str = "t";
@@ -53,12 +53,12 @@
     let second = request(&mut ledger, 3, 1, start + 20 * MS);
     assert!(second.is_empty(), "the recall is in progress: {second:?}");
 
-    let nothing = ledger.return_units(TENANT, QUOTA, NodeId(1), 1, 0, NODES, start + 30 * MS);
+    let nothing = ledger.record_recall_reply(TENANT, QUOTA, NodeId(1), 1, 0, NODES, start + 30 * MS);
     assert_eq!(nodes_reported_spent(&nothing), [2], "node 3 requested after the recall started: {nothing:?}");
 
     let again = ledger.tick(TENANT, QUOTA, NODES, start + 200 * MS);
     assert!(matches!(&again[..], [LedgerAction::Recall { to, window: 1 }] if to == &[NodeId(1)]), "{again:?}");
-    let some = ledger.return_units(TENANT, QUOTA, NodeId(1), 1, 5, NODES, start + 210 * MS);
+    let some = ledger.record_recall_reply(TENANT, QUOTA, NodeId(1), 1, 5, NODES, start + 210 * MS);
     assert!(
         matches!(&some[..], [LedgerAction::Grant { request_id: 3, .. }]),
         "what was returned is granted to the waiting request: {some:?}"
@@ -87,20 +87,20 @@
 fn the_unit_of_a_call_that_waits_for_a_slot_is_returned_on_a_recall() {
     let start = 10 * SEC;
     // The event while the call waits; whether the call has its unit afterwards; the returned and the free units.
-    type Meanwhile = fn(&WindowSlices, u64);
+    type Meanwhile = fn(&TenantQuotas, u64);
     let cases: [(&str, Meanwhile, bool, (u64, u64)); 4] = [
         ("nothing", |_, _| {}, true, (0, 1)),
-        ("a recall", |slices, now| assert_eq!(slices.return_idle(TENANT, 1, now), Some(2)), false, (2, 0)),
+        ("a recall", |slices, now| assert_eq!(slices.return_idle_units(TENANT, 1, now), Some(2)), false, (2, 0)),
         (
             "a recall of another window",
-            |slices, now| assert_eq!(slices.return_idle(TENANT, 2, now), None),
+            |slices, now| assert_eq!(slices.return_idle_units(TENANT, 2, now), None),
             true,
             (0, 1),
         ),
         ("the next window", |slices, now| slices.add_granted(TENANT, 2, 5, now + SEC), false, (0, 5)),
     ];
     for (name, meanwhile, keeps_unit, (returned, free)) in cases {
-        let slices = WindowSlices::default();
+        let slices = TenantQuotas::default();
         slices.add_granted(TENANT, 1, 2, start + SEC);
         assert!(matches!(slices.acquire_unit(TENANT, start), AcquireOutcome::Acquired { window: 1, .. }), "{name}");
         assert!(slices.park(TENANT, 1), "{name}");
@@ -113,22 +113,22 @@
         slices.refund(TENANT, 1);
         assert_eq!(slices.list()[0].4, free + u64::from(keeps_unit), "{name}: nothing is refunded twice");
     }
-    let slices = WindowSlices::default();
+    let slices = TenantQuotas::default();
     let document = r#"{"tenants":{"t":{"keys":[],"quota":{"rate":9,"burst":9}}}}"#;
-    slices.rates.apply_plan(&CompiledConfig::compile(1, document), start);
+    slices.rates.apply_config(&CompiledConfig::compile(1, document), start);
     assert!(!slices.park(TENANT, 0), "a unit of a rate stays with its call");
 }
 
 /// The end of a window in a report is late by the delay of the report, and must not prolong the validity of units.
 #[test]
 fn a_report_that_a_window_is_spent_prolongs_no_unit() {
-    let slices = WindowSlices::default();
+    let slices = TenantQuotas::default();
     let start = 10 * SEC;
     slices.add_granted(TENANT, 1, 5, start + 100 * MS);
-    slices.mark_spent(TENANT, 1, start + 300 * MS, start + 90 * MS);
+    slices.record_window_spent(TENANT, 1, start + 300 * MS, start + 90 * MS);
     let before = slices.acquire_unit(TENANT, start + 95 * MS);
     assert!(
-        matches!(before, AcquireOutcome::Acquired { window: 1, until, .. } if until == start + 100 * MS),
+        matches!(before, AcquireOutcome::Acquired { window: 1, expires_at, .. } if expires_at == start + 100 * MS),
         "{before:?}"
     );
     let after = slices.acquire_unit(TENANT, start + 150 * MS);
@@ -141,17 +141,17 @@
 /// Starts one core of three, to which another core can respond as the lease holder of the tenant's role. Returns the
 /// fleet, the lease holder, and the number of the core's request.
 fn requester() -> (Fleet, u64, u64) {
-    let mut initial = decree(0, 0, &[], &[1, 2, 3]);
+    let mut initial = log_entry(0, 0, &[], &[1, 2, 3]);
     initial.body = r#"{"defaults":{"quota":{"calls":60,"window_ms":1000}},"pools":{"llm":{}},
         "matches":{"chat":{"path":"/v1/chat","pool":"llm","kind":"chat"}},
         "tenants":{"t":{"keys":["sha256:0000000000000000000000000000000000000000000000000000000000000000"]}}}"#
         .into();
     let mut fleet = Fleet::default();
-    fleet.auto = false;
-    fleet.start(REQUESTER, kept(REQUESTER, &[initial], Some(0)));
+    fleet.manages_voters = false;
+    fleet.start(REQUESTER, durable_state(REQUESTER, &[initial], Some(0)));
     fleet.run(100 * MS);
     let effects = fleet.step(REQUESTER, Event::QuotaNeeded { tenant: TENANT.into(), waiting: 2 });
-    fleet.carry(REQUESTER, effects);
+    fleet.apply_effects(REQUESTER, effects);
     let (holder, request_id) = newest_request(&fleet).expect("it sends a request");
     (fleet, holder, request_id)
 }
@@ -177,10 +177,10 @@
         (123 * MS, 161 * MS, false),
     ] {
         let (mut fleet, holder, request_id) = requester();
-        fleet.tell(holder, REQUESTER, Message::Consensus(ConsensusMessage::Synced { version: 0 }));
+        fleet.deliver_message(holder, REQUESTER, Message::Consensus(ConsensusMessage::Synced { version: 0 }));
         let spent =
             Message::Quota(QuotaMessage::WindowSpent { request_id, tenant: TENANT.into(), window: 24, remaining });
-        fleet.tell_late(holder, REQUESTER, spent, delay);
+        fleet.deliver_message_late(holder, REQUESTER, spent, delay);
         let now = fleet.now;
         let outcome = fleet.node(REQUESTER).quota.slices.acquire_unit(TENANT, now);
         let requests_again = newest_request(&fleet).is_some_and(|newest| newest.1 != request_id);
@@ -204,7 +204,7 @@
 fn units_for_a_request_that_was_delivered_twice_are_applied() {
     for has_response_between in [false, true] {
         let (mut fleet, holder, request_id) = requester();
-        fleet.tell(holder, REQUESTER, Message::Consensus(ConsensusMessage::Synced { version: 0 }));
+        fleet.deliver_message(holder, REQUESTER, Message::Consensus(ConsensusMessage::Synced { version: 0 }));
         let granted = |granted_total| {
             Message::Quota(QuotaMessage::SliceGranted {
                 request_id,
@@ -215,7 +215,7 @@
                 epoch: 1,
             })
         };
-        fleet.tell(holder, REQUESTER, granted(1));
+        fleet.deliver_message(holder, REQUESTER, granted(1));
         if has_response_between {
             let now = fleet.now;
             fleet.step(REQUESTER, Event::QuotaNeeded { tenant: TENANT.into(), waiting: 1 });
@@ -226,10 +226,10 @@
                 window: 1,
                 remaining: 500 * MS,
             });
-            fleet.tell(holder, REQUESTER, spent);
+            fleet.deliver_message(holder, REQUESTER, spent);
             assert_eq!(fleet.now, now);
         }
-        fleet.tell(holder, REQUESTER, granted(2));
+        fleet.deliver_message(holder, REQUESTER, granted(2));
         let rows = fleet.node(REQUESTER).quota.slices.list();
         assert_eq!(rows, [(TENANT.to_owned(), 1, 2, 0, 2)], "tenant, window, granted, returned, free");
     }
--- a/crates/core/tests/standby.rs
+++ b/crates/core/tests/standby.rs
@@ -6,21 +6,25 @@
 use sumacvale_core::config::Rate;
 use sumacvale_core::protocol::{LoanRequest, RegisteredIncarnation, ShareGrant, ShareRequest};
 use sumacvale_core::quota::{
-    AcquireOutcome, HEDGE_AFTER, LOAN_DURATION, RESERVE_MARK, Requester, SHARE_LEASE, STANDBY_SHARE, ShareBucket,
-    SharePool, SharePools, SharePurpose,
+    AcquireOutcome, HEDGE_DELAY, LOAN_DURATION, RESERVE_REQUEST_MARKER, Requester, SHARE_LEASE, STANDBY_SHARE,
+    ShareBucket, SharePool, SharePools, SharePurpose,
 };
 
 const RATE: Rate = Rate { milli_per_second: 10_000, burst_milli: 40_000 };
 
-fn share_request(held_share: u32, usual_call: u32, missing_units: u32) -> ShareRequest {
+fn share_request(held_share: u32, mean_call_units: u32, missing_units: u32) -> ShareRequest {
     ShareRequest {
         tenant_key: 7,
         held_share,
         returned_milli: 0,
         demand_milli: 0,
         missing_units,
-        smallest_call: if missing_units == 0 { RESERVE_MARK } else { usual_call.min(missing_units) },
-        usual_call,
+        smallest_call_units: if missing_units == 0 {
+            RESERVE_REQUEST_MARKER
+        } else {
+            mean_call_units.min(missing_units)
+        },
+        mean_call_units,
         call_rate_milli: 0,
     }
 }
@@ -54,22 +58,30 @@
 fn a_pool_grants_the_standby_a_part_of_what_it_has_in_plenty() {
     let request = share_request(0, 1, 0);
     let mut pool = SharePool::full(RATE, SEC);
-    let first = grant(&mut pool, 1, 1, SharePurpose::Standby, &request);
+    let first = grant(&mut pool, 1, 1, SharePurpose::StandbyReserve, &request);
     assert_eq!((first.share, first.burst_milli), (STANDBY_SHARE, 10_000), "of a full pool");
-    assert_eq!(grant(&mut pool, 2, 1, SharePurpose::FormerStandby, &request).share, 0, "one that is not the standby");
+    assert_eq!(grant(&mut pool, 2, 1, SharePurpose::ReturnReserve, &request).share, 0, "one that is not the standby");
     let held = share_request(STANDBY_SHARE, 1, 0);
-    assert_eq!(grant(&mut pool, 1, 2, SharePurpose::Standby, &held).share, STANDBY_SHARE, "renewed");
-    assert_eq!(grant(&mut pool, 1, 3, SharePurpose::FormerStandby, &held).share, 0, "no longer the standby");
+    assert_eq!(grant(&mut pool, 1, 2, SharePurpose::StandbyReserve, &held).share, STANDBY_SHARE, "renewed");
+    assert_eq!(grant(&mut pool, 1, 3, SharePurpose::ReturnReserve, &held).share, 0, "no longer the standby");
 
     let mut pool = SharePool::full(RATE, SEC);
     let spent = share_request(0, 1, 30);
     assert_eq!(grant(&mut pool, 3, 1, SharePurpose::OwnCalls, &spent).loaned_units, 30);
-    assert_eq!(grant(&mut pool, 1, 1, SharePurpose::Standby, &request).share, 0, "of a pool that is nearly empty");
+    assert_eq!(
+        grant(&mut pool, 1, 1, SharePurpose::StandbyReserve, &request).share,
+        0,
+        "of a pool that is nearly empty"
+    );
 
     let mut pool = SharePool::full(RATE, SEC);
     let large_calls = share_request(0, 6, 0);
     grant(&mut pool, 3, 1, SharePurpose::OwnCalls, &large_calls);
-    assert_eq!(grant(&mut pool, 1, 1, SharePurpose::Standby, &request).share, 0, "of a burst of few usual calls");
+    assert_eq!(
+        grant(&mut pool, 1, 1, SharePurpose::StandbyReserve, &request).share,
+        0,
+        "of a burst of few usual calls"
+    );
 }
 
 /// A loan that is not spent in the standby's bucket, or is made from an expired share, would exceed the
@@ -77,8 +89,8 @@
 #[test]
 fn a_standby_lends_whole_calls_out_of_its_own_bucket() {
     let mut bucket = granted_bucket(STANDBY_SHARE, SEC);
-    let lend = |bucket: &mut ShareBucket, missing_units, smallest_call, now| {
-        bucket.lend(&LoanRequest { tenant_key: 7, missing_units, smallest_call }, now)
+    let lend = |bucket: &mut ShareBucket, missing_units, smallest_call_units, now| {
+        bucket.lend(&LoanRequest { tenant_key: 7, missing_units, smallest_call_units }, now)
     };
     assert_eq!(lend(&mut bucket, 9, 4, SEC), 8, "two calls of four units, of ten that it has");
     assert_eq!(lend(&mut bucket, 9, 4, SEC), 0, "two units are of no use");
@@ -113,9 +125,12 @@
     bucket.apply_loan(3, SEC + 50 * MS, SEC + 60 * MS);
     assert!(!is_taken(bucket.acquire_units(6, SEC + 60 * MS)));
     let both = bucket.acquire_units(4, SEC + 60 * MS);
-    assert!(matches!(both, AcquireOutcome::Acquired { until, .. } if until == SEC + LOAN_DURATION), "{both:?}");
+    assert!(
+        matches!(both, AcquireOutcome::Acquired { expires_at, .. } if expires_at == SEC + LOAN_DURATION),
+        "{both:?}"
+    );
     let rest = bucket.acquire_units(1, SEC + 210 * MS);
-    assert!(matches!(rest, AcquireOutcome::Acquired { until, .. } if until == SEC + 250 * MS), "{rest:?}");
+    assert!(matches!(rest, AcquireOutcome::Acquired { expires_at, .. } if expires_at == SEC + 250 * MS), "{rest:?}");
 }
 
 /// The standby is sent a request only for waiting calls, and only if the lease holder does not answer or has
@@ -135,7 +150,7 @@
         }
         bucket
     };
-    let late = asked + HEDGE_AFTER;
+    let late = asked + HEDGE_DELAY;
     for (name, available, answered, waits_at, now, expected) in [
         ("no response", true, None, late, late, true),
         ("no response yet", true, None, late - 1, late - 1, false),
@@ -151,7 +166,10 @@
     // A standby that had no units is sent no request for a while, and calls do not wait for it.
     let mut bucket = bucket_with(true, Some(0));
     bucket.record_waiting(1, late);
-    assert!(matches!(bucket.acquire_for_waiter(1, late), AcquireOutcome::RateExhausted { may_get_more: true, .. }));
+    assert!(matches!(
+        bucket.acquire_for_waiter(1, late),
+        AcquireOutcome::RateExhausted { may_receive_units: true, .. }
+    ));
     bucket.make_loan_request(7, late);
     assert!(!bucket.is_loan_due(late), "one request at a time");
     bucket.apply_loan(0, late, late + MS);
@@ -159,23 +177,23 @@
     assert!(!bucket.is_loan_due(late + 2 * MS));
     assert!(matches!(
         bucket.acquire_for_waiter(1, late + 2 * MS),
-        AcquireOutcome::RateExhausted { may_get_more: false, .. }
+        AcquireOutcome::RateExhausted { may_receive_units: false, .. }
     ));
     bucket.record_waiting(1, late + 300 * MS);
     assert!(bucket.is_loan_due(late + 300 * MS));
     // Calls do not wait for a standby that does not answer either.
     bucket.make_loan_request(7, late + 300 * MS);
-    let may_get_more = |bucket: &mut ShareBucket, now| match bucket.acquire_for_waiter(1, now) {
-        AcquireOutcome::RateExhausted { may_get_more, .. } => may_get_more,
+    let may_receive_units = |bucket: &mut ShareBucket, now| match bucket.acquire_for_waiter(1, now) {
+        AcquireOutcome::RateExhausted { may_receive_units, .. } => may_receive_units,
         outcome => panic!("{outcome:?}"),
     };
     bucket.make_request(7, 3, 1, late + 300 * MS);
     let nothing = ShareGrant { granted: true, share: 0, burst_milli: 0, loaned_units: 0 };
     assert!(bucket.apply_grant(3, nothing, late + 300 * MS, late + 301 * MS));
-    assert!(may_get_more(&mut bucket, late + 390 * MS), "it may still answer");
+    assert!(may_receive_units(&mut bucket, late + 390 * MS), "it may still answer");
     bucket.make_request(7, 4, 1, late + 395 * MS);
     assert!(bucket.apply_grant(4, nothing, late + 395 * MS, late + 396 * MS));
-    assert!(!may_get_more(&mut bucket, late + 410 * MS), "it did not answer");
+    assert!(!may_receive_units(&mut bucket, late + 410 * MS), "it did not answer");
 }
 
 /// A standby needs no registration, so a new lease holder may not know which one holds a reserve. It must
@@ -207,10 +225,10 @@
         // The registered incarnations are known to have held nothing since the lease began.
         pools.set_suspects(ROLE, &[registered(5)]);
         assert!(pools.pool(ROLE, 7, RATE, SEC).is_some());
-        assert!(pools.record_alive(ROLE, (NodeId(6), 2), "n5", 0, SEC), "{name}: the registered one is dead");
+        assert!(pools.record_reply(ROLE, (NodeId(6), 2), "n5", 0, SEC), "{name}: the registered one is dead");
         for node in reported {
             let request = share_request(0, 1, 0);
-            pools.record_request(ROLE, &request, (NodeId(*node), 1), RATE, 0, SEC);
+            pools.record_share_report(ROLE, &request, (NodeId(*node), 1), RATE, 0, SEC);
         }
         pools.expire(|_| Some(RATE), SEC + MS);
         if !first && now < after_lease {
--- a/crates/core/tests/stream.rs
+++ b/crates/core/tests/stream.rs
@@ -19,13 +19,13 @@
 fn stream_of(from: u64, to: u64, line_end: &str, has_bom: bool, rng: &mut Rng) -> Vec<u8> {
     let mut stream = if has_bom { "\u{feff}".to_owned() } else { String::new() };
     for number in from..to {
-        if rng.chance(20) {
+        if rng.chance_percent(20) {
             stream += &format!(": hold{line_end}{line_end}");
         }
         // The `id` field may follow the data and may occur twice: the last one counts.
-        let id = if rng.chance(30) { format!("id: 0{line_end}id:{number}") } else { format!("id: {number}") };
+        let id = if rng.chance_percent(30) { format!("id: 0{line_end}id:{number}") } else { format!("id: {number}") };
         let data = format!("data: piece {number}{line_end}data: of many");
-        stream += &if rng.chance(50) {
+        stream += &if rng.chance_percent(50) {
             format!("{id}{line_end}{data}{line_end}{line_end}")
         } else {
             format!("{data}{line_end}{id}{line_end}{line_end}")
@@ -76,7 +76,7 @@
                 let next_number = splitter.resume_point().expect("all events have numbers").map_or(0, |last| last + 1);
                 splitter.resume();
                 // A worker may repeat the last event.
-                let rest = stream_of(next_number.saturating_sub(rng.below(2)), 5, line_end, has_bom, &mut rng);
+                let rest = stream_of(next_number.saturating_sub(rng.next_below(2)), 5, line_end, has_bom, &mut rng);
                 output.extend(splitter.push(&rest).expect("valid").concat());
                 let resumed = data(read_events(&output));
                 assert_eq!(resumed, data(all_events.clone()), "{line_end:?} broken at {broken_at}");
--- a/crates/core/tests/takeover.rs
+++ b/crates/core/tests/takeover.rs
@@ -2,7 +2,7 @@
 
 mod fleet;
 
-use fleet::{Fleet, address, core, decree, kept};
+use fleet::{Fleet, address, core, durable_state, log_entry};
 use std::collections::BTreeMap;
 use sumacvale_core::base::{MS, NodeId, SEC};
 use sumacvale_core::lease::{ROLE_COUNT, quota_role};
@@ -33,13 +33,13 @@
 /// Returns a fleet in which B was lost and replaced by D, and A was lost before any voter took over the
 /// grants of A and B.
 fn fleet_after_second_loss() -> Fleet {
-    let first = decree(0, 0, &[], &[A, B, C]);
-    let second = decree(1, 1, &[A, B, C], &[A, C, D]);
+    let first = log_entry(0, 0, &[], &[A, B, C]);
+    let second = log_entry(1, 1, &[A, B, C], &[A, C, D]);
     let mut fleet = Fleet::default();
-    let mut durable = kept(C, &[first, second.clone()], Some(0));
+    let mut durable = durable_state(C, &[first, second.clone()], Some(0));
     durable.epochs = (0..ROLE_COUNT).map(|role| (role, 3)).collect();
     fleet.start(C, durable);
-    fleet.start(D, kept(D, &[second], None));
+    fleet.start(D, durable_state(D, &[second], None));
     fleet
 }
 
@@ -48,7 +48,7 @@
 #[test]
 fn a_fleet_recovers_from_a_second_loss_before_the_takeover() {
     let mut fleet = fleet_after_second_loss();
-    fleet.start(E, kept(E, &[], None));
+    fleet.start(E, durable_state(E, &[], None));
     let has_replaced_a = |fleet: &Fleet| {
         let voters = voter_ids(fleet, C);
         voters.contains(&E) && [C, D, E].iter().all(|machine| voter_ids(fleet, *machine) == voters)
@@ -87,12 +87,12 @@
     let body = r#"{"defaults":{"quota":{"calls":50,"window_ms":5000}},"pools":{"llm":{}},
         "matches":{"chat":{"path":"/v1/chat","pool":"llm","kind":"chat"}},
         "tenants":{"home":{"keys":["sha256:0000000000000000000000000000000000000000000000000000000000000000"]}}}"#;
-    let mut second = decree(1, 1, &[A, B, C], &[A, C, D]);
+    let mut second = log_entry(1, 1, &[A, B, C], &[A, C, D]);
     second.body = body.into();
     let mut fleet = Fleet::default();
-    fleet.auto = false;
-    fleet.start(C, kept(C, std::slice::from_ref(&second), Some(0)));
-    fleet.start(D, kept(D, &[second], None));
+    fleet.manages_voters = false;
+    fleet.start(C, durable_state(C, std::slice::from_ref(&second), Some(0)));
+    fleet.start(D, durable_state(D, &[second], None));
     let home = quota_role("home");
     let holder = |fleet: &Fleet| [C, D].into_iter().find(|machine| held_roles(fleet, *machine).contains(&home));
     assert!(fleet.run_until(10 * SEC, |fleet| holder(fleet).is_some()).is_some(), "the role has no holder");
@@ -100,7 +100,7 @@
     let request_slice = |fleet: &mut Fleet, request_id| {
         let to = holder(fleet).expect("a holder");
         fleet.sent.clear();
-        fleet.tell(
+        fleet.deliver_message(
             90,
             to,
             Message::Quota(QuotaMessage::SliceRequest {
@@ -144,7 +144,7 @@
             incarnation_set: 0,
             compact_heartbeats: vec![],
         });
-        fleet.tell(90, machine, gossip);
+        fleet.deliver_message(90, machine, gossip);
     }
     let (granted_window, spent) = request_slice(&mut fleet, 1);
     assert!(granted_window.is_none() && spent > 0, "{granted_window:?} {spent}: the window may be spent");
@@ -163,7 +163,8 @@
     let mut fleet = fleet_after_second_loss();
     fleet.run(5 * SEC);
     for machine in [C, D] {
-        let has_unknown = fleet.kept(machine).registered.keys().any(|(node_id, _)| *node_id == NodeId::default());
+        let has_unknown =
+            fleet.synced_state(machine).registered.keys().any(|(node_id, _)| *node_id == NodeId::default());
         assert!(has_unknown, "{machine} takes the shares of incarnations that it does not know for free");
     }
 }
@@ -175,7 +176,7 @@
     let mut fleet = Fleet::default();
     for machine in [A, B] {
         // Both were down when version 0 was decided; a later version was replicated to them.
-        fleet.start(machine, kept(machine, &[decree(3, 0, &[], &[A, B, C])], None));
+        fleet.start(machine, durable_state(machine, &[log_entry(3, 0, &[], &[A, B, C])], None));
     }
     let held = |fleet: &Fleet| are_all_roles_held(fleet, &[A, B]);
     assert!(fleet.run_until(3 * SEC, held).is_some(), "each waits for the other");
@@ -186,12 +187,12 @@
 /// have no majority of the previous set.
 #[test]
 fn a_voter_that_was_never_ready_counts_for_its_set() {
-    let five = decree(5, 5, &[A, B, E], &[A, B, C]);
-    let six = decree(6, 6, &[A, B, C], &[A, C, D]);
+    let five = log_entry(5, 5, &[A, B, E], &[A, B, C]);
+    let six = log_entry(6, 6, &[A, B, C], &[A, C, D]);
     let mut fleet = Fleet::default();
-    fleet.start(A, kept(A, &[decree(0, 0, &[], &[A, B, E]), five.clone(), six.clone()], Some(5)));
-    fleet.start(C, kept(C, &[five, six.clone()], None));
-    fleet.start(D, kept(D, &[six], None));
+    fleet.start(A, durable_state(A, &[log_entry(0, 0, &[], &[A, B, E]), five.clone(), six.clone()], Some(5)));
+    fleet.start(C, durable_state(C, &[five, six.clone()], None));
+    fleet.start(D, durable_state(D, &[six], None));
     let held = |fleet: &Fleet| are_all_roles_held(fleet, &[A, C, D]);
     let held_after = fleet.run_until(3 * SEC, held);
     assert!(held_after.is_some(), "A alone can't hand over, C may not: nothing is granted");
@@ -205,16 +206,16 @@
 /// majority of the previous set, one voter knows each grant.
 #[test]
 fn a_voter_that_skipped_a_set_counts_and_no_grant_is_lost() {
-    let six = decree(6, 6, &[A, B, C], &[A, C, D]);
+    let six = log_entry(6, 6, &[A, B, C], &[A, C, D]);
     let grant = WindowGrant { tenant: "t".into(), window: 9, node_id: NodeId(90), granted_total: 7, age: 0 };
     let take_over_from = |voters: &[(u64, Vec<WindowGrant>)]| {
         let mut fleet = Fleet::default();
-        fleet.start(D, kept(D, std::slice::from_ref(&six), None));
+        fleet.start(D, durable_state(D, std::slice::from_ref(&six), None));
         fleet.run(100 * MS);
         for (machine, grants) in voters {
-            fleet.tell(*machine, D, takeover_reply(6, grants.clone()));
+            fleet.deliver_message(*machine, D, takeover_reply(6, grants.clone()));
         }
-        let durable = fleet.kept(D).clone();
+        let durable = fleet.synced_state(D).clone();
         (durable.ready_set, durable.grants.into_values().map(|grant| grant.granted_total).collect::<Vec<_>>())
     };
     // Only the newest version was replicated to C. A confirmed the grant together with B, which is lost.
@@ -227,14 +228,14 @@
 /// with grants that the new set does not know.
 #[test]
 fn a_voter_hands_over_only_once_the_new_set_is_on_its_disk() {
-    let six = decree(6, 6, &[A, B, C], &[A, C, D]);
+    let six = log_entry(6, 6, &[A, B, C], &[A, C, D]);
     let mut fleet = Fleet::default();
-    fleet.start(A, kept(A, &[decree(5, 5, &[], &[A, B, C])], Some(5)));
+    fleet.start(A, durable_state(A, &[log_entry(5, 5, &[], &[A, B, C])], Some(5)));
     fleet.run(100 * MS);
-    fleet.stuck.insert(A);
-    fleet.tell(C, A, Message::Consensus(ConsensusMessage::Replicate { entries: vec![six] }));
+    fleet.stalled_disks.insert(A);
+    fleet.deliver_message(C, A, Message::Consensus(ConsensusMessage::Replicate { entries: vec![six] }));
     fleet.sent.clear();
-    fleet.tell(D, A, Message::Membership(MembershipMessage::TakeoverRequest { voter_set: 6 }));
+    fleet.deliver_message(D, A, Message::Membership(MembershipMessage::TakeoverRequest { voter_set: 6 }));
     let replies = |fleet: &Fleet| {
         fleet
             .sent
@@ -243,9 +244,9 @@
             .count()
     };
     assert_eq!(replies(&fleet), 0, "after a loss of power it would act under the old set again");
-    fleet.stuck.remove(&A);
+    fleet.stalled_disks.remove(&A);
     fleet.run(100 * MS);
-    fleet.tell(D, A, Message::Membership(MembershipMessage::TakeoverRequest { voter_set: 6 }));
+    fleet.deliver_message(D, A, Message::Membership(MembershipMessage::TakeoverRequest { voter_set: 6 }));
     assert!(replies(&fleet) > 0, "it hands over once the set is synced");
 }
 
@@ -253,28 +254,28 @@
 /// and B would go on under the old set while C and D grant the same roles under the new one.
 #[test]
 fn no_role_is_held_under_two_sets_at_once() {
-    let zero = decree(0, 0, &[], &[A, B, C]);
-    let one = decree(1, 1, &[A, B, C], &[A, C, D]);
+    let zero = log_entry(0, 0, &[], &[A, B, C]);
+    let one = log_entry(1, 1, &[A, B, C], &[A, C, D]);
     let mut held_before = BTreeMap::new();
     let mut fleet = Fleet::default();
-    fleet.auto = false;
+    fleet.manages_voters = false;
     for machine in [A, B, C] {
-        fleet.start(machine, kept(machine, std::slice::from_ref(&zero), Some(0)));
+        fleet.start(machine, durable_state(machine, std::slice::from_ref(&zero), Some(0)));
     }
     fleet.run(4 * SEC);
     // A and B take over all roles of C while C is partitioned.
-    fleet.part(&[A, B], &[C, D]);
+    fleet.partition(&[A, B], &[C, D]);
     fleet.run(4 * SEC);
     for machine in [A, B] {
         held_before.insert(machine, held_roles(&fleet, machine));
     }
     assert_eq!(held_before.values().map(Vec::len).sum::<usize>(), ROLE_COUNT as usize, "{held_before:?}");
     let ballot = Ballot { number: 99, node_id: NodeId(C), incarnation: 1 };
-    fleet.tell(C, A, Message::Consensus(ConsensusMessage::Accept { ballot, entry: one.clone() }));
-    fleet.stuck.insert(A);
-    fleet.start(D, kept(D, &[], None));
-    fleet.tell(A, C, Message::Consensus(ConsensusMessage::Replicate { entries: vec![one.clone()] }));
-    fleet.tell(C, D, Message::Consensus(ConsensusMessage::Replicate { entries: vec![one] }));
+    fleet.deliver_message(C, A, Message::Consensus(ConsensusMessage::Accept { ballot, entry: one.clone() }));
+    fleet.stalled_disks.insert(A);
+    fleet.start(D, durable_state(D, &[], None));
+    fleet.deliver_message(A, C, Message::Consensus(ConsensusMessage::Replicate { entries: vec![one.clone()] }));
+    fleet.deliver_message(C, D, Message::Consensus(ConsensusMessage::Replicate { entries: vec![one] }));
     let mut later = 0;
     for _ in 0..800 {
         fleet.run(25 * MS);
@@ -295,21 +296,25 @@
 /// of the new set, and neither knows a lease of C.
 #[test]
 fn a_new_voter_grants_no_role_that_an_earlier_set_may_have_granted() {
-    let zero = decree(0, 0, &[], &[A, B, C]);
-    let one = decree(1, 1, &[A, B, C], &[A, C, D]);
+    let zero = log_entry(0, 0, &[], &[A, B, C]);
+    let one = log_entry(1, 1, &[A, B, C], &[A, C, D]);
     let mut fleet = Fleet::default();
-    fleet.auto = false;
-    fleet.part(&[A], &[C]);
+    fleet.manages_voters = false;
+    fleet.partition(&[A], &[C]);
     for machine in [A, B, C, D] {
-        fleet.start(machine, kept(machine, std::slice::from_ref(&zero), Some(0)));
+        fleet.start(machine, durable_state(machine, std::slice::from_ref(&zero), Some(0)));
     }
     fleet.run(4 * SEC);
     let before = held_roles(&fleet, C);
     assert!(!before.is_empty(), "C holds nothing by the votes of B and C");
     // A and B decided on the new set, and the reply of B is enough for A and D to take over.
-    fleet.part(&[A, B, D], &[C]);
+    fleet.partition(&[A, B, D], &[C]);
     for machine in [A, B, D] {
-        fleet.tell(C, machine, Message::Consensus(ConsensusMessage::Replicate { entries: vec![one.clone()] }));
+        fleet.deliver_message(
+            C,
+            machine,
+            Message::Consensus(ConsensusMessage::Replicate { entries: vec![one.clone()] }),
+        );
     }
     for _ in 0..160 {
         let later: Vec<_> = [A, B, D].iter().flat_map(|machine| held_roles(&fleet, *machine)).collect();
@@ -325,18 +330,22 @@
 /// time when that voter may vote.
 #[test]
 fn a_change_of_voters_leaves_no_role_vacant_where_the_remaining_voters_reply() {
-    let zero = decree(0, 0, &[], &[A, B, C]);
-    let one = decree(1, 1, &[A, B, C], &[A, C, D]);
+    let zero = log_entry(0, 0, &[], &[A, B, C]);
+    let one = log_entry(1, 1, &[A, B, C], &[A, C, D]);
     let mut fleet = Fleet::default();
-    fleet.auto = false;
+    fleet.manages_voters = false;
     for machine in [A, B, C, D] {
-        fleet.start(machine, kept(machine, std::slice::from_ref(&zero), Some(0)));
+        fleet.start(machine, durable_state(machine, std::slice::from_ref(&zero), Some(0)));
     }
     fleet.run(4 * SEC);
     fleet.stop(B);
     fleet.run(750 * MS);
     for machine in [A, C, D] {
-        fleet.tell(B, machine, Message::Consensus(ConsensusMessage::Replicate { entries: vec![one.clone()] }));
+        fleet.deliver_message(
+            B,
+            machine,
+            Message::Consensus(ConsensusMessage::Replicate { entries: vec![one.clone()] }),
+        );
     }
     let all = |fleet: &Fleet| are_all_roles_held(fleet, &[A, C, D]);
     // The leases of B expire at most one second after their last renewal.
@@ -348,20 +357,20 @@
 /// as a second vote in place of the old one.
 #[test]
 fn a_voter_that_lost_its_disk_does_not_promise_as_its_former_node() {
-    let zero = decree(0, 0, &[], &[A, B, C]);
+    let zero = log_entry(0, 0, &[], &[A, B, C]);
     let mut fleet = Fleet::default();
-    fleet.start_at(77, A, kept(77, &[], None));
-    fleet.tell(B, A, Message::Consensus(ConsensusMessage::Replicate { entries: vec![zero] }));
+    fleet.start_at(77, A, durable_state(77, &[], None));
+    fleet.deliver_message(B, A, Message::Consensus(ConsensusMessage::Replicate { entries: vec![zero] }));
     fleet.sent.clear();
     let ballot = Ballot { number: 5, node_id: NodeId(B), incarnation: 1 };
-    fleet.tell(B, A, Message::Consensus(ConsensusMessage::Prepare { instance: 1, ballot }));
+    fleet.deliver_message(B, A, Message::Consensus(ConsensusMessage::Prepare { instance: 1, ballot }));
     assert!(
         !fleet.sent.iter().any(|sent| matches!(sent.1.message, Message::Consensus(ConsensusMessage::Promise { .. }))),
         "{:?}",
         fleet.sent
     );
     assert!(fleet.node(A).consensus.state.promised_ballot == Ballot::default());
-    assert!(!fleet.node(A).voter());
+    assert!(!fleet.node(A).is_voter());
 }
 
 /// Each loss of the disk starts a new node at the same address. Its predecessors must not keep it from
@@ -370,14 +379,14 @@
 fn a_machine_that_loses_its_disk_repeatedly_votes_again_each_time() {
     let mut fleet = Fleet::default();
     for machine in [A, B, C] {
-        fleet.start(machine, kept(machine, &[decree(0, 0, &[], &[A, B, C])], Some(0)));
+        fleet.start(machine, durable_state(machine, &[log_entry(0, 0, &[], &[A, B, C])], Some(0)));
     }
     fleet.run(4 * SEC);
     for (loss, new) in [71, 72, 73].into_iter().enumerate() {
         fleet.stop(A);
         fleet.run(500 * MS);
-        fleet.start_at(new, A, kept(new, &[], None));
-        let votes = |fleet: &Fleet| fleet.node(B).consensus.state.is_voter(NodeId(new)) && fleet.node(A).voter();
+        fleet.start_at(new, A, durable_state(new, &[], None));
+        let votes = |fleet: &Fleet| fleet.node(B).consensus.state.is_voter(NodeId(new)) && fleet.node(A).is_voter();
         let votes_after = fleet.run_until(4 * SEC, votes);
         assert!(votes_after.is_some(), "loss {loss}: the voters are {:?}", voter_ids(&fleet, B));
         assert_eq!(voter_ids(&fleet, B).len(), 3);
@@ -389,11 +398,11 @@
 /// already, does not know. This holds across a restart.
 #[test]
 fn an_accepted_change_of_voters_stops_new_leases_until_its_outcome_is_known() {
-    let zero = decree(0, 0, &[], &[A, B, C]);
-    let one = decree(1, 1, &[A, B, C], &[A, C, D]);
+    let zero = log_entry(0, 0, &[], &[A, B, C]);
+    let one = log_entry(1, 1, &[A, B, C], &[A, C, D]);
     let is_granted = |fleet: &mut Fleet, epoch| {
         fleet.sent.clear();
-        fleet.tell(
+        fleet.deliver_message(
             B,
             A,
             Message::Lease(LeaseMessage::Request { voter_set: 0, role: 0, epoch, request_id: 1, is_new_epoch: true }),
@@ -401,17 +410,21 @@
         fleet.sent.iter().any(|sent| matches!(sent.1.message, Message::Lease(LeaseMessage::Granted { .. })))
     };
     let mut fleet = Fleet::default();
-    fleet.start(A, kept(A, &[zero], Some(0)));
+    fleet.start(A, durable_state(A, &[zero], Some(0)));
     fleet.run(3 * SEC);
     assert!(is_granted(&mut fleet, 40), "it grants a lease before");
     let mut same_voters = one.clone();
     (same_voters.voters_since, same_voters.voters, same_voters.previous_voters) =
         (0, vec![core(A), core(B), core(C)], vec![]);
     let ballot = |number| Ballot { number, node_id: NodeId(C), incarnation: 1 };
-    fleet.tell(C, A, Message::Consensus(ConsensusMessage::Accept { ballot: ballot(9_000), entry: same_voters }));
+    fleet.deliver_message(
+        C,
+        A,
+        Message::Consensus(ConsensusMessage::Accept { ballot: ballot(9_000), entry: same_voters }),
+    );
     fleet.run(2 * SEC);
     assert!(is_granted(&mut fleet, 50), "other changes stop no leases");
-    fleet.tell(C, A, Message::Consensus(ConsensusMessage::Accept { ballot: ballot(9_000_000), entry: one }));
+    fleet.deliver_message(C, A, Message::Consensus(ConsensusMessage::Accept { ballot: ballot(9_000_000), entry: one }));
     fleet.run(2 * SEC);
     assert!(!is_granted(&mut fleet, 60), "the set may have changed");
     fleet.restart(A);
@@ -423,24 +436,24 @@
 /// other voters. Otherwise the new voter would take the window for younger than it is.
 #[test]
 fn the_age_of_a_window_includes_its_transit_to_a_new_voter() {
-    let six = decree(6, 6, &[A, B, C], &[A, C, D]);
+    let six = log_entry(6, 6, &[A, B, C], &[A, C, D]);
     let grants = |granted_total, age| {
         vec![WindowGrant { tenant: "t".into(), window: 9, node_id: NodeId(90), granted_total, age }]
     };
     // The second voter knows the window too, or does not.
     for second_reply in [grants(7, 100 * MS), vec![]] {
         let mut fleet = Fleet::default();
-        fleet.start(D, kept(D, std::slice::from_ref(&six), None));
+        fleet.start(D, durable_state(D, std::slice::from_ref(&six), None));
         fleet.run(100 * MS);
         for machine in [A, C] {
-            fleet.tell(machine, D, Message::Consensus(ConsensusMessage::Synced { version: 6 }));
+            fleet.deliver_message(machine, D, Message::Consensus(ConsensusMessage::Synced { version: 6 }));
         }
-        fleet.tell_late(A, D, takeover_reply(6, grants(3, 400 * MS)), 200 * MS);
+        fleet.deliver_message_late(A, D, takeover_reply(6, grants(3, 400 * MS)), 200 * MS);
         fleet.run(300 * MS);
-        fleet.tell(C, D, takeover_reply(6, second_reply));
+        fleet.deliver_message(C, D, takeover_reply(6, second_reply));
         fleet.run(50 * MS);
         fleet.sent.clear();
-        fleet.tell(A, D, Message::Membership(MembershipMessage::TakeoverRequest { voter_set: 6 }));
+        fleet.deliver_message(A, D, Message::Membership(MembershipMessage::TakeoverRequest { voter_set: 6 }));
         let ages: Vec<_> = fleet
             .sent
             .iter()
@@ -467,15 +480,15 @@
 /// Returns a core that requests the role of a tenant with a window of 1 s and is in contact with a majority
 /// by the replies of B.
 fn request_role_of_a_window() -> Requested {
-    let mut zero = decree(0, 0, &[], &[A, B, C]);
+    let mut zero = log_entry(0, 0, &[], &[A, B, C]);
     zero.body = r#"{"defaults":{"quota":{"calls":50,"window_ms":1000}},"pools":{"llm":{}},
         "matches":{"chat":{"path":"/v1/chat","pool":"llm","kind":"chat"}},
         "tenants":{"home":{"keys":["sha256:0000000000000000000000000000000000000000000000000000000000000000"]}}}"#
         .into();
     let role = quota_role("home");
     let mut fleet = Fleet::default();
-    fleet.auto = false;
-    fleet.start(A, kept(A, &[zero], Some(0)));
+    fleet.manages_voters = false;
+    fleet.start(A, durable_state(A, &[zero], Some(0)));
     let requested = |fleet: &Fleet| {
         fleet.sent.iter().rev().find_map(|sent| match sent.1.message {
             Message::Lease(LeaseMessage::Request {
@@ -484,7 +497,7 @@
             _ => None,
         })
     };
-    fleet.tell(B, A, Message::Consensus(ConsensusMessage::Synced { version: 0 }));
+    fleet.deliver_message(B, A, Message::Consensus(ConsensusMessage::Synced { version: 0 }));
     for _ in 0..120 {
         // B replies to each probe, so that A is in contact with a majority.
         fleet.run(25 * MS);
@@ -496,7 +509,7 @@
             }
         });
         if let Some(seq) = seq {
-            fleet.tell(
+            fleet.deliver_message(
                 B,
                 A,
                 Message::Consensus(ConsensusMessage::FreshnessReply {
@@ -519,7 +532,7 @@
 /// Requests a slice and returns the windows of which the holder grants one.
 fn granted_windows(fleet: &mut Fleet) -> Vec<u64> {
     fleet.sent.clear();
-    fleet.tell(
+    fleet.deliver_message(
         91,
         A,
         Message::Quota(QuotaMessage::SliceRequest {
@@ -555,7 +568,7 @@
         has_no_predecessor: false,
         registered: vec![],
     });
-    fleet.tell_late(B, A, vote, 200 * MS);
+    fleet.deliver_message_late(B, A, vote, 200 * MS);
     assert_eq!(held_roles(&fleet, A), [role]);
     let windows = granted_windows(&mut fleet);
     assert!(
@@ -571,13 +584,13 @@
     let Requested { mut fleet, role, epoch, request_id } = request_role_of_a_window();
     let grants =
         vec![WindowGrant { tenant: "home".into(), window: 9, node_id: NodeId(90), granted_total: 50, age: 850 * MS }];
-    fleet.tell(
+    fleet.deliver_message(
         B,
         A,
         Message::Quota(QuotaMessage::ReplicateGrants { voter_set: 0, role, epoch: epoch - 1, request_id: 1, grants }),
     );
-    fleet.stuck.insert(A);
-    fleet.tell(
+    fleet.stalled_disks.insert(A);
+    fleet.deliver_message(
         B,
         A,
         Message::Lease(LeaseMessage::Granted {
@@ -591,7 +604,7 @@
     );
     fleet.run(200 * MS);
     assert!(held_roles(&fleet, A).is_empty(), "its own vote is not on its disk");
-    fleet.stuck.clear();
+    fleet.stalled_disks.clear();
     fleet.run(25 * MS);
     assert_eq!(held_roles(&fleet, A), [role]);
     let windows = granted_windows(&mut fleet);
--- a/crates/core/tests/token_rates.rs
+++ b/crates/core/tests/token_rates.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 use sumacvale_core::base::{MS, Micros, NodeId, Rng, SEC};
-use sumacvale_core::config::{Limit, Measure, Rate, validate};
+use sumacvale_core::config::{QuotaLimit, QuotaMeasure, Rate, validate};
 use sumacvale_core::protocol::{ShareGrant, ShareRequest};
 use sumacvale_core::quota::{AcquireOutcome, FULL_SHARE, LOAN_DURATION, ShareBucket, SharePool};
 
@@ -26,12 +26,12 @@
 
 #[test]
 fn a_measure_determines_the_units_of_a_call() {
-    let tokens = Measure::Tokens { default_units: 200 };
+    let tokens = QuotaMeasure::Tokens { default_units: 200 };
     for (name, measure, known, expected) in [
-        ("calls", Measure::Calls, (1_460, 80), 1),
+        ("calls", QuotaMeasure::Calls, (1_460, 80), 1),
         ("tokens in and out", tokens, (1_460, 80), 1_540),
         ("not known", tokens, (0, 0), 200),
-        ("not known, and no default for it", Measure::Tokens { default_units: 0 }, (0, 0), 1),
+        ("not known, and no default for it", QuotaMeasure::Tokens { default_units: 0 }, (0, 0), 1),
         ("beyond all numbers", tokens, (u32::MAX, 80), u32::MAX),
     ] {
         assert_eq!(measure.units(known), expected, "{name}");
@@ -44,22 +44,22 @@
         let text = format!("{{\"tenants\":{{\"t\":{{\"keys\":[],\"quota\":{quota}}}}}}}");
         validate(&text).map(|config| (config.tenants["t"].quota, config.tenants["t"].measure))
     };
-    let rate = |milli, burst| Limit::Rate(Rate { milli_per_second: milli, burst_milli: burst });
+    let rate = |milli, burst| QuotaLimit::Rate(Rate { milli_per_second: milli, burst_milli: burst });
     for (quota, expected) in [
-        (r#"{"rate":38,"burst":38}"#, (rate(38_000, 38_000), Measure::Calls)),
-        (r#"{"rate":38,"burst":38,"measure":"calls"}"#, (rate(38_000, 38_000), Measure::Calls)),
+        (r#"{"rate":38,"burst":38}"#, (rate(38_000, 38_000), QuotaMeasure::Calls)),
+        (r#"{"rate":38,"burst":38,"measure":"calls"}"#, (rate(38_000, 38_000), QuotaMeasure::Calls)),
         // Units that are used late reduce the burst if the slack doesn't cover them.
         (
             r#"{"rate":926801,"burst":926801,"over":0.1,"slack":140000,"measure":"tokens","untold":200}"#,
-            (rate(1_019_481_100, 696_080_600), Measure::Tokens { default_units: 200 }),
+            (rate(1_019_481_100, 696_080_600), QuotaMeasure::Tokens { default_units: 200 }),
         ),
         (
             r#"{"rate":36000,"burst":36000,"over":0.1,"slack":140000,"measure":"tokens"}"#,
-            (rate(39_600_000, 161_600_000), Measure::Tokens { default_units: 1 }),
+            (rate(39_600_000, 161_600_000), QuotaMeasure::Tokens { default_units: 1 }),
         ),
         (
             r#"{"rate":900000,"burst":1000,"measure":"tokens"}"#,
-            (rate(900_000_000, 500_000), Measure::Tokens { default_units: 1 }),
+            (rate(900_000_000, 500_000), QuotaMeasure::Tokens { default_units: 1 }),
         ),
     ] {
         assert_eq!(quota_of(quota).as_ref().ok(), Some(&expected), "{quota}");
@@ -118,18 +118,18 @@
 
 #[test]
 fn a_pool_lends_whole_calls() {
-    let request_of = |missing_units, smallest_call| ShareRequest {
+    let request_of = |missing_units, smallest_call_units| ShareRequest {
         tenant_key: 7,
         held_share: 0,
         returned_milli: 0,
         demand_milli: 0,
         missing_units,
-        smallest_call,
-        usual_call: 5_000,
+        smallest_call_units,
+        mean_call_units: 5_000,
         call_rate_milli: 0,
     };
     let free = RATE.burst_milli / 1_000;
-    for (name, missing_units, smallest_call, expected) in [
+    for (name, missing_units, smallest_call_units, expected) in [
         ("all", 30_000, 10_000, 30_000),
         ("more than is there", 1_000_000, 10_000, 900_000),
         ("only whole ones of what is there", 1_000_000, 400_000, 800_000),
@@ -137,7 +137,7 @@
     ] {
         let mut pool = SharePool::full(RATE, SEC);
         let grant = pool
-            .request((NodeId(1), 1), 1, &request_of(missing_units, smallest_call), RATE, 2, SEC)
+            .request((NodeId(1), 1), 1, &request_of(missing_units, smallest_call_units), RATE, 2, SEC)
             .expect("a response");
         assert_eq!(u64::from(grant.loaned_units), expected, "{name}, of {free}");
     }
@@ -180,7 +180,7 @@
     let nodes = fronts.len() as u64;
     // Three of four calls are short, the others long: 5,000 units on average.
     let size = |rng: &mut Rng| {
-        let units = if rng.chance(75) { 600 + rng.below(4_000) } else { 3_000 + rng.below(19_000) };
+        let units = if rng.chance_percent(75) { 600 + rng.next_below(4_000) } else { 3_000 + rng.next_below(19_000) };
         u32::try_from(units).expect("small")
     };
     let (mean_units, ends_at) = (4_950, now + seconds * SEC);
@@ -197,23 +197,23 @@
             }
         }
         // The whole calls of a millisecond, and one more by chance for the fraction.
-        let arriving = load / 1_000 / mean_units + u64::from(load / 1_000 % mean_units > rng.below(mean_units));
+        let arriving = load / 1_000 / mean_units + u64::from(load / 1_000 % mean_units > rng.next_below(mean_units));
         for _ in 0..arriving {
-            let index = usize::try_from(rng.below(nodes)).expect("small");
+            let index = usize::try_from(rng.next_below(nodes)).expect("small");
             let units = size(&mut rng);
             outcome.calls += 1;
             let front = &mut fronts[index];
             match front.bucket.acquire_units(units, now) {
                 AcquireOutcome::Acquired { .. } => outcome.ran.push((now, units)),
                 _ => {
-                    front.bucket.request_soon();
+                    front.bucket.request_units_soon();
                     front.waiting.push_back((now + MAX_WAIT, units));
                 }
             }
         }
         for (index, front) in fronts.iter_mut().enumerate() {
             while let Some((_, units)) = front.waiting.front().copied() {
-                front.bucket.set_smallest_call(units);
+                front.bucket.set_smallest_waiting_call(units);
                 if !is_taken(front.bucket.acquire_for_waiter(units, now)) {
                     break;
                 }
@@ -224,7 +224,7 @@
                 outcome.rejected += 1;
             }
             if !front.waiting.is_empty() {
-                front.bucket.request_soon();
+                front.bucket.request_units_soon();
             }
             if front.bucket.is_request_due(true, now) {
                 front.last_request_id += 1;
@@ -318,42 +318,42 @@
 /// the call.
 #[test]
 fn units_for_a_call_during_a_pending_request_are_requested_before_it_is_rejected() {
-    let may_get_more =
-        |outcome: AcquireOutcome| matches!(outcome, AcquireOutcome::RateExhausted { may_get_more: true, .. });
+    let may_receive_units =
+        |outcome: AcquireOutcome| matches!(outcome, AcquireOutcome::RateExhausted { may_receive_units: true, .. });
     let mut bucket = granted_bucket(grant_of(0, 0, 0), SEC);
     let now = 2 * SEC;
-    assert!(may_get_more(bucket.acquire_units(2_000, now)));
+    assert!(may_receive_units(bucket.acquire_units(2_000, now)));
     assert_eq!(bucket.make_request(7, 2, 0, now).missing_units, 2_000);
-    assert!(may_get_more(bucket.acquire_units(3_000, now + MS)), "a response is awaited");
+    assert!(may_receive_units(bucket.acquire_units(3_000, now + MS)), "a response is awaited");
     assert!(bucket.apply_grant(2, grant_of(0, 0, 2_000), now, now + MS));
     assert!(is_taken(bucket.acquire_for_waiter(2_000, now + MS)));
-    assert!(may_get_more(bucket.acquire_for_waiter(3_000, now + MS)), "it is requested for next");
-    bucket.request_soon();
+    assert!(may_receive_units(bucket.acquire_for_waiter(3_000, now + MS)), "it is requested for next");
+    bucket.request_units_soon();
     assert!(bucket.is_request_due(true, now + 5 * MS));
     assert_eq!(bucket.make_request(7, 3, 0, now + 5 * MS).missing_units, 3_000);
     // Now the lease holder has responded that it has no units.
     assert!(bucket.apply_grant(3, grant_of(0, 0, 0), now + 5 * MS, now + 6 * MS));
-    assert!(!may_get_more(bucket.acquire_for_waiter(3_000, now + 6 * MS)));
+    assert!(!may_receive_units(bucket.acquire_for_waiter(3_000, now + 6 * MS)));
 }
 
 /// Too few units for a large call may be enough for smaller calls, which must not be rejected.
 #[test]
 fn a_large_call_that_finds_too_few_units_causes_no_rejection_of_a_small_one() {
-    let may_get_more =
-        |outcome: AcquireOutcome| matches!(outcome, AcquireOutcome::RateExhausted { may_get_more: true, .. });
+    let may_receive_units =
+        |outcome: AcquireOutcome| matches!(outcome, AcquireOutcome::RateExhausted { may_receive_units: true, .. });
     let mut bucket = granted_bucket(grant_of(0, 0, 0), SEC);
     let now = 10 * SEC;
     bucket.make_request(7, 2, 0, now - 2 * SEC);
     assert!(bucket.apply_grant(2, grant_of(0, 0, 0), now - 2 * SEC, now - 2 * SEC));
-    assert!(may_get_more(bucket.acquire_units(50_000, now)));
+    assert!(may_receive_units(bucket.acquire_units(50_000, now)));
     bucket.make_request(7, 3, 0, now);
     assert!(bucket.apply_grant(3, grant_of(0, 0, 0), now, now + MS));
-    assert!(!may_get_more(bucket.acquire_for_waiter(50_000, now + 2 * MS)), "for this one there is too little");
-    assert!(may_get_more(bucket.acquire_units(2_000, now + 2 * MS)), "a smaller one is requested for");
-    bucket.request_soon();
+    assert!(!may_receive_units(bucket.acquire_for_waiter(50_000, now + 2 * MS)), "for this one there is too little");
+    assert!(may_receive_units(bucket.acquire_units(2_000, now + 2 * MS)), "a smaller one is requested for");
+    bucket.request_units_soon();
     assert!(bucket.is_request_due(true, now + 6 * MS), "soon");
     let request = bucket.make_request(7, 4, 0, now + 6 * MS);
-    assert_eq!(request.smallest_call, 2_000, "and what is enough for it is enough");
+    assert_eq!(request.smallest_call_units, 2_000, "and what is enough for it is enough");
     assert!(bucket.apply_grant(4, grant_of(0, 0, 2_000), now + 6 * MS, now + 7 * MS));
     assert!(
         !is_taken(bucket.acquire_for_waiter(50_000, now + 7 * MS))
--- a/crates/core/tests/voters.rs
+++ b/crates/core/tests/voters.rs
@@ -116,7 +116,7 @@
     machine: u64,
     discovered_at: Micros,
     heartbeat_at: Micros,
-    contacted_at: Micros,
+    last_contact_at: Micros,
 ) -> (NodeId, PeerEntry) {
     let record = PeerRecord {
         node_id: NodeId(number),
@@ -129,7 +129,7 @@
         draining: false,
         version: 0,
     };
-    (NodeId(number), PeerEntry { record, heartbeat_at, discovered_at, contacted_at, changed_at: discovered_at })
+    (NodeId(number), PeerEntry { record, heartbeat_at, discovered_at, last_contact_at, last_change_at: discovered_at })
 }
 
 /// A voter that is judged too early would be replaced while it lives; a stale report by other nodes must not
--- a/crates/core/tests/workers.rs
+++ b/crates/core/tests/workers.rs
@@ -5,7 +5,7 @@
 use sumacvale_core::base::{ChangeId, MS, Micros, NodeId, SEC};
 use sumacvale_core::consensus::DurableState;
 use sumacvale_core::node::{Effect, Event, Node, NodeSettings};
-use sumacvale_core::protocol::{Frame, LogEntry, UNNUMBERED_INCARNATION, Voter, WorkerReport};
+use sumacvale_core::protocol::{Frame, LogEntry, UNKNOWN_INCARNATION, Voter, WorkerReport};
 use sumacvale_core::workers::{REPORT_TIMEOUT, UnreachablePeriod, WorkerTable};
 
 fn report(worker_id: &str, seq: u64) -> WorkerReport {
@@ -35,7 +35,7 @@
 }
 
 fn live(table: &WorkerTable, now: Micros) -> String {
-    table.live(now).map(|report| report.worker_id.clone()).collect::<Vec<_>>().join(" ")
+    table.live_workers(now).map(|report| report.worker_id.clone()).collect::<Vec<_>>().join(" ")
 }
 
 type TimedReports = Vec<(Micros, WorkerReport)>;
@@ -70,7 +70,7 @@
     for (name, reports, now, expected) in cases {
         let mut table = WorkerTable::default();
         for (made_at, report) in &reports {
-            table.merge(report, *made_at, now);
+            table.merge_report(report, *made_at, now);
         }
         assert_eq!(live(&table, now), expected, "{name}");
         table.expire(now);
@@ -99,7 +99,7 @@
         let periods =
             unreachable.iter().map(|(from, until)| UnreachablePeriod { from: *from, until: *until }).collect();
         let mut table = WorkerTable { report_interval, unreachable_periods: periods, ..WorkerTable::default() };
-        table.merge(&report("a", 1), 0, 0);
+        table.merge_report(&report("a", 1), 0, 0);
         assert_eq!(live(&table, until - 1), "a", "{name}");
         assert_eq!(live(&table, until), "", "{name}");
     }
@@ -186,12 +186,12 @@
             node_id: NodeId(node_id),
             incarnation: self.now,
             addr: addr(machine),
-            admin: String::new(),
+            admin_addr: String::new(),
             zone: format!("z{}", machine % 3),
             seeds: (0..CORES).map(addr).collect(),
             is_core: machine < CORES,
             report_interval: 1_200 * MS,
-            reports_to_cores_only: true,
+            workers_report_to_cores_only: true,
         };
         let disk = if machine < CORES { core_disk() } else { DurableState::default() };
         self.nodes[machine] = Some(Node::new(settings, &disk, node_id, self.now));
@@ -432,7 +432,7 @@
 }
 
 fn unnumbered(worker_id: &str, seq: u64) -> WorkerReport {
-    WorkerReport { incarnation: UNNUMBERED_INCARNATION, ..report(worker_id, seq) }
+    WorkerReport { incarnation: UNKNOWN_INCARNATION, ..report(worker_id, seq) }
 }
 
 fn unnumbered_elsewhere(worker_id: &str, seq: u64) -> WorkerReport {
@@ -444,7 +444,7 @@
 #[test]
 fn an_id_whose_sequence_starts_over_is_another_incarnation() {
     type MakeReport = fn(&str, u64) -> WorkerReport;
-    let bare_leave: MakeReport = |worker_id, _| WorkerReport::removal(worker_id, UNNUMBERED_INCARNATION);
+    let bare_leave: MakeReport = |worker_id, _| WorkerReport::removal(worker_id, UNKNOWN_INCARNATION);
     let drains: MakeReport = |worker_id, seq| WorkerReport { draining: true, ..unnumbered(worker_id, seq) };
     // The last report, with number 50; the pause before the id starts over; the first report after that and its number;
     // whether that report is accepted and the worker is sent requests.
--- a/crates/node/src/admin/config.rs
+++ b/crates/node/src/admin/config.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use sumacvale_core::base::{ChangeId, NodeId, Version};
 use sumacvale_core::config::check::ConfigError;
-use sumacvale_core::config::{effective as effective_settings, validate};
+use sumacvale_core::config::{effective_settings, validate};
 use sumacvale_core::protocol::{Change, ChangeOutcome, Voter};
 use viz::{Request, RequestExt, Response, StatusCode, header};
 
@@ -20,7 +20,7 @@
 ///
 /// # Errors
 /// The response to send if the body exceeds `max_body_bytes`, is not UTF-8, is aborted or times out.
-pub async fn body(request: Request, max_body_bytes: usize) -> Result<String, Response> {
+pub async fn read_body(request: Request, max_body_bytes: usize) -> Result<String, Response> {
     let mut stream = request.into_body();
     let mut bytes = Vec::new();
     loop {
@@ -206,7 +206,7 @@
     let has_generated_id = !request.headers().contains_key("change-id");
     let base_version = parse_base_version(&request).map_err(|response| *response)?;
     let change_id = parse_or_generate_change_id(&request).map_err(|response| *response)?;
-    Ok((base_version, change_id, has_generated_id, body(request, MAX_BODY_BYTES).await?))
+    Ok((base_version, change_id, has_generated_id, read_body(request, MAX_BODY_BYTES).await?))
 }
 
 /// Replaces the newest configuration document. With `?dry_run=true` only validates the change.
--- a/crates/node/src/admin/metrics.rs
+++ b/crates/node/src/admin/metrics.rs
@@ -4,7 +4,7 @@
 use crate::shared::Shared;
 use std::fmt::Write;
 use std::sync::atomic::Ordering;
-use sumacvale_core::call::{BUCKET_BOUNDS, COUNT_HELP, LatencyHistogram, RejectionCounters, RejectionReason};
+use sumacvale_core::call::{BUCKET_BOUNDS, COUNTER_HELP_TEXTS, LatencyHistogram, RejectionCounters, RejectionReason};
 use viz::{Response, StatusCode};
 
 /// Returns all metrics of this node.
@@ -17,7 +17,7 @@
             help.trim()
         );
     };
-    for ((name, value), (_, help)) in shared.call_state.counters.list().into_iter().zip(COUNT_HELP) {
+    for ((name, value), (_, help)) in shared.call_state.counters.list().into_iter().zip(COUNTER_HELP_TEXTS) {
         write_metric(&format!("{name}_total"), "counter", value, help);
     }
     let view = shared.view.load();
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -7,5 +7,5 @@
 mod responses;
 mod routes;
 
-pub use config::body;
-pub use routes::{admin, downstream};
+pub use config::read_body;
+pub use routes::{admin_routes, client_routes};
--- a/crates/node/src/admin/nodes.rs
+++ b/crates/node/src/admin/nodes.rs
@@ -126,7 +126,7 @@
             view.version.map_or("null".into(), |version| version.to_string()),
             entry.map_or("null".into(), |entry| format!("\"{}\"", entry.change_id)),
             shared.may_admit(&view),
-            view.voter,
+            view.is_voter,
             shared.is_stopping(),
             node_list(&shared),
             worker_list(&view.workers),
--- a/crates/node/src/admin/report.rs
+++ b/crates/node/src/admin/report.rs
@@ -14,7 +14,7 @@
 /// Passes a worker's report on to the control thread. A draining worker's report is answered only once a
 /// majority of the cores knows it.
 pub async fn receive(shared: Arc<Shared>, request: Request) -> Response {
-    let body = match super::config::body(request, MAX_REPORT_BYTES).await {
+    let body = match super::config::read_body(request, MAX_REPORT_BYTES).await {
         Ok(body) => body,
         Err(response) => return response,
     };
--- a/crates/node/src/admin/routes.rs
+++ b/crates/node/src/admin/routes.rs
@@ -70,7 +70,7 @@
 }
 
 /// Returns the routes for operators and workers.
-pub fn admin(shared: &Arc<Shared>) -> Router {
+pub fn admin_routes(shared: &Arc<Shared>) -> Router {
     let shared_for_reports = shared.clone();
     Router::new()
         .get("/livez", public(shared, live))
@@ -104,7 +104,7 @@
 }
 
 /// Returns the routes for clients.
-pub fn downstream(shared: &Arc<Shared>) -> Router {
+pub fn client_routes(shared: &Arc<Shared>) -> Router {
     let shared_for_calls = shared.clone();
     Router::new().get("/livez", public(shared, live)).get("/readyz", public(shared, ready)).any(
         "/*",
--- a/crates/node/src/control/effects.rs
+++ b/crates/node/src/control/effects.rs
@@ -76,7 +76,7 @@
     /// Logs once a second, while calls are rejected, their number by reason and the state of the view.
     pub(super) fn log_rejections(&mut self) {
         let now = clock::now();
-        let Some(counts) = self.rejection_log.line(&self.shared.call_state.rejections, now) else { return };
+        let Some(counts) = self.rejection_log.poll_line(&self.shared.call_state.rejections, now) else { return };
         let view = self.shared.view.load();
         let stamp_age_ms = view.confirmed_at.map(|confirmed_at| now.saturating_sub(confirmed_at) / MS);
         let (workers, version) = (view.workers.len(), view.version);
--- a/crates/node/src/disk/database.rs
+++ b/crates/node/src/disk/database.rs
@@ -9,7 +9,7 @@
 use std::path::Path;
 use std::time::Duration;
 use sumacvale_core::base::{Incarnation, NodeId, Version};
-use sumacvale_core::consensus::{DurableState, DurableWrite, MAX_DIGESTS, lowest_kept_version};
+use sumacvale_core::consensus::{DurableState, DurableWrite, MAX_DIGESTS, lowest_retained_version};
 use sumacvale_core::protocol::{EntryDigest, LogEntry, RegisteredIncarnation, WindowGrant};
 
 /// Pause between attempts to open the database while the disk takes no writes.
@@ -222,7 +222,7 @@
         .prepare_cached("INSERT OR REPLACE INTO decree VALUES (?1, ?2)")?
         .execute(params![to_sql_integer(entry.version), record::encode(&entry.self_contained())?])?;
     entry_sizes.insert(entry.version, entry.body.len());
-    let lowest_kept = lowest_kept_version(entry_sizes.iter().rev().map(|(version, size)| (*version, *size)));
+    let lowest_kept = lowest_retained_version(entry_sizes.iter().rev().map(|(version, size)| (*version, *size)));
     entry_sizes.retain(|version, _| *version >= lowest_kept);
     transaction.prepare_cached("DELETE FROM decree WHERE ver < ?1")?.execute([to_sql_integer(lowest_kept)])?;
     transaction
--- a/crates/node/src/disk/load.rs
+++ b/crates/node/src/disk/load.rs
@@ -75,9 +75,9 @@
         for body in query.query_map([], |row| row.get::<_, Vec<u8>>(0))? {
             digests.push(self.decode::<EntryDigest>(&body?, "a digest")?);
         }
-        state.digests.insert_all(digests);
+        state.digests.insert_missing(digests);
         // Folders of releases that had no table of digests hold entries without digests.
-        state.digests.insert_all(state.entries.values().map(EntryDigest::of).collect::<Vec<_>>());
+        state.digests.insert_missing(state.entries.values().map(EntryDigest::of).collect::<Vec<_>>());
         Ok(())
     }
 
--- a/crates/node/src/front/serve.rs
+++ b/crates/node/src/front/serve.rs
@@ -11,14 +11,14 @@
 /// Runs one call from the head of its request to the head of its response.
 pub async fn serve(shared: Arc<Shared>, request: Request) -> Response {
     let (parts, body) = request.into_parts();
-    let call_number = shared.next_call_id.fetch_add(1, Ordering::Relaxed);
+    let call_number = shared.next_call_number.fetch_add(1, Ordering::Relaxed);
     let request_id = headers::call_id(&shared.adapter.headers, &parts.headers)
         .unwrap_or_else(|| format!("{}-{call_number}", shared.node_id));
     let mut response = if parts.version < hyper::Version::HTTP_11 {
         // A client of HTTP/1.0 can't distinguish a truncated response from a complete one.
         local_response::response(
             shared.adapter,
-            &LocalResponse::new(RejectionReason::HttpVersion, "send HTTP/1.1"),
+            &LocalResponse::new(RejectionReason::UnsupportedHttpVersion, "send HTTP/1.1"),
             &request_id,
         )
     } else {
--- a/crates/node/src/import.rs
+++ b/crates/node/src/import.rs
@@ -9,7 +9,7 @@
 ///
 /// # Errors
 /// A message if the text is no `OpenAPI` 3 file in JSON or the generated document is invalid.
-pub fn import(text: &str, pool: &str) -> Result<(String, Vec<String>), String> {
+pub fn generate_config(text: &str, pool: &str) -> Result<(String, Vec<String>), String> {
     let api: OpenAPI = serde_json::from_str(text)
         .map_err(|e| format!("not an OpenAPI 3 file in JSON: {e}; convert the file first"))?;
     let (mut matches, mut skipped) = (Map::new(), Vec::new());
--- a/crates/node/src/link/inbound.rs
+++ b/crates/node/src/link/inbound.rs
@@ -55,7 +55,7 @@
     counters: &LinkCounters,
     on_frame: impl AsyncFn(Frame),
 ) -> std::io::Result<()> {
-    net::tune(&stream, net::PEER);
+    net::set_socket_options(&stream, net::PEER_USER_TIMEOUT);
     counters.accepted_connections.fetch_add(1, Ordering::Relaxed);
     let mut buffer = Vec::new();
     let mut is_known_peer = false;
@@ -66,7 +66,7 @@
                 is_known_peer = true;
                 on_frame(frame).await;
             }
-            Err(error @ FrameError::Undecodable(_)) if is_known_peer => count_skipped_frame(counters, &error),
+            Err(error @ FrameError::Invalid(_)) if is_known_peer => count_skipped_frame(counters, &error),
             Err(error) => return Err(invalid_data(error.to_string())),
         }
         if buffer.capacity() > MAX_REUSED_BUFFER_BYTES {
--- a/crates/node/src/link/outbound.rs
+++ b/crates/node/src/link/outbound.rs
@@ -216,7 +216,7 @@
             }
         };
         backoff = MIN_BACKOFF;
-        net::tune(&stream, net::PEER);
+        net::set_socket_options(&stream, net::PEER_USER_TIMEOUT);
         if let CloseReason::Idle = write_frames(stream, &mut queue, &reconnect).await {
             return;
         }
@@ -241,7 +241,7 @@
         let written = tokio::select! {
             biased;
             () = reconnect.notified() => return CloseReason::Broken,
-            written = timeout(net::PEER, stream.write_all(&queue.buffer)) => written,
+            written = timeout(net::PEER_USER_TIMEOUT, stream.write_all(&queue.buffer)) => written,
         };
         if !matches!(written, Ok(Ok(()))) {
             return CloseReason::Broken;
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -44,7 +44,7 @@
     let setup = NodeSetup {
         settings,
         adapter: &STANDARD_ADAPTER,
-        caller_routes: admin::downstream,
+        caller_routes: admin::client_routes,
         extra_listeners: Vec::new(),
         reload: None,
     };
--- a/crates/node/src/net.rs
+++ b/crates/node/src/net.rs
@@ -7,7 +7,7 @@
 pub const WORKER_USER_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long bytes sent to another node may stay unacknowledged. Messages between nodes are outdated after a
 /// second, and a new connection is established sooner than TCP's next retransmission on a broken one.
-pub const PEER: Duration = Duration::from_secs(1);
+pub const PEER_USER_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long bytes sent to a client may stay unacknowledged. Longer than for the others, as a client that reads
 /// slowly is not unreachable.
 pub const CLIENT_USER_TIMEOUT: Duration = Duration::from_secs(10);
@@ -23,7 +23,7 @@
 
 /// Disables Nagle's algorithm, and closes the connection if sent bytes or keep-alive probes stay unacknowledged
 /// for `user_timeout`.
-pub fn tune(socket: &impl AsRawFd, user_timeout: Duration) {
+pub fn set_socket_options(socket: &impl AsRawFd, user_timeout: Duration) {
     let fd = socket.as_raw_fd();
     let timeout_ms = libc::c_int::try_from(user_timeout.as_millis()).unwrap_or(libc::c_int::MAX);
     set_option(fd, libc::IPPROTO_TCP, libc::TCP_NODELAY, 1);
--- a/crates/node/src/ops.rs
+++ b/crates/node/src/ops.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use sumacvale_core::base::{ChangeId, MS, Micros, hash64};
 use sumacvale_core::config::Patch;
-use sumacvale_core::protocol::{Change, ChangeOutcome, LogEntry, UNNUMBERED_INCARNATION, WorkerReport};
+use sumacvale_core::protocol::{Change, ChangeOutcome, LogEntry, UNKNOWN_INCARNATION, WorkerReport};
 use tokio::sync::oneshot;
 
 /// How long this node waits for a version that a majority of the cores confirmed, in microseconds.
@@ -89,7 +89,7 @@
 
 /// Removes a worker that has shut down. Returns true once the removal is acknowledged.
 pub async fn remove_worker(shared: &Shared, worker_id: &str) -> bool {
-    report_worker(shared, WorkerReport::removal(worker_id, UNNUMBERED_INCARNATION)).await
+    report_worker(shared, WorkerReport::removal(worker_id, UNKNOWN_INCARNATION)).await
 }
 
 /// Returns `Ok` if this node accepts new clients, else the reason why it does not.
--- a/crates/node/src/run/bootstrap.rs
+++ b/crates/node/src/run/bootstrap.rs
@@ -101,7 +101,7 @@
         node_id,
         incarnation,
         addr: settings.peer_addr.to_string(),
-        admin: settings.admin_addr.to_string(),
+        admin_addr: settings.admin_addr.to_string(),
         zone: settings.zone.clone(),
         seeds: settings.seeds.iter().map(ToString::to_string).collect(),
         is_core: settings.data_folder.is_some(),
@@ -110,7 +110,7 @@
         manages_voters: settings.membership.manages_voters,
         tolerated_losses: settings.membership.tolerated_losses,
         report_interval: settings.report_interval,
-        reports_to_cores_only: settings.reports_to_cores_only,
+        workers_report_to_cores_only: settings.workers_report_to_cores_only,
     }
 }
 
@@ -176,7 +176,7 @@
         stopping: AtomicBool::new(false),
         operator_draining: AtomicBool::new(false),
         published_version: senders.published_version,
-        next_call_id: AtomicU64::new(0),
+        next_call_number: AtomicU64::new(0),
         settings,
         adapter,
     }
--- a/crates/node/src/run/shutdown.rs
+++ b/crates/node/src/run/shutdown.rs
@@ -72,9 +72,9 @@
     let serve = |listener: TcpListener, routes: RouterFactory, stopped: &watch::Receiver<bool>| {
         let limits = shared.connection_limits.clone();
         let max_connections = shared.settings.max_connections;
-        tokio::spawn(serve::run(listener, routes(shared), max_connections, limits, stopped.clone()))
+        tokio::spawn(serve::serve_listener(listener, routes(shared), max_connections, limits, stopped.clone()))
     };
-    let mut others = vec![serve(listeners.admin, admin::admin, &others_stopped)];
+    let mut others = vec![serve(listeners.admin, admin::admin_routes, &others_stopped)];
     others.extend(listeners.extra.into_iter().map(|(listener, routes)| serve(listener, routes, &others_stopped)));
     let callers = listeners.callers.map(|listener| serve(listener, caller_routes, &callers_stopped));
     Servers { callers, others, stop_callers, stop_others }
--- a/crates/node/src/serve/mod.rs
+++ b/crates/node/src/serve/mod.rs
@@ -24,7 +24,7 @@
 use viz::{Responder, Router, Tree};
 
 /// Serves connections until `stop` turns true, then completes the requests that were read.
-pub async fn run(
+pub async fn serve_listener(
     listener: TcpListener,
     routes: Router,
     max_connections: usize,
@@ -71,7 +71,7 @@
     limits: &ConnectionLimits,
     mut stop: watch::Receiver<bool>,
 ) {
-    net::tune(&stream, net::CLIENT_USER_TIMEOUT);
+    net::set_socket_options(&stream, net::CLIENT_USER_TIMEOUT);
     let state = Arc::new(ConnectionState::default());
     let service = service_fn(|request| {
         state.begin_serving();
--- a/crates/node/src/settings/args.rs
+++ b/crates/node/src/settings/args.rs
@@ -64,7 +64,7 @@
         let pool = given.opt_str("pool").unwrap_or_else(|| "app".into());
         let imported = std::fs::read_to_string(&path)
             .map_err(|e| e.to_string())
-            .and_then(|text| crate::import::import(&text, &pool));
+            .and_then(|text| crate::import::generate_config(&text, &pool));
         return match imported {
             Ok((document, left_out)) => CommandLineAction::Import(document, left_out),
             Err(reason) => CommandLineAction::Invalid(vec![SettingsError::Import { file: path, reason }]),
--- a/crates/node/src/settings/read.rs
+++ b/crates/node/src/settings/read.rs
@@ -32,7 +32,7 @@
     /// Interval between the reports of one worker in microseconds (`beat_ms`); 500 ms by default.
     pub report_interval: Micros,
     /// True if workers report to cores only (`beat_to`: `cores`), false if to any node; false by default.
-    pub reports_to_cores_only: bool,
+    pub workers_report_to_cores_only: bool,
     /// How long the node reports that it is not ready before the listener for callers closes, in
     /// microseconds (`notice_ms`); 2 s by default.
     pub drain_notice: Micros,
@@ -65,7 +65,7 @@
             operator_token_hashes: Vec::new(),
             worker_token_hashes: Vec::new(),
             report_interval: 500 * MS,
-            reports_to_cores_only: false,
+            workers_report_to_cores_only: false,
             drain_notice: 2_000 * MS,
             shutdown_grace: 25_000 * MS,
             worker_threads: 1,
@@ -391,7 +391,7 @@
     let operator_hashes = reader.hashes("operators");
     let worker_hashes = reader.hashes("workers");
     let report_interval = reader.number("beat_ms", 500, 10_000, 500) * MS;
-    let reports_to_cores_only = match reader.text("beat_to", None) {
+    let workers_report_to_cores_only = match reader.text("beat_to", None) {
         Some((_, target)) if target == "cores" => true,
         Some((key, target)) if target != "any" => {
             reader.reject(&key, &target, "word of any, cores");
@@ -434,7 +434,7 @@
             operator_token_hashes: operator_hashes,
             worker_token_hashes: worker_hashes,
             report_interval,
-            reports_to_cores_only,
+            workers_report_to_cores_only,
             drain_notice,
             shutdown_grace,
             worker_threads,
--- a/crates/node/src/shared/state.rs
+++ b/crates/node/src/shared/state.rs
@@ -51,7 +51,7 @@
     /// The version of the configuration in force; notified on every change.
     pub published_version: watch::Receiver<PublishedVersion>,
     /// The id of the next call.
-    pub next_call_id: AtomicU64,
+    pub next_call_number: AtomicU64,
 }
 
 thread_local! {
--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -161,7 +161,7 @@
         Ok(connected) => connected.map_err(ConnectError::Io)?,
         Err(_timed_out) => return Err(ConnectError::Io(std::io::ErrorKind::TimedOut.into())),
     };
-    net::tune(&stream, net::WORKER_USER_TIMEOUT);
+    net::set_socket_options(&stream, net::WORKER_USER_TIMEOUT);
     let (stream, monitor) = socket::observe(stream, permit);
     let handshake = Builder::new().handshake(TokioIo::new(stream)).await;
     let (sender, connection) = handshake.map_err(|error| ConnectError::Io(std::io::Error::other(error)))?;
--- a/crates/node/tests/answers/front.rs
+++ b/crates/node/tests/answers/front.rs
@@ -117,12 +117,12 @@
             stopping: AtomicBool::new(false),
             operator_draining: AtomicBool::new(false),
             published_version: version_receiver,
-            next_call_id: AtomicU64::new(0),
+            next_call_number: AtomicU64::new(0),
         });
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let addr = listener.local_addr()?;
         let (stop, stopped) = watch::channel(false);
-        tokio::spawn(serve::run(listener, admin::downstream(&shared), 100, Arc::default(), stopped));
+        tokio::spawn(serve::serve_listener(listener, admin::client_routes(&shared), 100, Arc::default(), stopped));
         let front = Front { shared, workers: workers.to_vec(), addr, _channels: (stop, version, commands) };
         front.publish_view(1, LONG_TIMEOUT_MS);
         Ok(front)
--- a/crates/node/tests/clock.rs
+++ b/crates/node/tests/clock.rs
@@ -68,12 +68,12 @@
         node_id: NodeId(1),
         incarnation: 1,
         addr: "10.0.0.1:7000".into(),
-        admin: String::new(),
+        admin_addr: String::new(),
         zone: "z0".into(),
         seeds: vec!["10.0.0.1:7000".into()],
         is_core: true,
         report_interval: 500 * MS,
-        reports_to_cores_only: false,
+        workers_report_to_cores_only: false,
     };
     let voters = vec![Voter { node_id: NodeId(1), addr: settings.addr.clone() }];
     let entry = LogEntry {
--- a/crates/node/tests/disk.rs
+++ b/crates/node/tests/disk.rs
@@ -130,8 +130,8 @@
     let mut rejected = 0;
     for _ in 0..60 {
         let mut flipped = valid.clone();
-        let index = usize::try_from(random.below(flipped.len() as u64)).expect("small");
-        flipped[index] ^= 1 << random.below(8);
+        let index = usize::try_from(random.next_below(flipped.len() as u64)).expect("small");
+        flipped[index] ^= 1 << random.next_below(8);
         let _ = std::fs::remove_file(folder.0.join("state.db-wal"));
         std::fs::write(&file, &flipped).expect("writes");
         match Database::open(&folder.0, NodeId(1)) {
--- a/crates/node/tests/old_data_folder.rs
+++ b/crates/node/tests/old_data_folder.rs
@@ -253,8 +253,8 @@
 /// compressed bodies.
 fn expected() -> DurableState {
     let mut digests = DigestLog::default();
-    digests.insert_all(early_digests());
-    digests.insert_all(late_digests());
+    digests.insert_missing(early_digests());
+    digests.insert_missing(late_digests());
     let grants = [grant("alpha", THIS_CORE, 901, 7), grant("alpha", FRONT, 901, 20), grant("gamma", SECOND_CORE, 5, 1)];
     DurableState {
         node_id: THIS_CORE,
@@ -306,7 +306,7 @@
         node_id,
         incarnation,
         addr: "10.0.0.4:7000".into(),
-        admin: String::new(),
+        admin_addr: String::new(),
         zone: "z".into(),
         seeds: vec![],
         is_core: true,
@@ -315,7 +315,7 @@
         manages_voters: false,
         tolerated_losses: 1,
         report_interval: 1_200 * MS,
-        reports_to_cores_only: true,
+        workers_report_to_cores_only: true,
     }
 }
 
@@ -376,12 +376,12 @@
     let mut node = Node::new(settings(state.node_id, incarnation), &state, 5, SEC);
     assert_eq!(node.version(), Some(NEWEST_VERSION));
     assert!(
-        node.voter() && node.is_ready(),
+        node.is_voter() && node.is_ready(),
         "the core is a voter and has taken over the grants of the previous voters"
     );
     assert_eq!((node.config.version, node.config.revision, node.config.pools.len()), (7, 31, 300));
     assert_eq!(node.config.tenants.keys().collect::<Vec<_>>(), ["alpha", "beta"]);
-    assert!(node.config.find("GET", "any.test", "/x/y").is_some(), "calls are routed by the configuration");
+    assert!(node.config.find_match("GET", "any.test", "/x/y").is_some(), "calls are routed by the configuration");
     assert_eq!(node.consensus.state.bootstrap_vote, first_voters());
     assert_eq!(
         (node.consensus.state.promised_ballot, node.consensus.state.accepted.clone()),
@@ -432,7 +432,7 @@
     let (_database, state, incarnation) = Database::open(&folder.0, NodeId(1)).expect("opens again");
     let mut expected_state = expected();
     expected_state.entries.insert(8, accepted_version());
-    expected_state.digests.insert_all([EntryDigest::of(&accepted_version())]);
+    expected_state.digests.insert_missing([EntryDigest::of(&accepted_version())]);
     expected_state.grants.insert(("beta".into(), FRONT), new_grant);
     expected_state.epochs.insert(3, 100_663_300);
     expected_state.registered.insert((NodeId(55), 1), "10.0.1.3:7000".into());
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -135,21 +135,24 @@
       "/v1/slots":{"get":{"operationId":"slots","responses":{}},"post":{"responses":{},"x-kind":"lookup"}},
       "/v1/slots/{id}":{"get":{"responses":{}}},
       "/v1/draft":{"post":{"operationId":"draft","responses":{},"x-kind":"draft","x-resume":true}}}}"#;
-    let (document, left_out) = sumacvale_node::import::import(api, "app").expect("imports");
+    let (document, left_out) = sumacvale_node::import::generate_config(api, "app").expect("imports");
     let config = sumacvale_core::config::validate(&document).expect("a good tree");
-    let imported = config.find("GET", "", "/v1/slots").expect("a match");
+    let imported = config.find_match("GET", "", "/v1/slots").expect("a match");
     assert!(imported.name == "slots" && imported.idempotent && imported.pool == "app");
     assert!(
         config
-            .find("POST", "", "/v1/slots")
+            .find_match("POST", "", "/v1/slots")
             .is_some_and(|imported| imported.name == "post-v1-slots" && !imported.idempotent)
     );
-    assert!(config.find("POST", "", "/v1/draft").is_some_and(|imported| imported.resumable));
-    assert!(config.find("GET", "", "/v1/slots/7").is_some_and(|imported| imported.path == "/v1/slots/{id}"));
-    assert!(config.find("GET", "", "/v1/slots/7/no").is_none() && config.find("PUT", "", "/v1/slots/7").is_none());
+    assert!(config.find_match("POST", "", "/v1/draft").is_some_and(|imported| imported.resumable));
+    assert!(config.find_match("GET", "", "/v1/slots/7").is_some_and(|imported| imported.path == "/v1/slots/{id}"));
+    assert!(
+        config.find_match("GET", "", "/v1/slots/7/no").is_none()
+            && config.find_match("PUT", "", "/v1/slots/7").is_none()
+    );
     assert!(config.matches.len() == 4 && left_out.is_empty(), "{left_out:?}");
     for bad in ["{", "{}", &api.replace("\"draft\",\"x", "\"long\",\"x")] {
-        assert!(sumacvale_node::import::import(bad, "app").is_err(), "{bad}");
+        assert!(sumacvale_node::import::generate_config(bad, "app").is_err(), "{bad}");
     }
 }
 
--- a/crates/node/tests/upstream.rs
+++ b/crates/node/tests/upstream.rs
@@ -363,7 +363,7 @@
 fn sockets_are_set_to_detect_unreachable_peers() -> Res {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let stream = TcpStream::connect(listener.local_addr()?)?;
-    sumacvale_node::net::tune(&stream, Duration::from_secs(2));
+    sumacvale_node::net::set_socket_options(&stream, Duration::from_secs(2));
     let tcp_option = |name| socket_option(stream.as_raw_fd(), libc::IPPROTO_TCP, name);
     assert_eq!(
         (tcp_option(libc::TCP_USER_TIMEOUT), tcp_option(libc::TCP_KEEPIDLE), tcp_option(libc::TCP_KEEPINTVL)),
@@ -465,7 +465,8 @@
                 }
             },
         );
-        let server = tokio::spawn(sumacvale_node::serve::run(listener, routes, 100, limits.clone(), stopped));
+        let server =
+            tokio::spawn(sumacvale_node::serve::serve_listener(listener, routes, 100, limits.clone(), stopped));
         for (request, header_timeout, idle_timeout, expected) in table {
             limits.set_header_timeout(header_timeout * 1_000);
             limits.set_idle_timeout(idle_timeout * 1_000);
--- a/crates/testbed/src/bounds.rs
+++ b/crates/testbed/src/bounds.rs
@@ -70,10 +70,10 @@
     fn next_gap(self, rng: &mut Rng) -> Micros {
         if self.bursts {
             // The gap between two bursts is 90 to 110 % of a window.
-            return WINDOW * 9 / 10 + rng.below(WINDOW / 5);
+            return WINDOW * 9 / 10 + rng.next_below(WINDOW / 5);
         }
         let mean = WINDOW * 100 / (QUOTA as u64 * self.quota_percent);
-        rng.below(2 * mean + 1)
+        rng.next_below(2 * mean + 1)
     }
 }
 
--- a/crates/testbed/src/engines/choice.rs
+++ b/crates/testbed/src/engines/choice.rs
@@ -57,7 +57,7 @@
     fn by_bounded_load_ring(&self) -> Option<usize> {
         let load = |endpoint| if self.is_eligible(endpoint) { self.known_load(endpoint) } else { u32::MAX };
         let loads: Vec<_> = self.table.endpoints.iter().map(load).collect();
-        self.table.nominate(self.prefix_key(), &zone_name(self.front.zone), &loads, self.excluded)
+        self.table.choose_by_ring(self.prefix_key(), &zone_name(self.front.zone), &loads, self.excluded)
     }
 
     fn by_least_load(&self) -> Option<usize> {
@@ -120,7 +120,7 @@
             + missing_slots * SLOT_WAIT_US / slots
             + FIXED_LATENCY_US;
         let lateness = latency / request.latency_target as f64;
-        let gap_risk = |tokens: f64| (token_us * tokens / request.max_stream_gap as f64 - 0.5).clamp(0.0, 1.0);
+        let gap_risk = |tokens: f64| (token_us * tokens / request.max_stream_pause as f64 - 0.5).clamp(0.0, 1.0);
         let tokens_ahead = worker.prefill_ahead(LEAST_URGENT);
         let added_gap_risk = gap_risk(tokens_ahead + uncomputed_tokens) - gap_risk(tokens_ahead);
         0.15 * lateness
--- a/crates/testbed/src/engines/emulation.rs
+++ b/crates/testbed/src/engines/emulation.rs
@@ -210,7 +210,7 @@
     fn draw_delay(&mut self, call: usize, worker: usize) -> Micros {
         let same_zone = self.fronts[self.calls[call].front].zone == self.workers[worker].zone();
         let delay_ms = if same_zone { SAME_ZONE_MS } else { self.case.deployment.cross_zone_ms };
-        to_micros(delay_ms) + self.rng.below(MAX_JITTER)
+        to_micros(delay_ms) + self.rng.next_below(MAX_JITTER)
     }
 
     /// Queues a call at the worker that received it, or declines it if the worker is full.
@@ -308,7 +308,7 @@
         self.end_attempt(call, CallOutcome::Failed, now);
         let id = worker_id(worker);
         if let Some(endpoint) = self.table.endpoints.iter().find(|endpoint| endpoint.worker_id == id) {
-            self.fronts[front].loads.mark_failed(&id, endpoint.incarnation, endpoint.seq);
+            self.fronts[front].loads.eject(&id, endpoint.incarnation, endpoint.seq);
         }
         if self.records[call].first_event.is_none() {
             self.retry(call, now);
--- a/crates/testbed/src/engines/traffic.rs
+++ b/crates/testbed/src/engines/traffic.rs
@@ -90,7 +90,7 @@
             parts: segments.into_iter().collect(),
             max_output_tokens: output_tokens * 3 / 2,
             latency_target: kind.latency_target_ms * MS,
-            max_stream_gap: deployment.max_stream_gap_ms * MS,
+            max_stream_pause: deployment.max_stream_gap_ms * MS,
             time_left: kind.time_limit_ms * MS,
             urgency: kind.urgency,
             bytes: kind.request_bytes + RESPONSE_HEAD_BYTES + output_tokens / tokens_per_event * EVENT_BYTES,
@@ -102,7 +102,7 @@
 /// Draws the front of a call: clients are spread unevenly, so some fronts get more calls.
 fn draw_front(fronts: u64, rng: &mut Rng) -> usize {
     let clients = fronts * CLIENTS_PER_FRONT;
-    (rng.below(clients).max(rng.below(clients)) / CLIENTS_PER_FRONT) as usize
+    (rng.next_below(clients).max(rng.next_below(clients)) / CLIENTS_PER_FRONT) as usize
 }
 
 /// Returns the key and the tokens of a shared segment, which depend on its id and the seed alone.
--- a/crates/testbed/src/fleet/traffic.rs
+++ b/crates/testbed/src/fleet/traffic.rs
@@ -84,9 +84,9 @@
         if fronts.is_empty() {
             return;
         }
-        let front = fronts[usize::try_from(rng.below(fronts.len() as u64)).unwrap_or(0)].clone();
+        let front = fronts[usize::try_from(rng.next_below(fronts.len() as u64)).unwrap_or(0)].clone();
         let id = format!("{:x}-{number}", self.seed);
-        let prompt = format!("prefix {:02} of {} shared by all its calls|{number}", rng.below(40), client.tenant);
+        let prompt = format!("prefix {:02} of {} shared by all its calls|{number}", rng.next_below(40), client.tenant);
         let records = self.records.clone();
         calls.spawn(async move { records.add(client.call(&front, &id, &prompt).await) });
     }
@@ -95,9 +95,9 @@
     fn draw_client(&self, group: usize, rng: &mut Rng) -> Option<StandInClient> {
         let (kind, path) = draw_path(group, rng);
         // Two tenants have most of the traffic; one call in fifty has an unknown key.
-        let tenant = if rng.chance(55) { rng.below(2) } else { rng.below(self.spec.tenants as u64) };
+        let tenant = if rng.chance_percent(55) { rng.next_below(2) } else { rng.next_below(self.spec.tenants as u64) };
         let tenant = usize::try_from(tenant).ok()?;
-        let key = if rng.chance(2) { format!("nobody-{}", rng.below(1_000)) } else { tenant_key(tenant) };
+        let key = if rng.chance_percent(2) { format!("nobody-{}", rng.next_below(1_000)) } else { tenant_key(tenant) };
         Some(StandInClient { http: self.http.clone(), kind, path, tenant: format!("t{tenant}"), key })
     }
 }
@@ -106,8 +106,8 @@
 fn draw_call_count(accumulated: &mut u64, rng: &mut Rng) -> u64 {
     let whole_calls = *accumulated / UNITS_PER_CALL;
     *accumulated %= UNITS_PER_CALL;
-    let extra_call = u64::from(rng.below(UNITS_PER_CALL) < *accumulated);
-    if rng.below(UNITS_PER_CALL) < *accumulated {
+    let extra_call = u64::from(rng.next_below(UNITS_PER_CALL) < *accumulated);
+    if rng.next_below(UNITS_PER_CALL) < *accumulated {
         *accumulated = 0;
     }
     whole_calls + extra_call
@@ -116,9 +116,9 @@
 /// Draws the kind and the path of a call.
 fn draw_path(group: usize, rng: &mut Rng) -> (&'static str, &'static str) {
     if group == LOOKUPS {
-        return ("lookup", if rng.chance(80) { "/v1/confirm" } else { "/v1/book" });
+        return ("lookup", if rng.chance_percent(80) { "/v1/confirm" } else { "/v1/book" });
     }
-    match rng.below(100) {
+    match rng.next_below(100) {
         0..30 => ("draft", "/v1/draft"),
         30..85 => ("chat", "/v1/chat"),
         _ => ("summary", "/v1/summary"),
--- a/crates/testbed/src/hollow/parts.rs
+++ b/crates/testbed/src/hollow/parts.rs
@@ -46,7 +46,8 @@
     let mut r = Rng::new(1);
     let hs: Vec<u64> = (0..100).map(|_| r.next_u64()).collect();
     let z = rows.first().map(|r| r.zone.clone()).unwrap_or_default();
-    let mut put = time("place_100", x, n, || hs.iter().filter_map(|h| t.nominate(*h, &z, &load, &[])).sum::<usize>());
+    let mut put =
+        time("place_100", x, n, || hs.iter().filter_map(|h| t.choose_by_ring(*h, &z, &load, &[])).sum::<usize>());
     put.us = put.us.map(|u| u / 100.0);
     put.name = "place";
     vec![time("table", x, n, || PlacementTable::new(rows.iter())), time("loads", x, n, || loads.current(&t)), put]
--- a/crates/testbed/src/hollow/world.rs
+++ b/crates/testbed/src/hollow/world.rs
@@ -125,7 +125,7 @@
                 node_id: node_ids[ix(i)],
                 incarnation: 1,
                 addr: addr(i),
-                admin: addr(i),
+                admin_addr: addr(i),
                 zone: zone(&s, i),
                 seeds: (0..s.voters.min(3)).map(addr).collect(),
                 is_core: core,
@@ -134,7 +134,7 @@
                 manages_voters: false,
                 tolerated_losses: 1,
                 report_interval: 500 * MS,
-                reports_to_cores_only: false,
+                workers_report_to_cores_only: false,
             };
             let mut kept = DurableState { node_id: node_ids[ix(i)], ..DurableState::default() };
             if core {
@@ -152,11 +152,11 @@
                 waits: BTreeMap::new(),
                 tally: Tally::default(),
             });
-            let d = w.rng.below(TICK);
+            let d = w.rng.next_below(TICK);
             w.push(w.now + d, Happen::Tick(ix(i)));
         }
         for k in 0..s.workers {
-            let d = w.rng.below(s.beat);
+            let d = w.rng.next_below(s.beat);
             w.push(w.now + d, Happen::Beat(k, 1));
         }
         if s.calls > 0 {
@@ -239,7 +239,7 @@
         } else {
             NEAR
         };
-        let d = self.rng.below(200);
+        let d = self.rng.next_below(200);
         self.push(self.now + lat + d, Happen::Frame(j, b));
     }
 
@@ -279,14 +279,14 @@
         while self.owed >= 100 {
             self.owed -= 100;
             self.calls += 1;
-            let i = ix(self.s.voters + self.rng.below(self.s.nodes - self.s.voters));
-            let t = format!("t{}", self.rng.below(self.s.tenants));
+            let i = ix(self.s.voters + self.rng.next_below(self.s.nodes - self.s.voters));
+            let t = format!("t{}", self.rng.next_below(self.s.tenants));
             let now = self.now;
             let b = &mut self.bodies[i];
             let waiting = match b.node.quota.slices.acquire_unit(&t, now) {
-                AcquireOutcome::Acquired { low, .. } => {
+                AcquireOutcome::Acquired { is_low, .. } => {
                     self.served += 1;
-                    if !low {
+                    if !is_low {
                         continue;
                     }
                     0
@@ -303,7 +303,7 @@
     }
 
     fn change(&mut self) {
-        let i = ix(self.rng.below(self.s.voters));
+        let i = ix(self.rng.next_below(self.s.voters));
         if let Some(base) = self.bodies[i].node.version() {
             self.changed += 1;
             let change_id = ChangeId(self.rng.next_u64().max(1));
@@ -321,9 +321,9 @@
         let r = row(&self.s, k, n);
         let near: Vec<usize> = (0..ix(self.s.cores)).filter(|i| self.bodies[*i].node.settings.zone == r.zone).collect();
         let i = if near.is_empty() {
-            ix(self.rng.below(self.s.cores))
+            ix(self.rng.next_below(self.s.cores))
         } else {
-            near[ix(self.rng.below(near.len() as u64))]
+            near[ix(self.rng.next_below(near.len() as u64))]
         };
         self.step(i, Event::Report(r));
         self.push(self.now + self.s.beat, Happen::Beat(k, n + 1));
@@ -365,7 +365,7 @@
 
     fn role(&self, i: usize) -> Role {
         let b = &self.bodies[i];
-        if b.node.voter() {
+        if b.node.is_voter() {
             return Role::Core;
         }
         let (me, z) = (b.node.settings.node_id, &b.node.settings.zone);
@@ -387,7 +387,8 @@
     w.run(end + s.secs * SEC);
     let roles: Vec<_> = (0..w.bodies.len()).map(|i| w.role(i)).collect();
     let now = w.now;
-    let workers = w.bodies.iter().map(|b| b.node.dissemination.workers.live(now).count() as u64).min().unwrap_or(0);
+    let workers =
+        w.bodies.iter().map(|b| b.node.dissemination.workers.live_workers(now).count() as u64).min().unwrap_or(0);
     let nodes = w.bodies.iter().map(|b| b.node.dissemination.peers.live(now).count() as u64).min().unwrap_or(0);
     let body = tree(&s, 0).len() as u64;
     let World { bodies, spread, stale, calls, served, gave_up, what, .. } = w;
--- a/crates/testbed/src/lookups.rs
+++ b/crates/testbed/src/lookups.rs
@@ -123,7 +123,7 @@
 
     /// Looks one key up, and fetches its value if this thread gets the fetch lease.
     fn look_up(&mut self, number: u64) {
-        let unknown = self.rng.chance(self.workload.unknown_percent).then(|| key(self.rng.next_u64()));
+        let unknown = self.rng.chance_percent(self.workload.unknown_percent).then(|| key(self.rng.next_u64()));
         let known = if unknown.is_none() { self.draw_tenant() } else { 0 };
         let key = unknown.as_ref().unwrap_or(&self.known_keys[known]);
         let context = LookupContext {
@@ -155,8 +155,8 @@
 
     /// Draws a tenant and returns the index of its key.
     fn draw_tenant(&mut self) -> usize {
-        let tenants = if self.rng.chance(BUSY_PERCENT) { BUSY_TENANTS } else { TENANTS };
-        usize::try_from(self.rng.below(tenants)).unwrap_or(0)
+        let tenants = if self.rng.chance_percent(BUSY_PERCENT) { BUSY_TENANTS } else { TENANTS };
+        usize::try_from(self.rng.next_below(tenants)).unwrap_or(0)
     }
 }
 
--- a/crates/testbed/src/sim/calls/call_driver.rs
+++ b/crates/testbed/src/sim/calls/call_driver.rs
@@ -115,7 +115,7 @@
         let incarnation = self.machines[machine].incarnation;
         for wakeup in wakeups {
             // The delay lets other events come between a wakeup and its call, as between threads.
-            let due = self.now + self.rng.below(MAX_WAKEUP_DELAY);
+            let due = self.now + self.rng.next_below(MAX_WAKEUP_DELAY);
             self.schedule(due, SimEvent::Wakeup(machine, incarnation, wakeup));
         }
     }
@@ -212,7 +212,7 @@
     /// Schedules the arrival of the request body.
     fn send_body(&mut self, machine: usize, number: u64, call: &ActiveCall) {
         let body = format!("{{\"prompt\":\"prefix {}\"}}", call.request.prefix);
-        let due = self.now + self.rng.below(MAX_BODY_DELAY);
+        let due = self.now + self.rng.next_below(MAX_BODY_DELAY);
         let incarnation = self.machines[machine].incarnation;
         self.schedule(due, SimEvent::RequestBody(machine, incarnation, number, Bytes::from(body)));
     }
--- a/crates/testbed/src/sim/cutoff/answers.rs
+++ b/crates/testbed/src/sim/cutoff/answers.rs
@@ -70,7 +70,7 @@
             other => return self.record_violation(format!("a valid change got the outcome {other:?}")),
         }
         self.operators[request.sender].document = None;
-        self.operators[request.sender].due = now + 50 * MS + self.world.rng.below(400 * MS);
+        self.operators[request.sender].due = now + 50 * MS + self.world.rng.next_below(400 * MS);
     }
 
     /// Schedules the same change of an operator again; the backoff doubles up to 800 ms.
--- a/crates/testbed/src/sim/cutoff/callers.rs
+++ b/crates/testbed/src/sim/cutoff/callers.rs
@@ -2,7 +2,7 @@
 
 use super::results::Caller;
 use sumacvale_core::base::{Micros, hash64};
-use sumacvale_core::protocol::{UNNUMBERED_INCARNATION, WorkerReport};
+use sumacvale_core::protocol::{UNKNOWN_INCARNATION, WorkerReport};
 
 /// A request without a response so far.
 #[derive(Clone, Debug)]
@@ -69,7 +69,7 @@
         self.seq += 1;
         WorkerReport {
             worker_id: self.id.clone(),
-            incarnation: UNNUMBERED_INCARNATION,
+            incarnation: UNKNOWN_INCARNATION,
             seq: self.seq,
             addr: format!("10.8.0.1:{}", 1_000 + hash64(self.id.as_bytes()) % 60_000),
             pool: "p".into(),
--- a/crates/testbed/src/sim/cutoff/calls.rs
+++ b/crates/testbed/src/sim/cutoff/calls.rs
@@ -5,7 +5,7 @@
 use super::{CORES, Driver, REPORT_INTERVAL};
 use sumacvale_core::base::{ChangeId, MS, Micros, hash64};
 use sumacvale_core::node::Event;
-use sumacvale_core::protocol::{Change, UNNUMBERED_INCARNATION, WorkerReport};
+use sumacvale_core::protocol::{Change, UNKNOWN_INCARNATION, WorkerReport};
 
 impl Driver {
     /// Records a new pending request and returns its id.
@@ -18,7 +18,7 @@
 
     /// Reads the newest document at a random core.
     pub(super) fn send_read(&mut self) {
-        let core = usize::try_from(self.world.rng.below(CORES as u64)).unwrap_or(0);
+        let core = usize::try_from(self.world.rng.next_below(CORES as u64)).unwrap_or(0);
         let request_id = self.open_request(Caller::Read, 0, core);
         let newest = self.acknowledged.iter().map(|document| document.revision).max().unwrap_or(0);
         self.newest_before_read.insert(request_id, newest);
@@ -49,14 +49,14 @@
             }
             if self.operators[sender].document.is_none() {
                 let base = self.acknowledged.iter().map(|document| document.revision).max().unwrap_or(0);
-                let revision = base + 1 + self.world.rng.below(5);
+                let revision = base + 1 + self.world.rng.next_below(5);
                 self.last_serial += 1;
                 let body = document_body(revision, self.last_serial);
                 self.operators[sender].document = Some(Document { base, revision, body });
                 self.operators[sender].backoff = 100 * MS;
             }
             let Some(Document { base, body, .. }) = self.operators[sender].document.clone() else { continue };
-            let core = usize::try_from(self.world.rng.below(CORES as u64)).unwrap_or(0);
+            let core = usize::try_from(self.world.rng.next_below(CORES as u64)).unwrap_or(0);
             let request_id = self.open_request(Caller::Change, sender, core);
             let change_id = ChangeId(hash64(body.as_bytes()).max(1));
             self.submit_change(core, request_id, change_id, base, Change::Document(body));
@@ -73,7 +73,7 @@
             if is_pending || now < self.reporters[sender].due {
                 continue;
             }
-            if self.reporters[sender].state == ReporterState::Ready && self.world.rng.chance(8) {
+            if self.reporters[sender].state == ReporterState::Ready && self.world.rng.chance_percent(8) {
                 self.reporters[sender].state = ReporterState::Draining;
             }
             let reporter = &mut self.reporters[sender];
@@ -83,7 +83,7 @@
                 ReporterState::Ready => (Caller::Report, report),
                 ReporterState::Draining => (Caller::Drain, report),
                 ReporterState::Leaving => {
-                    (Caller::Deregister, WorkerReport::removal(&report.worker_id, UNNUMBERED_INCARNATION))
+                    (Caller::Deregister, WorkerReport::removal(&report.worker_id, UNKNOWN_INCARNATION))
                 }
             };
             let request_id = self.open_request(caller, sender, core);
--- a/crates/testbed/src/sim/cutoff/mod.rs
+++ b/crates/testbed/src/sim/cutoff/mod.rs
@@ -119,7 +119,7 @@
             }
             self.submit_due_changes(now);
             self.send_due_reports(now);
-            if self.world.rng.below(1_000) < 15 {
+            if self.world.rng.next_below(1_000) < 15 {
                 self.send_read();
             }
         }
@@ -127,13 +127,13 @@
 
     /// Partitions a core and returns when the next partition is due.
     fn start_partition(&mut self, now: Micros) -> Micros {
-        let duration = [4 * SEC, 10 * SEC, 20 * SEC][usize::try_from(self.world.rng.below(3)).unwrap_or(0)];
-        let drawn = usize::try_from(self.world.rng.below(CORES as u64)).unwrap_or(0);
-        let core = if self.world.rng.chance(60) { self.last_acknowledging_core } else { drawn };
+        let duration = [4 * SEC, 10 * SEC, 20 * SEC][usize::try_from(self.world.rng.next_below(3)).unwrap_or(0)];
+        let drawn = usize::try_from(self.world.rng.next_below(CORES as u64)).unwrap_or(0);
+        let core = if self.world.rng.chance_percent(60) { self.last_acknowledging_core } else { drawn };
         let (receives, sends) =
-            [(false, false), (false, true), (true, false)][usize::try_from(self.world.rng.below(3)).unwrap_or(0)];
+            [(false, false), (false, true), (true, false)][usize::try_from(self.world.rng.next_below(3)).unwrap_or(0)];
         // The core is partitioned from the other cores only, or from all machines.
-        let peers = if self.world.rng.chance(50) { CORES } else { self.world.machines.len() };
+        let peers = if self.world.rng.chance_percent(50) { CORES } else { self.world.machines.len() };
         for peer in (0..peers).filter(|peer| *peer != core) {
             if !receives {
                 self.world.blocked_links.insert((peer, core), now + duration);
--- a/crates/testbed/src/sim/drive.rs
+++ b/crates/testbed/src/sim/drive.rs
@@ -151,7 +151,7 @@
         self.injector.restart_due_processes(world, faults_ended);
         self.injector.admit_replacement(world, &mut self.operators);
         if !faults_ended && world.now >= self.next_fault_at {
-            self.next_fault_at = world.now + 200 * MS + world.rng.below(4 * SEC);
+            self.next_fault_at = world.now + 200 * MS + world.rng.next_below(4 * SEC);
             if let Some((fault, duration)) = self.settings.profile.draw_fault(&mut world.rng)
                 && !self.membership.inject(world, &mut self.operators, fault)
             {
@@ -172,7 +172,7 @@
     fn update_operators(&mut self, faults_ended: bool) {
         let world = &mut self.world;
         let operators = &mut self.operators;
-        if world.now > self.begin + 3 * SEC && world.rng.below(1000) < self.settings.profile.changes {
+        if world.now > self.begin + 3 * SEC && world.rng.next_below(1000) < self.settings.profile.changes {
             operators.change(world);
             if matches!(self.settings.profile.name, "races" | "stalls") {
                 operators.change(world);
@@ -256,7 +256,7 @@
         let live_workers: Vec<_> = node
             .dissemination
             .workers
-            .live(state.clock(now))
+            .live_workers(state.clock(now))
             .map(|report| (report.worker_id.clone(), report.incarnation))
             .collect();
         let version = node.version().unwrap_or(0);
--- a/crates/testbed/src/sim/faults/control/losses.rs
+++ b/crates/testbed/src/sim/faults/control/losses.rs
@@ -49,7 +49,7 @@
 
 /// Draws the moment at which a machine that is lost now is restarted.
 fn draw_restart_time(world: &mut World) -> Micros {
-    world.now + MIN_OUTAGE + world.rng.below(MAX_DRAWN_OUTAGE)
+    world.now + MIN_OUTAGE + world.rng.next_below(MAX_DRAWN_OUTAGE)
 }
 
 impl Control {
@@ -84,7 +84,7 @@
     /// Fills a disk for a while and schedules the checks that the majority makes progress and the machine catches up.
     pub(super) fn fill_disk(&mut self, world: &mut World, machine: usize, power: bool) {
         let now = world.now;
-        let until = now + SEC + world.rng.below(5 * SEC);
+        let until = now + SEC + world.rng.next_below(5 * SEC);
         world.log(format!("the disk of {} is full until {until}", world.machines[machine].addr));
         world.machines[machine].disk.full_until = until;
         if power {
@@ -107,15 +107,15 @@
 
     /// Freezes a machine for a while.
     pub(super) fn freeze(&mut self, world: &mut World, machine: usize) {
-        let until = world.now + SEC + world.rng.below(6 * SEC);
+        let until = world.now + SEC + world.rng.next_below(6 * SEC);
         world.freeze(machine, until);
         self.next_fault_at = until + CATCH_UP_TIME;
     }
 
     /// Slows a machine down for a while.
     pub(super) fn slow_down(&mut self, world: &mut World, machine: usize) {
-        let until = world.now + SEC + world.rng.below(6 * SEC);
-        let period = MIN_PERIOD + world.rng.below(MAX_PERIOD - MIN_PERIOD);
+        let until = world.now + SEC + world.rng.next_below(6 * SEC);
+        let period = MIN_PERIOD + world.rng.next_below(MAX_PERIOD - MIN_PERIOD);
         world.slow_down(machine, until, period);
         self.next_fault_at = until + CATCH_UP_TIME;
     }
@@ -126,7 +126,7 @@
         let Some(machine) = running.min_by_key(|i| self.shutdown_counts.get(i).copied().unwrap_or(0)) else { return };
         *self.shutdown_counts.entry(machine).or_default() += 1;
         self.orders.order_to(world, machine);
-        let shutdown_at = world.now + world.rng.below(MAX_SHUTDOWN_DELAY);
+        let shutdown_at = world.now + world.rng.next_below(MAX_SHUTDOWN_DELAY);
         self.schedule(shutdown_at, ControlAction::RequestShutdown(machine));
     }
 
@@ -163,7 +163,7 @@
     pub(super) fn lose_power_during_start(&mut self, world: &mut World, machine: usize) {
         world.start(machine);
         world.lose_power(machine);
-        if world.rng.chance(50) {
+        if world.rng.chance_percent(50) {
             world.lose_disk(machine);
         }
         self.schedule_restart(world, machine);
--- a/crates/testbed/src/sim/faults/control/mod.rs
+++ b/crates/testbed/src/sim/faults/control/mod.rs
@@ -146,11 +146,11 @@
 
     /// Draws the next fault and starts it.
     fn start_fault(&mut self, world: &mut World) {
-        let position = usize::try_from(world.rng.below(self.profile.faults.len() as u64)).unwrap_or(0);
+        let position = usize::try_from(world.rng.next_below(self.profile.faults.len() as u64)).unwrap_or(0);
         let fault = self.profile.faults[position];
         *self.troubles.entry(format!("{fault:?}")).or_default() += 1;
         world.log(format!("{fault:?}"));
-        if world.rng.chance(self.profile.departure_percent) {
+        if world.rng.chance_percent(self.profile.departure_percent) {
             self.start_departure(world, None);
         }
         let Some(machine) = draw_core(world) else { return };
@@ -235,6 +235,6 @@
 fn draw_core(world: &mut World) -> Option<usize> {
     let running: Vec<usize> =
         (0..world.machines.len()).filter(|i| world.machines[*i].is_core && world.is_running(*i)).collect();
-    let position = usize::try_from(world.rng.below(running.len().max(1) as u64)).unwrap_or(0);
+    let position = usize::try_from(world.rng.next_below(running.len().max(1) as u64)).unwrap_or(0);
     running.get(position).copied()
 }
