--- a/crates/testbed/src/sim/faults/control/partitions.rs
+++ b/crates/testbed/src/sim/faults/control/partitions.rs
@@ -18,7 +18,7 @@
     /// Chooses the core that acknowledged last, that was read last, that has the oldest disk, that was partitioned
     /// least often, or the drawn one.
     fn choose_partition_target(&mut self, world: &mut World, drawn: usize) -> usize {
-        let (name, chosen) = match world.rng.below(6) {
+        let (name, chosen) = match world.rng.next_below(6) {
             0 | 1 => ("leader", self.orders.leader),
             2 => ("reader", self.orders.reader),
             3 => ("oldest", world.oldest_disks().first().copied()),
@@ -38,7 +38,7 @@
 
     /// Partitions one core from all others for up to 21 seconds.
     pub(super) fn partition(&mut self, world: &mut World, drawn: usize, kind: PartitionKind) {
-        let until = world.now + SEC + world.rng.below(20 * SEC);
+        let until = world.now + SEC + world.rng.next_below(20 * SEC);
         let machine = self.choose_partition_target(world, drawn);
         *self.partition_counts.entry(machine).or_default() += 1;
         world.log(format!("{} is partitioned from all other cores until {until}", world.machines[machine].addr));
@@ -62,7 +62,7 @@
         let middle = world.now + (until - world.now) / 2;
         let seeds = vec![world.machines[machine].addr.clone()];
         for node in 0..world.machines.len() {
-            if !world.machines[node].is_core && world.rng.chance(30) {
+            if !world.machines[node].is_core && world.rng.chance_percent(30) {
                 world.kill(node);
                 self.schedule(middle, ControlAction::Start(node));
             } else if world.is_running(node) {
@@ -83,11 +83,12 @@
 
     /// Sends orders to the core during the partition and at its end; workers leave and report there.
     fn send_orders_to_partitioned(&mut self, world: &mut World, machine: usize, until: Micros) {
-        let (race, drain, hard) = (world.rng.chance(40), world.rng.chance(40), world.rng.chance(30));
+        let (race, drain, hard) =
+            (world.rng.chance_percent(40), world.rng.chance_percent(40), world.rng.chance_percent(30));
         self.orders.order(world, Some(PinnedTarget { slot: machine, hard }));
         self.schedule(until, ControlAction::EndPartition { machine, race, drain, hard });
         self.count_variant(if hard { "hard" } else { "meet" });
-        if world.rng.chance(30) {
+        if world.rng.chance_percent(30) {
             self.count_variant("lure");
             world.preferred_report_target = Some((machine, until));
             self.start_departure(world, Some(machine));
--- a/crates/testbed/src/sim/faults/control/triggers.rs
+++ b/crates/testbed/src/sim/faults/control/triggers.rs
@@ -55,7 +55,7 @@
     /// Draws the closing fault and arms it.
     pub(super) fn begin_closing(&mut self, world: &mut World) {
         self.is_closing_started = true;
-        let (name, closing) = match world.rng.below(4) {
+        let (name, closing) = match world.rng.next_below(4) {
             0 => ("closing power_off_all", ClosingFault::PowerOffAll),
             1 => ("closing kill_all", ClosingFault::KillAll),
             2 => ("closing wipe_after_ack", ClosingFault::WipeAfterAck { others: false }),
@@ -121,7 +121,7 @@
     /// Schedules the loss of the machine that an order was sent to, acknowledged or not.
     fn schedule_timed_loss(&mut self, world: &mut World, wipe: bool) {
         let Some((machine, sent_at)) = self.orders.sent else { return };
-        let delay = MIN_TIMED_DELAY + world.rng.below(MAX_TIMED_DELAY - MIN_TIMED_DELAY);
+        let delay = MIN_TIMED_DELAY + world.rng.next_below(MAX_TIMED_DELAY - MIN_TIMED_DELAY);
         self.disarm(world);
         self.schedule(
             (sent_at + delay).max(world.now),
--- a/crates/testbed/src/sim/faults/day.rs
+++ b/crates/testbed/src/sim/faults/day.rs
@@ -67,7 +67,7 @@
                     Fault::AllWorkersFaulty,
                     Fault::PartitionCore,
                 ];
-                (candidates[usize::try_from(world.rng.below(candidates.len() as u64)).unwrap_or(0)], 6 * SEC)
+                (candidates[usize::try_from(world.rng.next_below(candidates.len() as u64)).unwrap_or(0)], 6 * SEC)
             }
             _ => return None,
         })
--- a/crates/testbed/src/sim/faults/injection.rs
+++ b/crates/testbed/src/sim/faults/injection.rs
@@ -42,7 +42,7 @@
     if eligible.is_empty() {
         None
     } else {
-        Some(eligible[usize::try_from(world.rng.below(eligible.len() as u64)).unwrap_or(0)])
+        Some(eligible[usize::try_from(world.rng.next_below(eligible.len() as u64)).unwrap_or(0)])
     }
 }
 
@@ -175,9 +175,9 @@
             Fault::PowerLossMany => {
                 world.log("most machines lose power".into());
                 for target in 0..world.machines.len() {
-                    if is_up(world, target) && world.rng.chance(60) {
+                    if is_up(world, target) && world.rng.chance_percent(60) {
                         world.lose_power(target);
-                        let delay = world.rng.below(SEC);
+                        let delay = world.rng.next_below(SEC);
                         self.stopped_processes.push(StoppedProcess {
                             machine: target,
                             restart_at: now + duration / 3 + delay,
@@ -191,7 +191,7 @@
                 let voters = world
                     .machines
                     .iter()
-                    .filter(|s| s.is_core && s.node.as_ref().is_some_and(sumacvale_core::node::Node::voter))
+                    .filter(|s| s.is_core && s.node.as_ref().is_some_and(sumacvale_core::node::Node::is_voter))
                     .count();
                 if is_intact
                     && voters >= 3
@@ -222,7 +222,7 @@
                     is_up(world, target) && world.machines[target].is_core == is_core
                 }) {
                     let max_period = if is_core { MAX_CORE_PERIOD } else { MAX_FRONT_PERIOD };
-                    let period = MIN_PERIOD + world.rng.below(max_period - MIN_PERIOD);
+                    let period = MIN_PERIOD + world.rng.next_below(max_period - MIN_PERIOD);
                     world.slow_down(target, now + duration, period);
                 }
             }
@@ -243,11 +243,11 @@
         let now = world.now;
         match fault {
             Fault::StopWorker => {
-                let index = usize::try_from(world.rng.below(world.workers.len() as u64)).unwrap_or(0);
+                let index = usize::try_from(world.rng.next_below(world.workers.len() as u64)).unwrap_or(0);
                 if self.absent_workers.iter().any(|absent| absent.0 == index) {
                     return;
                 }
-                let drain = world.rng.chance(50);
+                let drain = world.rng.chance_percent(50);
                 let worker = &mut world.workers[index];
                 let id = worker.id.clone();
                 if drain {
@@ -262,7 +262,7 @@
                 self.absent_workers.push((index, now + 3 * SEC + duration));
             }
             Fault::FaultyWorker(behaviour) => {
-                let index = usize::try_from(world.rng.below(world.workers.len() as u64)).unwrap_or(0);
+                let index = usize::try_from(world.rng.next_below(world.workers.len() as u64)).unwrap_or(0);
                 world.log(format!("worker {} behaves as {behaviour:?} for {duration} us", world.workers[index].id));
                 world.workers[index].mode = (behaviour, now + duration);
             }
@@ -275,14 +275,14 @@
                     WorkerBehaviour::Dark,
                     WorkerBehaviour::Slow,
                 ];
-                let behaviour = behaviours[usize::try_from(world.rng.below(behaviours.len() as u64)).unwrap_or(0)];
+                let behaviour = behaviours[usize::try_from(world.rng.next_below(behaviours.len() as u64)).unwrap_or(0)];
                 world.log(format!("all workers behave as {behaviour:?} for {duration} us"));
                 for worker in &mut world.workers {
                     worker.mode = (behaviour, now + duration);
                 }
             }
             Fault::CrashWorker => {
-                let index = usize::try_from(world.rng.below(world.workers.len() as u64)).unwrap_or(0);
+                let index = usize::try_from(world.rng.next_below(world.workers.len() as u64)).unwrap_or(0);
                 if world.workers[index].is_running && !world.workers[index].is_draining {
                     world.log(format!("worker {} crashes and is restarted", world.workers[index].id));
                     world.crash(index);
@@ -341,7 +341,7 @@
         }
         Fault::PartitionInTwo => {
             world.log(format!("machines are partitioned into two random groups for {duration} us"));
-            let sides: Vec<bool> = (0..world.machines.len()).map(|_| world.rng.chance(50)).collect();
+            let sides: Vec<bool> = (0..world.machines.len()).map(|_| world.rng.chance_percent(50)).collect();
             for target in 0..sides.len() {
                 for other in 0..sides.len() {
                     if sides[target] != sides[other] {
@@ -359,7 +359,7 @@
             }
         }
         Fault::PartitionZone => {
-            let zone = format!("z{}", world.rng.below(3));
+            let zone = format!("z{}", world.rng.next_below(3));
             world.log(format!("zone {zone} is partitioned from the others for {duration} us"));
             for target in 0..world.machines.len() {
                 for other in 0..world.machines.len() {
--- a/crates/testbed/src/sim/faults/membership_losses.rs
+++ b/crates/testbed/src/sim/faults/membership_losses.rs
@@ -76,7 +76,7 @@
         let mut drawn = Vec::new();
         for _ in 0..count {
             if !running.is_empty() {
-                let position = usize::try_from(world.rng.below(running.len() as u64)).unwrap_or(0);
+                let position = usize::try_from(world.rng.next_below(running.len() as u64)).unwrap_or(0);
                 drawn.push(running.swap_remove(position));
             }
         }
@@ -85,7 +85,7 @@
 
     /// Draws up to `count` cores that run, or returns those with the oldest disks.
     fn draw_cores_or_oldest(world: &mut World, count: u64) -> Vec<usize> {
-        if !world.rng.chance(OLDEST_DISKS_PERCENT) {
+        if !world.rng.chance_percent(OLDEST_DISKS_PERCENT) {
             return Self::draw_cores(world, count);
         }
         let mut oldest = world.oldest_disks();
@@ -158,7 +158,7 @@
             return true;
         }
         let now = world.now;
-        let count = 1 + world.rng.below(u64::from(world.tolerated_losses));
+        let count = 1 + world.rng.next_below(u64::from(world.tolerated_losses));
         match fault {
             Fault::ReplaceCore { requests_shutdown, starts_successor_first } => {
                 self.begin_loss(now);
@@ -168,8 +168,12 @@
                         world.machines[machine].addr
                     ));
                     let end = now
-                        + if requests_shutdown || starts_successor_first { 300 * MS + world.rng.below(SEC) } else { 0 };
-                    let join = if starts_successor_first { now } else { end + world.rng.below(2 * SEC) };
+                        + if requests_shutdown || starts_successor_first {
+                            300 * MS + world.rng.next_below(SEC)
+                        } else {
+                            0
+                        };
+                    let join = if starts_successor_first { now } else { end + world.rng.next_below(2 * SEC) };
                     if requests_shutdown {
                         world.step(machine, Event::Shutdown);
                         self.shutdown_requested_at.insert(machine, now);
@@ -184,7 +188,7 @@
                 self.lose_disks(world, &drawn);
             }
             Fault::WipeAfterAck => {
-                let all = world.rng.chance(50);
+                let all = world.rng.chance_percent(50);
                 self.pending_ack_loss = Some((operators.done, all));
                 operators.change(world);
             }
@@ -209,7 +213,7 @@
             world.log(format!("{} loses its disk", world.machines[*machine].addr));
             world.lose_power(*machine);
             world.lose_disk(*machine);
-            let restart_at = world.now + 150 * MS + world.rng.below(850 * MS);
+            let restart_at = world.now + 150 * MS + world.rng.next_below(850 * MS);
             self.schedule(restart_at, MembershipAction::Start(*machine));
         }
     }
@@ -222,7 +226,7 @@
         for machine in 0..world.machines.len() {
             if world.machines[machine].node.is_some() && !spared.contains(&machine) {
                 world.lose_power(machine);
-                let restart_at = world.now + 150 * MS + world.rng.below(850 * MS);
+                let restart_at = world.now + 150 * MS + world.rng.next_below(850 * MS);
                 back = back.max(restart_at);
                 self.schedule(restart_at, MembershipAction::Start(machine));
             }
--- a/crates/testbed/src/sim/faults/profiles.rs
+++ b/crates/testbed/src/sim/faults/profiles.rs
@@ -231,7 +231,7 @@
         if count == 0 {
             return None;
         }
-        let fault = self.faults[usize::try_from(rng.below(count)).unwrap_or(0)];
-        Some((fault, 300 * MS + rng.below(7 * SEC)))
+        let fault = self.faults[usize::try_from(rng.next_below(count)).unwrap_or(0)];
+        Some((fault, 300 * MS + rng.next_below(7 * SEC)))
     }
 }
--- a/crates/testbed/src/sim/faults/repairs.rs
+++ b/crates/testbed/src/sim/faults/repairs.rs
@@ -66,9 +66,9 @@
 
     /// Draws a loss and starts it, in some cases with slow disks or a later power loss.
     fn start_loss(&mut self, world: &mut World, operators: &mut Operators, membership: &mut MembershipFaults) {
-        self.next_loss_at = world.now + world.rng.below(100 * MS);
-        self.power_loss_at = world.rng.chance(25).then(|| world.now + world.rng.below(4 * SEC));
-        if world.rng.chance(30) {
+        self.next_loss_at = world.now + world.rng.next_below(100 * MS);
+        self.power_loss_at = world.rng.chance_percent(25).then(|| world.now + world.rng.next_below(4 * SEC));
+        if world.rng.chance_percent(30) {
             world.log("all disks of cores are slow".into());
             let until = world.now + SLOW_DISK_TIME;
             world.machines.iter_mut().filter(|s| s.is_core).for_each(|s| s.disk.slow_until = until);
@@ -90,7 +90,7 @@
 
 /// Draws a loss by the weights of [`LOSSES`].
 fn draw_loss(world: &mut World) -> RepairLoss {
-    let mut point = world.rng.below(LOSSES.iter().map(|entry| entry.0).sum());
+    let mut point = world.rng.next_below(LOSSES.iter().map(|entry| entry.0).sum());
     for (weight, loss) in LOSSES {
         if point < *weight {
             return *loss;
@@ -103,7 +103,7 @@
 /// Freezes or partitions a drawn core, which recovers by itself with its state.
 fn isolate_core(world: &mut World, membership: &mut MembershipFaults, is_frozen: bool) {
     let Some(machine) = MembershipFaults::draw_cores(world, 1).first().copied() else { return };
-    let until = world.now + SEC + world.rng.below(MAX_ISOLATION - SEC);
+    let until = world.now + SEC + world.rng.next_below(MAX_ISOLATION - SEC);
     world.log(format!(
         "{} is {} until {until}",
         world.machines[machine].addr,
--- a/crates/testbed/src/sim/machines/disk.rs
+++ b/crates/testbed/src/sim/machines/disk.rs
@@ -45,7 +45,8 @@
 impl Disk {
     /// Queues a write; returns the moment at which it will be synced.
     pub fn write(&mut self, token: u64, operations: Vec<DurableWrite>, now: Micros, rng: &mut Rng) -> Micros {
-        let latency = MS / 2 + rng.below(3 * MS) + if self.slow_until > now { rng.below(300 * MS) } else { 0 };
+        let latency =
+            MS / 2 + rng.next_below(3 * MS) + if self.slow_until > now { rng.next_below(300 * MS) } else { 0 };
         let due = (now + latency).max(self.last_completion + 1).max(self.stalled_until);
         self.last_completion = due;
         self.queue.push_back(QueuedWrite { token, operations, due });
@@ -80,8 +81,11 @@
     /// Drops the queued writes at a loss of power. A drawn number of the first ones reached the disk whole, but none
     /// on a full disk.
     pub fn lose_power(&mut self, now: Micros, rng: &mut Rng) {
-        let completed =
-            if self.queue.is_empty() || self.full_until > now { 0 } else { rng.below(self.queue.len() as u64 + 1) };
+        let completed = if self.queue.is_empty() || self.full_until > now {
+            0
+        } else {
+            rng.next_below(self.queue.len() as u64 + 1)
+        };
         for _ in 0..completed {
             if let Some(write) = self.queue.pop_front() {
                 for operation in &write.operations {
--- a/crates/testbed/src/sim/machines/lifecycle.rs
+++ b/crates/testbed/src/sim/machines/lifecycle.rs
@@ -38,10 +38,12 @@
         let up = if up.is_empty() { down } else { up };
         let mut seeds = Vec::new();
         if !up.is_empty() {
-            seeds.push(self.machines[up[usize::try_from(self.rng.below(up.len() as u64)).unwrap_or(0)]].addr.clone());
+            seeds.push(
+                self.machines[up[usize::try_from(self.rng.next_below(up.len() as u64)).unwrap_or(0)]].addr.clone(),
+            );
         }
         while seeds.len() < 3 {
-            seeds.push(all[usize::try_from(self.rng.below(all.len() as u64)).unwrap_or(0)].clone());
+            seeds.push(all[usize::try_from(self.rng.next_below(all.len() as u64)).unwrap_or(0)].clone());
         }
         seeds.sort();
         seeds.dedup();
@@ -61,7 +63,7 @@
     /// Adds a core with an empty disk and starts it.
     pub fn join(&mut self, zone: &str) {
         let addr = self.address();
-        let clock_offset = self.rng.below(1_000 * SEC);
+        let clock_offset = self.rng.next_below(1_000 * SEC);
         self.machines.push(Machine {
             addr,
             calls: Machine::empty_registry(zone),
@@ -111,7 +113,7 @@
             node_id,
             incarnation: machine.incarnation,
             addr: machine.addr.clone(),
-            admin: String::new(),
+            admin_addr: String::new(),
             zone: machine.zone.clone(),
             seeds,
             is_core: machine.is_core,
@@ -120,7 +122,7 @@
             manages_voters: self.tolerated_losses > 0,
             tolerated_losses: self.tolerated_losses.max(1),
             report_interval: self.report_interval,
-            reports_to_cores_only: self.report_interval > 500 * MS,
+            workers_report_to_cores_only: self.report_interval > 500 * MS,
         };
         machine.frozen_until = 0;
         machine.deferred_events.clear();
@@ -135,7 +137,7 @@
             CallRegistry::new(SharedCallState::new(&machine.zone, 256, 64 << 20, node.quota.slices.clone()));
         machine.node = Some(node);
         let incarnation = machine.incarnation;
-        let delay = self.rng.below(TICK_INTERVAL);
+        let delay = self.rng.next_below(TICK_INTERVAL);
         self.schedule(now + delay, SimEvent::Tick(index, incarnation));
     }
 
--- a/crates/testbed/src/sim/network/delivery.rs
+++ b/crates/testbed/src/sim/network/delivery.rs
@@ -67,7 +67,7 @@
         else {
             return;
         };
-        let connected_at = until + self.rng.below(*interval);
+        let connected_at = until + self.rng.next_below(*interval);
         if connected_at <= self.now + MAX_QUEUE_TIME {
             self.schedule(connected_at, SimEvent::Frame { from, to, bytes });
         }
@@ -84,7 +84,7 @@
             traffic.0 += 1;
             traffic.1 += bytes.len() as u64;
         }
-        let is_lost = self.loss.1 > self.now && self.rng.chance(self.loss.0);
+        let is_lost = self.loss.1 > self.now && self.rng.chance_percent(self.loss.0);
         if is_lost {
             return;
         }
@@ -96,10 +96,10 @@
             return;
         }
         let is_same_zone = self.machines[from].zone == self.machines[receiver].zone;
-        let latency = if is_same_zone { 100 + self.rng.below(400) } else { 500 + self.rng.below(2_000) };
+        let latency = if is_same_zone { 100 + self.rng.next_below(400) } else { 500 + self.rng.next_below(2_000) };
         let is_reordering = self.reordering_until > self.now;
         let extra_delay =
-            if self.rng.chance(if is_reordering { 40 } else { 1 }) { self.rng.below(200 * MS) } else { 0 };
+            if self.rng.chance_percent(if is_reordering { 40 } else { 1 }) { self.rng.next_below(200 * MS) } else { 0 };
         let held_until = [from, receiver]
             .iter()
             .filter_map(|machine| self.frames_held_until.get(machine))
--- a/crates/testbed/src/sim/operators/orders/answers.rs
+++ b/crates/testbed/src/sim/operators/orders/answers.rs
@@ -20,7 +20,7 @@
             if matches!(outcome, ChangeOutcome::Committed { .. }) {
                 self.said_done = Some(world.now);
             }
-            if world.rng.chance(self.behaviour.lost) {
+            if world.rng.chance_percent(self.behaviour.lost) {
                 self.lost_responses += 1;
                 continue;
             }
--- a/crates/testbed/src/sim/operators/orders/mod.rs
+++ b/crates/testbed/src/sim/operators/orders/mod.rs
@@ -105,7 +105,7 @@
         self.handle_responses(world);
         self.expire_requests(world.now);
         if !calm && world.now >= self.next_submission_at {
-            self.next_submission_at = world.now + self.behaviour.every / 2 + world.rng.below(self.behaviour.every);
+            self.next_submission_at = world.now + self.behaviour.every / 2 + world.rng.next_below(self.behaviour.every);
             self.submit_next(world);
         }
         for index in 0..self.submissions.len() {
@@ -120,21 +120,21 @@
         let unsettled = self.submissions.iter().filter(|submission| !submission.is_settled()).count();
         if unsettled < MAX_PENDING {
             self.order(world, None);
-            if world.rng.chance(self.behaviour.races) {
+            if world.rng.chance_percent(self.behaviour.races) {
                 self.order(world, None);
             }
         }
         let committed: Vec<usize> =
             (0..self.submissions.len()).filter(|index| self.submissions[*index].is_committed).collect();
-        if !committed.is_empty() && world.rng.chance(self.behaviour.repeats) {
-            let index = committed[usize::try_from(world.rng.below(committed.len() as u64)).unwrap_or(0)];
+        if !committed.is_empty() && world.rng.chance_percent(self.behaviour.repeats) {
+            let index = committed[usize::try_from(world.rng.next_below(committed.len() as u64)).unwrap_or(0)];
             self.repeated += 1;
             self.send(world, index);
         }
-        if self.behaviour.bad > 0 && world.rng.chance(self.behaviour.bad) {
+        if self.behaviour.bad > 0 && world.rng.chance_percent(self.behaviour.bad) {
             self.submit_invalid(world);
         }
-        if world.rng.chance(self.behaviour.reads) {
+        if world.rng.chance_percent(self.behaviour.reads) {
             self.send_read(world, false);
         }
     }
--- a/crates/testbed/src/sim/operators/orders/sending.rs
+++ b/crates/testbed/src/sim/operators/orders/sending.rs
@@ -17,7 +17,7 @@
     /// Submits a new document on the newest base; sent to one machine only if it has a pinned target.
     pub fn order(&mut self, world: &mut World, pinned_target: Option<PinnedTarget>) {
         self.serial += 1;
-        let revision = self.base + 1 + world.rng.below(2);
+        let revision = self.base + 1 + world.rng.next_below(2);
         let plain = config_tree(self.serial, world.tenants, self.behaviour.routes, world.quotas_are_rates);
         let body = format!("{{\"revision\":{revision},{}", &plain[1..]);
         self.submissions.push(Submission {
@@ -43,7 +43,7 @@
     /// Submits an invalid document: either truncated, or of the same revision as its base.
     pub(super) fn submit_invalid(&mut self, world: &mut World) {
         self.order(world, None);
-        let is_truncated = world.rng.chance(50);
+        let is_truncated = world.rng.chance_percent(50);
         let serial = self.serial;
         let Some(submission) = self.submissions.last_mut() else { return };
         submission.is_invalid = true;
@@ -61,7 +61,7 @@
         let cores: Vec<usize> = (0..world.machines.len())
             .filter(|i| world.machines[*i].is_core && !world.machines[*i].is_removed && Some(*i) != excluded)
             .collect();
-        let position = usize::try_from(world.rng.below(cores.len().max(1) as u64)).unwrap_or(0);
+        let position = usize::try_from(world.rng.next_below(cores.len().max(1) as u64)).unwrap_or(0);
         cores.get(position).copied()
     }
 
--- a/crates/testbed/src/sim/operators/traffic.rs
+++ b/crates/testbed/src/sim/operators/traffic.rs
@@ -76,7 +76,8 @@
         if running.is_empty() {
             return;
         }
-        let draw = |world: &mut World| running[usize::try_from(world.rng.below(running.len() as u64)).unwrap_or(0)];
+        let draw =
+            |world: &mut World| running[usize::try_from(world.rng.next_below(running.len() as u64)).unwrap_or(0)];
         let (reader, target) = (draw(world), draw(world));
         let Some(base) = world.machines[reader].node.as_ref().and_then(sumacvale_core::node::Node::version) else {
             return;
@@ -211,11 +212,11 @@
 
     /// Sends half of the changes of unknown outcome again, with the same id and to a drawn node.
     fn retry_unknown(&mut self, world: &mut World, mut pending: PendingChange) {
-        if pending.is_retry || world.rng.chance(50) {
+        if pending.is_retry || world.rng.chance_percent(50) {
             return;
         }
         let running: Vec<_> = (0..world.machines.len()).filter(|i| world.is_running(*i)).collect();
-        let position = usize::try_from(world.rng.below(running.len().max(1) as u64)).unwrap_or(0);
+        let position = usize::try_from(world.rng.next_below(running.len().max(1) as u64)).unwrap_or(0);
         if let Some(machine) = running.get(position) {
             pending.is_retry = true;
             pending.deadline = world.now + 7 * SEC;
@@ -295,15 +296,15 @@
             // Only the first tenant has a crowd; the others keep their usual traffic.
             let draws = if index == 0 { crowd } else { 1 };
             for _ in 0..draws {
-                if !world.rng.chance(if tenant == REVOCABLE_TENANT { percent / 4 } else { percent }) {
+                if !world.rng.chance_percent(if tenant == REVOCABLE_TENANT { percent / 4 } else { percent }) {
                     continue;
                 }
-                let front = fronts[usize::try_from(world.rng.below(fronts.len() as u64)).unwrap_or(0)];
-                let drawn = world.rng.below(100);
+                let front = fronts[usize::try_from(world.rng.next_below(fronts.len() as u64)).unwrap_or(0)];
+                let drawn = world.rng.next_below(100);
                 let kind = world.call_mix.iter().position(|share| drawn < *share).unwrap_or(4);
                 let path = ["/v1/confirm", "/v1/book", "/v1/draft", "/v1/chat", "/v1/summary"][kind];
-                let prefix = if shares_prefix { 0 } else { world.rng.below(40) };
-                let disconnects_after = world.rng.chance(2).then(|| world.rng.below(300 * MS));
+                let prefix = if shares_prefix { 0 } else { world.rng.next_below(40) };
+                let disconnects_after = world.rng.chance_percent(2).then(|| world.rng.next_below(300 * MS));
                 self.calls += 1;
                 world.call(
                     front,
--- a/crates/testbed/src/sim/workers/execution.rs
+++ b/crates/testbed/src/sim/workers/execution.rs
@@ -44,7 +44,7 @@
     /// Draws the one-way latency between a machine and a worker, in microseconds.
     pub(in crate::sim) fn worker_latency(&mut self, machine: usize, worker: usize) -> Micros {
         let same_zone = self.machines[machine].zone == self.workers[worker].zone;
-        if same_zone { 100 + self.rng.below(400) } else { 500 + self.rng.below(2_000) }
+        if same_zone { 100 + self.rng.next_below(400) } else { 500 + self.rng.next_below(2_000) }
     }
 
     /// Sends an event of an attempt back to its node, unless the worker is unreachable.
@@ -118,7 +118,7 @@
                 self.respond(worker, origin, Event::AttemptFailed(FailurePoint::Sent));
             }
             _ => {
-                let due = self.now + 2 * MS + self.rng.below(10 * MS);
+                let due = self.now + 2 * MS + self.rng.next_below(10 * MS);
                 self.schedule(due, SimEvent::WorkerStep(worker, number));
             }
         }
@@ -169,7 +169,8 @@
             && request.next_event == SKIPPED_EVENT;
         let number = request.next_event + u64::from(skips);
         let text = event_text(request.origin.call, number, events);
-        if !request.is_first_part_sent && (request.behaviour == WorkerBehaviour::Cut || self.rng.chance(SPLIT_PERCENT))
+        if !request.is_first_part_sent
+            && (request.behaviour == WorkerBehaviour::Cut || self.rng.chance_percent(SPLIT_PERCENT))
         {
             request.is_first_part_sent = true;
             return WorkerStep::Continue(chunk(&text[..FIRST_PART_BYTES]), 5 * MS);
@@ -226,7 +227,7 @@
     /// Selects machines of the zone whose process runs, starting at a drawn one; the preferred target comes first.
     fn report_targets(&mut self, worker: usize, zone: &str) -> Vec<usize> {
         let mut targets: Vec<usize> = (0..self.machines.len()).filter(|i| self.machines[*i].zone == zone).collect();
-        let first = usize::try_from(self.rng.below(targets.len().max(1) as u64)).unwrap_or(0);
+        let first = usize::try_from(self.rng.next_below(targets.len().max(1) as u64)).unwrap_or(0);
         targets.rotate_left(first);
         let is_preferring = worker.is_multiple_of(PREFERRED_TARGET_DIVISOR);
         if let Some((preferred, _)) =
--- a/crates/testbed/src/sim/world.rs
+++ b/crates/testbed/src/sim/world.rs
@@ -164,7 +164,7 @@
         let drifts_ppm = [0, 1_000, 500];
         for i in 0..cores + fronts {
             let addr = world.address();
-            let clock_offset = world.rng.below(1_000 * SEC);
+            let clock_offset = world.rng.next_below(1_000 * SEC);
             let zone = format!("z{}", i % 3);
             world.machines.push(Machine {
                 addr,
@@ -186,7 +186,7 @@
             });
         }
         for i in 0..workers + APP_WORKERS {
-            let due = world.now + world.rng.below(500 * MS);
+            let due = world.now + world.rng.next_below(500 * MS);
             let (id, pool) = if i < workers { (format!("w{i}"), "llm") } else { (format!("a{i}"), "app") };
             world.workers.push(Worker::new(id, pool, format!("z{}", i % 3), due));
         }
--- a/crates/testbed/tests/connections.rs
+++ b/crates/testbed/tests/connections.rs
@@ -214,7 +214,7 @@
         for round in 1..=12usize {
             let core = round % 3;
             let body = config_tree(FleetSpec::SMALL, round, &[]);
-            let kill_delay = Duration::from_micros(rng.below(9_000));
+            let kill_delay = Duration::from_micros(rng.next_below(9_000));
             let (result, ()) = {
                 let change = apply_config(&fleet, 3 + round % 2, &body);
                 let kill = async {
--- a/crates/testbed/tests/trials.rs
+++ b/crates/testbed/tests/trials.rs
@@ -142,10 +142,10 @@
                 1 => (3u32.to_le_bytes().into_iter()).chain([77, 1, 2]).collect(),
                 2 => (0u32.to_le_bytes()).to_vec(),
                 _ => {
-                    let length = 20 + rng.below(200);
+                    let length = 20 + rng.next_below(200);
                     let mut frame = u32::try_from(length).unwrap_or(20).to_le_bytes().to_vec();
                     frame.push(1);
-                    frame.extend((1..length).map(|_| u8::try_from(rng.below(256)).unwrap_or(0)));
+                    frame.extend((1..length).map(|_| u8::try_from(rng.next_below(256)).unwrap_or(0)));
                     frame
                 }
             };
