--- a/crates/testbed/src/bounds.rs
+++ b/crates/testbed/src/bounds.rs
@@ -83,7 +83,7 @@
     /// Calls that arrived.
     pub calls: u64,
     /// Calls that were rejected.
-    pub refused: u64,
+    pub rejected: u64,
     /// The most calls admitted in any interval of a window's length.
     pub most_per_window: usize,
 }
@@ -130,7 +130,7 @@
             if history.admit(bound, now) {
                 admissions.most_per_window = admissions.most_per_window.max(history.last_window.len());
             } else {
-                admissions.refused += 1;
+                admissions.rejected += 1;
             }
         }
     }
--- a/crates/testbed/src/cli/bounds.rs
+++ b/crates/testbed/src/cli/bounds.rs
@@ -28,7 +28,7 @@
                 "{} {:3} % of the quota, {bound:?}: rejected {:5.1} %, worst interval {} of 60",
                 if arrivals.bursts { "bursts" } else { "steady" },
                 arrivals.quota_percent,
-                admissions.refused as f64 * 100.0 / admissions.calls as f64,
+                admissions.rejected as f64 * 100.0 / admissions.calls as f64,
                 admissions.most_per_window
             );
         }
--- a/crates/testbed/src/cli/sim.rs
+++ b/crates/testbed/src/cli/sim.rs
@@ -33,7 +33,7 @@
             let begin = Instant::now();
             let summary = simulate(plan.run(profile, seed));
             print(profile.name, seed, &summary, begin.elapsed(), plan.trace);
-            passed &= summary.breaches.is_empty();
+            passed &= summary.violations.is_empty();
         }
     }
     passed
@@ -82,15 +82,22 @@
     if let Some(control) = &summary.control {
         print_control(control);
     }
-    println!("    ends: {:?} serving again after {:?} ms", summary.ends, summary.serving.map(|time| time / 1_000));
+    println!(
+        "    ends: {:?} serving again after {:?} ms",
+        summary.ends,
+        summary.serving_after.map(|time| time / 1_000)
+    );
     if trace {
         print_zone_traffic(summary);
     }
-    if trace || !summary.breaches.is_empty() {
+    if trace || !summary.violations.is_empty() {
         summary.trace.iter().for_each(|line| println!("    {line}"));
     }
-    summary.refused.iter().for_each(|rejection| println!("    change rejected without need: {rejection}"));
-    summary.breaches.iter().for_each(|violation| println!("    violation: {}", violation.0));
+    summary
+        .needless_change_rejections
+        .iter()
+        .for_each(|rejection| println!("    change rejected without need: {rejection}"));
+    summary.violations.iter().for_each(|violation| println!("    violation: {}", violation.0));
 }
 
 /// Prints the counts and latencies of a run in one line.
@@ -98,52 +105,52 @@
     println!(
         "{:8} seed {seed}: version {} committed {} stale {} unknown {} no response {} | calls {} ran {} to the worker p50 {} p99 {} ms | attempts {}+{} resumed {} slots released {} units expired {} most per window {} needless rejections {} | propagation p99 {} worst {} ms | frames {} bytes {} | {} ms | violations {} rejected {}",
         profile,
-        summary.versions,
-        summary.done,
+        summary.newest_version,
+        summary.committed,
         summary.stale,
         summary.unknown,
-        summary.none,
+        summary.without_response,
         summary.calls,
-        summary.taken,
-        percentile_ms(&summary.held, 50),
-        percentile_ms(&summary.held, 99),
-        summary.tries.0,
-        summary.tries.1,
-        summary.resumed,
-        summary.reseated,
-        summary.units_ended,
-        summary.worst,
-        summary.needless,
-        percentile_ms(&summary.spread, 99),
-        percentile_ms(&summary.spread, 100),
+        summary.executed_calls,
+        percentile_ms(&summary.times_to_worker, 50),
+        percentile_ms(&summary.times_to_worker, 99),
+        summary.attempts.0,
+        summary.attempts.1,
+        summary.streams_resumed,
+        summary.slots_reassigned,
+        summary.units_expired,
+        summary.max_calls_per_window,
+        summary.needless_rejections,
+        percentile_ms(&summary.propagation_times, 99),
+        percentile_ms(&summary.propagation_times, 100),
         summary.frames,
         summary.bytes,
         elapsed.as_millis(),
-        summary.breaches.len(),
-        summary.refused.len()
+        summary.violations.len(),
+        summary.needless_change_rejections.len()
     );
 }
 
 /// Prints the recovery times after a power outage and after the loss of machines, if there were any.
 fn print_recovery(summary: &Summary) {
-    for (first_call, admitted) in &summary.lit {
+    for (first_call, admitted) in &summary.recovered_after_power_loss {
         println!(
             "after power was restored: first call ran after {} ms, 95 % of calls admitted after {} ms",
             first_call / 1_000,
             admitted / 1_000
         );
     }
-    if summary.voted.is_empty() {
+    if summary.voters_live_after.is_empty() {
         return;
     }
     // The number of times, their median and their maximum, in milliseconds.
     let times = |values: &[Micros]| (values.len(), percentile_ms(values, 50), percentile_ms(values, 100));
     println!(
-        "    after a loss (count, p50, worst ms): voters back {:?}, changes committed again {:?}",
-        times(&summary.voted),
-        times(&summary.again)
+        "    after a loss (count, p50, worst ms): voters live {:?}, all nodes fresh {:?}",
+        times(&summary.voters_live_after),
+        times(&summary.nodes_fresh_after)
     );
-    let (since_loss, since_return): (Vec<_>, Vec<_>) = summary.full.iter().copied().unzip();
+    let (since_loss, since_return): (Vec<_>, Vec<_>) = summary.voters_ready_after.iter().copied().unzip();
     println!(
         "    all voters ready: since the loss {:?}, since the last return {:?}",
         times(&since_loss),
@@ -154,24 +161,24 @@
 /// Prints the outcome of the changes, reads and faults of a control profile.
 fn print_control(control: &ControlSummary) {
     println!(
-        "    control: committed {} in p50 {} p99 {} ms repeated {} reads {} responses lost {} invalid rejected {} cores stopped {} faults {:?} variants {:?}",
-        control.taken,
-        percentile_ms(&control.took, 50),
-        percentile_ms(&control.took, 99),
+        "    control: committed {} in p50 {} p99 {} ms repeated {} reads {} responses lost {} invalid rejected {} departures acknowledged {} faults {:?} variants {:?}",
+        control.committed,
+        percentile_ms(&control.commit_times, 50),
+        percentile_ms(&control.commit_times, 99),
         control.repeated,
         control.reads,
-        control.lost,
-        control.refused,
-        control.left,
-        control.troubles,
-        control.variants
+        control.lost_responses,
+        control.rejected,
+        control.acknowledged_departures,
+        control.fault_counts,
+        control.variant_counts
     );
 }
 
 /// Prints the traffic between zones by kind of message, the most bytes first. The order must not depend on
 /// the names of the kinds.
 fn print_zone_traffic(summary: &Summary) {
-    let mut kinds: Vec<_> = summary.far.iter().collect();
+    let mut kinds: Vec<_> = summary.cross_zone_traffic.iter().collect();
     kinds.sort_by_key(|(_, (frames, bytes))| std::cmp::Reverse((*bytes, *frames)));
     for (kind, (frames, bytes)) in kinds {
         println!("    cross-zone: {kind:10} {frames:7} frames {bytes:9} bytes");
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -13,10 +13,10 @@
 mod trial;
 
 pub use config::{config_tree, tenant_key};
-pub use judge::{Finding, Revocation, judge};
+pub use judge::{Finding, Revocation, check_invariants};
 pub use node::Node;
 pub use nodes::{Fleet, Metrics};
 pub use scenario::{PrefixReuse, ScenarioOutcome, run_scenario};
 pub use setup::{apply_config, start_fleet, wait_for_workers};
 pub use spec::FleetSpec;
-pub use trial::{client, ensure, run_trial};
+pub use trial::{client, ensure, run_async_test};
--- a/crates/testbed/src/fleet/node.rs
+++ b/crates/testbed/src/fleet/node.rs
@@ -16,7 +16,7 @@
     /// The name of the zone.
     pub zone: String,
     /// True for a core, which has a data folder and a vote.
-    pub core: bool,
+    pub is_core: bool,
     /// The running process; `None` before its start and after its exit was awaited.
     process: Option<Child>,
     /// The folder of settings, log and data.
@@ -25,8 +25,8 @@
 
 impl Node {
     /// Creates a node without a process.
-    pub(super) fn new(ip: String, zone: String, core: bool, folder: PathBuf) -> Self {
-        Node { ip, zone, core, process: None, folder }
+    pub(super) fn new(ip: String, zone: String, is_core: bool, folder: PathBuf) -> Self {
+        Node { ip, zone, is_core, process: None, folder }
     }
 
     /// Returns the address that other nodes connect to.
@@ -122,7 +122,7 @@
     }
 
     /// Limits the size of the files that the process writes, in bytes; `None` removes the limit.
-    pub(super) fn limit_file_size(&self, bytes: Option<u64>) {
+    pub(super) fn set_file_size_limit(&self, bytes: Option<u64>) {
         let limit = libc::rlimit { rlim_cur: bytes.unwrap_or(libc::RLIM_INFINITY), rlim_max: libc::RLIM_INFINITY };
         if let Some(pid) = self.pid() {
             // SAFETY: the process is a child of this one, and `limit` outlives the call.
--- a/crates/testbed/src/fleet/nodes.rs
+++ b/crates/testbed/src/fleet/nodes.rs
@@ -29,7 +29,7 @@
     /// The HTTP client for all requests to nodes.
     pub http: HttpClient,
     /// The first three octets of every address of the fleet.
-    pub net: String,
+    pub subnet: String,
     /// Reserves the subnet: other fleets cannot bind the address of this listener.
     _reservation: TcpListener,
     /// The folder of the data and logs of all nodes.
@@ -66,7 +66,7 @@
 
 /// A loopback subnet and a folder that no other fleet uses.
 struct ReservedSubnet {
-    net: String,
+    subnet: String,
     reservation: TcpListener,
     folder: PathBuf,
 }
@@ -78,11 +78,11 @@
         let pid = std::process::id();
         for _ in 0..SUBNET_ATTEMPTS {
             let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
-            let net = format!("127.{}.{}", 20 + (pid / 200 + number) % 200, 1 + (pid + 7 * number) % 200);
-            let Ok(reservation) = TcpListener::bind(format!("{net}.254:7099")) else { continue };
+            let subnet = format!("127.{}.{}", 20 + (pid / 200 + number) % 200, 1 + (pid + 7 * number) % 200);
+            let Ok(reservation) = TcpListener::bind(format!("{subnet}.254:7099")) else { continue };
             let folder = std::env::temp_dir().join(format!("testbed-{pid}-{number}"));
             std::fs::create_dir(&folder)?;
-            return Ok(ReservedSubnet { net, reservation, folder });
+            return Ok(ReservedSubnet { subnet, reservation, folder });
         }
         Err(io::Error::other("no free loopback subnet"))
     }
@@ -104,13 +104,13 @@
     ///
     /// No loopback subnet is free, the folder can't be created, or the program was not built.
     pub fn new(cores: usize, fronts: usize) -> io::Result<Fleet> {
-        let ReservedSubnet { net, reservation, folder } = ReservedSubnet::reserve()?;
+        let ReservedSubnet { subnet, reservation, folder } = ReservedSubnet::reserve()?;
         let new_node = |index: usize| {
-            let (ip, zone) = (format!("{net}.{}", index + 1), format!("z{}", index % ZONES + 1));
+            let (ip, zone) = (format!("{subnet}.{}", index + 1), format!("z{}", index % ZONES + 1));
             Node::new(ip, zone, index < cores, folder.join(format!("n{index}")))
         };
         let nodes = (0..cores + fronts).map(new_node).collect();
-        Ok(Fleet { nodes, http: http_client(), net, _reservation: reservation, folder, program: find_program()? })
+        Ok(Fleet { nodes, http: http_client(), subnet, _reservation: reservation, folder, program: find_program()? })
     }
 
     /// Returns the settings of a node as JSON.
@@ -118,7 +118,7 @@
         let node = &self.nodes[index];
         let seeds: Vec<_> = self.nodes.iter().take(SEEDS).map(|seed| format!("\"{}\"", seed.peer())).collect();
         let data_field =
-            if node.core { format!("\"data\":\"{}\",", node.data_folder().display()) } else { String::new() };
+            if node.is_core { format!("\"data\":\"{}\",", node.data_folder().display()) } else { String::new() };
         format!(
             "{{{data_field}\"zone\":\"{}\",\"peer\":\"{}\",\"admin\":\"{}\",\"downstream\":\"{}\",\"seeds\":[{}],\"operators\":[\"sha256:{}\"],\"workers\":[\"sha256:{}\"],\"notice_ms\":1500,\"grace_ms\":8000}}",
             node.zone,
@@ -144,7 +144,7 @@
     /// Replaces a lost machine by one with another address and an empty disk.
     pub fn replace_machine(&mut self, index: usize) {
         let number = self.nodes.len() + 100;
-        let ip = format!("{}.{}", self.net, number + index);
+        let ip = format!("{}.{}", self.subnet, number + index);
         let folder = self.folder.join(format!("n{index}-new-{number}"));
         self.nodes[index].replace(ip, folder);
     }
@@ -177,8 +177,8 @@
     }
 
     /// Limits the size of the files of a node, in bytes, as a full disk does; `None` removes the limit.
-    pub fn limit_file_size(&self, index: usize, bytes: Option<u64>) {
-        self.nodes[index].limit_file_size(bytes);
+    pub fn set_file_size_limit(&self, index: usize, bytes: Option<u64>) {
+        self.nodes[index].set_file_size_limit(bytes);
     }
 
     /// Kills a node and waits for its exit.
--- a/crates/testbed/src/fleet/report.rs
+++ b/crates/testbed/src/fleet/report.rs
@@ -91,7 +91,7 @@
 
     fn print_rejected_calls(&self) {
         let is_rejected =
-            |record: &&ClientRecord| matches!(record.observation, ClientObservation::Refused { status: 503, .. });
+            |record: &&ClientRecord| matches!(record.observation, ClientObservation::Rejected { status: 503, .. });
         for record in self.records.iter().filter(is_rejected) {
             println!(
                 "  rejected at {:.3} s after {} ms {} by {}: {:?}",
@@ -107,7 +107,7 @@
     fn print_slow_calls(&self) {
         let is_slow = |record: &&ClientRecord| record.first_byte.as_millis() > SLOW_MS && record.kind != "summary";
         for record in self.records.iter().filter(is_slow) {
-            let run = self.runs.iter().find(|run| run.call == record.call);
+            let run = self.runs.iter().find(|run| run.call_id == record.call_id);
             println!(
                 "  slow {:>9.3} s {} {} at {}: first byte {} ms, at the worker after {:?} ms",
                 self.sent_after(record).as_secs_f64(),
@@ -115,7 +115,7 @@
                 record.tenant,
                 record.front,
                 record.first_byte.as_millis(),
-                run.map(|run| run.began.duration_since(record.sent_at).as_millis())
+                run.map(|run| run.started_at.duration_since(record.sent_at).as_millis())
             );
         }
     }
@@ -125,7 +125,7 @@
 fn describe_failure(observation: &ClientObservation) -> Option<String> {
     Some(match observation {
         ClientObservation::Complete => return None,
-        ClientObservation::Refused { status, code, ran, .. } => format!("{status} {code} (ran {ran})"),
+        ClientObservation::Rejected { status, code, ran, .. } => format!("{status} {code} (ran {ran})"),
         ClientObservation::Truncated { .. } => "truncated".into(),
         ClientObservation::NoResponse => "no response".into(),
         ClientObservation::Violation(_) => "WRONG".into(),
--- a/crates/testbed/src/fleet/scenario.rs
+++ b/crates/testbed/src/fleet/scenario.rs
@@ -1,7 +1,7 @@
 //! A scenario: a deployment that runs for a bounded time with traffic and, if requested, injected faults.
 
 use super::config::{config_tree, tenant_key};
-use super::judge::{Finding, Revocation, judge};
+use super::judge::{Finding, Revocation, check_invariants};
 use super::load_balancer::start_load_balancer;
 use super::node::Node;
 use super::nodes::Fleet;
@@ -64,7 +64,7 @@
     /// Counts the reuse in the order in which the runs began.
     fn of(runs: &[WorkerRun]) -> Self {
         let mut runs: Vec<_> = runs.iter().filter(|run| run.worker.starts_with("llm")).collect();
-        runs.sort_by_key(|run| run.began);
+        runs.sort_by_key(|run| run.started_at);
         let mut seen_prefixes = BTreeSet::new();
         let reused = runs.iter().filter(|run| !seen_prefixes.insert((&run.path, &run.prefix, &run.worker))).count();
         PrefixReuse { reused: reused as u64, runs: runs.len() as u64 }
@@ -242,7 +242,7 @@
         };
         for index in CORES..self.fleet.nodes.len() {
             let record = client.call(&self.fleet.nodes[index].front(), &format!("late-{index}"), "x").await;
-            if !matches!(&record.observation, ClientObservation::Refused { status: 401 | 503, .. }) {
+            if !matches!(&record.observation, ClientObservation::Rejected { status: 401 | 503, .. }) {
                 let finding = format!("a revoked key got {:?} from {}", record.observation, record.front);
                 self.findings.push(Finding(finding));
             }
@@ -269,7 +269,7 @@
         let counters = self.sum_counters().await;
         let cpu_ms = self.fleet.nodes.iter().map(Node::cpu_ms).sum();
         let runs = self.log.runs();
-        self.findings.extend(judge(&records, &runs, self.revocation.as_ref()));
+        self.findings.extend(check_invariants(&records, &runs, self.revocation.as_ref()));
         self.findings.extend(check_retries(&counters));
         if with_faults {
             self.findings.extend(check_graceful_stop(&records, &self.fleet.nodes[STOPPED_FRONT].front()));
@@ -302,7 +302,7 @@
     let is_lost =
         |record: &&ClientRecord| record.front == front && matches!(record.observation, ClientObservation::NoResponse);
     let finding =
-        |record: &ClientRecord| Finding(format!("{}: no response from a front that was stopping", record.call));
+        |record: &ClientRecord| Finding(format!("{}: no response from a front that was stopping", record.call_id));
     records.iter().filter(is_lost).map(finding).collect()
 }
 
--- a/crates/testbed/src/fleet/setup.rs
+++ b/crates/testbed/src/fleet/setup.rs
@@ -53,7 +53,7 @@
 fn worker_spec(fleet: &Fleet, spec: FleetSpec, index: usize) -> Result<WorkerSpec, String> {
     let zone = format!("z{}", index % 3 + 1);
     let (pool, slots) = if index < spec.model_workers { ("llm", 16) } else { ("app", 64) };
-    let addr: Result<SocketAddr, _> = format!("{}.{}:7200", fleet.net, 200 + index).parse();
+    let addr: Result<SocketAddr, _> = format!("{}.{}:7200", fleet.subnet, 200 + index).parse();
     Ok(WorkerSpec {
         id: format!("{pool}{index}"),
         addr: addr.map_err(|_| "invalid worker address")?,
--- a/crates/testbed/src/fleet/trial.rs
+++ b/crates/testbed/src/fleet/trial.rs
@@ -9,7 +9,7 @@
 /// # Panics
 ///
 /// The test returns an error, which becomes the message of the panic.
-pub fn run_trial(test: impl Future<Output = Result<(), String>>) {
+pub fn run_async_test(test: impl Future<Output = Result<(), String>>) {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().expect("threads");
     if let Err(reason) = runtime.block_on(test) {
         panic!("{reason}");
--- a/crates/testbed/src/sim/calls/call_driver.rs
+++ b/crates/testbed/src/sim/calls/call_driver.rs
@@ -259,7 +259,7 @@
         call.attempt += 1;
         let state = &self.workers[worker];
         call.worker = Some((worker, state.incarnation));
-        if state.behaviour_at(self.now) == WorkerBehaviour::Dark {
+        if state.behaviour_at(self.now) == WorkerBehaviour::Unreachable {
             return;
         }
         let event = if state.is_running { Event::Connected } else { Event::AttemptFailed(FailurePoint::Connect) };
@@ -301,8 +301,8 @@
     /// Ends all calls of a process that ended: clients and workers see their connections close.
     pub(in crate::sim) fn drop_calls(&mut self, machine: usize) {
         let counters = &self.machines[machine].calls.shared.counters;
-        self.tries.0 += counters.attempts_first.get();
-        self.tries.1 += counters.retries.get();
+        self.attempts.0 += counters.attempts_first.get();
+        self.attempts.1 += counters.retries.get();
         self.streams_resumed += counters.streams_resumed.get();
         self.slots_reassigned += counters.slots_reassigned.get();
         self.quota_units_expired += counters.units_expired.get();
--- a/crates/testbed/src/sim/checks/calls.rs
+++ b/crates/testbed/src/sim/checks/calls.rs
@@ -17,9 +17,9 @@
     /// Versions, and when they were acknowledged.
     pub acknowledged: Vec<(Version, Micros)>,
     /// Versions, when they were first committed, and whether they have the key of the revocable tenant.
-    pub keys: Vec<(Version, Micros, bool)>,
+    pub key_versions: Vec<(Version, Micros, bool)>,
     /// The numbers of first attempts and of retries.
-    pub tries: (u64, u64),
+    pub attempts: (u64, u64),
     /// Which machines were frozen, from when and until when.
     pub freezes: Vec<(usize, Micros, Micros)>,
 }
@@ -47,8 +47,8 @@
         if runs_at_most_once(runs[0].path) && runs.len() > 1 {
             violations.push(format!("call {call} is not safe to repeat and ran {} times", runs.len()));
         }
-        let first_pieces: BTreeSet<_> = runs.iter().map(|run| run.first_piece).collect();
-        if runs[0].path == "/v1/draft" && first_pieces.len() < runs.len() {
+        let first_events: BTreeSet<_> = runs.iter().map(|run| run.first_event).collect();
+        if runs[0].path == "/v1/draft" && first_events.len() < runs.len() {
             violations.push(format!("call {call} was started twice at the same piece"));
         }
     }
@@ -62,8 +62,8 @@
         check_revocation(execution, limits, &mut violations);
     }
     check_quotas(&by_call, limits, &mut violations);
-    if limits.tries.1 * 5 > limits.tries.0 {
-        violations.push(format!("{} retries for {} first attempts", limits.tries.1, limits.tries.0));
+    if limits.attempts.1 * 5 > limits.attempts.0 {
+        violations.push(format!("{} retries for {} first attempts", limits.attempts.1, limits.attempts.0));
     }
     violations.truncate(20);
     violations.into_iter().map(Violation).collect()
@@ -121,7 +121,7 @@
         .map(|acknowledged| acknowledged.0)
         .max()
         .unwrap_or(0);
-    if !limits.keys.iter().any(|key| key.0 >= oldest && key.1 <= execution.started_at && key.2) {
+    if !limits.key_versions.iter().any(|key| key.0 >= oldest && key.1 <= execution.started_at && key.2) {
         violations.push(format!(
             "call {} ran at {} with a key revoked over 5 s before (version {oldest})",
             execution.call, execution.started_at
--- a/crates/testbed/src/sim/checks/majority_contact.rs
+++ b/crates/testbed/src/sim/checks/majority_contact.rs
@@ -30,7 +30,7 @@
     pub fn observe(&mut self, world: &World) {
         let hubs = majority_hubs(world);
         let is_connected: Vec<bool> = (0..world.machines.len())
-            .map(|i| world.is_running(i) && hubs.iter().any(|hub| world.linked(i, *hub)))
+            .map(|i| world.is_running(i) && hubs.iter().any(|hub| world.is_linked(i, *hub)))
             .collect();
         self.machines.resize(world.machines.len(), Contact::default());
         for (i, contact) in self.machines.iter_mut().enumerate() {
@@ -38,7 +38,7 @@
                 *contact = Contact { incarnation: world.machines[i].incarnation, ..Contact::default() };
             }
             contact.has_met_majority |= is_connected[i]
-                && known_cores(world, i).iter().any(|core| is_connected[*core] && world.linked(i, *core));
+                && known_cores(world, i).iter().any(|core| is_connected[*core] && world.is_linked(i, *core));
             contact.since = if is_connected[i] && contact.has_met_majority {
                 Some(contact.since.unwrap_or(world.now))
             } else {
@@ -64,7 +64,7 @@
     let is_voter =
         |i: &usize| world.machines[*i].node.as_ref().is_some_and(|node| voters.contains(&node.settings.node_id));
     let running: Vec<usize> = (0..world.machines.len()).filter(|i| world.is_running(*i) && is_voter(i)).collect();
-    let linked_voters = |i: usize| running.iter().filter(|other| world.linked(i, **other)).count();
+    let linked_voters = |i: usize| running.iter().filter(|other| world.is_linked(i, **other)).count();
     running.iter().copied().filter(|i| linked_voters(*i) * 2 > voters.len()).collect()
 }
 
--- a/crates/testbed/src/sim/checks/recovery.rs
+++ b/crates/testbed/src/sim/checks/recovery.rs
@@ -7,10 +7,10 @@
 use sumacvale_core::base::{MS, Micros, SEC};
 
 /// The deadline after the last fault by which every node must serve again.
-pub(in crate::sim) const BACK: Micros = 12 * SEC;
+pub(in crate::sim) const RECOVERY_DEADLINE: Micros = 12 * SEC;
 
 /// Checks that no slot and no queue entry is held once all calls have ended.
-pub(in crate::sim) fn empty(world: &mut World) {
+pub(in crate::sim) fn check_nothing_held(world: &mut World) {
     world.run(world.now + 8 * SEC);
     for machine in &world.machines {
         let shared = &machine.calls.shared;
@@ -24,7 +24,7 @@
 
 /// Checks that all nodes are fresh on one version, commit a change and settle quotas; returns how long after the last
 /// fault, in microseconds, the check of the nodes began.
-pub(in crate::sim) fn recover(world: &mut World, operators: &mut Operators, end: Micros) -> Option<Micros> {
+pub(in crate::sim) fn check_recovery(world: &mut World, operators: &mut Operators, end: Micros) -> Option<Micros> {
     let not_fresh: Vec<_> = (0..world.machines.len())
         .filter(|i| {
             let machine = &world.machines[*i];
@@ -48,19 +48,19 @@
     if acknowledged > versions.iter().next_back().copied().flatten() {
         world.safety.violations.push(Violation("an acknowledged version is lost at the end".into()));
     }
-    let committed_before = operators.done;
+    let committed_before = operators.committed;
     let fresh_at = world.now;
     for _ in 0..40 {
-        operators.change(world);
+        operators.submit_config(world);
         let next_poll = world.now + 250 * MS;
         world.run(next_poll);
         world.report();
-        operators.answers(world);
-        if operators.done > committed_before {
+        operators.handle_outcomes(world);
+        if operators.committed > committed_before {
             break;
         }
     }
-    if operators.done == committed_before {
+    if operators.committed == committed_before {
         world.safety.violations.push(Violation("no change is committed after the last fault".into()));
         return None;
     }
@@ -70,7 +70,7 @@
         world.run(next_round);
         world.report();
         world.check_readiness();
-        operators.calls(world, 50);
+        operators.start_calls(world, 50);
     }
     let unsettled = operators.find_unsettled_quotas(world, 4 * SEC);
     if !unsettled.is_empty() {
@@ -82,8 +82,8 @@
     Some(fresh_at.max(end) - end)
 }
 
-/// Returns how long after the last fault all fronts had served a call again, and checks it against [`BACK`].
-pub(in crate::sim) fn serving(world: &mut World, end: Micros) -> Option<Micros> {
+/// Returns how long after the last fault all fronts had served a call again, and checks it against [`RECOVERY_DEADLINE`].
+pub(in crate::sim) fn time_until_serving(world: &mut World, end: Micros) -> Option<Micros> {
     let fronts = (0..world.machines.len()).filter(|i| !world.machines[*i].is_core && !world.machines[*i].is_removed);
     let first_served = |front: usize| {
         let complete = world.call_outcomes.iter().filter(|outcome| {
@@ -91,10 +91,10 @@
         });
         complete.map(|outcome| outcome.ended_at - end).min()
     };
-    let serving = fronts.map(first_served).collect::<Option<Vec<_>>>().and_then(|times| times.into_iter().max());
-    if serving.is_none_or(|time| time > BACK) {
-        let text = format!("not all fronts serve again 12 s after the last fault: {serving:?}");
+    let last_served = fronts.map(first_served).collect::<Option<Vec<_>>>().and_then(|times| times.into_iter().max());
+    if last_served.is_none_or(|time| time > RECOVERY_DEADLINE) {
+        let text = format!("not all fronts serve again 12 s after the last fault: {last_served:?}");
         world.safety.violations.push(Violation(text));
     }
-    serving
+    last_served
 }
--- a/crates/testbed/src/sim/checks/summary.rs
+++ b/crates/testbed/src/sim/checks/summary.rs
@@ -18,65 +18,65 @@
 #[derive(Clone, Debug, Default)]
 pub struct Summary {
     /// The rules that were broken.
-    pub breaches: Vec<Violation>,
+    pub violations: Vec<Violation>,
     /// The newest version of the configuration at the end.
-    pub versions: u64,
+    pub newest_version: u64,
     /// Changes that were committed.
-    pub done: u64,
+    pub committed: u64,
     /// Changes that were rejected as stale.
     pub stale: u64,
     /// Changes whose outcome stayed unknown.
     pub unknown: u64,
     /// Changes that failed in another way: no quorum, invalid, or a change id that was used before.
-    pub none: u64,
+    pub without_response: u64,
     /// Changes that were rejected without need.
-    pub refused: Vec<String>,
+    pub needless_change_rejections: Vec<String>,
     /// Calls of clients.
     pub calls: u64,
     /// Calls that ran at a worker.
-    pub taken: u64,
+    pub executed_calls: u64,
     /// Calls that were rejected because their quota was spent.
     pub spent: u64,
     /// The number of calls by how they ended: the code of the response, or what the client saw without one.
     pub ends: BTreeMap<String, u64>,
     /// The numbers of first attempts and of retries.
-    pub tries: (u64, u64),
+    pub attempts: (u64, u64),
     /// Streams that were resumed at another worker.
-    pub resumed: u64,
+    pub streams_resumed: u64,
     /// Slots that were reassigned before a request was sent, since the worker was removed.
-    pub reseated: u64,
+    pub slots_reassigned: u64,
     /// Quota units that expired before their call was sent.
-    pub units_ended: u64,
+    pub units_expired: u64,
     /// Writes that full disks rejected.
-    pub refused_writes: u64,
+    pub rejected_writes: u64,
     /// Frames that were lost in connections to a former incarnation.
-    pub swallowed: u64,
+    pub frames_lost_in_stale_connections: u64,
     /// The most calls of one tenant that ran in any interval of a quota window's length.
-    pub worst: u64,
+    pub max_calls_per_window: u64,
     /// Calls that were rejected for a spent quota of which much was left.
-    pub needless: u64,
+    pub needless_rejections: u64,
     /// The times that changes took to reach all nodes.
-    pub spread: Vec<Micros>,
+    pub propagation_times: Vec<Micros>,
     /// The times that calls took to reach a worker.
-    pub held: Vec<Micros>,
-    /// The times from the last return of a machine until all voters were reachable and all nodes fresh.
-    pub voted: Vec<Micros>,
-    /// The times from the last return of a machine until changes were committed again.
-    pub again: Vec<Micros>,
+    pub times_to_worker: Vec<Micros>,
+    /// The times from the last return of a machine until all voters were live.
+    pub voters_live_after: Vec<Micros>,
+    /// The times from the last return of a machine until all nodes were fresh.
+    pub nodes_fresh_after: Vec<Micros>,
     /// The times from a loss, and from the last return of a machine, until all voters were ready as well.
-    pub full: Vec<(Micros, Micros)>,
+    pub voters_ready_after: Vec<(Micros, Micros)>,
     /// The times from the return of all power until a call ran again, and until 19 of 20 calls were admitted.
-    pub lit: Vec<(Micros, Micros)>,
+    pub recovered_after_power_loss: Vec<(Micros, Micros)>,
     /// The time from the last fault until the recovery check found all nodes fresh; `None` if the check failed.
     pub recovered: Option<Micros>,
     /// The time from the last fault until all fronts had served a call again.
-    pub serving: Option<Micros>,
+    pub serving_after: Option<Micros>,
     /// Frames that were sent between nodes.
     pub frames: u64,
     /// Bytes of these frames.
     pub bytes: u64,
     /// Frames and bytes between zones, by the kind of message.
-    pub far: BTreeMap<&'static str, (u64, u64)>,
+    pub cross_zone_traffic: BTreeMap<&'static str, (u64, u64)>,
     /// The results of the control-plane faults, in profiles that inject them.
     pub control: Option<ControlSummary>,
     /// What happened, in order, for people who read a run.
@@ -87,38 +87,38 @@
 #[derive(Clone, Debug, Default)]
 pub struct ControlSummary {
     /// Changes that were committed.
-    pub taken: u64,
+    pub committed: u64,
     /// Committed changes that were sent again.
     pub repeated: u64,
     /// Reads of the newest configuration.
     pub reads: u64,
     /// Responses that were lost on their way.
-    pub lost: u64,
+    pub lost_responses: u64,
     /// Invalid documents that were rejected.
-    pub refused: u64,
-    /// Cores that were told to stop and shut down gracefully.
-    pub left: u64,
+    pub rejected: u64,
+    /// Workers whose departure was acknowledged.
+    pub acknowledged_departures: u64,
     /// The times that changes took until their acknowledgement, in microseconds.
-    pub took: Vec<Micros>,
+    pub commit_times: Vec<Micros>,
     /// The number of injected faults by kind.
-    pub troubles: BTreeMap<String, u64>,
+    pub fault_counts: BTreeMap<String, u64>,
     /// The number of injected faults by variant.
-    pub variants: BTreeMap<&'static str, u64>,
+    pub variant_counts: BTreeMap<&'static str, u64>,
 }
 
 impl ControlSummary {
     /// Summarizes the injected faults and the submissions of the operator.
     pub fn of(control: Control) -> ControlSummary {
         ControlSummary {
-            taken: control.orders.taken(),
-            repeated: control.orders.repeated,
-            reads: control.orders.reads,
-            lost: control.orders.lost_responses,
-            refused: control.orders.rejected,
-            left: control.left,
-            took: control.orders.commit_times,
-            troubles: control.troubles,
-            variants: control.variants,
+            committed: control.operator.committed_count(),
+            repeated: control.operator.repeated,
+            reads: control.operator.reads,
+            lost_responses: control.operator.lost_responses,
+            rejected: control.operator.rejected,
+            acknowledged_departures: control.acknowledged_departures,
+            commit_times: control.operator.commit_times,
+            fault_counts: control.fault_counts,
+            variant_counts: control.variant_counts,
         }
     }
 }
@@ -180,40 +180,47 @@
         let begun_at: BTreeMap<u64, Micros> =
             world.call_outcomes.iter().map(|outcome| (outcome.call, outcome.started_at)).collect();
         let first = first_executions(&world.executions);
-        let held =
+        let times_to_worker =
             first.iter().filter_map(|run| Some(run.started_at.saturating_sub(*begun_at.get(&run.call)?))).collect();
         Summary {
-            breaches: world.safety.violations.clone(),
-            versions: world.safety.committed.keys().next_back().copied().unwrap_or(0),
-            done: operators.done,
+            violations: world.safety.violations.clone(),
+            newest_version: world.safety.committed.keys().next_back().copied().unwrap_or(0),
+            committed: operators.committed,
             stale: operators.stale,
             unknown: operators.unknown,
-            none: operators.failed,
-            refused: operators.refused,
+            without_response: operators.failed,
+            needless_change_rejections: operators.needless_rejections,
             calls: operators.calls,
-            taken: first.len() as u64,
-            lit: faults.dark.iter().filter_map(|outage| times_to_serve_after_outage(*outage, &world)).collect(),
+            executed_calls: first.len() as u64,
+            recovered_after_power_loss: faults
+                .power_outages
+                .iter()
+                .filter_map(|outage| times_to_serve_after_outage(*outage, &world))
+                .collect(),
             spent: ends.get("quota").copied().unwrap_or(0),
             ends,
-            tries: world.tries,
-            resumed: world.streams_resumed,
-            reseated: world.slots_reassigned,
-            units_ended: world.quota_units_expired,
-            refused_writes: world.rejected_writes,
-            swallowed: world.connections.swallowed,
-            needless: count_needless_rejections(&world.call_outcomes, &world.executions, limits)
+            attempts: world.attempts,
+            streams_resumed: world.streams_resumed,
+            slots_reassigned: world.slots_reassigned,
+            units_expired: world.quota_units_expired,
+            rejected_writes: world.rejected_writes,
+            frames_lost_in_stale_connections: world.connections.frames_lost_in_stale_connections,
+            needless_rejections: count_needless_rejections(&world.call_outcomes, &world.executions, limits)
                 + count_needless_rate_rejections(&world.call_outcomes, &world.executions, rates),
-            worst: max_calls_per_window(&world.executions, QUOTA_WINDOW).into_values().max().unwrap_or(0),
-            spread: operators.propagation_times,
-            held,
-            voted: faults.voted,
-            again: faults.again,
-            full: faults.full,
+            max_calls_per_window: max_calls_per_window(&world.executions, QUOTA_WINDOW)
+                .into_values()
+                .max()
+                .unwrap_or(0),
+            propagation_times: operators.propagation_times,
+            times_to_worker,
+            voters_live_after: faults.voters_live_after,
+            nodes_fresh_after: faults.nodes_fresh_after,
+            voters_ready_after: faults.voters_ready_after,
             recovered: None,
-            serving: None,
+            serving_after: None,
             frames: world.frames,
             bytes: world.bytes,
-            far: world.cross_zone_traffic,
+            cross_zone_traffic: world.cross_zone_traffic,
             control: None,
             trace: world.trace,
         }
--- a/crates/testbed/src/sim/cutoff/answers.rs
+++ b/crates/testbed/src/sim/cutoff/answers.rs
@@ -2,7 +2,7 @@
 
 use super::callers::{PendingRequest, Reporter, ReporterState, revision_of};
 use super::judge::Contact;
-use super::results::Caller;
+use super::results::CallerKind;
 use super::{CORES, Driver};
 use sumacvale_core::base::{MS, Micros, SEC};
 use sumacvale_core::protocol::ChangeOutcome;
@@ -16,7 +16,7 @@
         for (request_id, outcome) in std::mem::take(&mut self.world.change_outcomes) {
             let Some(request) = self.pending_requests.remove(&request_id) else { continue };
             match request.caller {
-                Caller::Read => self.handle_read(request_id, &request, outcome),
+                CallerKind::Read => self.handle_read(request_id, &request, outcome),
                 _ => self.handle_change_outcome(&request, outcome),
             }
         }
@@ -92,11 +92,11 @@
         }
         reporter.failed_attempts = 0;
         match request.caller {
-            Caller::Drain => {
+            CallerKind::Drain => {
                 reporter.state = ReporterState::Leaving;
                 reporter.due = now + 2 * SEC;
             }
-            Caller::Deregister => {
+            CallerKind::Deregister => {
                 self.last_serial += 1;
                 *reporter = Reporter::new(format!("v{}", self.last_serial), reporter.core, now + SEC);
             }
@@ -127,8 +127,8 @@
                 stats.timed_out += 1;
             }
             match request.caller {
-                Caller::Change => self.schedule_retry(request.sender, now),
-                Caller::Read => {}
+                CallerKind::Change => self.schedule_retry(request.sender, now),
+                CallerKind::Read => {}
                 _ => self.handle_report_ack(&request, false),
             }
         }
--- a/crates/testbed/src/sim/cutoff/callers.rs
+++ b/crates/testbed/src/sim/cutoff/callers.rs
@@ -1,13 +1,13 @@
 //! The callers of a partition run: operators who submit documents, and workers that report.
 
-use super::results::Caller;
+use super::results::CallerKind;
 use sumacvale_core::base::{Micros, hash64};
 use sumacvale_core::protocol::{UNKNOWN_INCARNATION, WorkerReport};
 
 /// A request without a response so far.
 #[derive(Clone, Debug)]
 pub(super) struct PendingRequest {
-    pub(super) caller: Caller,
+    pub(super) caller: CallerKind,
     /// The index of the operator or worker that sent the request; 0 for a read.
     pub(super) sender: usize,
     pub(super) core: usize,
--- a/crates/testbed/src/sim/cutoff/calls.rs
+++ b/crates/testbed/src/sim/cutoff/calls.rs
@@ -1,7 +1,7 @@
 //! Sends the requests of readers, operators and workers to cores.
 
 use super::callers::{Document, PendingRequest, ReporterState, document_body};
-use super::results::Caller;
+use super::results::CallerKind;
 use super::{CORES, Driver, REPORT_INTERVAL};
 use sumacvale_core::base::{ChangeId, MS, Micros, hash64};
 use sumacvale_core::node::Event;
@@ -9,7 +9,7 @@
 
 impl Driver {
     /// Records a new pending request and returns its id.
-    pub(super) fn open_request(&mut self, caller: Caller, sender: usize, core: usize) -> u64 {
+    pub(super) fn open_request(&mut self, caller: CallerKind, sender: usize, core: usize) -> u64 {
         self.last_serial += 1;
         let request = PendingRequest { caller, sender, core, sent_at: self.world.now };
         self.pending_requests.insert(self.last_serial, request);
@@ -19,7 +19,7 @@
     /// Reads the newest document at a random core.
     pub(super) fn send_read(&mut self) {
         let core = usize::try_from(self.world.rng.next_below(CORES as u64)).unwrap_or(0);
-        let request_id = self.open_request(Caller::Read, 0, core);
+        let request_id = self.open_request(CallerKind::Read, 0, core);
         let newest = self.acknowledged.iter().map(|document| document.revision).max().unwrap_or(0);
         self.newest_before_read.insert(request_id, newest);
         self.submit_change(core, request_id, ChangeId(0), 0, Change::ReadNewest);
@@ -43,7 +43,7 @@
             let is_pending = self
                 .pending_requests
                 .values()
-                .any(|request| request.caller == Caller::Change && request.sender == sender);
+                .any(|request| request.caller == CallerKind::Change && request.sender == sender);
             if is_pending || now < self.operators[sender].due {
                 continue;
             }
@@ -57,7 +57,7 @@
             }
             let Some(Document { base, body, .. }) = self.operators[sender].document.clone() else { continue };
             let core = usize::try_from(self.world.rng.next_below(CORES as u64)).unwrap_or(0);
-            let request_id = self.open_request(Caller::Change, sender, core);
+            let request_id = self.open_request(CallerKind::Change, sender, core);
             let change_id = ChangeId(hash64(body.as_bytes()).max(1));
             self.submit_change(core, request_id, change_id, base, Change::Document(body));
         }
@@ -66,10 +66,9 @@
     /// Sends the reports of workers that are due and have no report pending.
     pub(super) fn send_due_reports(&mut self, now: Micros) {
         for sender in 0..self.reporters.len() {
-            let is_pending = self
-                .pending_requests
-                .values()
-                .any(|request| request.sender == sender && !matches!(request.caller, Caller::Change | Caller::Read));
+            let is_pending = self.pending_requests.values().any(|request| {
+                request.sender == sender && !matches!(request.caller, CallerKind::Change | CallerKind::Read)
+            });
             if is_pending || now < self.reporters[sender].due {
                 continue;
             }
@@ -80,10 +79,10 @@
             reporter.due = now + REPORT_INTERVAL;
             let (core, report) = (reporter.core, reporter.next_report());
             let (caller, report) = match reporter.state {
-                ReporterState::Ready => (Caller::Report, report),
-                ReporterState::Draining => (Caller::Drain, report),
+                ReporterState::Ready => (CallerKind::Report, report),
+                ReporterState::Draining => (CallerKind::Drain, report),
                 ReporterState::Leaving => {
-                    (Caller::Deregister, WorkerReport::removal(&report.worker_id, UNKNOWN_INCARNATION))
+                    (CallerKind::Deregister, WorkerReport::removal(&report.worker_id, UNKNOWN_INCARNATION))
                 }
             };
             let request_id = self.open_request(caller, sender, core);
--- a/crates/testbed/src/sim/cutoff/judge.rs
+++ b/crates/testbed/src/sim/cutoff/judge.rs
@@ -2,7 +2,7 @@
 
 use super::Driver;
 use super::callers::{PendingRequest, revision_of};
-use super::results::{Caller, ResponseStats};
+use super::results::{CallerKind, ResponseStats};
 use crate::sim::checks::safety::Violation;
 use std::collections::BTreeSet;
 use sumacvale_core::base::{MS, Micros, SEC};
@@ -42,7 +42,7 @@
     }
 
     /// The statistics that count a request; `None` while the contact changes.
-    pub(super) fn stats_of(&mut self, contact: Contact, caller: Caller) -> Option<&mut ResponseStats> {
+    pub(super) fn stats_of(&mut self, contact: Contact, caller: CallerKind) -> Option<&mut ResponseStats> {
         match contact {
             Contact::Partitioned(_) => Some(self.results.partitioned.entry(caller).or_default()),
             Contact::Connected => Some(self.results.connected.entry(caller).or_default()),
@@ -60,9 +60,11 @@
             stats.response_times.push(elapsed);
         }
         let Contact::Partitioned(age) = contact else { return };
-        let is_report = request.caller == Caller::Report;
+        let is_report = request.caller == CallerKind::Report;
         // A change that was committed before the partition may be acknowledged again.
-        if acknowledged == Some(true) && request.caller != Caller::Change && (!is_report || age > CONFIRMATION_VALIDITY)
+        if acknowledged == Some(true)
+            && request.caller != CallerKind::Change
+            && (!is_report || age > CONFIRMATION_VALIDITY)
         {
             self.record_violation(format!(
                 "core {} acknowledged {:?} {age} us after it was partitioned",
@@ -82,7 +84,7 @@
     /// acknowledged documents are committed, and that no rejected one is.
     pub(super) fn check_final_state(&mut self) {
         self.world.blocked_links.clear();
-        self.world.loss = (0, 0);
+        self.world.frame_loss = (0, 0);
         let settled_at = self.world.now + 4 * SEC;
         self.world.run(settled_at);
         let newest = self.acknowledged.iter().map(|document| document.revision).max().unwrap_or(0);
--- a/crates/testbed/src/sim/cutoff/mod.rs
+++ b/crates/testbed/src/sim/cutoff/mod.rs
@@ -8,7 +8,7 @@
 mod judge;
 mod results;
 
-pub use results::{Answers, Caller, CutOff};
+pub use results::{CallerKind, PartitionResults, PartitionRun};
 
 use crate::sim::checks::safety::Violation;
 use crate::sim::world::World;
@@ -58,11 +58,11 @@
     rejected_bodies: BTreeSet<String>,
     /// The newest revision that was acknowledged when each pending read was sent, by request id.
     newest_before_read: BTreeMap<u64, u64>,
-    results: Answers,
+    results: PartitionResults,
 }
 
 /// Runs one simulation with partitioned cores and returns its results.
-pub fn cut_off(run: CutOff) -> Answers {
+pub fn run_partitions(run: PartitionRun) -> PartitionResults {
     let mut world = World::new(run.seed, CORES, FRONTS, 0);
     world.report_interval = REPORT_INTERVAL;
     for i in 0..world.machines.len() {
@@ -71,7 +71,7 @@
     let started_at = world.now + 5 * SEC;
     world.run(started_at);
     let end = world.now + run.seconds * SEC;
-    world.loss = (run.loss_percent, end);
+    world.frame_loss = (run.loss_percent, end);
     if run.has_slow_disks {
         world.machines.iter_mut().for_each(|machine| machine.disk.slow_until = end);
     }
@@ -88,7 +88,7 @@
         acknowledged: Vec::new(),
         rejected_bodies: BTreeSet::new(),
         newest_before_read: BTreeMap::new(),
-        results: Answers::default(),
+        results: PartitionResults::default(),
     };
     driver.run(end);
     driver.check_final_state();
--- a/crates/testbed/src/sim/cutoff/results.rs
+++ b/crates/testbed/src/sim/cutoff/results.rs
@@ -6,7 +6,7 @@
 
 /// The kind of a caller, by its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Caller {
+pub enum CallerKind {
     /// An operator that submits a change of the configuration.
     Change,
     /// An operator that reads the newest configuration.
@@ -21,7 +21,7 @@
 
 /// The settings of one run.
 #[derive(Clone, Copy, Debug)]
-pub struct CutOff {
+pub struct PartitionRun {
     /// The seed of the run.
     pub seed: u64,
     /// The duration of the run, in seconds of virtual time.
@@ -61,13 +61,13 @@
 
 /// The results of one run.
 #[derive(Clone, Debug, Default)]
-pub struct Answers {
+pub struct PartitionResults {
     /// The rules that were broken.
     pub violations: Vec<Violation>,
     /// Responses of partitioned cores, by kind of caller.
-    pub partitioned: BTreeMap<Caller, ResponseStats>,
+    pub partitioned: BTreeMap<CallerKind, ResponseStats>,
     /// Responses of cores in contact with a majority, by kind of caller.
-    pub connected: BTreeMap<Caller, ResponseStats>,
+    pub connected: BTreeMap<CallerKind, ResponseStats>,
     /// Changes that were acknowledged.
     pub acknowledged: u64,
     /// Changes that were rejected.
--- a/crates/testbed/src/sim/drive.rs
+++ b/crates/testbed/src/sim/drive.rs
@@ -1,7 +1,7 @@
 //! Drives one run from a seed: injects faults, heals them, then checks the recovery.
 
 use crate::sim::checks::calls::{CallLimits, Rates, check_calls, check_rates};
-use crate::sim::checks::recovery::{BACK, empty, recover, serving};
+use crate::sim::checks::recovery::{RECOVERY_DEADLINE, check_nothing_held, check_recovery, time_until_serving};
 use crate::sim::checks::safety::Violation;
 use crate::sim::checks::summary::{ControlSummary, Summary};
 use crate::sim::faults::control::{Control, ControlProfile};
@@ -9,7 +9,7 @@
 use crate::sim::faults::injection::FaultInjector;
 use crate::sim::faults::membership_losses::MembershipFaults;
 use crate::sim::faults::repairs::RepeatedLosses;
-use crate::sim::operators::documents::{has_key, quotas};
+use crate::sim::operators::documents::{has_revocable_key, tenant_quotas};
 use crate::sim::operators::traffic::Operators;
 use crate::sim::settings::Run;
 use crate::sim::world::World;
@@ -48,7 +48,7 @@
 /// Simulates one run: injects faults, heals them, then checks the recovery; returns the summary.
 pub fn run(settings: Run) -> Summary {
     let mut simulation = Simulation::new(settings);
-    while simulation.world.now < simulation.end + BACK {
+    while simulation.world.now < simulation.end + RECOVERY_DEADLINE {
         simulation.step();
     }
     simulation.finish()
@@ -82,9 +82,9 @@
             membership: MembershipFaults::default(),
             repeated_losses: settings.profile.name.starts_with("repairs").then(RepeatedLosses::default),
             control: ControlProfile::named(settings.profile.name)
-                .map(|profile| Control::new(profile, begin + settings.profile.secs * SEC)),
+                .map(|profile| Control::new(profile, begin + settings.profile.duration_s * SEC)),
             begin,
-            end: begin + settings.profile.secs * SEC,
+            end: begin + settings.profile.duration_s * SEC,
             next_fault_at: begin + 4 * SEC,
             last_sample_at: begin,
             hour: u64::MAX,
@@ -107,11 +107,11 @@
             self.world.check_readiness();
         }
         let load = self.settings.day.map_or(self.settings.load, |day| day.load(if faults_ended { 8 } else { hour }));
-        self.operators.calls(&mut self.world, load);
+        self.operators.start_calls(&mut self.world, load);
         if self.world.now - self.last_sample_at >= SAMPLE_INTERVAL {
             self.last_sample_at = self.world.now;
             sample(&mut self.world);
-            self.operators.spread(&self.world);
+            self.operators.measure_propagation(&self.world);
         }
     }
 
@@ -121,10 +121,10 @@
         world.blocked_links.clear();
         world.reconnect_intervals.clear();
         world.stalled_links.clear();
-        world.loss = (0, 0);
+        world.frame_loss = (0, 0);
         world.reordering_until = 0;
         world.frames_held_until.clear();
-        world.crowd.1 = 0;
+        world.tenant_burst.1 = 0;
         world.shared_prefix_until = 0;
         for machine in 0..world.machines.len() {
             if world.machines[machine].frozen_until > world.now || world.machines[machine].slow_mode.take().is_some() {
@@ -133,7 +133,7 @@
             world.machines[machine].disk.clear_faults();
         }
         for worker in &mut world.workers {
-            worker.mode.1 = 0;
+            worker.behaviour.1 = 0;
             if worker.is_draining || !worker.is_running {
                 worker.restart();
             }
@@ -173,16 +173,16 @@
         let world = &mut self.world;
         let operators = &mut self.operators;
         if world.now > self.begin + 3 * SEC && world.rng.next_below(1000) < self.settings.profile.changes {
-            operators.change(world);
+            operators.submit_config(world);
             if matches!(self.settings.profile.name, "races" | "stalls") {
-                operators.change(world);
+                operators.submit_config(world);
             }
         }
         if let Some(control) = &mut self.control {
             control.tick(world, faults_ended);
-            operators.done = operators.done.max(control.orders.taken().min(1));
+            operators.committed = operators.committed.max(control.operator.committed_count().min(1));
         }
-        operators.answers(world);
+        operators.handle_outcomes(world);
         if world.tolerated_losses > 0 {
             self.membership.tick(world, operators);
             if let Some(repeated_losses) = self.repeated_losses.as_mut().filter(|_| !faults_ended) {
@@ -195,29 +195,29 @@
     fn finish(mut self) -> Summary {
         let world = &mut self.world;
         if let Some(control) = &mut self.control {
-            control.orders.end(world);
+            control.operator.check_final_state(world);
         }
-        let recovered = recover(world, &mut self.operators, self.end);
+        let recovered = check_recovery(world, &mut self.operators, self.end);
         if self.repeated_losses.is_some() {
-            world.safety.violations.extend(self.operators.refused.iter().cloned().map(Violation));
+            world.safety.violations.extend(self.operators.needless_rejections.iter().cloned().map(Violation));
         }
-        empty(world);
+        check_nothing_held(world);
         world.safety.check_acknowledged_versions();
         for machine in 0..world.machines.len() {
             world.drop_calls(machine);
         }
         let limits = call_limits(world, self.settings.rates);
         let rates = match self.settings.rates {
-            true => quotas(world.tenants).into_iter().map(|(tenant, quota)| (tenant, quota.0)).collect(),
+            true => tenant_quotas(world.tenants).into_iter().map(|(tenant, quota)| (tenant, quota.0)).collect(),
             false => Rates::new(),
         };
         world.safety.violations.extend(check_calls(&world.call_outcomes, &world.executions, &limits));
         world.safety.violations.extend(check_rates(&world.executions, &rates));
-        let serving = serving(world, self.end);
+        let serving_after = time_until_serving(world, self.end);
         let control = self.control.map(ControlSummary::of);
         Summary {
             recovered,
-            serving,
+            serving_after,
             control,
             ..Summary::of(self.world, self.operators, self.membership, &limits, &rates)
         }
@@ -227,15 +227,17 @@
 /// Collects the limits that the calls of this world are checked against.
 fn call_limits(world: &World, rates: bool) -> CallLimits {
     CallLimits {
-        quotas: if rates { std::collections::BTreeMap::default() } else { quotas(world.tenants) },
+        quotas: if rates { std::collections::BTreeMap::default() } else { tenant_quotas(world.tenants) },
         acknowledged: world.safety.acknowledged.iter().map(|ack| (ack.version, ack.acknowledged_at)).collect(),
-        keys: world
+        key_versions: world
             .safety
             .committed
             .values()
-            .map(|entry| (entry.version, world.safety.first_committed_at[&entry.version], has_key(&entry.body)))
+            .map(|entry| {
+                (entry.version, world.safety.first_committed_at[&entry.version], has_revocable_key(&entry.body))
+            })
             .collect(),
-        tries: world.tries,
+        attempts: world.attempts,
         freezes: world.freezes.clone(),
     }
 }
--- a/crates/testbed/src/sim/faults/control/departures.rs
+++ b/crates/testbed/src/sim/faults/control/departures.rs
@@ -77,7 +77,7 @@
                 continue;
             }
             let departure = self.departures.remove(index);
-            self.left += 1;
+            self.acknowledged_departures += 1;
             let id = world.workers[departure.worker].id.clone();
             world.workers[departure.worker].draining_since = Some(now);
             world.safety.removed_workers.insert(id, now);
--- a/crates/testbed/src/sim/faults/control/losses.rs
+++ b/crates/testbed/src/sim/faults/control/losses.rs
@@ -125,7 +125,7 @@
         let running = (0..world.machines.len()).filter(|i| world.machines[*i].is_core && world.is_running(*i));
         let Some(machine) = running.min_by_key(|i| self.shutdown_counts.get(i).copied().unwrap_or(0)) else { return };
         *self.shutdown_counts.entry(machine).or_default() += 1;
-        self.orders.order_to(world, machine);
+        self.operator.submit_to(world, machine);
         let shutdown_at = world.now + world.rng.next_below(MAX_SHUTDOWN_DELAY);
         self.schedule(shutdown_at, ControlAction::RequestShutdown(machine));
     }
--- a/crates/testbed/src/sim/faults/control/mod.rs
+++ b/crates/testbed/src/sim/faults/control/mod.rs
@@ -42,8 +42,8 @@
     /// Stops a core if other nodes hold its state, or kills it at `kill_at`.
     Stop { machine: usize, kill_at: Micros },
     /// Sends an order, or with `race` two at once, to a core whose partition ends; with `drain` a worker leaves
-    /// there, and with `hard` the order goes to this core alone until its answer is clear.
-    EndPartition { machine: usize, race: bool, drain: bool, hard: bool },
+    /// there, and with `is_exclusive` the document goes to this core alone until its answer is clear.
+    EndPartition { machine: usize, race: bool, drain: bool, is_exclusive: bool },
     /// Checks that a machine has caught up.
     CheckCaughtUp(usize),
     /// Checks that an order was acknowledged since then.
@@ -58,7 +58,7 @@
 pub struct Control {
     profile: ControlProfile,
     /// The operator and its orders.
-    pub orders: DocumentOperator,
+    pub operator: DocumentOperator,
     /// The scheduled actions and when each is due.
     scheduled_actions: Vec<(Micros, ControlAction)>,
     /// No fault starts before this.
@@ -74,24 +74,24 @@
     /// The request id of the report that was sent last for a leaving worker.
     last_request_id: u64,
     /// The number of workers whose departure was acknowledged.
-    pub left: u64,
+    pub acknowledged_departures: u64,
     /// How often each core was partitioned.
     partition_counts: BTreeMap<usize, u64>,
     /// How often each core was asked to shut down.
     shutdown_counts: BTreeMap<usize, u64>,
     /// How often each fault was started, by its debug name.
-    pub troubles: BTreeMap<String, u64>,
+    pub fault_counts: BTreeMap<String, u64>,
     /// How often each variant of a fault was chosen.
-    pub variants: BTreeMap<&'static str, u64>,
+    pub variant_counts: BTreeMap<&'static str, u64>,
 }
 
 impl Control {
     /// Returns an injector for a profile whose faults end at `faults_end`.
     pub fn new(profile: ControlProfile, faults_end: Micros) -> Self {
-        let orders = DocumentOperator::new(profile.behaviour);
+        let operator = DocumentOperator::new(profile.operator_behaviour);
         Control {
             profile,
-            orders,
+            operator,
             scheduled_actions: Vec::new(),
             next_fault_at: 6 * SEC,
             faults_end,
@@ -99,18 +99,18 @@
             pending_fault: None,
             departures: Vec::new(),
             last_request_id: FIRST_REQUEST_ID,
-            left: 0,
+            acknowledged_departures: 0,
             partition_counts: BTreeMap::new(),
             shutdown_counts: BTreeMap::new(),
-            troubles: BTreeMap::new(),
-            variants: BTreeMap::new(),
+            fault_counts: BTreeMap::new(),
+            variant_counts: BTreeMap::new(),
         }
     }
 
     /// Runs due actions, the operator, the armed fault and departures; starts the next fault when none is in progress.
     pub fn tick(&mut self, world: &mut World, faults_ended: bool) {
         self.run_due_actions(world);
-        self.orders.tick(world, faults_ended);
+        self.operator.tick(world, faults_ended);
         self.run_pending_fault(world);
         self.update_departures(world);
         let may_start = !faults_ended
@@ -141,14 +141,14 @@
 
     /// Counts a variant of a fault.
     fn count_variant(&mut self, variant: &'static str) {
-        *self.variants.entry(variant).or_default() += 1;
+        *self.variant_counts.entry(variant).or_default() += 1;
     }
 
     /// Draws the next fault and starts it.
     fn start_fault(&mut self, world: &mut World) {
         let position = usize::try_from(world.rng.next_below(self.profile.faults.len() as u64)).unwrap_or(0);
         let fault = self.profile.faults[position];
-        *self.troubles.entry(format!("{fault:?}")).or_default() += 1;
+        *self.fault_counts.entry(format!("{fault:?}")).or_default() += 1;
         world.log(format!("{fault:?}"));
         if world.rng.chance_percent(self.profile.departure_percent) {
             self.start_departure(world, None);
@@ -192,16 +192,16 @@
             ControlAction::LosePowerDuringStart(machine) => self.lose_power_during_start(world, machine),
             ControlAction::RequestShutdown(machine) => self.request_shutdown(world, machine),
             ControlAction::Stop { machine, kill_at } => self.stop(world, machine, kill_at),
-            ControlAction::EndPartition { machine, race, drain, hard } => {
+            ControlAction::EndPartition { machine, race, drain, is_exclusive } => {
                 for _ in 0..=u64::from(race) {
-                    self.orders.order(world, Some(PinnedTarget { slot: machine, hard }));
+                    self.operator.submit(world, Some(PinnedTarget { machine, is_exclusive }));
                 }
                 if drain {
                     self.start_departure(world, Some(machine));
                 }
             }
             ControlAction::CheckCaughtUp(machine) => check_caught_up(world, machine),
-            ControlAction::CheckProgress { since } => check_progress(world, since, self.orders.said_done),
+            ControlAction::CheckProgress { since } => check_progress(world, since, self.operator.last_commit_at),
             ControlAction::StopWorker(worker) => world.crash(worker),
             ControlAction::StartWorker(worker) => {
                 world.workers[worker].restart();
--- a/crates/testbed/src/sim/faults/control/partitions.rs
+++ b/crates/testbed/src/sim/faults/control/partitions.rs
@@ -19,8 +19,8 @@
     /// least often, or the drawn one.
     fn choose_partition_target(&mut self, world: &mut World, drawn: usize) -> usize {
         let (name, chosen) = match world.rng.next_below(6) {
-            0 | 1 => ("leader", self.orders.leader),
-            2 => ("reader", self.orders.reader),
+            0 | 1 => ("leader", self.operator.last_acknowledging_machine),
+            2 => ("reader", self.operator.last_read_machine),
             3 => ("oldest", world.oldest_disks().first().copied()),
             4 => ("turn", self.least_partitioned_core(world)),
             _ => ("drawn", None),
@@ -83,11 +83,11 @@
 
     /// Sends orders to the core during the partition and at its end; workers leave and report there.
     fn send_orders_to_partitioned(&mut self, world: &mut World, machine: usize, until: Micros) {
-        let (race, drain, hard) =
+        let (race, drain, is_exclusive) =
             (world.rng.chance_percent(40), world.rng.chance_percent(40), world.rng.chance_percent(30));
-        self.orders.order(world, Some(PinnedTarget { slot: machine, hard }));
-        self.schedule(until, ControlAction::EndPartition { machine, race, drain, hard });
-        self.count_variant(if hard { "hard" } else { "meet" });
+        self.operator.submit(world, Some(PinnedTarget { machine, is_exclusive }));
+        self.schedule(until, ControlAction::EndPartition { machine, race, drain, is_exclusive });
+        self.count_variant(if is_exclusive { "hard" } else { "meet" });
         if world.rng.chance_percent(30) {
             self.count_variant("lure");
             world.preferred_report_target = Some((machine, until));
@@ -105,10 +105,10 @@
             world.stalled_links.insert(incoming, until);
         }
         PartitionKind::Reset => {
-            world.lose_frames_between(machine, other);
-            world.close_between(machine, other, until, CONNECT_TIMEOUT);
+            world.drop_frames_in_flight(machine, other);
+            world.close_connections(machine, other, until, CONNECT_TIMEOUT);
         }
-        PartitionKind::Refuse => world.close_between(machine, other, until, REFUSED_CONNECT_PAUSE),
+        PartitionKind::Refuse => world.close_connections(machine, other, until, REFUSED_CONNECT_PAUSE),
         PartitionKind::OneWayOut => world.lose_from(machine, other, until),
         PartitionKind::OneWayIn => world.lose_from(other, machine, until),
         PartitionKind::Seeds | PartitionKind::Both => {
--- a/crates/testbed/src/sim/faults/control/plan.rs
+++ b/crates/testbed/src/sim/faults/control/plan.rs
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ControlProfile {
     /// How the operator behaves.
-    pub behaviour: OperatorBehaviour,
+    pub operator_behaviour: OperatorBehaviour,
     /// The faults to draw from.
     pub faults: &'static [ControlFault],
     /// The probability, in percent, that a worker leaves when a fault starts, beside those that leave in a partition.
@@ -79,8 +79,15 @@
 use PartitionKind::{Both, OneWayIn, OneWayOut, Refuse, Reset, Seeds, Silent};
 
 /// The operator of most profiles: no bad orders and no lost responses.
-const STEADY_OPERATOR: OperatorBehaviour =
-    OperatorBehaviour { every: 600 * MS, races: 30, lost: 0, repeats: 5, reads: 30, bad: 0, routes: 0 };
+const STEADY_OPERATOR: OperatorBehaviour = OperatorBehaviour {
+    submission_interval: 600 * MS,
+    race_percent: 30,
+    lost_response_percent: 0,
+    repeat_percent: 5,
+    read_percent: 30,
+    invalid_percent: 0,
+    extra_routes: 0,
+};
 
 /// Partitions of each kind, and freezes.
 const PARTITIONS: &[ControlFault] = &[
@@ -130,7 +137,7 @@
     /// Returns the control-plane profile of this name, if there is one.
     pub fn named(name: &str) -> Option<ControlProfile> {
         let steady = |faults, departure_percent| ControlProfile {
-            behaviour: STEADY_OPERATOR,
+            operator_behaviour: STEADY_OPERATOR,
             faults,
             departure_percent,
             has_closing_fault: false,
@@ -138,22 +145,38 @@
         Some(match name {
             "control_cut_off" => steady(PARTITIONS, 40),
             "control_numbers" => {
-                let behaviour =
-                    OperatorBehaviour { every: 300 * MS, races: 60, lost: 40, repeats: 60, bad: 10, ..STEADY_OPERATOR };
-                ControlProfile { behaviour, ..steady(VERSION_FAULTS, 0) }
+                let operator_behaviour = OperatorBehaviour {
+                    submission_interval: 300 * MS,
+                    race_percent: 60,
+                    lost_response_percent: 40,
+                    repeat_percent: 60,
+                    invalid_percent: 10,
+                    ..STEADY_OPERATOR
+                };
+                ControlProfile { operator_behaviour, ..steady(VERSION_FAULTS, 0) }
             }
             "control_second_loss" => steady(SECOND_LOSS_FAULTS, 30),
             "control_hundreds" => {
-                let behaviour =
-                    OperatorBehaviour { every: 200 * MS, races: 0, repeats: 30, routes: 300, ..STEADY_OPERATOR };
-                ControlProfile { behaviour, ..steady(&[LongAway], 0) }
+                let operator_behaviour = OperatorBehaviour {
+                    submission_interval: 200 * MS,
+                    race_percent: 0,
+                    repeat_percent: 30,
+                    extra_routes: 300,
+                    ..STEADY_OPERATOR
+                };
+                ControlProfile { operator_behaviour, ..steady(&[LongAway], 0) }
             }
             "control_answers" => {
-                let behaviour = OperatorBehaviour { lost: 70, repeats: 20, bad: 10, ..STEADY_OPERATOR };
-                ControlProfile { behaviour, ..steady(RESPONSE_FAULTS, 40) }
+                let operator_behaviour = OperatorBehaviour {
+                    lost_response_percent: 70,
+                    repeat_percent: 20,
+                    invalid_percent: 10,
+                    ..STEADY_OPERATOR
+                };
+                ControlProfile { operator_behaviour, ..steady(RESPONSE_FAULTS, 40) }
             }
             "control_power" => ControlProfile {
-                behaviour: OperatorBehaviour { lost: 40, ..STEADY_OPERATOR },
+                operator_behaviour: OperatorBehaviour { lost_response_percent: 40, ..STEADY_OPERATOR },
                 has_closing_fault: true,
                 ..steady(POWER_FAULTS, 20)
             },
--- a/crates/testbed/src/sim/faults/control/triggers.rs
+++ b/crates/testbed/src/sim/faults/control/triggers.rs
@@ -46,10 +46,10 @@
     /// Arms a fault for the next acknowledgement, accepted call or sent order, and sends one more order to trigger it.
     pub(super) fn arm(&mut self, world: &mut World, pending_fault: PendingFault) {
         self.pending_fault = Some(pending_fault);
-        self.orders.sent = None;
-        self.orders.acknowledged = None;
+        self.operator.last_attempt = None;
+        self.operator.last_acknowledgement = None;
         world.last_accepted_call = None;
-        self.orders.order(world, None);
+        self.operator.submit(world, None);
     }
 
     /// Draws the closing fault and arms it.
@@ -73,7 +73,7 @@
             PendingFault::AfterAck { wipe } => self.schedule_acknowledger_loss(world, wipe),
             PendingFault::Timed { wipe } => self.schedule_timed_loss(world, wipe),
             PendingFault::OldestAfterAck => {
-                if self.orders.acknowledged.is_some() {
+                if self.operator.last_acknowledgement.is_some() {
                     self.disarm(world);
                     let oldest = world.oldest_disks().first().copied();
                     if let Some(machine) = oldest {
@@ -88,13 +88,13 @@
                 }
             }
             PendingFault::PowerAfterWork { all } => {
-                if world.last_accepted_call.is_some() || self.orders.acknowledged.is_some() {
+                if world.last_accepted_call.is_some() || self.operator.last_acknowledgement.is_some() {
                     self.disarm(world);
                     self.lose_all(world, Loss::Power, |world, i| all || world.machines[i].is_core);
                 }
             }
             PendingFault::Closing(closing) => {
-                if let Some((machine, _)) = self.orders.acknowledged {
+                if let Some((machine, _)) = self.operator.last_acknowledgement {
                     self.disarm(world);
                     self.run_closing_fault(world, machine, closing);
                 }
@@ -110,7 +110,7 @@
 
     /// Schedules the loss of the machine that acknowledged an order.
     fn schedule_acknowledger_loss(&mut self, world: &mut World, wipe: bool) {
-        let Some((machine, acknowledged_at)) = self.orders.acknowledged else { return };
+        let Some((machine, acknowledged_at)) = self.operator.last_acknowledgement else { return };
         self.disarm(world);
         self.schedule(
             acknowledged_at + ACK_TO_LOSS_DELAY,
@@ -120,7 +120,7 @@
 
     /// Schedules the loss of the machine that an order was sent to, acknowledged or not.
     fn schedule_timed_loss(&mut self, world: &mut World, wipe: bool) {
-        let Some((machine, sent_at)) = self.orders.sent else { return };
+        let Some((machine, sent_at)) = self.operator.last_attempt else { return };
         let delay = MIN_TIMED_DELAY + world.rng.next_below(MAX_TIMED_DELAY - MIN_TIMED_DELAY);
         self.disarm(world);
         self.schedule(
--- a/crates/testbed/src/sim/faults/day.rs
+++ b/crates/testbed/src/sim/faults/day.rs
@@ -13,9 +13,9 @@
     /// The number of fronts.
     pub fronts: usize,
     /// The number of workers that serve the model.
-    pub models: usize,
+    pub model_workers: usize,
     /// The probability, in percent, that a tenant starts a call in a step of ten milliseconds at the peak of the day.
-    pub load: u64,
+    pub peak_load: u64,
 }
 
 /// The length of a simulated hour in microseconds.
@@ -30,13 +30,13 @@
 
 impl Day {
     /// The deployment of six fronts and twenty workers.
-    pub const MTATSMINDA: Day = Day { name: "mtatsminda", fronts: 6, models: 20, load: 20 };
+    pub const MTATSMINDA: Day = Day { name: "mtatsminda", fronts: 6, model_workers: 20, peak_load: 20 };
     /// The deployment of nine fronts and ten workers.
-    pub const DERWENT: Day = Day { name: "derwent", fronts: 9, models: 10, load: 11 };
+    pub const DERWENT: Day = Day { name: "derwent", fronts: 9, model_workers: 10, peak_load: 11 };
 
     /// Returns the probability, in percent, that a tenant starts a call in a step of ten milliseconds at this hour.
     pub fn load(&self, hour: u64) -> u64 {
-        (self.load * HOURLY_LOAD_PERCENT[usize::try_from(hour % 24).unwrap_or(0)]).div_ceil(100)
+        (self.peak_load * HOURLY_LOAD_PERCENT[usize::try_from(hour % 24).unwrap_or(0)]).div_ceil(100)
     }
 
     /// Sets the call mix and the extra routes of this hour; returns the fault that starts in it and its duration.
@@ -47,12 +47,12 @@
             3 => (Fault::SlowDisk, 4 * SEC),
             5 => (Fault::KillCore, 4 * SEC),
             8 => (Fault::TenantBurst, 5 * SEC),
-            9 => (Fault::FaultyWorker(WorkerBehaviour::Cut), 4 * SEC),
+            9 => (Fault::FaultyWorker(WorkerBehaviour::Truncate), 4 * SEC),
             10 => (Fault::RollingRelease, SEC),
             12 => (Fault::SharedPrefix, 5 * SEC),
             13 => (Fault::KillFront, 4 * SEC),
             14 => (Fault::ReplaceCoreByOperator, 4 * SEC),
-            16 => (Fault::FaultyWorker(WorkerBehaviour::Dark), 4 * SEC),
+            16 => (Fault::FaultyWorker(WorkerBehaviour::Unreachable), 4 * SEC),
             17 => (Fault::Freeze, 3 * SEC),
             18 => (Fault::PartitionNode, 4 * SEC),
             19 => (Fault::CrashWorker, SEC),
--- a/crates/testbed/src/sim/faults/injection.rs
+++ b/crates/testbed/src/sim/faults/injection.rs
@@ -68,7 +68,7 @@
     pub fn admit_replacement(&mut self, world: &mut World, operators: &mut Operators) {
         if let Some(target) = self.awaiting_admission
             && world.now % (500 * MS) < 10 * MS
-            && (world.machines[target].node.is_none() || operators.replace(world, target))
+            && (world.machines[target].node.is_none() || operators.propose_replacement(world, target))
             && world.machines[target].node.is_some()
         {
             world.log(format!("{} is admitted by an operator", world.machines[target].addr));
@@ -264,21 +264,21 @@
             Fault::FaultyWorker(behaviour) => {
                 let index = usize::try_from(world.rng.next_below(world.workers.len() as u64)).unwrap_or(0);
                 world.log(format!("worker {} behaves as {behaviour:?} for {duration} us", world.workers[index].id));
-                world.workers[index].mode = (behaviour, now + duration);
+                world.workers[index].behaviour = (behaviour, now + duration);
             }
             Fault::AllWorkersFaulty => {
                 let behaviours = [
                     WorkerBehaviour::Hang,
-                    WorkerBehaviour::Mute,
-                    WorkerBehaviour::Cut,
-                    WorkerBehaviour::Decline,
-                    WorkerBehaviour::Dark,
+                    WorkerBehaviour::NoResponse,
+                    WorkerBehaviour::Truncate,
+                    WorkerBehaviour::Reject,
+                    WorkerBehaviour::Unreachable,
                     WorkerBehaviour::Slow,
                 ];
                 let behaviour = behaviours[usize::try_from(world.rng.next_below(behaviours.len() as u64)).unwrap_or(0)];
                 world.log(format!("all workers behave as {behaviour:?} for {duration} us"));
                 for worker in &mut world.workers {
-                    worker.mode = (behaviour, now + duration);
+                    worker.behaviour = (behaviour, now + duration);
                 }
             }
             Fault::CrashWorker => {
@@ -314,7 +314,7 @@
             }
             Fault::TenantBurst => {
                 world.log(format!("one tenant sends eight times its usual calls for {duration} us"));
-                world.crowd = (8, now + duration);
+                world.tenant_burst = (8, now + duration);
             }
             Fault::SharedPrefix => {
                 world.log(format!("all calls share one prefix for {duration} us"));
@@ -372,7 +372,7 @@
         Fault::ReorderFrames => {
             world.log(format!("frames are delayed, reordered and lost for {duration} us"));
             world.reordering_until = now + duration;
-            world.loss = (5, now + duration);
+            world.frame_loss = (5, now + duration);
         }
         Fault::HoldFrames => {
             if let Some(target) = draw_machine(world, |_, _| true) {
@@ -382,7 +382,7 @@
         }
         Fault::LoseFrames => {
             world.log(format!("one frame in ten is lost for {duration} us"));
-            world.loss = (10, now + duration);
+            world.frame_loss = (10, now + duration);
         }
         _ => {}
     }
--- a/crates/testbed/src/sim/faults/membership_losses.rs
+++ b/crates/testbed/src/sim/faults/membership_losses.rs
@@ -40,12 +40,12 @@
     /// Disks are lost once more changes than this are accepted; if true, all other machines lose power as well.
     pending_ack_loss: Option<(u64, bool)>,
     /// The time from the last return until all voters were live, for each loss.
-    pub voted: Vec<Micros>,
+    pub voters_live_after: Vec<Micros>,
     /// The time from the last return until all nodes were fresh, for each loss.
-    pub again: Vec<Micros>,
+    pub nodes_fresh_after: Vec<Micros>,
     /// The times from the loss, and from the last return, until each voter was live, held the newest version and had
     /// taken over the grants.
-    pub full: Vec<(Micros, Micros)>,
+    pub voters_ready_after: Vec<(Micros, Micros)>,
     /// When the current loss began.
     loss_began_at: Micros,
     /// Whether all voters held the newest version and were ready since the current loss began.
@@ -55,7 +55,7 @@
     /// The machine that joined or was restarted last.
     last_started: Option<usize>,
     /// When all machines lost power, and when the last one was restarted.
-    pub dark: Vec<(Micros, Micros)>,
+    pub power_outages: Vec<(Micros, Micros)>,
     /// Whether the voter set was complete and live since the current loss began.
     are_voters_live: bool,
     /// Whether all nodes were fresh since the current loss began.
@@ -189,8 +189,8 @@
             }
             Fault::WipeAfterAck => {
                 let all = world.rng.chance_percent(50);
-                self.pending_ack_loss = Some((operators.done, all));
-                operators.change(world);
+                self.pending_ack_loss = Some((operators.committed, all));
+                operators.submit_config(world);
             }
             Fault::PowerLossCores => {
                 let fronts: Vec<usize> =
@@ -232,7 +232,7 @@
             }
         }
         if spared.is_empty() {
-            self.dark.push((from, back));
+            self.power_outages.push((from, back));
         }
     }
 
@@ -241,7 +241,7 @@
         let now = world.now;
         world.may_bootstrap = world.safety.committed.is_empty();
         if let Some((accepted, all)) = self.pending_ack_loss
-            && operators.done > accepted
+            && operators.committed > accepted
         {
             self.pending_ack_loss = None;
             let lost = Self::draw_cores_or_oldest(world, u64::from(world.tolerated_losses));
@@ -287,12 +287,12 @@
             && voters.iter().all(|voter| live.contains(&voter.node_id))
         {
             self.are_voters_live = true;
-            self.voted.push(now - last_change_at);
+            self.voters_live_after.push(now - last_change_at);
         }
         let fresh = |s: &crate::sim::machines::slot::Machine| s.node.as_ref().is_none_or(|n| n.is_fresh(s.clock(now)));
         if !self.are_nodes_fresh && world.machines.iter().all(fresh) {
             self.are_nodes_fresh = true;
-            self.again.push(now - last_change_at);
+            self.nodes_fresh_after.push(now - last_change_at);
         }
         let newest = world.safety.committed.keys().next_back().copied();
         let ready = |voter: &sumacvale_core::protocol::Voter| {
@@ -302,7 +302,7 @@
         };
         if !self.are_voters_ready && self.are_voters_live && voters.iter().all(ready) {
             self.are_voters_ready = true;
-            self.full.push((now - self.loss_began_at, now - last_change_at));
+            self.voters_ready_after.push((now - self.loss_began_at, now - last_change_at));
         }
         // A machine with a slow disk counts as lost, too.
         let slow_until =
--- a/crates/testbed/src/sim/mod.rs
+++ b/crates/testbed/src/sim/mod.rs
@@ -23,7 +23,7 @@
 pub use checks::majority_contact::MajorityContact;
 pub use checks::safety::{Acknowledgement, SafetyChecker, Violation};
 pub use checks::summary::{ControlSummary, Summary};
-pub use cutoff::{Answers, Caller, CutOff, cut_off};
+pub use cutoff::{CallerKind, PartitionResults, PartitionRun, run_partitions};
 pub use drive::run;
 pub use faults::day::Day;
 pub use faults::profiles::{Fault, Profile};
--- a/crates/testbed/src/sim/network/connections.rs
+++ b/crates/testbed/src/sim/network/connections.rs
@@ -35,19 +35,19 @@
 pub struct Connections {
     open: BTreeMap<(usize, usize), Connection>,
     /// The number of frames that were lost in connections to a former incarnation.
-    pub swallowed: u64,
+    pub frames_lost_in_stale_connections: u64,
 }
 
 impl Connections {
     /// Returns true unless a frame that is sent now is lost in a connection to a former incarnation.
     ///
     /// Without a connection, one is opened if the receiver listens.
-    pub fn carries(&mut self, from: usize, to: usize, listens: bool, now: Micros) -> bool {
+    pub fn can_deliver(&mut self, from: usize, to: usize, listens: bool, now: Micros) -> bool {
         if let Some(connection) = self.open.get_mut(&(from, to))
             && connection.peer_lost_power_at.is_some()
         {
             if connection.loses_frames(now) {
-                self.swallowed += 1;
+                self.frames_lost_in_stale_connections += 1;
                 return false;
             }
             self.open.remove(&(from, to));
--- a/crates/testbed/src/sim/network/delivery.rs
+++ b/crates/testbed/src/sim/network/delivery.rs
@@ -15,22 +15,22 @@
     }
 
     /// Returns true while frames are delivered between two machines in both directions.
-    pub fn linked(&self, first: usize, second: usize) -> bool {
+    pub fn is_linked(&self, first: usize, second: usize) -> bool {
         let stalled =
             |first: usize, second: usize| self.stalled_links.get(&(first, second)).is_some_and(|t| *t > self.now);
-        let held = |first: usize| self.frames_held_until.get(&first).is_some_and(|t| *t > self.now);
+        let is_held = |first: usize| self.frames_held_until.get(&first).is_some_and(|t| *t > self.now);
         first == second
             || !(self.is_blocked(first, second)
                 || self.is_blocked(second, first)
                 || stalled(first, second)
                 || stalled(second, first)
-                || held(first)
-                || held(second))
+                || is_held(first)
+                || is_held(second))
     }
 
     /// Closes the connections between two machines; both ends are notified and try to reconnect at this interval
     /// until then.
-    pub fn close_between(&mut self, first: usize, second: usize, until: Micros, interval: Micros) {
+    pub fn close_connections(&mut self, first: usize, second: usize, until: Micros, interval: Micros) {
         for (from, to) in [(first, second), (second, first)] {
             self.connections.reconnect(from, to);
             self.blocked_links.insert((from, to), until);
@@ -45,14 +45,14 @@
     }
 
     /// Drops the frames in flight between two machines.
-    pub fn lose_frames_between(&mut self, first: usize, second: usize) {
+    pub fn drop_frames_in_flight(&mut self, first: usize, second: usize) {
         let between = |from: usize, to: usize| (from, to) == (first, second) || (from, to) == (second, first);
         self.pending_events
             .retain(|_, event| !matches!(event, SimEvent::Frame { from, to, .. } if between(*from, *to)));
     }
 
     /// Returns the number of frames in flight between two machines.
-    pub fn frames_between(&self, first: usize, second: usize) -> usize {
+    pub fn frames_in_flight(&self, first: usize, second: usize) -> usize {
         let between = |from: usize, to: usize| (from, to) == (first, second) || (from, to) == (second, first);
         self.pending_events
             .values()
@@ -84,7 +84,7 @@
             traffic.0 += 1;
             traffic.1 += bytes.len() as u64;
         }
-        let is_lost = self.loss.1 > self.now && self.rng.chance_percent(self.loss.0);
+        let is_lost = self.frame_loss.1 > self.now && self.rng.chance_percent(self.frame_loss.0);
         if is_lost {
             return;
         }
@@ -92,7 +92,7 @@
             return self.wait_for_connection(from, receiver, bytes);
         }
         let is_listening = self.machines[receiver].node.is_some();
-        if !self.connections.carries(from, receiver, is_listening, self.now) {
+        if !self.connections.can_deliver(from, receiver, is_listening, self.now) {
             return;
         }
         let is_same_zone = self.machines[from].zone == self.machines[receiver].zone;
--- a/crates/testbed/src/sim/operators/documents.rs
+++ b/crates/testbed/src/sim/operators/documents.rs
@@ -8,10 +8,10 @@
 /// The length of a quota window, in microseconds.
 pub const QUOTA_WINDOW: Micros = SEC;
 /// The number of tenants without [`REVOCABLE_TENANT`].
-pub const TENANTS: u64 = 4;
+pub const TENANT_COUNT: u64 = 4;
 
 /// The quota of each tenant: calls in a window, and the length of the window in microseconds.
-pub fn quotas(tenants: u64) -> BTreeMap<String, (u64, Micros)> {
+pub fn tenant_quotas(tenants: u64) -> BTreeMap<String, (u64, Micros)> {
     (0..tenants)
         .map(|i| format!("t{i}"))
         .chain([REVOCABLE_TENANT.into()])
@@ -30,7 +30,7 @@
 }
 
 /// Whether a configuration has the key of [`REVOCABLE_TENANT`].
-pub fn has_key(body: &str) -> bool {
+pub fn has_revocable_key(body: &str) -> bool {
     body.contains(&key_hash(REVOCABLE_TENANT))
 }
 
--- a/crates/testbed/src/sim/operators/orders/answers.rs
+++ b/crates/testbed/src/sim/operators/orders/answers.rs
@@ -18,16 +18,16 @@
         world.change_outcomes = others;
         for (request_id, outcome) in mine {
             if matches!(outcome, ChangeOutcome::Committed { .. }) {
-                self.said_done = Some(world.now);
+                self.last_commit_at = Some(world.now);
             }
-            if world.rng.chance_percent(self.behaviour.lost) {
+            if world.rng.chance_percent(self.behaviour.lost_response_percent) {
                 self.lost_responses += 1;
                 continue;
             }
             match self.pending.remove(&request_id) {
                 Some(PendingRequest::Put { index, machine, .. }) => self.handle_outcome(world, index, machine, outcome),
                 Some(PendingRequest::Read { machine, newest, is_final, .. }) => {
-                    self.reader = Some(machine);
+                    self.last_read_machine = Some(machine);
                     self.handle_read(world, newest, is_final, outcome);
                 }
                 None => {}
@@ -67,8 +67,8 @@
                 });
                 self.newest = self.newest.max(submission.revision);
                 self.base = self.base.max(submission.revision);
-                self.acknowledged = Some((machine, now));
-                self.leader = Some(machine);
+                self.last_acknowledgement = Some((machine, now));
+                self.last_acknowledging_machine = Some(machine);
             }
             ChangeOutcome::Stale { .. } => {
                 submission.is_rejected = true;
@@ -76,8 +76,9 @@
                 self.send_read(world, false);
             }
             ChangeOutcome::Unknown | ChangeOutcome::NoQuorum => {
-                submission.pinned_target =
-                    submission.pinned_target.filter(|target| target.hard || matches!(outcome, ChangeOutcome::Unknown));
+                submission.pinned_target = submission
+                    .pinned_target
+                    .filter(|target| target.is_exclusive || matches!(outcome, ChangeOutcome::Unknown));
                 self.schedule_retry(index, now);
             }
             other => {
@@ -114,7 +115,7 @@
 
     /// Checks after the last fault that the newest document can be read, that every submission is either committed
     /// or rejected, and that each rejection is explained by a newer document.
-    pub fn end(&mut self, world: &mut World) {
+    pub fn check_final_state(&mut self, world: &mut World) {
         for _ in 0..100 {
             if self.is_final_read_done {
                 break;
--- a/crates/testbed/src/sim/operators/orders/mod.rs
+++ b/crates/testbed/src/sim/operators/orders/mod.rs
@@ -50,15 +50,15 @@
     /// Invalid documents that were rejected.
     pub rejected: u64,
     /// When a node last acknowledged a submission, also where its response was lost.
-    pub said_done: Option<Micros>,
+    pub last_commit_at: Option<Micros>,
     /// The machine that last acknowledged a submission.
-    pub leader: Option<usize>,
+    pub last_acknowledging_machine: Option<usize>,
     /// The machine that last responded to a read.
-    pub reader: Option<usize>,
+    pub last_read_machine: Option<usize>,
     /// The machine that last acknowledged a submission since the field was cleared, and when.
-    pub acknowledged: Option<(usize, Micros)>,
+    pub last_acknowledgement: Option<(usize, Micros)>,
     /// The machine that a submission was last sent to since the field was cleared, and when.
-    pub sent: Option<(usize, Micros)>,
+    pub last_attempt: Option<(usize, Micros)>,
     /// Whether a read after the last fault has returned a document.
     is_final_read_done: bool,
     /// The times from the submission of a document to its acknowledgement, in microseconds.
@@ -81,18 +81,18 @@
             reads: 0,
             lost_responses: 0,
             rejected: 0,
-            said_done: None,
-            leader: None,
-            reader: None,
-            acknowledged: None,
-            sent: None,
+            last_commit_at: None,
+            last_acknowledging_machine: None,
+            last_read_machine: None,
+            last_acknowledgement: None,
+            last_attempt: None,
             is_final_read_done: false,
             commit_times: Vec::new(),
         }
     }
 
     /// The number of submissions that were committed.
-    pub fn taken(&self) -> u64 {
+    pub fn committed_count(&self) -> u64 {
         self.submissions.iter().filter(|submission| submission.is_committed).count() as u64
     }
 
@@ -100,12 +100,14 @@
     /// submitted.
     pub fn tick(&mut self, world: &mut World, calm: bool) {
         if calm {
-            self.behaviour.lost = 0;
+            self.behaviour.lost_response_percent = 0;
         }
         self.handle_responses(world);
         self.expire_requests(world.now);
         if !calm && world.now >= self.next_submission_at {
-            self.next_submission_at = world.now + self.behaviour.every / 2 + world.rng.next_below(self.behaviour.every);
+            self.next_submission_at = world.now
+                + self.behaviour.submission_interval / 2
+                + world.rng.next_below(self.behaviour.submission_interval);
             self.submit_next(world);
         }
         for index in 0..self.submissions.len() {
@@ -119,22 +121,22 @@
     fn submit_next(&mut self, world: &mut World) {
         let unsettled = self.submissions.iter().filter(|submission| !submission.is_settled()).count();
         if unsettled < MAX_PENDING {
-            self.order(world, None);
-            if world.rng.chance_percent(self.behaviour.races) {
-                self.order(world, None);
+            self.submit(world, None);
+            if world.rng.chance_percent(self.behaviour.race_percent) {
+                self.submit(world, None);
             }
         }
         let committed: Vec<usize> =
             (0..self.submissions.len()).filter(|index| self.submissions[*index].is_committed).collect();
-        if !committed.is_empty() && world.rng.chance_percent(self.behaviour.repeats) {
+        if !committed.is_empty() && world.rng.chance_percent(self.behaviour.repeat_percent) {
             let index = committed[usize::try_from(world.rng.next_below(committed.len() as u64)).unwrap_or(0)];
             self.repeated += 1;
             self.send(world, index);
         }
-        if self.behaviour.bad > 0 && world.rng.chance_percent(self.behaviour.bad) {
+        if self.behaviour.invalid_percent > 0 && world.rng.chance_percent(self.behaviour.invalid_percent) {
             self.submit_invalid(world);
         }
-        if world.rng.chance_percent(self.behaviour.reads) {
+        if world.rng.chance_percent(self.behaviour.read_percent) {
             self.send_read(world, false);
         }
     }
@@ -154,7 +156,7 @@
     fn schedule_retry(&mut self, index: usize, now: Micros) {
         let submission = &mut self.submissions[index];
         if !submission.is_settled() && submission.next_attempt_at.is_none() {
-            let is_hard = submission.pinned_target.is_some_and(|target| target.hard);
+            let is_hard = submission.pinned_target.is_some_and(|target| target.is_exclusive);
             submission.next_attempt_at = Some(now + if is_hard { PINNED_BACKOFF } else { submission.backoff });
             submission.backoff = (submission.backoff * 2).min(MAX_BACKOFF);
         }
--- a/crates/testbed/src/sim/operators/orders/order.rs
+++ b/crates/testbed/src/sim/operators/orders/order.rs
@@ -6,29 +6,29 @@
 #[derive(Clone, Copy, Debug)]
 pub struct OperatorBehaviour {
     /// The mean time between two submissions, in microseconds.
-    pub every: Micros,
+    pub submission_interval: Micros,
     /// The share of submissions with a second, competing one on the same base; half of those have the same revision.
-    pub races: u64,
+    pub race_percent: u64,
     /// The share of responses that are lost.
-    pub lost: u64,
+    pub lost_response_percent: u64,
     /// The chance that a committed document is sent again with each submission.
-    pub repeats: u64,
+    pub repeat_percent: u64,
     /// The chance of a read with each submission.
-    pub reads: u64,
+    pub read_percent: u64,
     /// The chance of an invalid document with each submission.
-    pub bad: u64,
+    pub invalid_percent: u64,
     /// Additional routes in every eighth document.
-    pub routes: u64,
+    pub extra_routes: u64,
 }
 
 /// The one machine that a submission is sent to.
 #[derive(Clone, Copy, Debug)]
 pub struct PinnedTarget {
     /// The index of the machine.
-    pub slot: usize,
+    pub machine: usize,
     /// Whether the submission is retried at this machine until it is settled; else at any core once this machine had
     /// no quorum.
-    pub hard: bool,
+    pub is_exclusive: bool,
 }
 
 /// A document that an operator submits, and its outcome as far as the operator knows.
--- a/crates/testbed/src/sim/operators/orders/sending.rs
+++ b/crates/testbed/src/sim/operators/orders/sending.rs
@@ -15,10 +15,10 @@
 
 impl DocumentOperator {
     /// Submits a new document on the newest base; sent to one machine only if it has a pinned target.
-    pub fn order(&mut self, world: &mut World, pinned_target: Option<PinnedTarget>) {
+    pub fn submit(&mut self, world: &mut World, pinned_target: Option<PinnedTarget>) {
         self.serial += 1;
         let revision = self.base + 1 + world.rng.next_below(2);
-        let plain = config_tree(self.serial, world.tenants, self.behaviour.routes, world.quotas_are_rates);
+        let plain = config_tree(self.serial, world.tenants, self.behaviour.extra_routes, world.quotas_are_rates);
         let body = format!("{{\"revision\":{revision},{}", &plain[1..]);
         self.submissions.push(Submission {
             body,
@@ -36,13 +36,13 @@
     }
 
     /// Submits a new document to this machine first.
-    pub fn order_to(&mut self, world: &mut World, slot: usize) {
-        self.order(world, Some(PinnedTarget { slot, hard: false }));
+    pub fn submit_to(&mut self, world: &mut World, machine: usize) {
+        self.submit(world, Some(PinnedTarget { machine, is_exclusive: false }));
     }
 
     /// Submits an invalid document: either truncated, or of the same revision as its base.
     pub(super) fn submit_invalid(&mut self, world: &mut World) {
-        self.order(world, None);
+        self.submit(world, None);
         let is_truncated = world.rng.chance_percent(50);
         let serial = self.serial;
         let Some(submission) = self.submissions.last_mut() else { return };
@@ -69,7 +69,7 @@
     pub(super) fn send(&mut self, world: &mut World, index: usize) {
         let now = world.now;
         let (last_target, pinned_target) = (self.submissions[index].last_target, self.submissions[index].pinned_target);
-        let Some(machine) = pinned_target.map(|target| target.slot).or_else(|| Self::draw_core(world, last_target))
+        let Some(machine) = pinned_target.map(|target| target.machine).or_else(|| Self::draw_core(world, last_target))
         else {
             return;
         };
@@ -79,7 +79,7 @@
         self.last_request_id += 1;
         self.pending
             .insert(self.last_request_id, PendingRequest::Put { index, machine, deadline: now + REQUEST_TIMEOUT });
-        self.sent = Some((machine, now));
+        self.last_attempt = Some((machine, now));
         let change = Change::Document(submission.body.clone());
         let event = Event::SubmitChange {
             request_id: self.last_request_id,
--- a/crates/testbed/src/sim/operators/traffic.rs
+++ b/crates/testbed/src/sim/operators/traffic.rs
@@ -36,7 +36,7 @@
     pending: BTreeMap<u64, PendingChange>,
     last_request_id: u64,
     /// Changes that were committed.
-    pub done: u64,
+    pub committed: u64,
     /// Changes that were rejected as stale.
     pub stale: u64,
     /// Changes whose outcome stayed unknown.
@@ -51,7 +51,7 @@
     propagating: BTreeMap<Version, Micros>,
     majority_contact: MajorityContact,
     /// Changes that were rejected without need: when, by which machine, and with which outcome.
-    pub refused: Vec<String>,
+    pub needless_rejections: Vec<String>,
 }
 
 impl Operators {
@@ -71,7 +71,7 @@
     }
 
     /// Submits a new configuration to a drawn node, on the version that another drawn node holds.
-    pub fn change(&mut self, world: &mut World) {
+    pub fn submit_config(&mut self, world: &mut World) {
         let running: Vec<_> = (0..world.machines.len()).filter(|i| world.is_running(*i)).collect();
         if running.is_empty() {
             return;
@@ -101,7 +101,7 @@
 
     /// Proposes voters that include a new machine and omit those whose disks are gone. Returns whether the newest
     /// version already includes the machine.
-    pub fn replace(&mut self, world: &mut World, machine: usize) -> bool {
+    pub fn propose_replacement(&mut self, world: &mut World, machine: usize) -> bool {
         let Some(new) = world.machines[machine].node.as_ref().map(|node| node.settings.node_id) else { return false };
         let addr = world.machines[machine].addr.clone();
         let Some(target) =
@@ -142,7 +142,7 @@
     }
 
     /// Handles the outcomes that arrived, and changes whose deadline has passed.
-    pub fn answers(&mut self, world: &mut World) {
+    pub fn handle_outcomes(&mut self, world: &mut World) {
         let now = world.now;
         self.majority_contact.observe(world);
         let (others, mine): (Vec<_>, Vec<_>) =
@@ -153,7 +153,7 @@
             self.check_rejection(world, &pending, &outcome);
             match outcome {
                 ChangeOutcome::Committed { version } => {
-                    self.done += 1;
+                    self.committed += 1;
                     world.safety.record_acknowledgement(Acknowledgement {
                         change_id: pending.change_id,
                         base: pending.base,
@@ -206,7 +206,8 @@
         if is_needless {
             let (addr, now) = (&world.machines[pending.machine].addr, world.now);
             let sent_at = pending.sent_at;
-            self.refused.push(format!("{now}: {addr} answers {outcome:?} without need to a change sent at {sent_at}"));
+            self.needless_rejections
+                .push(format!("{now}: {addr} answers {outcome:?} without need to a change sent at {sent_at}"));
         }
     }
 
@@ -227,7 +228,7 @@
     }
 
     /// Measures how long each acknowledged version takes until all running nodes have it.
-    pub fn spread(&mut self, world: &World) {
+    pub fn measure_propagation(&mut self, world: &World) {
         let now = world.now;
         let lowest = (0..world.machines.len())
             .filter(|i| world.is_running(*i))
@@ -283,18 +284,18 @@
     }
 
     /// Starts the clients' calls of ten milliseconds: each tenant has one with a chance of `percent`.
-    pub fn calls(&mut self, world: &mut World, percent: u64) {
+    pub fn start_calls(&mut self, world: &mut World, percent: u64) {
         let fronts: Vec<_> =
             (0..world.machines.len()).filter(|i| !world.machines[*i].is_core && world.machines[*i].is_ready).collect();
-        if fronts.is_empty() || self.done == 0 {
+        if fronts.is_empty() || self.committed == 0 {
             return;
         }
-        let crowd = if world.crowd.1 > world.now { world.crowd.0 } else { 1 };
+        let burst_factor = if world.tenant_burst.1 > world.now { world.tenant_burst.0 } else { 1 };
         let shares_prefix = world.shared_prefix_until > world.now;
         let names = (0..world.tenants).map(|i| format!("t{i}")).chain([REVOCABLE_TENANT.to_owned()]);
         for (index, tenant) in names.enumerate() {
-            // Only the first tenant has a crowd; the others keep their usual traffic.
-            let draws = if index == 0 { crowd } else { 1 };
+            // Only the first tenant has bursts; the others keep their usual traffic.
+            let draws = if index == 0 { burst_factor } else { 1 };
             for _ in 0..draws {
                 if !world.rng.chance_percent(if tenant == REVOCABLE_TENANT { percent / 4 } else { percent }) {
                     continue;
--- a/crates/testbed/src/sim/settings.rs
+++ b/crates/testbed/src/sim/settings.rs
@@ -29,7 +29,7 @@
     /// Returns the settings for a simulated day of a deployment, with its size of the fleet.
     pub fn day(seed: u64, day: Day) -> Self {
         let profile = Profile::named("day").unwrap_or(&Profile::ALL[0]);
-        Run { fronts: day.fronts, workers: day.models, day: Some(day), ..Run::new(seed, profile) }
+        Run { fronts: day.fronts, workers: day.model_workers, day: Some(day), ..Run::new(seed, profile) }
     }
 
     /// Returns the settings for a profile with the usual fleet: six fronts, six workers and, for most profiles, three
--- a/crates/testbed/src/sim/workers/execution.rs
+++ b/crates/testbed/src/sim/workers/execution.rs
@@ -49,7 +49,7 @@
 
     /// Sends an event of an attempt back to its node, unless the worker is unreachable.
     fn respond(&mut self, worker: usize, origin: AttemptOrigin, event: Event) {
-        if self.workers[worker].behaviour_at(self.now) != WorkerBehaviour::Dark {
+        if self.workers[worker].behaviour_at(self.now) != WorkerBehaviour::Unreachable {
             let due = self.now + self.worker_latency(origin.machine, worker);
             self.schedule(due, SimEvent::Attempt(origin, event));
         }
@@ -69,7 +69,7 @@
     pub(in crate::sim) fn receive_request(&mut self, worker: usize, request: WorkerRequest) {
         let state = &self.workers[worker];
         let behaviour = state.behaviour_at(self.now);
-        if behaviour == WorkerBehaviour::Dark {
+        if behaviour == WorkerBehaviour::Unreachable {
             return;
         }
         if !state.is_running || request.incarnation != state.incarnation {
@@ -78,7 +78,7 @@
         if behaviour == WorkerBehaviour::Reset && request.origin.attempt % 2 == 1 {
             return self.respond(worker, request.origin, Event::NotSent);
         }
-        if behaviour == WorkerBehaviour::Decline || state.running.len() >= SLOTS as usize {
+        if behaviour == WorkerBehaviour::Reject || state.running.len() >= SLOTS as usize {
             let head = ResponseHead { status: 503, has_definite_end: true, not_run: true, ..ResponseHead::default() };
             return self.respond(worker, request.origin, Event::ResponseHead(head));
         }
@@ -107,13 +107,13 @@
             path: request.path,
             worker,
             started_at: self.now,
-            first_piece: first_event,
+            first_event,
             quota_window: request.quota_window,
             draining_since: state.draining_since,
         });
         match behaviour {
             WorkerBehaviour::Hang => {}
-            WorkerBehaviour::Mute => {
+            WorkerBehaviour::NoResponse => {
                 self.workers[worker].running.remove(&number);
                 self.respond(worker, origin, Event::AttemptFailed(FailurePoint::Sent));
             }
@@ -128,7 +128,7 @@
     pub(in crate::sim) fn step_request(&mut self, worker: usize, number: u64) {
         let Some(mut request) = self.workers[worker].running.remove(&number) else { return };
         // Events of an unreachable worker are lost for good, so no later event may follow them.
-        if self.workers[worker].behaviour_at(self.now) == WorkerBehaviour::Dark {
+        if self.workers[worker].behaviour_at(self.now) == WorkerBehaviour::Unreachable {
             return;
         }
         match self.next_step(&mut request) {
@@ -155,8 +155,8 @@
         }
         let aborts = events == 0 || (request.is_first_part_sent && request.next_event > 2);
         match request.behaviour {
-            WorkerBehaviour::Cut if aborts => WorkerStep::Finish(Event::ResponseAborted),
-            WorkerBehaviour::Bare if request.next_event > 1 => WorkerStep::Finish(Event::ResponseEnd),
+            WorkerBehaviour::Truncate if aborts => WorkerStep::Finish(Event::ResponseAborted),
+            WorkerBehaviour::Unframed if request.next_event > 1 => WorkerStep::Finish(Event::ResponseEnd),
             _ if request.next_event < events => self.next_part(request, events, pause),
             _ => WorkerStep::Finish(Event::ResponseEnd),
         }
@@ -170,7 +170,7 @@
         let number = request.next_event + u64::from(skips);
         let text = event_text(request.origin.call, number, events);
         if !request.is_first_part_sent
-            && (request.behaviour == WorkerBehaviour::Cut || self.rng.chance_percent(SPLIT_PERCENT))
+            && (request.behaviour == WorkerBehaviour::Truncate || self.rng.chance_percent(SPLIT_PERCENT))
         {
             request.is_first_part_sent = true;
             return WorkerStep::Continue(chunk(&text[..FIRST_PART_BYTES]), 5 * MS);
@@ -210,7 +210,7 @@
         for worker in 0..self.workers.len() {
             let now = self.now;
             let state = &mut self.workers[worker];
-            let is_unreachable = state.behaviour_at(now) == WorkerBehaviour::Dark;
+            let is_unreachable = state.behaviour_at(now) == WorkerBehaviour::Unreachable;
             if !state.is_running || state.next_report_at > now || is_unreachable {
                 continue;
             }
@@ -245,7 +245,7 @@
     Event::ResponseHead(ResponseHead {
         status: 200,
         is_event_stream: events > 0,
-        has_definite_end: request.behaviour != WorkerBehaviour::Bare,
+        has_definite_end: request.behaviour != WorkerBehaviour::Unframed,
         ..ResponseHead::default()
     })
 }
@@ -253,7 +253,7 @@
 /// The body of a response that is not a stream.
 fn single_body(request: &RunningRequest) -> Event {
     let mut text = body(request.origin.call, request.path, 0);
-    if request.behaviour == WorkerBehaviour::Cut {
+    if request.behaviour == WorkerBehaviour::Truncate {
         text.truncate(ABORTED_BODY_BYTES);
     }
     Event::ResponseChunk(Bytes::from(text))
--- a/crates/testbed/src/sim/workers/worker.rs
+++ b/crates/testbed/src/sim/workers/worker.rs
@@ -7,19 +7,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerBehaviour {
     /// Healthy: runs each request and sends the complete response.
-    Well,
+    Healthy,
     /// Runs requests and sends no response.
     Hang,
     /// Runs requests and closes the connection without a response.
-    Mute,
+    NoResponse,
     /// Aborts responses in the middle of an event.
-    Cut,
+    Truncate,
     /// Ends responses early, without framing that would distinguish the end from an abort.
-    Bare,
+    Unframed,
     /// Rejects each request with 503 and marks it as not run.
-    Decline,
+    Reject,
     /// Unreachable: receives and sends nothing.
-    Dark,
+    Unreachable,
     /// Closes pooled connections at the moment of their reuse (every odd attempt).
     Reset,
     /// Takes ten times as long for each event.
@@ -77,7 +77,7 @@
     /// When the next report is due, in microseconds of true time.
     pub next_report_at: Micros,
     /// The behaviour of the worker, and until when; afterwards the worker is healthy.
-    pub mode: (WorkerBehaviour, Micros),
+    pub behaviour: (WorkerBehaviour, Micros),
     /// Running requests by number; at most [`SLOTS`].
     pub(in crate::sim) running: BTreeMap<u64, RunningRequest>,
     /// The number of requests that were started, which is also the number of the last one.
@@ -101,7 +101,7 @@
     /// When the execution started, in microseconds of true time.
     pub started_at: Micros,
     /// The event that the response began with: above 0 for a resumed stream.
-    pub first_piece: u64,
+    pub first_event: u64,
     /// The quota window of the unit that the call ran with.
     pub quota_window: u64,
     /// Since when the worker was draining at the start; `None` if it was not.
@@ -138,7 +138,7 @@
             is_draining: false,
             draining_since: None,
             next_report_at: due,
-            mode: (WorkerBehaviour::Well, 0),
+            behaviour: (WorkerBehaviour::Healthy, 0),
             running: BTreeMap::new(),
             requests_started: 0,
         }
@@ -146,7 +146,7 @@
 
     /// The behaviour at this moment of true time.
     pub fn behaviour_at(&self, now: Micros) -> WorkerBehaviour {
-        if self.mode.1 > now { self.mode.0 } else { WorkerBehaviour::Well }
+        if self.behaviour.1 > now { self.behaviour.0 } else { WorkerBehaviour::Healthy }
     }
 
     /// Starts a new incarnation at the same address.
--- a/crates/testbed/src/sim/world.rs
+++ b/crates/testbed/src/sim/world.rs
@@ -6,7 +6,7 @@
 use crate::sim::machines::disk::Disk;
 use crate::sim::machines::slot::Machine;
 use crate::sim::network::connections::Connections;
-use crate::sim::operators::documents::TENANTS;
+use crate::sim::operators::documents::TENANT_COUNT;
 use crate::sim::workers::worker::{ExecutionRecord, Worker};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -37,7 +37,7 @@
     /// The open connections between machines.
     pub connections: Connections,
     /// The percentage of frames that are lost, and until when.
-    pub loss: (u64, Micros),
+    pub frame_loss: (u64, Micros),
     /// Until when many frames are delayed and reordered.
     pub reordering_until: Micros,
     /// Machines whose frames, sent and received, are held, and until when.
@@ -65,7 +65,7 @@
     /// Cumulative shares, in percent, of lookups, bookings, drafts, chats and summaries.
     pub call_mix: [u64; 5],
     /// The factor by which one tenant exceeds its usual traffic, and until when.
-    pub crowd: (u64, Micros),
+    pub tenant_burst: (u64, Micros),
     /// Until when all calls share one prompt prefix.
     pub shared_prefix_until: Micros,
     /// The number of cores that may be lost at once where cores manage the voters themselves; 0 where operators do.
@@ -77,7 +77,7 @@
     /// All freezes: the machine, the start and the end.
     pub freezes: Vec<(usize, Micros, Micros)>,
     /// The numbers of first attempts and of retries, in processes that ended.
-    pub tries: (u64, u64),
+    pub attempts: (u64, u64),
     /// The number of streams resumed at another worker, in processes that ended.
     pub streams_resumed: u64,
     /// The number of slots reassigned, in processes that ended.
@@ -126,7 +126,7 @@
             stalled_links: BTreeMap::new(),
             reconnect_intervals: BTreeMap::new(),
             connections: Connections::default(),
-            loss: (0, 0),
+            frame_loss: (0, 0),
             reordering_until: 0,
             frames_held_until: BTreeMap::new(),
             frames: 0,
@@ -136,17 +136,17 @@
             executions: Vec::new(),
             call_outcomes: Vec::new(),
             calls_started: 0,
-            tenants: TENANTS,
+            tenants: TENANT_COUNT,
             extra_routes: 0,
             quotas_are_rates: false,
             call_mix: USUAL_CALL_MIX,
-            crowd: (1, 0),
+            tenant_burst: (1, 0),
             shared_prefix_until: 0,
             tolerated_losses: 0,
             leaving_machines: BTreeSet::new(),
             may_bootstrap: true,
             freezes: Vec::new(),
-            tries: (0, 0),
+            attempts: (0, 0),
             streams_resumed: 0,
             slots_reassigned: 0,
             report_interval: 500 * MS,
--- a/crates/testbed/src/standin/client.rs
+++ b/crates/testbed/src/standin/client.rs
@@ -15,7 +15,7 @@
     /// A complete and correct response of a worker.
     Complete,
     /// An error response of a node.
-    Refused {
+    Rejected {
         /// The HTTP status.
         status: u16,
         /// The error code in the body.
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug)]
 pub struct ClientRecord {
     /// The id of the call.
-    pub call: String,
+    pub call_id: String,
     /// The kind of the client.
     pub kind: &'static str,
     /// The tenant that the client belongs to.
@@ -99,7 +99,7 @@
             )
         });
         ClientRecord {
-            call: id.into(),
+            call_id: id.into(),
             kind: self.kind,
             tenant: self.tenant.clone(),
             front: front.into(),
@@ -146,7 +146,7 @@
     }
     let code = text_after(&body.text, "\"code\":\"").and_then(|rest| rest.split('"').next()).unwrap_or("").to_owned();
     let retry_after_ms = number_after(&body.text, "\"retry_after_ms\":").unwrap_or(0);
-    let observation = ClientObservation::Refused { status, code, ran, has_retry_after };
+    let observation = ClientObservation::Rejected { status, code, ran, has_retry_after };
     TimedObservation { observation, first_byte: body.first_byte, retry_after_ms }
 }
 
--- a/crates/testbed/src/standin/log.rs
+++ b/crates/testbed/src/standin/log.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug)]
 pub struct WorkerRun {
     /// The id of the call, chosen by the client.
-    pub call: String,
+    pub call_id: String,
     /// The name of the tenant, as sent by the front.
     pub tenant: String,
     /// The path of the request.
@@ -19,9 +19,9 @@
     /// The zone of the worker.
     pub zone: String,
     /// The time at which the run began.
-    pub began: Instant,
+    pub started_at: Instant,
     /// The last event before a resumed run; `None` for a run that was not resumed.
-    pub resumed_after: Option<u64>,
+    pub last_event_id: Option<u64>,
     /// The window that the quota unit of the call belongs to.
     pub quota_window: u64,
     /// The time at which the worker began to drain, if it was draining.
--- a/crates/testbed/src/standin/worker.rs
+++ b/crates/testbed/src/standin/worker.rs
@@ -106,10 +106,10 @@
 
 /// The properties of a call, read from its request.
 struct CallRequest {
-    call: String,
+    call_id: String,
     tenant: String,
     path: String,
-    resumed_after: Option<u64>,
+    last_event_id: Option<u64>,
     quota_window: u64,
 }
 
@@ -119,10 +119,10 @@
         let header =
             |name: &str| request.headers().get(name).and_then(|value| value.to_str().ok()).unwrap_or("").to_owned();
         CallRequest {
-            call: header("x-call-id"),
+            call_id: header("x-call-id"),
             tenant: header("x-tenant"),
             path: request.uri().path().to_owned(),
-            resumed_after: header("last-event-id").parse().ok(),
+            last_event_id: header("last-event-id").parse().ok(),
             quota_window: header("x-quota-window").parse().unwrap_or(0),
         }
     }
@@ -270,7 +270,7 @@
         let call = CallRequest::read(&request);
         let body = request.into_body().collect().await.map_err(std::io::Error::other)?.to_bytes();
         let Some(slot) = BusySlot::acquire(&self) else {
-            return Ok(plain_response(StatusCode::SERVICE_UNAVAILABLE, &call.call, "no", "{\"busy\":true}".into()));
+            return Ok(plain_response(StatusCode::SERVICE_UNAVAILABLE, &call.call_id, "no", "{\"busy\":true}".into()));
         };
         self.record_run(&call, &body);
         let mode = self.0.mode.lock().map_or(WorkerMode::Healthy, |mode| *mode);
@@ -283,8 +283,8 @@
         let plan = ResponsePlan::for_path(&call.path);
         tokio::time::sleep(plan.delay).await;
         if plan.events == 0 {
-            let body = format!("{{\"call\":\"{}\",\"ok\":true}}", call.call);
-            return Ok(plain_response(StatusCode::OK, &call.call, "yes", body));
+            let body = format!("{{\"call\":\"{}\",\"ok\":true}}", call.call_id);
+            return Ok(plain_response(StatusCode::OK, &call.call_id, "yes", body));
         }
         Ok(stream_response(&call, plan, truncate_after, slot))
     }
@@ -293,14 +293,14 @@
     fn record_run(&self, call: &CallRequest, body: &[u8]) {
         let spec = &self.0.spec;
         self.0.log.add(WorkerRun {
-            call: call.call.clone(),
+            call_id: call.call_id.clone(),
             tenant: call.tenant.clone(),
             path: call.path.clone(),
             prefix: String::from_utf8_lossy(body).split('|').next().unwrap_or("").to_owned(),
             worker: spec.id.clone(),
             zone: spec.zone.clone(),
-            began: Instant::now(),
-            resumed_after: call.resumed_after,
+            started_at: Instant::now(),
+            last_event_id: call.last_event_id,
             quota_window: call.quota_window,
             draining_since: self.0.draining_since.lock().map_or(None, |since| *since),
         });
@@ -343,11 +343,11 @@
     truncate_after: Option<u64>,
     slot: BusySlot,
 ) -> Response<Body> {
-    let first = call.resumed_after.map_or(0, |event| event + 1);
-    let events = event_stream(call.call.clone(), first, plan, truncate_after, slot);
+    let first = call.last_event_id.map_or(0, |event| event + 1);
+    let events = event_stream(call.call_id.clone(), first, plan, truncate_after, slot);
     let mut response = Response::new(BodyExt::boxed_unsync(StreamBody::new(events)));
     response.headers_mut().insert("content-type", HeaderValue::from_static("text/event-stream"));
-    insert_call_id(&mut response, &call.call);
+    insert_call_id(&mut response, &call.call_id);
     response
 }
 
--- a/crates/testbed/tests/connections.rs
+++ b/crates/testbed/tests/connections.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 use sumacvale_core::base::Rng;
 use sumacvale_testbed::fleet::{
-    Fleet, FleetSpec, apply_config, client, config_tree, ensure, judge, run_trial, start_fleet, tenant_key,
-    wait_for_workers,
+    Fleet, FleetSpec, apply_config, check_invariants, client, config_tree, ensure, run_async_test, start_fleet,
+    tenant_key, wait_for_workers,
 };
 use sumacvale_testbed::standin::{ClientObservation, LinkState, Relay, StandInWorker, WorkerLog, start_raw_worker};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -46,14 +46,14 @@
 /// truncated body for a complete one. A front is stopped, and calls on open connections get no response.
 #[test]
 fn a_body_delimited_by_close_is_truncated_and_a_stopping_front_loses_no_response() {
-    run_trial(async {
+    run_async_test(async {
         let extra_pools = "\"app\":{},\"bare\":{},\"events\":{}";
         let extra_matches = "\"matches\":{\"bare\":{\"path\":\"/v1/bare/{id}\",\"pool\":\"bare\"},\"events\":{\"path\":\"/v1/events\",\"pool\":\"events\"},";
         let body = config_tree(FleetSpec::SMALL, 0, &[])
             .replace("\"app\":{}", extra_pools)
             .replace("\"matches\":{", extra_matches);
         let (mut fleet, _workers, _log) = start_fleet(FleetSpec::SMALL, &body).await?;
-        let address = |host: u32| format!("{}.{host}:7300", fleet.net).parse().map_err(|_| "no address".to_owned());
+        let address = |host: u32| format!("{}.{host}:7300", fleet.subnet).parse().map_err(|_| "no address".to_owned());
         let bare = b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\n\r\n{\"half\":";
         let events = b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\nid: 0\ndata: a\n\n";
         for (id, pool, listen, response) in
@@ -99,13 +99,13 @@
 /// must not end as complete, and all workers must serve again once the links are healthy.
 #[test]
 fn link_faults_break_no_invariant_and_workers_serve_again() {
-    run_trial(async {
+    run_async_test(async {
         let body = config_tree(FleetSpec::SMALL, 0, &[])
             .replace("\"prefix_chars\":32", "\"prefix_chars\":32,\"first_ms\":900,\"idle_ms\":900");
         let (fleet, workers, log) = start_fleet(FleetSpec::SMALL, &body).await?;
         let mut relays = Vec::new();
         for (index, worker) in workers.iter().enumerate() {
-            let listen = format!("{}.{}:7400", fleet.net, 200 + index).parse().map_err(|_| "no address")?;
+            let listen = format!("{}.{}:7400", fleet.subnet, 200 + index).parse().map_err(|_| "no address")?;
             let relay = Relay::start(listen, worker.addr()).await.map_err(|error| error.to_string())?;
             worker.report_addr(relay.addr);
             relays.push(relay);
@@ -183,10 +183,10 @@
             count(|seen| *seen == ClientObservation::Complete),
             count(|seen| matches!(seen, ClientObservation::Truncated { .. })),
         );
-        let unknown = count(|seen| matches!(seen, ClientObservation::Refused { ran, .. } if ran == "unknown"));
+        let unknown = count(|seen| matches!(seen, ClientObservation::Rejected { ran, .. } if ran == "unknown"));
         println!("{complete} complete, {truncated} truncated, {unknown} with unknown outcome, of {}", records.len());
         ensure(complete > 150 && truncated > 0 && unknown > 0, "the link faults had no effect on calls")?;
-        let findings = judge(&records, &log.runs(), None);
+        let findings = check_invariants(&records, &log.runs(), None);
         ensure(findings.is_empty(), format!("{findings:?}"))?;
         // The links are healthy again, so calls must be served.
         let begin = Instant::now();
@@ -206,7 +206,7 @@
 /// or all at once.
 #[test]
 fn acknowledged_changes_survive_cores_killed_at_any_point_and_all_at_once() {
-    run_trial(async {
+    run_async_test(async {
         let (mut fleet, _workers, _log): (Fleet, Vec<StandInWorker>, WorkerLog) =
             start_fleet(FleetSpec::SMALL, &config_tree(FleetSpec::SMALL, 0, &[])).await?;
         let mut rng = Rng::new(5);
@@ -259,7 +259,7 @@
 /// Guards against calls that fail or wait while one change adds thousands of matches.
 #[test]
 fn calls_continue_while_a_configuration_grows_by_thousands_of_matches() {
-    run_trial(async {
+    run_async_test(async {
         let (fleet, _workers, log) = start_fleet(FleetSpec::SMALL, &config_tree(FleetSpec::SMALL, 0, &[])).await?;
         let mut clients = tokio::task::JoinSet::new();
         let (stop_sender, stop) = tokio::sync::watch::channel(false);
@@ -294,7 +294,7 @@
         let incomplete: Vec<_> =
             records.iter().filter(|record| record.observation != ClientObservation::Complete).collect();
         ensure(incomplete.is_empty() && records.len() > 20, format!("{} calls, {incomplete:?}", records.len()))?;
-        let findings = judge(&records, &log.runs(), None);
+        let findings = check_invariants(&records, &log.runs(), None);
         ensure(findings.is_empty(), format!("{findings:?}"))
     });
 }
--- a/crates/testbed/tests/cutoff.rs
+++ b/crates/testbed/tests/cutoff.rs
@@ -1,8 +1,9 @@
 //! Cores that are partitioned for up to twenty seconds, in virtual time from fixed seeds.
 
-use sumacvale_testbed::sim::{Answers, Caller, CutOff, cut_off};
+use sumacvale_testbed::sim::{CallerKind, PartitionResults, PartitionRun, run_partitions};
 
-const CALLERS: [Caller; 5] = [Caller::Change, Caller::Read, Caller::Report, Caller::Drain, Caller::Deregister];
+const CALLERS: [CallerKind; 5] =
+    [CallerKind::Change, CallerKind::Read, CallerKind::Report, CallerKind::Drain, CallerKind::Deregister];
 
 /// The number of seeds of each test; the environment can raise it.
 fn seeds() -> u64 {
@@ -10,10 +11,10 @@
 }
 
 /// Runs all seeds, checks each result, and prints the sums.
-fn run_seeds(name: &str, loss_percent: u64, has_slow_disks: bool, check: impl Fn(u64, &Answers)) {
-    let mut total = Answers::default();
+fn run_seeds(name: &str, loss_percent: u64, has_slow_disks: bool, check: impl Fn(u64, &PartitionResults)) {
+    let mut total = PartitionResults::default();
     for seed in 1..=seeds() {
-        let result = cut_off(CutOff { seed, seconds: 120, loss_percent, has_slow_disks });
+        let result = run_partitions(PartitionRun { seed, seconds: 120, loss_percent, has_slow_disks });
         assert!(
             result.violations.is_empty(),
             "{name} seed {seed}:\n{}\n{:#?}",
@@ -49,7 +50,7 @@
 }
 
 /// Calls that connected cores answered with 5xx or not at all.
-fn failed_at_connected_cores(result: &Answers) -> u64 {
+fn failed_at_connected_cores(result: &PartitionResults) -> u64 {
     result.connected.values().map(|stats| stats.unavailable + stats.timed_out).sum()
 }
 
@@ -75,7 +76,7 @@
 /// Guards against the same failures with slow disks or lost frames; 2 % of the calls may then fail at connected cores.
 #[test]
 fn partitioned_cores_respond_in_time_with_slow_disks_and_lost_frames() {
-    let check = |seed: u64, result: &Answers| {
+    let check = |seed: u64, result: &PartitionResults| {
         let calls: u64 = result.connected.values().map(|stats| stats.calls).sum();
         let failed = failed_at_connected_cores(result);
         assert!(failed * 50 <= calls, "seed {seed}: {failed} of {calls} calls failed at connected cores");
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -2,7 +2,7 @@
 //! graceful stop under traffic. The checks compare what clients saw with the logs of the workers.
 
 use std::time::{Duration, Instant};
-use sumacvale_testbed::fleet::{FleetSpec, Revocation, judge, run_scenario};
+use sumacvale_testbed::fleet::{FleetSpec, Revocation, check_invariants, run_scenario};
 use sumacvale_testbed::standin::{ClientObservation, ClientRecord, WorkerRun};
 
 const SECONDS: u64 = 16;
@@ -29,16 +29,16 @@
     run_without_findings(FleetSpec::DERWENT);
 }
 
-fn run_of(call: &str, path: &str, began: Instant) -> WorkerRun {
+fn run_of(call: &str, path: &str, started_at: Instant) -> WorkerRun {
     WorkerRun {
-        call: call.into(),
+        call_id: call.into(),
         tenant: "t".into(),
         path: path.into(),
         prefix: String::new(),
         worker: "w".into(),
         zone: "z".into(),
-        began,
-        resumed_after: None,
+        started_at,
+        last_event_id: None,
         quota_window: 1,
         draining_since: None,
     }
@@ -46,7 +46,7 @@
 
 fn record_of(call: &str, observation: ClientObservation, sent_at: Instant) -> ClientRecord {
     ClientRecord {
-        call: call.into(),
+        call_id: call.into(),
         kind: "chat",
         tenant: "t".into(),
         front: String::new(),
@@ -59,7 +59,7 @@
 }
 
 fn refused_as_not_run(status: u16, has_retry_after: bool) -> ClientObservation {
-    ClientObservation::Refused { status, code: "x".into(), ran: "no".into(), has_retry_after }
+    ClientObservation::Rejected { status, code: "x".into(), ran: "no".into(), has_retry_after }
 }
 
 /// Records of clients and workers, and the finding that the checks must report for them.
@@ -104,7 +104,7 @@
         ),
     ];
     for Case { name, records, runs, revocation, finding } in cases {
-        let findings = judge(&records, &runs, revocation.as_ref());
+        let findings = check_invariants(&records, &runs, revocation.as_ref());
         if finding.is_empty() {
             assert!(findings.is_empty(), "{name}: {findings:?}");
         } else {
--- a/crates/testbed/tests/repairs.rs
+++ b/crates/testbed/tests/repairs.rs
@@ -11,24 +11,32 @@
     for seed in seeds {
         let summary = run(Run::new(seed, profile));
         assert!(
-            summary.breaches.is_empty(),
+            summary.violations.is_empty(),
             "{name} seed {seed}:\n{}\n{:#?}",
             summary.trace.join("\n"),
-            summary.breaches
+            summary.violations
+        );
+        assert!(
+            summary.voters_ready_after.len() > 10,
+            "{name} seed {seed}: only {} losses",
+            summary.voters_ready_after.len()
+        );
+        assert!(
+            summary.voters_ready_after.iter().all(|times| times.1 < 4 * SEC),
+            "{name} seed {seed}: {:?}",
+            summary.voters_ready_after
         );
-        assert!(summary.full.len() > 10, "{name} seed {seed}: only {} losses", summary.full.len());
-        assert!(summary.full.iter().all(|times| times.1 < 4 * SEC), "{name} seed {seed}: {:?}", summary.full);
         // No change is rejected while a majority could answer, and fewer than one call in 20 needlessly.
         assert!(
-            summary.refused.is_empty() && summary.done > 50,
+            summary.needless_change_rejections.is_empty() && summary.committed > 50,
             "{name} seed {seed}: {} done, {:#?}",
-            summary.done,
-            summary.refused
+            summary.committed,
+            summary.needless_change_rejections
         );
         assert!(
-            summary.needless * 20 < summary.calls,
+            summary.needless_rejections * 20 < summary.calls,
             "{name} seed {seed}: {} of {} calls",
-            summary.needless,
+            summary.needless_rejections,
             summary.calls
         );
     }
--- a/crates/testbed/tests/sim.rs
+++ b/crates/testbed/tests/sim.rs
@@ -21,16 +21,19 @@
     let mut failed = Vec::new();
     for seed in seeds {
         let summary = run(Run::new(seed, profile));
-        assert!(summary.done > 0 && summary.taken > 0, "{name} seed {seed}: no change was committed or no call ran");
+        assert!(
+            summary.committed > 0 && summary.executed_calls > 0,
+            "{name} seed {seed}: no change was committed or no call ran"
+        );
         assert!(
             is_expected(&summary),
             "{name} seed {seed}: {:?} tries {:?} resumed {}",
             summary.ends,
-            summary.tries,
-            summary.resumed
+            summary.attempts,
+            summary.streams_resumed
         );
-        if !summary.breaches.is_empty() {
-            failed.push(format!("{name} seed {seed}:\n{}\n{:#?}", summary.trace.join("\n"), summary.breaches));
+        if !summary.violations.is_empty() {
+            failed.push(format!("{name} seed {seed}:\n{}\n{:#?}", summary.trace.join("\n"), summary.violations));
         }
     }
     assert!(failed.is_empty(), "{}", failed.join("\n"));
@@ -41,7 +44,7 @@
     run_each("calm", 1..5, |summary| {
         let unexpected =
             ["quota_unsettled", "full", "no_worker", "worker_full", "worker_gone", "worker_trouble", "broken"];
-        summary.needless == 0
+        summary.needless_rejections == 0
             && summary.ends["whole"] > 6_000
             && unexpected.iter().all(|code| !summary.ends.contains_key(*code))
     });
@@ -53,16 +56,16 @@
     for seed in seeds {
         let summary = run(Run { rates: true, ..Run::new(seed, profile) });
         assert!(
-            summary.breaches.is_empty(),
+            summary.violations.is_empty(),
             "{name} seed {seed}:\n{}\n{:#?}",
             summary.trace.join("\n"),
-            summary.breaches
+            summary.violations
         );
         assert!(
-            summary.done > 0 && summary.taken > 0 && is_expected(&summary),
+            summary.committed > 0 && summary.executed_calls > 0 && is_expected(&summary),
             "{name} seed {seed}: {:?} needless {}",
             summary.ends,
-            summary.needless
+            summary.needless_rejections
         );
     }
 }
@@ -71,14 +74,16 @@
 #[test]
 fn rates_hold_in_every_interval_and_no_call_waits_for_a_holder() {
     run_with_rates("calm", 1..4, |summary| {
-        summary.needless * 100 < summary.calls && !summary.ends.contains_key("quota_unsettled")
+        summary.needless_rejections * 100 < summary.calls && !summary.ends.contains_key("quota_unsettled")
     });
     run_with_rates("crowds", 1..3, |summary| summary.ends["quota"] > 1_000);
     run_with_rates("freezes", 1..3, |_| true);
     run_with_rates("wiped", 1..3, |_| true);
     // All machines lose power again and again: a holder knows which nodes must report before it grants.
-    run_with_rates("blackout", 1..4, |summary| summary.lit.len() > 5 && summary.lit.iter().all(|l| l.0 < 3 * SEC));
-    run_with_rates("blackout_cores", 1..4, |summary| summary.swallowed > 50);
+    run_with_rates("blackout", 1..4, |summary| {
+        summary.recovered_after_power_loss.len() > 5 && summary.recovered_after_power_loss.iter().all(|l| l.0 < 3 * SEC)
+    });
+    run_with_rates("blackout_cores", 1..4, |summary| summary.frames_lost_in_stale_connections > 50);
     let unsettled = |summary: &Summary| summary.ends.get("quota_unsettled").copied().unwrap_or(0);
     run_with_rates("storm", 70011..70014, |summary| unsettled(summary) * 20 < summary.calls);
 }
@@ -95,19 +100,19 @@
     let slow_seeds = std::cell::Cell::new(0);
     run_each("tries", 1..7, |summary| {
         slow_seeds.set(slow_seeds.get() + u32::from(summary.ends.contains_key("worker_slow")));
-        summary.resumed > 10 && summary.tries.1 > 100 && summary.ends["broken"] > 0
+        summary.streams_resumed > 10 && summary.attempts.1 > 100 && summary.ends["broken"] > 0
     });
     assert!(slow_seeds.get() >= 4, "calls ended as worker_slow on only {} of 6 seeds", slow_seeds.get());
 }
 
 #[test]
 fn calls_end_in_order_while_all_workers_fail_at_once() {
-    run_each("outage", 1..5, |summary| summary.ends["broken"] > 0 && summary.tries.1 > 100);
+    run_each("outage", 1..5, |summary| summary.ends["broken"] > 0 && summary.attempts.1 > 100);
 }
 
 #[test]
 fn crowds_come_and_share_one_prefix() {
-    run_each("crowds", 1..7, |summary| summary.ends["quota"] > 1_000 && summary.needless == 0);
+    run_each("crowds", 1..7, |summary| summary.ends["quota"] > 1_000 && summary.needless_rejections == 0);
 }
 
 #[test]
@@ -152,7 +157,7 @@
 
 #[test]
 fn guarantees_hold_on_slow_stalled_and_full_disks() {
-    run_each("disks", (1..5).chain([100]), |summary| summary.refused_writes > 0);
+    run_each("disks", (1..5).chain([100]), |summary| summary.rejected_writes > 0);
 }
 
 #[test]
@@ -182,11 +187,11 @@
     for (day, seed) in [(Day::MTATSMINDA, 1), (Day::MTATSMINDA, 2), (Day::DERWENT, 1), (Day::DERWENT, 2)] {
         let summary = run(Run::day(seed, day));
         assert!(
-            summary.breaches.is_empty(),
+            summary.violations.is_empty(),
             "{} seed {seed}:\n{}\n{:#?}",
             day.name,
             summary.trace.join("\n"),
-            summary.breaches
+            summary.violations
         );
         assert!(summary.ends["whole"] * 10 > summary.calls * 8, "{} seed {seed}: {:?}", day.name, summary.ends);
     }
@@ -197,8 +202,8 @@
     let profile = Profile::named("storm").expect("a profile");
     let (first, second) = (run(Run::new(7, profile)), run(Run::new(7, profile)));
     assert_eq!(
-        (first.frames, first.bytes, first.taken, first.trace),
-        (second.frames, second.bytes, second.taken, second.trace)
+        (first.frames, first.bytes, first.executed_calls, first.trace),
+        (second.frames, second.bytes, second.executed_calls, second.trace)
     );
 }
 
@@ -344,7 +349,7 @@
         path,
         worker: 0,
         started_at: 20 * SEC,
-        first_piece: 0,
+        first_event: 0,
         quota_window: 1,
         draining_since: None,
     }
@@ -366,8 +371,8 @@
     let limits = CallLimits {
         quotas: BTreeMap::from([("r".into(), (2, SEC))]),
         acknowledged: vec![(3, SEC)],
-        keys: vec![(2, 0, true), (3, SEC, false)],
-        tries: (100, 20),
+        key_versions: vec![(2, 0, true), (3, SEC, false)],
+        attempts: (100, 20),
         freezes: Vec::new(),
     };
     let chat = || ExecutionRecord { tenant: "t".into(), ..executed(1, "/v1/chat") };
@@ -429,7 +434,7 @@
             limits.clone(),
             "units of window 1",
         ),
-        ("too many retries", vec![], vec![], CallLimits { tries: (100, 21), ..limits.clone() }, "21 second tries"),
+        ("too many retries", vec![], vec![], CallLimits { attempts: (100, 21), ..limits.clone() }, "21 second tries"),
     ];
     for (name, outcomes, executions, limits, expected) in cases {
         let got: Vec<_> = check_calls(&outcomes, &executions, &limits).into_iter().map(|v| v.0).collect();
@@ -444,7 +449,8 @@
 #[test]
 fn voters_recover_from_replaced_and_wiped_cores_without_notice() {
     run_each("members", 1..7, |summary| {
-        summary.voted.len() > 4 && summary.voted.iter().chain(&summary.again).all(|t| *t < 4 * SEC)
+        summary.voters_live_after.len() > 4
+            && summary.voters_live_after.iter().chain(&summary.nodes_fresh_after).all(|t| *t < 4 * SEC)
     });
 }
 
@@ -452,7 +458,7 @@
 fn run_control(name: &str, seeds: impl Iterator<Item = u64>, is_expected: impl Fn(&ControlSummary) -> bool) {
     run_each(name, seeds, |summary| {
         let control = summary.control.as_ref().expect("a profile of the control plane");
-        assert!(control.taken > 30 && control.reads > 10 && is_expected(control), "{name}: {control:?}");
+        assert!(control.committed > 30 && control.reads > 10 && is_expected(control), "{name}: {control:?}");
         true
     });
 }
@@ -465,16 +471,19 @@
     let profile = Profile::named("control_cut_off").expect("a profile");
     for seed in 1..7 {
         let summary = run(Run::new(seed, profile));
-        assert!(summary.breaches.is_empty(), "seed {seed}:\n{}\n{:#?}", summary.trace.join("\n"), summary.breaches);
-        assert!(summary.done > 0 && summary.taken > 0, "seed {seed}: no change was committed or no call ran");
+        assert!(summary.violations.is_empty(), "seed {seed}:\n{}\n{:#?}", summary.trace.join("\n"), summary.violations);
+        assert!(
+            summary.committed > 0 && summary.executed_calls > 0,
+            "seed {seed}: no change was committed or no call ran"
+        );
         let control = summary.control.expect("a profile of the control plane");
         assert!(
-            control.taken > 30
+            control.committed > 30
                 && control.reads > 10
-                && control.troubles.keys().any(|fault| fault.starts_with("CutOff")),
+                && control.fault_counts.keys().any(|fault| fault.starts_with("CutOff")),
             "{control:?}"
         );
-        seen.extend(control.variants.into_keys());
+        seen.extend(control.variant_counts.into_keys());
     }
     let variants = ["drawn", "hard", "leader", "lure", "meet", "oldest", "reader", "turn"];
     assert_eq!(seen.into_iter().collect::<Vec<_>>(), variants);
@@ -482,7 +491,7 @@
 
 #[test]
 fn racing_and_late_repeated_orders_keep_their_outcomes() {
-    run_control("control_numbers", 1..3, |c| c.repeated > 50 && c.lost > 100 && c.refused > 3);
+    run_control("control_numbers", 1..3, |c| c.repeated > 50 && c.lost_responses > 100 && c.rejected > 3);
 }
 
 /// Runs a profile of the control plane, and asserts that each expected fault and variant occurs on some seed.
@@ -492,15 +501,15 @@
     for seed in seeds {
         let summary = run(Run::new(seed, profile));
         assert!(
-            summary.breaches.is_empty(),
+            summary.violations.is_empty(),
             "{name} seed {seed}:\n{}\n{:#?}",
             summary.trace.join("\n"),
-            summary.breaches
+            summary.violations
         );
         let control = summary.control.expect("a profile of the control plane");
-        assert!(control.taken > 30 && control.reads > 10, "{name} seed {seed}: {control:?}");
-        seen.extend(control.variants.into_keys().map(str::to_owned));
-        seen.extend(control.troubles.into_keys());
+        assert!(control.committed > 30 && control.reads > 10, "{name} seed {seed}: {control:?}");
+        seen.extend(control.variant_counts.into_keys().map(str::to_owned));
+        seen.extend(control.fault_counts.into_keys());
     }
     let missing: Vec<_> = expected.iter().filter(|name| !seen.contains(**name)).collect();
     assert!(missing.is_empty(), "{name}: {missing:?} are missing in {seen:?}");
@@ -538,12 +547,12 @@
 
 #[test]
 fn orders_succeed_while_disks_are_lost_right_after_a_repair() {
-    run_control("control_second_loss", 1..3, |c| c.troubles.values().sum::<u64>() > 6);
+    run_control("control_second_loss", 1..3, |c| c.fault_counts.values().sum::<u64>() > 6);
 }
 
 #[test]
 fn a_core_catches_up_after_hundreds_of_missed_changes() {
-    run_control("control_hundreds", 1..2, |c| c.taken > 250 && c.troubles["LongAway"] > 1);
+    run_control("control_hundreds", 1..2, |c| c.committed > 250 && c.fault_counts["LongAway"] > 1);
 }
 
 /// Guards against a full disk that blocks the majority: the disk rejects each write, and in some runs the machine is
@@ -556,12 +565,12 @@
         for seed in 3..9 {
             let summary = run(Run::new(seed, profile));
             assert!(
-                summary.breaches.is_empty(),
+                summary.violations.is_empty(),
                 "{name} seed {seed}:\n{}\n{:#?}",
                 summary.trace.join("\n"),
-                summary.breaches
+                summary.violations
             );
-            rejected += summary.refused_writes;
+            rejected += summary.rejected_writes;
             started += summary.trace.iter().filter(|line| line.contains("finds its disk full")).count();
         }
         assert!(rejected > 0 && started > 0, "{name}: {rejected} writes rejected, {started} starts on a full disk");
@@ -596,12 +605,15 @@
 
 #[test]
 fn orders_succeed_while_most_responses_to_the_operator_are_lost() {
-    run_control("control_answers", [1, 3, 4, 5].into_iter(), |c| c.lost > 100 && c.left > 0);
+    run_control("control_answers", [1, 3, 4, 5].into_iter(), |c| {
+        c.lost_responses > 100 && c.acknowledged_departures > 0
+    });
 }
 
 #[test]
 fn seven_cores_tolerate_the_loss_of_two_at_once() {
     run_each("many", 1..7, |summary| {
-        summary.voted.len() > 4 && summary.voted.iter().chain(&summary.again).all(|t| *t < 4 * SEC)
+        summary.voters_live_after.len() > 4
+            && summary.voters_live_after.iter().chain(&summary.nodes_fresh_after).all(|t| *t < 4 * SEC)
     });
 }
--- a/crates/testbed/tests/trials.rs
+++ b/crates/testbed/tests/trials.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 use sumacvale_core::base::sha256_hex;
 use sumacvale_testbed::fleet::{
-    Fleet, FleetSpec, apply_config, client, config_tree, ensure, judge, run_trial, start_fleet, tenant_key,
-    wait_for_workers,
+    Fleet, FleetSpec, apply_config, check_invariants, client, config_tree, ensure, run_async_test, start_fleet,
+    tenant_key, wait_for_workers,
 };
 use sumacvale_testbed::standin::{ClientObservation, StandInWorker, WorkerLog, WorkerMode, request_text, send_request};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -22,7 +22,7 @@
 /// and remedy.
 #[test]
 fn invalid_requests_get_their_typed_error_and_change_nothing() {
-    run_trial(async {
+    run_async_test(async {
         let (fleet, _workers, log) = start_small_fleet().await?;
         let bearer = format!("Bearer {}", tenant_key(0));
         let key = bearer.as_str();
@@ -130,7 +130,7 @@
 /// Guards against foreign or broken frames that keep a connection open or disturb the nodes.
 #[test]
 fn invalid_frames_on_the_peer_port_are_counted_and_their_connections_closed() {
-    run_trial(async {
+    run_async_test(async {
         let (fleet, _workers, _log) = start_small_fleet().await?;
         let mut rng = sumacvale_core::base::Rng::new(1);
         for attempt in 0..60u32 {
@@ -168,7 +168,7 @@
 /// Guards against calls that run twice after a worker failed, and against responses that deny a run.
 #[test]
 fn failing_workers_run_nothing_twice_and_hide_no_run() {
-    run_trial(async {
+    run_async_test(async {
         let (fleet, workers, log) = start_small_fleet().await?;
         let mut records = Vec::new();
         let mut calls = 0;
@@ -192,7 +192,7 @@
                 "no response",
                 WorkerMode::NoResponse,
                 "/v1/chat",
-                |observation| matches!(observation, ClientObservation::Refused { status: 502, ran, .. } if ran == "unknown"),
+                |observation| matches!(observation, ClientObservation::Rejected { status: 502, ran, .. } if ran == "unknown"),
             ),
             ("healthy again", WorkerMode::Healthy, "/v1/chat", |observation| {
                 *observation == ClientObservation::Complete
@@ -215,7 +215,7 @@
                 // A worker that failed gets no calls until its next report.
                 let record = loop {
                     let record = client(&fleet, path, 0).call(&fleet.nodes[3].front(), &format!("c{calls}"), "x").await;
-                    if !matches!(&record.observation, ClientObservation::Refused { code, .. } if code == "full") {
+                    if !matches!(&record.observation, ClientObservation::Rejected { code, .. } if code == "full") {
                         break record;
                     }
                 };
@@ -231,7 +231,7 @@
         let call = client.call(&front, "dark", "x");
         tokio::pin!(call);
         let crash = async {
-            while !log.runs().iter().any(|run| run.call == "dark") {
+            while !log.runs().iter().any(|run| run.call_id == "dark") {
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
             for worker in &workers[..3] {
@@ -240,11 +240,11 @@
         };
         let (record, ()) = tokio::join!(&mut call, crash);
         let is_expected = matches!(&record.observation, ClientObservation::Truncated { .. })
-            || matches!(&record.observation, ClientObservation::Refused { ran, .. } if ran == "unknown");
+            || matches!(&record.observation, ClientObservation::Rejected { ran, .. } if ran == "unknown");
         ensure(is_expected, format!("crash of all workers: {:?}", record.observation))?;
         records.push(record);
         wait_for_workers(&fleet, 2).await?;
-        let violations = judge(&records, &log.runs(), None);
+        let violations = check_invariants(&records, &log.runs(), None);
         ensure(violations.is_empty(), format!("{violations:?}"))
     });
 }
@@ -252,7 +252,7 @@
 /// Guards against a replaced core that does not become a voter, so that later losses cost acknowledged versions.
 #[test]
 fn cores_are_replaced_one_by_one_by_empty_machines() {
-    run_trial(async {
+    run_async_test(async {
         let (mut fleet, _workers, _log) = start_small_fleet().await?;
         let mut last_version = fleet.version(3).await.unwrap_or(0);
         for i in 0..3 {
@@ -325,7 +325,7 @@
 /// Guards against a front that continues after a freeze and admits a call by the key of a revoked version.
 #[test]
 fn a_frozen_front_admits_nothing_by_stale_state_once_it_continues() {
-    run_trial(async {
+    run_async_test(async {
         let (fleet, _workers, log) = start_small_fleet().await?;
         // A call waits in the sockets of the frozen front while its key is revoked.
         fleet.freeze(4).await?;
@@ -338,7 +338,7 @@
         fleet.signal(4, libc::SIGCONT);
         let record = waiting_call.await.map_err(|e| e.to_string())?;
         let message = format!("{:?} {} ms after it was sent", record.observation, record.total.as_millis());
-        ensure(matches!(record.observation, ClientObservation::Refused { status: 401 | 503, .. }), message)?;
+        ensure(matches!(record.observation, ClientObservation::Rejected { status: 401 | 503, .. }), message)?;
         ensure(log.runs().is_empty(), "the call ran")?;
         fleet.wait_until_ready(Duration::from_secs(12)).await?;
         let record = client(&fleet, "/v1/chat", 0).call(&fleet.nodes[4].front(), "awake", "x").await;
@@ -350,7 +350,7 @@
 /// frozen.
 #[test]
 fn without_a_majority_no_change_commits_and_soon_no_call_is_admitted() {
-    run_trial(async {
+    run_async_test(async {
         let (fleet, _workers, _log) = start_small_fleet().await?;
         fleet.freeze(1).await?;
         fleet.freeze(2).await?;
@@ -365,7 +365,7 @@
             let record = client(&fleet, "/v1/chat", 0)
                 .call(&fleet.nodes[3].front(), &format!("m{}", begin.elapsed().as_micros()), "x")
                 .await;
-            if matches!(&record.observation, ClientObservation::Refused { status: 503, code, has_retry_after: true, .. } if code == "stale")
+            if matches!(&record.observation, ClientObservation::Rejected { status: 503, code, has_retry_after: true, .. } if code == "stale")
             {
                 break;
             }
@@ -389,7 +389,7 @@
 /// Guards against fronts that together admit more than a quota, or reject calls within it.
 #[test]
 fn quotas_hold_over_all_fronts_and_reject_nothing_within_them() {
-    run_trial(async {
+    run_async_test(async {
         let body = config_tree(FleetSpec::SMALL, 0, &[]).replace("\"calls\":120", "\"calls\":40");
         let (fleet, _workers, log) = start_fleet(FleetSpec::SMALL, &body).await?;
         let fronts = [fleet.nodes[3].front(), fleet.nodes[4].front()];
@@ -420,12 +420,12 @@
         while let Some(record) = tasks.join_next().await {
             let record = record.map_err(|e| e.to_string())?;
             match &record.observation {
-                ClientObservation::Refused { status: 429, has_retry_after: true, .. } => rejected += 1,
+                ClientObservation::Rejected { status: 429, has_retry_after: true, .. } => rejected += 1,
                 ClientObservation::Complete => {}
                 other => return Err(format!("{other:?}")),
             }
         }
-        let ran = log.runs().iter().filter(|run| run.call.starts_with("over")).count();
+        let ran = log.runs().iter().filter(|run| run.call_id.starts_with("over")).count();
         let windows = usize::try_from(begin.elapsed().as_secs()).unwrap_or(3) + 2;
         ensure(ran <= 40 * windows && rejected > 0, format!("{ran} ran in {windows} windows, {rejected} rejected"))?;
         let mut by_window = std::collections::BTreeMap::new();
@@ -434,7 +434,7 @@
         }
         ensure(by_window.values().all(|calls| *calls <= 40), format!("more than 40 in one window: {by_window:?}"))?;
         ensure(ran >= 100, format!("only {ran} of 120 and more were admitted"))?;
-        let violations = judge(&[], &log.runs(), None);
+        let violations = check_invariants(&[], &log.runs(), None);
         ensure(violations.is_empty(), format!("{violations:?}"))
     });
 }
@@ -442,19 +442,19 @@
 /// Guards against a core that votes without a durable write because its disk is full.
 #[test]
 fn a_core_with_a_full_disk_does_not_vote_until_there_is_room() {
-    run_trial(async {
+    run_async_test(async {
         let (mut fleet, _workers, _log) = start_small_fleet().await?;
         // The core can write no file, not even its log file, and still learns new versions.
-        fleet.limit_file_size(0, Some(0));
+        fleet.set_file_size_limit(0, Some(0));
         let version = apply_config(&fleet, 4, &config_tree(FleetSpec::SMALL, 9, &[])).await?;
         fleet.wait_for_version(version, Duration::from_secs(2)).await?;
-        fleet.limit_file_size(0, None);
+        fleet.set_file_size_limit(0, None);
         let begin = Instant::now();
         while !fleet.log_text(0).contains("the disk takes writes again") {
             ensure(begin.elapsed() < Duration::from_secs(5), "the disk is not used again")?;
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        fleet.limit_file_size(0, Some(fleet.wal_bytes(0)));
+        fleet.set_file_size_limit(0, Some(fleet.wal_bytes(0)));
         // The log file can grow now, the data files cannot. The other two cores still commit changes and grant quotas.
         for n in 1..4 {
             let version = apply_config(&fleet, 3 + n % 2, &config_tree(FleetSpec::SMALL, n, &[])).await?;
@@ -485,7 +485,7 @@
             )
             .await?;
         ensure(matches!(status, 503 | 504), format!("{status} {body}"))?;
-        fleet.limit_file_size(0, None);
+        fleet.set_file_size_limit(0, None);
         let begin = Instant::now();
         while apply_config(&fleet, 3, &config_tree(FleetSpec::SMALL, 6, &[])).await.is_err() {
             ensure(begin.elapsed() < Duration::from_secs(12), "no change is committed with room again")?;
@@ -498,7 +498,7 @@
 /// Guards against calls to drained workers, and against drained nodes that stay ready or stop serving.
 #[test]
 fn drained_workers_get_no_calls_and_drained_nodes_are_not_ready() {
-    run_trial(async {
+    run_async_test(async {
         let (fleet, workers, log) = start_small_fleet().await?;
         let body =
             config_tree(FleetSpec::SMALL, 0, &[]).replace("\"llm\":{}", "\"llm\":{\"drain\":[\"llm0\",\"llm2\"]}");
@@ -532,7 +532,7 @@
 /// against rejections that come late or all name the same time to retry.
 #[test]
 fn an_overload_leaves_small_tenants_their_share_and_is_rejected_at_once() {
-    run_trial(async {
+    run_async_test(async {
         let body = config_tree(FleetSpec::SMALL, 0, &[]).replace("\"calls\":120", "\"calls\":100000");
         let (fleet, _workers, log) = start_fleet(FleetSpec::SMALL, &body).await?;
         let fronts = [fleet.nodes[3].front(), fleet.nodes[4].front()];
@@ -562,7 +562,7 @@
             records.push(record.map_err(|e| e.to_string())?);
         }
         let calls_of =
-            |prefix: &str| records.iter().filter(|record| record.call.starts_with(prefix)).collect::<Vec<_>>();
+            |prefix: &str| records.iter().filter(|record| record.call_id.starts_with(prefix)).collect::<Vec<_>>();
         let complete = |calls: &[&sumacvale_testbed::standin::ClientRecord]| {
             calls.iter().filter(|record| record.observation == ClientObservation::Complete).count()
         };
@@ -584,7 +584,7 @@
                 .map(|record| {
                     format!(
                         "{} at {} ms after {} ms: {:?}",
-                        record.call,
+                        record.call_id,
                         (record.sent_at - begin).as_millis(),
                         record.total.as_millis(),
                         record.observation
@@ -609,23 +609,23 @@
             match &record.observation {
                 ClientObservation::Complete => {}
                 // On a machine with other load the response of a lease holder may come late.
-                ClientObservation::Refused { status: 503, code, has_retry_after: true, .. }
+                ClientObservation::Rejected { status: 503, code, has_retry_after: true, .. }
                     if code == "quota_unsettled" =>
                 {
                     unsettled += 1;
                 }
-                ClientObservation::Refused { status: 503, code, has_retry_after: true, ran }
+                ClientObservation::Rejected { status: 503, code, has_retry_after: true, ran }
                     if code == "full" || code == "worker_full" =>
                 {
                     ensure(ran == "no" && record.total < Duration::from_millis(2_600), format!("{record:?}"))?;
                     retry_delays.insert(record.retry_after_ms);
                 }
-                other => return Err(format!("{}: {other:?}", record.call)),
+                other => return Err(format!("{}: {other:?}", record.call_id)),
             }
         }
         ensure(unsettled * 20 < records.len(), format!("{unsettled} calls whose quota was not settled"))?;
         ensure(retry_delays.len() > 50, format!("{} different retry delays", retry_delays.len()))?;
-        let violations = judge(&records, &log.runs(), None);
+        let violations = check_invariants(&records, &log.runs(), None);
         ensure(
             violations.iter().all(|violation| violation.0.contains("calls ran in window")),
             format!("{violations:?}"),
@@ -636,7 +636,7 @@
 /// Guards against admin routes that serve without the operator's token, and against tokens or keys in the log files.
 #[test]
 fn without_a_token_the_admin_api_reveals_nothing_and_logs_hold_no_secret() {
-    run_trial(async {
+    run_async_test(async {
         let (fleet, _workers, _log) = start_small_fleet().await?;
         for path in ["/v1/config", "/v1/nodes", "/v1/workers", "/v1/beliefs", "/v1/history", "/v1/cores"] {
             let url = format!("http://{}{path}", fleet.nodes[3].admin());
