--- a/crates/core/src/call/slot_queue.rs
+++ b/crates/core/src/call/slot_queue.rs
@@ -1,7 +1,7 @@
-//! Slots at workers, and the queue of each pool for calls that wait for one.
+//! Slots at workers, and the queue of each pool for calls that wait for a slot.
 //!
-//! A free slot goes to the queue's next call in fair order that can use it. A call that can't be
-//! served before its deadline is rejected at once (load shedding) with a time to retry after.
+//! A free slot is assigned to the next call in fair order that can use it. A call that can't be
+//! served before its deadline is rejected immediately (load shedding) with a retry-after time.
 
 use super::context::{SharedCallState, StepContext};
 use super::holdings::ReservedSlot;
@@ -15,20 +15,19 @@
 use crate::queue::FairQueue;
 use std::sync::Arc;
 
-/// When to retry if the queue of a pool is unknown, or if no worker is left that the call may use,
-/// in microseconds.
+/// The retry-after time if the pool has no queue or no worker that the call may use, in microseconds.
 const DEFAULT_RETRY_AFTER: Micros = SEC;
 
-/// The slot that a call wants.
+/// A call's request for a slot.
 #[derive(Clone, Copy)]
 pub(super) struct SlotRequest<'a> {
     /// The pool of the call.
     pub(super) pool: &'a str,
-    /// The hash of its prompt prefix.
+    /// The hash of the prompt prefix.
     pub(super) prefix_hash: u64,
-    /// What it asks of an engine, if its match describes prompts by parts.
+    /// What the call requires of an engine, if its match describes prompts by parts.
     pub(super) prompt: Option<&'a Arc<PromptRequest>>,
-    /// The workers that it must not be placed at.
+    /// The workers that the call must not be placed at.
     pub(super) excluded: &'a [String],
 }
 
@@ -42,7 +41,7 @@
         }
     }
 
-    /// Whether the call may use none of the workers.
+    /// Whether the call may use none of the table's workers.
     fn excludes_all(&self, table: &PlacementTable) -> bool {
         excludes_all(self.excluded, table)
     }
@@ -52,18 +51,18 @@
     table.endpoints.iter().all(|endpoint| excluded.contains(&endpoint.worker_id))
 }
 
-/// What a request for a slot came to.
+/// The outcome of a request for a slot.
 pub(super) enum SlotOutcome {
-    /// The call holds a slot at this worker.
+    /// The call holds a slot at a worker.
     Reserved(Endpoint),
-    /// The call waits in the queue of its pool.
+    /// The call waits in its pool's queue.
     Queued,
-    /// All workers are busy for longer than the call may wait.
+    /// No worker has a free slot before the call's deadline.
     Full {
-        /// When to retry, in microseconds from now.
+        /// The time after which the client should retry, in microseconds from now.
         retry_after: Micros,
     },
-    /// There is no worker that the call could use.
+    /// The pool has no worker that the call may use.
     NoWorker,
 }
 
@@ -87,17 +86,18 @@
             && let Some(index) = self.choose_worker(table, &request, view, now)
         {
             let endpoint = &table.endpoints[index];
-            self.worker_loads.begin(&endpoint.worker_id);
+            self.worker_loads.record_start(&endpoint.worker_id);
             return SlotOutcome::Reserved(endpoint.clone());
         }
         enqueue_for_slot(queue, request, call, now, effects)
     }
 
-    /// The worker for a call: by what it asks of an engine, or else by consistent hashing.
+    /// Chooses the worker for a call: by predicted latency if the request has a prompt, or else by
+    /// consistent hashing. Returns its index in the table.
     fn choose_worker(&self, table: &PlacementTable, request: &SlotRequest, view: &View, now: Micros) -> Option<usize> {
         let Some(prompt) = request.prompt else {
             let loads = self.worker_loads.current(table);
-            return table.nominate(request.prefix_hash, &self.zone, &loads, request.excluded);
+            return table.choose_by_ring(request.prefix_hash, &self.zone, &loads, request.excluded);
         };
         let configured = view.config.pools.get(request.pool).map(|pool| &pool.placement_weights);
         let defaults = PlacementWeights::default();
@@ -111,33 +111,34 @@
         self.engines.choose(table, prompt, &placement, &self.worker_loads)
     }
 
-    /// Leaves the queue of a pool; false if the call is not in it, since a slot was assigned.
+    /// Removes a call from its pool's queue. Returns false if the call is no longer queued, since a slot
+    /// was assigned to it.
     pub(super) fn leave_slot_queue(&self, pool: &str, call_id: u64) -> bool {
         self.slot_queues
             .lock_shard(pool)
             .get_mut(pool)
-            .is_some_and(|queue| queue.remove_first(|waiter| waiter.call_id == call_id).is_some())
+            .is_some_and(|queue| queue.remove_matching(|waiter| waiter.call_id == call_id).is_some())
     }
 
-    /// When a call that was rejected for lack of slots is to retry, in microseconds from now.
+    /// Returns the retry-after time of a call that was rejected for lack of slots, in microseconds from now.
     pub(super) fn slot_retry_after(&self, pool: &str, now: Micros) -> Micros {
         let queues = self.slot_queues.lock_shard(pool);
         queues.get(pool).map_or(DEFAULT_RETRY_AFTER, |queue| queue.retry_after(now))
     }
 
-    /// Releases a slot and assigns free slots to the calls that wait.
+    /// Releases a slot and assigns free slots to the waiting calls.
     pub(super) fn release_slot(slot: &ReservedSlot, context: &mut StepContext) -> Vec<Wakeup> {
         let (shared, worker_id) = (context.shared, &slot.endpoint.worker_id);
-        shared.worker_loads.end(worker_id);
+        shared.worker_loads.record_end(worker_id);
         shared.engines.record_end(&slot.pool, worker_id, slot.ticket, CallOutcome::Done, context.now);
         if let Some(queue) = shared.slot_queues.lock_shard(&slot.pool).get_mut(&slot.pool) {
-            queue.record_freed(context.now);
+            queue.record_slot_freed(context.now);
         }
         SharedCallState::serve_slot_queue(&slot.pool, context)
     }
 
-    /// Assigns free slots of a pool to the calls that wait, in fair order. Calls that may use none
-    /// of the workers any more are dropped.
+    /// Assigns free slots of a pool to the waiting calls in fair order. Drops the calls that may no
+    /// longer use any of the workers.
     pub(super) fn serve_slot_queue(pool: &str, context: &mut StepContext) -> Vec<Wakeup> {
         let shared = context.shared;
         if shared.slot_queues.lock_shard(pool).get(pool).is_none_or(FairQueue::is_empty) {
@@ -154,7 +155,7 @@
             };
             let Some((waiter, index)) = queue.pop(choose) else { break };
             let endpoint = &table.endpoints[index];
-            shared.worker_loads.begin(&endpoint.worker_id);
+            shared.worker_loads.record_start(&endpoint.worker_id);
             wakeups.push(wakeup(waiter.call_id, Event::SlotAssigned(endpoint.clone())));
         }
         let unplaceable = queue.drain_where(|waiter, _| excludes_all(&waiter.excluded, &table)).into_iter();
@@ -172,11 +173,11 @@
             queue: pool.to_owned(),
             event: Event::DroppedFromQueue(retry_after),
         };
-        queue.drain_hopeless(now).into_iter().map(drop_waiter).collect()
+        queue.drain_unservable(now).into_iter().map(drop_waiter).collect()
     }
 }
 
-/// Queues a call, which may displace another one if the queue is full.
+/// Queues a call, which may displace another call if the queue is full.
 fn enqueue_for_slot(
     queue: &mut FairQueue<SlotWaiter>,
     request: SlotRequest,
--- a/crates/core/src/consensus/mod.rs
+++ b/crates/core/src/consensus/mod.rs
@@ -1,7 +1,7 @@
-//! Agreement on versions of the configuration: what a core promised, accepted and learned.
+//! Consensus on versions of the configuration: what a core promised, accepted and learned.
 //!
 //! Every version is one instance of Paxos (Lamport, Paxos Made Simple). This module holds the state; the
-//! handlers of the messages are in [`crate::node`].
+//! message handlers are in [`crate::node`].
 
 mod digest_log;
 mod durable;
@@ -11,6 +11,6 @@
 
 pub use digest_log::{ChangeStatus, DigestLog, MAX_DIGESTS};
 pub use durable::{DurableState, DurableWrite};
-pub use history::{MAX_HISTORY_BYTES, MAX_HISTORY_ENTRIES, lowest_kept_version, trim_history};
+pub use history::{MAX_HISTORY_BYTES, MAX_HISTORY_ENTRIES, lowest_retained_version, trim_history};
 pub use patch_chain::PatchChain;
 pub use state::{ConsensusState, PendingChange, Phase, Proposal, Requester, is_majority};
--- a/crates/core/src/node/state_digest.rs
+++ b/crates/core/src/node/state_digest.rs
@@ -1,26 +1,26 @@
-//! A canonical digest of a node's state, by which the model checker recognises states that it has visited.
+//! A canonical digest of a node's state, by which the model checker recognizes visited states.
 //!
-//! Guarantees that two nodes with the same digest behave alike from here on, as far as the [`Scope`] goes,
-//! up to collisions of a 64-bit hash.
+//! Guarantees that two nodes with the same digest behave alike from then on, as far as the [`Scope`] covers
+//! their state and apart from collisions of a 64-bit hash.
 
 use super::Node;
 use std::fmt::{Debug, Write};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The room that is reserved for the `Debug` forms of a node's state.
+/// The initial capacity of the buffer for the `Debug` forms of a node's state, in bytes.
 const INITIAL_BYTES: usize = 4_096;
 
-/// How much of a node's state a digest covers.
+/// The part of a node's state that a digest covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// What decides on versions: consensus, freshness, the set of voters and its takeover.
+    /// The state that decides on versions: consensus, freshness, the set of voters and its takeover.
     Agreement,
-    /// All state that decides anything; left out are counters, what was published last, and what follows
-    /// from the version (the compiled configuration).
+    /// All state that affects any decision. Counters, the last published view and the compiled configuration,
+    /// which follows from the version, are left out.
     Full,
 }
 
-/// Collects the `Debug` forms of values. Those of all types here are canonical: their maps and sets are
+/// The concatenated `Debug` forms of values. They are canonical, since all maps and sets of these types are
 /// ordered.
 struct DigestInput(String);
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// The digest of any value by its `Debug` form.
+/// Returns the digest of any value by its `Debug` form.
 #[must_use]
 pub fn digest_of(value: &dyn Debug) -> u64 {
     let mut input = DigestInput::new();
@@ -48,16 +48,16 @@
 }
 
 impl Node {
-    /// The digest of this node's state. Tokens of writes are left out: only their order counts.
+    /// Returns the digest of this node's state. Tokens of writes are left out: only their order matters.
     #[must_use]
     pub fn digest(&self, scope: Scope) -> u64 {
         let mut input = DigestInput::new();
         let settings = &self.settings;
-        input.add(&(settings.node_id.0, settings.incarnation, &settings.addr, self.draining));
+        input.add(&(settings.node_id.0, settings.incarnation, &settings.addr, self.is_draining));
         self.add_consensus(&mut input);
         input.add(&(
             self.consensus.freshness.confirmed,
-            self.consensus.freshness.probe_due,
+            self.consensus.freshness.next_probe_at,
             &self.consensus.freshness.open_probes,
         ));
         input.add(&(self.consensus.synced_version, self.membership.ready_set, self.membership.synced_ready_set));
@@ -100,7 +100,7 @@
         input.add(&(state.digests.len(), state.digests.newest_gap(), &state.bootstrap_vote));
         let accepted = state.accepted.as_ref().map(|accepted| (accepted.0, accepted.1.version, accepted.1.change_id.0));
         input.add(&(state.promised_ballot, accepted, state.accepted_at, state.backoff_until, state.ballot_number));
-        input.add(&state.yields_until);
+        input.add(&state.yield_until);
         if let Some(proposal) = &state.proposal {
             let highest_accepted = proposal.highest_accepted.as_ref().map(|highest| (highest.0, highest.1.change_id.0));
             let value = proposal.value.as_ref().map(|entry| entry.change_id.0);
@@ -108,7 +108,7 @@
                 proposal.instance,
                 proposal.ballot,
                 proposal.phase,
-                &proposal.answered,
+                &proposal.responders,
                 highest_accepted,
                 value,
                 proposal.deadline,
--- a/crates/core/src/protocol/mod.rs
+++ b/crates/core/src/protocol/mod.rs
@@ -1,8 +1,7 @@
 //! The protocol between nodes: frames, messages, and the records that they carry.
 //!
-//! [`Frame`] is the unit on the wire. Its [`Message`] belongs to one of five concerns, each with an enum
-//! of its own in the module of its name. The bytes of each message are fixed by golden files in
-//! `tests/golden`.
+//! [`Frame`] is the unit on the wire. Its [`Message`] belongs to one of five concerns, each of which has an enum
+//! in the module of the same name. Golden files in `tests/golden` fix the bytes of each message.
 
 mod compression;
 mod consensus;
@@ -17,9 +16,7 @@
 
 pub use consensus::{Ballot, Change, ChangeOutcome, ConsensusMessage};
 pub use digest::EntryDigest;
-pub use dissemination::{
-    DisseminationMessage, Heartbeat, PeerRecord, RemovalKey, UNNUMBERED_INCARNATION, WorkerReport,
-};
+pub use dissemination::{DisseminationMessage, Heartbeat, PeerRecord, RemovalKey, UNKNOWN_INCARNATION, WorkerReport};
 pub use entry::{LogEntry, Voter};
 pub use frame::{Frame, FrameError, MAX_FRAME_BYTES, PROTOCOL_VERSION, decode_frame, encode_frame};
 pub use lease::LeaseMessage;
--- a/crates/core/tests/rates.rs
+++ b/crates/core/tests/rates.rs
@@ -1,8 +1,8 @@
-//! Shares of a rate: the bucket of a node, the pool of a lease holder, and both together in a simulation.
+//! Tests of shares of a rate: the bucket of a node, the pool of a lease holder, and both together in a simulation.
 
 use std::collections::{BTreeMap, VecDeque};
 use sumacvale_core::base::{MS, Micros, NodeId, Rng, SEC};
-use sumacvale_core::config::{CompiledConfig, Limit, Rate, effective, validate};
+use sumacvale_core::config::{CompiledConfig, QuotaLimit, Rate, effective_settings, validate};
 use sumacvale_core::lease::{LEASE_DURATION, LeaseDecision, LeaseGrantor};
 use sumacvale_core::protocol::{RegisteredIncarnation, ShareGrant, ShareRequest};
 use sumacvale_core::quota::{
@@ -19,7 +19,7 @@
     (0..1_000).take_while(|_| matches!(bucket.acquire_unit(now), AcquireOutcome::Acquired { .. })).count() as u64
 }
 
-/// A bucket that was granted a share at the time of its request.
+/// Returns a bucket that was granted a share at the time of its request.
 fn granted_bucket(share: u32, burst_milli: u64, now: Micros) -> ShareBucket {
     let mut bucket = ShareBucket::new(RATE, now);
     bucket.make_request(0, 1, 0, now);
@@ -111,39 +111,39 @@
     let mut bucket = granted_bucket(500_000, 0, SEC);
     assert_eq!(
         bucket.acquire_unit(SEC),
-        AcquireOutcome::RateExhausted { wait: 200 * MS, interval: 200 * MS, may_get_more: true },
+        AcquireOutcome::RateExhausted { wait: 200 * MS, interval: 200 * MS, may_receive_units: true },
         "it was not requested yet"
     );
-    // The lease holder has none, and its pool is no longer filling up.
+    // The lease holder has no units, and its pool is no longer filling up.
     assert_eq!(units_taken(&mut bucket, 3 * SEC), 5);
     assert_eq!(bucket.make_request(0, 2, 0, 3 * SEC).missing_units, 2);
     assert!(bucket.apply_grant(2, grant_of(500_000, 0), 3 * SEC, 3 * SEC));
     assert_eq!(
         bucket.acquire_unit(3 * SEC),
-        AcquireOutcome::RateExhausted { wait: 200 * MS, interval: 200 * MS, may_get_more: false }
+        AcquireOutcome::RateExhausted { wait: 200 * MS, interval: 200 * MS, may_receive_units: false }
     );
     let mut bucket = granted_bucket(500_000, 0, SEC);
     assert!(
-        matches!(bucket.acquire_unit(SEC + 100 * MS), AcquireOutcome::RateExhausted { wait, may_get_more: true, .. } if wait == 100 * MS)
+        matches!(bucket.acquire_unit(SEC + 100 * MS), AcquireOutcome::RateExhausted { wait, may_receive_units: true, .. } if wait == 100 * MS)
     );
     assert_eq!(bucket.acquire_unit(SEC + SHARE_LEASE), AcquireOutcome::Empty, "the share has expired");
     let mut bucket = granted_bucket(0, 0, SEC);
     assert!(
-        matches!(bucket.acquire_unit(SEC), AcquireOutcome::RateExhausted { may_get_more: true, wait, .. } if wait > 3_600 * SEC)
+        matches!(bucket.acquire_unit(SEC), AcquireOutcome::RateExhausted { may_receive_units: true, wait, .. } if wait > 3_600 * SEC)
     );
     bucket.make_request(0, 2, 0, 3 * SEC);
     assert!(bucket.apply_grant(2, grant_of(0, 0), 3 * SEC, 3 * SEC), "there is none");
     assert!(
-        matches!(bucket.acquire_unit(3 * SEC), AcquireOutcome::RateExhausted { may_get_more: false, wait, .. } if wait > 3_600 * SEC)
+        matches!(bucket.acquire_unit(3 * SEC), AcquireOutcome::RateExhausted { may_receive_units: false, wait, .. } if wait > 3_600 * SEC)
     );
 }
 
-/// After a power loss of all nodes a lease holder's pool starts empty and is refilled by the rate: units that it
-/// does not have yet do not mean that the rate is exhausted.
+/// After a power loss of all nodes a lease holder's pool starts empty and is refilled by the rate. A pool without units
+/// then doesn't mean that the rate is exhausted.
 #[test]
 fn calls_wait_for_the_pool_to_fill_right_after_a_start() {
     let waits = |bucket: &mut ShareBucket, now: Micros| {
-        matches!(bucket.acquire_unit(now), AcquireOutcome::RateExhausted { may_get_more: true, .. })
+        matches!(bucket.acquire_unit(now), AcquireOutcome::RateExhausted { may_receive_units: true, .. })
     };
     let respond_with_nothing = |bucket: &mut ShareBucket, request_id: u64, now: Micros| {
         bucket.make_request(0, request_id, 1, now);
@@ -160,7 +160,7 @@
         respond_with_nothing(&mut bucket, request_id, first + after);
         assert!(!waits(&mut bucket, first + after), "{after} us after the first response it counts");
     }
-    // A node without any response for longer than a share lease knows as little as after a start.
+    // A node without a response for longer than a share lease is in the same state as after a start.
     let again = first + 3 * SEC + SHARE_LEASE;
     respond_with_nothing(&mut bucket, 7, again);
     assert!(waits(&mut bucket, again + MS), "the first response after that");
@@ -173,13 +173,13 @@
         returned_milli: 0,
         demand_milli,
         missing_units,
-        smallest_call: missing_units.min(1),
-        usual_call: 1,
+        smallest_call_units: missing_units.min(1),
+        mean_call_units: 1,
         call_rate_milli: demand_milli,
     }
 }
 
-/// The pool of the tenant that `request_of` names.
+/// Returns the pool of the tenant in `request_of`.
 fn pool_of(pools: &mut SharePools, role: u32, now: Micros) -> Option<&mut SharePool> {
     pools.pool(role, 7, RATE, now)
 }
@@ -188,9 +188,9 @@
 const SECOND_NODE: (NodeId, u64) = (NodeId(2), 1);
 
 #[test]
-fn a_pool_grants_what_nobody_can_hold() {
-    let grant_to = |pool: &mut SharePool, node, n, request, now| {
-        pool.request(node, n, &request, RATE, 2, now).map_or((9, 9), |grant| (grant.share, grant.burst_milli))
+fn a_pool_grants_only_shares_that_no_node_can_hold() {
+    let grant_to = |pool: &mut SharePool, node, request_id, request, now| {
+        pool.request(node, request_id, &request, RATE, 2, now).map_or((9, 9), |grant| (grant.share, grant.burst_milli))
     };
     // The first lease holder: half of the rate follows the demand, with half of the free units.
     let mut pool = SharePool::full(RATE, SEC);
@@ -202,12 +202,12 @@
     );
     let (second_share, _) = grant_to(&mut pool, SECOND_NODE, 1, request_of(0, 8_000, 0), SEC);
     assert_eq!(second_share, 250_000, "as much as another node with the same demand will have");
-    // A share that shrinks counts in full until its holder confirms that it is smaller.
+    // A share that shrinks counts in full until its holder reports the smaller share.
     let (first_share, _) = grant_to(&mut pool, FIRST_NODE, 2, request_of(500_000, 8_000, 0), SEC + MS);
     assert_eq!((first_share, pool.list().0), (250_000, 750_000));
     grant_to(&mut pool, FIRST_NODE, 3, request_of(first_share, 8_000, 0), SEC + 2 * MS);
     assert_eq!(pool.list().0, 500_000);
-    // A silent node holds its share until that expires.
+    // A node that sends no requests holds its share until the share expires.
     let expires_at = SEC + 3 * MS + SHARE_LEASE;
     pool.expire(RATE, expires_at - 10 * MS);
     assert_eq!(pool.list().0, 500_000);
@@ -227,10 +227,11 @@
     assert_eq!(pool.list(), (600_000, 400_000));
     let grant = pool.request(SECOND_NODE, 1, &request_of(0, 8_000, 3), RATE, 2, SEC).unwrap();
     assert_eq!((grant.share, grant.burst_milli, grant.loaned_units), (0, 0, 0));
-    // A third node reports: its share was part of what was unaccounted for.
+    // A third node reports its share, which was part of the unaccounted share.
     pool.request((NodeId(3), 1), 1, &request_of(300_000, 0, 0), RATE, 2, SEC);
     assert_eq!(pool.list(), (900_000, 100_000));
-    // A share that shrank may be granted to others at once, the unaccounted one after a share lease.
+    // The difference of a share that shrank may be granted to others at once, the unaccounted share after a share
+    // lease.
     let grant = pool.request(FIRST_NODE, 2, &request_of(600_000, 1_000, 0), RATE, 2, SEC + MS).unwrap();
     assert!(grant.share < 300_000);
     pool.request(FIRST_NODE, 3, &request_of(grant.share, 1_000, 0), RATE, 2, SEC + MS);
@@ -241,7 +242,7 @@
 }
 
 #[test]
-fn a_pool_made_late_is_as_full_as_if_nobody_used_it() {
+fn a_pool_created_late_is_as_full_as_if_no_node_had_used_it() {
     for (name, first, elapsed, expected) in [
         ("the first lease holder", true, 0, 10_000),
         ("a later lease holder", false, 0, 0),
@@ -282,38 +283,42 @@
     for (tenant, expected, shown) in [
         (
             "a",
-            Limit::Rate(Rate { milli_per_second: 40_280, burst_milli: 50_280 }),
+            QuotaLimit::Rate(Rate { milli_per_second: 40_280, burst_milli: 50_280 }),
             r#""quota":{"rate":40.28,"burst":50.28}"#,
         ),
-        ("b", Limit::Unlimited, r#""quota":"none""#),
-        ("d", Limit::Rate(Rate { milli_per_second: 500, burst_milli: 2_000 }), r#""quota":{"rate":0.5,"burst":2}"#),
+        ("b", QuotaLimit::Unlimited, r#""quota":"none""#),
+        (
+            "d",
+            QuotaLimit::Rate(Rate { milli_per_second: 500, burst_milli: 2_000 }),
+            r#""quota":{"rate":0.5,"burst":2}"#,
+        ),
     ] {
         assert_eq!(config.tenants[tenant].quota, expected, "{tenant}");
-        assert!(effective(&config, "tenants", tenant).unwrap().contains(shown), "{tenant}");
+        assert!(effective_settings(&config, "tenants", tenant).unwrap().contains(shown), "{tenant}");
     }
-    assert!(matches!(config.tenants["c"].quota, Limit::Window(quota) if quota.calls == 5));
+    assert!(matches!(config.tenants["c"].quota, QuotaLimit::Window(quota) if quota.calls == 5));
 }
 
 #[test]
 fn the_effective_settings_of_a_tenant_name_its_urgency() {
     let config = validate(r#"{"tenants":{"a":{"keys":[],"urgency":3},"b":{"keys":[]}}}"#).unwrap();
     for (tenant, shown) in [("a", r#""urgency":3"#), ("b", r#""urgency":null"#)] {
-        let settings = effective(&config, "tenants", tenant).unwrap();
+        let settings = effective_settings(&config, "tenants", tenant).unwrap();
         assert!(settings.contains(shown), "{settings}");
     }
 }
 
 #[test]
 fn an_unlimited_tenant_makes_no_requests() {
-    let slices = sumacvale_core::quota::WindowSlices::default();
-    slices.rates.apply_plan(&CompiledConfig::compile(1, r#"{"tenants":{"b":{"keys":[],"quota":"none"}}}"#), 0);
+    let slices = sumacvale_core::quota::TenantQuotas::default();
+    slices.rates.apply_config(&CompiledConfig::compile(1, r#"{"tenants":{"b":{"keys":[],"quota":"none"}}}"#), 0);
     for now in 0..1_000 {
-        assert!(matches!(slices.acquire_unit("b", now), AcquireOutcome::Acquired { low: false, .. }));
+        assert!(matches!(slices.acquire_unit("b", now), AcquireOutcome::Acquired { is_low: false, .. }));
     }
     assert!(slices.rates.due_requests(|_| true, SEC).is_empty());
 }
 
-/// The most by which any interval exceeds the rate, in thousandths of calls.
+/// Returns the largest excess of the calls in any interval over the rate, in thousandths of calls.
 fn largest_excess(rate: Rate, times: &mut [Micros]) -> i128 {
     times.sort_unstable();
     let (mut lowest, mut largest) = (i128::MAX, 0);
@@ -326,46 +331,50 @@
     largest / 1_000_000
 }
 
-/// What an interval may see beyond its rate, in thousandths of calls: the burst, and what was lent just before.
+/// Returns the allowed excess of an interval over the rate, in thousandths of calls: the burst, and the units lent just
+/// before the interval.
 fn allowed_excess(rate: Rate) -> i128 {
     i128::from(rate.burst_milli) + i128::from(rate.milli_per_second) * i128::from(LOAN_DURATION) / i128::from(SEC)
 }
 
-/// How long a call waits for a unit.
-const PATIENCE: Micros = 500 * MS;
+/// The longest time that a call waits for a unit, in microseconds.
+const MAX_WAIT: Micros = 500 * MS;
 
-/// A fault of the lease holder that the simulation must detect.
+/// A planted fault of the lease holder, which the simulation must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Planted {
     Nothing,
-    /// It ignores the suspects that are cut off.
+    /// The lease holder ignores partitioned suspects.
     IgnoresCutOff,
-    /// It believes that a node that reports used nothing for a while.
+    /// The lease holder assumes that a node that reports used no units for 5 s.
     OverstatesIdleTime,
-    /// It believes that an incarnation that was replaced ended long before.
+    /// The lease holder assumes that a replaced incarnation ended 5 s earlier than it did.
     OverstatesAge,
 }
 
+/// A message between a front and a lease holder.
 enum Packet {
-    /// With the age of its sender, and for how long that can have used no unit.
+    /// A share request, with the age of its sender and the time for which the sender was idle.
     Request((NodeId, u64), u64, ShareRequest, (Micros, Micros)),
     Grant(usize, u64, ShareGrant),
 }
 
+/// A node that serves calls from its share.
 struct Front {
     id: (NodeId, u64),
     bucket: ShareBucket,
     last_request_id: u64,
     sent: BTreeMap<u64, Micros>,
+    /// The chance of a call in each millisecond, in millionths.
     load: u64,
     frozen_until: Micros,
     /// The deadlines of calls that wait for a unit.
     waiting: VecDeque<Micros>,
-    /// Its clock is that much ahead.
+    /// The time by which the front's clock is ahead, in microseconds.
     clock_offset: Micros,
-    /// When its incarnation started, by that clock.
+    /// When the front's incarnation started, by its own clock.
     started_at: Micros,
-    /// Until then nothing reaches it or leaves it, while it goes on.
+    /// The end of a partition, in which the front keeps running but all its messages are lost.
     cut_off_until: Micros,
 }
 
@@ -376,22 +385,24 @@
     fronts: Vec<Front>,
     /// The pools of the current lease holder.
     pools: SharePools,
-    /// The pools of an earlier lease holder that still answers until then.
+    /// The pools of an earlier lease holder, and the time until which it still responds.
     previous_pools: Option<(SharePools, Micros)>,
     holder_down_until: Micros,
     in_flight: Vec<(Micros, bool, Packet)>,
     ran: Vec<Micros>,
     rejected: Vec<Micros>,
+    /// The chance that a message is lost, in percent.
     loss: u64,
+    /// The longest usual delay of a message, in microseconds.
     delay: Micros,
     /// When the lease began.
     lease_began_at: Micros,
     planted: Planted,
-    /// In how many of a hundred power losses only the lease holder loses power.
-    holder_alone: u64,
-    /// In how many of a hundred power losses a front is cut off instead.
-    cut_chance: u64,
-    /// The front, and the last use, of each registered incarnation; none where no registrations are kept.
+    /// The chance that only the lease holder loses power, in percent.
+    holder_alone_chance: u64,
+    /// The chance that a front is partitioned instead of losing power, in percent.
+    partition_chance: u64,
+    /// The front and the time of the last use of each registered incarnation; `None` if there are no registrations.
     registered: Option<BTreeMap<(NodeId, u64), (usize, Micros)>>,
 }
 
@@ -401,16 +412,16 @@
         let now = 100 * SEC;
         let mut pools = SharePools::default();
         pools.begin_lease(0, first, now, 0);
-        let front = |(i, l): (usize, &u64)| Front {
-            id: (NodeId(i as u64 + 1), 1),
-            bucket: ShareBucket::first_of_incarnation(rate, now + i as u64 * SEC, now + i as u64 * SEC),
-            started_at: now + i as u64 * SEC,
+        let front = |(index, load): (usize, &u64)| Front {
+            id: (NodeId(index as u64 + 1), 1),
+            bucket: ShareBucket::first_of_incarnation(rate, now + index as u64 * SEC, now + index as u64 * SEC),
+            started_at: now + index as u64 * SEC,
             last_request_id: 0,
             sent: BTreeMap::new(),
-            load: *l,
+            load: *load,
             frozen_until: 0,
             waiting: VecDeque::new(),
-            clock_offset: i as u64 * SEC,
+            clock_offset: index as u64 * SEC,
             cut_off_until: 0,
         };
         Simulation {
@@ -428,18 +439,18 @@
             delay: 5 * MS,
             lease_began_at: now,
             planted: Planted::Nothing,
-            holder_alone: 0,
-            cut_chance: 30,
+            holder_alone_chance: 0,
+            partition_chance: 30,
             registered: None,
         }
     }
 
-    /// Sends a message that may be lost, late, out of order or duplicated.
+    /// Sends a message that may be lost, delayed, reordered or duplicated.
     fn send(&mut self, to_previous: bool, make: impl Fn() -> Packet) {
-        for _ in 0..if self.rng.chance(self.loss / 2) { 2 } else { 1 } {
-            if !self.rng.chance(self.loss) {
-                let longest_delay = if self.rng.chance(self.loss / 4) { 6 * SEC } else { self.delay };
-                let at = self.now + 1 + self.rng.below(longest_delay);
+        for _ in 0..if self.rng.chance_percent(self.loss / 2) { 2 } else { 1 } {
+            if !self.rng.chance_percent(self.loss) {
+                let longest_delay = if self.rng.chance_percent(self.loss / 4) { 6 * SEC } else { self.delay };
+                let at = self.now + 1 + self.rng.next_below(longest_delay);
                 self.in_flight.push((at, to_previous, make()));
             }
         }
@@ -461,7 +472,7 @@
             }
         }
         for index in 0..self.fronts.len() {
-            let draw = self.rng.below(1_000_000);
+            let draw = self.rng.next_below(1_000_000);
             if self.fronts[index].frozen_until <= now {
                 self.serve_calls(index, draw);
                 self.send_request_if_due(index);
@@ -477,7 +488,7 @@
         self.fronts.iter().position(|front| front.id == id)
     }
 
-    /// A lease holder receives a request.
+    /// Handles a request at a lease holder.
     fn on_request(
         &mut self,
         to_previous: bool,
@@ -506,7 +517,7 @@
         }
     }
 
-    /// The current lease holder registers a front, and records what it reports under this lease.
+    /// Registers a front with the current lease holder, and records the front's report under this lease.
     fn record_report(&mut self, index: usize, request_id: u64, request: &ShareRequest, (age, idle): (Micros, Micros)) {
         let now = self.now;
         let front = &self.fronts[index];
@@ -514,17 +525,17 @@
         if let Some(registered) = &mut self.registered {
             registered.insert(by, (index, now));
         }
-        // As for a request that carries the claim of this lease.
+        // The request was sent under this lease, and carries its claim.
         let sent_at = front.sent.get(&request_id);
         if sent_at.is_some_and(|sent_at| sent_at - front.clock_offset >= self.lease_began_at) {
             let age = if self.planted == Planted::OverstatesAge { age + 5 * SEC } else { age };
             let idle = if self.planted == Planted::OverstatesIdleTime { 5 * SEC } else { idle };
-            self.pools.record_alive(0, by, &index.to_string(), age, now);
-            self.pools.record_request(0, request, by, self.rate, idle, now);
+            self.pools.record_reply(0, by, &index.to_string(), age, now);
+            self.pools.record_share_report(0, request, by, self.rate, idle, now);
         }
     }
 
-    /// A front receives a grant.
+    /// Applies a grant at a front, unless the front is frozen or partitioned.
     fn on_grant(&mut self, index: usize, request_id: u64, grant: ShareGrant) {
         let now = self.now;
         let front = &mut self.fronts[index];
@@ -536,7 +547,7 @@
         }
     }
 
-    /// A call comes to a front by chance; those that wait get units or give up.
+    /// Starts a call at a front by chance; waiting calls take units or time out.
     fn serve_calls(&mut self, index: usize, draw: u64) {
         let now = self.now;
         let front = &mut self.fronts[index];
@@ -544,18 +555,20 @@
         if draw < front.load {
             match front.bucket.acquire_unit(local_now) {
                 AcquireOutcome::Acquired { window, .. } => {
-                    if self.loss > 0 && self.rng.chance(5) {
+                    if self.loss > 0 && self.rng.chance_percent(5) {
                         front.bucket.refund(window, local_now);
                     } else {
                         self.ran.push(now);
                     }
                 }
-                AcquireOutcome::RateExhausted { wait, may_get_more, .. } if may_get_more || wait < PATIENCE => {
-                    front.bucket.request_soon();
-                    front.waiting.push_back(now + PATIENCE);
+                AcquireOutcome::RateExhausted { wait, may_receive_units, .. }
+                    if may_receive_units || wait < MAX_WAIT =>
+                {
+                    front.bucket.request_units_soon();
+                    front.waiting.push_back(now + MAX_WAIT);
                 }
                 _ => {
-                    front.bucket.request_soon();
+                    front.bucket.request_units_soon();
                     self.rejected.push(now);
                 }
             }
@@ -585,7 +598,7 @@
         let age_and_idle = (local_now - front.started_at, front.bucket.idle_for(local_now));
         let request = front.bucket.make_request(7, request_id, 0, local_now);
         let is_cut_off = front.cut_off_until > now;
-        let to_previous = self.previous_pools.is_some() && self.rng.chance(30);
+        let to_previous = self.previous_pools.is_some() && self.rng.chance_percent(30);
         if !is_cut_off {
             self.send(to_previous, || Packet::Request(by, request_id, request, age_and_idle));
         }
@@ -594,49 +607,50 @@
     /// Injects a random fault.
     fn inject_fault(&mut self) {
         let now = self.now;
-        let i = usize::try_from(self.rng.below(self.fronts.len() as u64)).unwrap();
-        match self.rng.below(7) {
+        let index = usize::try_from(self.rng.next_below(self.fronts.len() as u64)).unwrap();
+        match self.rng.next_below(7) {
             0 => {
-                // A lease holder is lost or frozen; the next one starts after its lease.
-                self.holder_down_until = now + self.rng.below(2 * SEC);
+                // The lease holder is lost or frozen; the next lease holder starts after the end of the lease.
+                self.holder_down_until = now + self.rng.next_below(2 * SEC);
                 let mut pools = SharePools::default();
                 pools.begin_lease(0, false, self.holder_down_until.max(now), 0);
                 let previous = std::mem::replace(&mut self.pools, pools);
                 self.previous_pools =
-                    Some((previous, now + self.rng.below(self.holder_down_until.saturating_sub(now) + 1)));
+                    Some((previous, now + self.rng.next_below(self.holder_down_until.saturating_sub(now) + 1)));
             }
-            1 => self.fronts[i].frozen_until = now + self.rng.below(6 * SEC),
+            1 => self.fronts[index].frozen_until = now + self.rng.next_below(6 * SEC),
             2 => {
-                let front = &mut self.fronts[i];
+                let front = &mut self.fronts[index];
                 front.id.1 += 1;
                 front.started_at = now + front.clock_offset;
                 front.bucket = ShareBucket::first_of_incarnation(self.rate, front.started_at, front.started_at);
                 front.sent.clear();
             }
-            3 => self.loss = self.rng.below(60),
+            3 => self.loss = self.rng.next_below(60),
             4 => self.loss = 0,
-            5 => self.delay = 1 + self.rng.below(400 * MS),
+            5 => self.delay = 1 + self.rng.next_below(400 * MS),
             _ => {
-                let load = self.rng.below(200_000);
-                self.fronts[i].load = load;
+                let load = self.rng.next_below(200_000);
+                self.fronts[index].load = load;
             }
         }
     }
 }
 
 impl Simulation {
-    /// The lease holder and most fronts lose power; some fronts are cut off instead and go on spending.
+    /// Simulates a power loss of the lease holder and most fronts; other fronts are partitioned and keep spending
+    /// units.
     fn lose_power(&mut self) {
         let now = self.now;
         let ignores_cut_off = self.planted == Planted::IgnoresCutOff;
         self.previous_pools = None;
         self.in_flight.clear();
-        let fronts = if self.rng.chance(self.holder_alone) { 0 } else { self.fronts.len() };
-        for i in 0..fronts {
-            let cut = now + self.rng.below(8 * SEC);
-            let front = &mut self.fronts[i];
-            if self.rng.chance(self.cut_chance) {
-                front.cut_off_until = cut;
+        let front_count = if self.rng.chance_percent(self.holder_alone_chance) { 0 } else { self.fronts.len() };
+        for index in 0..front_count {
+            let cut_off_until = now + self.rng.next_below(8 * SEC);
+            let front = &mut self.fronts[index];
+            if self.rng.chance_percent(self.partition_chance) {
+                front.cut_off_until = cut_off_until;
             } else {
                 front.id.0.0 += 100;
                 front.started_at = now + front.clock_offset;
@@ -645,16 +659,16 @@
                 front.waiting.clear();
             }
         }
-        // The fence of restarted voters, the first request for the lease and its renewal.
+        // The time in which restarted voters grant no lease, the first lease request and its renewal.
         self.holder_down_until = now + SEC;
         self.lease_began_at = self.holder_down_until;
         let registered = self.registered.get_or_insert_default();
         registered.retain(|_, incarnation| now < incarnation.1 + 20 * SEC);
-        let is_known = |incarnation: &(NodeId, u64), i: usize| {
-            !ignores_cut_off || self.fronts[i].id != *incarnation || self.fronts[i].cut_off_until <= now
+        let is_known = |incarnation: &(NodeId, u64), index: usize| {
+            !ignores_cut_off || self.fronts[index].id != *incarnation || self.fronts[index].cut_off_until <= now
         };
         let all = registered.iter().filter(|incarnation| is_known(incarnation.0, incarnation.1.0));
-        let lives: Vec<_> = all
+        let suspects: Vec<_> = all
             .map(|(incarnation, front_and_use)| RegisteredIncarnation {
                 node_id: incarnation.0,
                 incarnation: incarnation.1,
@@ -663,41 +677,45 @@
             .collect();
         self.pools = SharePools::default();
         self.pools.begin_lease(0, false, self.holder_down_until, 0);
-        self.pools.set_suspects(0, &lives);
+        self.pools.set_suspects(0, &suspects);
     }
 }
 
+/// Simulates repeated power losses. Returns whether no interval exceeded the limit, and the number of calls that ran.
 fn survives_power_losses(seed: u64, planted: Planted) -> (bool, usize) {
     let mut rng = Rng::new(seed);
     let kind = seed % 3;
     let (rate, loads): (_, Vec<_>) = match kind {
         0 => {
-            let rate = Rate { milli_per_second: 5_000 + rng.below(80_000), burst_milli: 5_000 + rng.below(80_000) };
-            (rate, (0..2 + rng.below(6)).map(|_| 20_000 + rng.below(100_000)).collect())
+            let rate =
+                Rate { milli_per_second: 5_000 + rng.next_below(80_000), burst_milli: 5_000 + rng.next_below(80_000) };
+            (rate, (0..2 + rng.next_below(6)).map(|_| 20_000 + rng.next_below(100_000)).collect())
         }
-        // Nodes use loans and hold no share: their demand is small, and the burst is too small for a unit each.
-        // Often the lease holder alone loses power.
+        // Nodes use loans and hold no share: their demand is low, and the burst is too small for a unit at each node.
+        // Often only the lease holder loses power.
         1 => {
-            let rate = Rate { milli_per_second: 2_000 + rng.below(3_000), burst_milli: 8_000 + rng.below(6_000) };
-            (rate, (0..5 + rng.below(3)).map(|_| 1_000 + rng.below(2_000)).collect())
+            let rate =
+                Rate { milli_per_second: 2_000 + rng.next_below(3_000), burst_milli: 8_000 + rng.next_below(6_000) };
+            (rate, (0..5 + rng.next_below(3)).map(|_| 1_000 + rng.next_below(2_000)).collect())
         }
-        // The burst is that of many seconds, and nobody is cut off.
+        // The burst takes many seconds to refill, and no front is partitioned.
         _ => {
-            let rate = Rate { milli_per_second: 2_000 + rng.below(5_000), burst_milli: 30_000 + rng.below(30_000) };
-            (rate, (0..2 + rng.below(6)).map(|_| 20_000 + rng.below(100_000)).collect())
+            let rate =
+                Rate { milli_per_second: 2_000 + rng.next_below(5_000), burst_milli: 30_000 + rng.next_below(30_000) };
+            (rate, (0..2 + rng.next_below(6)).map(|_| 20_000 + rng.next_below(100_000)).collect())
         }
     };
     let mut simulation = Simulation::new(seed, rate, &loads, true);
     simulation.registered = Some(BTreeMap::new());
     simulation.planted = planted;
-    simulation.holder_alone = if kind == 1 { 50 } else { 0 };
-    simulation.cut_chance = if kind == 2 { 0 } else { 30 };
+    simulation.holder_alone_chance = if kind == 1 { 50 } else { 0 };
+    simulation.partition_chance = if kind == 2 { 0 } else { 30 };
     let mut next = simulation.now + 3 * SEC;
     while simulation.now < 140 * SEC {
         simulation.step();
         if simulation.now >= next {
             simulation.lose_power();
-            next = simulation.now + 2 * SEC + simulation.rng.below(8 * SEC);
+            next = simulation.now + 2 * SEC + simulation.rng.next_below(8 * SEC);
         }
     }
     let ran = simulation.ran.len();
@@ -705,7 +723,7 @@
 }
 
 #[test]
-fn no_interval_exceeds_the_limit_when_all_lose_power_and_some_are_cut_off() {
+fn no_interval_exceeds_the_limit_after_power_losses_and_partitions() {
     let mut ran = 0;
     for seed in 0..100 {
         let (within, calls) = survives_power_losses(seed, Planted::Nothing);
@@ -726,7 +744,7 @@
         |node, incarnation, addr: &str| RegisteredIncarnation { node_id: NodeId(node), incarnation, addr: addr.into() };
     let (replied_at, later) = (SEC + 100 * MS, SEC + 600 * MS);
     type Reply<'addr> = (u64, u64, &'addr str, bool);
-    // Who replied: node, incarnation, address, and whether its request names the tenant.
+    // The replies: node, incarnation, address, and whether the node's request names the tenant.
     let cases: &[(&str, &[RegisteredIncarnation], &[Reply], bool)] = &[
         ("nobody is registered: they end by time", &[], &[(9, 1, "a", true)], false),
         ("the only suspect reports its share", &[registered(1, 1, "a")], &[(1, 1, "a", true)], true),
@@ -752,9 +770,16 @@
                 pool_of(&mut pools, 3, SEC).unwrap().request((NodeId(50), 1), 1, &request_of(0, 100, 0), RATE, 1, SEC);
             }
             for (node, incarnation, addr, reports_share) in *replies {
-                pools.record_alive(3, (NodeId(*node), *incarnation), addr, 0, replied_at);
+                pools.record_reply(3, (NodeId(*node), *incarnation), addr, 0, replied_at);
                 if *reports_share {
-                    pools.record_request(3, &request_of(0, 0, 0), (NodeId(*node), *incarnation), RATE, 0, replied_at);
+                    pools.record_share_report(
+                        3,
+                        &request_of(0, 0, 0),
+                        (NodeId(*node), *incarnation),
+                        RATE,
+                        0,
+                        replied_at,
+                    );
                 }
             }
             let grant = pool_of(&mut pools, 3, later)
@@ -767,15 +792,16 @@
     }
 }
 
-/// What a lease holder's pool has, in whole units, right after no suspect is left.
+/// A new lease holder's pool that started empty would reject calls although no node used the rate. Checks the whole
+/// units in the pool right after the last suspect was cleared.
 #[test]
 fn the_pool_is_refilled_for_the_time_in_which_provably_nobody_used_the_rate() {
     let registered =
         |node, addr: &str| RegisteredIncarnation { node_id: NodeId(node), incarnation: 1, addr: addr.into() };
-    /// Who replied: node, address, its age, and for how long it was idle if its request names the tenant.
+    /// A reply: node, address, the age of its incarnation, and how long it was idle if its request names the tenant.
     type Reply<'addr> = (u64, &'addr str, Micros, Option<Micros>);
     let (half, second) = (500 * MS, SEC);
-    // Ten units a second, and clocks may run fast by a fiftieth.
+    // Ten units per second, and clocks may run fast by a fiftieth.
     let cases: &[(&str, &[RegisteredIncarnation], &[Reply], u32)] = &[
         ("replaced half a second ago", &[registered(1, "a")], &[(9, "a", half, None)], 4),
         ("replaced just now", &[registered(1, "a")], &[(9, "a", 0, None)], 0),
@@ -800,7 +826,8 @@
             0,
         ),
         ("one did not reply", &[registered(1, "a"), registered(2, "b")], &[(9, "a", second, None)], 0),
-        // The burst is 10; the lease began 0.1 s ago, and up to a share lease before that others may have used it.
+        // The burst is 10. The lease began 0.1 s ago, and unregistered nodes may have used the rate up to a share lease
+        // before that.
         ("longer than voters know of", &[registered(1, "a")], &[(9, "a", 60 * SEC, None)], 10),
         ("nobody is registered", &[], &[(9, "a", second, None)], 0),
     ];
@@ -822,9 +849,9 @@
                 );
             }
             for (node, addr, age, idle) in *replies {
-                pools.record_alive(3, (NodeId(*node), 1), addr, *age, now);
+                pools.record_reply(3, (NodeId(*node), 1), addr, *age, now);
                 if let Some(idle) = idle {
-                    pools.record_request(3, &request_of(0, 0, 0), (NodeId(*node), 1), RATE, *idle, now);
+                    pools.record_share_report(3, &request_of(0, 0, 0), (NodeId(*node), 1), RATE, *idle, now);
                 }
             }
             let grant = pool_of(&mut pools, 3, now)
@@ -838,14 +865,14 @@
     let mut pools = SharePools::default();
     pools.begin_lease(3, false, lease_began_at, 0);
     pools.set_suspects(3, &[registered(1, "a")]);
-    pools.record_alive(3, (NodeId(9), 1), "a", 60 * SEC, now);
+    pools.record_reply(3, (NodeId(9), 1), "a", 60 * SEC, now);
     let grant =
         pools.pool(3, 7, slow, now).unwrap().request((NodeId(60), 1), 1, &request_of(0, 0, 99), slow, 1, now).unwrap();
     assert_eq!(grant.loaned_units, 4, "an incarnation that voters have forgotten may have used it before that");
 }
 
-/// A node that holds a share reports it, and for how long: only what nobody held is credited, and only once the
-/// reported share is known not to be part of that.
+/// Only a share that no node held is credited to the pool, and only once the reported shares are known not to be part
+/// of it; otherwise the units of a held share would be granted twice.
 #[test]
 fn a_held_share_is_not_credited() {
     let suspects = [(1, "a"), (2, "b")].map(|(node, addr)| RegisteredIncarnation {
@@ -854,7 +881,8 @@
         addr: addr.into(),
     });
     let (lease_began_at, now) = (100 * SEC, 100 * SEC + 100 * MS);
-    // What both hold, what the first one reported before without a claim, and whole units of ten a second.
+    // The shares of both nodes, the share that the first node reported earlier without a claim, and the whole units in
+    // the pool at ten units per second.
     for (name, held, before, expected) in [
         ("nothing", (0, 0), None, 9),
         ("half", (250_000, 250_000), None, 4),
@@ -874,7 +902,7 @@
         }
         for (by, share) in [(FIRST_NODE, held.0), (SECOND_NODE, held.1)] {
             let request = request_of(share, 0, 0);
-            pools.record_request(3, &request, by, RATE, SEC, now);
+            pools.record_share_report(3, &request, by, RATE, SEC, now);
             grant_to(&mut pools, by, 2, request);
         }
         assert_eq!(grant_to(&mut pools, (NodeId(60), 1), 1, request_of(0, 0, 99)).loaned_units, expected, "{name}");
@@ -887,7 +915,7 @@
 }
 
 #[test]
-fn a_bucket_is_idle_since_it_was_given_something_or_its_share_changed() {
+fn a_bucket_is_idle_since_its_last_grant_or_change_of_share() {
     let second = 2 * SEC;
     for (name, held, grant, idle) in [
         ("nothing", 0, grant_of(0, 0), 2 * SEC),
@@ -916,18 +944,18 @@
     );
 }
 
-/// A tenant that one configuration removes and a later one brings back may have been used in between.
+/// A tenant that one configuration removes and a later one adds again may still be served by units from before.
 #[test]
 fn only_the_first_configuration_with_tenants_proves_them_unused() {
     let compile = |document: &str| CompiledConfig::compile(1, document);
     let (with_tenant, without_tenants) =
         (r#"{"tenants":{"a":{"keys":[],"quota":{"rate":5,"burst":5}}}}"#, r#"{"tenants":{}}"#);
-    let slices = sumacvale_core::quota::WindowSlices::default();
-    slices.rates.apply_plan(&compile(without_tenants), SEC);
-    slices.rates.apply_plan(&compile(with_tenant), 3 * SEC);
+    let slices = sumacvale_core::quota::TenantQuotas::default();
+    slices.rates.apply_config(&compile(without_tenants), SEC);
+    slices.rates.apply_config(&compile(with_tenant), 3 * SEC);
     assert_eq!(slices.rates.idle_for("a", 4 * SEC), 3 * SEC, "since the start of the incarnation");
-    slices.rates.apply_plan(&compile(without_tenants), 5 * SEC);
-    slices.rates.apply_plan(&compile(with_tenant), 6 * SEC);
+    slices.rates.apply_config(&compile(without_tenants), 5 * SEC);
+    slices.rates.apply_config(&compile(with_tenant), 6 * SEC);
     assert_eq!(slices.rates.idle_for("a", 7 * SEC), 500 * MS, "earlier units may be used for half a second");
 }
 
@@ -936,16 +964,16 @@
     let mut ran = 0;
     for seed in 0..150 {
         let mut rng = Rng::new(seed);
-        let rate = Rate { milli_per_second: 500 + rng.below(80_000), burst_milli: 1_000 + rng.below(80_000) };
-        let loads: Vec<_> = (0..=rng.below(8)).map(|_| rng.below(100_000)).collect();
+        let rate = Rate { milli_per_second: 500 + rng.next_below(80_000), burst_milli: 1_000 + rng.next_below(80_000) };
+        let loads: Vec<_> = (0..=rng.next_below(8)).map(|_| rng.next_below(100_000)).collect();
         let mut simulation = Simulation::new(seed, rate, &loads, seed % 2 == 0);
-        simulation.loss = rng.below(30);
+        simulation.loss = rng.next_below(30);
         let mut next_fault_at = simulation.now + SEC;
         while simulation.now < 140 * SEC {
             simulation.step();
             if simulation.now >= next_fault_at {
                 simulation.inject_fault();
-                next_fault_at = simulation.now + 50 * MS + simulation.rng.below(3 * SEC);
+                next_fault_at = simulation.now + 50 * MS + simulation.rng.next_below(3 * SEC);
             }
         }
         ran += simulation.ran.len();
@@ -957,7 +985,8 @@
 
 #[test]
 fn below_the_limit_nothing_is_rejected_once_shares_follow_the_demand() {
-    // Calls a second of each front, against 40 a second with a burst of 40; allowed rejections of a thousand.
+    // The load of each front in thousandths of calls per second, for a rate of 40 per second with a burst of 40, and
+    // the allowed rejections per thousand calls.
     let rate = Rate { milli_per_second: 40_000, burst_milli: 40_000 };
     for (name, loads, allowed_per_thousand) in [
         ("evenly", [3_300; 6], 1),
--- a/crates/core/tests/slices.rs
+++ b/crates/core/tests/slices.rs
@@ -1,14 +1,14 @@
-//! How the lease holder of a window answers requests while it recalls idle units, and how a node applies the
-//! responses.
+//! Tests of the lease holder's responses to requests while it recalls idle units of a window, and of the node that
+//! applies these responses.
 
 mod fleet;
 
-use fleet::{Fleet, decree, kept};
+use fleet::{Fleet, durable_state, log_entry};
 use sumacvale_core::base::{MS, Micros, NodeId, SEC};
 use sumacvale_core::config::{CompiledConfig, WindowQuota};
 use sumacvale_core::node::Event;
 use sumacvale_core::protocol::{ConsensusMessage, Message, QuotaMessage};
-use sumacvale_core::quota::{AcquireOutcome, LedgerAction, SliceRequest, WindowLedger, WindowSlices};
+use sumacvale_core::quota::{AcquireOutcome, LedgerAction, SliceRequest, TenantQuotas, WindowLedger};
 
 const QUOTA: WindowQuota = WindowQuota { calls: 60, window: SEC };
 const TENANT: &str = "t";
@@ -41,7 +41,7 @@
     }
 }
 
-/// A recall proves nothing for requests that came after it started.
+/// A recall doesn't prove that no unit is idle for requests that arrived after the recall started.
 #[test]
 fn a_request_during_a_recall_is_reported_spent_only_after_a_recall_of_its_own() {
     let mut ledger = WindowLedger::default();
@@ -53,12 +53,12 @@
     let second = request(&mut ledger, 3, 1, start + 20 * MS);
     assert!(second.is_empty(), "the recall is in progress: {second:?}");
 
-    let nothing = ledger.return_units(TENANT, QUOTA, NodeId(1), 1, 0, NODES, start + 30 * MS);
+    let nothing = ledger.record_recall_reply(TENANT, QUOTA, NodeId(1), 1, 0, NODES, start + 30 * MS);
     assert_eq!(nodes_reported_spent(&nothing), [2], "node 3 requested after the recall started: {nothing:?}");
 
     let again = ledger.tick(TENANT, QUOTA, NODES, start + 200 * MS);
     assert!(matches!(&again[..], [LedgerAction::Recall { to, window: 1 }] if to == &[NodeId(1)]), "{again:?}");
-    let some = ledger.return_units(TENANT, QUOTA, NodeId(1), 1, 5, NODES, start + 210 * MS);
+    let some = ledger.record_recall_reply(TENANT, QUOTA, NodeId(1), 1, 5, NODES, start + 210 * MS);
     assert!(
         matches!(&some[..], [LedgerAction::Grant { request_id: 3, .. }]),
         "what was returned is granted to the waiting request: {some:?}"
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_node_that_does_not_answer_a_recall_is_sent_it_once_more() {
+fn an_unanswered_recall_is_retried_once() {
     let mut ledger = WindowLedger::default();
     let start = 10 * SEC;
     grant_all_to_one(&mut ledger, start);
@@ -82,25 +82,25 @@
     assert_eq!(nodes_reported_spent(&over), [2], "{over:?}");
 }
 
-/// A call that waits for a slot keeps its unit until others need it more.
+/// A call that waits for a slot would block a unit that other calls could use: a recall takes its unit back.
 #[test]
 fn the_unit_of_a_call_that_waits_for_a_slot_is_returned_on_a_recall() {
     let start = 10 * SEC;
-    // What happens while it waits; whether it has its unit afterwards, and what is returned and free.
-    type Meanwhile = fn(&WindowSlices, u64);
+    // The event while the call waits; whether the call has its unit afterwards; the returned and the free units.
+    type Meanwhile = fn(&TenantQuotas, u64);
     let cases: [(&str, Meanwhile, bool, (u64, u64)); 4] = [
         ("nothing", |_, _| {}, true, (0, 1)),
-        ("a recall", |slices, now| assert_eq!(slices.return_idle(TENANT, 1, now), Some(2)), false, (2, 0)),
+        ("a recall", |slices, now| assert_eq!(slices.return_idle_units(TENANT, 1, now), Some(2)), false, (2, 0)),
         (
             "a recall of another window",
-            |slices, now| assert_eq!(slices.return_idle(TENANT, 2, now), None),
+            |slices, now| assert_eq!(slices.return_idle_units(TENANT, 2, now), None),
             true,
             (0, 1),
         ),
         ("the next window", |slices, now| slices.add_granted(TENANT, 2, 5, now + SEC), false, (0, 5)),
     ];
     for (name, meanwhile, keeps_unit, (returned, free)) in cases {
-        let slices = WindowSlices::default();
+        let slices = TenantQuotas::default();
         slices.add_granted(TENANT, 1, 2, start + SEC);
         assert!(matches!(slices.acquire_unit(TENANT, start), AcquireOutcome::Acquired { window: 1, .. }), "{name}");
         assert!(slices.park(TENANT, 1), "{name}");
@@ -113,44 +113,45 @@
         slices.refund(TENANT, 1);
         assert_eq!(slices.list()[0].4, free + u64::from(keeps_unit), "{name}: nothing is refunded twice");
     }
-    let slices = WindowSlices::default();
+    let slices = TenantQuotas::default();
     let document = r#"{"tenants":{"t":{"keys":[],"quota":{"rate":9,"burst":9}}}}"#;
-    slices.rates.apply_plan(&CompiledConfig::compile(1, document), start);
+    slices.rates.apply_config(&CompiledConfig::compile(1, document), start);
     assert!(!slices.park(TENANT, 0), "a unit of a rate stays with its call");
 }
 
-/// A report has the window end later than it does, by the time that the report was under way.
+/// The end of a window in a report is late by the delay of the report, and must not prolong the validity of units.
 #[test]
 fn a_report_that_a_window_is_spent_prolongs_no_unit() {
-    let slices = WindowSlices::default();
+    let slices = TenantQuotas::default();
     let start = 10 * SEC;
     slices.add_granted(TENANT, 1, 5, start + 100 * MS);
-    slices.mark_spent(TENANT, 1, start + 300 * MS, start + 90 * MS);
+    slices.record_window_spent(TENANT, 1, start + 300 * MS, start + 90 * MS);
     let before = slices.acquire_unit(TENANT, start + 95 * MS);
     assert!(
-        matches!(before, AcquireOutcome::Acquired { window: 1, until, .. } if until == start + 100 * MS),
+        matches!(before, AcquireOutcome::Acquired { window: 1, expires_at, .. } if expires_at == start + 100 * MS),
         "{before:?}"
     );
     let after = slices.acquire_unit(TENANT, start + 150 * MS);
     assert_eq!(after, AcquireOutcome::WindowSpent { remaining: 150 * MS }, "the slice ended 50 ms ago");
 }
 
-/// A core that does not rank first for the tenant's role.
+/// A core that is not the first candidate for the lease of the tenant's role.
 const REQUESTER: u64 = 2;
 
-/// One core of three, to which another one can respond as the lease holder of the tenant's role.
+/// Starts one core of three, to which another core can respond as the lease holder of the tenant's role. Returns the
+/// fleet, the lease holder, and the number of the core's request.
 fn requester() -> (Fleet, u64, u64) {
-    let mut initial = decree(0, 0, &[], &[1, 2, 3]);
+    let mut initial = log_entry(0, 0, &[], &[1, 2, 3]);
     initial.body = r#"{"defaults":{"quota":{"calls":60,"window_ms":1000}},"pools":{"llm":{}},
         "matches":{"chat":{"path":"/v1/chat","pool":"llm","kind":"chat"}},
         "tenants":{"t":{"keys":["sha256:0000000000000000000000000000000000000000000000000000000000000000"]}}}"#
         .into();
     let mut fleet = Fleet::default();
-    fleet.auto = false;
-    fleet.start(REQUESTER, kept(REQUESTER, &[initial], Some(0)));
+    fleet.manages_voters = false;
+    fleet.start(REQUESTER, durable_state(REQUESTER, &[initial], Some(0)));
     fleet.run(100 * MS);
     let effects = fleet.step(REQUESTER, Event::QuotaNeeded { tenant: TENANT.into(), waiting: 2 });
-    fleet.carry(REQUESTER, effects);
+    fleet.apply_effects(REQUESTER, effects);
     let (holder, request_id) = newest_request(&fleet).expect("it sends a request");
     (fleet, holder, request_id)
 }
@@ -166,8 +167,8 @@
 }
 
 #[test]
-fn a_report_of_a_window_that_ended_meanwhile_rejects_nobody() {
-    // The remaining time as reported, the additional delay, and whether the window still runs on arrival.
+fn a_report_of_a_window_that_has_ended_rejects_no_call() {
+    // The reported remaining time, the additional delay, and whether the window still runs on arrival.
     for (remaining, delay, runs) in [
         (58 * MS, 0, true),
         (58 * MS, 57 * MS, true),
@@ -176,10 +177,10 @@
         (123 * MS, 161 * MS, false),
     ] {
         let (mut fleet, holder, request_id) = requester();
-        fleet.tell(holder, REQUESTER, Message::Consensus(ConsensusMessage::Synced { version: 0 }));
+        fleet.deliver_message(holder, REQUESTER, Message::Consensus(ConsensusMessage::Synced { version: 0 }));
         let spent =
             Message::Quota(QuotaMessage::WindowSpent { request_id, tenant: TENANT.into(), window: 24, remaining });
-        fleet.tell_late(holder, REQUESTER, spent, delay);
+        fleet.deliver_message_late(holder, REQUESTER, spent, delay);
         let now = fleet.now;
         let outcome = fleet.node(REQUESTER).quota.slices.acquire_unit(TENANT, now);
         let requests_again = newest_request(&fleet).is_some_and(|newest| newest.1 != request_id);
@@ -197,12 +198,13 @@
     }
 }
 
-/// The lease holder counts whatever it granted as this node's, also for a request that was delivered twice.
+/// A request that was delivered twice is granted twice. The lease holder counts both grants as held by this node, so
+/// units that the node ignored would be lost.
 #[test]
 fn units_for_a_request_that_was_delivered_twice_are_applied() {
     for has_response_between in [false, true] {
         let (mut fleet, holder, request_id) = requester();
-        fleet.tell(holder, REQUESTER, Message::Consensus(ConsensusMessage::Synced { version: 0 }));
+        fleet.deliver_message(holder, REQUESTER, Message::Consensus(ConsensusMessage::Synced { version: 0 }));
         let granted = |granted_total| {
             Message::Quota(QuotaMessage::SliceGranted {
                 request_id,
@@ -213,7 +215,7 @@
                 epoch: 1,
             })
         };
-        fleet.tell(holder, REQUESTER, granted(1));
+        fleet.deliver_message(holder, REQUESTER, granted(1));
         if has_response_between {
             let now = fleet.now;
             fleet.step(REQUESTER, Event::QuotaNeeded { tenant: TENANT.into(), waiting: 1 });
@@ -224,10 +226,10 @@
                 window: 1,
                 remaining: 500 * MS,
             });
-            fleet.tell(holder, REQUESTER, spent);
+            fleet.deliver_message(holder, REQUESTER, spent);
             assert_eq!(fleet.now, now);
         }
-        fleet.tell(holder, REQUESTER, granted(2));
+        fleet.deliver_message(holder, REQUESTER, granted(2));
         let rows = fleet.node(REQUESTER).quota.slices.list();
         assert_eq!(rows, [(TENANT.to_owned(), 1, 2, 0, 2)], "tenant, window, granted, returned, free");
     }
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! What operators, workers and probes can ask of a node.
+//! The admin API for operators, workers and probes, and the routes of both HTTP listeners.
 
 mod config;
 mod metrics;
@@ -7,5 +7,5 @@
 mod responses;
 mod routes;
 
-pub use config::body;
-pub use routes::{admin, downstream};
+pub use config::read_body;
+pub use routes::{admin_routes, client_routes};
--- a/crates/testbed/src/sim/faults/profiles.rs
+++ b/crates/testbed/src/sim/faults/profiles.rs
@@ -1,9 +1,9 @@
-//! Profiles: which faults a run injects.
+//! Fault profiles: which faults a run injects, and for how long.
 
 use crate::sim::workers::worker::WorkerBehaviour;
 use sumacvale_core::base::{MS, Micros, Rng, SEC};
 
-/// What may go wrong; the places and times are drawn from the seed.
+/// A kind of fault; the machines and times are drawn from the seed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// The process of a core is killed.
@@ -11,20 +11,20 @@
     /// The process of a front is killed.
     KillFront,
     /// A core's machine loses power.
-    PowerCore,
+    PowerLossCore,
     /// Most machines lose power at once.
-    KillMany,
-    /// A machine is partitioned from all others.
-    CutNode,
+    PowerLossMany,
+    /// A drawn machine is partitioned from all others.
+    PartitionNode,
     /// A core is partitioned from all others.
-    CutCore,
-    /// The machines are partitioned into two halves, drawn at random, both ways.
-    SplitCores,
-    /// Frames of one machine are lost; it still receives.
-    OneWay,
-    /// All processes of a front stand still.
+    PartitionCore,
+    /// The machines are partitioned into two groups, drawn at random, in both directions.
+    PartitionInTwo,
+    /// All frames that one machine sends are lost; it still receives frames.
+    LoseOutgoingFrames,
+    /// All processes of a front are frozen.
     Freeze,
-    /// All processes of a core stand still.
+    /// All processes of a core are frozen.
     FreezeCore,
     /// A front runs several times slower.
     SlowNode,
@@ -34,143 +34,166 @@
     SlowDisk,
     /// The disk of a core completes no write.
     StallDisk,
-    /// A disk refuses each write until there is room again.
+    /// A disk rejects each write until it has room again.
     FullDisk,
     /// A core is replaced by one with an empty disk at a new address, which an operator admits.
-    WipeCore,
+    ReplaceCoreByOperator,
     /// One zone is partitioned from the others.
-    Zone,
+    PartitionZone,
     /// One frame in ten is lost.
-    Lossy,
-    /// Frames overtake one another and come late, some not at all.
-    Jam,
+    LoseFrames,
+    /// Frames are delayed and reordered, and some are lost.
+    ReorderFrames,
     /// Frames of one machine, sent and received, are held until the end of the fault.
-    Hold,
+    HoldFrames,
     /// A machine sleeps for longer than any lease or report is valid.
     Sleep,
-    /// All cores' disks are slow at once.
+    /// The disks of all cores are slow at once.
     SlowDisks,
-    /// A worker drains or vanishes, and starts again later.
-    Workers,
-    /// A worker behaves in some way for a while.
-    Odd(WorkerBehaviour),
-    /// A worker's process ends and another one begins at its address.
-    Crash,
-    /// All workers of the model are replaced, one after the other.
-    Release,
-    /// One tenant calls many times as often as it does.
-    Crowd,
+    /// A worker drains or vanishes, and is restarted later.
+    StopWorker,
+    /// A worker shows a faulty behaviour for a while.
+    FaultyWorker(WorkerBehaviour),
+    /// A worker's process crashes, and another one starts at its address.
+    CrashWorker,
+    /// Rolling release: all workers of the model are replaced, one after the other.
+    RollingRelease,
+    /// One tenant sends eight times its usual calls.
+    TenantBurst,
     /// All calls share one prefix.
-    HotPrefix,
-    /// All workers of the model are in trouble at once.
-    Outage,
-    /// A core goes for good, with or without a word; an empty one comes at a new address.
-    Swap {
-        /// The old machine is told to stop before it ends.
-        term: bool,
-        /// The new machine starts before the old one ends.
-        before: bool,
+    SharedPrefix,
+    /// All workers show the same faulty behaviour at once.
+    AllWorkersFaulty,
+    /// A core is removed for good, with or without a shutdown; one with an empty disk joins at a new address.
+    ReplaceCore {
+        /// The old machine is asked to shut down before it is removed.
+        requests_shutdown: bool,
+        /// The new machine starts before the old one is removed.
+        starts_successor_first: bool,
     },
-    /// As many cores as may be lost lose their disks and begin again at their addresses.
-    Empty,
-    /// The same right after an acknowledgement, at times while all others lose power.
-    AckLoss,
-    /// All processes are killed and return within a second.
-    KillAll,
-    /// All cores lose power and return within a second; the fronts keep theirs, and their connections.
-    KillCores,
+    /// Up to as many cores as the fleet tolerates lose their disks and restart at their addresses.
+    WipeCores,
+    /// Cores lose their disks right after an acknowledgement, in half of the cases while all others lose power.
+    WipeAfterAck,
+    /// All machines lose power and restart within a second.
+    PowerLossAll,
+    /// All cores lose power and restart within a second; the fronts keep running, with their connections.
+    PowerLossCores,
 }
 
 #[derive(Clone, Copy, Debug)]
-/// A kind of run: which faults are injected, for how long, beside how many changes.
+/// A kind of run: the faults that are injected, for how long, and the rate of configuration changes.
 pub struct Profile {
     /// The name on the command line.
     pub name: &'static str,
-    /// The faults that are drawn from; each begins within four seconds of the last one.
+    /// The faults to draw from; each starts 0.2 to 4.2 seconds after the one before.
     pub faults: &'static [Fault],
     /// How long faults are injected, in seconds.
-    pub secs: u64,
-    /// How many changes operators request in ten seconds.
+    pub duration_s: u64,
+    /// The average number of changes that operators request in ten seconds.
     pub changes: u64,
 }
 
 use Fault::{
-    AckLoss, Crash, Crowd, CutCore, CutNode, Empty, Freeze, FreezeCore, FullDisk, Hold, HotPrefix, Jam, KillAll,
-    KillCore, KillCores, KillFront, KillMany, Lossy, Odd, OneWay, Outage, PowerCore, Release, Sleep, SlowCore,
-    SlowDisk, SlowDisks, SlowNode, SplitCores, StallDisk, Swap, WipeCore, Workers, Zone,
+    AllWorkersFaulty, CrashWorker, FaultyWorker, Freeze, FreezeCore, FullDisk, HoldFrames, KillCore, KillFront,
+    LoseFrames, LoseOutgoingFrames, PartitionCore, PartitionInTwo, PartitionNode, PartitionZone, PowerLossAll,
+    PowerLossCore, PowerLossCores, PowerLossMany, ReorderFrames, ReplaceCore, ReplaceCoreByOperator, RollingRelease,
+    SharedPrefix, Sleep, SlowCore, SlowDisk, SlowDisks, SlowNode, StallDisk, StopWorker, TenantBurst, WipeAfterAck,
+    WipeCores,
 };
 
-const MOVES: &[Fault] = &[
-    Swap { term: true, before: true },
-    Swap { term: true, before: false },
-    Swap { term: false, before: true },
-    Swap { term: false, before: false },
-    Empty,
-    Empty,
-    AckLoss,
-    KillAll,
+/// Losses and replacements of cores that manage the voters themselves.
+const MEMBERSHIP_FAULTS: &[Fault] = &[
+    ReplaceCore { requests_shutdown: true, starts_successor_first: true },
+    ReplaceCore { requests_shutdown: true, starts_successor_first: false },
+    ReplaceCore { requests_shutdown: false, starts_successor_first: true },
+    ReplaceCore { requests_shutdown: false, starts_successor_first: false },
+    WipeCores,
+    WipeCores,
+    WipeAfterAck,
+    PowerLossAll,
 ];
 
 impl Profile {
     /// All profiles, in the order in which the command line runs them.
     pub const ALL: &'static [Profile] = &[
-        Profile { name: "calm", faults: &[], secs: 30, changes: 8 },
-        Profile { name: "races", faults: &[], secs: 30, changes: 120 },
-        Profile { name: "kills", faults: &[KillCore, KillFront], secs: 60, changes: 20 },
-        Profile { name: "power", faults: &[KillMany, PowerCore, SlowDisk, SlowDisks], secs: 60, changes: 30 },
-        Profile { name: "stalls", faults: &[Hold, Jam, Sleep], secs: 60, changes: 60 },
-        Profile { name: "cuts", faults: &[CutNode, CutCore, OneWay, SplitCores], secs: 60, changes: 20 },
-        Profile { name: "freezes", faults: &[Freeze, FreezeCore], secs: 60, changes: 20 },
-        Profile { name: "slow", faults: &[SlowNode, SlowCore, KillCore], secs: 60, changes: 20 },
-        Profile { name: "disks", faults: &[SlowDisk, StallDisk, FullDisk, KillCore], secs: 60, changes: 30 },
-        Profile { name: "wiped", faults: &[WipeCore], secs: 90, changes: 15 },
-        Profile { name: "members", faults: MOVES, secs: 120, changes: 10 },
-        Profile { name: "many", faults: MOVES, secs: 120, changes: 10 },
-        // Their losses come from `repairs.rs`.
-        Profile { name: "repairs", faults: &[], secs: 120, changes: 10 },
-        Profile { name: "repairs_two", faults: &[], secs: 120, changes: 10 },
-        // Their troubles come from `control/`.
-        Profile { name: "control_cut_off", faults: &[], secs: 60, changes: 0 },
-        Profile { name: "control_numbers", faults: &[], secs: 60, changes: 0 },
-        Profile { name: "control_second_loss", faults: &[], secs: 60, changes: 0 },
-        Profile { name: "control_hundreds", faults: &[], secs: 100, changes: 0 },
-        Profile { name: "control_answers", faults: &[], secs: 60, changes: 0 },
-        Profile { name: "control_power", faults: &[], secs: 60, changes: 0 },
-        Profile { name: "control_turns", faults: &[], secs: 60, changes: 0 },
-        Profile { name: "blackout", faults: &[KillAll], secs: 60, changes: 10 },
-        Profile { name: "blackout_cores", faults: &[KillCores], secs: 60, changes: 10 },
-        Profile { name: "zones", faults: &[Zone, Lossy], secs: 60, changes: 15 },
-        Profile { name: "workers", faults: &[Workers, KillFront, Freeze], secs: 60, changes: 5 },
-        Profile { name: "day", faults: &[], secs: 120, changes: 6 },
+        Profile { name: "calm", faults: &[], duration_s: 30, changes: 8 },
+        Profile { name: "races", faults: &[], duration_s: 30, changes: 120 },
+        Profile { name: "kills", faults: &[KillCore, KillFront], duration_s: 60, changes: 20 },
+        Profile {
+            name: "power",
+            faults: &[PowerLossMany, PowerLossCore, SlowDisk, SlowDisks],
+            duration_s: 60,
+            changes: 30,
+        },
+        Profile { name: "stalls", faults: &[HoldFrames, ReorderFrames, Sleep], duration_s: 60, changes: 60 },
+        Profile {
+            name: "cuts",
+            faults: &[PartitionNode, PartitionCore, LoseOutgoingFrames, PartitionInTwo],
+            duration_s: 60,
+            changes: 20,
+        },
+        Profile { name: "freezes", faults: &[Freeze, FreezeCore], duration_s: 60, changes: 20 },
+        Profile { name: "slow", faults: &[SlowNode, SlowCore, KillCore], duration_s: 60, changes: 20 },
+        Profile { name: "disks", faults: &[SlowDisk, StallDisk, FullDisk, KillCore], duration_s: 60, changes: 30 },
+        Profile { name: "wiped", faults: &[ReplaceCoreByOperator], duration_s: 90, changes: 15 },
+        Profile { name: "members", faults: MEMBERSHIP_FAULTS, duration_s: 120, changes: 10 },
+        Profile { name: "many", faults: MEMBERSHIP_FAULTS, duration_s: 120, changes: 10 },
+        // `RepeatedLosses` injects the losses of these.
+        Profile { name: "repairs", faults: &[], duration_s: 120, changes: 10 },
+        Profile { name: "repairs_two", faults: &[], duration_s: 120, changes: 10 },
+        // `Control` injects the faults of these.
+        Profile { name: "control_cut_off", faults: &[], duration_s: 60, changes: 0 },
+        Profile { name: "control_numbers", faults: &[], duration_s: 60, changes: 0 },
+        Profile { name: "control_second_loss", faults: &[], duration_s: 60, changes: 0 },
+        Profile { name: "control_hundreds", faults: &[], duration_s: 100, changes: 0 },
+        Profile { name: "control_answers", faults: &[], duration_s: 60, changes: 0 },
+        Profile { name: "control_power", faults: &[], duration_s: 60, changes: 0 },
+        Profile { name: "control_turns", faults: &[], duration_s: 60, changes: 0 },
+        Profile { name: "blackout", faults: &[PowerLossAll], duration_s: 60, changes: 10 },
+        Profile { name: "blackout_cores", faults: &[PowerLossCores], duration_s: 60, changes: 10 },
+        Profile { name: "zones", faults: &[PartitionZone, LoseFrames], duration_s: 60, changes: 15 },
+        Profile { name: "workers", faults: &[StopWorker, KillFront, Freeze], duration_s: 60, changes: 5 },
+        Profile { name: "day", faults: &[], duration_s: 120, changes: 6 },
         Profile {
             name: "tries",
             faults: &[
-                Odd(WorkerBehaviour::Hang),
-                Odd(WorkerBehaviour::Mute),
-                Odd(WorkerBehaviour::Cut),
-                Odd(WorkerBehaviour::Bare),
-                Odd(WorkerBehaviour::Decline),
-                Odd(WorkerBehaviour::Dark),
-                Odd(WorkerBehaviour::Reset),
-                Odd(WorkerBehaviour::Slow),
-                Odd(WorkerBehaviour::Skip),
-                Crash,
+                FaultyWorker(WorkerBehaviour::Hang),
+                FaultyWorker(WorkerBehaviour::NoResponse),
+                FaultyWorker(WorkerBehaviour::Truncate),
+                FaultyWorker(WorkerBehaviour::Unframed),
+                FaultyWorker(WorkerBehaviour::Reject),
+                FaultyWorker(WorkerBehaviour::Unreachable),
+                FaultyWorker(WorkerBehaviour::Reset),
+                FaultyWorker(WorkerBehaviour::Slow),
+                FaultyWorker(WorkerBehaviour::Skip),
+                CrashWorker,
             ],
-            secs: 60,
+            duration_s: 60,
             changes: 10,
         },
-        Profile { name: "outage", faults: &[Outage, Odd(WorkerBehaviour::Mute), Crash], secs: 60, changes: 5 },
+        Profile {
+            name: "outage",
+            faults: &[AllWorkersFaulty, FaultyWorker(WorkerBehaviour::NoResponse), CrashWorker],
+            duration_s: 60,
+            changes: 5,
+        },
         Profile {
             name: "crowds",
-            faults: &[Crowd, HotPrefix, Odd(WorkerBehaviour::Slow), Crash],
-            secs: 60,
+            faults: &[TenantBurst, SharedPrefix, FaultyWorker(WorkerBehaviour::Slow), CrashWorker],
+            duration_s: 60,
             changes: 10,
         },
-        Profile { name: "release", faults: &[Release, Crash, KillFront, Freeze], secs: 60, changes: 20 },
+        Profile {
+            name: "release",
+            faults: &[RollingRelease, CrashWorker, KillFront, Freeze],
+            duration_s: 60,
+            changes: 20,
+        },
         Profile {
             name: "revoked",
-            faults: &[CutNode, Freeze, Sleep, Hold, Odd(WorkerBehaviour::Cut)],
-            secs: 60,
+            faults: &[PartitionNode, Freeze, Sleep, HoldFrames, FaultyWorker(WorkerBehaviour::Truncate)],
+            duration_s: 60,
             changes: 60,
         },
         Profile {
@@ -178,47 +201,47 @@
             faults: &[
                 KillCore,
                 KillFront,
-                KillMany,
-                CutNode,
-                CutCore,
-                SplitCores,
-                OneWay,
+                PowerLossMany,
+                PartitionNode,
+                PartitionCore,
+                PartitionInTwo,
+                LoseOutgoingFrames,
                 Freeze,
                 FreezeCore,
                 SlowDisk,
                 StallDisk,
-                WipeCore,
-                Zone,
-                Lossy,
-                Workers,
-                Jam,
-                Hold,
+                ReplaceCoreByOperator,
+                PartitionZone,
+                LoseFrames,
+                StopWorker,
+                ReorderFrames,
+                HoldFrames,
                 SlowDisks,
-                Crash,
-                Release,
-                Crowd,
-                Odd(WorkerBehaviour::Cut),
-                Odd(WorkerBehaviour::Mute),
-                Odd(WorkerBehaviour::Decline),
-                Odd(WorkerBehaviour::Dark),
+                CrashWorker,
+                RollingRelease,
+                TenantBurst,
+                FaultyWorker(WorkerBehaviour::Truncate),
+                FaultyWorker(WorkerBehaviour::NoResponse),
+                FaultyWorker(WorkerBehaviour::Reject),
+                FaultyWorker(WorkerBehaviour::Unreachable),
             ],
-            secs: 90,
+            duration_s: 90,
             changes: 40,
         },
     ];
 
-    /// The profile of this name.
-    pub fn named(n: &str) -> Option<&'static Profile> {
-        Self::ALL.iter().find(|p| p.name == n)
+    /// Returns the profile of this name.
+    pub fn named(name: &str) -> Option<&'static Profile> {
+        Self::ALL.iter().find(|profile| profile.name == name)
     }
 
     /// Draws a fault and its duration in microseconds.
-    pub fn pick(&self, r: &mut Rng) -> Option<(Fault, Micros)> {
-        let n = self.faults.len() as u64;
-        if n == 0 {
+    pub fn draw_fault(&self, rng: &mut Rng) -> Option<(Fault, Micros)> {
+        let count = self.faults.len() as u64;
+        if count == 0 {
             return None;
         }
-        let f = self.faults[usize::try_from(r.below(n)).unwrap_or(0)];
-        Some((f, 300 * MS + r.below(7 * SEC)))
+        let fault = self.faults[usize::try_from(rng.next_below(count)).unwrap_or(0)];
+        Some((fault, 300 * MS + rng.next_below(7 * SEC)))
     }
 }
--- a/crates/testbed/src/sim/mod.rs
+++ b/crates/testbed/src/sim/mod.rs
@@ -1,4 +1,5 @@
-//! The very same core as in `sumacvale`, stepped in virtual time from a seed.
+//! Deterministic simulator: runs the same core code as `sumacvale` in virtual time, with all randomness drawn from a
+//! seed.
 
 // Short locals of the world and its events are not all renamed yet, see the roadmap.
 #![allow(clippy::many_single_char_names)]
@@ -22,7 +23,7 @@
 pub use checks::majority_contact::MajorityContact;
 pub use checks::safety::{Acknowledgement, SafetyChecker, Violation};
 pub use checks::summary::{ControlSummary, Summary};
-pub use cutoff::{Answers, Caller, CutOff, cut_off};
+pub use cutoff::{CallerKind, PartitionResults, PartitionRun, run_partitions};
 pub use drive::run;
 pub use faults::day::Day;
 pub use faults::profiles::{Fault, Profile};
