--- a/crates/node/src/settings/read.rs
+++ b/crates/node/src/settings/read.rs
@@ -187,7 +187,7 @@
         other: String,
     },
     /// {key}: {reason}
-    DataFolder {
+    UnusableFolder {
         /// The key of the setting or the flag, such as `/zone` or `--zone`.
         key: String,
         /// Why the file or folder can't be used.
@@ -418,7 +418,7 @@
     let data_folder = data_folder.and_then(|(key, path)| match check_data_folder(Path::new(&path)) {
         Ok(folder) => Some(folder),
         Err(reason) => {
-            errors.push(SettingsError::DataFolder { key, reason });
+            errors.push(SettingsError::UnusableFolder { key, reason });
             None
         }
     });
