--- a/crates/testbed/tests/sim.rs
+++ b/crates/testbed/tests/sim.rs
@@ -250,7 +250,7 @@
                 c.record_acknowledgement(ack(5, 0, 1, 0, 1));
                 c.record_acknowledgement(ack(6, 0, 1, 0, 1));
             },
-            "both accepted",
+            "both acknowledged",
         ),
         (
             "rejected, then committed",
@@ -258,7 +258,7 @@
                 c.record_rejection(ChangeId(5), 0);
                 c.record_committed("a", &log_entry(1, 5), 1);
             },
-            "was refused and is in force",
+            "was rejected and is committed on",
         ),
         (
             "committed, then rejected",
@@ -266,7 +266,7 @@
                 c.record_committed("a", &log_entry(1, 5), 0);
                 c.record_rejection(ChangeId(5), 1);
             },
-            "was refused and is decided",
+            "was rejected and is committed",
         ),
         ("acknowledged, then lost", |c| c.record_acknowledgement(ack(5, 0, 1, 0, 1)), "no node holds it"),
         (
@@ -275,7 +275,7 @@
                 c.record_committed("a", &log_entry(1, 6), 0);
                 c.record_acknowledgement(ack(5, 0, 1, 0, 1));
             },
-            "was acknowledged for",
+            "was acknowledged for change",
         ),
         (
             "later change, earlier version",
@@ -285,9 +285,9 @@
                 c.record_acknowledgement(ack(6, 1, 2, 0, 1));
                 c.record_acknowledgement(ack(5, 0, 1, 2, 3));
             },
-            "became 1",
+            "became version 1",
         ),
-        ("version goes back", |c| c.check_version_change("a", 3, 2, 0), "slipped"),
+        ("version goes back", |c| c.check_version_change("a", 3, 2, 0), "went back from version 3 to 2"),
         (
             "stale configuration",
             |c| {
@@ -377,12 +377,13 @@
     };
     let chat = || ExecutionRecord { tenant: "t".into(), ..executed(1, "/v1/chat") };
     let late = || CallOutcome { ended_at: 2 * SEC, ..seen(rejected("full", true), "") };
+    let unexpected = "unexpected body";
     let cases = [
         ("complete and run once", vec![seen(ClientObservation::Complete, &whole)], vec![chat()], limits.clone(), ""),
         ("aborted", vec![seen(ClientObservation::Aborted, part)], vec![chat()], limits.clone(), ""),
-        ("partial body", vec![seen(ClientObservation::Complete, part)], vec![chat()], limits.clone(), "not its own"),
-        ("foreign body", vec![seen(ClientObservation::Complete, &other)], vec![chat()], limits.clone(), "not its own"),
-        ("missing piece", vec![seen(ClientObservation::Aborted, &gap)], vec![chat()], limits.clone(), "not its own"),
+        ("partial body", vec![seen(ClientObservation::Complete, part)], vec![chat()], limits.clone(), unexpected),
+        ("foreign body", vec![seen(ClientObservation::Complete, &other)], vec![chat()], limits.clone(), unexpected),
+        ("missing piece", vec![seen(ClientObservation::Aborted, &gap)], vec![chat()], limits.clone(), unexpected),
         ("no execution", vec![seen(ClientObservation::Complete, &whole)], vec![], limits.clone(), "no worker gave"),
         ("run twice", vec![], vec![chat(), chat()], limits.clone(), "ran 2 times"),
         (
@@ -390,26 +391,26 @@
             vec![],
             vec![ExecutionRecord { path: "/v1/draft", ..chat() }; 2],
             limits.clone(),
-            "begun twice",
+            "started twice at the same piece",
         ),
         (
             "hidden execution",
             vec![seen(rejected("full", true), "")],
             vec![chat()],
             limits.clone(),
-            "refused as not run",
+            "rejected as not run",
         ),
-        ("no retry-after", vec![seen(rejected("full", false), "")], vec![], limits.clone(), "without a time"),
-        ("rejected late", vec![late()], vec![], limits.clone(), "given up on only after"),
+        ("no retry-after", vec![seen(rejected("full", false), "")], vec![], limits.clone(), "a retry-after"),
+        ("rejected late", vec![late()], vec![], limits.clone(), "was rejected only after"),
         ("late, but frozen", vec![late()], vec![], CallLimits { freezes: vec![(0, 0, SEC)], ..limits.clone() }, ""),
         (
             "run on a draining worker",
             vec![],
             vec![ExecutionRecord { draining_since: Some(17 * SEC), ..chat() }],
             limits.clone(),
-            "began to drain",
+            "after the worker began to drain",
         ),
-        ("withdrawn key", vec![], vec![executed(1, "/v1/chat")], limits.clone(), "withdrawn over 5 s"),
+        ("withdrawn key", vec![], vec![executed(1, "/v1/chat")], limits.clone(), "revoked over 5 s"),
         (
             "within 5 s",
             vec![],
@@ -434,7 +435,7 @@
             limits.clone(),
             "units of window 1",
         ),
-        ("too many retries", vec![], vec![], CallLimits { attempts: (100, 21), ..limits.clone() }, "21 second tries"),
+        ("too many retries", vec![], vec![], CallLimits { attempts: (100, 21), ..limits.clone() }, "21 retries for"),
     ];
     for (name, outcomes, executions, limits, expected) in cases {
         let got: Vec<_> = check_calls(&outcomes, &executions, &limits).into_iter().map(|v| v.0).collect();
